--- /dev/null
+++ b/crates/staircross-lab/tests/pinned_help.rs
@@ -0,0 +1,21 @@
+//! The help of the program: its demo and its fuzzer.
+
+use std::process::Command;
+
+/// The section of one subcommand.
+fn section(whole: &str, subcommand: &str) -> String {
+    let title = format!("\nstaircross-lab {subcommand}\n");
+    let start = whole.find(&title).expect("has the subcommand") + 1;
+    let rest = &whole[start..];
+    let end = rest.find("\nstaircross-lab ").unwrap_or(rest.len());
+    rest[..end].trim_end().to_owned()
+}
+
+#[test]
+fn help_is_pinned() {
+    let output = Command::new(env!("CARGO_BIN_EXE_staircross-lab")).arg("--help").output().expect("runs");
+    let whole = String::from_utf8([output.stdout, output.stderr].concat()).expect("is text");
+    let head = whole.split("\nstaircross-lab ").next().expect("has a head").trim_end();
+    let pins = [head.to_owned(), section(&whole, "demo"), section(&whole, "fuzz")];
+    insta::assert_snapshot!(pins.join("\n\n"));
+}
--- /dev/null
+++ b/crates/staircross-node/tests/pinned_metrics.rs
@@ -0,0 +1,31 @@
+//! Names, labels and help of the metrics.
+
+use staircross_node::metrics::Metrics;
+use staircross_search::root::RootCounters;
+
+#[test]
+fn metrics_page_is_pinned() {
+    let metrics = Metrics::new().expect("registers");
+    // Families show once one of their label values does.
+    metrics.requests.with_label_values(&["answer"]).inc();
+    metrics.missing_shards.with_label_values(&["late"]).inc();
+    metrics.dropped.with_label_values(&["session_copy"]).inc();
+    metrics.peer_bytes.with_label_values(&["udp"]).inc_by(7);
+    metrics.answer_seconds.observe(0.03);
+    metrics.sessions.set(1);
+    metrics.in_flight.set(2);
+    metrics.members.set(3);
+    metrics.owned_searchers.set(4);
+    metrics.revision.set(5);
+    let counted = RootCounters {
+        primaries: 10,
+        hedges: 11,
+        retries: 12,
+        reroutes: 13,
+        foreign_replies: 14,
+        late_replies: 15,
+        ..RootCounters::default()
+    };
+    metrics.add_root_counters(RootCounters::default(), counted);
+    insta::assert_snapshot!(metrics.render());
+}
