--- /dev/null
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -0,0 +1,176 @@
+//! What five allowances admit, refuse and send each other over a network that delays and cuts, pinned as a digest by kind.
+
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaMessage, QuotaTell};
+use staircross_types::{BootTime, NodeId, Quota};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::sync::Arc;
+use std::time::Duration;
+use xxhash_rust::xxh3::Xxh3;
+
+const NODES: [NodeId; 5] = [NodeId(21), NodeId(22), NodeId(23), NodeId(24), NodeId(25)];
+const BOUND: QuotaBound = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
+const STEP_MS: u64 = 5;
+
+struct Fleet {
+    nodes: Vec<FleetAllowance>,
+    /// Messages on their way, by the step of their arrival.
+    sent: BTreeMap<(u64, u64), (usize, NodeId, QuotaMessage)>,
+    random: ChaCha8Rng,
+    sequence: u64,
+    step: u64,
+    kinds: BTreeMap<&'static str, (usize, Xxh3)>,
+}
+
+fn quotas(factor: f64) -> impl Iterator<Item = (Arc<str>, Quota)> {
+    let quota =
+        |(name, rate): (&str, f64)| (Arc::from(name), Quota { rate_per_s: rate * factor, burst: rate * factor });
+    [("small", 3.0), ("usual", 20.0), ("large", 80.0)].map(quota).into_iter()
+}
+
+impl Fleet {
+    fn new() -> Self {
+        let node = |own| {
+            let mut node = FleetAllowance::new(BOUND, own, BootTime::from_millis(1000), own != NODES[4]);
+            node.set_quotas(BootTime::from_millis(1000), quotas(1.0));
+            node.set_fleet(BootTime::from_millis(1000), FleetView { serving: NODES.to_vec() });
+            node
+        };
+        Fleet {
+            nodes: NODES.map(node).into_iter().collect(),
+            sent: BTreeMap::new(),
+            random: ChaCha8Rng::seed_from_u64(3),
+            sequence: 0,
+            step: 0,
+            kinds: BTreeMap::new(),
+        }
+    }
+
+    fn now(&self) -> BootTime {
+        BootTime::from_millis(1000 + self.step * STEP_MS)
+    }
+
+    fn note(&mut self, kind: &'static str, node: usize, text: &str) {
+        let line = format!("{} {kind} {node} {text}\n", self.now().0);
+        let (count, digest) = self.kinds.entry(kind).or_default();
+        *count += 1;
+        digest.update(line.as_bytes());
+    }
+
+    /// Whether the second node is cut off at the moment.
+    fn is_cut(&self) -> bool {
+        (1600..2400).contains(&self.step)
+    }
+
+    fn send(&mut self, node: usize, tells: Vec<QuotaTell>) {
+        for QuotaTell { to, message } in tells {
+            let (kind, text) = shown(&message);
+            self.note(kind, node, &format!("{} {text}", to.0));
+            let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
+            let delay = self.random.random_range(1..6);
+            if !(self.is_cut() && (node == 1 || receiver == 1)) {
+                self.sequence += 1;
+                self.sent.insert((self.step + delay, self.sequence), (receiver, NODES[node], message));
+            }
+        }
+        for change in self.nodes[node].take_changes() {
+            let text = format!("{} {} {} {}", change.tenant, change.is_limited, change.pass, change.is_stranded);
+            self.note("changed", node, &text);
+        }
+    }
+
+    fn play_step(&mut self) {
+        self.step += 1;
+        let now = self.now();
+        while let Some(((_, _), (node, from, message))) = self.sent.pop_first_if(self.step) {
+            let mut tells = Vec::new();
+            self.nodes[node].on_message(now, from, message, &mut tells);
+            self.send(node, tells);
+        }
+        for node in 0..NODES.len() {
+            if self.nodes[node].next_wake().is_some_and(|wake| wake <= now) {
+                let mut tells = Vec::new();
+                self.nodes[node].on_tick(now, &mut tells);
+                self.send(node, tells);
+            }
+        }
+        // Usual demand is below the rates; between four and twelve seconds it is six times as much.
+        let is_hot = (800..2400).contains(&self.step);
+        for (tenant, per_step) in [("small", 0.01), ("usual", 0.07), ("large", 0.3)] {
+            let asked = per_step * if is_hot { 6.0 } else { 1.0 } + self.random.random::<f64>();
+            (0..asked as usize).for_each(|_| self.ask(tenant));
+        }
+    }
+
+    fn ask(&mut self, tenant: &str) {
+        let node = self.random.random_range(0..NODES.len());
+        let now = self.now();
+        let taken = self.nodes[node].try_take(now, tenant);
+        match taken {
+            Ok(()) => self.note("admitted", node, tenant),
+            Err(refusal) => self.note("refused", node, &format!("{tenant} {}", refusal.retry_after.as_nanos())),
+        }
+    }
+
+    fn see(&mut self, node: usize, serving: &[NodeId]) {
+        let now = self.now();
+        self.nodes[node].set_fleet(now, FleetView { serving: serving.to_vec() });
+    }
+}
+
+trait PopFirstIf<V> {
+    fn pop_first_if(&mut self, step: u64) -> Option<((u64, u64), V)>;
+}
+
+impl<V> PopFirstIf<V> for BTreeMap<(u64, u64), V> {
+    fn pop_first_if(&mut self, step: u64) -> Option<((u64, u64), V)> {
+        self.first_key_value().is_some_and(|((due, _), _)| *due <= step).then(|| self.pop_first()).flatten()
+    }
+}
+
+fn shown(message: &QuotaMessage) -> (&'static str, String) {
+    match message {
+        QuotaMessage::Report(report) => {
+            let (counts, confirmed) = (report.counts, report.confirmed);
+            let numbers = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted, report.epoch];
+            let numbers: Vec<String> = numbers.iter().map(u32::to_string).collect();
+            let former = report.former.map_or(0, |former| former.0);
+            ("report", format!("{:x} {} {former}", report.tenant.0, numbers.join(" ")))
+        }
+        QuotaMessage::Word(word) => {
+            let confirmed =
+                word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
+            ("word", format!("{:x} {} {} {}", word.tenant.0, word.said_at, word.pass, confirmed.unwrap_or_default()))
+        }
+    }
+}
+
+#[test]
+fn messages_refusals_and_changes_of_five_nodes_of_which_one_is_cut_off() {
+    let mut fleet = Fleet::new();
+    for step in 0..4000 {
+        match step {
+            // The cut is seen half a second after it began, and its end half a second after it ended.
+            1700 => {
+                let others = [NODES[0], NODES[2], NODES[3], NODES[4]];
+                [0, 2, 3, 4].into_iter().for_each(|node| fleet.see(node, &others));
+                fleet.see(1, &NODES[1..2]);
+            }
+            2500 => (0..NODES.len()).for_each(|node| fleet.see(node, &NODES)),
+            3000 => {
+                let now = fleet.now();
+                fleet.nodes.iter_mut().for_each(|node| node.set_quotas(now, quotas(0.5)));
+            }
+            _ => {}
+        }
+        fleet.play_step();
+    }
+    let mut table = String::new();
+    for (kind, (count, digest)) in &fleet.kinds {
+        writeln!(table, "{kind:<12} {count:>6} {:016x}", digest.digest()).expect("a string takes it");
+    }
+    insta::assert_snapshot!("five_nodes", table);
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -0,0 +1,173 @@
+//! All that an engine wants done, as lines of log names and numbers, and their digests by kind.
+//!
+//! Nothing here depends on the names of types, variants or fields: lines hold over renames.
+
+use staircross_quota::{QuotaChange, QuotaMessage};
+use staircross_routing::RoutingAction;
+use staircross_routing::engine::{AbandonCause, SendOrder};
+use staircross_routing::selection::Distance;
+use staircross_routing::{AttemptKey, SentIdentity, Verdict};
+use staircross_types::BootTime;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use xxhash_rust::xxh3::{Xxh3, xxh3_64};
+
+/// Directory that gets each drive's lines, to find the first one that differs.
+const LINES_TO: &str = "PINNED_LINES";
+
+#[derive(Default)]
+struct Kind {
+    count: usize,
+    digest: Xxh3,
+}
+
+/// Lines of one drive.
+#[derive(Default)]
+pub struct Journal {
+    kinds: BTreeMap<String, Kind>,
+    all: Kind,
+    lines: String,
+}
+
+impl Journal {
+    pub fn note(&mut self, now: BootTime, kind: &str, text: &str) {
+        let line = format!("{} {kind} {text}\n", now.0);
+        for entry in [self.kinds.entry(kind.to_owned()).or_default(), &mut self.all] {
+            entry.count += 1;
+            entry.digest.update(line.as_bytes());
+        }
+        self.lines.push_str(&line);
+    }
+
+    /// One line a kind: count and digest.
+    pub fn table(&self, drive: &str) -> String {
+        if let Some(directory) = std::env::var_os(LINES_TO) {
+            let path = std::path::Path::new(&directory).join(drive);
+            std::fs::write(path, &self.lines).expect("the directory can be written to");
+        }
+        let mut table = String::new();
+        let kinds = self.kinds.iter().map(|(name, kind)| (name.as_str(), kind));
+        for (name, kind) in kinds.chain([("all", &self.all)]) {
+            writeln!(table, "{name:<32} {:>6} {:016x}", kind.count, kind.digest.digest()).expect("a string takes it");
+        }
+        table
+    }
+
+    pub fn action(&mut self, now: BootTime, action: &RoutingAction) {
+        let (kind, text) = line(action);
+        self.note(now, &kind, &text);
+    }
+}
+
+fn key(attempt: AttemptKey) -> String {
+    format!("{}.{}", attempt.request.0, attempt.number)
+}
+
+fn line(action: &RoutingAction) -> (String, String) {
+    match action {
+        RoutingAction::Send(order) => (format!("send {}", order.reason.name()), send(order)),
+        RoutingAction::Abandon { attempt, patience, cause } => {
+            let cause = match cause {
+                AbandonCause::Superseded => "superseded",
+                AbandonCause::CallerGone => "caller_gone",
+                AbandonCause::Quarantined => "quarantined",
+            };
+            (format!("abandon {cause}"), format!("{} {}", key(*attempt), patience.as_micros()))
+        }
+        RoutingAction::Recall { attempt } => ("recall".into(), key(*attempt)),
+        RoutingAction::Unsent { request, service, reason, cause } => {
+            (format!("unsent {}", cause.name()), format!("{} {service} {}", request.0, reason.name()))
+        }
+        RoutingAction::LeftOut { request, service, asked, cause } => {
+            (format!("left out {}", cause.name()), format!("{} {service} {}", request.0, asked.join(",")))
+        }
+        RoutingAction::Held { request, cause } => (format!("held {}", cause.name()), request.0.to_string()),
+        RoutingAction::KeyRefused { request, cause } => {
+            (format!("key {}", cause.name()), format!("{} {}", request.0, cause.detail()))
+        }
+        RoutingAction::NotAdmitted { request, group, part } => {
+            ("not admitted".into(), format!("{} {group} {part}", request.0))
+        }
+        RoutingAction::Admission { group, change } => {
+            let (wait, tolerable) = (change.wait.as_nanos(), change.tolerable.as_nanos());
+            ("admission".into(), format!("{group} {wait} {tolerable} {}", change.level))
+        }
+        RoutingAction::Suspicion { change, is_by_peers } => {
+            let text = format!("{} {} {} {is_by_peers}", change.content, change.losses, change.is_raised);
+            (format!("suspicion {}", change.suspicion.name()), text)
+        }
+        RoutingAction::TellQuota { to, messages } => {
+            let messages: Vec<String> = messages.iter().map(quota_message).collect();
+            ("quota sent".into(), format!("{} {}", to.0, messages.join(" ")))
+        }
+        RoutingAction::Quota(change) => ("quota changed".into(), quota_change(change)),
+        RoutingAction::Alarm { route, is_raised } => ("alarm".into(), format!("{route} {is_raised}")),
+        RoutingAction::Finish { request, verdict } => {
+            let (kind, text) = finish(verdict);
+            (kind, format!("{} {text}", request.0))
+        }
+    }
+}
+
+fn send(order: &SendOrder) -> String {
+    let distance = match order.distance {
+        Distance::OwnZone => 0,
+        Distance::OwnRegion => 1,
+        Distance::Far => 2,
+    };
+    let identity = match &order.identity {
+        SentIdentity::Unmanaged => "unmanaged",
+        SentIdentity::Anonymous => "anonymous",
+        SentIdentity::Tenant(name) => name,
+    };
+    let reported = order.reported.as_ref().map(|at| format!("{} {}", at.load, at.age.as_micros()));
+    format!(
+        "{} {} {} {identity} {distance} {} {} {} {} {}",
+        key(order.attempt),
+        order.searcher.0,
+        order.instance,
+        order.deadline.0,
+        order.connect_patience.as_micros(),
+        order.is_idempotent,
+        order.address,
+        reported.unwrap_or_default(),
+    )
+}
+
+pub fn quota_change(change: &QuotaChange) -> String {
+    format!("{} {} {} {}", change.tenant, change.is_limited, change.pass, change.is_stranded)
+}
+
+pub fn quota_message(message: &QuotaMessage) -> String {
+    match message {
+        QuotaMessage::Report(report) => {
+            let (counts, confirmed) = (report.counts, report.confirmed);
+            let former = report.former.map_or(0, |former| former.0);
+            let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
+            format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
+        }
+        QuotaMessage::Word(word) => {
+            let confirmed =
+                word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
+            format!("w {:x} {} {} {}", word.tenant.0, word.said_at, word.pass, confirmed.unwrap_or_default())
+        }
+    }
+}
+
+fn finish(verdict: &Verdict) -> (String, String) {
+    match verdict {
+        Verdict::Merged(merged) => {
+            let stamps: Vec<_> = merged.stamps.iter().map(|stamp| String::from_utf8_lossy(stamp)).collect();
+            let text = format!("{} {} {:x}", merged.missing, stamps.join(","), xxh3_64(&merged.body));
+            ("merged".into(), text)
+        }
+        Verdict::Passed(answer) => {
+            let stamp = answer.stamp.as_deref().map(String::from_utf8_lossy);
+            ("passed".into(), format!("{} {} {:x}", answer.status, stamp.unwrap_or_default(), xxh3_64(&answer.body)))
+        }
+        Verdict::Refused { kind, detail, retry_after } => {
+            let retry_after = retry_after.map_or(0, |after| after.as_micros());
+            (format!("refused {}", kind.name()), format!("{detail} {retry_after}"))
+        }
+    }
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -0,0 +1,339 @@
+//! One engine, and searchers with slots, queues and connections that work, reject, end and come back, in simulated time.
+
+use super::journal::Journal;
+use crate::common::{HOST, answer, records};
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+use staircross_quota::QuotaMessage;
+use staircross_routing::engine::SendOrder;
+use staircross_routing::request::Unknown;
+use staircross_routing::{
+    Arrival, AttemptKey, AttemptOutcome, CallerLink, ConfigurationView, ContentKey, Credential, NotRun, ReportedLoad,
+    RequestKey, RouteTable, RoutingAction, RoutingDefinition, RoutingEngine, RoutingEvent, RoutingSettings,
+    SearcherEntry, SearcherKey,
+};
+use staircross_types::{BootTime, NodeId};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+use std::time::Duration;
+
+type Step = Box<dyn FnOnce(&mut World)>;
+
+/// Start of all drives.
+pub const START: BootTime = BootTime::from_millis(1_000_000);
+/// Time between ticks that nothing asks for.
+const TICK: u64 = 250;
+/// Sub-requests that a searcher lets wait.
+const QUEUE: usize = 30;
+
+/// One searcher.
+pub struct Searcher {
+    pub entry: SearcherEntry,
+    /// How many times longer than usual its work takes.
+    pub slowness: f64,
+    /// Connections that it accepts.
+    pub connections: usize,
+    /// Time until a connection is up, in milliseconds.
+    pub connecting: u64,
+    pub is_reachable: bool,
+    /// Fraction of its answers that are failures.
+    pub failing: f64,
+    open: usize,
+    busy: usize,
+    queue: VecDeque<AttemptKey>,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Phase {
+    Connecting,
+    Queued,
+    Running,
+}
+
+struct Attempt {
+    instance: String,
+    searcher: SearcherKey,
+    phase: Phase,
+}
+
+pub struct World {
+    pub engine: RoutingEngine,
+    pub now: BootTime,
+    pub journal: Journal,
+    pub random: ChaCha8Rng,
+    pub searchers: BTreeMap<String, Searcher>,
+    /// Usual work in milliseconds.
+    pub work: f64,
+    /// Contents that end whoever runs them.
+    pub deadly: BTreeSet<u64>,
+    /// Messages to peers that nobody has taken yet.
+    pub outbox: Vec<(NodeId, Vec<QuotaMessage>)>,
+    steps: BTreeMap<(BootTime, u64), Step>,
+    attempts: BTreeMap<AttemptKey, Attempt>,
+    contents: BTreeMap<RequestKey, u64>,
+    sequence: u64,
+    next_request: u64,
+}
+
+impl World {
+    pub fn new(settings: RoutingSettings, definition: Option<RoutingDefinition>, entries: Vec<SearcherEntry>) -> Self {
+        let mut world = World {
+            engine: RoutingEngine::new(settings),
+            now: START,
+            journal: Journal::default(),
+            random: ChaCha8Rng::seed_from_u64(5),
+            searchers: BTreeMap::new(),
+            work: 20.0,
+            deadly: BTreeSet::new(),
+            outbox: Vec::new(),
+            steps: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            contents: BTreeMap::new(),
+            sequence: 0,
+            next_request: 1,
+        };
+        if let Some(definition) = definition {
+            world.configure(definition);
+        }
+        if !entries.is_empty() {
+            world.start(entries);
+        }
+        world.tick_on();
+        world
+    }
+
+    pub fn configure(&mut self, definition: RoutingDefinition) {
+        self.event(RoutingEvent::Configuration(Arc::new(RouteTable::new(Arc::new(definition)))));
+    }
+
+    pub fn start(&mut self, entries: Vec<SearcherEntry>) {
+        for entry in &entries {
+            let searcher = Searcher {
+                entry: entry.clone(),
+                slowness: 1.0,
+                connections: 40,
+                connecting: 0,
+                is_reachable: true,
+                failing: 0.0,
+                open: 0,
+                busy: 0,
+                queue: VecDeque::new(),
+            };
+            self.searchers.entry(entry.instance.to_string()).or_insert(searcher);
+        }
+        self.event(RoutingEvent::Searchers(entries));
+    }
+
+    fn tick_on(&mut self) {
+        self.event(RoutingEvent::Tick);
+        self.after(TICK as f64, World::tick_on);
+    }
+
+    /// Does something at a time in milliseconds since the start.
+    pub fn at(&mut self, millis: f64, step: impl FnOnce(&mut World) + 'static) {
+        self.sequence += 1;
+        let time = START + Duration::from_micros((millis * 1000.0) as u64);
+        self.steps.insert((time, self.sequence), Box::new(step));
+    }
+
+    pub fn after(&mut self, millis: f64, step: impl FnOnce(&mut World) + 'static) {
+        let since = self.now.since(START).as_secs_f64() * 1000.0;
+        self.at(since + millis, step);
+    }
+
+    /// Plays until a time in milliseconds since the start.
+    pub fn run(&mut self, millis: u64) {
+        let end = START + Duration::from_millis(millis);
+        loop {
+            let step = self.steps.first_key_value().map_or(BootTime::FAR_FUTURE, |((at, _), _)| *at);
+            let wake = self.engine.next_wake().unwrap_or(BootTime::FAR_FUTURE);
+            if step.min(wake) > end {
+                break;
+            }
+            if wake < step {
+                self.now = self.now.max(wake);
+                self.event(RoutingEvent::Tick);
+            } else if let Some(((at, _), step)) = self.steps.pop_first() {
+                self.now = self.now.max(at);
+                step(self);
+            }
+        }
+        self.now = end;
+    }
+
+    pub fn arrival(&mut self, path: &str) -> Arrival {
+        let key = RequestKey(self.next_request);
+        self.next_request += 1;
+        Arrival {
+            key,
+            host: HOST.to_owned(),
+            path: path.to_owned(),
+            patience: None,
+            waited: Duration::ZERO,
+            is_overloaded: false,
+            newest_version: 0,
+            view: ConfigurationView::Current,
+            knows_searchers: true,
+            link: CallerLink::default(),
+            content: ContentKey(key.0 << 20),
+            credential: Credential::Missing,
+        }
+    }
+
+    /// Offers requests at random times between two milliseconds; `make` shapes the arrival by its number.
+    pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, make: fn(&mut Arrival, usize)) {
+        let (mut at, mut number) = (span.0, 0);
+        while at < span.1 {
+            self.at(at, move |world| {
+                let mut arrival = world.arrival(path);
+                make(&mut arrival, number);
+                world.arrive(arrival);
+            });
+            number += 1;
+            at += -(1.0 - self.random.random::<f64>()).ln() * 1000.0 / per_s;
+        }
+    }
+
+    pub fn arrive(&mut self, arrival: Arrival) {
+        self.contents.insert(arrival.key, arrival.content.0);
+        self.event(RoutingEvent::Arrived(arrival));
+    }
+
+    /// The callers of the newest requests leave.
+    pub fn newest_callers_leave(&mut self, count: u64) {
+        let newest = self.next_request.saturating_sub(count)..self.next_request;
+        newest.for_each(|key| self.event(RoutingEvent::CallerGone(RequestKey(key))));
+    }
+
+    pub fn event(&mut self, event: RoutingEvent) {
+        let mut actions = Vec::new();
+        self.engine.on_event(self.now, event, &mut actions);
+        for action in &actions {
+            self.journal.action(self.now, action);
+        }
+        for action in actions {
+            match action {
+                RoutingAction::Send(order) => self.connect(&order),
+                RoutingAction::Abandon { attempt, patience, .. } => self.abandon(attempt, patience),
+                RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
+                    self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Withdrawn));
+                }
+                RoutingAction::TellQuota { to, messages } => self.outbox.push((to, messages)),
+                _ => {}
+            }
+        }
+    }
+
+    fn phase(&self, attempt: AttemptKey) -> Option<Phase> {
+        self.attempts.get(&attempt).map(|attempt| attempt.phase)
+    }
+
+    fn connect(&mut self, order: &SendOrder) {
+        let (key, instance) = (order.attempt, order.instance.to_string());
+        let searcher = self.searchers.get_mut(&instance).expect("only searchers that were started are asked");
+        searcher.open += 1;
+        let (is_full, connecting) = (searcher.open > searcher.connections, searcher.connecting);
+        let is_reachable = searcher.is_reachable;
+        self.attempts.insert(key, Attempt { instance, searcher: order.searcher, phase: Phase::Connecting });
+        if !is_reachable {
+            self.after(3.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
+        } else if is_full {
+            self.after(1.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::TurnedAway)));
+        } else if connecting > 0 {
+            self.after(connecting as f64, move |world| world.begin(key, connecting));
+        } else {
+            self.queue(key);
+        }
+    }
+
+    fn begin(&mut self, key: AttemptKey, connecting: u64) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        let searcher = attempt.searcher;
+        self.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(connecting) });
+        self.event(RoutingEvent::Begun { attempt: key });
+        self.queue(key);
+    }
+
+    fn queue(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.attempts.get_mut(&key) else { return };
+        attempt.phase = Phase::Queued;
+        let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
+        if searcher.queue.len() >= QUEUE {
+            self.after(0.5, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Shed)));
+            return;
+        }
+        searcher.queue.push_back(key);
+        let instance = attempt.instance.clone();
+        self.take_next(&instance);
+    }
+
+    fn take_next(&mut self, instance: &str) {
+        let searcher = self.searchers.get_mut(instance).expect("it was started");
+        if searcher.busy >= searcher.entry.slots as usize {
+            return;
+        }
+        let Some(key) = searcher.queue.pop_front() else { return };
+        searcher.busy += 1;
+        let took = self.work * searcher.slowness * self.random.random_range(0.6..1.4);
+        self.attempts.get_mut(&key).expect("it waited").phase = Phase::Running;
+        self.after(took, move |world| world.finish(key));
+    }
+
+    fn finish(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        let instance = attempt.instance.clone();
+        if self.deadly.contains(&self.contents[&key.request]) {
+            return self.crash(&instance);
+        }
+        let searcher = &self.searchers[&instance];
+        let load = ReportedLoad {
+            running: searcher.busy as u32,
+            waiting: searcher.queue.len() as u32,
+            slots: searcher.entry.slots,
+            host_slowness: (searcher.slowness > 2.0).then_some((searcher.slowness * 100.0) as u32),
+        };
+        let status = if self.random.random_bool(searcher.failing) { 500 } else { 200 };
+        let body = records(&[key.request.0 as u8, instance.len() as u8, key.number as u8]);
+        let mut outcome = answer(status, &instance, body);
+        if let AttemptOutcome::Answered(answer) = &mut outcome {
+            answer.report.load = Some(load);
+        }
+        self.end(key, outcome);
+    }
+
+    /// Ends a searcher with all that it has; another start of it comes some seconds later.
+    pub fn crash(&mut self, instance: &str) {
+        self.searchers.get_mut(instance).expect("it was started").is_reachable = false;
+        let of_it = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
+        let keys: Vec<AttemptKey> = of_it.map(|(key, _)| *key).collect();
+        keys.into_iter().for_each(|key| self.end(key, AttemptOutcome::Unknown(Unknown::Broken)));
+        let gone = instance.to_owned();
+        self.after(400.0, move |world| world.event(RoutingEvent::SearchersGone(vec![Arc::from(gone)])));
+        let mut entry = self.searchers[instance].entry.clone();
+        entry.instance = Arc::from(format!("{}+", entry.instance));
+        entry.born_ms = 1 + self.now.since(START).as_millis() as u64;
+        self.after(4000.0, move |world| world.start(vec![entry]));
+    }
+
+    fn abandon(&mut self, key: AttemptKey, patience: Duration) {
+        let outcome = match self.phase(key) {
+            Some(Phase::Running) => AttemptOutcome::Unknown(Unknown::Unanswered),
+            Some(_) => AttemptOutcome::Withdrawn,
+            None => return,
+        };
+        let is_running = matches!(outcome, AttemptOutcome::Unknown(_));
+        let wait = if is_running { patience.as_secs_f64() * 1000.0 } else { 0.2 };
+        self.after(wait, move |world| world.end(key, outcome));
+    }
+
+    fn end(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
+        let Some(attempt) = self.attempts.remove(&key) else { return };
+        let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
+        searcher.open -= 1;
+        searcher.queue.retain(|queued| *queued != key);
+        searcher.busy -= usize::from(attempt.phase == Phase::Running);
+        self.event(RoutingEvent::Ended { attempt: key, outcome });
+        self.take_next(&attempt.instance);
+    }
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -0,0 +1,150 @@
+//! What the engine decides about quotas, keys, and what it doesn't know yet, pinned like `pinned_decisions.rs`.
+
+mod common;
+mod pinned;
+
+use common::{definition, gather, route, searcher, settings};
+use pinned::world::{START, World};
+use staircross_quota::QuotaBound;
+use staircross_routing::{
+    Arrival, ConfigurationView, Credential, KeyDigest, RoutingDefinition, RoutingEvent, RoutingSettings, SearcherEntry,
+    TenantDefinition,
+};
+use staircross_types::{NodeId, Quota};
+use std::sync::Arc;
+use std::time::Duration;
+
+const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
+
+fn plain(_: &mut Arrival, _: usize) {}
+
+fn entries(slots: u32) -> Vec<SearcherEntry> {
+    let copies =
+        |shard: &str| ["x", "y"].map(|copy| SearcherEntry { slots, ..searcher(&format!("{shard}{copy}"), shard, "a") });
+    SHARDS.iter().flat_map(|shard| copies(shard)).collect()
+}
+
+fn many() -> RoutingSettings {
+    RoutingSettings { max_requests: 100_000, ..settings() }
+}
+
+fn key_of(tenant: &str) -> KeyDigest {
+    KeyDigest::of(tenant.as_bytes()).expect("a key")
+}
+
+fn by_tenant(arrival: &mut Arrival, tenant: &str) {
+    arrival.credential = Credential::Key(key_of(tenant));
+}
+
+fn tenant(name: &str, quota: Option<Quota>) -> TenantDefinition {
+    let allowed_regions = Vec::new();
+    TenantDefinition { name: Arc::from(name), keys: vec![key_of(name)], priority: 1, quota, allowed_regions }
+}
+
+fn with_tenants(version: u64, tenants: Vec<TenantDefinition>) -> RoutingDefinition {
+    RoutingDefinition { tenants, ..definition(version, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS) }
+}
+
+fn pinned(drive: &str, world: &World) {
+    insta::assert_snapshot!(drive, world.journal.table(drive));
+}
+
+const NODES: [NodeId; 3] = [NodeId(11), NodeId(12), NodeId(13)];
+
+/// A node of a fleet of three, whose tenants ask for more than their quotas from the third second on.
+fn quota_node(node: NodeId) -> World {
+    let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
+    let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
+    let settings = RoutingSettings { node, quota, ..many() };
+    let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), entries(5));
+    let nodes_by_zone = [(Arc::from("a"), NODES.len())].into_iter().collect();
+    let nodes = Some(NODES.to_vec());
+    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_part: 1.0, nodes });
+    world.offer((0.0, 14_000.0), 12.0, "/q/1", |arrival, number| by_tenant(arrival, ["t1", "t2", "t3"][number % 3]));
+    world.offer((3000.0, 11_000.0), 50.0, "/q/2", |arrival, number| by_tenant(arrival, ["t1", "t1", "t2"][number % 3]));
+    world
+}
+
+#[test]
+fn quotas_of_three_nodes_of_which_one_falls_silent() {
+    let mut worlds = NODES.map(quota_node);
+    for now in (10..=16_000).step_by(10) {
+        let mut sent = Vec::new();
+        for (from, world) in NODES.into_iter().zip(&mut worlds) {
+            world.run(now);
+            sent.extend(world.outbox.drain(..).map(|(to, messages)| (from, to, messages)));
+        }
+        for (from, to, messages) in sent {
+            let is_silent = (6000..9000).contains(&now) && (from == NODES[1] || to == NODES[1]);
+            let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
+            if !is_silent {
+                worlds[receiver].event(RoutingEvent::PeerQuota { from, messages });
+            }
+        }
+    }
+    for (drive, world) in ["quotas_1", "quotas_2", "quotas_3"].into_iter().zip(&worlds) {
+        pinned(drive, world);
+    }
+}
+
+#[test]
+fn requests_that_come_before_configuration_or_searchers_are_known() {
+    let mut world = World::new(many(), None, Vec::new());
+    world.offer((0.0, 700.0), 200.0, "/q/1", plain);
+    world.offer((900.0, 1500.0), 200.0, "/q/1", |arrival, _| arrival.knows_searchers = false);
+    world.offer((1600.0, 3000.0), 200.0, "/new/1", |arrival, number| {
+        arrival.newest_version = 2 + number as u64 % 2;
+        arrival.patience = (number % 4 == 0).then_some(Duration::from_millis(400));
+    });
+    world.offer((1600.0, 6000.0), 200.0, "/q/1", |arrival, number| {
+        let views = [ConfigurationView::Current, ConfigurationView::Doubtful, ConfigurationView::Expired];
+        arrival.view = views[number % 3];
+        by_tenant(arrival, ["t1", "t2"][number % 2]);
+        arrival.newest_version = number as u64 % 4;
+    });
+    world.at(600.0, |world| world.configure(definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS)));
+    world.at(1200.0, |world| world.start(entries(5)[..4].to_vec()));
+    world.at(1300.0, |world| world.start(entries(5)[4..].to_vec()));
+    world.at(2200.0, |world| {
+        let mut newer = with_tenants(2, vec![tenant("t1", None)]);
+        newer.routes.push(route("new", gather(&SHARDS[..2], 10, 0.5)));
+        world.configure(newer);
+    });
+    world.at(4000.0, |world| world.configure(with_tenants(3, vec![tenant("t1", None), tenant("t2", None)])));
+    world.run(9000);
+    pinned("holds", &world);
+}
+
+#[test]
+fn keys_revoked_while_their_requests_wait() {
+    let tenants = |names: &[&str]| names.iter().map(|name| tenant(name, None)).collect::<Vec<_>>();
+    let mut world = World::new(many(), Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))), entries(2));
+    for searcher in world.searchers.values_mut() {
+        searcher.connecting = 15;
+        searcher.slowness = 3.0;
+    }
+    world.offer((0.0, 6000.0), 60.0, "/q/1", |arrival, number| by_tenant(arrival, ["t1", "t2", "t3"][number % 3]));
+    for (at, version, names) in [(1500.0, 2, &["t1", "t3"][..]), (2500.0, 3, &["t3"]), (4000.0, 4, &["t1", "t2", "t3"])]
+    {
+        let tenants = tenants(names);
+        world.at(at, move |world| world.configure(with_tenants(version, tenants)));
+    }
+    world.run(9000);
+    pinned("revoked_keys", &world);
+}
+
+#[test]
+fn connections_and_hedges_of_a_restarted_node() {
+    let settings = RoutingSettings { restarted_at: Some(START), ..many() };
+    let mut definition = definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS);
+    definition.services.iter_mut().for_each(|service| service.max_connections = 40);
+    let mut world = World::new(settings, Some(definition), entries(5));
+    let nodes_by_zone = [(Arc::from("a"), 4)].into_iter().collect();
+    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: 4, rank: Some(2), slack_part: 0.25, nodes: None });
+    for instance in ["s0x", "s2y"] {
+        world.searchers.get_mut(instance).expect("started").slowness = 9.0;
+    }
+    world.offer((0.0, 7000.0), 110.0, "/q/1", plain);
+    world.run(10_000);
+    pinned("restarted", &world);
+}
