--- /dev/null
+++ b/crates/staircross-gateway/tests/forms/mod.rs
@@ -0,0 +1,109 @@
+//! Encoded forms for the pins: written as JSON text, compared as CBOR bytes.
+//!
+//! Strings of the shape `h'0a0b'` stand for bytes. Nothing here names a Rust type or field.
+#![allow(dead_code)]
+
+use ciborium::Value;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use staircross_wire::frame::{decode, encode};
+use std::fmt::Write;
+
+/// The bytes of a form.
+pub fn bytes_of(form: &str) -> Vec<u8> {
+    let value: Value = serde_json::from_str(form).unwrap_or_else(|error| panic!("{error} in {form}"));
+    encode(&with_bytes(value)).expect("a value is encoded")
+}
+
+/// What was encoded, as one line.
+pub fn diagnostic(bytes: &[u8]) -> String {
+    let mut text = String::new();
+    write_value(&decode::<Value>(bytes).expect("CBOR"), &mut text);
+    text
+}
+
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+pub fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// Reads each form as a `T` and writes it again: the same bytes come out.
+pub fn pin<T: Serialize + DeserializeOwned>(forms: &[&str]) -> String {
+    let mut text = String::new();
+    for form in forms {
+        let bytes = bytes_of(form);
+        let written = rewritten::<T>(&bytes);
+        assert_eq!(diagnostic(&written), diagnostic(&bytes), "what was read is written otherwise");
+        assert_eq!(written, bytes, "{form}");
+        add(&mut text, &written);
+    }
+    text
+}
+
+/// Reads forms that lack what may be absent, and writes what they stand for.
+pub fn pin_sparse<T: Serialize + DeserializeOwned>(forms: &[&str]) -> String {
+    let mut text = String::new();
+    for form in forms {
+        add(&mut text, &rewritten::<T>(&bytes_of(form)));
+    }
+    text
+}
+
+fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Vec<u8> {
+    let read: T = decode(bytes).unwrap_or_else(|error| panic!("{error} in {}", diagnostic(bytes)));
+    encode(&read).expect("it is encoded")
+}
+
+fn add(text: &mut String, bytes: &[u8]) {
+    writeln!(text, "{}\n  {}", diagnostic(bytes), hex(bytes)).expect("strings take all");
+}
+
+fn with_bytes(value: Value) -> Value {
+    match value {
+        Value::Text(text) => match text.strip_prefix("h'").and_then(|rest| rest.strip_suffix('\'')) {
+            Some(digits) => Value::Bytes(from_hex(digits)),
+            None => Value::Text(text),
+        },
+        Value::Array(items) => Value::Array(items.into_iter().map(with_bytes).collect()),
+        Value::Map(entries) => {
+            Value::Map(entries.into_iter().map(|(key, value)| (key, with_bytes(value))).collect())
+        }
+        other => other,
+    }
+}
+
+fn write_value(value: &Value, text: &mut String) {
+    match value {
+        Value::Array(items) => write_all(text, ['[', ']'], items.iter(), write_value),
+        Value::Map(entries) => write_all(text, ['{', '}'], entries.iter(), |(key, value), text| {
+            write_value(key, text);
+            text.push_str(": ");
+            write_value(value, text);
+        }),
+        Value::Bytes(bytes) => text.push_str(&format!("h'{}'", hex(bytes))),
+        Value::Text(string) => text.push_str(&format!("{string:?}")),
+        Value::Integer(number) => text.push_str(&i128::from(*number).to_string()),
+        Value::Float(number) => text.push_str(&format!("{number:?}")),
+        Value::Bool(flag) => text.push_str(&flag.to_string()),
+        Value::Null => text.push_str("null"),
+        other => panic!("nothing here is encoded as {other:?}"),
+    }
+}
+
+fn write_all<T>(
+    text: &mut String,
+    [open, close]: [char; 2],
+    items: impl Iterator<Item = T>,
+    write: impl Fn(T, &mut String),
+) {
+    text.push(open);
+    for (index, item) in items.enumerate() {
+        text.push_str(if index == 0 { "" } else { ", " });
+        write(item, text);
+    }
+    text.push(close);
+}
