--- a/crates/staircross-gateway/tests/forms/mod.rs
+++ b/crates/staircross-gateway/tests/forms/mod.rs
@@ -69,9 +69,7 @@
             None => Value::Text(text),
         },
         Value::Array(items) => Value::Array(items.into_iter().map(with_bytes).collect()),
-        Value::Map(entries) => {
-            Value::Map(entries.into_iter().map(|(key, value)| (key, with_bytes(value))).collect())
-        }
+        Value::Map(entries) => Value::Map(entries.into_iter().map(|(key, value)| (key, with_bytes(value))).collect()),
         other => other,
     }
 }
--- /dev/null
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -0,0 +1,176 @@
+//! Lines of the log keep the names of their events, of their fields, and of the values that stand for something.
+//!
+//! Lines are made all over the code, so they are taken from its text: each literal with an `event=` in it, and its fields in
+//! their order. Where a line is made doesn't matter, only what it says.
+
+use staircross_gateway::recorder::RecordingEnd;
+use staircross_gateway::store_role::StoreRole;
+use staircross_gateway::traffic::{Purpose, Reach};
+use staircross_routing::engine::{HoldCause, LeftOutCause, SendReason, UnsentCause};
+use staircross_routing::request::Unknown;
+use staircross_routing::selection::Distance;
+use staircross_routing::store_reader::Lane;
+use staircross_routing::{KeyKind, KeyRefusal, NotRun, Suspicion, UnreadableReason};
+use staircross_types::ErrorKind;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+fn sources(folder: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            sources(&path, files);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            files.push(path);
+        }
+    }
+}
+
+/// All string literals of a source file; escapes stay but for a line's end, which joins lines.
+fn literals(text: &str) -> Vec<String> {
+    let mut found = Vec::new();
+    let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
+    let code = code.join("\n").replace("'\"'", "' '");
+    let mut chars = code.chars();
+    while chars.any(|c| c == '"') {
+        let mut literal = String::new();
+        while let Some(c) = chars.next().filter(|c| *c != '"') {
+            match c {
+                '\\' => match chars.next() {
+                    Some('\n') => literal.push_str("\\\n"),
+                    Some(escaped) => literal.extend(['\\', escaped]),
+                    None => {}
+                },
+                c => literal.push(c),
+            }
+        }
+        let mut joined = String::new();
+        for (index, part) in literal.split("\\\n").enumerate() {
+            joined.push_str(if index == 0 { part } else { part.trim_start() });
+        }
+        found.push(joined);
+    }
+    found
+}
+
+/// The names before each `=`, in order; of the event its value, of others a value that is no placeholder.
+fn fields(literal: &str) -> String {
+    let field = |word: &str| -> String {
+        let Some((name, value)) = word.split_once('=') else {
+            return if word.contains('{') { "…".to_owned() } else { word.to_owned() };
+        };
+        if value.starts_with('{') { format!("{name}=…") } else { format!("{name}={value}") }
+    };
+    literal.split_whitespace().map(field).collect::<Vec<String>>().join(" ")
+}
+
+fn is_part_of_a_line(literal: &str) -> bool {
+    let is_name = |word: &str| {
+        word.split_once('=')
+            .is_some_and(|(name, _)| !name.is_empty() && name.chars().all(|c| c.is_ascii_lowercase() || c == '_'))
+    };
+    literal.split_whitespace().any(is_name) && !literal.contains(['/', '&', '#'])
+}
+
+fn lines() -> BTreeSet<String> {
+    let here = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut files = Vec::new();
+    sources(&here.join("src"), &mut files);
+    sources(&here.join("../../platform/src"), &mut files);
+    let mut lines = BTreeSet::new();
+    for file in files {
+        let text = std::fs::read_to_string(file).expect("a source file");
+        lines
+            .extend(literals(&text).iter().filter(|literal| is_part_of_a_line(literal)).map(|literal| fields(literal)));
+    }
+    lines
+}
+
+#[test]
+fn events_and_their_fields() {
+    let lines = lines();
+    assert!(lines.len() > 30, "only {} lines were found", lines.len());
+    insta::assert_snapshot!(lines.into_iter().collect::<Vec<String>>().join("\n"));
+}
+
+#[test]
+fn literals_are_joined_and_placeholders_masked() {
+    let text = "f(\"event=a b={} \\\n    c={d:.2} {what}\"); // x\n// \"event=z\"\n'\"'; g(\"on \\\"x\\\"\")";
+    let found = literals(text);
+    assert_eq!(found, ["event=a b={} c={d:.2} {what}", "on \\\"x\\\""]);
+    assert_eq!(fields(&found[0]), "event=a b=… c=… …");
+}
+
+fn listed(what: &str, names: impl IntoIterator<Item = &'static str>) -> String {
+    format!("{what}: {}\n", names.into_iter().collect::<Vec<&str>>().join(" "))
+}
+
+fn of_requests() -> String {
+    use UnsentCause::*;
+    let not_run = [NotRun::Unconnected, NotRun::TurnedAway, NotRun::Stale, NotRun::Shed, NotRun::OtherInstance];
+    let unknown = [Unknown::Broken, Unknown::Malformed, Unknown::Unanswered, Unknown::TooLong];
+    let reasons = [SendReason::First, SendReason::Hedge, SendReason::Retry, SendReason::Reroute];
+    let unsent = [
+        OverBudget,
+        NoRoom,
+        Avoided,
+        NobodyLeft,
+        Pressed,
+        Suspect,
+        NotRepeatable,
+        MostAttempts,
+        KeyWithdrawn,
+        Quarantined,
+        Probing,
+    ];
+    let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::Nobody];
+    let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
+    let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Withdrawn];
+    [
+        listed("attempt that didn't run", not_run.map(NotRun::name)),
+        listed("attempt that may have run", unknown.map(Unknown::name)),
+        listed("reason of an attempt", reasons.map(SendReason::name)),
+        listed("cause of unsent", unsent.map(UnsentCause::name)),
+        listed("cause of left_out", left_out.map(LeftOutCause::name)),
+        listed("cause of held", held.map(HoldCause::name)),
+        listed("cause of key_refused", keys.map(KeyRefusal::name)),
+        listed("refusals", ErrorKind::ALL.iter().map(|kind| kind.name())),
+    ]
+    .concat()
+}
+
+fn of_the_node() -> String {
+    let levels = [Suspicion::None, Suspicion::Suspect, Suspicion::Quarantined];
+    let roles = [StoreRole::Reader, StoreRole::Follower, StoreRole::Prober];
+    let kinds = [KeyKind::Configuration, KeyKind::Searcher, KeyKind::Evacuation, KeyKind::Unknown];
+    let ends = [RecordingEnd::Full, RecordingEnd::Failed];
+    let reaches = [Distance::OwnZone, Distance::OwnRegion, Distance::Far].map(Reach::Known);
+    [
+        listed("level of suspicion", levels.map(Suspicion::name)),
+        listed("role", roles.map(StoreRole::name)),
+        listed("lane", Lane::ALL.map(Lane::name)),
+        listed("kind of unreadable_item", kinds.map(KeyKind::name)),
+        listed("cause of recording_ended", ends.map(RecordingEnd::name)),
+        listed("purpose", Purpose::ALL.map(Purpose::name)),
+        listed("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
+    ]
+    .concat()
+}
+
+fn of_unreadable_items() -> String {
+    let reasons = [
+        UnreadableReason::Item,
+        UnreadableReason::Key,
+        UnreadableReason::Encoding,
+        UnreadableReason::TooLong { bytes: 1 },
+        UnreadableReason::Syntax { line: 2, column: 3 },
+        UnreadableReason::Shape { line: 2, column: 3 },
+        UnreadableReason::field("a.b"),
+    ];
+    reasons.iter().map(|reason| format!("reason of unreadable_item: {reason}\n")).collect()
+}
+
+#[test]
+fn values_that_stand_for_something() {
+    insta::assert_snapshot!([of_requests(), of_the_node(), of_unreadable_items()].concat());
+}
