--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -3,6 +3,7 @@
 //! Lines are made all over the code, so they are taken from its text: each literal with an `event=` in it, and its fields in
 //! their order. Where a line is made doesn't matter, only what it says.
 
+use staircross_cluster::MemberState;
 use staircross_gateway::recorder::RecordingEnd;
 use staircross_gateway::store_role::StoreRole;
 use staircross_gateway::traffic::{Purpose, Reach};
@@ -143,6 +144,9 @@
     let levels = [Suspicion::None, Suspicion::Suspect, Suspicion::Quarantined];
     let roles = [StoreRole::Reader, StoreRole::Follower, StoreRole::Prober];
     let kinds = [KeyKind::Configuration, KeyKind::Searcher, KeyKind::Evacuation, KeyKind::Unknown];
+    // The line on a member shows its state by the name that it has in the code.
+    let states = [MemberState::Alive, MemberState::Leaving, MemberState::Suspect, MemberState::Dead, MemberState::Left];
+    let states = states.map(|state| format!("state of member: {state:?}\n")).concat();
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
     let reaches = [Distance::OwnZone, Distance::OwnRegion, Distance::Far].map(Reach::Known);
     [
@@ -153,6 +157,7 @@
         listed("cause of recording_ended", ends.map(RecordingEnd::name)),
         listed("purpose", Purpose::ALL.map(Purpose::name)),
         listed("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
+        states,
     ]
     .concat()
 }
