--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -84,7 +84,9 @@
             let is_evacuated = self.evacuated.contains(&searcher.entry.zone);
             searcher.set_evacuated(now, is_evacuated);
         }
-        let services: Vec<Arc<str>> = self.waiting.keys().cloned().collect();
+        let mut services: Vec<Arc<str>> = self.waiting.keys().cloned().collect();
+        // In one order on every run, so that a recording is taken again alike.
+        services.sort_unstable();
         services.iter().for_each(|service| self.serve_waiting(now, service, actions));
     }
 
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -123,7 +123,9 @@
     /// end: its searcher may be at work on it, and nobody could do again what is cut off there.
     fn end_quarantined(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
         let concerned = self.requests.iter().filter(|(_, request)| request.content == content);
-        let keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
+        let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
+        // In the order in which they came, so that a recording is taken again alike.
+        keys.sort_unstable();
         for key in keys {
             let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
             if is_idempotent {
