--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -1,7 +1,7 @@
 //! The cluster logic of one node as a whole.
 //!
 //! Composes membership, the platform's document, views and session copies; passes messages and time
-//! to each and carries news between them. Inputs and outputs are typed events and actions.
+//! to each and carries updates between them. Inputs and outputs are typed events and actions.
 
 mod sessions;
 
@@ -246,7 +246,7 @@
     fn leave(&mut self, state: MemberState, actions: &mut Vec<ClusterAction>) {
         let mut out = Vec::new();
         self.membership.leave(state, &mut out);
-        self.membership.push_news(&mut self.rng, LEAVE_FANOUT, &mut out);
+        self.membership.push_updates(&mut self.rng, LEAVE_FANOUT, &mut out);
         self.do_membership(out, actions);
     }
 
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -1,7 +1,7 @@
 //! Who is in the fleet.
 //!
 //! Each node probes one other at a time; one that doesn't answer is probed through others, then
-//! suspected, then, if it doesn't refute in time, declared dead. News rides on probes. Inputs:
+//! suspected, then, if it doesn't refute in time, declared dead. Updates ride on probes. Inputs:
 //! probes and their answers, gossip, time. Invariants: only a node itself clears a suspicion of
 //! it; a node that was paused doesn't judge others by answers it slept through.
 
@@ -144,17 +144,17 @@
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Tells some members of the region the present news at once, without waiting for the next probe; a relay tells some
+    /// Tells some members of the region the present updates at once, without waiting for the next probe; a relay tells some
     /// of other regions too.
-    pub fn push_news(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
+    pub fn push_updates(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
         let (near, far) = self.near_and_far();
         let far_count = if self.is_relay() || near.is_empty() { RELAY_PUSHES } else { 0 };
         let chosen = near.choose_multiple(random, count).chain(far.choose_multiple(random, far_count));
         let targets: Vec<(NodeId, SocketAddr)> = chosen.map(|member| (member.node, member.peer_address)).collect();
         for (node, address) in targets {
             let number = self.take_number();
-            let news = self.take_news(node);
-            let message = MembershipMessage::Probe { number, news };
+            let updates = self.take_updates(node);
+            let message = MembershipMessage::Probe { number, updates };
             actions.push(MembershipAction::Send { to: Some(node), address, message });
         }
     }
@@ -169,23 +169,23 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         match message {
-            MembershipMessage::Probe { number, news } => {
-                let names_us = news.iter().any(|record| record.node == self.me);
+            MembershipMessage::Probe { number, updates } => {
+                let names_us = updates.iter().any(|record| record.node == self.me);
                 let is_stranger = !self.members.contains_key(&from);
-                let known = self.take_news_of_probe(now, news, actions);
-                let mut news = self.take_news(from);
+                let known = self.take_probe_updates(now, updates, actions);
+                let mut updates = self.take_updates(from);
                 // Whoever is wrongly thought gone must hear of it to refute it.
                 let slandered = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
-                news.extend(slandered.cloned());
+                updates.extend(slandered.cloned());
                 // Whoever says what it thinks of this node, or knows it by its address only, must hear how it is.
-                if (names_us || is_stranger) && !news.iter().any(|record| record.node == self.me) {
-                    news.push(self.own().clone());
+                if (names_us || is_stranger) && !updates.iter().any(|record| record.node == self.me) {
+                    updates.push(self.own().clone());
                 }
-                let message = MembershipMessage::ProbeAnswer { number, news, known };
+                let message = MembershipMessage::ProbeAnswer { number, updates, known };
                 actions.push(MembershipAction::Send { to: Some(from), address: from_address, message });
             }
-            MembershipMessage::ProbeAnswer { number, news, known } => {
-                for record in news {
+            MembershipMessage::ProbeAnswer { number, updates, known } => {
+                for record in updates {
                     self.take(now, record, actions);
                 }
                 self.on_answer(number, known, actions);
@@ -245,35 +245,35 @@
         let has_mates = !self.near_and_far().0.is_empty();
         for seed in unknown {
             let message = match has_mates {
-                true => MembershipMessage::Probe { number: self.take_number(), news: vec![own_record.clone()] },
+                true => MembershipMessage::Probe { number: self.take_number(), updates: vec![own_record.clone()] },
                 false => MembershipMessage::Join { member: own_record.clone() },
             };
             actions.push(MembershipAction::Send { to: None, address: seed, message });
         }
     }
 
-    /// Merges one record and passes it on if it was news. Returns whether it was.
+    /// Merges one record and passes it on if it was new. Returns whether it was.
     fn take(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
-        let is_news = self.merge(now, record, actions);
-        if is_news && node != self.me {
+        let is_new = self.merge(now, record, actions);
+        if is_new && node != self.me {
             self.spread(node);
         }
-        is_news
+        is_new
     }
 
-    /// Merges one record. Returns whether it was news.
+    /// Merges one record. Returns whether it was new.
     fn merge(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         if node == self.me {
             return self.refute(record, actions);
         }
-        let is_news = match self.members.get(&node) {
+        let is_new = match self.members.get(&node) {
             Some(known) => known.is_superseded_by(&record),
-            // The end of a run never met, or forgotten, is no news.
+            // The end of a run never met, or forgotten, is nothing new.
             None => !record.is_gone(),
         };
-        if !is_news {
+        if !is_new {
             return false;
         }
         match record.state {
--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -22,8 +22,8 @@
     pub pause_gap: Duration,
     /// Others that are asked to probe on one's behalf.
     pub helpers: usize,
-    /// News items on one message.
-    pub news_per_message: usize,
+    /// Updates on one message.
+    pub updates_per_message: usize,
     /// How often each item is told: so many times the logarithm of the fleet's size, and so many more.
     pub tellings: Tellings,
     /// Whether a joiner asks one seed at a time instead of all: each answers with the whole fleet.
@@ -44,7 +44,7 @@
             suspicion: Duration::from_millis(2500),
             pause_gap: Duration::from_millis(400),
             helpers: 3,
-            news_per_message: 6,
+            updates_per_message: 6,
             tellings: Tellings { per_doubling: 4, besides: 4 },
             asks_one_seed: false,
             members_per_message: 1000,
@@ -53,7 +53,7 @@
     }
 }
 
-/// How often one node tells one item of news.
+/// How often one node tells one update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tellings {
     /// For each doubling of the fleet's size.
@@ -92,13 +92,13 @@
 /// Probes and gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Are you there? News besides.
+    /// Are you there? Updates besides.
     #[serde(rename = "p")]
     Probe {
         #[serde(rename = "n")]
         number: u64,
         #[serde(rename = "w")]
-        news: Vec<Member>,
+        updates: Vec<Member>,
     },
     /// I am.
     #[serde(rename = "q")]
@@ -106,8 +106,8 @@
         #[serde(rename = "n")]
         number: u64,
         #[serde(rename = "w")]
-        news: Vec<Member>,
-        /// Which of the probe's news were known already: a bit for each, the first one lowest.
+        updates: Vec<Member>,
+        /// Which of the probe's updates were known already: a bit for each, the first one lowest.
         #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
         known: u32,
     },
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -15,7 +15,7 @@
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
-    /// Whom its news was about.
+    /// Whom its updates were about.
     pub(super) told: Vec<NodeId>,
     pub(super) sent_at: BootTime,
     pub(super) asked_helpers: bool,
@@ -36,9 +36,9 @@
             return;
         };
         let number = self.take_number();
-        let news = self.take_news(target.node);
-        let told = news.iter().map(|member| member.node).collect();
-        let message = MembershipMessage::Probe { number, news };
+        let updates = self.take_updates(target.node);
+        let told = updates.iter().map(|member| member.node).collect();
+        let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target.node), address: target.peer_address, message });
         self.probe = Some(OutstandingProbe { number, target: target.node, told, sent_at: now, asked_helpers: false });
     }
@@ -127,8 +127,8 @@
     ) {
         let number = self.take_number();
         self.helped.push(HelpedProbe { number, for_number, for_node, for_address, sent_at: now });
-        let news = self.take_news(target);
-        let message = MembershipMessage::Probe { number, news };
+        let updates = self.take_updates(target);
+        let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target), address: target_address, message });
     }
 
@@ -141,8 +141,8 @@
             return;
         };
         let helped = self.helped.swap_remove(index);
-        let news = self.take_news(helped.for_node);
-        let message = MembershipMessage::ProbeAnswer { number: helped.for_number, news, known: 0 };
+        let updates = self.take_updates(helped.for_node);
+        let message = MembershipMessage::ProbeAnswer { number: helped.for_number, updates, known: 0 };
         actions.push(MembershipAction::Send { to: Some(helped.for_node), address: helped.for_address, message });
     }
 }
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -1,6 +1,6 @@
 //! How members come to know the same, with few bytes.
 //!
-//! News is told until it is mostly known; whoever is asked says what it knew already, so that old news
+//! Updates are sent until they are mostly known; whoever is asked says what it knew already, so that old updates
 //! dies early. What gets lost that way is found by comparing fingerprints when nothing is being told.
 
 use super::{IdSpan, Membership, MembershipAction, MembershipMessage};
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// News that was known where it was told counts as told so many times more.
+/// Updates that was known where it was sent counts as sent so many times more.
 const TOLD_IN_VAIN: u32 = 3;
 /// Time between comparisons begun by one node, and while it has learned something that way lately.
 const COMPARE_EVERY: Duration = Duration::from_secs(3);
@@ -30,17 +30,17 @@
 const REGION_TURNS: u32 = 4;
 
 impl Membership {
-    /// Merges the news of a probe; says which of it was known already.
-    pub(super) fn take_news_of_probe(
+    /// Merges the updates of a probe; says which of it was known already.
+    pub(super) fn take_probe_updates(
         &mut self,
         now: BootTime,
-        news: Vec<Member>,
+        updates: Vec<Member>,
         actions: &mut Vec<MembershipAction>,
     ) -> u32 {
         let mut known = 0;
-        for (index, record) in news.into_iter().enumerate() {
-            let was_news = self.take(now, record, actions);
-            known |= u32::from(!was_news).checked_shl(index as u32).unwrap_or(0);
+        for (index, record) in updates.into_iter().enumerate() {
+            let was_new = self.take(now, record, actions);
+            known |= u32::from(!was_new).checked_shl(index as u32).unwrap_or(0);
         }
         known
     }
@@ -138,7 +138,7 @@
         let listed: BTreeMap<NodeId, (u64, MemberState)> =
             members.iter().map(|member| (member.node, (member.version, member.state))).collect();
         for member in members {
-            // Not passed on as news: others compare too, and the fleet must not be told everything by everybody.
+            // Not passed on as updates: others compare too, and the fleet must not be told everything by everybody.
             if self.merge(now, member, actions) {
                 self.learned_at = Some(now);
                 self.next_compare = self.next_compare.min(now + COMPARE_LEARNING);
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -13,7 +13,7 @@
 const RELAYS: usize = 4;
 /// Members of other regions that a relay tells at once of a change.
 pub(super) const RELAY_PUSHES: usize = 2;
-/// How often a relay tells one item of news to other regions.
+/// How often a relay tells one update to other regions.
 const FAR_TELLINGS: u32 = 3;
 
 impl Membership {
@@ -35,9 +35,9 @@
         self.members.get(&node).is_some_and(|member| member.region != self.own().region)
     }
 
-    /// The news for a member that was told least often. Within the region each is told a few times the logarithm of the
+    /// The updates for a member that was told least often. Within the region each is told a few times the logarithm of the
     /// fleet's size; relays tell other regions of their own, and nobody else does.
-    pub(super) fn take_news(&mut self, to: NodeId) -> Vec<Member> {
+    pub(super) fn take_updates(&mut self, to: NodeId) -> Vec<Member> {
         let is_far = self.is_far(to);
         if is_far && !self.is_relay() {
             return Vec::new();
@@ -51,16 +51,16 @@
         let may_be_told = |rumor: &Rumor| {
             if is_far { is_ours(rumor) && told(rumor) < FAR_TELLINGS } else { told(rumor) < most_tellings }
         };
-        let mut news = Vec::new();
-        for rumor in self.rumors.iter_mut().filter(|rumor| may_be_told(rumor)).take(self.settings.news_per_message) {
+        let mut updates = Vec::new();
+        for rumor in self.rumors.iter_mut().filter(|rumor| may_be_told(rumor)).take(self.settings.updates_per_message) {
             *(if is_far { &mut rumor.times_told_far } else { &mut rumor.times_told }) += 1;
-            news.extend(members.get(&rumor.node).cloned());
+            updates.extend(members.get(&rumor.node).cloned());
         }
         self.forget_told(most_tellings);
-        news
+        updates
     }
 
-    /// Drops the news that was told often enough.
+    /// Drops the updates that were sent often enough.
     fn forget_told(&mut self, most_tellings: u32) {
         let (is_relay, region) = (self.is_relay(), self.own().region.clone());
         let has_far = self.others().any(|member| member.region != region);
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -54,8 +54,8 @@
             return;
         };
         let number = self.take_number();
-        let news = vec![self.own().clone(), member.clone()];
-        let message = MembershipMessage::Probe { number, news };
+        let updates = vec![self.own().clone(), member.clone()];
+        let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(node), address: member.peer_address, message });
     }
 
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -17,9 +17,9 @@
 
 /// Time between tellings.
 const TELL_EVERY: Duration = Duration::from_millis(250);
-/// Others told each time, and at once after news.
+/// Others told each time, and at once after updates.
 const TOLD_USUALLY: usize = 2;
-const TOLD_OF_NEWS: usize = 6;
+const TOLD_OF_UPDATE: usize = 6;
 
 /// What nodes say to each other about the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that others said they hold.
     told: BTreeMap<NodeId, u64>,
-    has_news: bool,
+    has_update: bool,
     next_telling: BootTime,
 }
 
@@ -85,7 +85,7 @@
             return false;
         }
         self.held = Some(document);
-        self.has_news = true;
+        self.has_update = true;
         true
     }
 
@@ -119,11 +119,11 @@
 
     /// Lets time pass.
     pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
-        if now < self.next_telling && !self.has_news {
+        if now < self.next_telling && !self.has_update {
             return;
         }
-        let count = if self.has_news { TOLD_OF_NEWS } else { TOLD_USUALLY };
-        self.has_news = false;
+        let count = if self.has_update { TOLD_OF_UPDATE } else { TOLD_USUALLY };
+        self.has_update = false;
         self.next_telling = now + TELL_EVERY;
         self.told.retain(|node, _| others.iter().any(|member| member.node == *node));
         let message = PublishedMessage::Holds { revision: self.revision() };
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -1,7 +1,7 @@
 //! What owners know of searchers, spread to all nodes.
 //!
 //! Each record carries a version that rises with every change anywhere; the highest wins.
-//! News is pushed to a few random members and told a bounded number of times; now and then two
+//! Updates are pushed to a few random members and told a bounded number of times; now and then two
 //! nodes compare fingerprints and fill each other's gaps.
 
 use rand::seq::IndexedRandom;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between pushes while there is news.
+/// Time between pushes while there are updates.
 const PUSH_EVERY: Duration = Duration::from_millis(200);
 /// Members that a push goes to.
 const PUSH_FANOUT: usize = 2;
@@ -71,8 +71,9 @@
 /// Messages about views.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewMessage {
-    /// Records that may be news.
-    News { records: Vec<ViewRecord> },
+    /// Records that may be new.
+    #[serde(rename = "News")]
+    Updates { records: Vec<ViewRecord> },
     /// Fingerprints of all records, by bucket.
     Compare { fingerprints: Vec<u64> },
     /// Versions held in the buckets that differ. The receiver sends what is newer.
@@ -128,11 +129,11 @@
     }
 
     fn take(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
-        let is_news = self
+        let is_new = self
             .records
             .get(&record.searcher)
             .is_none_or(|known| (record.version, record.origin) > (known.version, known.origin));
-        if !is_news {
+        if !is_new {
             return;
         }
         self.rumors.retain(|(searcher, _)| *searcher != record.searcher);
@@ -150,7 +151,7 @@
         actions: &mut Vec<ViewAction>,
     ) {
         match message {
-            ViewMessage::News { records } => {
+            ViewMessage::Updates { records } => {
                 for record in records {
                     self.take(record, actions);
                 }
@@ -186,7 +187,7 @@
         let is_newer = |record: &&ViewRecord| theirs.get(&record.searcher).is_none_or(|held| record.version > *held);
         let records: Vec<ViewRecord> = self.records.values().filter(in_buckets).filter(is_newer).cloned().collect();
         if !records.is_empty() {
-            let message = ViewMessage::News { records };
+            let message = ViewMessage::Updates { records };
             actions.push(ViewAction::Send { to: from, address: from_address, message });
         }
         let is_behind = theirs
@@ -249,7 +250,7 @@
         }
         self.rumors.retain(|(_, told)| *told < most_tellings);
         for (node, address) in others.choose_multiple(random, PUSH_FANOUT) {
-            let message = ViewMessage::News { records: records.clone() };
+            let message = ViewMessage::Updates { records: records.clone() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
         }
     }
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -60,8 +60,8 @@
 pub struct Sent {
     pub messages: usize,
     pub between_regions: usize,
-    /// Members' records, told as news or listed for a joiner.
-    pub news: usize,
+    /// Members' records, told as updates or listed for a joiner.
+    pub updates: usize,
     pub listed: usize,
     /// Those of them that went to another region.
     pub records_between_regions: usize,
@@ -83,7 +83,7 @@
         probe_every: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
-        news_per_message: 5,
+        updates_per_message: 5,
         tellings: Tellings { per_doubling: 1, besides: 3 },
         asks_one_seed: true,
         members_per_message: 6,
@@ -278,9 +278,9 @@
         let is_far = to.is_some_and(|to| region(to) != region(index));
         self.sent.between_regions += usize::from(is_far);
         let records = match message {
-            MembershipMessage::Probe { news, .. } | MembershipMessage::ProbeAnswer { news, .. } => {
-                self.sent.news += news.len();
-                news.len()
+            MembershipMessage::Probe { updates, .. } | MembershipMessage::ProbeAnswer { updates, .. } => {
+                self.sent.updates += updates.len();
+                updates.len()
             }
             MembershipMessage::Everyone { members, .. } => {
                 self.sent.listed += members.len();
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -21,7 +21,7 @@
     Sent {
         messages: fleet.sent.messages - before.messages,
         between_regions: fleet.sent.between_regions - before.between_regions,
-        news: fleet.sent.news - before.news,
+        updates: fleet.sent.updates - before.updates,
         listed: fleet.sent.listed - before.listed,
         records_between_regions: fleet.sent.records_between_regions - before.records_between_regions,
     }
@@ -31,8 +31,8 @@
 fn a_fleet_that_starts_at_once_finds_itself_without_telling_everything_many_times() {
     let fleet = started(1);
     assert!(fleet.all_see_all());
-    // Each of 60 nodes must hear of 59 others: 3540 records are the least, by listing or as news.
-    let told = fleet.sent.news + fleet.sent.listed;
+    // Each of 60 nodes must hear of 59 others: 3540 records are the least, by listing or as updates.
+    let told = fleet.sent.updates + fleet.sent.listed;
     assert!(told < 12 * NODES * (NODES - 1), "{:?}", fleet.sent);
 }
 
@@ -54,7 +54,7 @@
     fleet.run_for(Duration::from_secs(30));
     let sent = sent_in(&mut fleet, Duration::from_secs(10));
     // What is left: each node reminds one dead member of itself each second, so that cuts heal.
-    assert!(sent.news < sent.messages / 8, "old news is told no more: {sent:?}");
+    assert!(sent.updates < sent.messages / 8, "old news is told no more: {sent:?}");
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let mut fleet = Fleet::new(LARGE, 5);
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_see_all(), "{:?}", fleet.sent);
-    let told = fleet.sent.news + fleet.sent.listed;
+    let told = fleet.sent.updates + fleet.sent.listed;
     assert!(told < 6 * LARGE * (LARGE - 1), "{:?}", fleet.sent);
 }
 
@@ -122,7 +122,7 @@
     let joined = sent_in(&mut fleet, Duration::from_secs(5));
     assert!(fleet.all_see_all());
     assert!(joined.listed >= NODES - 1, "{joined:?}");
-    let besides = joined.news.saturating_sub(calm.news);
+    let besides = joined.updates.saturating_sub(calm.updates);
     // A start, a suspicion and an end, told up to nine times by each; all 60 records by some would be 3600.
     assert!(besides < 30 * NODES, "{besides} after {calm:?}");
 }
--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -9,28 +9,28 @@
 
 /// Time between two pushes in the long run.
 const PUSH_GAP: Duration = Duration::from_millis(100);
-/// Pushes that may be made ahead of that: the searchers of a request's shards end within some 100 ms, and news of them comes in as many turns.
+/// Pushes that may be made ahead of that: the searchers of a request's shards end within some 100 ms, and updates on them come in as many turns.
 const BURST: u32 = 4;
 
-/// Whether there is news for peers, and when it may be pushed.
+/// Whether there are updates for peers, and when it may be pushed.
 #[derive(Debug, Default)]
 pub struct CasePushes {
-    has_news: bool,
+    has_update: bool,
     /// The pushes made take up time until then.
     taken_until: BootTime,
 }
 
 impl CasePushes {
-    /// There is news that peers should know at once.
-    pub fn note_news(&mut self) {
-        self.has_news = true;
+    /// There are updates that peers should know at once.
+    pub fn note_update(&mut self) {
+        self.has_update = true;
     }
 
     /// Whether to push now; if so, the push counts as made.
     pub fn take(&mut self, now: BootTime) -> bool {
-        let may_push = self.has_news && self.taken_until <= now + PUSH_GAP * (BURST - 1);
+        let may_push = self.has_update && self.taken_until <= now + PUSH_GAP * (BURST - 1);
         if may_push {
-            self.has_news = false;
+            self.has_update = false;
             self.taken_until = self.taken_until.max(now) + PUSH_GAP;
         }
         may_push
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -40,7 +40,7 @@
 const MAX_DATAGRAM: usize = 2048;
 /// Fleet assumed at the start, until it has been seen.
 const ASSUMED_FLEET: usize = 8;
-/// Peers that are told news at once.
+/// Peers that are sent updates at once.
 const PUSH_COUNT: usize = 12;
 
 /// What changed in the fleet.
@@ -272,9 +272,9 @@
         self.push_and_carry_out(Vec::new(), events);
     }
 
-    /// Tells peers the present news at once, after what `actions` ask for.
+    /// Tells peers the present updates at once, after what `actions` ask for.
     fn push_and_carry_out(&mut self, mut actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
-        self.membership.push_news(&mut self.random, PUSH_COUNT, &mut actions);
+        self.membership.push_updates(&mut self.random, PUSH_COUNT, &mut actions);
         self.carry_out(actions, events);
     }
 
@@ -383,7 +383,7 @@
         suspicion: Duration::from_millis(2500),
         pause_gap: Duration::from_millis(400),
         helpers: 2,
-        news_per_message: 5,
+        updates_per_message: 5,
         tellings: Tellings { per_doubling: 1, besides: 3 },
         asks_one_seed: true,
         members_per_message: MEMBERS_PER_DATAGRAM,
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -74,7 +74,7 @@
 /// Life of a process that isn't the fleet's first during which fresh connections to searchers are proved:
 /// its machine may have lost power, and searchers still hold the connections of its run before.
 const YOUNG: Duration = Duration::from_secs(20);
-/// Life of such a process during which it looks for searchers again soon after each news of them.
+/// Life of such a process during which it looks for searchers again soon after each update on them.
 const YOUNG_READER: Duration = Duration::from_secs(3);
 /// Longest answer of a searcher, in bytes.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -123,7 +123,7 @@
             format_args!("event=suspicion content={content} level={} lost={losses} source={source}", suspicion.name());
         self.log.line(self.now, LineKind::Belief, line);
         if change.is_urgent(is_by_peers) {
-            self.case_pushes.note_news();
+            self.case_pushes.note_update();
         }
     }
 
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -119,7 +119,7 @@
         self.take_reader_actions(actions);
     }
 
-    /// Merges what was learned and puts news in force at once.
+    /// Merges what was learned and puts updates in force at once.
     fn learn(&mut self, update: MirrorUpdate, source: &str) {
         self.note_unreadable(&update.unreadable, source);
         let mut changes = self.mirror.merge(update);
@@ -151,8 +151,8 @@
             self.note_evacuated(&zones, source);
             self.engine_event(RoutingEvent::Evacuated(zones));
         }
-        let is_news = self.fleet.set_knowledge(&self.mirror);
-        if is_news && self.fleet.is_designated_reader() {
+        let is_new = self.fleet.set_knowledge(&self.mirror);
+        if is_new && self.fleet.is_designated_reader() {
             self.fleet.tell_followers(self.now);
         }
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Tells some peers at once under which requests searchers were lost, if there is news, and not too often.
+    /// Tells some peers at once under which requests searchers were lost, if there are updates, and not too often.
     pub(super) fn push_cases(&mut self) {
         if !self.case_pushes.take(self.now) {
             return;
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -220,13 +220,13 @@
 const DEFAULT_RECORD_MB: u64 = 16;
 /// Descriptors kept for files, listeners and calls to the store and peers.
 const RESERVED_DESCRIPTORS: usize = 264;
-/// Parts of the bounds on news that a rest between calls to the store may take.
+/// Parts of the bounds on updates that a rest between calls to the store may take.
 const CONFIG_REST_PART: f64 = 0.17;
 const DRAIN_REST_PART: f64 = 0.3;
 /// Part of the bound on drains during which a searcher whose entry has gone is a last resort. With the rest
-/// after news, a follower's pull and a late wake-up it stays below the bound.
+/// after updates, a follower's pull and a late wake-up it stays below the bound.
 const LAPSE_PART: f64 = 0.25;
-/// Part of the shorter bound on news that a follower bears without hearing of its readers.
+/// Part of the shorter bound on updates that a follower bears without hearing of its readers.
 const SILENCE_PART: f64 = 0.4;
 /// Parts of that silence after which a reader probes the store again, so that a lost sign is no silence, and after which a node
 /// does that hears no reader.
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    /// When the store is called: a rest after news is a small part of the time that news may take.
+    /// When the store is called: a rest after updates is a small part of the time that updates may take.
     pub fn reader(&self) -> ReaderSettings {
         let usual = ReaderSettings::default();
         let part = |bound_ms: u64, part: f64| Duration::from_millis(bound_ms).mul_f64(part);
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Longest silence of its readers that a follower bears: a part of the time that news may take.
+    /// Longest silence of its readers that a follower bears: a part of the time that updates may take.
     pub fn longest_silence(&self) -> Duration {
         Duration::from_millis(self.bounds.operator_ms().min(self.bounds.drain_ms)).mul_f64(SILENCE_PART)
     }
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -3,7 +3,7 @@
 //! Each call to the store costs, and so does each byte of an answer that crosses regions. In a region of more
 //! than a few nodes two of them read; they tell the others of the region at once what revision they have
 //! reached, and that the store still answers them. The others pull what is new from them. Whoever hears no
-//! such sign for a part of the time that news may take probes the store, and if that answers while still no reader is
+//! such sign for a part of the time that updates may take probes the store, and if that answers while still no reader is
 //! heard, reads by itself; so a node follows in time whatever becomes of its readers, and a store that is away is
 //! asked little.
 
@@ -29,7 +29,7 @@
 /// Part of the silence that a follower bears for which a reader waits for a large configuration from the store.
 const LARGE_PART: f64 = 0.75;
 
-/// Where a node has its news from.
+/// Where a node has its updates from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreRole {
     /// From the store.
--- a/crates/staircross-gateway/src/unreadable_log.rs
+++ b/crates/staircross-gateway/src/unreadable_log.rs
@@ -15,8 +15,8 @@
 }
 
 impl UnreadableLog {
-    /// Notes an item; returns whether it or a change of it is news.
-    pub fn is_news(&mut self, item: &UnreadableItem) -> bool {
+    /// Notes an item; returns whether it or a change of it is new.
+    pub fn is_new(&mut self, item: &UnreadableItem) -> bool {
         if self.told.get(&item.key) == Some(&item.revision) {
             return false;
         }
--- a/crates/staircross-lab/src/experiment/tail.rs
+++ b/crates/staircross-lab/src/experiment/tail.rs
@@ -118,7 +118,7 @@
         delays: Delays::default(),
         root,
         leaf: LeafSettings::default(),
-        news_delay: Duration::from_millis(100),
+        update_delay: Duration::from_millis(100),
     };
     World::new(settings, seed)
 }
--- a/crates/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/staircross-lab/src/fuzz/request_model.rs
@@ -238,7 +238,7 @@
         delays: Delays::default(),
         root: RootSettings::default(),
         leaf: LeafSettings::default(),
-        news_delay: Duration::from_millis(400),
+        update_delay: Duration::from_millis(400),
     }
 }
 
--- a/crates/staircross-lab/src/sim/world/between.rs
+++ b/crates/staircross-lab/src/sim/world/between.rs
@@ -98,7 +98,7 @@
                 }
                 LeafAction::Spread(view) => {
                     for other in 0..self.nodes.len() {
-                        let at_most = self.settings.news_delay;
+                        let at_most = self.settings.update_delay;
                         let delay = if other == node { Duration::ZERO } else { self.random_up_to(at_most) };
                         self.schedule(delay, SimEvent::View { node: other, view: view.clone() });
                     }
--- a/crates/staircross-lab/src/sim/world/faults.rs
+++ b/crates/staircross-lab/src/sim/world/faults.rs
@@ -44,7 +44,7 @@
         let map = place(snapshot, count, replicas, &ids);
         self.history.maps.insert((self.services[index].name.clone(), snapshot), map.clone());
         self.services[index].shard_maps.push(map);
-        self.announce_services(self.settings.news_delay);
+        self.announce_services(self.settings.update_delay);
     }
 
     /// Lets one searcher take up every snapshot that the configuration lists.
@@ -77,7 +77,7 @@
         if maps.len() > 1 {
             maps.sort_by_key(|map| map.snapshot);
             maps.remove(0);
-            self.announce_services(self.settings.news_delay);
+            self.announce_services(self.settings.update_delay);
         }
     }
 
@@ -208,8 +208,8 @@
         self.pending.retain(|(holder, _), _| *holder != index);
         self.break_routes(index);
         self.forget_what_nobody_knows();
-        let news = self.settings.news_delay + Duration::from_secs(3);
-        self.announce_members(news);
+        let updates = self.settings.update_delay + Duration::from_secs(3);
+        self.announce_members(updates);
     }
 
     /// A searcher whose leaving only its own refusals told of, and only to nodes that are gone now,
@@ -258,8 +258,8 @@
         let run = self.nodes[index].runs + 1;
         let zone = self.nodes[index].zone;
         self.nodes[index] = self.fresh_node(index, zone, run);
-        self.announce_members(self.settings.news_delay);
-        self.announce_services(self.settings.news_delay);
+        self.announce_members(self.settings.update_delay);
+        self.announce_services(self.settings.update_delay);
         self.resend_views(index);
     }
 
@@ -274,7 +274,7 @@
         // The engine keeps views in a hash map; a run must not depend on its order.
         views.sort_by_key(|view| view.searcher);
         for view in views {
-            let delay = self.random_up_to(self.settings.news_delay);
+            let delay = self.random_up_to(self.settings.update_delay);
             self.schedule(delay, SimEvent::View { node, view });
         }
     }
@@ -296,7 +296,7 @@
         let now = self.now;
         self.nodes[node].stopping_since = Some(now);
         self.leaf_event(node, LeafEvent::Stop);
-        self.announce_members(self.settings.news_delay);
+        self.announce_members(self.settings.update_delay);
     }
 
     /// Ends a stopping node once its engines say that nothing is in flight.
@@ -326,7 +326,7 @@
         self.nodes[node].is_stopping = false;
         self.nodes[node].stopping_since = None;
         self.forget_what_nobody_knows();
-        self.announce_members(self.settings.news_delay);
+        self.announce_members(self.settings.update_delay);
     }
 
     /// Cuts two places off from each other, in one direction or both.
--- a/crates/staircross-lab/src/sim/world/settings.rs
+++ b/crates/staircross-lab/src/sim/world/settings.rs
@@ -41,6 +41,6 @@
     pub root: RootSettings,
     /// Bounds of the leaves.
     pub leaf: LeafSettings,
-    /// Time for news of members, views and configuration to reach a node, at most.
-    pub news_delay: Duration,
+    /// Time for updates of members, views and configuration to reach a node, at most.
+    pub update_delay: Duration,
 }
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -199,7 +199,8 @@
                 continue;
             };
             tenant.refresh(now, self.own, &self.fleet, is_first);
-            let (report, news) = (tenant.report(now), tenant.news(now, fleet_part, self.fleet.serving().len()));
+            let (report, due_grant) =
+                (tenant.report(now), tenant.due_grant(now, fleet_part, self.fleet.serving().len()));
             if tenant.due().is_none() {
                 self.active.remove(&hash);
             }
@@ -207,7 +208,7 @@
                 self.note_asked(now, to);
                 tells.push(QuotaTell { to, message: QuotaMessage::Report(report) });
             }
-            if let Some(pass) = news {
+            if let Some(pass) = due_grant {
                 let message = QuotaMessage::Word(QuotaWord::unasked(now, hash, pass));
                 let others = self.fleet.serving().iter().filter(|node| **node != self.own);
                 tells.extend(others.map(|node| QuotaTell { to: *node, message }));
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -206,8 +206,8 @@
         ledger.is_some_and(|ledger| ledger.ask_former(now, former))
     }
 
-    /// The part that all `nodes` are to be told now, if there is news.
-    pub fn news(&mut self, now: BootTime, fleet_part: f64, nodes: usize) -> Option<f64> {
+    /// The part that all `nodes` are to be told now, if there are updates.
+    pub fn due_grant(&mut self, now: BootTime, fleet_part: f64, nodes: usize) -> Option<f64> {
         if self.ledger_due.is_none_or(|due| due > now) {
             return None;
         }
@@ -215,14 +215,14 @@
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none())?;
         ledger.refill(now, &self.limits, fleet_part);
         let pass = ledger.pass(&self.limits, fleet_part);
-        let is_news = ledger.is_to_be_told(now, pass, nodes);
-        if is_news {
+        let is_new = ledger.is_to_be_told(now, pass, nodes);
+        if is_new {
             ledger.note_told(now, pass);
         }
         if pass < 1.0 || ledger.is_limiting() {
             self.ledger_due = Some(now + LIMITED_LOOK);
         }
-        is_news.then_some(pass)
+        is_new.then_some(pass)
     }
 
     /// The report that is due now, if one is.
--- a/crates/staircross-routing/src/evacuations.rs
+++ b/crates/staircross-routing/src/evacuations.rs
@@ -1,6 +1,6 @@
 //! Zones whose searchers are to get no new work, by revision.
 //!
-//! Ends are remembered with their revision like beginnings, so that news may come in any order from the store or from peers.
+//! Ends are remembered with their revision like beginnings, so that updates may come in any order from the store or from peers.
 //! There are as many entries as zones.
 
 use std::collections::BTreeMap;
--- a/crates/staircross-routing/src/known_configuration.rs
+++ b/crates/staircross-routing/src/known_configuration.rs
@@ -27,7 +27,7 @@
 
 /// What a peer is told of a newer configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum ConfigurationNews {
+pub(crate) enum ConfigurationUpdate {
     /// The whole.
     Whole(Arc<RoutingDefinition>),
     /// What changed since the version that it has.
@@ -90,19 +90,19 @@
     }
 
     /// What a peer at a version is told: the changes since where they are remembered, otherwise the whole if it takes that.
-    pub fn news_for(&self, version: u64, takes: TakenConfiguration) -> Option<(u64, ConfigurationNews)> {
+    pub fn update_for(&self, version: u64, takes: TakenConfiguration) -> Option<(u64, ConfigurationUpdate)> {
         let (at, definition) = self.newest.as_ref().filter(|(_, definition)| definition.version > version)?;
         let deltas: Vec<DefinitionDelta> =
             self.deltas.iter().skip_while(|delta| delta.from != version).cloned().collect();
         if !deltas.is_empty() {
-            return Some((*at, ConfigurationNews::Changes(deltas)));
+            return Some((*at, ConfigurationUpdate::Changes(deltas)));
         }
         let is_passed_on = match takes {
             TakenConfiguration::Any => true,
             TakenConfiguration::Small => !is_large(definition),
             TakenConfiguration::None => false,
         };
-        is_passed_on.then(|| (*at, ConfigurationNews::Whole(definition.clone())))
+        is_passed_on.then(|| (*at, ConfigurationUpdate::Whole(definition.clone())))
     }
 }
 
--- a/crates/staircross-routing/src/known_entries.rs
+++ b/crates/staircross-routing/src/known_entries.rs
@@ -34,7 +34,7 @@
 }
 
 impl KnownEntries {
-    /// Takes an entry; returns whether it is news.
+    /// Takes an entry; returns whether it is new.
     pub fn take(&mut self, written: WrittenEntry) -> bool {
         let is_known = self.standing.iter().any(|known| written.is_outdone_by(known));
         if is_known || written.revision <= self.ended_at {
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Notes that what was written up to a revision has gone; returns whether that is news.
+    /// Notes that what was written up to a revision has gone; returns whether that is new.
     pub fn end(&mut self, revision: u64) -> bool {
         if revision <= self.ended_at {
             return false;
--- a/crates/staircross-routing/src/mirror.rs
+++ b/crates/staircross-routing/src/mirror.rs
@@ -7,7 +7,7 @@
 use crate::definition_delta::DefinitionDelta;
 use crate::evacuations::{Evacuations, ZoneChange};
 pub use crate::known_configuration::TakenConfiguration;
-use crate::known_configuration::{ConfigurationNews, KnownConfiguration};
+use crate::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::known_entries::{KnownEntries, WrittenEntry};
 pub use crate::searcher_entry::SearcherEntry;
 use crate::unreadable::UnreadableItem;
@@ -50,11 +50,11 @@
     },
 }
 
-impl From<ConfigurationNews> for MirrorItem {
-    fn from(news: ConfigurationNews) -> Self {
-        match news {
-            ConfigurationNews::Whole(definition) => MirrorItem::Configuration { definition },
-            ConfigurationNews::Changes(deltas) => MirrorItem::ConfigurationChanges { deltas },
+impl From<ConfigurationUpdate> for MirrorItem {
+    fn from(update: ConfigurationUpdate) -> Self {
+        match update {
+            ConfigurationUpdate::Whole(definition) => MirrorItem::Configuration { definition },
+            ConfigurationUpdate::Changes(deltas) => MirrorItem::ConfigurationChanges { deltas },
         }
     }
 }
@@ -203,7 +203,7 @@
         self.searchers.values().filter_map(KnownEntries::current).map(|known| &known.entry)
     }
 
-    /// Merges an update and tells what was news.
+    /// Merges an update and tells what was new.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
         let mut touched = Touched::default();
         let mut listed: Vec<Arc<str>> = Vec::new();
@@ -250,12 +250,12 @@
         let revision = peer.revision;
         let is_complete = self.has_listing && (revision < self.tombstones_from || revision == 0);
         let mut items = Vec::new();
-        if let Some((at, news)) = self.configuration.news_for(peer.version, peer.takes) {
-            items.push((at, news.into()));
+        if let Some((at, update)) = self.configuration.update_for(peer.version, peer.takes) {
+            items.push((at, update.into()));
         }
         for (instance, known) in &self.searchers {
-            let news = known.standing().iter().filter(|known| is_complete || known.revision > revision);
-            items.extend(news.map(|known| (known.revision, MirrorItem::Searcher { entry: known.entry.clone() })));
+            let update = known.standing().iter().filter(|known| is_complete || known.revision > revision);
+            items.extend(update.map(|known| (known.revision, MirrorItem::Searcher { entry: known.entry.clone() })));
             // A whole listing says by itself what had gone by then, but not of ids that it lists.
             let is_said = is_complete && known.standing().is_empty() && known.ended_at() <= self.up_to;
             if known.ended_at() > revision && !is_said {
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -2,7 +2,7 @@
 //!
 //! Two lanes read, one the configuration and one the searchers. Each reads once, then watches from
 //! the revision it has reached, and reads again only when the store has forgotten the history in
-//! between. Every call costs, so after news a lane rests for a moment: a storm of changes is then a
+//! between. Every call costs, so after updates a lane rests for a moment: a storm of changes is then a
 //! few calls. A lane that fails backs off and goes on trying for ever.
 //!
 //! A store that was away may have forgotten a watch without a word, and a watch that waits looks the
@@ -36,7 +36,7 @@
     was_away: bool,
     /// Whether others rely on this node's signs of life.
     has_followers: bool,
-    /// Until when rests after news of searchers are short.
+    /// Until when rests after updates of searchers are short.
     is_young_until: BootTime,
 }
 
@@ -68,7 +68,7 @@
         self
     }
 
-    /// One that looks again soon after news of searchers until a time. A process that was started anew knows
+    /// One that looks again soon after updates of searchers until a time. A process that was started anew knows
     /// only what the store holds now, and entries may just be coming back.
     pub fn with_young_until(mut self, is_young_until: BootTime) -> Self {
         self.is_young_until = is_young_until;
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -134,9 +134,9 @@
     pub watch: Duration,
     /// Longest wait for any other call, and beyond a watch's end.
     pub patience: Duration,
-    /// Rest after news of the configuration.
+    /// Rest after updates of the configuration.
     pub configuration_rest: Duration,
-    /// Rest after news of searchers.
+    /// Rest after updates of searchers.
     pub searcher_rest: Duration,
     /// The same when entries have gone: those that only lapsed come back one by one.
     pub lapse_rest: Duration,
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -102,9 +102,9 @@
 fn an_update_that_tells_a_drain_and_the_next_start_tells_a_searcher_that_serves() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![written(5, started("s", 100))]));
-    let news = mirror.merge(changes(vec![written(6, draining("s", 100)), written(7, started("s", 200))]));
-    assert_eq!(news.searchers, [started("s", 200)]);
-    assert!(news.gone.is_empty());
+    let updates = mirror.merge(changes(vec![written(6, draining("s", 100)), written(7, started("s", 200))]));
+    assert_eq!(updates.searchers, [started("s", 200)]);
+    assert!(updates.gone.is_empty());
 }
 
 #[test]
@@ -123,9 +123,9 @@
     informed.merge(changes(vec![written(6, draining("s", 100)), gone(7, "s"), written(8, started("s", 200))]));
     informed.merge(changes(vec![written(9, started("s", 300))]));
     let known = PeerKnowledge { revision: cut_off.known_revision(), ..NOTHING_KNOWN };
-    let news = cut_off.merge(informed.changes_for(known));
-    assert_eq!(news.searchers, [started("s", 300)]);
-    assert!(news.gone.is_empty());
+    let updates = cut_off.merge(informed.changes_for(known));
+    assert_eq!(updates.searchers, [started("s", 300)]);
+    assert!(updates.gone.is_empty());
 }
 
 #[test]
--- a/crates/staircross-routing/tests/knowledge.rs
+++ b/crates/staircross-routing/tests/knowledge.rs
@@ -232,11 +232,11 @@
         let mut listeners = [Listener::with_ends_last(true), Listener::with_ends_last(false)];
         for index in &order {
             let event = events[index.index(events.len())].clone();
-            let news = shuffled.merge(changes(vec![event]));
-            listeners.iter_mut().for_each(|listener| listener.hear(&news));
+            let updates = shuffled.merge(changes(vec![event]));
+            listeners.iter_mut().for_each(|listener| listener.hear(&updates));
         }
-        let news = shuffled.merge(changes(events.clone()));
-        listeners.iter_mut().for_each(|listener| listener.hear(&news));
+        let updates = shuffled.merge(changes(events.clone()));
+        listeners.iter_mut().for_each(|listener| listener.hear(&updates));
         prop_assert_eq!(&told(&shuffled), &truth);
         for listener in listeners {
             prop_assert_eq!(listener.known.len(), truth.len());
@@ -423,8 +423,8 @@
         store.calls(0, Lane::Searchers);
         store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
         store.calls(0, Lane::Searchers);
-        let news = changes(vec![(11, searcher("s", false))]);
-        store.reply(Lane::Searchers, StoreReply::Changes { update: news, at: 11 });
+        let updates = changes(vec![(11, searcher("s", false))]);
+        store.reply(Lane::Searchers, StoreReply::Changes { update: updates, at: 11 });
         (1..20_u64).find(|_| !store.calls(50, Lane::Searchers).is_empty()).map(|steps| steps * 50)
     };
     let usual = StoreReader::new(ReaderSettings::default());
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -147,7 +147,7 @@
     driver.event(RoutingEvent::Searchers(vec![searcher("a1", "x", "a")]));
     let refused = driver.request("/s/1");
     assert_eq!(driver.refusal(refused), Some(ErrorKind::NoReplica));
-    // News of others of the service must not make it forgotten.
+    // Updates of others of the service must not make it forgotten.
     driver.event(RoutingEvent::Searchers(vec![searcher("a2", "x", "a")]));
     evacuate(&mut driver, &[]);
     let served = driver.request("/s/2");
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -81,9 +81,12 @@
 fn probes_are_pinned() {
     let target_address = address("10.0.0.3:7101");
     let pins = [
-        pin("probe", &membership(MembershipMessage::Probe { number: 5, news: members() })),
-        pin("probe answer", &membership(MembershipMessage::ProbeAnswer { number: 5, news: vec![], known: 0 })),
-        pin("probe answer of known", &membership(MembershipMessage::ProbeAnswer { number: 5, news: vec![], known: 6 })),
+        pin("probe", &membership(MembershipMessage::Probe { number: 5, updates: members() })),
+        pin("probe answer", &membership(MembershipMessage::ProbeAnswer { number: 5, updates: vec![], known: 0 })),
+        pin(
+            "probe answer of known",
+            &membership(MembershipMessage::ProbeAnswer { number: 5, updates: vec![], known: 6 }),
+        ),
         pin("probe for", &membership(MembershipMessage::ProbeFor { number: 5, target: RECEIVER, target_address })),
     ];
     insta::assert_snapshot!(pins.join("\n"));
@@ -155,7 +158,7 @@
     let records = vec![record(Some(evidence)), record(None)];
     let versions = vec![ViewVersion { searcher: SearcherId(9), version: 300 }];
     let pins = [
-        pin("views", &views(ViewMessage::News { records })),
+        pin("views", &views(ViewMessage::Updates { records })),
         pin("views compare", &views(ViewMessage::Compare { fingerprints: vec![1, 1 << 40] })),
         pin("views versions", &views(ViewMessage::Versions { buckets: vec![3, 63], versions })),
     ];
