--- a/crates/staircross-config/src/settings.rs
+++ b/crates/staircross-config/src/settings.rs
@@ -34,7 +34,7 @@
     /// Peer addresses to join through; they also found the fleet at its first start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Name of the fleet; nodes of another name are turned away.
+    /// Name of the fleet; nodes of another name are rejected.
     pub cluster: String,
     /// Secret that all nodes of the fleet share.
     pub cluster_key: String,
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -10,7 +10,7 @@
 const WINDOW: Duration = Duration::from_millis(500);
 /// Busy share, in percent, from which callers are better sent elsewhere.
 const PRESSED_PERCENT: u8 = 70;
-/// Wait above which new requests are turned away.
+/// Wait above which new requests are rejected.
 const OVERLOADED_WAIT: Duration = Duration::from_millis(150);
 /// No sleep is asked to be longer, a late wake-up included.
 const LONGEST_SLEEP: Duration = Duration::from_millis(100);
@@ -76,7 +76,7 @@
         self.last_turn + stood_still + now.since(self.turn_began)
     }
 
-    /// Whether new requests are turned away.
+    /// Whether new requests are rejected.
     pub fn is_overloaded(&self, now: BootTime) -> bool {
         self.longest_wait(now) >= OVERLOADED_WAIT
     }
--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -55,7 +55,7 @@
     /// Connections to searchers that broke.
     pub broken: u64,
     /// Connections that searchers reset before anything was sent.
-    pub turned_away: u64,
+    pub connections_rejected: u64,
     /// Contents sent to one searcher at a time, because searchers were lost under them.
     pub suspects: usize,
     /// Contents sent to nobody.
@@ -178,7 +178,7 @@
         line("searcher_connects_total", "counter", gauges.connects);
         line("searcher_answers_skipped_total", "counter", gauges.skipped);
         line("searcher_connections_broken_total", "counter", gauges.broken);
-        line("searcher_connections_turned_away_total", "counter", gauges.turned_away);
+        line("searcher_connections_turned_away_total", "counter", gauges.connections_rejected);
         line("peer_datagrams_total", "counter", gauges.datagrams);
         line("peer_datagram_bytes_total", "counter", gauges.datagram_bytes);
         line("directory_questions_total", "counter", self.directory_questions);
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -102,7 +102,7 @@
             connects: self.pool.counters.connects,
             skipped: self.pool.counters.skipped,
             broken: self.pool.counters.broken,
-            turned_away: self.pool.counters.turned_away,
+            connections_rejected: self.pool.counters.connections_rejected,
             datagrams: self.fleet.counters.datagrams,
             datagram_bytes: self.fleet.counters.bytes,
         };
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -104,7 +104,7 @@
     /// Connections closed because of what came on them.
     pub broken: u64,
     /// Connections that were reset before anything was sent.
-    pub turned_away: u64,
+    pub connections_rejected: u64,
 }
 
 /// All connections to searchers.
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -69,9 +69,9 @@
             State::Connecting { assignment } => {
                 self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::Unconnected), events);
             }
-            State::Proving { assignment } => self.turned_away(searcher, connection.since, assignment, events),
+            State::Proving { assignment } => self.reject_connection(searcher, connection.since, assignment, events),
             State::Busy(assignment) if connection.socket.is_unbegun() && connection.is_fresh => {
-                self.turned_away(searcher, connection.since, Some(assignment), events);
+                self.reject_connection(searcher, connection.since, Some(assignment), events);
             }
             State::Busy(assignment) if connection.socket.is_unbegun() => {
                 self.end_attempt(Some(assignment), AttemptOutcome::NotRun(NotRun::Stale), events);
@@ -92,12 +92,12 @@
             return;
         };
         if let State::Connecting { assignment } = connection.state {
-            self.turned_away(connection.searcher, connection.since, assignment, events);
+            self.reject_connection(connection.searcher, connection.since, assignment, events);
         }
     }
 
     /// A searcher has reset a fresh connection on which nothing was sent: it has as many as it takes.
-    fn turned_away(
+    fn reject_connection(
         &mut self,
         searcher: SearcherKey,
         at: BootTime,
@@ -105,8 +105,8 @@
         events: &mut Vec<PoolEvent>,
     ) {
         self.resets.insert(searcher, at);
-        self.counters.turned_away += 1;
-        self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::TurnedAway), events);
+        self.counters.connections_rejected += 1;
+        self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::ConnectionRejected), events);
     }
 
     fn end_attempt(
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -108,7 +108,7 @@
 
 fn of_requests() -> String {
     use UnsentCause::*;
-    let not_run = [NotRun::Unconnected, NotRun::TurnedAway, NotRun::Stale, NotRun::Shed, NotRun::OtherInstance];
+    let not_run = [NotRun::Unconnected, NotRun::ConnectionRejected, NotRun::Stale, NotRun::Shed, NotRun::OtherInstance];
     let unknown = [Unknown::Broken, Unknown::Malformed, Unknown::Unanswered, Unknown::TooLong];
     let reasons = [SendReason::First, SendReason::Hedge, SendReason::Retry, SendReason::Reroute];
     let unsent = [
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -155,9 +155,13 @@
     reset(stream);
     // Time stands still, so however late the reset comes, nothing has been sent.
     fixture.until("the reset", is_ended);
-    assert!(matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::TurnedAway))), "{:?}", fixture.events);
+    assert!(
+        matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::ConnectionRejected))),
+        "{:?}",
+        fixture.events
+    );
     assert_eq!(fixture.pool.connection_count(), 0);
-    assert_eq!(fixture.pool.counters.turned_away, 1);
+    assert_eq!(fixture.pool.counters.connections_rejected, 1);
 }
 
 #[test]
@@ -177,7 +181,7 @@
     reset(stream);
     fixture.until("the reset", is_ended);
     assert!(matches!(fixture.outcome(), Some(AttemptOutcome::Unknown(Unknown::Broken))), "{:?}", fixture.events);
-    assert_eq!(fixture.pool.counters.turned_away, 0);
+    assert_eq!(fixture.pool.counters.connections_rejected, 0);
 }
 
 #[test]
@@ -210,7 +214,11 @@
     assert!(ready.iter().any(|event| event.is_readable()), "the reset has arrived");
     fixture.now = fixture.pool.next_wake().expect("it is being proved");
     fixture.with_io(|pool, io, events| pool.on_tick(io, events));
-    assert!(matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::TurnedAway))), "{:?}", fixture.events);
+    assert!(
+        matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::ConnectionRejected))),
+        "{:?}",
+        fixture.events
+    );
 }
 
 /// Two requests at once, both answered: two connections rest.
@@ -292,8 +300,8 @@
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 16]).expect("the request");
     fixture.send_numbered(address, 1);
-    let (turned_away, _) = listener.accept().expect("a second connection");
-    reset(turned_away);
+    let (connections_rejected, _) = listener.accept().expect("a second connection");
+    reset(connections_rejected);
     fixture.until("the reset", is_ended);
     stream.write_all(b"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 0\r\n\r\n").expect("answered");
     let ends = |events: &[PoolEvent]| events.iter().filter(|event| matches!(event, PoolEvent::Ended { .. })).count();
--- a/crates/staircross-routing/src/admission.rs
+++ b/crates/staircross-routing/src/admission.rs
@@ -57,7 +57,7 @@
 const FAST_INCREASE: f64 = 0.12;
 /// The least part that is taken. Below it, refusals cost more than the answers that they make possible.
 const LEAST_LEVEL: f64 = 0.05;
-/// What a sub-request counts as that a searcher turned away for lack of room.
+/// What a sub-request counts as that a searcher rejected for lack of room.
 const SHED_WAIT: Duration = Duration::from_millis(500);
 /// Each rank below the most urgent raises the exponent of the part that is taken.
 const RANK_STEP: f64 = 0.2;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Notes a sub-request that was turned away for lack of room.
+    /// Notes a sub-request that was rejected for lack of room.
     pub fn record_shed(&mut self, now: BootTime) {
         self.record(now, SHED_WAIT);
     }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -72,7 +72,7 @@
             // A kept connection that has ended says nothing of how the searcher works.
             AttemptOutcome::Withdrawn | AttemptOutcome::NotRun(NotRun::Stale) => {}
             AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
-            AttemptOutcome::NotRun(NotRun::TurnedAway) => searcher.turned_away(now),
+            AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
             AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
             AttemptOutcome::NotRun(NotRun::OtherInstance) => self.forget_serving(sent.searcher),
         }
@@ -90,7 +90,7 @@
             AttemptOutcome::Answered(answer) => self.apply_answer(now, key, shard, answer, actions),
             // Only attempts of requests whose key is gone are taken back while their request goes on.
             AttemptOutcome::Withdrawn => self.give_up(key, shard, None),
-            AttemptOutcome::NotRun(NotRun::Unconnected | NotRun::TurnedAway | NotRun::Stale) => {
+            AttemptOutcome::NotRun(NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Stale) => {
                 self.try_again(now, key, shard, SendReason::Reroute, None, actions);
             }
             AttemptOutcome::NotRun(NotRun::Shed | NotRun::OtherInstance) => {
@@ -133,22 +133,22 @@
     }
 
     /// What didn't run: a searcher that got nothing doesn't count against the most that may be asked, and may be asked again;
-    /// so may one that turned the request away for lack of room. Finding an ended connection uses it up, and whoever
-    /// can't be reached or turns something away is avoided for a while, so this is paced.
+    /// so may one that rejected the request for lack of room. Finding an ended connection uses it up, and whoever
+    /// can't be reached or rejects something is avoided for a while, so this is paced.
     fn note_unused(&mut self, key: RequestKey, shard: usize, searcher: SearcherKey, outcome: &AttemptOutcome) {
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
         let may_be_asked_again = match reason {
             NotRun::Stale => true,
-            NotRun::Unconnected | NotRun::TurnedAway | NotRun::Shed => self.settings.policy.waiting,
+            NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Shed => self.settings.policy.waiting,
             NotRun::OtherInstance => false,
         };
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let shard = &mut request.shards[shard];
-        if matches!(reason, NotRun::Unconnected | NotRun::TurnedAway | NotRun::Stale) {
+        if matches!(reason, NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Stale) {
             shard.forget_sending(searcher);
         }
         if may_be_asked_again {
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -1,4 +1,4 @@
-//! Shards that nobody can be asked for yet: all searchers lack room, or failed or turned connections away a moment ago.
+//! Shards that nobody can be asked for yet: all searchers lack room, or failed or rejected connections a moment ago.
 //!
 //! A shard is given up only when nobody is left, or when its request's time is over before anybody may be asked.
 
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -246,7 +246,7 @@
     OverBudget,
     /// Every searcher that could be asked holds as many attempts as it may; the shard waits.
     NoRoom,
-    /// Every searcher that could be asked failed or turned connections away a moment ago; the shard waits.
+    /// Every searcher that could be asked failed or rejected connections a moment ago; the shard waits.
     Avoided,
     /// No searcher is left that could be asked.
     NobodyLeft,
--- a/crates/staircross-routing/src/policy.rs
+++ b/crates/staircross-routing/src/policy.rs
@@ -26,7 +26,7 @@
     pub near_first: bool,
     /// Part of the requests is refused while too much waits at the back ends.
     pub admission: bool,
-    /// Shards wait for searchers that turn connections away or can't be reached at the moment.
+    /// Shards wait for searchers that reject connections or can't be reached at the moment.
     pub waiting: bool,
     /// A restarted process takes its share of connections in steps.
     pub connection_ramp: bool,
--- a/crates/staircross-routing/src/request.rs
+++ b/crates/staircross-routing/src/request.rs
@@ -93,7 +93,8 @@
     /// No connection came up; nothing was sent.
     Unconnected,
     /// The connection came up and was reset before anything was sent: the searcher has enough of them.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    ConnectionRejected,
     /// A kept connection had been closed by its searcher before anything was sent on it again.
     Stale,
     /// The searcher says that it didn't run it: no room, no time, or leaving.
@@ -120,7 +121,7 @@
     pub fn name(self) -> &'static str {
         match self {
             NotRun::Unconnected => "unconnected",
-            NotRun::TurnedAway => "turned_away",
+            NotRun::ConnectionRejected => "turned_away",
             NotRun::Stale => "stale",
             NotRun::Shed => "shed",
             NotRun::OtherInstance => "other_instance",
@@ -147,7 +148,7 @@
     First,
     /// Besides one that is late.
     Hedge,
-    /// After one that failed or was turned away.
+    /// After one that failed or was rejected.
     Retry,
     /// After a connection that didn't come up: nothing was sent.
     Reroute,
--- a/crates/staircross-routing/src/searcher.rs
+++ b/crates/staircross-routing/src/searcher.rs
@@ -40,10 +40,10 @@
 /// Doublings at the most.
 const MAX_DOUBLINGS: u32 = 4;
 /// Time during which a searcher that accepts no connection at all is left alone.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(120);
+const CONNECTION_REJECTED_PAUSE: Duration = Duration::from_millis(120);
 /// Time during which a searcher that accepts no further connection isn't asked for one.
 const FULL_PAUSE: Duration = Duration::from_millis(800);
-/// Time during which a searcher that turned work away is left alone.
+/// Time during which a searcher that rejected work is left alone.
 const SHED_PAUSE: Duration = Duration::from_millis(60);
 /// Time between trials of a searcher that has failed.
 const TRIAL_SPACING: Duration = Duration::from_millis(300);
@@ -327,11 +327,11 @@
     }
 
     /// Notes that it accepts no further connection. Those that it has accepted go on being used.
-    pub fn turned_away(&mut self, now: BootTime) {
+    pub fn connection_rejected(&mut self, now: BootTime) {
         if self.open.is_empty() {
             // It lives, and may have room for another at any moment.
             self.needs_trial = true;
-            self.avoid_until = self.avoid_until.max(now + TURNED_AWAY_PAUSE);
+            self.avoid_until = self.avoid_until.max(now + CONNECTION_REJECTED_PAUSE);
             return;
         }
         self.full_at = self.open.len();
@@ -343,7 +343,7 @@
         now < self.full_until && self.open.len() >= self.full_at
     }
 
-    /// Notes that it turned work away.
+    /// Notes that it rejected work.
     pub fn shed(&mut self, now: BootTime) {
         self.rejections.rejected(now);
         self.avoid_until = self.avoid_until.max(now + SHED_PAUSE);
--- a/crates/staircross-routing/tests/fuzz.rs
+++ b/crates/staircross-routing/tests/fuzz.rs
@@ -258,7 +258,7 @@
             8 => (AttemptOutcome::NotRun(NotRun::Shed), Fate::NotRun, true),
             9 => (AttemptOutcome::NotRun(NotRun::OtherInstance), Fate::NotRun, true),
             10 => (AttemptOutcome::NotRun(NotRun::Unconnected), Fate::NotRun, false),
-            _ => (AttemptOutcome::NotRun(NotRun::TurnedAway), Fate::NotRun, false),
+            _ => (AttemptOutcome::NotRun(NotRun::ConnectionRejected), Fate::NotRun, false),
         };
         self.sendings[index].fate = fate;
         self.sendings[index].arrived = arrived;
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -239,7 +239,7 @@
         if !is_reachable {
             self.after(3.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
         } else if is_full {
-            self.after(1.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::TurnedAway)));
+            self.after(1.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::ConnectionRejected)));
         } else if connecting > 0 {
             self.after(connecting as f64, move |world| world.begin(key, connecting));
         } else {
--- a/crates/staircross-routing/tests/policy.rs
+++ b/crates/staircross-routing/tests/policy.rs
@@ -48,7 +48,7 @@
         let request = driver.request("/q/1");
         for index in 0..2 {
             let attempt = driver.sends[index].attempt;
-            driver.end(attempt, AttemptOutcome::NotRun(NotRun::TurnedAway));
+            driver.end(attempt, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
         }
         assert_eq!(driver.refusal(request) == Some(ErrorKind::NotDelivered), is_lost);
     }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -79,7 +79,7 @@
     let mut driver = with_kami();
     let request = ask(&mut driver, "/one/1", KEY);
     for _ in 0..3 {
-        end_all(&mut driver, request, &AttemptOutcome::NotRun(NotRun::TurnedAway));
+        end_all(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
     assert_eq!(driver.verdict(request), None, "it waits for a searcher that takes it");
     let sent = driver.sent_for(request).len();
@@ -150,9 +150,9 @@
     let mut driver = with_kami();
     let request = ask(&mut driver, "/any/1", KEY);
     let (waiting, running) = (driver.sends[0].attempt, driver.sends[1].attempt);
-    driver.end(waiting, AttemptOutcome::NotRun(NotRun::TurnedAway));
+    driver.end(waiting, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     let again = driver.sends[2].attempt;
-    driver.end(again, AttemptOutcome::NotRun(NotRun::TurnedAway));
+    driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     assert_eq!(driver.sends.len(), 3, "one shard waits");
     driver.configure(without_key(2));
     assert!(driver.finished.is_empty(), "the other is under way");
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Shards that nobody can be asked for at first: searchers that turn connections away, can't be reached, or come back.
+//! Shards that nobody can be asked for at first: searchers that reject connections, can't be reached, or come back.
 
 mod common;
 
@@ -51,7 +51,7 @@
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
     for _ in 0..5 {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::TurnedAway);
+        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         assert_eq!(
             driver.verdict(request),
             None,
@@ -79,7 +79,7 @@
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
     while driver.verdict(request).is_none() {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::TurnedAway);
+        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         driver.pass_ms(10);
         assert!(
             driver.now < driver.sent_at[0] + std::time::Duration::from_millis(TIMEOUT_MS),
@@ -95,11 +95,11 @@
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::TurnedAway);
+    end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
     let sent = open(&driver, request, "y", &ended)[0];
     driver.end(sent, AttemptOutcome::Unknown(Unknown::Broken));
     while driver.verdict(request).is_none() {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::TurnedAway);
+        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         driver.pass_ms(10);
     }
     let kind = driver.refusal(request).expect("no part of x ever came");
@@ -112,7 +112,7 @@
     let requests: Vec<RequestKey> = (0..6).map(|number| driver.request(&format!("/q/{number}"))).collect();
     let mut ended = Vec::new();
     for request in &requests {
-        end_all(&mut driver, *request, "x", &mut ended, NotRun::TurnedAway);
+        end_all(&mut driver, *request, "x", &mut ended, NotRun::ConnectionRejected);
     }
     let before = driver.sends.len();
     driver.pass_ms(130);
@@ -164,7 +164,7 @@
     let mut driver = two_shards(1.0);
     let first = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, first, "x", &mut ended, NotRun::TurnedAway);
+    end_all(&mut driver, first, "x", &mut ended, NotRun::ConnectionRejected);
     let second = driver.request("/q/2");
     assert_eq!(driver.verdict(second), None);
     driver.pass_ms(150);
@@ -176,7 +176,7 @@
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::TurnedAway);
+    end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
     driver.event(RoutingEvent::CallerGone(request));
     let before = driver.sends.len();
     driver.pass_ms(1000);
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -7,7 +7,7 @@
 use staircross_types::NodeId;
 use std::io::{Read, Write};
 
-/// Version of the protocol between nodes. Nodes of another version are turned away.
+/// Version of the protocol between nodes. Nodes of another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Longest handshake frame, in bytes.
 const MAX_HANDSHAKE: usize = 1024;
