--- a/crates/staircross-gateway/src/lib.rs
+++ b/crates/staircross-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`round_trip`] | how far a peer is, as the kernel has measured it |
 //! | [`server`] | connections that requests come in on |
 //! | [`pool`] | connections to searchers |
-//! | [`given`] | what a node has given to peers that asked, within the last second |
+//! | [`peer_answers`] | answers sent to peers within the last second |
 //! | [`case_pushes`] | when peers are told at once of requests that end searchers |
 //! | [`http_call`] | one outgoing call at a time, to the store or a peer |
 //! | [`outbound`] | what of a request is sent on, and how answers are written |
@@ -27,12 +27,12 @@
 pub mod directory;
 pub mod event_log;
 pub mod fleet;
-pub mod given;
 pub mod http_call;
 pub mod load;
 pub mod metrics;
 pub mod node;
 pub mod outbound;
+pub mod peer_answers;
 pub mod pool;
 pub mod recorder;
 pub mod round_trip;
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -21,10 +21,10 @@
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::{Fleet, FleetIdentity};
-use crate::given::GivenAnswers;
 use crate::http_call::HttpCaller;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
+use crate::peer_answers::RecentPeerAnswers;
 use crate::pool::Pool;
 use crate::recorder::Recorder;
 use crate::server::{Server, ServerTimes};
@@ -150,8 +150,8 @@
     member_log: MemberLog,
     /// Whether peers are to be told at once under which requests searchers were lost, and when they may be.
     case_pushes: CasePushes,
-    /// What was given to peers lately.
-    given: GivenAnswers,
+    /// Answers sent to peers lately.
+    peer_answers: RecentPeerAnswers,
     /// Bytes to and from store and peers.
     traffic: Traffic,
     next_summary: BootTime,
@@ -226,7 +226,7 @@
             metrics: Metrics::default(),
             member_log: MemberLog::default(),
             case_pushes: CasePushes::default(),
-            given: GivenAnswers::default(),
+            peer_answers: RecentPeerAnswers::default(),
             traffic: Traffic::default(),
             next_summary: now + SUMMARY_EVERY,
             random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -62,10 +62,10 @@
         let Some(peer) = known_by_peer(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
-        let peer = PeerKnowledge { takes: self.may_give(peer.takes), ..peer };
+        let peer = PeerKnowledge { takes: self.may_serve(peer.takes), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
-                self.given.note(self.now, body.len());
+                self.peer_answers.note(self.now, body.len());
                 context.plain(200, "application/cbor", &body)
             }
             Err(error) => context.plain(500, "text/plain", error.to_string().as_bytes()),
@@ -73,10 +73,10 @@
     }
 
     /// Which configuration an asker is told now: more would fill this node's link, and callers' requests go over the same.
-    fn may_give(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
-        let recent = self.given.recent(self.now);
+    fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
+        let recent = self.peer_answers.recent(self.now);
         match wanted {
-            _ if recent.bytes >= self.settings.most_given_to_peers() => TakenConfiguration::None,
+            _ if recent.bytes >= self.settings.max_bytes_to_peers() => TakenConfiguration::None,
             TakenConfiguration::Any if recent.large >= LARGE_ANSWERS => TakenConfiguration::Small,
             wanted => wanted,
         }
--- a/crates/staircross-gateway/src/given.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What a node has given to peers that asked, within the last second.
+//! Answers that a node has sent to peers within the last second.
 //!
 //! When a configuration changes, all that follow a reader of the store ask it within a fraction of a second. Their answers go over the
 //! link on which the reader sends callers' requests; 64 answers of 45 KB fill one of 20 Mbit/s for more than a second, and what is
@@ -14,40 +14,40 @@
 const LARGE: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct PeerAnswer {
     at: BootTime,
     bytes: usize,
 }
 
 /// Answers of the last second.
 #[derive(Debug, Default)]
-pub struct GivenAnswers {
-    answers: VecDeque<Given>,
+pub struct RecentPeerAnswers {
+    answers: VecDeque<PeerAnswer>,
 }
 
 /// Their sum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GivenSum {
+pub struct PeerAnswerTotals {
     /// All bytes.
     pub bytes: usize,
     /// Answers that were large.
     pub large: usize,
 }
 
-impl GivenAnswers {
+impl RecentPeerAnswers {
     /// Notes an answer.
     pub fn note(&mut self, now: BootTime, bytes: usize) {
-        self.answers.push_back(Given { at: now, bytes });
+        self.answers.push_back(PeerAnswer { at: now, bytes });
     }
 
-    /// What was given within the last second.
-    pub fn recent(&mut self, now: BootTime) -> GivenSum {
-        while self.answers.front().is_some_and(|given| now.since(given.at) >= SPAN) {
+    /// What was sent within the last second.
+    pub fn recent(&mut self, now: BootTime) -> PeerAnswerTotals {
+        while self.answers.front().is_some_and(|answer| now.since(answer.at) >= SPAN) {
             self.answers.pop_front();
         }
-        GivenSum {
-            bytes: self.answers.iter().map(|given| given.bytes).sum(),
-            large: self.answers.iter().filter(|given| given.bytes > LARGE).count(),
+        PeerAnswerTotals {
+            bytes: self.answers.iter().map(|answer| answer.bytes).sum(),
+            large: self.answers.iter().filter(|answer| answer.bytes > LARGE).count(),
         }
     }
 }
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -327,7 +327,7 @@
     }
 
     /// Bytes that answers to peers may have in a second before configurations are kept back.
-    pub fn most_given_to_peers(&self) -> usize {
+    pub fn max_bytes_to_peers(&self) -> usize {
         (self.limits.link_mbps * 1e6 / 8.0 * PEER_LINK_S) as usize
     }
 
