--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -309,7 +309,7 @@
     }
 
     /// Tells a peer of tenants' quotas, also one that is taken for gone: it may think that it owns a tenant.
-    pub fn tell_quotas(&mut self, to: NodeId, messages: Vec<QuotaMessage>) {
+    pub fn send_quotas(&mut self, to: NodeId, messages: Vec<QuotaMessage>) {
         let Some(address) = self.membership.get(to).map(|member| member.peer_address) else {
             return;
         };
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -232,7 +232,7 @@
             }
             RoutingAction::Alarm { route, is_raised } => self.note_alarm(&route, is_raised),
             RoutingAction::Suspicion { change, is_by_peers } => self.note_suspicion(change, is_by_peers),
-            RoutingAction::TellQuota { to, messages } => self.fleet.tell_quotas(to, messages),
+            RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
             RoutingAction::Quota(change) => {
                 let QuotaChange { tenant, is_limited, pass, is_stranded } = change;
                 let line = format_args!(
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -4,7 +4,7 @@
 use staircross_gateway::fleet::{Fleet, FleetEvent, FleetIdentity};
 use staircross_gateway::traffic::Purpose;
 use staircross_quota::message::TenantHash;
-use staircross_quota::{QuotaMessage, QuotaWord};
+use staircross_quota::{QuotaGrant, QuotaMessage};
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,9 +53,9 @@
     play(&mut fleets, &mut now, |fleets, _| fleets[1].take_quota_nodes() == both);
     assert_eq!(fleets[1].take_quota_nodes(), None, "told once");
 
-    let word = QuotaMessage::Word(QuotaWord::unasked(now, TenantHash::of("t"), 0.25));
-    fleets[0].tell_quotas(NodeId(2), vec![word]);
-    let told = FleetEvent::Quotas { from: NodeId(1), messages: vec![word] };
+    let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
+    fleets[0].send_quotas(NodeId(2), vec![grant]);
+    let told = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
     play(&mut fleets, &mut now, |_, events| events.contains(&told));
     let counted: u64 =
         fleets[0].traffic.counted().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -7,7 +7,7 @@
 use staircross_cluster::MemberState;
 use staircross_gateway::fleet::{Fleet, FleetEvent, FleetIdentity};
 use staircross_quota::message::TenantHash;
-use staircross_quota::{QuotaMessage, QuotaWord};
+use staircross_quota::{QuotaGrant, QuotaMessage};
 use staircross_routing::CaseRecord;
 use staircross_types::{BootTime, NodeId};
 use staircross_wire::frame::decode;
@@ -102,8 +102,8 @@
 fn quotas_are_sent_alone() {
     let mut pair = Pair::new();
     pair.introduce();
-    let word = QuotaWord::unasked(BootTime::from_millis(1000), TenantHash(5), 0.25);
-    pair.fleet.tell_quotas(NodeId(2), vec![QuotaMessage::Word(word)]);
+    let word = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
+    pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(word)]);
     insta::assert_snapshot!("quotas", shown(&pair.receive_where(|text| text.contains("\"u\""))));
 }
 
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -2,7 +2,7 @@
 
 use crate::bound::{Limits, QuotaBound};
 use crate::fleet::{Fleet, FleetView};
-use crate::message::{Confirmation, QuotaMessage, QuotaReport, QuotaTell, QuotaWord, TenantHash};
+use crate::message::{Confirmation, QuotaEnvelope, QuotaGrant, QuotaMessage, QuotaReport, TenantHash};
 use crate::refusal::QuotaRefusal;
 use crate::spender::PATIENCE;
 use crate::tenant::Tenant;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes leave for one request of a tenant.
+    /// Takes a token for one request of a tenant.
     pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
         let (random, is_first, is_alone) = (self.random(), self.is_first(now), self.is_alone(now));
@@ -139,21 +139,27 @@
     }
 
     /// Takes a message of another node.
-    pub fn on_message(&mut self, now: BootTime, from: NodeId, message: QuotaMessage, tells: &mut Vec<QuotaTell>) {
+    pub fn on_message(
+        &mut self,
+        now: BootTime,
+        from: NodeId,
+        message: QuotaMessage,
+        envelopes: &mut Vec<QuotaEnvelope>,
+    ) {
         self.unanswered = None;
         match message {
-            QuotaMessage::Report(report) => self.on_report(now, from, &report, tells),
-            QuotaMessage::Word(word) => self.on_word(now, from, &word, tells),
+            QuotaMessage::Report(report) => self.on_report(now, from, &report, envelopes),
+            QuotaMessage::Grant(grant) => self.on_grant(now, from, &grant, envelopes),
         }
     }
 
-    fn on_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport, tells: &mut Vec<QuotaTell>) {
+    fn on_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport, envelopes: &mut Vec<QuotaEnvelope>) {
         let (is_first, fleet_part) = (self.is_first(now), self.fleet_part(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
                 tenant.refresh(now, self.own, &self.fleet, is_first);
                 let former = report.former.filter(|former| *former != self.own && tenant.is_new_rival(now, *former));
-                tells.extend(former.map(|to| QuotaTell { to, message: tenant.claim(now, fleet_part) }));
+                envelopes.extend(former.map(|to| QuotaEnvelope { to, message: tenant.claim(now, fleet_part) }));
                 tenant.take_report(now, from, report, fleet_part)
             }
             // The sender has a version of the configuration that this node doesn't have, or no longer has.
@@ -162,32 +168,36 @@
         let Some((pass, confirmation)) = answer else {
             return;
         };
-        let word =
-            QuotaWord { tenant: report.tenant, said_at: now.0, pass: pass as f32, confirmation: Some(confirmation) };
-        tells.push(QuotaTell { to: from, message: QuotaMessage::Word(word) });
+        let grant = QuotaGrant {
+            tenant: report.tenant,
+            granted_at: now.0,
+            pass: pass as f32,
+            confirmation: Some(confirmation),
+        };
+        envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
         self.note_due(report.tenant);
     }
 
-    fn on_word(&mut self, now: BootTime, from: NodeId, word: &QuotaWord, tells: &mut Vec<QuotaTell>) {
+    fn on_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant, envelopes: &mut Vec<QuotaEnvelope>) {
         let (is_first, fleet_part) = (self.is_first(now), self.fleet_part(now));
-        let Some(tenant) = self.tenants.get_mut(&word.tenant) else {
+        let Some(tenant) = self.tenants.get_mut(&grant.tenant) else {
             return;
         };
         // The first request here may come while the tenant is limited.
         tenant.refresh(now, self.own, &self.fleet, is_first);
         if let Some(spender) = &mut tenant.spender {
-            // The word of a former owner counts no more.
+            // The grant of a former owner counts no more.
             if spender.owner == from {
-                spender.take_word(now, word);
+                spender.take_grant(now, grant);
             }
-        } else if word.confirmation.is_none() && tenant.note_rival(now, from) {
-            tells.push(QuotaTell { to: from, message: tenant.claim(now, fleet_part) });
+        } else if grant.confirmation.is_none() && tenant.note_rival(now, from) {
+            envelopes.push(QuotaEnvelope { to: from, message: tenant.claim(now, fleet_part) });
         }
-        self.note_due(word.tenant);
+        self.note_due(grant.tenant);
     }
 
     /// Sends what is due.
-    pub fn on_tick(&mut self, now: BootTime, tells: &mut Vec<QuotaTell>) {
+    pub fn on_tick(&mut self, now: BootTime, envelopes: &mut Vec<QuotaEnvelope>) {
         if self.wake.is_none_or(|wake| wake > now) {
             return;
         }
@@ -206,12 +216,12 @@
             }
             if let Some((to, report)) = report {
                 self.note_asked(now, to);
-                tells.push(QuotaTell { to, message: QuotaMessage::Report(report) });
+                envelopes.push(QuotaEnvelope { to, message: QuotaMessage::Report(report) });
             }
             if let Some(pass) = due_grant {
-                let message = QuotaMessage::Word(QuotaWord::unasked(now, hash, pass));
+                let message = QuotaMessage::Grant(QuotaGrant::unsolicited(now, hash, pass));
                 let others = self.fleet.serving().iter().filter(|node| **node != self.own);
-                tells.extend(others.map(|node| QuotaTell { to: *node, message }));
+                envelopes.extend(others.map(|node| QuotaEnvelope { to: *node, message }));
             }
         }
         self.wake = self.active.iter().filter_map(|hash| self.tenants.get(hash)?.due()).min();
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Part of the permitted excess that the owner grants knowingly, beyond the burst. It lets a tenant that asks unevenly below its
-/// rate pass; the rest pays for what is admitted before the owner's word arrives.
+/// rate pass; the rest pays for what is admitted before the owner's grant arrives.
 const HEADROOM_PART: f64 = 0.15;
 /// Parts of the burst and of the permitted excess that are granted evenly over the window instead of at once. A window may hold the burst
 /// each time, so a tenant that goes on asking for more than its rate is due `burst / window` more in each second.
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -18,17 +18,17 @@
 const DEMAND_S: f64 = 0.4;
 /// Part of the headroom that a new owner starts with: what was admitted before it is unknown.
 const NEW_OWNER_PART: f64 = 0.5;
-/// Time for which another owner's word halves this owner's rate.
+/// Time for which another owner's grant halves this owner's rate.
 const RIVAL_LIFE: Duration = Duration::from_millis(1500);
-/// Time between two words to a former owner that may still grant.
+/// Time between two grants to a former owner that may still grant.
 const ASK_FORMER: Duration = Duration::from_millis(500);
 /// Silence after which a node's counts are forgotten.
 const FORGET_NODE: Duration = Duration::from_secs(60);
-/// Shortest time between two words to all nodes that less passes, and the same for each node that must be told: at most 500 datagrams a
+/// Shortest time between two grants to all nodes that less passes, and the same for each node that must be told: at most 500 datagrams a
 /// second.
 const SHORTEST_GAP: Duration = Duration::from_millis(100);
 const GAP_PER_NODE: Duration = Duration::from_millis(2);
-/// The gaps are longer by this where more passes: a word that comes late costs some refusals then, and no excess.
+/// The gaps are longer by this where more passes: a grant that comes late costs some refusals then, and no excess.
 const EASING_FACTOR: u32 = 3;
 /// Time after which a limited tenant's part is told again, for nodes that missed it.
 const REPEAT: Duration = Duration::from_millis(1000);
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -27,5 +27,5 @@
 pub use allowance::{FleetAllowance, QuotaChange, QuotaView};
 pub use bound::QuotaBound;
 pub use fleet::FleetView;
-pub use message::{QuotaMessage, QuotaReport, QuotaTell, QuotaWord};
+pub use message::{QuotaEnvelope, QuotaGrant, QuotaMessage, QuotaReport};
 pub use refusal::QuotaRefusal;
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -1,6 +1,6 @@
 //! What nodes tell each other of quotas.
 //!
-//! Every message may be lost, late or doubled: counts are totals, and words carry the owner's time.
+//! Every message may be lost, late or doubled: counts are totals, and grants carry the owner's time.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{BootTime, NodeId};
@@ -78,25 +78,25 @@
 
 /// A tenant's owner tells a node which part of the requests to admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaWord {
+pub struct QuotaGrant {
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantHash,
-    /// The owner's time, in microseconds; a later word replaces an earlier one.
+    /// The owner's time, in microseconds; a later grant replaces an earlier one.
     #[serde(rename = "s")]
-    pub said_at: u64,
+    pub granted_at: u64,
     /// Part of the tenant's requests that nodes admit, 0 to 1.
     #[serde(rename = "p")]
     pub pass: f32,
-    /// The answer to a report; none where the owner speaks unasked.
+    /// The answer to a report; none where the grant answers no report.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub confirmation: Option<Confirmation>,
 }
 
-impl QuotaWord {
-    /// What an owner says unasked.
-    pub fn unasked(now: BootTime, tenant: TenantHash, pass: f64) -> Self {
-        QuotaWord { tenant, said_at: now.0, pass: pass as f32, confirmation: None }
+impl QuotaGrant {
+    /// A grant that answers no report.
+    pub fn unsolicited(now: BootTime, tenant: TenantHash, pass: f64) -> Self {
+        QuotaGrant { tenant, granted_at: now.0, pass: pass as f32, confirmation: None }
     }
 }
 
@@ -108,12 +108,12 @@
     Report(QuotaReport),
     /// From the owner.
     #[serde(rename = "w")]
-    Word(QuotaWord),
+    Grant(QuotaGrant),
 }
 
 /// A message and whom it is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaTell {
+pub struct QuotaEnvelope {
     /// The receiver.
     pub to: NodeId,
     /// The message.
--- a/crates/staircross-quota/src/spender.rs
+++ b/crates/staircross-quota/src/spender.rs
@@ -1,7 +1,7 @@
 //! A node's side of a tenant that another node owns: what it admits, what it reports, and whether the owner answers.
 
 use crate::bound::Limits;
-use crate::message::{Counts, QuotaReport, QuotaWord, TenantHash};
+use crate::message::{Counts, QuotaGrant, QuotaReport, TenantHash};
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 /// The same for a node that has admitted more than its part meanwhile.
 pub(crate) const DOUBT: Duration = Duration::from_millis(300);
 /// Time for which a part below 1 holds without being told again; it is told again each second.
-const WORD_LIFE: Duration = Duration::from_millis(4000);
+const GRANT_LIFE: Duration = Duration::from_millis(4000);
 /// Time for which a tenant that was limited is taken to ask too much still.
 const LIMITED_MEMORY: Duration = Duration::from_secs(10);
 /// Time for which a former owner may think that it still is: that until nodes agree on who is there.
@@ -34,7 +34,7 @@
     due: Option<BootTime>,
     repeat: Duration,
     pass: f64,
-    said_at: u64,
+    granted_at: u64,
     pass_until: BootTime,
     /// When the tenant was last known to be limited.
     limited_at: Option<BootTime>,
@@ -53,7 +53,7 @@
             due: None,
             repeat: REPEAT,
             pass: 1.0,
-            said_at: 0,
+            granted_at: 0,
             pass_until: BootTime(0),
             limited_at: None,
             former: None,
@@ -64,7 +64,7 @@
     pub fn set_owner(&mut self, now: BootTime, owner: NodeId, epoch: u32) {
         let counts = self.counts.since(self.confirmed);
         let is_open = counts != Counts::default();
-        let former = (self.said_at > 0).then_some((self.owner, now + FORMER_LIFE));
+        let former = (self.granted_at > 0).then_some((self.owner, now + FORMER_LIFE));
         *self = Spender {
             counts,
             due: is_open.then_some(now),
@@ -127,9 +127,9 @@
         Some(QuotaReport { tenant, epoch: self.epoch, counts: self.counts, confirmed: self.confirmed, former })
     }
 
-    /// Takes the owner's word.
-    pub fn take_word(&mut self, now: BootTime, word: &QuotaWord) {
-        if let Some(confirmation) = word.confirmation.filter(|confirmation| confirmation.epoch == self.epoch) {
+    /// Takes the owner's grant.
+    pub fn take_grant(&mut self, now: BootTime, grant: &QuotaGrant) {
+        if let Some(confirmation) = grant.confirmation.filter(|confirmation| confirmation.epoch == self.epoch) {
             self.confirmed.offered = self.confirmed.offered.max(confirmation.counts.offered.min(self.counts.offered));
             self.confirmed.admitted =
                 self.confirmed.admitted.max(confirmation.counts.admitted.min(self.counts.admitted));
@@ -137,12 +137,12 @@
             let is_settled = self.confirmed == self.counts;
             self.due = self.due.filter(|_| !is_settled).map(|due| due.min(now + REPEAT));
         }
-        if word.said_at < self.said_at {
+        if grant.granted_at < self.granted_at {
             return;
         }
-        self.said_at = word.said_at;
-        self.pass = f64::from(word.pass).clamp(0.0, 1.0);
-        self.pass_until = now + WORD_LIFE;
+        self.granted_at = grant.granted_at;
+        self.pass = f64::from(grant.pass).clamp(0.0, 1.0);
+        self.pass_until = now + GRANT_LIFE;
         if self.pass < 1.0 {
             self.limited_at = Some(now);
         }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -4,7 +4,7 @@
 use crate::bucket::Bucket;
 use crate::fleet::Fleet;
 use crate::ledger::Ledger;
-use crate::message::{Confirmation, Counts, QuotaMessage, QuotaReport, QuotaWord, TenantHash};
+use crate::message::{Confirmation, Counts, QuotaGrant, QuotaMessage, QuotaReport, TenantHash};
 use crate::refusal::QuotaRefusal;
 use crate::spender::{DOUBT, PATIENCE, Spender};
 use staircross_types::{BootTime, NodeId};
@@ -154,7 +154,7 @@
     }
 
     /// Decides about a request right after a restart, while this node doesn't know who else there is. Nodes that know of different
-    /// peers take different ones for the owner, so nobody's word counts yet; what is admitted is reported all the same.
+    /// peers take different ones for the owner, so nobody's grant counts yet; what is admitted is reported all the same.
     pub fn take_forming(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
         let part = self.limits.forming_part(!self.has_asked);
         self.has_asked = true;
@@ -197,7 +197,7 @@
 
     /// What the owner tells another node that acts as owner.
     pub fn claim(&self, now: BootTime, fleet_part: f64) -> QuotaMessage {
-        QuotaMessage::Word(QuotaWord::unasked(now, self.hash, self.pass(now, fleet_part)))
+        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_part)))
     }
 
     /// Whether this node is the owner, and hasn't asked a former one yet whether it still is.
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaMessage, QuotaTell};
+use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -154,15 +154,15 @@
                 let Some(node) = self.nodes.iter().position(|node| node.id == to && node.is_up) else {
                     return;
                 };
-                let mut tells = Vec::new();
-                self.nodes[node].allowance.on_message(time(self.now), from, message, &mut tells);
-                self.send(node, tells);
+                let mut envelopes = Vec::new();
+                self.nodes[node].allowance.on_message(time(self.now), from, message, &mut envelopes);
+                self.send(node, envelopes);
             }
             Event::Tick(node) => {
                 self.nodes[node].tick = f64::MAX;
-                let mut tells = Vec::new();
-                self.nodes[node].allowance.on_tick(time(self.now), &mut tells);
-                self.send(node, tells);
+                let mut envelopes = Vec::new();
+                self.nodes[node].allowance.on_tick(time(self.now), &mut envelopes);
+                self.send(node, envelopes);
             }
             Event::View(node) => self.see(node),
             Event::Fault => self.begin_fault(),
@@ -260,8 +260,8 @@
         self.send(node, Vec::new());
     }
 
-    fn send(&mut self, node: usize, tells: Vec<QuotaTell>) {
-        for QuotaTell { to, message } in tells {
+    fn send(&mut self, node: usize, envelopes: Vec<QuotaEnvelope>) {
+        for QuotaEnvelope { to, message } in envelopes {
             self.outcome.datagrams += 1;
             let from = self.nodes[node].id;
             let group = self.nodes[node].group;
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaMessage, QuotaTell};
+use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -65,8 +65,8 @@
         (1600..2400).contains(&self.step)
     }
 
-    fn send(&mut self, node: usize, tells: Vec<QuotaTell>) {
-        for QuotaTell { to, message } in tells {
+    fn send(&mut self, node: usize, envelopes: Vec<QuotaEnvelope>) {
+        for QuotaEnvelope { to, message } in envelopes {
             let (kind, text) = shown(&message);
             self.note(kind, node, &format!("{} {text}", to.0));
             let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
@@ -86,15 +86,15 @@
         self.step += 1;
         let now = self.now();
         while let Some(((_, _), (node, from, message))) = self.sent.pop_first_if(self.step) {
-            let mut tells = Vec::new();
-            self.nodes[node].on_message(now, from, message, &mut tells);
-            self.send(node, tells);
+            let mut envelopes = Vec::new();
+            self.nodes[node].on_message(now, from, message, &mut envelopes);
+            self.send(node, envelopes);
         }
         for node in 0..NODES.len() {
             if self.nodes[node].next_wake().is_some_and(|wake| wake <= now) {
-                let mut tells = Vec::new();
-                self.nodes[node].on_tick(now, &mut tells);
-                self.send(node, tells);
+                let mut envelopes = Vec::new();
+                self.nodes[node].on_tick(now, &mut envelopes);
+                self.send(node, envelopes);
             }
         }
         // Usual demand is below the rates; between four and twelve seconds it is six times as much.
@@ -140,10 +140,13 @@
             let former = report.former.map_or(0, |former| former.0);
             ("report", format!("{:x} {} {former}", report.tenant.0, numbers.join(" ")))
         }
-        QuotaMessage::Word(word) => {
+        QuotaMessage::Grant(grant) => {
             let confirmed =
-                word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
-            ("word", format!("{:x} {} {} {}", word.tenant.0, word.said_at, word.pass, confirmed.unwrap_or_default()))
+                grant.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
+            (
+                "word",
+                format!("{:x} {} {} {}", grant.tenant.0, grant.granted_at, grant.pass, confirmed.unwrap_or_default()),
+            )
         }
     }
 }
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -230,7 +230,7 @@
             RoutingEvent::PeerQuota { from, messages } => self.take_quota_messages(now, from, messages, actions),
             RoutingEvent::Tick => {
                 self.on_tick(now, actions);
-                self.tell_quotas(now, actions);
+                self.send_due_quotas(now, actions);
             }
         }
     }
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -2,7 +2,7 @@
 
 use super::{RoutingAction, RoutingEngine, RoutingSettings};
 use crate::table::RouteTable;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaMessage, QuotaTell, QuotaView};
+use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage, QuotaView};
 use staircross_types::{BootTime, NodeId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 impl RoutingEngine {
-    /// Takes leave for one request of a tenant; when there will be room otherwise.
+    /// Takes a token for one request of a tenant; when there will be room otherwise.
     pub fn take_quota(&mut self, now: BootTime, tenant: &Arc<str>) -> Result<(), Duration> {
         self.quotas.try_take(now, tenant).map_err(|refusal| {
             self.counters.over_quota += 1;
@@ -57,26 +57,26 @@
         messages: Vec<QuotaMessage>,
         actions: &mut Vec<RoutingAction>,
     ) {
-        let mut tells = Vec::new();
-        messages.into_iter().for_each(|message| self.quotas.on_message(now, from, message, &mut tells));
-        self.push_tells(tells, actions);
+        let mut envelopes = Vec::new();
+        messages.into_iter().for_each(|message| self.quotas.on_message(now, from, message, &mut envelopes));
+        self.push_envelopes(envelopes, actions);
     }
 
     /// Tells peers what is due, and the log which tenants have become limited or free.
-    pub(super) fn tell_quotas(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        let mut tells = Vec::new();
-        self.quotas.on_tick(now, &mut tells);
-        self.push_tells(tells, actions);
+    pub(super) fn send_due_quotas(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
+        let mut envelopes = Vec::new();
+        self.quotas.on_tick(now, &mut envelopes);
+        self.push_envelopes(envelopes, actions);
         actions.extend(self.quotas.take_changes().into_iter().map(RoutingAction::Quota));
     }
 
-    fn push_tells(&mut self, tells: Vec<QuotaTell>, actions: &mut Vec<RoutingAction>) {
-        self.counters.quota_messages += tells.len() as u64;
+    fn push_envelopes(&mut self, envelopes: Vec<QuotaEnvelope>, actions: &mut Vec<RoutingAction>) {
+        self.counters.quota_messages += envelopes.len() as u64;
         let mut by_peer: BTreeMap<NodeId, Vec<QuotaMessage>> = BTreeMap::new();
-        tells.into_iter().for_each(|tell| by_peer.entry(tell.to).or_default().push(tell.message));
+        envelopes.into_iter().for_each(|envelope| by_peer.entry(envelope.to).or_default().push(envelope.message));
         for (to, messages) in by_peer {
-            let told = messages.chunks(MESSAGES_AT_ONCE);
-            actions.extend(told.map(|messages| RoutingAction::TellQuota { to, messages: messages.to_vec() }));
+            let batches = messages.chunks(MESSAGES_AT_ONCE);
+            actions.extend(batches.map(|messages| RoutingAction::SendQuotas { to, messages: messages.to_vec() }));
         }
     }
 }
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -157,7 +157,7 @@
         is_by_peers: bool,
     },
     /// Tell a peer of tenants' quotas.
-    TellQuota {
+    SendQuotas {
         /// The peer.
         to: NodeId,
         /// What.
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -280,7 +280,7 @@
             | RoutingAction::NotAdmitted { .. }
             | RoutingAction::Admission { .. }
             | RoutingAction::Suspicion { .. }
-            | RoutingAction::TellQuota { .. }
+            | RoutingAction::SendQuotas { .. }
             | RoutingAction::Alarm { .. }
             | RoutingAction::Quota(_) => None,
         }
--- a/crates/staircross-routing/src/window.rs
+++ b/crates/staircross-routing/src/window.rs
@@ -46,7 +46,7 @@
         self.current(now, bound).requests += 1;
     }
 
-    /// Takes leave for one extra send, if there is any. `slack_part` of the slack is this node's, 0 to 1.
+    /// Takes a token for one extra send, if there is any. `slack_part` of the slack is this node's, 0 to 1.
     pub fn try_spend(&mut self, now: BootTime, bound: &ExtraBound, slack_part: f64) -> bool {
         self.current(now, bound);
         if self.spare(bound, slack_part) < 1.0 {
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -211,7 +211,7 @@
                 RoutingAction::KeyRefused { request, cause } => self.keys_refused.push((request, cause)),
                 RoutingAction::NotAdmitted { request, part, .. } => self.not_admitted.push((request, part)),
                 RoutingAction::Admission { change, .. } => self.admission.push((self.now, change)),
-                RoutingAction::TellQuota { to, messages } => self.quota_told.push((to, messages)),
+                RoutingAction::SendQuotas { to, messages } => self.quota_told.push((to, messages)),
                 RoutingAction::Quota(change) => self.quota_changes.push(change),
                 RoutingAction::Suspicion { change, .. } => self.suspicions.push(change),
                 RoutingAction::Alarm { route, is_raised } => self.alarms.push((route.to_string(), is_raised)),
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -96,7 +96,7 @@
             let text = format!("{} {} {} {is_by_peers}", change.content, change.losses, change.is_raised);
             (format!("suspicion {}", change.suspicion.name()), text)
         }
-        RoutingAction::TellQuota { to, messages } => {
+        RoutingAction::SendQuotas { to, messages } => {
             let messages: Vec<String> = messages.iter().map(quota_message).collect();
             ("quota sent".into(), format!("{} {}", to.0, messages.join(" ")))
         }
@@ -146,10 +146,10 @@
             let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
             format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
         }
-        QuotaMessage::Word(word) => {
+        QuotaMessage::Grant(word) => {
             let confirmed =
                 word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
-            format!("w {:x} {} {} {}", word.tenant.0, word.said_at, word.pass, confirmed.unwrap_or_default())
+            format!("w {:x} {} {} {}", word.tenant.0, word.granted_at, word.pass, confirmed.unwrap_or_default())
         }
     }
 }
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -219,7 +219,7 @@
                 RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
                     self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Withdrawn));
                 }
-                RoutingAction::TellQuota { to, messages } => self.outbox.push((to, messages)),
+                RoutingAction::SendQuotas { to, messages } => self.outbox.push((to, messages)),
                 _ => {}
             }
         }
--- a/crates/staircross-routing/tests/quarantine.rs
+++ b/crates/staircross-routing/tests/quarantine.rs
@@ -430,7 +430,7 @@
     #[test]
     fn nodes_that_tell_each_other_agree(
         losses in proptest::collection::vec(loss(), 1..12),
-        tells in proptest::collection::vec((0..3_usize, 0..3_usize), 0..20),
+        envelopes in proptest::collection::vec((0..3_usize, 0..3_usize), 0..20),
         answering in 0..3_usize,
     ) {
         let mut nodes = [(); 3].map(|()| Quarantine::default());
@@ -444,12 +444,12 @@
                 tell(nodes, now, from, to);
             }
         };
-        let mut tells = tells.into_iter();
+        let mut envelopes = envelopes.into_iter();
         for (node, searcher, gap) in losses {
             let sent_at = now;
             now = now + Duration::from_millis(gap * 10);
             nodes[node].note_lost(now, lost(DEADLY, searcher, sent_at));
-            if let Some((from, to)) = tells.next() {
+            if let Some((from, to)) = envelopes.next() {
                 tell(&mut nodes, now, from, to);
             }
         }
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -44,8 +44,8 @@
     let mut told = Vec::new();
     for (index, driver) in nodes.iter_mut().enumerate() {
         driver.pass(STEP);
-        let tells = std::mem::take(&mut driver.quota_told);
-        told.extend(tells.into_iter().map(|(to, messages)| (NODES[index], to, messages)));
+        let envelopes = std::mem::take(&mut driver.quota_told);
+        told.extend(envelopes.into_iter().map(|(to, messages)| (NODES[index], to, messages)));
     }
     for (from, to, messages) in told.into_iter().filter(|_| !is_cut) {
         let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
