--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -96,7 +96,7 @@
     serving_peak: Peak,
     /// When the store last answered this node, and a reader of the zone as far as it was heard.
     store_contact: Option<BootTime>,
-    sign: Option<BootTime>,
+    reader_heartbeat: Option<BootTime>,
     confirmation: Confirmation,
     tells_confirmation: bool,
     /// When no datagram waited to be read any more.
@@ -154,7 +154,7 @@
             live_peak: Peak::new(ASSUMED_FLEET, now),
             serving_peak: Peak::new(ASSUMED_FLEET, now),
             store_contact: None,
-            sign: None,
+            reader_heartbeat: None,
             confirmation: Confirmation::default(),
             tells_confirmation: false,
             drained_at: now,
@@ -204,7 +204,7 @@
         if was_pressed != is_pressed(datagram.announcement.load) {
             self.directory_at = None;
         }
-        self.take_sign(now, datagram.from, &datagram.announcement);
+        self.take_heartbeat(now, datagram.from, &datagram.announcement);
         self.take_confirmation(datagram.from);
         if !datagram.cases.is_empty() {
             events.push(FleetEvent::Cases(datagram.cases));
@@ -224,7 +224,7 @@
     pub fn on_tick(&mut self, now: BootTime, events: &mut Vec<FleetEvent>) {
         // What came while the process stood still is read before anything is judged by what was known before.
         self.on_readable(now, events);
-        self.refresh_own_sign(now);
+        self.refresh_own_heartbeat(now);
         let mut actions = Vec::new();
         self.membership.on_tick(now, &mut self.random, &mut actions);
         // Each moment that a dead node stays in somebody's directory costs callers.
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -1,7 +1,7 @@
 //! Until when this node's configuration is known to have been the newest.
 //!
 //! Whoever the store answers knows that it had heard of everything at the time at which it asked. It tells how long ago that is with
-//! each datagram, and whoever hears it tells it on. A sign binds a time to a version: it confirms a node's configuration once the node has that
+//! each datagram, and whoever hears it tells it on. An announcement binds a time to a version: it confirms a node's configuration once the node has that
 //! version or a later one.
 
 use super::Fleet;
@@ -21,17 +21,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Confirmation {
     at: Option<BootTime>,
-    /// The latest sign on a version that isn't here yet.
+    /// The latest announcement on a version that isn't here yet.
     pending: Option<ConfirmedVersion>,
 }
 
 impl Confirmation {
-    /// Takes a sign at a node that has a version.
-    pub fn note(&mut self, own_version: u64, sign: ConfirmedVersion) {
-        if sign.version <= own_version {
-            self.at = Some(self.at.map_or(sign.at, |known| known.max(sign.at)));
-        } else if self.pending.is_none_or(|pending| pending.at < sign.at) {
-            self.pending = Some(sign);
+    /// Takes an announcement at a node that has a version.
+    pub fn note(&mut self, own_version: u64, confirmed: ConfirmedVersion) {
+        if confirmed.version <= own_version {
+            self.at = Some(self.at.map_or(confirmed.at, |known| known.max(confirmed.at)));
+        } else if self.pending.is_none_or(|pending| pending.at < confirmed.at) {
+            self.pending = Some(confirmed);
         }
     }
 
@@ -51,8 +51,8 @@
 impl Fleet {
     /// Notes that the store, asked at a time, had nothing newer for this node.
     pub fn confirm(&mut self, asked_at: BootTime) {
-        let sign = ConfirmedVersion { version: self.own.version, at: asked_at };
-        self.confirmation.note(self.own.version, sign);
+        let confirmed = ConfirmedVersion { version: self.own.version, at: asked_at };
+        self.confirmation.note(self.own.version, confirmed);
     }
 
     /// The latest time at which no newer configuration existed than this node's, as far as it knows.
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -14,19 +14,19 @@
 
 impl Fleet {
     /// A reader of the region says when the store last answered it.
-    pub(super) fn take_sign(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
+    pub(super) fn take_heartbeat(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
         let own_region = &self.membership.own().region;
         let is_near = self.membership.get(from).is_some_and(|member| member.region == *own_region);
         let Some(age) = announcement.store_age_ms.filter(|_| is_near) else {
             return;
         };
         let at = now - Duration::from_millis(u64::from(age));
-        self.sign = Some(self.sign.map_or(at, |known| known.max(at)));
+        self.reader_heartbeat = Some(self.reader_heartbeat.map_or(at, |known| known.max(at)));
     }
 
     /// When the store last answered a reader of the region, as far as it was heard here.
-    pub fn newest_sign(&self) -> Option<BootTime> {
-        self.sign
+    pub fn newest_heartbeat(&self) -> Option<BootTime> {
+        self.reader_heartbeat
     }
 
     /// Whether this node is one of the readers of its region.
@@ -73,7 +73,7 @@
 
     /// Tells the region's followers at once what this node, a reader, knows.
     pub fn tell_followers(&mut self, now: BootTime) {
-        self.refresh_own_sign(now);
+        self.refresh_own_heartbeat(now);
         let followers: Vec<(NodeId, SocketAddr)> =
             self.followers().map(|member| (member.node, member.peer_address)).collect();
         for (node, address) in followers {
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn refresh_own_sign(&mut self, now: BootTime) {
+    pub(super) fn refresh_own_heartbeat(&mut self, now: BootTime) {
         let age = self.store_contact.map(|at| now.since(at).as_millis());
         self.own.store_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
         self.refresh_own_confirmation(now);
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -234,8 +234,8 @@
 
     /// Reads the store, or follows a reader of the region.
     pub(super) fn decide_store_role(&mut self) {
-        if let Some(sign) = self.fleet.newest_sign() {
-            self.role.note_sign(sign);
+        if let Some(heartbeat) = self.fleet.newest_heartbeat() {
+            self.role.note_heartbeat(heartbeat);
         }
         self.reader.set_has_followers(self.now, self.fleet.has_followers());
         let before = self.role.role();
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -228,9 +228,9 @@
 const LAPSE_PART: f64 = 0.25;
 /// Part of the shorter bound on updates that a follower bears without hearing of its readers.
 const SILENCE_PART: f64 = 0.4;
-/// Parts of that silence after which a reader probes the store again, so that a lost sign is no silence, and after which a node
+/// Parts of that silence after which a reader probes the store again, so that a lost heartbeat is no silence, and after which a node
 /// does that hears no reader.
-const SIGN_PART: f64 = 0.4;
+const PROBE_PART: f64 = 0.4;
 const DOUBT_PART: f64 = 0.5;
 /// Time of the link, in seconds, that answers to peers may take in a second. A request that waits for half a second behind them reaches
 /// its searcher with a deadline that is too late by as much.
@@ -297,8 +297,8 @@
         ReaderSettings {
             configuration_rest: usual.configuration_rest.min(part(self.bounds.operator_ms(), CONFIG_REST_PART)),
             searcher_rest: usual.searcher_rest.min(part(self.bounds.drain_ms, DRAIN_REST_PART)),
-            probe: (usual.probe.0.min(self.longest_unconfirmed().mul_f64(SIGN_PART)), usual.probe.1),
-            probe_for_others: self.longest_silence().min(self.longest_unconfirmed()).mul_f64(SIGN_PART),
+            probe: (usual.probe.0.min(self.longest_unconfirmed().mul_f64(PROBE_PART)), usual.probe.1),
+            probe_for_others: self.longest_silence().min(self.longest_unconfirmed()).mul_f64(PROBE_PART),
             probe_in_doubt: self.longest_silence().mul_f64(DOUBT_PART),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..usual
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -3,7 +3,7 @@
 //! Each call to the store costs, and so does each byte of an answer that crosses regions. In a region of more
 //! than a few nodes two of them read; they tell the others of the region at once what revision they have
 //! reached, and that the store still answers them. The others pull what is new from them. Whoever hears no
-//! such sign for a part of the time that updates may take probes the store, and if that answers while still no reader is
+//! such heartbeat for a part of the time that updates may take probes the store, and if that answers while still no reader is
 //! heard, reads by itself; so a node follows in time whatever becomes of its readers, and a store that is away is
 //! asked little.
 
@@ -66,7 +66,7 @@
     longest_silence: Duration,
     role: StoreRole,
     /// When the store last answered a reader of the region, as far as it was heard here.
-    sign: BootTime,
+    heartbeat: BootTime,
     reads_until: BootTime,
     /// When a member of the region was learned of last; until when the region may be incomplete at the latest.
     learned_at: BootTime,
@@ -76,13 +76,13 @@
 }
 
 impl RoleKeeper {
-    /// A process that has just started and reads the store once. Without a sign for `longest_silence` it looks whether it
+    /// A process that has just started and reads the store once. Without a heartbeat for `longest_silence` it looks whether it
     /// must read by itself.
     pub fn new(now: BootTime, longest_silence: Duration) -> Self {
         RoleKeeper {
             longest_silence,
             role: StoreRole::Follower,
-            sign: now,
+            heartbeat: now,
             reads_until: BootTime::default(),
             learned_at: now,
             settles_until: now + longest_silence.mul_f64(SETTLING_PART),
@@ -92,7 +92,7 @@
 
     /// The fleet starts for the first time: others are given time to read.
     pub fn with_first_start(self, now: BootTime) -> Self {
-        RoleKeeper { settles_until: now + MOST_FIRST_SETTLING, sign: now + FIRST_READING, ..self }
+        RoleKeeper { settles_until: now + MOST_FIRST_SETTLING, heartbeat: now + FIRST_READING, ..self }
     }
 
     /// The role as last decided.
@@ -111,8 +111,8 @@
     }
 
     /// Notes that the store answered a reader of the region at a time.
-    pub fn note_sign(&mut self, at: BootTime) {
-        self.sign = self.sign.max(at);
+    pub fn note_heartbeat(&mut self, at: BootTime) {
+        self.heartbeat = self.heartbeat.max(at);
     }
 
     /// Notes that the store answered a probe of this node.
@@ -139,7 +139,7 @@
         let is_reader = (is_designated && self.knows_region(now)) || now < self.reads_until;
         self.role = match self.role {
             _ if is_reader => StoreRole::Reader,
-            _ if now.since(self.sign) < self.longest_silence => StoreRole::Follower,
+            _ if now.since(self.heartbeat) < self.longest_silence => StoreRole::Follower,
             StoreRole::Reader => StoreRole::Reader,
             StoreRole::Prober if self.must_read(now) => {
                 self.reads_until = now + HOLD;
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -6,7 +6,7 @@
 //! few calls. A lane that fails backs off and goes on trying for ever.
 //!
 //! A store that was away may have forgotten a watch without a word, and a watch that waits looks the
-//! same as one that is dead. So a third lane asks now and then for a cheap sign of life; once the
+//! same as one that is dead. So a third lane asks now and then for a cheap liveness probe; once the
 //! store has missed one, both watches are renewed when it is back, and a lane that fails meanwhile
 //! leaves it to the probe to find that out.
 //!
@@ -22,7 +22,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time from a store's return to the next sign of life. Nodes that follow a reader wait for its word that the store serves it for a third of the
+/// Time from a store's return to the next probe. Nodes that follow a reader wait for its word that the store serves it for a third of the
 /// silence that they bear; those that hear none all read by themselves, some ten calls each. A watch is begun within milliseconds.
 const CONFIRMATION: Duration = Duration::from_millis(150);
 
@@ -32,9 +32,9 @@
     settings: ReaderSettings,
     mode: ReadingMode,
     lanes: [LaneReader; 3],
-    /// Whether the store has missed a sign of life since the watches began.
+    /// Whether the store has missed a probe since the watches began.
     was_away: bool,
-    /// Whether others rely on this node's signs of life.
+    /// Whether others rely on this node's heartbeats.
     has_followers: bool,
     /// Until when rests after updates of searchers are short.
     is_young_until: BootTime,
@@ -79,7 +79,7 @@
     pub fn next_wake(&self) -> Option<BootTime> {
         let due = self.lanes.iter().filter_map(|lane| match lane.state {
             LaneState::Resting { until } => Some(until),
-            LaneState::Calling | LaneState::AwaitingSign | LaneState::Suspended => None,
+            LaneState::Calling | LaneState::AwaitingProbe | LaneState::Suspended => None,
         });
         due.min()
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Notes whether others rely on this node's signs of life; they come more often then, the first at once.
+    /// Notes whether others rely on this node's heartbeats; they come more often then, the first at once.
     pub fn set_has_followers(&mut self, now: BootTime, has_followers: bool) {
         let begins = has_followers && !self.has_followers;
         self.has_followers = has_followers;
@@ -166,7 +166,7 @@
             let is_due = matches!(lane.state, LaneState::Resting { until } if until <= now);
             let waits = self.settings.lanes_wait_for_probe && self.was_away;
             if is_due && waits && lane.failures > 0 {
-                lane.state = LaneState::AwaitingSign;
+                lane.state = LaneState::AwaitingProbe;
             } else if is_due {
                 lane.state = LaneState::Calling;
                 actions.push(lane.next_call(&self.settings));
@@ -188,7 +188,7 @@
             settings.searcher_rest = settings.searcher_rest.min(settings.lapse_rest);
         }
         if lane == Lane::Probe {
-            return self.on_sign_of_life(now, matches!(reply, StoreReply::Alive), actions);
+            return self.on_probe_ended(now, matches!(reply, StoreReply::Alive), actions);
         }
         let reader = self.lane_mut(lane);
         match reply {
@@ -210,12 +210,12 @@
     pub fn on_failed(&mut self, now: BootTime, lane: Lane, random: &mut ChaCha8Rng, actions: &mut Vec<ReaderAction>) {
         let settings = self.settings.clone();
         if lane == Lane::Probe {
-            return self.on_sign_of_life(now, false, actions);
+            return self.on_probe_ended(now, false, actions);
         }
         self.lane_mut(lane).fail(now, &settings, random, actions);
     }
 
-    fn on_sign_of_life(&mut self, now: BootTime, is_alive: bool, actions: &mut Vec<ReaderAction>) {
+    fn on_probe_ended(&mut self, now: BootTime, is_alive: bool, actions: &mut Vec<ReaderAction>) {
         let (usual, while_away) = self.settings.probe;
         let wait = match (self.mode, is_alive, self.has_followers) {
             (ReadingMode::Probing, ..) => self.settings.probe_in_doubt,
@@ -224,7 +224,7 @@
             (_, false, _) => while_away,
         };
         let is_back = is_alive && self.was_away;
-        // The next sign shows that the watches renewed below are held.
+        // The next probe shows that the watches renewed below are held.
         let wait = if is_back { wait.min(CONFIRMATION) } else { wait };
         let probe = self.lane_mut(Lane::Probe);
         probe.state = LaneState::Resting { until: now + wait };
@@ -253,7 +253,7 @@
                 actions.push(ReaderAction::Cancel { lane: lane.lane });
                 lane.state = LaneState::Resting { until: now };
                 lane.failures = 0;
-            } else if lane.state == LaneState::AwaitingSign {
+            } else if lane.state == LaneState::AwaitingProbe {
                 lane.state = LaneState::Resting { until: now };
                 lane.failures = 0;
             }
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -18,8 +18,8 @@
     Resting { until: BootTime },
     /// A call is out.
     Calling,
-    /// The last call failed, and so does the probe: nothing is asked until the store gives a sign of life.
-    AwaitingSign,
+    /// The last call failed, and so does the probe: nothing is asked until the store answers a probe.
+    AwaitingProbe,
     /// Nothing is asked: a peer tells what is new.
     Suspended,
 }
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -60,7 +60,7 @@
         /// How long the store may hold the call.
         wait: Duration,
     },
-    /// A sign of life, as cheap as there is.
+    /// A liveness probe, as cheap as there is.
     Probe,
 }
 
@@ -140,13 +140,13 @@
     pub searcher_rest: Duration,
     /// The same when entries have gone: those that only lapsed come back one by one.
     pub lapse_rest: Duration,
-    /// Time between signs of life, and while the store is away.
+    /// Time between heartbeats, and while the store is away.
     pub probe: (Duration, Duration),
-    /// Time between signs of life while others rely on them.
+    /// Time between heartbeats while others rely on them.
     pub probe_for_others: Duration,
     /// Time between probes of a node that has lost its readers.
     pub probe_in_doubt: Duration,
-    /// Longest wait for a sign of life.
+    /// Longest wait for a probe's answer.
     pub probe_patience: Duration,
     /// First and longest wait after a failure.
     pub back_off: (Duration, Duration),
