--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -15,7 +15,7 @@
 const DELAY_PART: f64 = 0.1;
 /// Demand, in times the rate, for which the delay of reports is laid out.
 const HOT_FACTOR: f64 = 6.0;
-/// Bounds of the delay of reports. A shorter one saves no excess beside the way there and back; a longer one would hide demand.
+/// Bounds of the delay of reports. A shorter one saves no excess beside the round trip; a longer one would hide demand.
 const SHORTEST_DELAY: Duration = Duration::from_millis(20);
 const LONGEST_DELAY: Duration = Duration::from_millis(500);
 /// Part of the permitted excess that nodes without an owner may admit at once, all together.
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time within which the bucket's level is brought back to 0, in seconds. Three times the way of a report and of the answer, so that
+/// Time within which the bucket's level is brought back to 0, in seconds. Three times the round trip of a report and its answer, so that
 /// the part doesn't swing.
 const CORRECTION_S: f64 = 0.6;
 /// Time over which demand is averaged, in seconds.
--- a/crates/staircross-quota/src/spender.rs
+++ b/crates/staircross-quota/src/spender.rs
@@ -5,7 +5,7 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time after which a report that wasn't answered is sent again; longer than the way there and back between regions.
+/// Time after which a report that wasn't answered is sent again; longer than the round trip between regions.
 const REPEAT: Duration = Duration::from_millis(100);
 /// Longest time between two sendings of a report that isn't answered.
 const SLOW_REPEAT: Duration = Duration::from_millis(800);
--- a/crates/staircross-quota/tests/bound.rs
+++ b/crates/staircross-quota/tests/bound.rs
@@ -2,7 +2,7 @@
 
 mod model;
 
-use model::{Callers, Fault, Outcome, Schedule, Way, World};
+use model::{Callers, Fault, Outcome, Schedule, Scheme, World};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -53,7 +53,7 @@
 
     #[test]
     fn admissions_stay_within_the_bound_in_every_window(schedule in schedule()) {
-        let outcome = World::new(schedule, Way::Owner).run();
+        let outcome = World::new(schedule, Scheme::Owner).run();
         prop_assert!(outcome.worst <= 1.0, "{outcome:?}");
     }
 
@@ -65,7 +65,7 @@
         let keeps_to = Some((SAFE_PART, SAFE_BURST_PART));
         let lost = schedule.lost * QUIET_LOSS_PART;
         let quiet = Schedule { quota, keeps_to, lost, hot: 1.0, usual: 1.2, fault: Fault::None, ..schedule };
-        let outcome = World::new(quiet, Way::Owner).run();
+        let outcome = World::new(quiet, Scheme::Owner).run();
         prop_assert_eq!(outcome.refused, 0, "{:?}", outcome);
     }
 }
@@ -105,7 +105,7 @@
         ),
     ];
     for schedule in schedules {
-        let outcome = World::new(schedule.clone(), Way::Owner).run();
+        let outcome = World::new(schedule.clone(), Scheme::Owner).run();
         assert!(outcome.worst <= 1.0, "{schedule:?}: {outcome:?}");
     }
 }
@@ -161,7 +161,7 @@
         ),
     ];
     for schedule in schedules {
-        let outcome = World::new(schedule.clone(), Way::Owner).run();
+        let outcome = World::new(schedule.clone(), Scheme::Owner).run();
         assert!(outcome.worst <= 1.0, "{schedule:?}: {outcome:?}");
     }
 }
@@ -176,7 +176,7 @@
         .map(|_| {
             let tree = strategy.new_tree(&mut runner).expect("schedules have no filter");
             let schedule = tree.current();
-            (schedule.clone(), World::new(schedule, Way::Owner).run())
+            (schedule.clone(), World::new(schedule, Scheme::Owner).run())
         })
         .collect();
     played.sort_by(|(_, a), (_, b)| b.worst.total_cmp(&a.worst));
--- a/crates/staircross-quota/tests/comparison.rs
+++ b/crates/staircross-quota/tests/comparison.rs
@@ -2,21 +2,21 @@
 
 mod model;
 
-use model::{Callers, Fault, Schedule, Way, World};
+use model::{Callers, Fault, Schedule, Scheme, World};
 use staircross_types::Quota;
 
 const SEEDS: u64 = 8;
 
 #[test]
 #[ignore = "prints figures for the design note"]
-fn figures_of_each_way() {
+fn figures_of_each_scheme() {
     for nodes in [71] {
         for rate_per_s in [2.4, 20.0, 80.0] {
             for &fault in Fault::ALL {
                 for (hot, hot_s) in [(1.0, 9.0), (9.0, 9.0), (9.0, 11.0)] {
                     for callers in [Callers::Spread, Callers::OneNode, Callers::Moving] {
-                        let ways = [Way::Owner, Way::FixedShares, Way::FixedSharesAndOne];
-                        let shown = ways.map(|way| tell(nodes, rate_per_s, fault, (hot, hot_s), callers, way));
+                        let schemes = [Scheme::Owner, Scheme::FixedShares, Scheme::FixedSharesAndOne];
+                        let shown = schemes.map(|scheme| tell(nodes, rate_per_s, fault, (hot, hot_s), callers, scheme));
                         println!("{nodes} {rate_per_s} {fault:?} x{hot}@{hot_s} {callers:?} {}", shown.join(" | "));
                     }
                 }
@@ -25,7 +25,14 @@
     }
 }
 
-fn tell(nodes: usize, rate_per_s: f64, fault: Fault, (hot, hot_s): (f64, f64), callers: Callers, way: Way) -> String {
+fn tell(
+    nodes: usize,
+    rate_per_s: f64,
+    fault: Fault,
+    (hot, hot_s): (f64, f64),
+    callers: Callers,
+    scheme: Scheme,
+) -> String {
     let quota = Quota { rate_per_s, burst: rate_per_s };
     let mut worst = f64::NEG_INFINITY;
     let (mut lost, mut owed, mut datagrams, mut requests) = (0.0, 0.0, 0, 0);
@@ -43,7 +50,7 @@
             doubled: 0.01,
             keeps_to: None,
         };
-        let outcome = World::new(schedule, way).run();
+        let outcome = World::new(schedule, scheme).run();
         worst = worst.max(outcome.worst);
         lost += outcome.lost;
         owed += outcome.owed;
@@ -75,7 +82,7 @@
                     doubled: 0.01,
                     keeps_to: None,
                 };
-                let outcome = World::new(schedule, Way::Owner).run();
+                let outcome = World::new(schedule, Scheme::Owner).run();
                 let a_second = outcome.datagrams as f64 / model::END_S;
                 println!("{nodes} nodes, rate {rate_per_s}, x{hot}: {a_second:.1} datagrams a second");
             }
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -2,7 +2,7 @@
 
 mod schedule;
 
-pub use schedule::{Callers, Fault, Outcome, Schedule, Way};
+pub use schedule::{Callers, Fault, Outcome, Schedule, Scheme};
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -54,7 +54,7 @@
 
 pub struct World {
     schedule: Schedule,
-    way: Way,
+    scheme: Scheme,
     random: ChaCha8Rng,
     nodes: Vec<Node>,
     events: BTreeMap<(u64, u64), Event>,
@@ -74,7 +74,7 @@
 }
 
 impl World {
-    pub fn new(schedule: Schedule, way: Way) -> Self {
+    pub fn new(schedule: Schedule, scheme: Scheme) -> Self {
         let mut world = World {
             random: ChaCha8Rng::seed_from_u64(schedule.seed),
             nodes: Vec::new(),
@@ -87,7 +87,7 @@
             caller: Share { level: 0.0, at: 0.0 },
             outcome: Outcome::default(),
             schedule,
-            way,
+            scheme,
         };
         for _ in 0..world.schedule.nodes {
             let node = world.new_node(true, world.schedule.quota);
@@ -310,10 +310,10 @@
         }
         self.outcome.requests += 1;
         let is_owed = self.is_owed(node);
-        let is_admitted = match self.way {
-            Way::Owner => self.nodes[node].allowance.try_take(time(self.now), TENANT).is_ok(),
-            Way::FixedShares => self.take_share(node, 0.0),
-            Way::FixedSharesAndOne => self.take_share(node, 1.0),
+        let is_admitted = match self.scheme {
+            Scheme::Owner => self.nodes[node].allowance.try_take(time(self.now), TENANT).is_ok(),
+            Scheme::FixedShares => self.take_share(node, 0.0),
+            Scheme::FixedSharesAndOne => self.take_share(node, 1.0),
         };
         if is_admitted {
             self.admitted.push(self.now);
--- a/crates/staircross-quota/tests/model/schedule.rs
+++ b/crates/staircross-quota/tests/model/schedule.rs
@@ -5,7 +5,7 @@
 /// How nodes decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code, reason = "each test file plays other ways")]
-pub enum Way {
+pub enum Scheme {
     /// As built.
     Owner,
     /// Each node has its part of rate and burst, by the largest fleet it saw lately.
--- a/crates/staircross-routing/src/admission.rs
+++ b/crates/staircross-routing/src/admission.rs
@@ -118,7 +118,7 @@
 }
 
 impl UsualWork {
-    /// Adds the time of an answered sub-request, without its way. `level` is the part of the work that is taken.
+    /// Adds the time of an answered sub-request, without the round trip. `level` is the part of the work that is taken.
     pub fn record(&mut self, now: BootTime, worked: Duration, level: f64) {
         let span = now.since(self.recorded_at).min(MOST_RISE_SPAN).as_secs_f64();
         self.recorded_at = now;
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -83,7 +83,7 @@
 
 /// What is measured per route.
 pub(crate) struct RouteStatistics {
-    /// Time of answered attempts, without the way there.
+    /// Time of answered attempts, without the round trip.
     pub work: LatencyTracker,
     /// The same where nothing waits in a queue.
     pub usual: UsualWork,
@@ -160,7 +160,7 @@
             nodes_by_zone: HashMap::from([(settings.zone.clone(), 1)]),
             fleet: FleetRank { rank: Some(0), serving: 1 },
             cold: settings.cold,
-            ways: HashMap::new(),
+            round_trips: HashMap::new(),
             restarted_at: settings.restarted_at,
             policy: settings.policy,
         };
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is overdue after the way and so many times the usual work.
+/// An attempt is overdue after the round trip and so many times the usual work.
 const OVERDUE_FACTOR: f64 = 2.2;
-/// A hedge isn't sent before the way and so many times the usual work.
+/// A hedge isn't sent before the round trip and so many times the usual work.
 const LEAST_HEDGE_FACTOR: f64 = 1.5;
 /// Parts of the unusually long time after which a hedge is sent, while all of the budget is left and while none is. What isn't spent
 /// in a window is lost, so a full budget buys earlier hedges; a scarce one is kept for attempts that are surely late, and for repeats
@@ -25,9 +25,9 @@
 const HEDGE_WORK_FACTOR: f64 = 2.0;
 /// The final answer goes out so long before the deadline.
 pub(super) const DEADLINE_GUARD: Duration = Duration::from_millis(10);
-/// Wait for a connection: a constant and so many times the way.
+/// Wait for a connection: a constant and so many times the round trip.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
-const CONNECT_WAYS: u32 = 4;
+const CONNECT_ROUND_TRIPS: u32 = 4;
 
 impl RoutingEngine {
     /// Sends one more attempt for a shard, or says why not.
@@ -99,29 +99,29 @@
         reason: SendReason,
         actions: &mut Vec<RoutingAction>,
     ) {
-        let other_way = self.longest_other_way(now, key, searcher_key);
+        let other_round_trip = self.longest_other_round_trip(now, key, searcher_key);
         let late_part = self.late_part(now, searcher_key);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let route = &request.table.definition().routes[request.route_index];
         let searcher = &mut self.searchers[searcher_key.0 as usize];
-        let way = self.place.way(&searcher.entry.zone);
+        let round_trip = self.place.round_trip(&searcher.entry.zone);
         let (usual, late) = match self.routes.get(&route.name) {
             Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
             None => (Duration::ZERO, Duration::ZERO),
         };
         let attempt = AttemptKey { request: key, number: request.attempts.len() as u16 };
         let work = usual.mul_f64(searcher.slowness(now));
-        let due_at = now + way + work.mul_f64(OVERDUE_FACTOR);
+        let due_at = now + round_trip + work.mul_f64(OVERDUE_FACTOR);
         searcher.sent(now, OpenAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[shard_index];
         shard.sent_to.push(searcher_key);
         shard.outstanding += 1;
         shard.tried.push(searcher_key);
-        let times = HedgeTimes { way, other_way, usual, late: late.mul_f64(late_part) };
+        let times = HedgeTimes { round_trip, other_round_trip, usual, late: late.mul_f64(late_part) };
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let harmless_at = now + way + work.mul_f64(HARMLESS_WORK_FACTOR);
+        let harmless_at = now + round_trip + work.mul_f64(HARMLESS_WORK_FACTOR);
         let shard = shard_index as u32;
         request.attempts.push(Attempt { shard, hedge_at, harmless_at, is_open: true, is_resolved: false });
         let sent = SentAttempt {
@@ -149,7 +149,7 @@
             distance: self.place.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
             is_idempotent: route.is_idempotent,
-            connect_patience: CONNECT_PATIENCE + way * CONNECT_WAYS,
+            connect_patience: CONNECT_PATIENCE + round_trip * CONNECT_ROUND_TRIPS,
             reason,
             reported: searcher.reported().map(|(at, load)| ReportedAt { load, age: now.since(at) }),
         }));
@@ -167,14 +167,14 @@
         most - (most - least) * spare
     }
 
-    /// The way to the farthest other searcher that the same shard may be sent to: a hedge may have to go there.
-    fn longest_other_way(&self, now: BootTime, request: RequestKey, asked: SearcherKey) -> Duration {
+    /// The round trip to the farthest other searcher that the same shard may be sent to: a hedge may have to go there.
+    fn longest_other_round_trip(&self, now: BootTime, request: RequestKey, asked: SearcherKey) -> Duration {
         let Some(request) = self.requests.get(&request) else {
             return Duration::ZERO;
         };
         let service = &self.searchers[asked.0 as usize].entry.service;
         let others = self.askable(now, request.allowed_regions(), service).filter(|(peer, _)| *peer != asked);
-        others.map(|(_, searcher)| self.place.way(&searcher.entry.zone)).max().unwrap_or_default()
+        others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
     /// Sets the time at which the request needs attention next.
@@ -193,8 +193,8 @@
 /// What the time of a hedge follows from.
 struct HedgeTimes {
     /// To the searcher asked, and to the farthest other.
-    way: Duration,
-    other_way: Duration,
+    round_trip: Duration,
+    other_round_trip: Duration,
     /// Median of the route's work, and what is taken as too long.
     usual: Duration,
     late: Duration,
@@ -203,10 +203,10 @@
 impl HedgeTimes {
     /// As late as still leaves time for another searcher's answer, but not later than is unusual.
     fn hedge_at(&self, now: BootTime, answer_by: BootTime) -> BootTime {
-        let needed = self.other_way + self.usual.mul_f64(HEDGE_WORK_FACTOR);
+        let needed = self.other_round_trip + self.usual.mul_f64(HEDGE_WORK_FACTOR);
         let last_moment = answer_by - needed;
-        let unusual = now + self.way + self.late;
-        let least = now + self.way + self.usual.mul_f64(LEAST_HEDGE_FACTOR);
+        let unusual = now + self.round_trip + self.late;
+        let least = now + self.round_trip + self.usual.mul_f64(LEAST_HEDGE_FACTOR);
         unusual.min(last_moment).max(least)
     }
 }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -53,8 +53,8 @@
     }
 
     fn note_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
-        let way = self.place.way(&self.searchers[sent.searcher.0 as usize].entry.zone);
-        let worked = now.since(sent.sent_at).saturating_sub(way);
+        let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
+        let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         if let AttemptOutcome::Answered(answer) = outcome {
             searcher.take_report(now, answer.report);
--- a/crates/staircross-routing/src/policy.rs
+++ b/crates/staircross-routing/src/policy.rs
@@ -22,7 +22,7 @@
     pub hedge_by_budget: bool,
     /// Searchers that rejected work lately are asked less.
     pub avoid_rejecting: bool,
-    /// Near searchers are preferred by more than the time of the way.
+    /// Near searchers are preferred by more than the round trip.
     pub near_first: bool,
     /// Part of the requests is refused while too much waits at the back ends.
     pub admission: bool,
--- a/crates/staircross-routing/src/selection.rs
+++ b/crates/staircross-routing/src/selection.rs
@@ -1,6 +1,6 @@
 //! Which searcher of a service is asked.
 //!
-//! The one that should answer first: way there, usual work, its slowness, its queue as far as it is
+//! The one that should answer first: round trip, usual work, its slowness, its queue as far as it is
 //! known here, how long its open attempts are overdue, and how probably it rejects the request. A
 //! searcher with an overdue attempt is probably in a pause, so whoever comes next goes elsewhere.
 //! Distance counts a little more than its time, because bytes between zones cost.
@@ -19,15 +19,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Added to the way to another zone of the region, and to another region.
+/// Added to the round trip to another zone of the region, and to another region.
 const ZONE_BIAS: Duration = Duration::from_millis(4);
 const REGION_BIAS: Duration = Duration::from_millis(25);
 /// Added for a searcher whose entry has gone: it is asked after all others.
 const LAPSE_BIAS: Duration = Duration::from_secs(60);
-/// Ways assumed until they have been measured.
-const OWN_ZONE_WAY: Duration = Duration::from_millis(1);
-const OTHER_ZONE_WAY: Duration = Duration::from_millis(2);
-const OTHER_REGION_WAY: Duration = Duration::from_millis(24);
+/// Round trips assumed until they have been measured.
+const OWN_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
+const OTHER_ZONE_ROUND_TRIP: Duration = Duration::from_millis(2);
+const OTHER_REGION_ROUND_TRIP: Duration = Duration::from_millis(24);
 /// Candidates within this factor of the best share the work.
 const AS_GOOD: f64 = 1.1;
 /// Parts of a searcher's connections that nodes of its own zone and of others use.
@@ -53,7 +53,7 @@
     /// Bound on requests to a cold searcher.
     pub cold: ColdBound,
     /// Least times to connect, by zone.
-    pub ways: HashMap<Arc<str>, Duration>,
+    pub round_trips: HashMap<Arc<str>, Duration>,
     /// When this process started, if it isn't the first on its machine.
     pub restarted_at: Option<BootTime>,
     /// Mechanisms that are on.
@@ -102,19 +102,19 @@
         }
     }
 
-    /// Time to a zone and back.
-    pub fn way(&self, zone: &str) -> Duration {
+    /// Round trip to a zone.
+    pub fn round_trip(&self, zone: &str) -> Duration {
         let assumed = match self.distance(zone) {
-            Distance::OwnZone => OWN_ZONE_WAY,
-            Distance::OwnRegion => OTHER_ZONE_WAY,
-            Distance::Far => OTHER_REGION_WAY,
+            Distance::OwnZone => OWN_ZONE_ROUND_TRIP,
+            Distance::OwnRegion => OTHER_ZONE_ROUND_TRIP,
+            Distance::Far => OTHER_REGION_ROUND_TRIP,
         };
-        self.ways.get(zone).copied().unwrap_or(assumed)
+        self.round_trips.get(zone).copied().unwrap_or(assumed)
     }
 
     /// Notes how long a connection took to come up.
     pub fn note_connected(&mut self, zone: &Arc<str>, took: Duration) {
-        let known = self.ways.entry(zone.clone()).or_insert(took);
+        let known = self.round_trips.entry(zone.clone()).or_insert(took);
         *known = took.min(*known);
     }
 
@@ -171,7 +171,7 @@
     // Whoever is overdue will probably be so for as long again.
     let pause = if place.policy.avoid_overdue { searcher.overdue(now) * 2 } else { Duration::ZERO };
     let lapse = if searcher.is_serving() { Duration::ZERO } else { LAPSE_BIAS };
-    place.way(zone) + bias + work + queue + pause + lapse + rejection_cost(now, searcher, place, choice)
+    place.round_trip(zone) + bias + work + queue + pause + lapse + rejection_cost(now, searcher, place, choice)
 }
 
 /// What a rejection costs, times how probable it is. The budget may not pay for a repeat, and then the part is missing: so a rejection
