--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -87,6 +87,6 @@
         AttemptOutcome::Answered(answer) => Some(format!("outcome=failed status={}", answer.status)),
         AttemptOutcome::NotRun(reason) => Some(format!("outcome={}", reason.name())),
         AttemptOutcome::Unknown(reason) => Some(format!("outcome={}", reason.name())),
-        AttemptOutcome::Withdrawn => Some("outcome=withdrawn".to_owned()),
+        AttemptOutcome::Cancelled => Some("outcome=withdrawn".to_owned()),
     }
 }
--- a/crates/staircross-gateway/src/node/view.rs
+++ b/crates/staircross-gateway/src/node/view.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Whether keys may have been withdrawn for longer than the settings allow without this node's knowing.
+    /// Whether keys may have been revoked for longer than the settings allow without this node's knowing.
     fn is_view_too_old(&self) -> bool {
         let Some(revoke_ms) = self.settings.bounds.revoke_ms else {
             return false;
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -237,7 +237,7 @@
         if let State::Connecting { assignment } | State::Proving { assignment } = &mut self.connections[slot].state {
             *assignment = None;
             self.by_attempt.remove(&attempt);
-            events.push(PoolEvent::Ended { attempt, outcome: AttemptOutcome::Withdrawn });
+            events.push(PoolEvent::Ended { attempt, outcome: AttemptOutcome::Cancelled });
         }
     }
 
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -168,7 +168,7 @@
         self.by_attempt.remove(&attempt);
         let outcome = match cause {
             // The searcher isn't to blame.
-            AbandonCause::CallerGone | AbandonCause::Quarantined => AttemptOutcome::Withdrawn,
+            AbandonCause::CallerGone | AbandonCause::Quarantined => AttemptOutcome::Cancelled,
             AbandonCause::Superseded => AttemptOutcome::Unknown(Unknown::Unanswered),
         };
         events.push(PoolEvent::Ended { attempt, outcome });
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -175,10 +175,10 @@
     /// Time within which searchers of an evacuated zone must get no more work, in milliseconds; `config_ms` when absent.
     #[serde(default)]
     pub evacuate_ms: Option<u64>,
-    /// Time within which a key that is withdrawn lets nobody in any more, in milliseconds; no bound when absent.
+    /// Time within which a key that is revoked lets nobody in any more, in milliseconds; no bound when absent.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// Whether a node that can't be sure to know of all withdrawals of that age refuses requests that need a key.
+    /// Whether a node that can't be sure to know of all revocations of that age refuses requests that need a key.
     #[serde(default)]
     pub revoke_strict: bool,
 }
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -120,13 +120,13 @@
         Suspect,
         NotRepeatable,
         MostAttempts,
-        KeyWithdrawn,
+        KeyRevoked,
         Quarantined,
         Probing,
     ];
     let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::Nobody];
     let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
-    let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Withdrawn];
+    let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Revoked];
     [
         listed("attempt that didn't run", not_run.map(NotRun::name)),
         listed("attempt that may have run", unknown.map(Unknown::name)),
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -12,11 +12,11 @@
 mod outcome;
 mod overload;
 mod quotas;
+mod revocation;
 mod searchers;
 mod settle;
 mod suspicion;
 mod waiting;
-mod withdrawal;
 
 use crate::admission::{UsualWork, Wait};
 use crate::allowed_regions::AllowedRegions;
@@ -198,7 +198,7 @@
             RoutingEvent::Configuration(table) => {
                 self.set_quotas(now, &table);
                 self.set_table(table);
-                self.end_withdrawn(now, actions);
+                self.end_revoked(now, actions);
                 self.begin_held(now, actions);
             }
             RoutingEvent::Searchers(entries) => {
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -161,7 +161,7 @@
             route_index,
             tenant,
             credential: arrival.credential,
-            is_withdrawn: false,
+            is_key_revoked: false,
             shards: services.into_iter().map(Shard::new).collect(),
             attempts: Vec::new(),
             answer_by: (now + self.goal_of(route, arrival).saturating_sub(arrival.waited)).min(deadline),
@@ -282,7 +282,7 @@
     })
 }
 
-/// A node that may have missed for too long that a key was withdrawn lets nobody in, or asks first.
+/// A node that may have missed for too long that a key was revoked lets nobody in, or asks first.
 fn check_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotBegun> {
     match arrival.view {
         ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -42,8 +42,8 @@
         let Some(request) = self.requests.get(&key) else {
             return Err(UnsentCause::NobodyLeft);
         };
-        if request.is_withdrawn {
-            return Err(Self::tell_withdrawn(key, request, shard_index, reason, actions));
+        if request.is_key_revoked {
+            return Err(Self::note_unsent_revoked(key, request, shard_index, reason, actions));
         }
         if self.suspicion(now, request.content) == Suspicion::Quarantined {
             return Err(UnsentCause::Quarantined);
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -70,7 +70,7 @@
             }
             AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.faltered(now),
             // A kept connection that has ended says nothing of how the searcher works.
-            AttemptOutcome::Withdrawn | AttemptOutcome::NotRun(NotRun::Stale) => {}
+            AttemptOutcome::Cancelled | AttemptOutcome::NotRun(NotRun::Stale) => {}
             AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
             AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
             AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
@@ -89,7 +89,7 @@
         match outcome {
             AttemptOutcome::Answered(answer) => self.apply_answer(now, key, shard, answer, actions),
             // Only attempts of requests whose key is gone are taken back while their request goes on.
-            AttemptOutcome::Withdrawn => self.give_up(key, shard, None),
+            AttemptOutcome::Cancelled => self.give_up(key, shard, None),
             AttemptOutcome::NotRun(NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Stale) => {
                 self.try_again(now, key, shard, SendReason::Reroute, None, actions);
             }
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -123,7 +123,7 @@
             AttemptOutcome::Answered(_)
             | AttemptOutcome::NotRun(_)
             | AttemptOutcome::Unknown(_)
-            | AttemptOutcome::Withdrawn => return,
+            | AttemptOutcome::Cancelled => return,
         }
         if let Some(change) = self.judge(now, &sent.group) {
             actions.push(RoutingAction::Admission { group: sent.group.clone(), change });
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -38,7 +38,7 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let may_hedge = request.route().is_idempotent && self.settings.policy.hedges && !request.is_withdrawn;
+        let may_hedge = request.route().is_idempotent && self.settings.policy.hedges && !request.is_key_revoked;
         let rests_until = self.settings.restarted_at.filter(|_| self.settings.policy.start_rest);
         let rests_until = rests_until.map_or(BootTime::default(), |started| started + START_REST);
         let most = request.route().max_attempts;
@@ -144,8 +144,8 @@
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
     let is_over = now >= request.deadline;
-    if request.is_withdrawn && !may_have_run {
-        return refused(ErrorKind::Unauthorized, KeyRefusal::Withdrawn.detail());
+    if request.is_key_revoked && !may_have_run {
+        return refused(ErrorKind::Unauthorized, KeyRefusal::Revoked.detail());
     }
     match (may_have_run, is_over) {
         (true, true) => refused(ErrorKind::TimedOut, "the time was over before enough shards had answered"),
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -259,7 +259,7 @@
     /// As many searchers were sent the request as its route allows.
     MostAttempts,
     /// The configuration in force holds the request's key no more.
-    KeyWithdrawn,
+    KeyRevoked,
     /// What is asked for is sent to nobody any more.
     Quarantined,
     /// Another shard was asked first, since requests of its route have ended searchers lately: the shard waits for its word.
@@ -278,7 +278,7 @@
             UnsentCause::Suspect => "suspect",
             UnsentCause::NotRepeatable => "not_repeatable",
             UnsentCause::MostAttempts => "most_attempts",
-            UnsentCause::KeyWithdrawn => "key_withdrawn",
+            UnsentCause::KeyRevoked => "key_withdrawn",
             UnsentCause::Quarantined => "quarantined",
             UnsentCause::Probing => "probing",
         }
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -109,10 +109,15 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordedOutcome {
-    Answered { status: u16, is_stamped: bool, report: SearcherReport },
+    Answered {
+        status: u16,
+        is_stamped: bool,
+        report: SearcherReport,
+    },
     NotRun(NotRun),
     Unknown(Unknown),
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
 }
 
 /// A decision that others notice.
@@ -237,7 +242,7 @@
             }
             AttemptOutcome::NotRun(reason) => RecordedOutcome::NotRun(*reason),
             AttemptOutcome::Unknown(reason) => RecordedOutcome::Unknown(*reason),
-            AttemptOutcome::Withdrawn => RecordedOutcome::Withdrawn,
+            AttemptOutcome::Cancelled => RecordedOutcome::Cancelled,
         }
     }
 }
@@ -256,7 +261,7 @@
             }
             RecordedOutcome::NotRun(reason) => AttemptOutcome::NotRun(reason),
             RecordedOutcome::Unknown(reason) => AttemptOutcome::Unknown(reason),
-            RecordedOutcome::Withdrawn => AttemptOutcome::Withdrawn,
+            RecordedOutcome::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
--- a/crates/staircross-routing/src/request.rs
+++ b/crates/staircross-routing/src/request.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// How sure a node is that no key which it knows has been withdrawn.
+/// How sure a node is that no key which it knows has been revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationView {
     /// As sure as the settings ask.
@@ -176,7 +176,7 @@
     /// May have run.
     Unknown(Unknown),
     /// Nobody waited for it any more, and it was ended for that alone.
-    Withdrawn,
+    Cancelled,
 }
 
 /// A merged answer.
@@ -325,7 +325,7 @@
     /// What it proved itself with; a newer configuration may hold it no more.
     pub credential: Credential,
     /// Whether that has happened: nothing more is sent for it.
-    pub is_withdrawn: bool,
+    pub is_key_revoked: bool,
     pub shards: Vec<Shard>,
     pub attempts: Vec<Attempt>,
     /// When a partial answer goes out rather than none in time.
@@ -386,10 +386,10 @@
         self.shards.iter().filter(|shard| shard.is_open()).count()
     }
 
-    /// Whether its key was withdrawn while it isn't known yet whether anything of it runs: the next end of an attempt tells.
+    /// Whether its key was revoked while it isn't known yet whether anything of it runs: the next end of an attempt tells.
     pub fn is_unclear(&self) -> bool {
         let is_anything_out = || self.attempts.iter().any(|attempt| attempt.is_open);
-        self.is_withdrawn && !self.may_have_run && is_anything_out()
+        self.is_key_revoked && !self.may_have_run && is_anything_out()
     }
 
     /// Whether any shard that is open may have its part in time for the best answer.
--- a/crates/staircross-routing/src/tenants.rs
+++ b/crates/staircross-routing/src/tenants.rs
@@ -66,7 +66,7 @@
     /// It is no key.
     Malformed,
     /// The key was held when the request came, and is no more.
-    Withdrawn,
+    Revoked,
 }
 
 impl KeyRefusal {
@@ -76,7 +76,7 @@
             KeyRefusal::Missing => "missing",
             KeyRefusal::Unknown => "unknown",
             KeyRefusal::Malformed => "malformed",
-            KeyRefusal::Withdrawn => "withdrawn",
+            KeyRefusal::Revoked => "withdrawn",
         }
     }
 
@@ -86,7 +86,7 @@
             KeyRefusal::Missing => "the request carries no key",
             KeyRefusal::Unknown => "no tenant holds the key",
             KeyRefusal::Malformed => "the request carries more than one key, or one that is none",
-            KeyRefusal::Withdrawn => "the key was withdrawn before the request ran",
+            KeyRefusal::Revoked => "the key was withdrawn before the request ran",
         }
     }
 }
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -217,7 +217,7 @@
                 RoutingAction::Send(order) => self.connect(&order),
                 RoutingAction::Abandon { attempt, patience, .. } => self.abandon(attempt, patience),
                 RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
-                    self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Withdrawn));
+                    self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Cancelled));
                 }
                 RoutingAction::SendQuotas { to, messages } => self.outbox.push((to, messages)),
                 _ => {}
@@ -319,7 +319,7 @@
     fn abandon(&mut self, key: AttemptKey, patience: Duration) {
         let outcome = match self.phase(key) {
             Some(Phase::Running) => AttemptOutcome::Unknown(Unknown::Unanswered),
-            Some(_) => AttemptOutcome::Withdrawn,
+            Some(_) => AttemptOutcome::Cancelled,
             None => return,
         };
         let is_running = matches!(outcome, AttemptOutcome::Unknown(_));
--- a/crates/staircross-routing/tests/policy.rs
+++ b/crates/staircross-routing/tests/policy.rs
@@ -89,7 +89,7 @@
             driver.pass_ms(if is_slow { 12 } else { 2 });
             driver.end(first.attempt, answer(200, "stamp", Vec::new()));
             let hedges: Vec<AttemptKey> = driver.sent_for(request)[1..].iter().map(|order| order.attempt).collect();
-            hedges.into_iter().for_each(|hedge| driver.end(hedge, AttemptOutcome::Withdrawn));
+            hedges.into_iter().for_each(|hedge| driver.end(hedge, AttemptOutcome::Cancelled));
         }
         slow
     };
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -318,7 +318,7 @@
     let request = driver.request("/r/1");
     driver.event(RoutingEvent::CallerGone(request));
     assert_eq!(driver.abandoned, [(driver.sends[0].attempt, AbandonCause::CallerGone)]);
-    driver.end(driver.sends[0].attempt, AttemptOutcome::Withdrawn);
+    driver.end(driver.sends[0].attempt, AttemptOutcome::Cancelled);
     assert!(driver.finished.is_empty());
     assert_eq!(driver.engine.in_flight(), 0);
 }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: withdrawn keys, ranks and regions.
+//! Requests of tenants: revoked keys, ranks and regions.
 
 mod common;
 
@@ -115,7 +115,7 @@
     driver.configure(without_key(2));
     assert!(driver.finished.is_empty(), "what is under way may finish");
     end_all(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
-    assert_eq!(driver.unsent, [(failed, UnsentCause::KeyWithdrawn)]);
+    assert_eq!(driver.unsent, [(failed, UnsentCause::KeyRevoked)]);
     assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "it may have run");
     driver.pass_ms(3000);
     assert_eq!(driver.reasons(late), [SendReason::First]);
@@ -140,7 +140,7 @@
     let sent: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     assert_eq!(driver.recalled, sent);
     for attempt in sent {
-        driver.end(attempt, AttemptOutcome::Withdrawn);
+        driver.end(attempt, AttemptOutcome::Cancelled);
     }
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
 }
