--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -73,9 +73,9 @@
 const TICK: Duration = Duration::from_millis(50);
 /// Life of a process that isn't the fleet's first during which fresh connections to searchers are proved:
 /// its machine may have lost power, and searchers still hold the connections of its run before.
-const YOUNG: Duration = Duration::from_secs(20);
+const STARTUP: Duration = Duration::from_secs(20);
 /// Life of such a process during which it looks for searchers again soon after each update on them.
-const YOUNG_READER: Duration = Duration::from_secs(3);
+const READER_STARTUP: Duration = Duration::from_secs(3);
 /// Longest answer of a searcher, in bytes.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
@@ -180,7 +180,7 @@
             region: settings.node.region.clone(),
             zone: settings.node.zone.clone(),
         };
-        let proves_until = if settings.node.first_start { now } else { now + YOUNG };
+        let proves_until = if settings.node.first_start { now } else { now + STARTUP };
         let store = settings.store.address;
         let mut role = RoleKeeper::new(now, settings.longest_silence());
         let mut reader = StoreReader::new(settings.reader());
@@ -188,7 +188,7 @@
             role = role.with_first_start(now);
             reader = reader.with_mode(now, ReadingMode::Following);
         } else {
-            reader = reader.with_mode(now, ReadingMode::Once).with_young_until(now + YOUNG_READER);
+            reader = reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP);
         }
         let routing = routing_settings(now, node, &settings);
         let mut log = EventLog::new(&settings.node.name, settings.node.log);
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -76,8 +76,8 @@
     /// A searcher that has all the connections it may have accepts one more and resets it at once. What
     /// was sent by then may have run, so where that is likely, nothing is sent until it would have come.
     fn must_prove(&self, slot: usize, now: BootTime) -> bool {
-        let is_young = now < self.proves_until;
-        self.policy.proving && (is_young || self.is_contested(self.connections[slot].searcher, now))
+        let is_starting = now < self.proves_until;
+        self.policy.proving && (is_starting || self.is_contested(self.connections[slot].searcher, now))
     }
 
     /// Whether a searcher has reset a fresh connection lately.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -61,11 +61,11 @@
         let route = &table.definition().routes[route_index];
         let regions = AllowedRegions::new(route, tenant.and_then(|key| table.tenant(key)));
         let service = request.shards[shard_index].service.clone();
-        let barred = self.barred(key, shard_index);
+        let excluded = self.excluded(key, shard_index);
         let goal = Duration::from_millis(route.goal_ms);
         let usual_work = self.statistics(&route.name, goal).work.median();
         let candidates = self.by_service.get(&service).map_or(&[][..], Vec::as_slice);
-        let choice = Choice { regions, barred: &barred, usual_work, goal };
+        let choice = Choice { regions, excluded: &excluded, usual_work, goal };
         let chosen = choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random);
         let is_extra = matches!(reason, SendReason::Hedge | SendReason::Retry);
         let outcome = match chosen {
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -26,15 +26,15 @@
 }
 
 impl RoutingEngine {
-    /// When a searcher of a service besides `barred` may be asked, room aside; `None` when there is nobody.
+    /// When a searcher of a service besides `excluded` may be asked, room aside; `None` when there is nobody.
     pub(super) fn next_chance(
         &self,
         now: BootTime,
         regions: AllowedRegions<'_>,
         service: &Arc<str>,
-        barred: &[SearcherKey],
+        excluded: &[SearcherKey],
     ) -> Option<BootTime> {
-        let others = self.askable(now, regions, service).filter(|(peer, _)| !barred.contains(peer));
+        let others = self.askable(now, regions, service).filter(|(peer, _)| !excluded.contains(peer));
         let chances = others.filter_map(|(_, searcher)| self.place.next_chance(now, searcher));
         let chance = chances.map(|at| at.max(now)).min();
         chance.filter(|at| self.settings.policy.waiting || *at <= now)
@@ -52,7 +52,7 @@
             return UnsentCause::NobodyLeft;
         };
         let shard = &request.shards[shard_index];
-        let chance = self.next_chance(now, request.allowed_regions(), &shard.service, &self.barred(key, shard_index));
+        let chance = self.next_chance(now, request.allowed_regions(), &shard.service, &self.excluded(key, shard_index));
         let cause = match chance {
             Some(at) if at <= now => UnsentCause::NoRoom,
             Some(_) => UnsentCause::Avoided,
@@ -66,13 +66,13 @@
     }
 
     /// Searchers of a shard that may not be asked for this request.
-    pub(super) fn barred(&self, key: RequestKey, shard_index: usize) -> Vec<SearcherKey> {
+    pub(super) fn excluded(&self, key: RequestKey, shard_index: usize) -> Vec<SearcherKey> {
         let Some(request) = self.requests.get(&key) else {
             return Vec::new();
         };
         let (shard, most) = (&request.shards[shard_index], request.route().max_attempts);
         let peers = self.by_service.get(&shard.service).map_or(&[][..], Vec::as_slice);
-        peers.iter().copied().filter(|peer| shard.is_barred(*peer, most)).collect()
+        peers.iter().copied().filter(|peer| shard.is_excluded(*peer, most)).collect()
     }
 
     /// A shard that may not be sent again yet, because the budget for extra sends is spent, waits for it.
--- a/crates/staircross-routing/src/request.rs
+++ b/crates/staircross-routing/src/request.rs
@@ -249,7 +249,7 @@
     }
 
     /// Whether a searcher may not be asked: it was asked already, or `most` others were sent the request.
-    pub fn is_barred(&self, searcher: SearcherKey, most: u32) -> bool {
+    pub fn is_excluded(&self, searcher: SearcherKey, most: u32) -> bool {
         let is_new = !self.sent_to.contains(&searcher);
         self.tried.contains(&searcher) || (is_new && self.searchers_reached() >= most)
     }
--- a/crates/staircross-routing/src/selection.rs
+++ b/crates/staircross-routing/src/selection.rs
@@ -188,14 +188,14 @@
     /// Where the request may be served.
     pub regions: AllowedRegions<'a>,
     /// Searchers that aren't to be asked.
-    pub barred: &'a [SearcherKey],
+    pub excluded: &'a [SearcherKey],
     /// Usual time of the route's work.
     pub usual_work: Duration,
     /// Time within which the whole answer is worth most.
     pub goal: Duration,
 }
 
-/// Chooses among `candidates`; those that are barred, outside the allowed regions, without room, not serving or avoided are
+/// Chooses among `candidates`; those that are excluded, outside the allowed regions, without room, not serving or avoided are
 /// left out.
 pub fn choose(
     now: BootTime,
@@ -209,7 +209,7 @@
     let mut as_good = 0_u32;
     for key in candidates {
         let searcher = &table[key.0 as usize];
-        if choice.barred.contains(key) || !place.allows(choice.regions, searcher) || !may_take(now, searcher, place) {
+        if choice.excluded.contains(key) || !place.allows(choice.regions, searcher) || !may_take(now, searcher, place) {
             continue;
         }
         let expected = expected_time(now, searcher, place, choice);
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -37,7 +37,7 @@
     /// Whether others rely on this node's heartbeats.
     has_followers: bool,
     /// Until when rests after updates of searchers are short.
-    is_young_until: BootTime,
+    starting_until: BootTime,
 }
 
 impl StoreReader {
@@ -58,7 +58,7 @@
             lanes,
             was_away: false,
             has_followers: false,
-            is_young_until: BootTime::default(),
+            starting_until: BootTime::default(),
         }
     }
 
@@ -70,8 +70,8 @@
 
     /// One that looks again soon after updates of searchers until a time. A process that was started anew knows
     /// only what the store holds now, and entries may just be coming back.
-    pub fn with_young_until(mut self, is_young_until: BootTime) -> Self {
-        self.is_young_until = is_young_until;
+    pub fn with_starting_until(mut self, starting_until: BootTime) -> Self {
+        self.starting_until = starting_until;
         self
     }
 
@@ -151,7 +151,7 @@
     /// one by one. A process that was started anew can't tell which those are.
     pub fn may_lack_searchers(&self, now: BootTime) -> bool {
         let lapsed = &self.lanes[1];
-        now < self.is_young_until || now < lapsed.returns_until
+        now < self.starting_until || now < lapsed.returns_until
     }
 
     /// Makes the calls that are due.
@@ -184,7 +184,7 @@
         actions: &mut Vec<ReaderAction>,
     ) {
         let mut settings = self.settings.clone();
-        if now < self.is_young_until {
+        if now < self.starting_until {
             settings.searcher_rest = settings.searcher_rest.min(settings.lapse_rest);
         }
         if lane == Lane::Probe {
--- a/crates/staircross-routing/tests/knowledge.rs
+++ b/crates/staircross-routing/tests/knowledge.rs
@@ -429,7 +429,7 @@
     };
     let usual = StoreReader::new(ReaderSettings::default());
     assert_eq!(rest_of(usual), Some(900));
-    let young = StoreReader::new(ReaderSettings::default()).with_young_until(BootTime::from_millis(4000));
+    let young = StoreReader::new(ReaderSettings::default()).with_starting_until(BootTime::from_millis(4000));
     assert_eq!(rest_of(young), Some(150));
 }
 
@@ -914,7 +914,7 @@
 fn searchers_may_be_lacking_while_a_process_is_young_and_after_many_have_lapsed() {
     let now = BootTime::from_millis(1_000_000);
     let until = now + Duration::from_secs(3);
-    let mut young = StoreReader::new(ReaderSettings::default()).with_young_until(until);
+    let mut young = StoreReader::new(ReaderSettings::default()).with_starting_until(until);
     assert!(young.may_lack_searchers(now));
     assert!(!young.may_lack_searchers(until));
     let lapse = |reader: &mut StoreReader, ends: usize| {
