--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -14,7 +14,7 @@
 
 /// Longest wait for a peer to close after the last answer.
 const CLOSE_PATIENCE: Duration = Duration::from_millis(1500);
-/// Leave to send a body.
+/// Permission to send a body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Bytes of further requests that are read while one is being answered.
 const MAX_READ_AHEAD: usize = 64 * 1024;
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -209,8 +209,8 @@
 
     /// Refuses at once, and unsent, what a tenant asks beyond its quota.
     fn check_quota(&mut self, now: BootTime, tenant: Option<&Arc<str>>) -> Result<(), NotBegun> {
-        let leave = tenant.map_or(Ok(()), |tenant| self.take_quota(now, tenant));
-        leave.map_err(|wait| {
+        let taken = tenant.map_or(Ok(()), |tenant| self.take_quota(now, tenant));
+        taken.map_err(|wait| {
             let (kind, detail) = (ErrorKind::OverQuota, "the tenant has sent as many requests as it may");
             NotBegun::Refused(Verdict::Refused { kind, detail, retry_after: Some(wait) })
         })
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -83,11 +83,11 @@
 
     fn spend(&mut self, now: BootTime, service: &Arc<str>) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
-        let has_leave = window.try_spend(now, &self.settings.extra, self.slack_part);
-        if !has_leave {
+        let is_within_budget = window.try_spend(now, &self.settings.extra, self.slack_part);
+        if !is_within_budget {
             self.counters.over_budget += 1;
         }
-        has_leave
+        is_within_budget
     }
 
     fn send(
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -88,17 +88,17 @@
     }
 
     /// Whether the budget will reach one more repeat for a service by a time, after those that wait already.
-    fn may_have_leave_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
+    fn may_be_permitted_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
         let Some(window) = self.windows.get_mut(service) else {
             return true;
         };
-        let leaves = window.leaves_until(now, deadline, &self.settings.extra, self.slack_part);
-        let mut ahead = self.waiting.get(service).into_iter().flatten().filter(|waiting| self.needs_leave(waiting));
-        leaves > 0 && ahead.nth(leaves - 1).is_none()
+        let permitted = window.permitted_until(now, deadline, &self.settings.extra, self.slack_part);
+        let mut ahead = self.waiting.get(service).into_iter().flatten().filter(|waiting| self.needs_budget(waiting));
+        permitted > 0 && ahead.nth(permitted - 1).is_none()
     }
 
-    /// Whether a shard that waits needs leave from the budget to be sent.
-    fn needs_leave(&self, waiting: &WaitingShard) -> bool {
+    /// Whether a shard that waits needs room in the budget to be sent.
+    fn needs_budget(&self, waiting: &WaitingShard) -> bool {
         let shard = self.requests.get(&waiting.request).map(|request| &request.shards[waiting.shard as usize]);
         shard.and_then(|shard| shard.waiting).is_some_and(|waiting| waiting.reason == SendReason::Retry)
     }
@@ -110,7 +110,7 @@
         let (service, deadline) = (request.shards[shard_index].service.clone(), request.deadline);
         let is_hopeless = wait.cause == UnsentCause::NobodyLeft
             || wait.retry_at.is_some_and(|at| at >= deadline)
-            || (wait.reason == SendReason::Retry && !self.may_have_leave_by(now, &service, deadline));
+            || (wait.reason == SendReason::Retry && !self.may_be_permitted_by(now, &service, deadline));
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
--- a/crates/staircross-routing/src/window.rs
+++ b/crates/staircross-routing/src/window.rs
@@ -56,7 +56,7 @@
         true
     }
 
-    /// Part of the leave in the present window that isn't spent, 0 to 1.
+    /// Fraction of the present window's budget that isn't spent, 0 to 1.
     pub fn spare_part(&mut self, now: BootTime, bound: &ExtraBound, slack_part: f64) -> f64 {
         self.current(now, bound);
         let spare = self.spare(bound, slack_part);
@@ -64,8 +64,8 @@
         if allowed > 0.0 { (spare / allowed).clamp(0.0, 1.0) } else { 0.0 }
     }
 
-    /// Extra sends for which there will be leave until a time, if requests go on coming at their present rate.
-    pub fn leaves_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_part: f64) -> usize {
+    /// Extra sends that the budget will permit until a time, if requests go on coming at their present rate.
+    pub fn permitted_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_part: f64) -> usize {
         let present = self.current(now, bound).number;
         let last = step_number(until, bound).max(present);
         let first = self.steps.front().map_or(present, |step| step.number);
@@ -77,7 +77,7 @@
         (allowed - f64::from(extras)).max(0.0) as usize
     }
 
-    /// Extra sends that there is leave for now; below 0 where more were sent than is allowed by now.
+    /// Extra sends that the budget permits now; below 0 where more were sent than is allowed by now.
     fn spare(&self, bound: &ExtraBound, slack_part: f64) -> f64 {
         let extras: u32 = self.steps.iter().map(|step| step.extras).sum();
         self.allowed(bound, slack_part) - f64::from(extras)
