--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -21,7 +21,7 @@
 
 /// Session copies kept for others, unless set otherwise.
 const SESSION_COPIES: usize = 20_000;
-/// Members told at once of a planned stop.
+/// Members that a planned stop is announced to at once.
 const LEAVE_FANOUT: usize = 8;
 
 /// How the cluster logic of a node is set up.
@@ -45,7 +45,7 @@
     }
 }
 
-/// What the cluster logic is told.
+/// What the cluster logic takes in.
 #[derive(Clone, Debug)]
 pub enum ClusterEvent {
     /// A peer's message.
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -11,7 +11,7 @@
 mod regions;
 mod suspicion;
 
-pub use message::{IdSpan, MembershipAction, MembershipMessage, MembershipSettings, Tellings};
+pub use message::{IdSpan, MembershipAction, MembershipMessage, MembershipSettings, Retransmits};
 pub use reconcile::Fingerprints;
 
 use crate::member::{Member, MemberState};
@@ -29,14 +29,14 @@
 
 struct Rumor {
     node: NodeId,
-    /// How often it was told within the region, and to other regions.
-    times_told: u32,
-    times_told_far: u32,
+    /// How often it was sent within the region, and to other regions.
+    times_sent: u32,
+    times_sent_far: u32,
 }
 
 impl Rumor {
     fn new(node: NodeId) -> Self {
-        Rumor { node, times_told: 0, times_told_far: 0 }
+        Rumor { node, times_sent: 0, times_sent_far: 0 }
     }
 }
 
@@ -144,7 +144,7 @@
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Tells some members of the region the present updates at once, without waiting for the next probe; a relay tells some
+    /// Pushes the present updates to some members of the region at once, without waiting for the next probe; a relay pushes them to some
     /// of other regions too.
     pub fn push_updates(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
         let (near, far) = self.near_and_far();
--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -24,8 +24,8 @@
     pub helpers: usize,
     /// Updates on one message.
     pub updates_per_message: usize,
-    /// How often each item is told: so many times the logarithm of the fleet's size, and so many more.
-    pub tellings: Tellings,
+    /// How often each update is sent: so many times the logarithm of the fleet's size, and so many more.
+    pub retransmits: Retransmits,
     /// Whether a joiner asks one seed at a time instead of all: each answers with the whole fleet.
     pub asks_one_seed: bool,
     /// Members listed in one message.
@@ -45,7 +45,7 @@
             pause_gap: Duration::from_millis(400),
             helpers: 3,
             updates_per_message: 6,
-            tellings: Tellings { per_doubling: 4, besides: 4 },
+            retransmits: Retransmits { per_doubling: 4, besides: 4 },
             asks_one_seed: false,
             members_per_message: 1000,
             forget_after: Duration::from_secs(120),
@@ -53,16 +53,16 @@
     }
 }
 
-/// How often one node tells one update.
+/// How often one node sends one update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tellings {
+pub struct Retransmits {
     /// For each doubling of the fleet's size.
     pub per_doubling: u32,
     /// Besides.
     pub besides: u32,
 }
 
-impl Tellings {
+impl Retransmits {
     pub(super) fn for_fleet(self, members: usize) -> u32 {
         self.per_doubling * (members as u32 + 1).ilog2() + self.besides
     }
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -16,7 +16,7 @@
     pub(super) number: u64,
     pub(super) target: NodeId,
     /// Whom its updates were about.
-    pub(super) told: Vec<NodeId>,
+    pub(super) sent: Vec<NodeId>,
     pub(super) sent_at: BootTime,
     pub(super) asked_helpers: bool,
 }
@@ -37,10 +37,10 @@
         };
         let number = self.take_number();
         let updates = self.take_updates(target.node);
-        let told = updates.iter().map(|member| member.node).collect();
+        let sent = updates.iter().map(|member| member.node).collect();
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target.node), address: target.peer_address, message });
-        self.probe = Some(OutstandingProbe { number, target: target.node, told, sent_at: now, asked_helpers: false });
+        self.probe = Some(OutstandingProbe { number, target: target.node, sent, sent_at: now, asked_helpers: false });
     }
 
     /// Goes through a round in random order before beginning the next, so each is probed in bounded time.
@@ -134,7 +134,7 @@
 
     pub(super) fn on_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
         if let Some(probe) = self.probe.take_if(|probe| probe.number == number) {
-            self.note_told_in_vain(&probe.told, known, self.is_far(probe.target));
+            self.note_redundant_sends(&probe.sent, known, self.is_far(probe.target));
             return;
         }
         let Some(index) = self.helped.iter().position(|helped| helped.number == number) else {
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Updates that was known where it was sent counts as sent so many times more.
-const TOLD_IN_VAIN: u32 = 3;
+/// An update that was known where it was sent counts as sent so many times more.
+const REDUNDANT_SEND_WEIGHT: u32 = 3;
 /// Time between comparisons begun by one node, and while it has learned something that way lately.
 const COMPARE_EVERY: Duration = Duration::from_secs(3);
 const COMPARE_LEARNING: Duration = Duration::from_millis(1500);
@@ -30,7 +30,7 @@
 const REGION_TURNS: u32 = 4;
 
 impl Membership {
-    /// Merges the updates of a probe; says which of it was known already.
+    /// Merges the updates of a probe; says which of them were known already.
     pub(super) fn take_probe_updates(
         &mut self,
         now: BootTime,
@@ -46,11 +46,11 @@
     }
 
     /// What many know already needn't be told for much longer.
-    pub(super) fn note_told_in_vain(&mut self, told: &[NodeId], known: u32, is_far: bool) {
+    pub(super) fn note_redundant_sends(&mut self, sent: &[NodeId], known: u32, is_far: bool) {
         let in_vain = |index: usize| known.checked_shr(index as u32).unwrap_or(0) & 1 == 1;
-        for (_, node) in told.iter().enumerate().filter(|(index, _)| in_vain(*index)) {
+        for (_, node) in sent.iter().enumerate().filter(|(index, _)| in_vain(*index)) {
             if let Some(rumor) = self.rumors.iter_mut().find(|rumor| rumor.node == *node) {
-                *(if is_far { &mut rumor.times_told_far } else { &mut rumor.times_told }) += TOLD_IN_VAIN;
+                *(if is_far { &mut rumor.times_sent_far } else { &mut rumor.times_sent }) += REDUNDANT_SEND_WEIGHT;
             }
         }
     }
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -1,4 +1,4 @@
-//! What regions tell each other.
+//! What regions send each other.
 //!
 //! Bytes between regions are dear, and a member is watched well by those around it. So in a region of some size only a few
 //! members, the relays, tell other regions who has come and gone; they are those with the lowest ids, as each sees it.
@@ -13,8 +13,8 @@
 const RELAYS: usize = 4;
 /// Members of other regions that a relay tells at once of a change.
 pub(super) const RELAY_PUSHES: usize = 2;
-/// How often a relay tells one update to other regions.
-const FAR_TELLINGS: u32 = 3;
+/// How often a relay sends one update to other regions.
+const FAR_RETRANSMITS: u32 = 3;
 
 impl Membership {
     /// Whether this node tells other regions what is new in its own.
@@ -35,40 +35,40 @@
         self.members.get(&node).is_some_and(|member| member.region != self.own().region)
     }
 
-    /// The updates for a member that was told least often. Within the region each is told a few times the logarithm of the
-    /// fleet's size; relays tell other regions of their own, and nobody else does.
+    /// The updates for a member that were sent least often. Within the region each is sent a few times the logarithm of the
+    /// fleet's size; relays send other regions those of their own, and nobody else does.
     pub(super) fn take_updates(&mut self, to: NodeId) -> Vec<Member> {
         let is_far = self.is_far(to);
         if is_far && !self.is_relay() {
             return Vec::new();
         }
         let region = self.own().region.clone();
-        let most_tellings = self.settings.tellings.for_fleet(self.members.len());
-        let told = |rumor: &Rumor| if is_far { rumor.times_told_far } else { rumor.times_told };
-        self.rumors.sort_by_key(told);
+        let max_sends = self.settings.retransmits.for_fleet(self.members.len());
+        let sent = |rumor: &Rumor| if is_far { rumor.times_sent_far } else { rumor.times_sent };
+        self.rumors.sort_by_key(sent);
         let members = &self.members;
         let is_ours = |rumor: &Rumor| members.get(&rumor.node).is_some_and(|member| member.region == region);
-        let may_be_told = |rumor: &Rumor| {
-            if is_far { is_ours(rumor) && told(rumor) < FAR_TELLINGS } else { told(rumor) < most_tellings }
+        let may_be_sent = |rumor: &Rumor| {
+            if is_far { is_ours(rumor) && sent(rumor) < FAR_RETRANSMITS } else { sent(rumor) < max_sends }
         };
         let mut updates = Vec::new();
-        for rumor in self.rumors.iter_mut().filter(|rumor| may_be_told(rumor)).take(self.settings.updates_per_message) {
-            *(if is_far { &mut rumor.times_told_far } else { &mut rumor.times_told }) += 1;
+        for rumor in self.rumors.iter_mut().filter(|rumor| may_be_sent(rumor)).take(self.settings.updates_per_message) {
+            *(if is_far { &mut rumor.times_sent_far } else { &mut rumor.times_sent }) += 1;
             updates.extend(members.get(&rumor.node).cloned());
         }
-        self.forget_told(most_tellings);
+        self.forget_sent(max_sends);
         updates
     }
 
     /// Drops the updates that were sent often enough.
-    fn forget_told(&mut self, most_tellings: u32) {
+    fn forget_sent(&mut self, max_sends: u32) {
         let (is_relay, region) = (self.is_relay(), self.own().region.clone());
         let has_far = self.others().any(|member| member.region != region);
         let members = &self.members;
         let is_ours = |rumor: &Rumor| members.get(&rumor.node).is_some_and(|member| member.region == region);
         self.rumors.retain(|rumor| {
-            let is_wanted_far = is_relay && has_far && rumor.times_told_far < FAR_TELLINGS && is_ours(rumor);
-            rumor.times_told < most_tellings || is_wanted_far
+            let is_wanted_far = is_relay && has_far && rumor.times_sent_far < FAR_RETRANSMITS && is_ours(rumor);
+            rumor.times_sent < max_sends || is_wanted_far
         });
     }
 
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -44,12 +44,12 @@
             }
         }
         for node in due {
-            self.tell_its_record(node, actions);
+            self.send_its_record(node, actions);
         }
     }
 
     /// Probes a member with what is thought of it; if it is alive, it refutes.
-    pub(super) fn tell_its_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn send_its_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).cloned() else {
             return;
         };
@@ -98,7 +98,7 @@
         let dead: Vec<Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).cloned().collect();
         if let Some(member) = dead.choose(random) {
-            self.tell_its_record(member.node, actions);
+            self.send_its_record(member.node, actions);
         }
     }
 
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -8,7 +8,7 @@
 use staircross_types::NodeId;
 use std::net::SocketAddr;
 
-/// What one node tells another.
+/// What one node sends another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
     /// Probes and gossip.
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between tellings.
-const TELL_EVERY: Duration = Duration::from_millis(250);
-/// Others told each time, and at once after updates.
-const TOLD_USUALLY: usize = 2;
-const TOLD_OF_UPDATE: usize = 6;
+/// Time between publications.
+const PUBLISH_EVERY: Duration = Duration::from_millis(250);
+/// Others sent to each time, and at once after updates.
+const FANOUT: usize = 2;
+const UPDATE_FANOUT: usize = 6;
 
 /// What nodes say to each other about the document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -52,9 +52,9 @@
 pub struct Published {
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that others said they hold.
-    told: BTreeMap<NodeId, u64>,
+    held_by_peer: BTreeMap<NodeId, u64>,
     has_update: bool,
-    next_telling: BootTime,
+    next_publication: BootTime,
 }
 
 impl Published {
@@ -75,7 +75,7 @@
 
     /// The revision that a node last said it holds.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
-        self.told.get(&node).copied()
+        self.held_by_peer.get(&node).copied()
     }
 
     /// Takes a document if it is newer than what is held, and valid. Returns whether it was taken.
@@ -99,7 +99,7 @@
     ) -> bool {
         match message {
             PublishedMessage::Holds { revision } => {
-                self.told.insert(from, revision);
+                self.held_by_peer.insert(from, revision);
                 out.extend(self.answer_to(revision).map(|message| PublishedSend { to: from, address, message }));
                 false
             }
@@ -119,13 +119,13 @@
 
     /// Lets time pass.
     pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
-        if now < self.next_telling && !self.has_update {
+        if now < self.next_publication && !self.has_update {
             return;
         }
-        let count = if self.has_update { TOLD_OF_UPDATE } else { TOLD_USUALLY };
+        let count = if self.has_update { UPDATE_FANOUT } else { FANOUT };
         self.has_update = false;
-        self.next_telling = now + TELL_EVERY;
-        self.told.retain(|node, _| others.iter().any(|member| member.node == *node));
+        self.next_publication = now + PUBLISH_EVERY;
+        self.held_by_peer.retain(|node, _| others.iter().any(|member| member.node == *node));
         let message = PublishedMessage::Holds { revision: self.revision() };
         out.extend(others.choose_multiple(rng, count).map(|member| PublishedSend {
             to: member.node,
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -1,7 +1,7 @@
 //! What owners know of searchers, spread to all nodes.
 //!
 //! Each record carries a version that rises with every change anywhere; the highest wins.
-//! Updates are pushed to a few random members and told a bounded number of times; now and then two
+//! Updates are pushed to a few random members and sent a bounded number of times; now and then two
 //! nodes compare fingerprints and fill each other's gaps.
 
 use rand::seq::IndexedRandom;
@@ -20,7 +20,7 @@
 /// Records in one push.
 const PUSH_RECORDS: usize = 12;
 /// Times each record is pushed by each node, per doubling of the fleet.
-const TELLINGS_PER_DOUBLING: u32 = 1;
+const RETRANSMITS_PER_DOUBLING: u32 = 1;
 /// Time between comparisons with a random member.
 const COMPARE_EVERY: Duration = Duration::from_secs(5);
 /// Time between comparisons while no record is known.
@@ -241,14 +241,14 @@
     }
 
     fn push(&mut self, others: &[(NodeId, SocketAddr)], random: &mut ChaCha8Rng, actions: &mut Vec<ViewAction>) {
-        let most_tellings = TELLINGS_PER_DOUBLING * (others.len() as u32 + 1).ilog2() + 2;
-        self.rumors.sort_by_key(|(_, told)| *told);
+        let max_sends = RETRANSMITS_PER_DOUBLING * (others.len() as u32 + 1).ilog2() + 2;
+        self.rumors.sort_by_key(|(_, sent)| *sent);
         let mut records = Vec::new();
-        for (searcher, told) in self.rumors.iter_mut().take(PUSH_RECORDS) {
-            *told += 1;
+        for (searcher, sent) in self.rumors.iter_mut().take(PUSH_RECORDS) {
+            *sent += 1;
             records.extend(self.records.get(searcher).cloned());
         }
-        self.rumors.retain(|(_, told)| *told < most_tellings);
+        self.rumors.retain(|(_, sent)| *sent < max_sends);
         for (node, address) in others.choose_multiple(random, PUSH_FANOUT) {
             let message = ViewMessage::Updates { records: records.clone() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_cluster::membership::{MembershipMessage, MembershipSettings, Tellings};
+use staircross_cluster::membership::{MembershipMessage, MembershipSettings, Retransmits};
 use staircross_cluster::{
     ClusterAction, ClusterEngine, ClusterEvent, ClusterMessage, ClusterSettings, Envelope, Member, MemberState,
 };
@@ -60,7 +60,7 @@
 pub struct Sent {
     pub messages: usize,
     pub between_regions: usize,
-    /// Members' records, told as updates or listed for a joiner.
+    /// Members' records, sent as updates or listed for a joiner.
     pub updates: usize,
     pub listed: usize,
     /// Those of them that went to another region.
@@ -84,7 +84,7 @@
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
         updates_per_message: 5,
-        tellings: Tellings { per_doubling: 1, besides: 3 },
+        retransmits: Retransmits { per_doubling: 1, besides: 3 },
         asks_one_seed: true,
         members_per_message: 6,
         ..MembershipSettings::default()
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -32,8 +32,8 @@
     let fleet = started(1);
     assert!(fleet.all_see_all());
     // Each of 60 nodes must hear of 59 others: 3540 records are the least, by listing or as updates.
-    let told = fleet.sent.updates + fleet.sent.listed;
-    assert!(told < 12 * NODES * (NODES - 1), "{:?}", fleet.sent);
+    let sent = fleet.sent.updates + fleet.sent.listed;
+    assert!(sent < 12 * NODES * (NODES - 1), "{:?}", fleet.sent);
 }
 
 #[test]
@@ -73,8 +73,8 @@
     let mut fleet = Fleet::new(LARGE, 5);
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_see_all(), "{:?}", fleet.sent);
-    let told = fleet.sent.updates + fleet.sent.listed;
-    assert!(told < 6 * LARGE * (LARGE - 1), "{:?}", fleet.sent);
+    let sent = fleet.sent.updates + fleet.sent.listed;
+    assert!(sent < 6 * LARGE * (LARGE - 1), "{:?}", fleet.sent);
 }
 
 #[test]
--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -1,4 +1,4 @@
-//! When peers are told at once under which requests searchers were lost.
+//! When the requests under which searchers were lost are pushed to peers at once.
 //!
 //! When many searchers end at once, many requests are suspect for a moment, and each push goes to a dozen peers, so pushes are bounded. But until a
 //! node knows, it may send the request that is to blame to one searcher of each shard, and the one to blame needn't be the first that is
@@ -12,7 +12,7 @@
 /// Pushes that may be made ahead of that: the searchers of a request's shards end within some 100 ms, and updates on them come in as many turns.
 const BURST: u32 = 4;
 
-/// Whether there are updates for peers, and when it may be pushed.
+/// Whether there are updates for peers, and when they may be pushed.
 #[derive(Debug, Default)]
 pub struct CasePushes {
     has_update: bool,
--- a/crates/staircross-gateway/src/dialect.rs
+++ b/crates/staircross-gateway/src/dialect.rs
@@ -22,7 +22,7 @@
     pub expect_instance: &'static str,
     /// A caller's key; not passed on while there are tenants.
     pub api_key: &'static str,
-    /// The tenant that a request is for, told to searchers; what a caller says there isn't passed on while there are tenants.
+    /// The tenant that a request is for, sent to searchers; what a caller says there isn't passed on while there are tenants.
     pub tenant: &'static str,
     /// Set by a searcher that did not run the request.
     pub not_executed: &'static str,
--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -25,8 +25,8 @@
     Belief,
     /// Final word on a request.
     Request,
-    /// All decisions within one request that failed or lacks a part, told together when it has ended: so
-    /// that what is told is whole.
+    /// All decisions within one request that failed or lacks a part, logged together when it has ended: so
+    /// that a trace is whole.
     Trace,
     /// The same of a request that was answered in full, though not straight away.
     AnsweredTrace,
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -23,7 +23,9 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use shape::Peak;
-use staircross_cluster::membership::{Membership, MembershipAction, MembershipMessage, MembershipSettings, Tellings};
+use staircross_cluster::membership::{
+    Membership, MembershipAction, MembershipMessage, MembershipSettings, Retransmits,
+};
 use staircross_cluster::{Member, MemberState};
 use staircross_quota::QuotaMessage;
 use staircross_routing::CaseRecord;
@@ -34,7 +36,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members told in one datagram, so that it is never cut on its way.
+/// Members sent in one datagram, so that it is never cut on its way.
 const MEMBERS_PER_DATAGRAM: usize = 6;
 /// Longest datagram that is read.
 const MAX_DATAGRAM: usize = 2048;
@@ -53,11 +55,11 @@
     },
     /// A peer has lost searchers under requests.
     Cases(Vec<CaseRecord>),
-    /// A peer tells of tenants' quotas.
+    /// A peer reports on tenants' quotas.
     Quotas {
         /// The peer.
         from: NodeId,
-        /// What it tells.
+        /// What it reports.
         messages: Vec<QuotaMessage>,
     },
 }
@@ -80,7 +82,7 @@
     socket: UdpSocket,
     random: ChaCha8Rng,
     own: Announcement,
-    /// Told with each datagram: requests under which searchers were lost.
+    /// Sent with each datagram: requests under which searchers were lost.
     cases: Vec<CaseRecord>,
     announced: HashMap<NodeId, Announcement>,
     behind_since: Option<BootTime>,
@@ -88,7 +90,7 @@
     directory: Directory,
     /// When the directory was made; `None` when it must be made anew.
     directory_at: Option<BootTime>,
-    /// The nodes that share tenants' quotas, as they were told last.
+    /// The nodes that share tenants' quotas, as the engine was last told.
     quota_nodes: Vec<NodeId>,
     /// What the searcher of a shard with the lowest bound accepts from all nodes.
     connections: Option<u32>,
@@ -98,7 +100,7 @@
     store_contact: Option<BootTime>,
     reader_heartbeat: Option<BootTime>,
     confirmation: Confirmation,
-    tells_confirmation: bool,
+    sends_confirmation: bool,
     /// When no datagram waited to be read any more.
     drained_at: BootTime,
     policy: NodePolicy,
@@ -156,7 +158,7 @@
             store_contact: None,
             reader_heartbeat: None,
             confirmation: Confirmation::default(),
-            tells_confirmation: false,
+            sends_confirmation: false,
             drained_at: now,
             policy: NodePolicy::default(),
             counters: FleetCounters::default(),
@@ -253,7 +255,7 @@
         self.push_and_carry_out(actions, events);
     }
 
-    /// Notes how busy this node is, in percent. A change that matters to callers is told at once.
+    /// Notes how busy this node is, in percent. A change that matters to callers is sent at once.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
         let matters = is_pressed(percent) != is_pressed(self.own.load);
         self.own.load = percent;
@@ -262,17 +264,17 @@
         }
     }
 
-    /// Sets what is told of requests under which searchers were lost.
+    /// Sets what is sent to peers of requests under which searchers were lost.
     pub fn set_cases(&mut self, cases: Vec<CaseRecord>) {
         self.cases = cases;
     }
 
-    /// Tells some peers at once what is told with each datagram. They tell others in turn.
+    /// Pushes what each datagram carries to some peers at once. They pass it on.
     pub fn push(&mut self, events: &mut Vec<FleetEvent>) {
         self.push_and_carry_out(Vec::new(), events);
     }
 
-    /// Tells peers the present updates at once, after what `actions` ask for.
+    /// Pushes the present updates to peers at once, after what `actions` ask for.
     fn push_and_carry_out(&mut self, mut actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
         self.membership.push_updates(&mut self.random, PUSH_COUNT, &mut actions);
         self.carry_out(actions, events);
@@ -308,7 +310,7 @@
         self.write(Purpose::Membership, &datagram, address);
     }
 
-    /// Tells a peer of tenants' quotas, also one that is taken for gone: it may think that it owns a tenant.
+    /// Sends a peer messages on tenants' quotas, also one that is taken for gone: it may think that it owns a tenant.
     pub fn send_quotas(&mut self, to: NodeId, messages: Vec<QuotaMessage>) {
         let Some(address) = self.membership.get(to).map(|member| member.peer_address) else {
             return;
@@ -384,7 +386,7 @@
         pause_gap: Duration::from_millis(400),
         helpers: 2,
         updates_per_message: 5,
-        tellings: Tellings { per_doubling: 1, besides: 3 },
+        retransmits: Retransmits { per_doubling: 1, besides: 3 },
         asks_one_seed: true,
         members_per_message: MEMBERS_PER_DATAGRAM,
         forget_after: Duration::from_secs(60),
--- a/crates/staircross-gateway/src/fleet/announcement.rs
+++ b/crates/staircross-gateway/src/fleet/announcement.rs
@@ -6,7 +6,7 @@
 use staircross_routing::CaseRecord;
 use staircross_types::NodeId;
 
-/// What one node knows, told with every datagram.
+/// What one node knows, sent with every datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Version of its configuration.
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -60,9 +60,9 @@
         self.confirmation.at()
     }
 
-    /// Whether peers are told until when the configuration is confirmed.
-    pub fn tell_confirmation(&mut self, is_told: bool) {
-        self.tells_confirmation = is_told;
+    /// Sets whether peers are sent until when the configuration is confirmed.
+    pub fn set_confirmation_sent(&mut self, is_sent: bool) {
+        self.sends_confirmation = is_sent;
     }
 
     /// Takes what a datagram says. It may have waited to be read for as long as this process stood still, so it is taken to have come
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn refresh_own_confirmation(&mut self, now: BootTime) {
-        let confirmed_at = self.confirmation.at().filter(|_| self.tells_confirmation);
+        let confirmed_at = self.confirmation.at().filter(|_| self.sends_confirmation);
         let age = confirmed_at.map(|at| now.since(at).as_millis());
         self.own.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
     }
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -71,8 +71,8 @@
         self.store_contact = at;
     }
 
-    /// Tells the region's followers at once what this node, a reader, knows.
-    pub fn tell_followers(&mut self, now: BootTime) {
+    /// Notifies the region's followers at once what this node, a reader, knows.
+    pub fn notify_followers(&mut self, now: BootTime) {
         self.refresh_own_heartbeat(now);
         let followers: Vec<(NodeId, SocketAddr)> =
             self.followers().map(|member| (member.node, member.peer_address)).collect();
--- a/crates/staircross-gateway/src/lib.rs
+++ b/crates/staircross-gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //! | [`server`] | connections that requests come in on |
 //! | [`pool`] | connections to searchers |
 //! | [`peer_answers`] | answers sent to peers within the last second |
-//! | [`case_pushes`] | when peers are told at once of requests that end searchers |
+//! | [`case_pushes`] | when requests that end searchers are pushed to peers at once |
 //! | [`http_call`] | one outgoing call at a time, to the store or a peer |
 //! | [`outbound`] | what of a request is sent on, and how answers are written |
 //! | [`fleet`] | members, announcements, what this node may spend of what they share |
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -325,7 +325,7 @@
         self.update_readiness();
         self.on_stop_tick();
         self.look_at_settings();
-        self.tell_summary();
+        self.log_summary();
         self.log.on_tick(self.now);
     }
 
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -2,7 +2,7 @@
 //!
 //! When a large fleet starts, each node learns of every member and every searcher. A line for each would make the volume grow
 //! with the square of the fleet, and the lines that matter would be lost among them. So single changes have lines
-//! of their own, and what comes in numbers is told together.
+//! of their own, and what comes in numbers is logged together.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -14,17 +14,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes of members that have lines of their own within one span; those beyond are counted, and told together when it ends.
+/// Changes of members that have lines of their own within one span; those beyond are counted, and logged together when it ends.
 const SINGLE_MEMBERS: usize = 5;
 const SPAN: Duration = Duration::from_secs(1);
-/// Changes of searchers learned at once that have lines of their own; a listing is told in one.
+/// Changes of searchers learned at once that have lines of their own; a listing is logged in one.
 const SINGLE_SEARCHERS: usize = 5;
 
 /// What was learned of members since the last line on it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLog {
     span_began: BootTime,
-    told: usize,
+    logged: usize,
     held: MemberCounts,
 }
 
@@ -50,13 +50,13 @@
 
 impl MemberLog {
     /// Whether one more change has a line of its own now.
-    fn may_tell(&mut self, now: BootTime) -> bool {
+    fn may_log(&mut self, now: BootTime) -> bool {
         if now.since(self.span_began) >= SPAN {
             self.span_began = now;
-            self.told = 0;
+            self.logged = 0;
         }
-        self.told += 1;
-        self.told <= SINGLE_MEMBERS
+        self.logged += 1;
+        self.logged <= SINGLE_MEMBERS
     }
 
     /// What was counted in a span that is over.
@@ -68,9 +68,9 @@
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Tells a change of a member, or counts it.
+    /// Logs a change of a member, or counts it.
     pub(super) fn note_member(&mut self, member: &Member) {
-        if !self.member_log.may_tell(self.now) {
+        if !self.member_log.may_log(self.now) {
             return self.member_log.held.count(member.state);
         }
         let line = format_args!(
@@ -80,8 +80,8 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// Tells the changes that were counted.
-    pub(super) fn tell_held_members(&mut self) {
+    /// Logs the changes that were counted.
+    pub(super) fn log_held_members(&mut self) {
         let Some(MemberCounts { alive, leaving, suspect, gone }) = self.member_log.take_held(self.now) else {
             return;
         };
@@ -91,7 +91,7 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// Tells what a merge has changed of the searchers.
+    /// Logs what a merge has changed of the searchers.
     pub(super) fn note_searchers(&mut self, changes: &MirrorChanges, source: &str) {
         if changes.searchers.len() + changes.gone.len() > SINGLE_SEARCHERS {
             return self.note_listing(changes, source);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Tells which zones' searchers get no new work from now on.
+    /// Logs which zones' searchers get no new work from now on.
     pub(super) fn note_evacuated(&mut self, zones: &[Arc<str>], source: &str) {
         let line = format_args!("event=evacuated zones={} source={source}", zones.join(","));
         self.log.line(self.now, LineKind::Belief, line);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells that requests of a route have ended searchers lately, or do so no more.
+    /// Logs that requests of a route have ended searchers lately, or do so no more.
     pub(super) fn note_alarm(&mut self, route: &str, is_raised: bool) {
         self.log.line(self.now, LineKind::Belief, format_args!("event=alarm route={route} raised={is_raised}"));
     }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -57,7 +57,7 @@
         context.plain(200, body.content_type, &body.bytes)
     }
 
-    /// Tells a peer what it lacks.
+    /// Sends a peer what it lacks.
     fn changes(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         let Some(peer) = known_by_peer(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -114,7 +114,7 @@
         }
         if is_alive && self.reader.is_reachable() && self.fleet.is_designated_reader() {
             self.fleet.set_store_contact(Some(self.now));
-            self.fleet.tell_followers(self.now);
+            self.fleet.notify_followers(self.now);
         }
         self.take_reader_actions(actions);
     }
@@ -135,10 +135,10 @@
                     definition.tenants.len()
                 ),
             );
-            self.fleet.tell_confirmation(!definition.tenants.is_empty());
+            self.fleet.set_confirmation_sent(!definition.tenants.is_empty());
             self.engine_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
             self.fleet.set_connections(self.engine.tightest_connections());
-            self.tell_fleet_shape();
+            self.update_fleet_shape();
         }
         self.note_searchers(&changes, source);
         if !changes.searchers.is_empty() {
@@ -153,7 +153,7 @@
         }
         let is_new = self.fleet.set_knowledge(&self.mirror);
         if is_new && self.fleet.is_designated_reader() {
-            self.fleet.tell_followers(self.now);
+            self.fleet.notify_followers(self.now);
         }
     }
 
@@ -175,13 +175,13 @@
         self.fleet.set_cases(self.engine.case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
         self.take_fleet_events(events);
-        self.tell_held_members();
+        self.log_held_members();
         if self.fleet.is_directory_stale(self.now) {
-            self.tell_fleet_shape();
+            self.update_fleet_shape();
         }
     }
 
-    /// Tells some peers at once under which requests searchers were lost, if there are updates, and not too often.
+    /// Pushes the requests under which searchers were lost to some peers at once, if there are updates, and not too often.
     pub(super) fn push_cases(&mut self) {
         if !self.case_pushes.take(self.now) {
             return;
@@ -213,7 +213,7 @@
             }
         }
         if is_shape_changed {
-            self.tell_fleet_shape();
+            self.update_fleet_shape();
         }
     }
 
@@ -221,7 +221,7 @@
         member.region == self.settings.node.region
     }
 
-    fn tell_fleet_shape(&mut self) {
+    fn update_fleet_shape(&mut self) {
         let FleetShape { nodes_by_zone, serving, rank, slack_part } = self.fleet.shape(self.now);
         let nodes = self.fleet.take_quota_nodes();
         self.engine_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes });
@@ -298,9 +298,9 @@
             return self.role.note_unserved(self.now);
         };
         self.learn(update, "peer");
-        self.reader.on_told(Lane::Searchers, self.mirror.newest_revision());
+        self.reader.on_peer_report(Lane::Searchers, self.mirror.newest_revision());
         if !self.fleet.is_version_behind() {
-            return self.reader.on_told(Lane::Configuration, self.mirror.operator_revision());
+            return self.reader.on_peer_report(Lane::Configuration, self.mirror.operator_revision());
         }
         let mut actions = Vec::new();
         self.reader.read_configuration(self.now, &mut actions);
--- a/crates/staircross-gateway/src/node/recording.rs
+++ b/crates/staircross-gateway/src/node/recording.rs
@@ -1,4 +1,4 @@
-//! Recording what the engine is told and decides.
+//! Recording what the engine takes in and decides.
 
 use super::{GatewayError, GatewayNode, io_error};
 use crate::dialect::Dialect;
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -1,4 +1,4 @@
-//! What is told of callers' requests: their decisions, kept until they end, and their ends.
+//! What is logged of callers' requests: their decisions, kept until they end, and their ends.
 
 use super::GatewayNode;
 use super::caller_request::CallerRequest;
@@ -19,7 +19,7 @@
         pending.trace.add(self.now, line);
     }
 
-    pub(super) fn tell_trace(&mut self, pending: &CallerRequest, kind: LineKind) {
+    pub(super) fn log_trace(&mut self, pending: &CallerRequest, kind: LineKind) {
         if !pending.trace.is_empty() {
             self.log.trace(self.now, kind, pending.trace.lines());
         }
@@ -31,7 +31,7 @@
             Verdict::Passed(answer) => answer.status < 500,
             Verdict::Refused { .. } => false,
         };
-        self.tell_trace(pending, if is_whole { LineKind::AnsweredTrace } else { LineKind::Trace });
+        self.log_trace(pending, if is_whole { LineKind::AnsweredTrace } else { LineKind::Trace });
         let took = self.now.since(pending.arrived);
         let (outcome, parts, missing) = match verdict {
             Verdict::Merged(merged) => ("merged", merged.stamps.len(), merged.missing),
@@ -80,7 +80,7 @@
     }
 }
 
-/// What is told of an attempt's end; an answer that counts is told by the request's own end.
+/// What is logged of an attempt's end; an answer that counts is in the line of the request's own end.
 pub(super) fn notable_end(outcome: &AttemptOutcome) -> Option<String> {
     match outcome {
         AttemptOutcome::Answered(answer) if answer.status < 300 => None,
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -133,7 +133,7 @@
         };
         self.metrics.caller_gone();
         if let Some(pending) = self.callers.remove(&key) {
-            self.tell_trace(&pending, LineKind::AnsweredTrace);
+            self.log_trace(&pending, LineKind::AnsweredTrace);
             let took = self.now.since(pending.arrived).as_millis();
             self.log.line(
                 self.now,
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -20,7 +20,7 @@
     }
 
     /// Writes the summary lines when they are due.
-    pub(super) fn tell_summary(&mut self) {
+    pub(super) fn log_summary(&mut self) {
         if self.now < self.next_summary {
             return;
         }
--- a/crates/staircross-gateway/src/node/view.rs
+++ b/crates/staircross-gateway/src/node/view.rs
@@ -26,7 +26,7 @@
         self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > most)
     }
 
-    /// Tells the log when the view becomes too old, and when it is confirmed again; only where there are tenants.
+    /// Logs when the view becomes too old, and when it is confirmed again; only where there are tenants.
     pub(super) fn note_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
         let is_old = has_tenants && self.is_view_too_old();
--- a/crates/staircross-gateway/src/recorder.rs
+++ b/crates/staircross-gateway/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Records what the engine is told and decides, for `staircross replay`.
+//! Records what the engine takes in and decides, for `staircross replay`.
 //!
 //! Off unless a setting names a file. The file is bounded; when it is full, or can't be written, recording ends and
 //! the node goes on.
--- a/crates/staircross-gateway/src/unreadable_log.rs
+++ b/crates/staircross-gateway/src/unreadable_log.rs
@@ -1,4 +1,4 @@
-//! Which items of the store that can't be used have been told already.
+//! Which items of the store that can't be used have been logged already.
 //!
 //! A listing tells again what stood there before. So each item has one line for each of its changes, however often it is read.
 
@@ -11,19 +11,19 @@
 /// What was told, by key.
 #[derive(Debug, Default)]
 pub struct UnreadableLog {
-    told: HashMap<String, Option<u64>>,
+    logged: HashMap<String, Option<u64>>,
 }
 
 impl UnreadableLog {
     /// Notes an item; returns whether it or a change of it is new.
     pub fn is_new(&mut self, item: &UnreadableItem) -> bool {
-        if self.told.get(&item.key) == Some(&item.revision) {
+        if self.logged.get(&item.key) == Some(&item.revision) {
             return false;
         }
-        if self.told.len() >= MOST_ITEMS {
-            self.told.clear();
+        if self.logged.len() >= MOST_ITEMS {
+            self.logged.clear();
         }
-        self.told.insert(item.key.clone(), item.revision);
+        self.logged.insert(item.key.clone(), item.revision);
         true
     }
 }
--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -1,4 +1,4 @@
-//! How often peers are told at once under which requests searchers were lost.
+//! How often the requests under which searchers were lost are pushed to peers at once.
 
 use staircross_gateway::case_pushes::CasePushes;
 use staircross_types::BootTime;
--- a/crates/staircross-gateway/tests/peer_answers.rs
+++ b/crates/staircross-gateway/tests/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What counts of the answers given to peers.
+//! What counts of the answers sent to peers.
 
 use staircross_gateway::peer_answers::{PeerAnswerTotals, RecentPeerAnswers};
 use staircross_types::BootTime;
--- a/crates/staircross-gateway/tests/unreadable_log.rs
+++ b/crates/staircross-gateway/tests/unreadable_log.rs
@@ -1,4 +1,4 @@
-//! Items that can't be used are told once for each change.
+//! Items that can't be used are logged once for each change.
 
 use staircross_gateway::unreadable_log::UnreadableLog;
 use staircross_routing::{KeyKind, UnreadableItem, UnreadableReason};
--- a/crates/staircross-node/src/peers.rs
+++ b/crates/staircross-node/src/peers.rs
@@ -131,7 +131,7 @@
 }
 
 impl Shared {
-    fn tell(&self, event: CoreEvent) {
+    fn notify_core(&self, event: CoreEvent) {
         // The core is gone only while the node stops.
         let _ignored_while_stopping = self.events.send(event);
     }
@@ -164,7 +164,7 @@
                 continue;
             };
             match datagram::open(&self.key, &buffer[..length]) {
-                Ok(message) => self.tell(CoreEvent::Peer(message)),
+                Ok(message) => self.notify_core(CoreEvent::Peer(message)),
                 Err(error) => {
                     self.drop_one("datagram");
                     debug!(logger: self.logs.peers, "event=bad_datagram peer={from} error={error:?}");
@@ -200,7 +200,7 @@
         let mut reader = BufReader::new(stream);
         loop {
             match read_frame::<PeerMessage>(&mut reader, MAX_FRAME) {
-                Ok(message) => self.tell(CoreEvent::Peer(message)),
+                Ok(message) => self.notify_core(CoreEvent::Peer(message)),
                 Err(staircross_wire::WireError::Io(error)) => {
                     debug!(logger: self.logs.peers, "event=closed peer={peer} error={error:?}");
                     return;
@@ -250,7 +250,7 @@
             };
             if flushed.is_err() {
                 self.undelivered(message, true);
-                self.tell(CoreEvent::PeerBroken(to));
+                self.notify_core(CoreEvent::PeerBroken(to));
                 while let Ok(message) = source.try_recv() {
                     self.undelivered(message, false);
                 }
@@ -272,7 +272,7 @@
     fn undelivered(&self, message: PeerMessage, partly_written: bool) {
         self.drop_one("peer_message");
         if let PeerMessage::Request { request, .. } = message {
-            self.tell(CoreEvent::Undelivered { request, partly_written });
+            self.notify_core(CoreEvent::Undelivered { request, partly_written });
         }
     }
 }
--- a/crates/staircross-node/src/platform.rs
+++ b/crates/staircross-node/src/platform.rs
@@ -71,21 +71,21 @@
     fn read_once(&self) {
         match self.read(&self.document_url) {
             Ok(text) => match PlatformDocument::from_json("platform document", &text) {
-                Ok(document) => self.tell(CoreEvent::Platform(Arc::new(document))),
+                Ok(document) => self.notify_core(CoreEvent::Platform(Arc::new(document))),
                 Err(error) => warn!(logger: self.logs.platform, "event=bad_document error={error:?}"),
             },
             Err(error) => warn!(logger: self.logs.platform, "event=unreadable what=document error={error:?}"),
         }
         match self.read(&self.machines_url) {
             Ok(text) => match serde_json::from_str::<MachineList>(&text) {
-                Ok(machines) => self.tell(CoreEvent::Machines(machines)),
+                Ok(machines) => self.notify_core(CoreEvent::Machines(machines)),
                 Err(error) => warn!(logger: self.logs.platform, "event=bad_machine_list error={error:?}"),
             },
             Err(error) => warn!(logger: self.logs.platform, "event=unreadable what=machines error={error:?}"),
         }
     }
 
-    fn tell(&self, event: CoreEvent) {
+    fn notify_core(&self, event: CoreEvent) {
         // The core is gone only while the node stops.
         let _ignored_while_stopping = self.events.send(event);
     }
--- a/crates/staircross-node/src/searchers.rs
+++ b/crates/staircross-node/src/searchers.rs
@@ -112,7 +112,7 @@
     pub fn send(&self, request: SubRequest, send_before: BootTime) {
         let Some(pool) = self.pools.get(&request.searcher) else {
             let reply = not_run(&request, NotRunReason::NotOwner);
-            self.tell(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
             return;
         };
         let waiting = pool.job_source.len();
@@ -123,7 +123,7 @@
         if let Err(refused) = pool.jobs.send(Job { request, send_before }) {
             let request = refused.into_inner().request;
             let reply = not_run(&request, NotRunReason::Unconnected);
-            self.tell(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
         }
     }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    fn tell(&self, event: CoreEvent) {
+    fn notify_core(&self, event: CoreEvent) {
         // The core is gone only while the node stops.
         let _ignored_while_stopping = self.events.send(event);
     }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -24,16 +24,16 @@
 const ASK_FORMER: Duration = Duration::from_millis(500);
 /// Silence after which a node's counts are forgotten.
 const FORGET_NODE: Duration = Duration::from_secs(60);
-/// Shortest time between two grants to all nodes that less passes, and the same for each node that must be told: at most 500 datagrams a
+/// Shortest time between two grants to all nodes that less passes, and the same for each node that must get one: at most 500 datagrams a
 /// second.
 const SHORTEST_GAP: Duration = Duration::from_millis(100);
 const GAP_PER_NODE: Duration = Duration::from_millis(2);
 /// The gaps are longer by this where more passes: a grant that comes late costs some refusals then, and no excess.
 const EASING_FACTOR: u32 = 3;
-/// Time after which a limited tenant's part is told again, for nodes that missed it.
+/// Time after which a limited tenant's fraction is granted again, for nodes that missed it.
 const REPEAT: Duration = Duration::from_millis(1000);
-/// Change of the part, relative to itself, that all nodes are told.
-const TOLD_CHANGE: f64 = 0.2;
+/// Change of the fraction, relative to itself, that is announced to all nodes.
+const ANNOUNCED_CHANGE: f64 = 0.2;
 /// Least part that changes are measured against.
 const LEAST_PART: f64 = 0.05;
 
@@ -54,11 +54,11 @@
     reported: HashMap<NodeId, Reported>,
     /// Other nodes that spoke as owner, and until when that counts.
     rivals: Vec<(NodeId, BootTime)>,
-    /// The former owner that was told last that this node is the owner, and when.
+    /// The former owner that was last sent a grant of this node, and when.
     asked_former: Option<(NodeId, BootTime)>,
-    /// Part that all nodes were told last, and when.
-    told: f64,
-    told_at: BootTime,
+    /// Fraction that all nodes were granted last, and when.
+    announced: f64,
+    announced_at: BootTime,
     /// When this node ceased to be the owner.
     pub lost_at: Option<BootTime>,
 }
@@ -75,8 +75,8 @@
             reported: HashMap::new(),
             rivals: Vec::new(),
             asked_former: None,
-            told: 1.0,
-            told_at: now,
+            announced: 1.0,
+            announced_at: now,
             lost_at: None,
         }
     }
@@ -135,7 +135,7 @@
         is_new
     }
 
-    /// Whether a former owner is to be told now that this node is the owner.
+    /// Whether a former owner is to be sent a grant of this node now.
     pub fn ask_former(&mut self, now: BootTime, former: NodeId) -> bool {
         let is_due = self.asked_former.is_none_or(|(node, at)| node != former || now.since(at) >= ASK_FORMER);
         if is_due {
@@ -144,28 +144,28 @@
         is_due
     }
 
-    /// Whether all `nodes` are to be told the part now.
-    pub fn is_to_be_told(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
-        if pass >= 1.0 && self.told >= 1.0 {
+    /// Whether all `nodes` are to be granted the fraction now.
+    pub fn is_announcement_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
+        if pass >= 1.0 && self.announced >= 1.0 {
             return false;
         }
-        let (age, gap) = (now.since(self.told_at), gap(nodes));
-        let change = (pass - self.told) / self.told.max(LEAST_PART);
-        let is_tighter = self.told >= 1.0 || change < -TOLD_CHANGE;
-        let is_easier = pass >= 1.0 || change > TOLD_CHANGE;
+        let (age, gap) = (now.since(self.announced_at), gap(nodes));
+        let change = (pass - self.announced) / self.announced.max(LEAST_PART);
+        let is_tighter = self.announced >= 1.0 || change < -ANNOUNCED_CHANGE;
+        let is_easier = pass >= 1.0 || change > ANNOUNCED_CHANGE;
         (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
     }
 
-    /// All nodes are told the part.
-    pub fn note_told(&mut self, now: BootTime, pass: f64) {
-        self.told = pass;
-        self.told_at = now;
+    /// All nodes are granted the fraction.
+    pub fn note_announced(&mut self, now: BootTime, pass: f64) {
+        self.announced = pass;
+        self.announced_at = now;
         self.reported.retain(|_, reported| now.since(reported.at) < FORGET_NODE);
     }
 
-    /// Whether nodes hold a part below 1 that they must be told of again.
+    /// Whether nodes hold a fraction below 1 that must be granted again.
     pub fn is_limiting(&self) -> bool {
-        self.told < 1.0
+        self.announced < 1.0
     }
 
     /// Tokens.
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | holds |
 //! | --- | --- |
 //! | [`bound`] | how far all nodes together may exceed a quota, and what follows for one tenant |
-//! | [`message`] | what nodes tell each other |
+//! | [`message`] | what nodes send each other |
 //! | [`fleet`] | which nodes there are, and which of them owns a tenant |
 //! | [`bucket`] | a token bucket |
 //! | [`ledger`] | the owner's side: what all nodes admit of a tenant |
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of quotas.
+//! What nodes send each other of quotas.
 //!
 //! Every message may be lost, late or doubled: counts are totals, and grants carry the owner's time.
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// A node tells a tenant's owner what it has admitted.
+/// A node reports to a tenant's owner what it has admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The tenant.
@@ -76,7 +76,7 @@
     pub counts: Counts,
 }
 
-/// A tenant's owner tells a node which part of the requests to admit.
+/// A tenant's owner grants a node which part of the requests to admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// The tenant.
@@ -88,7 +88,7 @@
     /// Part of the tenant's requests that nodes admit, 0 to 1.
     #[serde(rename = "p")]
     pub pass: f32,
-    /// The answer to a report; none where the grant answers no report.
+    /// The answer to a report; none where the grant answers none.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub confirmation: Option<Confirmation>,
 }
--- a/crates/staircross-quota/src/spender.rs
+++ b/crates/staircross-quota/src/spender.rs
@@ -14,7 +14,7 @@
 pub(crate) const PATIENCE: Duration = Duration::from_millis(500);
 /// The same for a node that has admitted more than its part meanwhile.
 pub(crate) const DOUBT: Duration = Duration::from_millis(300);
-/// Time for which a part below 1 holds without being told again; it is told again each second.
+/// Time for which a fraction below 1 holds without being granted again; it is granted again each second.
 const GRANT_LIFE: Duration = Duration::from_millis(4000);
 /// Time for which a tenant that was limited is taken to ask too much still.
 const LIMITED_MEMORY: Duration = Duration::from_secs(10);
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -41,7 +41,7 @@
 }
 
 impl Tenant {
-    /// A tenant without any requests yet; `carry` is drawn at random, so that few requests at many nodes pass at the part told.
+    /// A tenant without any requests yet; `carry` is drawn at random, so that few requests at many nodes pass at the fraction granted.
     pub fn new(name: Arc<str>, limits: Limits, own: NodeId, carry: f64) -> Self {
         Tenant {
             hash: TenantHash::of(&name),
@@ -145,7 +145,7 @@
         let was_limited = self.spender.as_ref().is_some_and(|spender| spender.was_limited(now));
         let credit = if was_limited { 0.0 } else { self.limits.stranded_credit(fleet.peak(now)) };
         let open = self.spender.as_ref().map_or(0, |spender| spender.open().admitted);
-        // The random part lets few requests at many nodes pass at the rate told.
+        // The random part lets few requests at many nodes pass at the rate granted.
         let bucket = self.stranded.get_or_insert_with(|| Bucket::new(now, credit + random - f64::from(open)));
         bucket.refill(now, rate, most.max(credit));
         let taken = bucket.try_take(rate);
@@ -195,7 +195,7 @@
         self.ledger.as_mut().is_some_and(|ledger| ledger.note_rival(now, rival))
     }
 
-    /// What the owner tells another node that acts as owner.
+    /// What the owner sends another node that acts as owner.
     pub fn claim(&self, now: BootTime, fleet_part: f64) -> QuotaMessage {
         QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_part)))
     }
@@ -206,7 +206,7 @@
         ledger.is_some_and(|ledger| ledger.ask_former(now, former))
     }
 
-    /// The part that all `nodes` are to be told now, if there are updates.
+    /// The fraction that all `nodes` are to be granted now, if it must be announced.
     pub fn due_grant(&mut self, now: BootTime, fleet_part: f64, nodes: usize) -> Option<f64> {
         if self.ledger_due.is_none_or(|due| due > now) {
             return None;
@@ -215,9 +215,9 @@
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none())?;
         ledger.refill(now, &self.limits, fleet_part);
         let pass = ledger.pass(&self.limits, fleet_part);
-        let is_new = ledger.is_to_be_told(now, pass, nodes);
+        let is_new = ledger.is_announcement_due(now, pass, nodes);
         if is_new {
-            ledger.note_told(now, pass);
+            ledger.note_announced(now, pass);
         }
         if pass < 1.0 || ledger.is_limiting() {
             self.ledger_due = Some(now + LIMITED_LOOK);
--- a/crates/staircross-routing/src/definition_delta.rs
+++ b/crates/staircross-routing/src/definition_delta.rs
@@ -1,4 +1,4 @@
-//! What differs between two versions of the configuration, so that peers are told a change instead of the whole.
+//! What differs between two versions of the configuration, so that peers are sent a change instead of the whole.
 //!
 //! A configuration of 1,700 routes is a quarter of a megabyte. Passed on whole it fills the links of small machines, and read by each node from the store it
 //! costs a call a node for each change, mostly of one route. A delta holds the routes and services that changed and a digest of what must come of
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -145,7 +145,7 @@
     pub(crate) quarantine: Quarantine,
     /// What this node may admit of tenants' quotas.
     quotas: FleetAllowance,
-    /// Which alarms the log was told.
+    /// Which alarms were logged.
     alarms: first_probe::AlarmLog,
     /// Counters for metrics.
     pub counters: RoutingCounters,
@@ -320,7 +320,7 @@
     }
 
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        self.tell_alarms_over(now, actions);
+        self.log_ended_alarms(now, actions);
         while let Some(Reverse((due, key))) = self.wakes.peek().copied() {
             if due > now {
                 break;
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -20,12 +20,12 @@
 /// Time between looks whether an alarm is over: all routes are gone through.
 const ALARM_LOOKS: Duration = Duration::from_secs(1);
 
-/// The alarms that the log was told last.
+/// The alarms that were logged last.
 #[derive(Default)]
 pub(super) struct AlarmLog {
     /// Routes on alarm.
     routes: Vec<Arc<str>>,
-    told_at: BootTime,
+    logged_at: BootTime,
 }
 
 impl RoutingEngine {
@@ -87,15 +87,15 @@
     }
 
     /// Tells of alarms that are over, now and then.
-    pub(super) fn tell_alarms_over(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        if !self.alarms.routes.is_empty() && now >= self.alarms.told_at + ALARM_LOOKS {
-            self.tell_alarms(now, actions);
+    pub(super) fn log_ended_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
+        if !self.alarms.routes.is_empty() && now >= self.alarms.logged_at + ALARM_LOOKS {
+            self.log_alarms(now, actions);
         }
     }
 
     /// Tells which routes' alarms were raised or are over since the last time.
-    pub(super) fn tell_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        self.alarms.told_at = now;
+    pub(super) fn log_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
+        self.alarms.logged_at = now;
         if !self.quarantine.has_alarms() && self.alarms.routes.is_empty() {
             return;
         }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -168,12 +168,12 @@
         if is_idempotent {
             self.try_again(now, key, shard, SendReason::Retry, failure, actions);
         } else {
-            self.tell_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
+            self.note_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
             self.give_up(key, shard, failure);
         }
     }
 
-    fn tell_unsent(
+    fn note_unsent(
         &self,
         key: RequestKey,
         shard: usize,
@@ -210,7 +210,7 @@
         let outcome = match state.may_be_sent(most) {
             true => self.dispatch(now, key, shard, reason, actions),
             false => {
-                self.tell_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
+                self.note_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
                 Err(UnsentCause::MostAttempts)
             }
         };
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -62,7 +62,7 @@
         self.push_envelopes(envelopes, actions);
     }
 
-    /// Tells peers what is due, and the log which tenants have become limited or free.
+    /// Sends peers what is due, and logs which tenants have become limited or free.
     pub(super) fn send_due_quotas(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         let mut envelopes = Vec::new();
         self.quotas.on_tick(now, &mut envelopes);
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -75,7 +75,7 @@
         if open > 0 && !is_hopeless && !is_time {
             return;
         }
-        self.tell_left_out(key, actions);
+        self.note_left_out(key, actions);
         self.abandon_all(key, Self::read_out_patience(), AbandonCause::Superseded, actions);
         let Some(mut request) = self.requests.remove(&key) else {
             return;
@@ -87,7 +87,7 @@
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
-    fn tell_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    fn note_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -26,7 +26,7 @@
         self.quarantine.counts(now)
     }
 
-    /// What to tell peers with the next datagrams.
+    /// What to send peers with the next datagrams.
     pub fn case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.quarantine.records(now)
     }
@@ -109,7 +109,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         if changes.iter().any(|change| change.suspicion != Suspicion::Suspect) {
-            self.tell_alarms(now, actions);
+            self.log_alarms(now, actions);
         }
         for change in changes {
             actions.push(RoutingAction::Suspicion { change, is_by_peers });
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -1,4 +1,4 @@
-//! What the engine is told, and what it wants done.
+//! What the engine takes in, and what it wants done.
 
 use crate::admission::AdmissionChange;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the engine is told.
+/// What the engine takes in.
 #[derive(Clone, Debug)]
 pub enum RoutingEvent {
     /// A newer configuration is in force.
@@ -66,11 +66,11 @@
     },
     /// Peers have lost searchers under requests.
     PeerCases(Vec<CaseRecord>),
-    /// A peer tells what it has admitted, or what this node may admit, of tenants' quotas.
+    /// A peer reports what it has admitted, or what this node may admit, of tenants' quotas.
     PeerQuota {
         /// The peer.
         from: NodeId,
-        /// What it tells.
+        /// What it reports.
         messages: Vec<QuotaMessage>,
     },
     /// Time has passed.
@@ -97,7 +97,7 @@
         /// Which.
         attempt: AttemptKey,
     },
-    /// An attempt that was wanted isn't made; told for the log alone.
+    /// An attempt that was wanted isn't made; for the log alone.
     Unsent {
         /// For which request.
         request: RequestKey,
@@ -108,7 +108,7 @@
         /// Why it isn't made.
         cause: UnsentCause,
     },
-    /// A request ends without a part of this shard; told for the log alone.
+    /// A request ends without a part of this shard; for the log alone.
     LeftOut {
         /// Which request.
         request: RequestKey,
@@ -119,21 +119,21 @@
         /// Why there is no part.
         cause: LeftOutCause,
     },
-    /// A request waits until this node knows what it needs; told for the log alone.
+    /// A request waits until this node knows what it needs; for the log alone.
     Held {
         /// Which request.
         request: RequestKey,
         /// What is lacking.
         cause: HoldCause,
     },
-    /// A request's key lets nobody in; told for the log alone, which is told no key.
+    /// A request's key lets nobody in; for the log alone, which never gets a key.
     KeyRefused {
         /// Which request.
         request: RequestKey,
         /// Why.
         cause: KeyRefusal,
     },
-    /// A request is refused because too much waits at its services; told for the log alone.
+    /// A request is refused because too much waits at its services; for the log alone.
     NotAdmitted {
         /// Which request.
         request: RequestKey,
@@ -142,7 +142,7 @@
         /// Part of its route's requests that is taken now, 0 to 1.
         part: f64,
     },
-    /// What is taken of the work offered to a group of services has changed; told for the log alone.
+    /// What is taken of the work offered to a group of services has changed; for the log alone.
     Admission {
         /// The first service of the group.
         group: Arc<str>,
@@ -156,16 +156,16 @@
         /// Whether it follows from what peers told.
         is_by_peers: bool,
     },
-    /// Tell a peer of tenants' quotas.
+    /// Send a peer messages on tenants' quotas.
     SendQuotas {
         /// The peer.
         to: NodeId,
         /// What.
         messages: Vec<QuotaMessage>,
     },
-    /// A tenant has become limited at this node, or is free again; told for the log alone.
+    /// A tenant has become limited at this node, or is free again; for the log alone.
     Quota(QuotaChange),
-    /// Requests of a route have ended searchers lately, or do so no more; told for the log alone.
+    /// Requests of a route have ended searchers lately, or do so no more; for the log alone.
     Alarm {
         /// The route's name.
         route: Arc<str>,
@@ -294,13 +294,13 @@
     pub searcher: SearcherKey,
     /// Its run.
     pub instance: Arc<str>,
-    /// Whom the searcher is told that the request is for.
+    /// Whom the request is for, as it is sent to the searcher.
     pub identity: SentIdentity,
     /// Where it listens.
     pub address: SocketAddr,
     /// How far it is.
     pub distance: Distance,
-    /// When the request must have its final answer; what is left is told to the searcher.
+    /// When the request must have its final answer; what is left is sent to the searcher.
     pub deadline: BootTime,
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
--- a/crates/staircross-routing/src/fair_share.rs
+++ b/crates/staircross-routing/src/fair_share.rs
@@ -14,7 +14,7 @@
 //! sum, and it does: what was taken too much or too little so far is made good with the next requests, so that the sum of all parts given
 //! is within [`MOST_OWED`] requests of what the level asks for.
 //!
-//! Nothing is told to other nodes. With one tenant, or none, each request's part is the level itself, to the last bit.
+//! Nothing is sent to other nodes. With one tenant, or none, each request's part is the level itself, to the last bit.
 
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
--- a/crates/staircross-routing/src/keys.rs
+++ b/crates/staircross-routing/src/keys.rs
@@ -31,7 +31,7 @@
 pub struct ContentKey(pub u64);
 
 impl ContentKey {
-    /// The same asked for by a tenant. Searchers are told the tenant, so the work may differ; and one tenant's requests must not
+    /// The same asked for by a tenant. Searchers are sent the tenant, so the work may differ; and one tenant's requests must not
     /// bar another's.
     pub fn of_tenant(self, name: Option<&str>) -> Self {
         name.map_or(self, |name| ContentKey(xxh3_64_with_seed(name.as_bytes(), self.0)))
--- a/crates/staircross-routing/src/known_configuration.rs
+++ b/crates/staircross-routing/src/known_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that this node knows, and how much of it a peer is told.
+//! The configuration that this node knows, and how much of it a peer is sent.
 
 use crate::definition::{RouteDefinition, RouteTarget, RoutingDefinition};
 use crate::definition_delta::DefinitionDelta;
@@ -25,7 +25,7 @@
     None,
 }
 
-/// What a peer is told of a newer configuration.
+/// What a peer is sent of a newer configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ConfigurationUpdate {
     /// The whole.
--- a/crates/staircross-routing/src/known_entries.rs
+++ b/crates/staircross-routing/src/known_entries.rs
@@ -1,6 +1,6 @@
 //! What is known of the entries written under one searcher's id.
 //!
-//! A searcher may start again under the id that it had, and what is told of its starts comes in any order, from the store and from peers.
+//! A searcher may start again under the id that it had, and reports of its starts come in any order, from the store and from peers.
 //! So the state is such that the order doesn't matter: the newest end of the entry, and of the entries written after it those that no
 //! other outdoes in both start and revision. Of these, the one of the latest start holds, so that nothing said of an earlier start
 //! touches a later one. Starts are compared with each other and with no clock.
--- a/crates/staircross-routing/src/lib.rs
+++ b/crates/staircross-routing/src/lib.rs
@@ -5,7 +5,7 @@
 //! | [`definition`] | what one version of the configuration says |
 //! | [`definition_check`] | what in a version is allowed and will hurt |
 //! | [`definition_delta`] | what differs between two versions, for peers |
-//! | [`known_configuration`] | the configuration known here, and how much of it a peer is told |
+//! | [`known_configuration`] | the configuration known here, and how much of it a peer is sent |
 //! | [`searcher_entry`] | what a searcher says of itself in the store |
 //! | `known_entries` | what is known of the entries under one searcher's id |
 //! | [`tenants`] | whose requests are taken, and by which keys |
@@ -31,7 +31,7 @@
 //! | [`request`] | state of one request in flight |
 //! | [`merge`] | the best records of several parts |
 //! | [`policy`] | switches that turn single mechanisms off |
-//! | [`engine_message`] | what the engine is told, and what it wants done |
+//! | [`engine_message`] | what the engine takes in, and what it wants done |
 //! | [`recording`] | recorded decisions, and making them again |
 //! | [`engine`] | one request from arrival to its final answer |
 //!
--- a/crates/staircross-routing/src/mirror.rs
+++ b/crates/staircross-routing/src/mirror.rs
@@ -71,7 +71,7 @@
     /// Revision at which zones that aren't listed as evacuated weren't; `None` when the update doesn't list them all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_evacuations_at: Option<u64>,
-    /// Items that can't be used, for the log of whoever read them; peers aren't told.
+    /// Items that can't be used, for the log of whoever read them; they aren't sent to peers.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableItem>,
 }
@@ -203,7 +203,7 @@
         self.searchers.values().filter_map(KnownEntries::current).map(|known| &known.entry)
     }
 
-    /// Merges an update and tells what was new.
+    /// Merges an update and returns what was new.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
         let mut touched = Touched::default();
         let mut listed: Vec<Arc<str>> = Vec::new();
--- a/crates/staircross-routing/src/quarantine.rs
+++ b/crates/staircross-routing/src/quarantine.rs
@@ -24,12 +24,12 @@
 
 /// Contents remembered; bounds memory (some 100 KB). Suspects that have been lost least lately go first.
 const MOST_CASES: usize = 256;
-/// Contents told with one datagram, quarantined ones and others: some 100 bytes each.
-const TOLD_QUARANTINED: usize = 3;
-const TOLD_OTHERS: usize = 2;
-const MOST_TOLD: usize = TOLD_QUARANTINED + TOLD_OTHERS;
-/// Contents suspected anew that are told with one datagram, ahead of the others, and those that wait for it.
-const TOLD_RAISED: usize = 3;
+/// Contents sent with one datagram, quarantined ones and others: some 100 bytes each.
+const SENT_QUARANTINED: usize = 3;
+const SENT_OTHERS: usize = 2;
+const MOST_SENT: usize = SENT_QUARANTINED + SENT_OTHERS;
+/// Contents suspected anew that are sent with one datagram, ahead of the others, and those that wait for it.
+const SENT_RAISED: usize = 3;
 const MOST_RAISED: usize = 16;
 
 /// What is thought of a content.
@@ -76,7 +76,7 @@
     }
 }
 
-/// A content as peers are told of it; times are ages, since nodes' clocks differ.
+/// A content as it is sent to peers; times are ages, since nodes' clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseRecord {
     /// The content.
@@ -93,7 +93,7 @@
     pub route: Option<RouteDigest>,
 }
 
-/// A searcher lost under a content, as peers are told of it.
+/// A searcher lost under a content, as it is sent to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossRecord {
     /// Its run.
@@ -129,9 +129,9 @@
     cases: BTreeMap<ContentKey, Case>,
     alarms: RouteAlarms,
     answers: RecentAnswers,
-    /// Contents told last, so that all have their turn.
-    told_quarantined: Option<ContentKey>,
-    told_other: Option<ContentKey>,
+    /// Contents sent last, so that all have their turn.
+    last_sent_quarantined: Option<ContentKey>,
+    last_sent_other: Option<ContentKey>,
     /// Contents of which more is suspected since they were told last, newest first.
     raised: VecDeque<ContentKey>,
 }
@@ -178,7 +178,7 @@
     pub fn note_answered(&mut self, now: BootTime, content: ContentKey) -> Option<SuspicionChange> {
         self.answers.note(now, content);
         let case = self.cases.get(&content)?;
-        if !case.is_told {
+        if !case.is_known_to_peers {
             let (before, route) = (case.suspicion(now), case.route);
             self.cases.remove(&content);
             self.set_alarm(now, route);
@@ -209,7 +209,7 @@
         contents.into_iter().filter_map(|content| self.change(now, content, clear)).collect()
     }
 
-    /// Takes what a peer told.
+    /// Takes what a peer reported.
     pub fn merge(&mut self, now: BootTime, records: &[CaseRecord]) -> Vec<SuspicionChange> {
         records.iter().filter_map(|record| self.merge_one(now, record)).collect()
     }
@@ -222,7 +222,7 @@
         }
         self.make_room(now, record.content);
         self.change(now, record.content, |case| {
-            case.is_told = true;
+            case.is_known_to_peers = true;
             case.route = case.route.or(record.route);
             record.losses.iter().for_each(|loss| case.add(Loss::from_record(now, loss)));
             if let Some(age) = record.answered_ms {
@@ -231,24 +231,24 @@
         })
     }
 
-    /// What to tell peers with the next datagrams; contents take turns.
+    /// What to send peers with the next datagrams; contents take turns.
     pub fn records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.forget_old(now);
         let is_quarantined = |case: &Case| case.suspicion(now) == Suspicion::Quarantined;
-        let is_other = |case: &Case| !is_quarantined(case) && case.is_worth_telling(now);
+        let is_other = |case: &Case| !is_quarantined(case) && case.is_worth_sending(now);
         let raised = self.take_raised();
-        let quarantined = self.next_turns(self.told_quarantined, TOLD_QUARANTINED, is_quarantined);
-        let others = self.next_turns(self.told_other, TOLD_OTHERS, is_other);
-        self.told_quarantined = quarantined.last().copied();
-        self.told_other = others.last().copied();
+        let quarantined = self.next_turns(self.last_sent_quarantined, SENT_QUARANTINED, is_quarantined);
+        let others = self.next_turns(self.last_sent_other, SENT_OTHERS, is_other);
+        self.last_sent_quarantined = quarantined.last().copied();
+        self.last_sent_other = others.last().copied();
         let by_turns = quarantined.into_iter().chain(others).filter(|content| !raised.contains(content));
-        let told: Vec<ContentKey> = raised.iter().copied().chain(by_turns).take(MOST_TOLD).collect();
-        told.into_iter().filter_map(|content| self.tell(now, content)).collect()
+        let to_send: Vec<ContentKey> = raised.iter().copied().chain(by_turns).take(MOST_SENT).collect();
+        to_send.into_iter().filter_map(|content| self.record_to_send(now, content)).collect()
     }
 
     /// What is suspected anew comes first: each moment until peers know it may cost one searcher a shard.
     fn take_raised(&mut self) -> Vec<ContentKey> {
-        let count = self.raised.len().min(TOLD_RAISED);
+        let count = self.raised.len().min(SENT_RAISED);
         self.raised.drain(..count).collect()
     }
 
@@ -262,10 +262,10 @@
         wanted.map(|(content, _)| *content).take(most).collect()
     }
 
-    fn tell(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
+    fn record_to_send(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
         let case = self.cases.get_mut(&content)?;
-        case.is_told = true;
-        let losses = case.telling_losses().map(|loss| loss.record(now)).collect();
+        case.is_known_to_peers = true;
+        let losses = case.losses_to_send().map(|loss| loss.record(now)).collect();
         Some(CaseRecord { content, losses, answered_ms: case.answered_at.map(|at| age_ms(now, at)), route: case.route })
     }
 
--- a/crates/staircross-routing/src/quarantine/case.rs
+++ b/crates/staircross-routing/src/quarantine/case.rs
@@ -14,17 +14,17 @@
 const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 /// Time from the newest loss until a content is forgotten.
 const MEMORY: Duration = Duration::from_secs(2 * 3600);
-/// Time for which a content that was told to peers is remembered as answered, so that they learn it too.
+/// Time for which a content that was sent to peers is remembered as answered, so that they learn it too.
 pub(super) const ANSWER_MEMORY: Duration = Duration::from_secs(60);
 /// Losses remembered of one content: twice what decides.
 const MOST_LOSSES: usize = 6;
-/// Losses of one content told to peers.
-const TOLD_LOSSES: usize = 4;
+/// Losses of one content sent to peers.
+const SENT_LOSSES: usize = 4;
 /// Longest time that a datagram is taken to be on its way. What peers tell seems later by so much; without a tolerance, two nodes that tell each
 /// other of one event would move it on for ever.
 const TELLING_TIME: Duration = Duration::from_secs(1);
 /// Age from which a single loss is told: by then a repeat has mostly been answered.
-const SINGLE_TOLD_AFTER: Duration = Duration::from_millis(200);
+const SINGLE_SENT_AFTER: Duration = Duration::from_millis(200);
 
 /// A searcher whose connection ended while it ran a content.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     /// The route that it was asked by, where that is known.
     pub route: Option<RouteDigest>,
     /// Whether any peer knows of it.
-    pub is_told: bool,
+    pub is_known_to_peers: bool,
 }
 
 impl Case {
@@ -111,7 +111,7 @@
         self.losses.retain(|loss| !loss.is_before(at));
     }
 
-    /// A peer tells that it was answered.
+    /// A peer reports that it was answered.
     pub fn answered_by_peer(&mut self, at: BootTime) {
         if self.answered_at.is_none_or(|known| is_later(at, known)) {
             self.answered_at = Some(at);
@@ -120,14 +120,14 @@
     }
 
     /// What proves a sequence, and the newest: enough to decide by.
-    pub fn telling_losses(&self) -> impl Iterator<Item = &Loss> {
+    pub fn losses_to_send(&self) -> impl Iterator<Item = &Loss> {
         let (proof, others): (Vec<&Loss>, Vec<&Loss>) = self.losses.iter().partition(|loss| self.is_proof(loss));
-        let newest = others.into_iter().rev().take(TOLD_LOSSES - proof.len().min(TOLD_LOSSES));
+        let newest = others.into_iter().rev().take(SENT_LOSSES - proof.len().min(SENT_LOSSES));
         proof.into_iter().chain(newest)
     }
 
-    pub fn is_worth_telling(&self, now: BootTime) -> bool {
-        self.is_told || self.losses.len() >= SUSPECT_LOSSES || now.since(self.newest()) >= SINGLE_TOLD_AFTER
+    pub fn is_worth_sending(&self, now: BootTime) -> bool {
+        self.is_known_to_peers || self.losses.len() >= SUSPECT_LOSSES || now.since(self.newest()) >= SINGLE_SENT_AFTER
     }
 
     pub fn is_remembered(&self, now: BootTime) -> bool {
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -28,7 +28,7 @@
 pub enum Record {
     /// An engine was made.
     Begin(RecordedSettings),
-    /// It was told something.
+    /// It took something in.
     Turn(RecordedTurn),
 }
 
@@ -59,13 +59,13 @@
 pub struct RecordedTurn {
     /// When.
     pub at: BootTime,
-    /// What it was told.
+    /// What it took in.
     pub event: RecordedEvent,
     /// What it decided.
     pub decisions: Vec<Decision>,
 }
 
-/// What an engine is told, without bodies.
+/// What an engine takes in, without bodies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordedEvent {
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -22,7 +22,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time from a store's return to the next probe. Nodes that follow a reader wait for its word that the store serves it for a third of the
+/// Time from a store's return to the next probe. Nodes that follow a reader wait for its announcement that the store serves it for a third of the
 /// silence that they bear; those that hear none all read by themselves, some ten calls each. A watch is begun within milliseconds.
 const CONFIRMATION: Duration = Duration::from_millis(150);
 
@@ -34,9 +34,9 @@
     lanes: [LaneReader; 3],
     /// Whether the store has missed a probe since the watches began.
     was_away: bool,
-    /// Whether others rely on this node's heartbeats.
+    /// Whether others rely on this node's probes of the store.
     has_followers: bool,
-    /// Until when rests after updates of searchers are short.
+    /// Until when the pauses after updates of searchers are short.
     starting_until: BootTime,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Notes whether others rely on this node's heartbeats; they come more often then, the first at once.
+    /// Notes whether others rely on this node's probes of the store; they come more often then, the first at once.
     pub fn set_has_followers(&mut self, now: BootTime, has_followers: bool) {
         let begins = has_followers && !self.has_followers;
         self.has_followers = has_followers;
@@ -260,8 +260,8 @@
         }
     }
 
-    /// A peer told everything up to `revision`; a lane that has read nothing yet can watch from there.
-    pub fn on_told(&mut self, lane: Lane, revision: u64) {
+    /// A peer sent everything up to `revision`; a lane that has read nothing yet can watch from there.
+    pub fn on_peer_report(&mut self, lane: Lane, revision: u64) {
         let reader = self.lane_mut(lane);
         if reader.after.is_none_or(|after| after < revision) {
             reader.after = Some(revision);
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -20,7 +20,7 @@
     Calling,
     /// The last call failed, and so does the probe: nothing is asked until the store answers a probe.
     AwaitingProbe,
-    /// Nothing is asked: a peer tells what is new.
+    /// Nothing is asked: a peer sends what is new.
     Suspended,
 }
 
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -37,7 +37,7 @@
     Once,
     /// The store is only probed, to find out whether it would answer.
     Probing,
-    /// Nothing: peers tell what is new.
+    /// Nothing: peers send what is new.
     Following,
 }
 
@@ -140,9 +140,9 @@
     pub searcher_rest: Duration,
     /// The same when entries have gone: those that only lapsed come back one by one.
     pub lapse_rest: Duration,
-    /// Time between heartbeats, and while the store is away.
+    /// Time between probes, and while the store is away.
     pub probe: (Duration, Duration),
-    /// Time between heartbeats while others rely on them.
+    /// Time between probes while others rely on their answers.
     pub probe_for_others: Duration,
     /// Time between probes of a node that has lost its readers.
     pub probe_in_doubt: Duration,
--- a/crates/staircross-routing/src/tenants.rs
+++ b/crates/staircross-routing/src/tenants.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whom a searcher is told that a request is for.
+/// Whom a request is for, as it is sent to a searcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SentIdentity {
     /// There are no tenants: what the caller says of itself goes on as it is.
@@ -105,7 +105,7 @@
 /// One tenant in one version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantDefinition {
-    /// Name; searchers are told it, and logs.
+    /// Name; searchers and logs get it.
     pub name: Arc<str>,
     /// Digests of the keys that it holds.
     pub keys: Vec<KeyDigest>,
--- a/crates/staircross-routing/tests/knowledge.rs
+++ b/crates/staircross-routing/tests/knowledge.rs
@@ -473,7 +473,7 @@
     let mut store = Store::new();
     store.calls(0, Lane::Configuration);
     store.fail(Lane::Configuration);
-    store.reader.on_told(Lane::Configuration, 33);
+    store.reader.on_peer_report(Lane::Configuration, 33);
     let calls = store.calls(2000, Lane::Configuration);
     assert!(is_watch_after(&calls[0], 33), "{calls:?}");
 }
@@ -635,7 +635,7 @@
 fn a_follower_reads_a_configuration_that_peers_do_not_pass_on_once_and_follows_on() {
     let mut store = Store::new();
     set_mode(&mut store, ReadingMode::Following);
-    [Lane::Configuration, Lane::Searchers].iter().for_each(|lane| store.reader.on_told(*lane, 20));
+    [Lane::Configuration, Lane::Searchers].iter().for_each(|lane| store.reader.on_peer_report(*lane, 20));
     let read_configuration = |store: &mut Store| {
         let mut actions = Vec::new();
         store.reader.read_configuration(store.now, &mut actions);
@@ -663,7 +663,7 @@
     set_mode(&mut store, ReadingMode::Once);
     store.calls(0, Lane::Searchers);
     store.fail(Lane::Searchers);
-    store.reader.on_told(Lane::Searchers, 7);
+    store.reader.on_peer_report(Lane::Searchers, 7);
     assert_eq!(store.calls(60_000, Lane::Searchers), []);
 }
 
@@ -671,7 +671,7 @@
 fn a_reader_that_watches_from_where_a_peer_has_led_counts_as_served_once_the_store_answers_its_probe() {
     let mut store = Store::new();
     set_mode(&mut store, ReadingMode::Following);
-    [Lane::Configuration, Lane::Searchers].iter().for_each(|lane| store.reader.on_told(*lane, 20));
+    [Lane::Configuration, Lane::Searchers].iter().for_each(|lane| store.reader.on_peer_report(*lane, 20));
     set_mode(&mut store, ReadingMode::Watching);
     for lane in [Lane::Configuration, Lane::Searchers] {
         let calls = store.calls(0, lane);
@@ -722,7 +722,7 @@
     for lane in Lane::ALL {
         assert_eq!(store.calls(60_000, lane), []);
     }
-    store.reader.on_told(Lane::Searchers, 25);
+    store.reader.on_peer_report(Lane::Searchers, 25);
     set_mode(&mut store, ReadingMode::Watching);
     let calls = store.calls(0, Lane::Searchers);
     assert!(matches!(calls.as_slice(), [call] if is_watch_after(call, 25)), "{calls:?}");
--- a/crates/staircross-search/src/leaf.rs
+++ b/crates/staircross-search/src/leaf.rs
@@ -258,8 +258,8 @@
         let before = searcher.view(id);
         match evidence {
             Some(evidence) => {
-                let told_leaving = self.leaving_runs.get(&id) == Some(&evidence.incarnation);
-                searcher.take_evidence(now, asked_at, evidence, told_leaving);
+                let reported_leaving = self.leaving_runs.get(&id) == Some(&evidence.incarnation);
+                searcher.take_evidence(now, asked_at, evidence, reported_leaving);
             }
             None => searcher.lose_evidence(),
         }
--- a/crates/staircross-search/src/leaf/owned.rs
+++ b/crates/staircross-search/src/leaf/owned.rs
@@ -68,7 +68,13 @@
         }
     }
 
-    pub(super) fn take_evidence(&mut self, now: BootTime, asked_at: BootTime, evidence: Evidence, told_leaving: bool) {
+    pub(super) fn take_evidence(
+        &mut self,
+        now: BootTime,
+        asked_at: BootTime,
+        evidence: Evidence,
+        reported_leaving: bool,
+    ) {
         let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
         if !same_run {
             // A searcher seen for the first time may be warm; one that was restarted is cold.
@@ -77,7 +83,7 @@
             self.left = false;
         }
         // "Serving" never cancels "leaving" of the same run.
-        self.left |= evidence.draining || told_leaving;
+        self.left |= evidence.draining || reported_leaving;
         self.serving_asked_at = Some(asked_at);
         self.evidence = Some(evidence);
     }
