--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -22,8 +22,8 @@
 const COMPARE_LEARNING: Duration = Duration::from_millis(1500);
 const LEARNING: Duration = Duration::from_secs(4);
 /// Parts of the ids that are compared one by one.
-const PARTS_BITS: u32 = 4;
-const PARTS: usize = 1 << PARTS_BITS;
+const BUCKET_BITS: u32 = 4;
+const BUCKETS: usize = 1 << BUCKET_BITS;
 /// One comparison in so many is with a member of another region, and of the others one with a member of any zone of the
 /// region.
 const FAR_TURNS: u64 = 4;
@@ -94,8 +94,8 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let ours = self.fingerprints();
-        for part in (0..PARTS).filter(|part| ours.0[*part] != theirs.0[*part]) {
-            let span = span_of(part);
+        for bucket in (0..BUCKETS).filter(|bucket| ours.0[*bucket] != theirs.0[*bucket]) {
+            let span = span_of(bucket);
             let live = self.members.range(span.first..=span.last).map(|(_, member)| member);
             let members = live.filter(|member| !member.is_gone()).cloned().collect();
             self.list(members, Some(span), from, from_address, actions);
@@ -175,16 +175,16 @@
 
 /// A number for who is live in each part of the ids.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fingerprints([u64; PARTS]);
+pub struct Fingerprints([u64; BUCKETS]);
 
 /// The part of the ids that one lies in.
 fn part_of(node: NodeId) -> usize {
-    (node.0 >> (u128::BITS - PARTS_BITS)) as usize
+    (node.0 >> (u128::BITS - BUCKET_BITS)) as usize
 }
 
 /// The ids of a part.
-fn span_of(part: usize) -> IdSpan {
-    let first = (part as u128) << (u128::BITS - PARTS_BITS);
-    let last = first | (u128::MAX >> PARTS_BITS);
+fn span_of(bucket: usize) -> IdSpan {
+    let first = (bucket as u128) << (u128::BITS - BUCKET_BITS);
+    let last = first | (u128::MAX >> BUCKET_BITS);
     IdSpan { first: NodeId(first), last: NodeId(last) }
 }
--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -18,7 +18,7 @@
 const MAX_ADDRESSES: usize = 64;
 /// Part of a searcher's connections that serving nodes are planned to use. The rest is for reserves that
 /// still hold some, and for runs that are gone but not yet noticed.
-const PLANNED_PART: f64 = 0.9;
+const PLANNED_FRACTION: f64 = 0.9;
 /// Connections to each searcher that a serving node should have: one for its usual work, one for requests
 /// that meet, one for hedges.
 const CONNECTIONS_PER_NODE: f64 = 4.5;
@@ -169,7 +169,7 @@
 
 /// Nodes of a zone that serve: as many as the searchers' connections allow, but enough for the load.
 fn serving_count(nodes: &[Candidate], total: usize, connections: u32) -> usize {
-    let planned = f64::from(connections) * PLANNED_PART / CONNECTIONS_PER_NODE;
+    let planned = f64::from(connections) * PLANNED_FRACTION / CONNECTIONS_PER_NODE;
     let by_connections = (planned * nodes.len() as f64 / total as f64).ceil() as usize;
     let load: usize = nodes.iter().map(|node| usize::from(node.load)).sum();
     by_connections.max(LEAST_PER_ZONE).max(load.div_ceil(PLANNED_LOAD)).min(nodes.len())
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -46,7 +46,7 @@
     /// This node's number among those that serve, from 0; `None` for a reserve.
     pub rank: Option<usize>,
     /// This node's part of the slack for extra sends, 0 to 1.
-    pub slack_part: f64,
+    pub slack_share: f64,
 }
 
 impl Fleet {
@@ -71,13 +71,13 @@
             *nodes_by_zone.entry(Arc::from(own_zone)).or_default() += 1;
         }
         self.serving_peak.note(now, nodes_by_zone.values().sum());
-        let slack_part = match (self.directory.reserve_count() > 0, is_serving) {
+        let slack_share = match (self.directory.reserve_count() > 0, is_serving) {
             (false, _) => 1.0 / self.live_peak.count.max(1) as f64,
             (true, true) => SERVING_SLACK / self.serving_peak.count.max(1) as f64,
             (true, false) => (1.0 - SERVING_SLACK) / self.live_peak.count.max(1) as f64,
         };
         let rank = self.directory.serving_rank(self.node);
-        FleetShape { nodes_by_zone, serving: self.serving_peak.count, rank, slack_part }
+        FleetShape { nodes_by_zone, serving: self.serving_peak.count, rank, slack_share }
     }
 
     /// The nodes that share tenants' quotas, if they have changed: all that are ready, reserves too, so that owners stay the same while the
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -222,9 +222,9 @@
     }
 
     fn update_fleet_shape(&mut self) {
-        let FleetShape { nodes_by_zone, serving, rank, slack_part } = self.fleet.shape(self.now);
+        let FleetShape { nodes_by_zone, serving, rank, slack_share } = self.fleet.shape(self.now);
         let nodes = self.fleet.take_quota_nodes();
-        self.engine_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes });
+        self.engine_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes });
         let is_serving = self.fleet.is_serving();
         if is_serving != self.is_serving {
             self.is_serving = is_serving;
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -219,8 +219,8 @@
             RoutingAction::KeyRefused { request, cause } => {
                 self.note_decision(request, format_args!("event=key_refused cause={}", cause.name()));
             }
-            RoutingAction::NotAdmitted { request, group, part } => {
-                self.note_decision(request, format_args!("event=not_admitted group={group} part={part:.2}"));
+            RoutingAction::NotAdmitted { request, group, fraction } => {
+                self.note_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
             }
             RoutingAction::Admission { group, change } => {
                 let AdmissionChange { level, wait, tolerable } = change;
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -221,17 +221,17 @@
 /// Descriptors kept for files, listeners and calls to the store and peers.
 const RESERVED_DESCRIPTORS: usize = 264;
 /// Parts of the bounds on updates that a rest between calls to the store may take.
-const CONFIG_REST_PART: f64 = 0.17;
-const DRAIN_REST_PART: f64 = 0.3;
+const CONFIG_REST_FRACTION: f64 = 0.17;
+const DRAIN_REST_FRACTION: f64 = 0.3;
 /// Part of the bound on drains during which a searcher whose entry has gone is a last resort. With the rest
 /// after updates, a follower's pull and a late wake-up it stays below the bound.
-const LAPSE_PART: f64 = 0.25;
+const LAPSE_FRACTION: f64 = 0.25;
 /// Part of the shorter bound on updates that a follower bears without hearing of its readers.
-const SILENCE_PART: f64 = 0.4;
+const SILENCE_FRACTION: f64 = 0.4;
 /// Parts of that silence after which a reader probes the store again, so that a lost heartbeat is no silence, and after which a node
 /// does that hears no reader.
-const PROBE_PART: f64 = 0.4;
-const DOUBT_PART: f64 = 0.5;
+const PROBE_FRACTION: f64 = 0.4;
+const DOUBT_FRACTION: f64 = 0.5;
 /// Time of the link, in seconds, that answers to peers may take in a second. A request that waits for half a second behind them reaches
 /// its searcher with a deadline that is too late by as much.
 const PEER_LINK_S: f64 = 0.2;
@@ -293,13 +293,15 @@
     /// When the store is called: a rest after updates is a small part of the time that updates may take.
     pub fn reader(&self) -> ReaderSettings {
         let usual = ReaderSettings::default();
-        let part = |bound_ms: u64, part: f64| Duration::from_millis(bound_ms).mul_f64(part);
+        let fraction_of = |bound_ms: u64, fraction_of: f64| Duration::from_millis(bound_ms).mul_f64(fraction_of);
         ReaderSettings {
-            configuration_rest: usual.configuration_rest.min(part(self.bounds.operator_ms(), CONFIG_REST_PART)),
-            searcher_rest: usual.searcher_rest.min(part(self.bounds.drain_ms, DRAIN_REST_PART)),
-            probe: (usual.probe.0.min(self.longest_unconfirmed().mul_f64(PROBE_PART)), usual.probe.1),
-            probe_for_others: self.longest_silence().min(self.longest_unconfirmed()).mul_f64(PROBE_PART),
-            probe_in_doubt: self.longest_silence().mul_f64(DOUBT_PART),
+            configuration_rest: usual
+                .configuration_rest
+                .min(fraction_of(self.bounds.operator_ms(), CONFIG_REST_FRACTION)),
+            searcher_rest: usual.searcher_rest.min(fraction_of(self.bounds.drain_ms, DRAIN_REST_FRACTION)),
+            probe: (usual.probe.0.min(self.longest_unconfirmed().mul_f64(PROBE_FRACTION)), usual.probe.1),
+            probe_for_others: self.longest_silence().min(self.longest_unconfirmed()).mul_f64(PROBE_FRACTION),
+            probe_in_doubt: self.longest_silence().mul_f64(DOUBT_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..usual
         }
@@ -307,7 +309,7 @@
 
     /// Longest silence of its readers that a follower bears: a part of the time that updates may take.
     pub fn longest_silence(&self) -> Duration {
-        Duration::from_millis(self.bounds.operator_ms().min(self.bounds.drain_ms)).mul_f64(SILENCE_PART)
+        Duration::from_millis(self.bounds.operator_ms().min(self.bounds.drain_ms)).mul_f64(SILENCE_FRACTION)
     }
 
     /// Longest time without word of the store after which requests are still taken, where the settings bound it.
@@ -318,7 +320,7 @@
 
     /// Time after the end of its entry during which a searcher is asked where nobody else can be.
     pub fn lapse_grace(&self) -> Duration {
-        Duration::from_millis(self.bounds.drain_ms).mul_f64(LAPSE_PART)
+        Duration::from_millis(self.bounds.drain_ms).mul_f64(LAPSE_FRACTION)
     }
 
     /// Connections that callers may hold together.
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -20,14 +20,14 @@
 /// Longest time that a node waits to know its region: at the first start of a fleet, when seeds may be seconds late and there
 /// is nothing to serve, and later, as a part of the silence that a follower bears.
 const MOST_FIRST_SETTLING: Duration = Duration::from_secs(3);
-const SETTLING_PART: f64 = 0.8;
+const SETTLING_FRACTION: f64 = 0.8;
 /// At the first start of a fleet: time until readers have told what they read.
 const FIRST_READING: Duration = Duration::from_millis(1500);
 /// Part of the silence that a follower bears for which it then waits for its readers to find the store too.
-const GRACE_PART: f64 = 0.33;
+const GRACE_FRACTION: f64 = 0.33;
 
 /// Part of the silence that a follower bears for which a reader waits for a large configuration from the store.
-const LARGE_PART: f64 = 0.75;
+const LARGE_FRACTION: f64 = 0.75;
 
 /// Where a node has its updates from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
             heartbeat: now,
             reads_until: BootTime::default(),
             learned_at: now,
-            settles_until: now + longest_silence.mul_f64(SETTLING_PART),
+            settles_until: now + longest_silence.mul_f64(SETTLING_FRACTION),
             probed_at: None,
         }
     }
@@ -129,7 +129,7 @@
     /// doesn't serve it, or not in time. A store that is being read by a whole fleet at once takes a while to answer, and
     /// peers' links are narrower than the store's.
     pub fn takes_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
-        let patience = self.longest_silence.mul_f64(LARGE_PART);
+        let patience = self.longest_silence.mul_f64(LARGE_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
         !is_served || is_late
     }
@@ -159,7 +159,7 @@
 
     /// Whether the store answers this node and still no reader is heard.
     fn must_read(&self, now: BootTime) -> bool {
-        let grace = self.longest_silence.mul_f64(GRACE_PART);
+        let grace = self.longest_silence.mul_f64(GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
     }
 }
--- a/crates/staircross-lab/src/fuzz/runner.rs
+++ b/crates/staircross-lab/src/fuzz/runner.rs
@@ -37,7 +37,7 @@
         let handles: Vec<_> = (0..parts)
             .map(|part| {
                 let cases = options.cases / parts + u32::from(part < options.cases % parts);
-                scope.spawn(move || run_part(options, part, cases))
+                scope.spawn(move || run_fraction(options, part, cases))
             })
             .collect();
         handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
@@ -51,7 +51,7 @@
     total
 }
 
-fn run_part(options: FuzzOptions, part: u32, cases: u32) -> FuzzSummary {
+fn run_fraction(options: FuzzOptions, part: u32, cases: u32) -> FuzzSummary {
     let summary = RefCell::new(FuzzSummary::default());
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 4000, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed_bytes(options.seed, part));
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -121,7 +121,7 @@
     pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
         let (random, is_first, is_alone) = (self.random(), self.is_first(now), self.is_alone(now));
-        let fleet_part = self.fleet_part(now);
+        let fleet_fraction = self.fleet_fraction(now);
         let Some(tenant) = self.tenants.get_mut(&hash) else {
             return Ok(());
         };
@@ -130,10 +130,10 @@
         let taken = match (is_stranded, tenant.owner == self.own) {
             _ if self.fleet.is_forming(now) => tenant.take_forming(now, random),
             (true, _) => tenant.take_stranded(now, &self.fleet, random),
-            (false, true) => tenant.take_owned(now, fleet_part, random),
+            (false, true) => tenant.take_owned(now, fleet_fraction, random),
             (false, false) => tenant.take_followed(now, random),
         };
-        note_change(tenant, now, fleet_part, is_stranded, taken.is_ok(), &mut self.changes);
+        note_change(tenant, now, fleet_fraction, is_stranded, taken.is_ok(), &mut self.changes);
         self.note_due(hash);
         taken
     }
@@ -154,13 +154,13 @@
     }
 
     fn on_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport, envelopes: &mut Vec<QuotaEnvelope>) {
-        let (is_first, fleet_part) = (self.is_first(now), self.fleet_part(now));
+        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
                 tenant.refresh(now, self.own, &self.fleet, is_first);
                 let former = report.former.filter(|former| *former != self.own && tenant.is_new_rival(now, *former));
-                envelopes.extend(former.map(|to| QuotaEnvelope { to, message: tenant.claim(now, fleet_part) }));
-                tenant.take_report(now, from, report, fleet_part)
+                envelopes.extend(former.map(|to| QuotaEnvelope { to, message: tenant.claim(now, fleet_fraction) }));
+                tenant.take_report(now, from, report, fleet_fraction)
             }
             // The sender has a version of the configuration that this node doesn't have, or no longer has.
             None => Some((1.0, Confirmation { epoch: report.epoch, counts: report.counts })),
@@ -179,7 +179,7 @@
     }
 
     fn on_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant, envelopes: &mut Vec<QuotaEnvelope>) {
-        let (is_first, fleet_part) = (self.is_first(now), self.fleet_part(now));
+        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
         let Some(tenant) = self.tenants.get_mut(&grant.tenant) else {
             return;
         };
@@ -191,7 +191,7 @@
                 spender.take_grant(now, grant);
             }
         } else if grant.confirmation.is_none() && tenant.note_rival(now, from) {
-            envelopes.push(QuotaEnvelope { to: from, message: tenant.claim(now, fleet_part) });
+            envelopes.push(QuotaEnvelope { to: from, message: tenant.claim(now, fleet_fraction) });
         }
         self.note_due(grant.tenant);
     }
@@ -201,7 +201,7 @@
         if self.wake.is_none_or(|wake| wake > now) {
             return;
         }
-        let (is_first, fleet_part) = (self.is_first(now), self.fleet_part(now));
+        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
         let active: Vec<TenantHash> = self.active.iter().copied().collect();
         for hash in active {
             let Some(tenant) = self.tenants.get_mut(&hash) else {
@@ -210,7 +210,7 @@
             };
             tenant.refresh(now, self.own, &self.fleet, is_first);
             let (report, due_grant) =
-                (tenant.report(now), tenant.due_grant(now, fleet_part, self.fleet.serving().len()));
+                (tenant.report(now), tenant.due_grant(now, fleet_fraction, self.fleet.serving().len()));
             if tenant.due().is_none() {
                 self.active.remove(&hash);
             }
@@ -240,7 +240,7 @@
             owner: tenant.owner,
             is_owned: tenant.owner == self.own,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
-            pass: tenant.pass(now, self.fleet_part(now)),
+            pass: tenant.pass(now, self.fleet_fraction(now)),
             is_stranded,
         })
     }
@@ -276,8 +276,8 @@
         self.is_first_start && now.since(self.started) < FIRST_START
     }
 
-    fn fleet_part(&self, now: BootTime) -> f64 {
-        self.fleet.part(now)
+    fn fleet_fraction(&self, now: BootTime) -> f64 {
+        self.fleet.fraction(now)
     }
 
     /// A number from 0 to 1, another each time and at each node.
@@ -292,7 +292,7 @@
 fn note_change(
     tenant: &mut Tenant,
     now: BootTime,
-    fleet_part: f64,
+    fleet_fraction: f64,
     is_stranded: bool,
     is_admitted: bool,
     changes: &mut Vec<QuotaChange>,
@@ -305,7 +305,7 @@
     }
     let is_limited = tenant.limited_at.is_some();
     if is_limited != was_limited {
-        let pass = tenant.pass(now, fleet_part);
+        let pass = tenant.pass(now, fleet_fraction);
         changes.push(QuotaChange { tenant: tenant.name.clone(), is_limited, pass, is_stranded });
     }
 }
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -6,20 +6,20 @@
 
 /// Part of the permitted excess that the owner grants knowingly, beyond the burst. It lets a tenant that asks unevenly below its
 /// rate pass; the rest pays for what is admitted before the owner's grant arrives.
-const HEADROOM_PART: f64 = 0.15;
+const HEADROOM_FRACTION: f64 = 0.15;
 /// Parts of the burst and of the permitted excess that are granted evenly over the window instead of at once. A window may hold the burst
 /// each time, so a tenant that goes on asking for more than its rate is due `burst / window` more in each second.
-const STEADY_BURST_PART: f64 = 0.5;
-const STEADY_EXCESS_PART: f64 = 0.1;
+const STEADY_BURST_FRACTION: f64 = 0.5;
+const STEADY_EXCESS_FRACTION: f64 = 0.1;
 /// Part of the permitted excess that may be admitted while reports wait to be sent together.
-const DELAY_PART: f64 = 0.1;
+const DELAY_FRACTION: f64 = 0.1;
 /// Demand, in times the rate, for which the delay of reports is laid out.
 const HOT_FACTOR: f64 = 6.0;
 /// Bounds of the delay of reports. A shorter one saves no excess beside the round trip; a longer one would hide demand.
 const SHORTEST_DELAY: Duration = Duration::from_millis(20);
 const LONGEST_DELAY: Duration = Duration::from_millis(500);
 /// Part of the permitted excess that nodes without an owner may admit at once, all together.
-const STRANDED_PART: f64 = 0.2;
+const STRANDED_FRACTION: f64 = 0.2;
 /// Part of the largest fleet that is taken to be without an owner at the same time, each node on its own.
 const STRANDED_NODES: f64 = 1.0 / 3.0;
 
@@ -27,7 +27,7 @@
 /// permitted excess that nodes' first requests may use.
 const FORMING_HOT_FACTOR: f64 = 4.0;
 const FORMING_S: f64 = 1.2;
-const FORMING_FIRST_PART: f64 = 0.8;
+const FORMING_FIRST_FRACTION: f64 = 0.8;
 
 /// Bound on what is admitted of a tenant in each sliding window, by all nodes together:
 /// `(rate * window + burst) * (1 + over) + slack`.
@@ -64,34 +64,34 @@
         let window = bound.window.as_secs_f64();
         let excess = bound.over * (quota.rate_per_s * window + quota.burst) + bound.slack;
         let excess = excess.max(0.0);
-        let steady = quota.burst * STEADY_BURST_PART + excess * STEADY_EXCESS_PART;
-        Limits { rate: quota.rate_per_s + steady / window, burst: quota.burst * (1.0 - STEADY_BURST_PART), excess }
+        let steady = quota.burst * STEADY_BURST_FRACTION + excess * STEADY_EXCESS_FRACTION;
+        Limits { rate: quota.rate_per_s + steady / window, burst: quota.burst * (1.0 - STEADY_BURST_FRACTION), excess }
     }
 
     /// Requests beyond the burst that the owner grants knowingly.
     pub fn headroom(&self) -> f64 {
-        self.excess * HEADROOM_PART
+        self.excess * HEADROOM_FRACTION
     }
 
     /// How long a report may wait for others that go the same way.
     pub fn report_delay(&self) -> Duration {
-        let seconds = DELAY_PART * self.excess / (HOT_FACTOR * self.rate).max(f64::MIN_POSITIVE);
+        let seconds = DELAY_FRACTION * self.excess / (HOT_FACTOR * self.rate).max(f64::MIN_POSITIVE);
         Duration::from_secs_f64(seconds.clamp(SHORTEST_DELAY.as_secs_f64(), LONGEST_DELAY.as_secs_f64()))
     }
 
     /// Part of the requests that nodes admit which were restarted and don't know of each other yet: what the hottest tenant asks of all
     /// of them until they do stays within the permitted excess. Nothing was admitted while they were down. A tenant at its usual seldom
     /// asks a node twice in that time, a hot one does, so most is kept for each node's `first` request.
-    pub fn forming_part(&self, is_first: bool) -> f64 {
+    pub fn forming_fraction(&self, is_first: bool) -> f64 {
         let most = FORMING_HOT_FACTOR * self.rate * FORMING_S;
-        let part = if is_first { FORMING_FIRST_PART } else { 1.0 - FORMING_FIRST_PART };
-        (self.excess * part / most.max(f64::MIN_POSITIVE)).min(1.0)
+        let fraction = if is_first { FORMING_FIRST_FRACTION } else { 1.0 - FORMING_FIRST_FRACTION };
+        (self.excess * fraction / most.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
     /// Requests that a node of a fleet of `peak` nodes which finds itself without an owner may admit at once; below 1 it is the chance of
     /// one.
     pub fn stranded_credit(&self, peak: usize) -> f64 {
         let stranded = (peak as f64 * STRANDED_NODES).max(1.0);
-        self.excess * STRANDED_PART / stranded
+        self.excess * STRANDED_FRACTION / stranded
     }
 }
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -88,12 +88,12 @@
     }
 
     /// Part of a quota that an owner may grant, 0 to 1.
-    pub fn part(&self, now: BootTime) -> f64 {
+    pub fn fraction(&self, now: BootTime) -> f64 {
         (CUT_FACTOR * self.view.serving.len() as f64 / self.peak(now) as f64).min(1.0)
     }
 
     /// Part of a quota that a node without an owner may spend, 0 to 1.
-    pub fn stranded_part(&self, now: BootTime) -> f64 {
+    pub fn stranded_fraction(&self, now: BootTime) -> f64 {
         (STRANDED_FACTOR / self.peak(now) as f64).min(1.0)
     }
 
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -17,7 +17,7 @@
 /// Time over which demand is averaged, in seconds.
 const DEMAND_S: f64 = 0.4;
 /// Part of the headroom that a new owner starts with: what was admitted before it is unknown.
-const NEW_OWNER_PART: f64 = 0.5;
+const NEW_OWNER_FRACTION: f64 = 0.5;
 /// Time for which another owner's grant halves this owner's rate.
 const RIVAL_LIFE: Duration = Duration::from_millis(1500);
 /// Time between two grants to a former owner that may still grant.
@@ -35,7 +35,7 @@
 /// Change of the fraction, relative to itself, that is announced to all nodes.
 const ANNOUNCED_CHANGE: f64 = 0.2;
 /// Least part that changes are measured against.
-const LEAST_PART: f64 = 0.05;
+const LEAST_FRACTION: f64 = 0.05;
 
 /// What one node has reported.
 #[derive(Clone, Copy, Debug)]
@@ -67,7 +67,7 @@
     /// A ledger of a node that has been the owner for `owned_for` without a request, or is the first owner ever.
     pub fn new(now: BootTime, limits: &Limits, owned_for: Duration, is_first: bool) -> Self {
         let full = limits.burst + limits.headroom();
-        let start = limits.headroom() * NEW_OWNER_PART + limits.rate * owned_for.as_secs_f64();
+        let start = limits.headroom() * NEW_OWNER_FRACTION + limits.rate * owned_for.as_secs_f64();
         Ledger {
             bucket: Bucket::new(now, if is_first { full } else { start.min(full) }),
             demand: 0.0,
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Brings bucket and demand up to date; `fleet_part` is what this owner's side of the fleet may spend.
-    pub fn refill(&mut self, now: BootTime, limits: &Limits, fleet_part: f64) {
+    /// Brings bucket and demand up to date; `fleet_fraction` is what this owner's side of the fleet may spend.
+    pub fn refill(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
         self.rivals.retain(|(_, until)| *until > now);
-        let full = (limits.burst + limits.headroom()) * fleet_part;
-        self.bucket.refill(now, self.rate(limits, fleet_part), full);
+        let full = (limits.burst + limits.headroom()) * fleet_fraction;
+        self.bucket.refill(now, self.rate(limits, fleet_fraction), full);
         self.demand *= (-now.since(self.demand_at).as_secs_f64() / DEMAND_S).exp();
         self.demand_at = now;
     }
 
-    fn rate(&self, limits: &Limits, fleet_part: f64) -> f64 {
-        limits.rate * fleet_part / (1 + self.rivals.len()) as f64
+    fn rate(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
+        limits.rate * fleet_fraction / (1 + self.rivals.len()) as f64
     }
 
     /// Counts requests.
@@ -101,11 +101,11 @@
     }
 
     /// Part of the tenant's requests that nodes are to admit, 0 to 1.
-    pub fn pass(&self, limits: &Limits, fleet_part: f64) -> f64 {
-        if self.bucket.level() >= limits.headroom() * fleet_part && self.bucket.level() > 0.0 {
+    pub fn pass(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
+        if self.bucket.level() >= limits.headroom() * fleet_fraction && self.bucket.level() > 0.0 {
             return 1.0;
         }
-        let rate = self.rate(limits, fleet_part) + self.bucket.level() / CORRECTION_S;
+        let rate = self.rate(limits, fleet_fraction) + self.bucket.level() / CORRECTION_S;
         if rate >= self.demand { 1.0 } else { (rate / self.demand).max(0.0) }
     }
 
@@ -150,7 +150,7 @@
             return false;
         }
         let (age, gap) = (now.since(self.announced_at), gap(nodes));
-        let change = (pass - self.announced) / self.announced.max(LEAST_PART);
+        let change = (pass - self.announced) / self.announced.max(LEAST_FRACTION);
         let is_tighter = self.announced >= 1.0 || change < -ANNOUNCED_CHANGE;
         let is_easier = pass >= 1.0 || change > ANNOUNCED_CHANGE;
         (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -108,15 +108,15 @@
     }
 
     /// Decides about a request as the owner.
-    pub fn take_owned(&mut self, now: BootTime, fleet_part: f64, random: f64) -> Result<(), QuotaRefusal> {
+    pub fn take_owned(&mut self, now: BootTime, fleet_fraction: f64, random: f64) -> Result<(), QuotaRefusal> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(());
         };
-        ledger.refill(now, &self.limits, fleet_part);
-        let pass = ledger.pass(&self.limits, fleet_part);
+        ledger.refill(now, &self.limits, fleet_fraction);
+        let pass = ledger.pass(&self.limits, fleet_fraction);
         let is_admitted = draw(&mut self.carry, pass);
         ledger.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
-        if ledger.is_limiting() || ledger.pass(&self.limits, fleet_part) < 1.0 {
+        if ledger.is_limiting() || ledger.pass(&self.limits, fleet_fraction) < 1.0 {
             self.ledger_due = Some(now);
         }
         self.stranded = None;
@@ -139,9 +139,9 @@
 
     /// Decides about a request on this node's own: its fixed part of the rate, and seldom one request at once.
     pub fn take_stranded(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
-        let part = fleet.stranded_part(now);
-        let rate = self.limits.rate * part;
-        let most = (self.limits.burst * part).max(1.0);
+        let fraction = fleet.stranded_fraction(now);
+        let rate = self.limits.rate * fraction;
+        let most = (self.limits.burst * fraction).max(1.0);
         let was_limited = self.spender.as_ref().is_some_and(|spender| spender.was_limited(now));
         let credit = if was_limited { 0.0 } else { self.limits.stranded_credit(fleet.peak(now)) };
         let open = self.spender.as_ref().map_or(0, |spender| spender.open().admitted);
@@ -156,11 +156,11 @@
     /// Decides about a request right after a restart, while this node doesn't know who else there is. Nodes that know of different
     /// peers take different ones for the owner, so nobody's grant counts yet; what is admitted is reported all the same.
     pub fn take_forming(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
-        let part = self.limits.forming_part(!self.has_asked);
+        let fraction = self.limits.forming_fraction(!self.has_asked);
         self.has_asked = true;
-        let is_admitted = draw(&mut self.carry, part);
+        let is_admitted = draw(&mut self.carry, fraction);
         self.count_stranded(now, is_admitted);
-        if is_admitted { Ok(()) } else { Err(refusal(part, random)) }
+        if is_admitted { Ok(()) } else { Err(refusal(fraction, random)) }
     }
 
     /// Counts a request decided on this node's own, for whoever will own the tenant.
@@ -178,12 +178,12 @@
         now: BootTime,
         from: NodeId,
         report: &QuotaReport,
-        fleet_part: f64,
+        fleet_fraction: f64,
     ) -> Option<(f64, Confirmation)> {
         let ledger = self.ledger.as_mut()?;
-        ledger.refill(now, &self.limits, fleet_part);
+        ledger.refill(now, &self.limits, fleet_fraction);
         let confirmation = ledger.take_report(now, from, report);
-        let pass = ledger.pass(&self.limits, fleet_part);
+        let pass = ledger.pass(&self.limits, fleet_fraction);
         if pass < 1.0 || ledger.is_limiting() {
             self.ledger_due = Some(now);
         }
@@ -196,8 +196,8 @@
     }
 
     /// What the owner sends another node that acts as owner.
-    pub fn claim(&self, now: BootTime, fleet_part: f64) -> QuotaMessage {
-        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_part)))
+    pub fn claim(&self, now: BootTime, fleet_fraction: f64) -> QuotaMessage {
+        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_fraction)))
     }
 
     /// Whether this node is the owner, and hasn't asked a former one yet whether it still is.
@@ -207,14 +207,14 @@
     }
 
     /// The fraction that all `nodes` are to be granted now, if it must be announced.
-    pub fn due_grant(&mut self, now: BootTime, fleet_part: f64, nodes: usize) -> Option<f64> {
+    pub fn due_grant(&mut self, now: BootTime, fleet_fraction: f64, nodes: usize) -> Option<f64> {
         if self.ledger_due.is_none_or(|due| due > now) {
             return None;
         }
         self.ledger_due = None;
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none())?;
-        ledger.refill(now, &self.limits, fleet_part);
-        let pass = ledger.pass(&self.limits, fleet_part);
+        ledger.refill(now, &self.limits, fleet_fraction);
+        let pass = ledger.pass(&self.limits, fleet_fraction);
         let is_new = ledger.is_announcement_due(now, pass, nodes);
         if is_new {
             ledger.note_announced(now, pass);
@@ -239,10 +239,10 @@
     }
 
     /// Part of the requests that pass as far as this node knows.
-    pub fn pass(&self, now: BootTime, fleet_part: f64) -> f64 {
+    pub fn pass(&self, now: BootTime, fleet_fraction: f64) -> f64 {
         match (&self.ledger, &self.spender) {
             (_, Some(spender)) => spender.pass(now),
-            (Some(ledger), None) => ledger.pass(&self.limits, fleet_part),
+            (Some(ledger), None) => ledger.pass(&self.limits, fleet_fraction),
             (None, None) => 1.0,
         }
     }
--- a/crates/staircross-quota/tests/bound.rs
+++ b/crates/staircross-quota/tests/bound.rs
@@ -9,11 +9,11 @@
 use staircross_types::Quota;
 
 /// Parts of its rate and burst to which a tenant that is never refused in quiet times keeps, and the least burst that it needs.
-const SAFE_PART: f64 = 0.9;
-const SAFE_BURST_PART: f64 = 0.5;
+const SAFE_FRACTION: f64 = 0.9;
+const SAFE_BURST_FRACTION: f64 = 0.5;
 const LEAST_BURST: f64 = 2.0;
 /// Datagrams lost in quiet times, in times those of other schedules: 2 in 1,000 at most. Three losses in a row make a node doubt its owner.
-const QUIET_LOSS_PART: f64 = 0.02;
+const QUIET_LOSS_FRACTION: f64 = 0.02;
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop::sample::select(Fault::ALL)
@@ -62,8 +62,8 @@
         // It asks for more than it sends, so that it sends as much as it may, and unevenly.
         let burst = schedule.quota.burst.max(LEAST_BURST);
         let quota = Quota { burst, ..schedule.quota };
-        let keeps_to = Some((SAFE_PART, SAFE_BURST_PART));
-        let lost = schedule.lost * QUIET_LOSS_PART;
+        let keeps_to = Some((SAFE_FRACTION, SAFE_BURST_FRACTION));
+        let lost = schedule.lost * QUIET_LOSS_FRACTION;
         let quiet = Schedule { quota, keeps_to, lost, hot: 1.0, usual: 1.2, fault: Fault::None, ..schedule };
         let outcome = World::new(quiet, Scheme::Owner).run();
         prop_assert_eq!(outcome.refused, 0, "{:?}", outcome);
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -327,12 +327,12 @@
 
     /// Whether the tenant sends a request that it has, or keeps to its quota.
     fn is_sent(&mut self) -> bool {
-        let Some((rate_part, burst_part)) = self.schedule.keeps_to else {
+        let Some((rate_fraction, burst_fraction)) = self.schedule.keeps_to else {
             return true;
         };
         let quota = self.schedule.quota;
-        let filled = self.caller.level + (self.now - self.caller.at) * quota.rate_per_s * rate_part;
-        self.caller = Share { level: filled.min(quota.burst * burst_part).max(0.0), at: self.now };
+        let filled = self.caller.level + (self.now - self.caller.at) * quota.rate_per_s * rate_fraction;
+        self.caller = Share { level: filled.min(quota.burst * burst_fraction).max(0.0), at: self.now };
         let is_sent = self.caller.level >= 1.0;
         self.caller.level -= f64::from(u8::from(is_sent));
         is_sent
--- a/crates/staircross-routing/src/admission.rs
+++ b/crates/staircross-routing/src/admission.rs
@@ -280,7 +280,7 @@
     }
 
     /// Part of the requests that is taken, `ranks` below the most urgent of the group.
-    pub fn part_taken(&self, ranks: u32) -> f64 {
+    pub fn fraction_taken(&self, ranks: u32) -> f64 {
         self.level.powf(1.0 + RANK_STEP * f64::from(ranks))
     }
 
--- a/crates/staircross-routing/src/cold.rs
+++ b/crates/staircross-routing/src/cold.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Part of the bound that nodes plan to use; the rest is for nodes that see the fleet differently for a moment.
-const PLANNED_PART: f64 = 0.6;
+const PLANNED_FRACTION: f64 = 0.6;
 /// Time over which sends are counted. The bound holds for one second at the searcher, and connecting may delay a request
 /// on its way there.
 const COUNTED: Duration = Duration::from_millis(1250);
@@ -44,7 +44,7 @@
 /// Requests that a node may have sent to a cold searcher within the counted time; `None` where there is no limit.
 pub fn cold_share(cold: ColdStart, bound: ColdBound, instance: &str, fleet: FleetRank) -> Option<usize> {
     let per_s = cold.requests_per_s?;
-    let total = ((per_s * bound.factor + bound.slack) * PLANNED_PART) as usize;
+    let total = ((per_s * bound.factor + bound.slack) * PLANNED_FRACTION) as usize;
     let nodes = fleet.serving.max(1);
     let Some(rank) = fleet.rank else {
         return Some(0);
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -49,7 +49,7 @@
 use std::time::Duration;
 
 /// Part of a route's goal that its usual work is taken to be before there are measurements.
-const WORK_PART_OF_GOAL: u32 = 8;
+const WORK_FRACTION_OF_GOAL: u32 = 8;
 
 /// Bounds and place of a node's engine.
 #[derive(Clone, Debug)]
@@ -118,7 +118,7 @@
     pub(crate) random: ChaCha8Rng,
     pub(crate) place: Place,
     /// Part of the slack for extra sends that this node may spend.
-    pub(crate) slack_part: f64,
+    pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) searchers: Vec<Searcher>,
     /// The start that holds of each id.
@@ -168,7 +168,7 @@
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             quotas: quotas::allowance(&settings),
             place,
-            slack_part: 1.0,
+            slack_share: 1.0,
             settings,
             table: None,
             searchers: Vec::new(),
@@ -209,10 +209,10 @@
                 instances.iter().for_each(|instance| self.set_lapsed(now, instance))
             }
             RoutingEvent::Evacuated(zones) => self.set_evacuated(now, zones, actions),
-            RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes } => {
+            RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
                 self.place.nodes_by_zone = nodes_by_zone;
                 self.place.fleet = FleetRank { rank, serving };
-                self.slack_part = slack_part;
+                self.slack_share = slack_share;
                 self.set_quota_nodes(now, nodes);
             }
             RoutingEvent::Arrived(arrival) => self.admit(now, arrival, actions),
@@ -313,7 +313,7 @@
 
     pub(crate) fn statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
-            work: LatencyTracker::new(goal / WORK_PART_OF_GOAL, None),
+            work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL, None),
             usual: UsualWork::default(),
             turns: WeightedTurns::default(),
         })
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -21,7 +21,7 @@
 /// Longest hold: a few reads of a store that answers slowly.
 const LONGEST_HOLD: Duration = Duration::from_millis(500);
 /// Part of a caller's patience that a hold may take, so that a refused one has time to ask another node.
-const HOLD_PART: u32 = 4;
+const HOLD_DIVISOR: u32 = 4;
 /// Requests held at once; those beyond are refused.
 const MOST_HELD: usize = 512;
 
@@ -43,8 +43,8 @@
 
 impl HeldRequest {
     fn new(now: BootTime, arrival: Arrival) -> Self {
-        let part = arrival.patience.map_or(LONGEST_HOLD, |patience| patience / HOLD_PART);
-        HeldRequest { arrival, held_at: now, until: now + part.min(LONGEST_HOLD) }
+        let fraction = arrival.patience.map_or(LONGEST_HOLD, |patience| patience / HOLD_DIVISOR);
+        HeldRequest { arrival, held_at: now, until: now + fraction.min(LONGEST_HOLD) }
     }
 
     /// The arrival as if it came now. Once its hold is over, a request is judged by what is known.
@@ -152,8 +152,8 @@
             window.count_request(now, &self.settings.extra);
         }
         let group = services.first().cloned().unwrap_or_default();
-        if let Some(part) = self.refusing_part(now, &group, table.rank(tenant, route), whose) {
-            actions.push(RoutingAction::NotAdmitted { request: arrival.key, group, part });
+        if let Some(fraction) = self.refusing_fraction(now, &group, table.rank(tenant, route), whose) {
+            actions.push(RoutingAction::NotAdmitted { request: arrival.key, group, fraction });
             return refuse(ErrorKind::Overloaded, "too much waits at the back ends already");
         }
         let services_count = services.len();
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -20,7 +20,7 @@
 /// Parts of the unusually long time after which a hedge is sent, while all of the budget is left and while none is. What isn't spent
 /// in a window is lost, so a full budget buys earlier hedges; a scarce one is kept for attempts that are surely late, and for repeats
 /// of those that failed. Against the whole time whatever is left: 0.006 of a day's worth where goals are short, in each kind of day.
-const HEDGE_PARTS: (f64, f64) = (0.5, 1.3);
+const HEDGE_DELAY_FACTORS: (f64, f64) = (0.5, 1.3);
 /// Times the usual work that a hedge is taken to need.
 const HEDGE_WORK_FACTOR: f64 = 2.0;
 /// The final answer goes out so long before the deadline.
@@ -83,7 +83,7 @@
 
     fn spend(&mut self, now: BootTime, service: &Arc<str>) -> bool {
         let window = self.windows.entry(service.clone()).or_default();
-        let is_within_budget = window.try_spend(now, &self.settings.extra, self.slack_part);
+        let is_within_budget = window.try_spend(now, &self.settings.extra, self.slack_share);
         if !is_within_budget {
             self.counters.over_budget += 1;
         }
@@ -100,7 +100,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         let other_round_trip = self.longest_other_round_trip(now, key, searcher_key);
-        let late_part = self.late_part(now, searcher_key);
+        let hedge_delay_factor = self.hedge_delay_factor(now, searcher_key);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
@@ -119,7 +119,7 @@
         shard.sent_to.push(searcher_key);
         shard.outstanding += 1;
         shard.tried.push(searcher_key);
-        let times = HedgeTimes { round_trip, other_round_trip, usual, late: late.mul_f64(late_part) };
+        let times = HedgeTimes { round_trip, other_round_trip, usual, late: late.mul_f64(hedge_delay_factor) };
         let hedge_at = times.hedge_at(now, request.answer_by);
         let harmless_at = now + round_trip + work.mul_f64(HARMLESS_WORK_FACTOR);
         let shard = shard_index as u32;
@@ -156,14 +156,14 @@
     }
 
     /// Part of the unusually long time that a hedge for an attempt at a searcher waits, by what is left of its service's budget.
-    fn late_part(&mut self, now: BootTime, searcher: SearcherKey) -> f64 {
+    fn hedge_delay_factor(&mut self, now: BootTime, searcher: SearcherKey) -> f64 {
         if !self.settings.policy.hedge_by_budget {
             return 1.0;
         }
         let service = &self.searchers[searcher.0 as usize].entry.service;
-        let (bound, slack_part) = (&self.settings.extra, self.slack_part);
-        let spare = self.windows.get_mut(service).map_or(1.0, |window| window.spare_part(now, bound, slack_part));
-        let (least, most) = HEDGE_PARTS;
+        let (bound, slack_share) = (&self.settings.extra, self.slack_share);
+        let spare = self.windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share));
+        let (least, most) = HEDGE_DELAY_FACTORS;
         most - (most - least) * spare
     }
 
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -65,7 +65,7 @@
 
     /// Whether a request is refused because too much waits: then, the part of its tenant's requests at its rank that is taken now.
     /// `tenant` is whose it is, where that is known.
-    pub(super) fn refusing_part(
+    pub(super) fn refusing_fraction(
         &mut self,
         now: BootTime,
         group: &Arc<str>,
@@ -80,13 +80,13 @@
             return None;
         }
         let (first, last) = group.priorities;
-        let level = group.admission.part_taken(rank.steps(first..=last));
-        let part = shares.part_taken(now, tenant, level);
-        if self.random.random_bool(part) {
+        let level = group.admission.fraction_taken(rank.steps(first..=last));
+        let fraction = shares.fraction_taken(now, tenant, level);
+        if self.random.random_bool(fraction) {
             return None;
         }
         self.counters.not_admitted += 1;
-        Some(part)
+        Some(fraction)
     }
 
     /// Whether so much waits at a service that asking another of its searchers helps nobody.
@@ -101,7 +101,7 @@
     fn tolerable_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
         let goal = usable_goal(route, &CallerLink::default());
         let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual.get());
-        tolerable_wait(goal, measured.unwrap_or(goal / super::WORK_PART_OF_GOAL), fan_out)
+        tolerable_wait(goal, measured.unwrap_or(goal / super::WORK_FRACTION_OF_GOAL), fan_out)
     }
 
     /// Learns from an attempt's end how much waits, and judges from time to time.
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -92,7 +92,7 @@
         let Some(window) = self.windows.get_mut(service) else {
             return true;
         };
-        let permitted = window.permitted_until(now, deadline, &self.settings.extra, self.slack_part);
+        let permitted = window.permitted_until(now, deadline, &self.settings.extra, self.slack_share);
         let mut ahead = self.waiting.get(service).into_iter().flatten().filter(|waiting| self.needs_budget(waiting));
         permitted > 0 && ahead.nth(permitted - 1).is_none()
     }
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -37,7 +37,7 @@
         /// This node's number among those that serve, from 0; `None` for a reserve.
         rank: Option<usize>,
         /// This node's part of the slack for extra sends, 0 to 1.
-        slack_part: f64,
+        slack_share: f64,
         /// Live nodes that take callers' requests, reserves too; `None` where they are those told last.
         nodes: Option<Vec<NodeId>>,
     },
@@ -140,7 +140,7 @@
         /// The first service of the group.
         group: Arc<str>,
         /// Part of its route's requests that is taken now, 0 to 1.
-        part: f64,
+        fraction: f64,
     },
     /// What is taken of the work offered to a group of services has changed; for the log alone.
     Admission {
--- a/crates/staircross-routing/src/fair_share.rs
+++ b/crates/staircross-routing/src/fair_share.rs
@@ -45,7 +45,7 @@
 const PRECISION: f64 = 1e-9;
 
 /// Part that is taken of `count` requests at a share.
-fn part_at(share: f64, count: f64, floor: f64) -> f64 {
+fn fraction_at(share: f64, count: f64, floor: f64) -> f64 {
     (share / count).clamp(floor, 1.0)
 }
 
@@ -77,7 +77,7 @@
     }
 
     /// Part of a tenant's requests that is taken while `level` is taken of all, 0 to 1 both. The tenant's request is counted before.
-    pub fn part_taken(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
+    pub fn fraction_taken(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
         let unit = self.unit(now);
         let is_alone = self.counts.len() <= 1 && self.rest == 0.0;
         let Some(count) = self.counts.get(key_of(tenant)).copied().filter(|_| !is_alone) else {
@@ -85,9 +85,9 @@
         };
         let floor = FLOOR * level;
         let aim = (level + OWED_GAIN * self.owed).clamp(0.0, 1.0);
-        let part = part_at(self.share(aim, floor, unit), count, floor);
-        self.owed += level - part;
-        part
+        let fraction = fraction_at(self.share(aim, floor, unit), count, floor);
+        self.owed += level - fraction;
+        fraction
     }
 
     /// The share at which `aim` of all is taken. Tenants that aren't counted one by one are each taken to ask for one request.
@@ -104,7 +104,7 @@
         let mut share = (low + high) / 2.0;
         for _ in 0..MOST_STEPS {
             let is_cut = |count: f64| floor * count < share && share < count;
-            let of_rest = self.rest * part_at(share, unit, floor);
+            let of_rest = self.rest * fraction_at(share, unit, floor);
             let rest_cut = if is_cut(unit) { self.rest / unit } else { 0.0 };
             let (taken, cut) = self.counts.values().fold((of_rest, rest_cut), |(taken, cut), count| {
                 let own = (share.min(*count)).max(floor * count);
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -79,7 +79,8 @@
         nodes_by_zone: BTreeMap<Arc<str>, usize>,
         serving: usize,
         rank: Option<usize>,
-        slack_part: f64,
+        #[serde(rename = "slack_part")]
+        slack_share: f64,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         nodes: Option<Vec<NodeId>>,
     },
@@ -210,11 +211,11 @@
             RoutingEvent::Searchers(entries) => RecordedEvent::Searchers(entries.clone()),
             RoutingEvent::SearchersGone(instances) => RecordedEvent::SearchersGone(instances.clone()),
             RoutingEvent::Evacuated(zones) => RecordedEvent::Evacuated(zones.clone()),
-            RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes } => RecordedEvent::Fleet {
+            RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => RecordedEvent::Fleet {
                 nodes_by_zone: nodes_by_zone.iter().map(|(zone, count)| (zone.clone(), *count)).collect(),
                 serving: *serving,
                 rank: *rank,
-                slack_part: *slack_part,
+                slack_share: *slack_share,
                 nodes: nodes.clone(),
             },
             RoutingEvent::Arrived(arrival) => RecordedEvent::Arrived(arrival.clone()),
@@ -386,9 +387,9 @@
             RecordedEvent::Searchers(entries) => RoutingEvent::Searchers(entries),
             RecordedEvent::SearchersGone(instances) => RoutingEvent::SearchersGone(instances),
             RecordedEvent::Evacuated(zones) => RoutingEvent::Evacuated(zones),
-            RecordedEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes } => {
+            RecordedEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
                 let nodes_by_zone = nodes_by_zone.into_iter().collect();
-                RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes }
+                RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes }
             }
             RecordedEvent::Arrived(arrival) => RoutingEvent::Arrived(arrival),
             RecordedEvent::CallerGone(request) => RoutingEvent::CallerGone(request),
--- a/crates/staircross-routing/src/rejection.rs
+++ b/crates/staircross-routing/src/rejection.rs
@@ -4,7 +4,7 @@
 //! costs a repeat from a budget that all share, so remembering who rejects serves more requests than any pause: where 60 of 100
 //! requests to two thirds of a service's searchers were rejected, requests that failed fell from 9 in 100 to 1 in 1,000.
 
-use crate::decay::kept_part;
+use crate::decay::kept_fraction;
 use staircross_types::BootTime;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     }
 
     fn decayed(&self, now: BootTime) -> f64 {
-        self.rate * kept_part(now.since(self.estimated_at), HALF_LIFE)
+        self.rate * kept_fraction(now.since(self.estimated_at), HALF_LIFE)
     }
 
     /// Notes that it rejected something.
--- a/crates/staircross-routing/src/searcher.rs
+++ b/crates/staircross-routing/src/searcher.rs
@@ -4,7 +4,7 @@
 //! that has gone or is leaving is never asked again; when it starts again under its id, that is another searcher.
 
 use crate::cold::ColdSends;
-use crate::decay::kept_part;
+use crate::decay::kept_fraction;
 use crate::definition::ColdStart;
 use crate::keys::{AttemptKey, InstanceKey};
 use crate::mirror::SearcherEntry;
@@ -249,7 +249,7 @@
             return 1.0;
         };
         let beyond = (f64::from(load.host_slowness.unwrap_or(USUAL_PERCENT)) / f64::from(USUAL_PERCENT) - 1.0).max(0.0);
-        1.0 + beyond.min(SLOWNESS_RANGE.1) * kept_part(now.since(at), HOST_HALF_LIFE)
+        1.0 + beyond.min(SLOWNESS_RANGE.1) * kept_fraction(now.since(at), HOST_HALF_LIFE)
     }
 
     /// Part of what is sent to it that it is taken to reject, 0 to 1.
@@ -315,7 +315,7 @@
     }
 
     fn kept_since_measured(&self, now: BootTime) -> f64 {
-        kept_part(now.since(self.measured_at), SLOWNESS_HALF_LIFE)
+        kept_fraction(now.since(self.measured_at), SLOWNESS_HALF_LIFE)
     }
 
     /// Notes an answer that was lost, spoiled or a failure. It counts as a slow one: others are preferred
--- a/crates/staircross-routing/src/selection.rs
+++ b/crates/staircross-routing/src/selection.rs
@@ -31,8 +31,8 @@
 /// Candidates within this factor of the best share the work.
 const AS_GOOD: f64 = 1.1;
 /// Parts of a searcher's connections that nodes of its own zone and of others use.
-const OWN_ZONE_PART: f64 = 0.45;
-const OTHER_ZONE_PART: f64 = 0.45;
+const OWN_ZONE_SHARE: f64 = 0.45;
+const OTHER_ZONE_SHARE: f64 = 0.45;
 /// Steps in which a restarted node comes to use its share of a searcher's connections, and the time of each. When all nodes
 /// lost power, searchers reset what is over their bound until they notice that the old connections are gone (2 to
 /// 3 s on the users' bench), and whoever comes first would take all that is left.
@@ -124,13 +124,13 @@
         let fleet = self.fleet.serving.max(1);
         let near = self.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(fleet);
         let share = if near == 0 {
-            most * (OWN_ZONE_PART + OTHER_ZONE_PART) / fleet as f64
+            most * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / fleet as f64
         } else if near == fleet {
-            most * (OWN_ZONE_PART + OTHER_ZONE_PART) / near as f64
+            most * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / near as f64
         } else if *searcher.entry.zone == *self.zone {
-            most * OWN_ZONE_PART / near as f64
+            most * OWN_ZONE_SHARE / near as f64
         } else {
-            most * OTHER_ZONE_PART / (fleet - near) as f64
+            most * OTHER_ZONE_SHARE / (fleet - near) as f64
         };
         (share as usize).max(1)
     }
--- a/crates/staircross-routing/src/window.rs
+++ b/crates/staircross-routing/src/window.rs
@@ -46,10 +46,10 @@
         self.current(now, bound).requests += 1;
     }
 
-    /// Takes a token for one extra send, if there is any. `slack_part` of the slack is this node's, 0 to 1.
-    pub fn try_spend(&mut self, now: BootTime, bound: &ExtraBound, slack_part: f64) -> bool {
+    /// Takes a token for one extra send, if there is any. `slack_share` of the slack is this node's, 0 to 1.
+    pub fn try_spend(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> bool {
         self.current(now, bound);
-        if self.spare(bound, slack_part) < 1.0 {
+        if self.spare(bound, slack_share) < 1.0 {
             return false;
         }
         self.current(now, bound).extras += 1;
@@ -57,15 +57,15 @@
     }
 
     /// Fraction of the present window's budget that isn't spent, 0 to 1.
-    pub fn spare_part(&mut self, now: BootTime, bound: &ExtraBound, slack_part: f64) -> f64 {
+    pub fn spare_fraction(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> f64 {
         self.current(now, bound);
-        let spare = self.spare(bound, slack_part);
-        let allowed = self.allowed(bound, slack_part);
+        let spare = self.spare(bound, slack_share);
+        let allowed = self.allowed(bound, slack_share);
         if allowed > 0.0 { (spare / allowed).clamp(0.0, 1.0) } else { 0.0 }
     }
 
     /// Extra sends that the budget will permit until a time, if requests go on coming at their present rate.
-    pub fn permitted_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_part: f64) -> usize {
+    pub fn permitted_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_share: f64) -> usize {
         let present = self.current(now, bound).number;
         let last = step_number(until, bound).max(present);
         let first = self.steps.front().map_or(present, |step| step.number);
@@ -73,19 +73,19 @@
         let growth = (seen + last - present).min(STEPS).max(seen) as f64 / seen as f64;
         let remaining = self.steps.iter().filter(|step| step.number + STEPS >= last);
         let extras: u32 = remaining.map(|step| step.extras).sum();
-        let allowed = f64::from(self.requests()) * growth * bound.ratio * RATIO_USED + own_slack(bound, slack_part);
+        let allowed = f64::from(self.requests()) * growth * bound.ratio * RATIO_USED + own_slack(bound, slack_share);
         (allowed - f64::from(extras)).max(0.0) as usize
     }
 
     /// Extra sends that the budget permits now; below 0 where more were sent than is allowed by now.
-    fn spare(&self, bound: &ExtraBound, slack_part: f64) -> f64 {
+    fn spare(&self, bound: &ExtraBound, slack_share: f64) -> f64 {
         let extras: u32 = self.steps.iter().map(|step| step.extras).sum();
-        self.allowed(bound, slack_part) - f64::from(extras)
+        self.allowed(bound, slack_share) - f64::from(extras)
     }
 
     /// Extra sends that the requests of the window allow.
-    fn allowed(&self, bound: &ExtraBound, slack_part: f64) -> f64 {
-        f64::from(self.requests()) * bound.ratio * RATIO_USED + own_slack(bound, slack_part)
+    fn allowed(&self, bound: &ExtraBound, slack_share: f64) -> f64 {
+        f64::from(self.requests()) * bound.ratio * RATIO_USED + own_slack(bound, slack_share)
     }
 
     fn requests(&self) -> u32 {
@@ -107,8 +107,8 @@
 }
 
 /// What a node may spend of the slack.
-fn own_slack(bound: &ExtraBound, slack_part: f64) -> f64 {
-    bound.slack * SLACK_USED * slack_part
+fn own_slack(bound: &ExtraBound, slack_share: f64) -> f64 {
+    bound.slack * SLACK_USED * slack_share
 }
 
 /// Number of the step that a time lies in.
--- a/crates/staircross-routing/tests/common/backends.rs
+++ b/crates/staircross-routing/tests/common/backends.rs
@@ -49,7 +49,7 @@
         tally
     }
 
-    pub fn part(&self, count: usize) -> f64 {
+    pub fn fraction(&self, count: usize) -> f64 {
         count as f64 / self.all().max(1) as f64
     }
 }
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -209,7 +209,7 @@
                 RoutingAction::LeftOut { service, cause, .. } => self.left_out.push((service.to_string(), cause)),
                 RoutingAction::Held { request, cause } => self.held.push((request, cause)),
                 RoutingAction::KeyRefused { request, cause } => self.keys_refused.push((request, cause)),
-                RoutingAction::NotAdmitted { request, part, .. } => self.not_admitted.push((request, part)),
+                RoutingAction::NotAdmitted { request, fraction, .. } => self.not_admitted.push((request, fraction)),
                 RoutingAction::Admission { change, .. } => self.admission.push((self.now, change)),
                 RoutingAction::SendQuotas { to, messages } => self.quota_told.push((to, messages)),
                 RoutingAction::Quota(change) => self.quota_changes.push(change),
@@ -301,13 +301,13 @@
     pub fn fleet_nodes(&mut self, nodes: &[NodeId]) {
         let nodes_by_zone = HashMap::from([(Arc::from("a"), nodes.len())]);
         let (serving, nodes) = (nodes.len(), Some(nodes.to_vec()));
-        self.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank: Some(0), slack_part: 1.0, nodes });
+        self.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank: Some(0), slack_share: 1.0, nodes });
     }
 
     pub fn fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
         let nodes_by_zone: HashMap<Arc<str>, usize> =
             zones.iter().map(|(zone, count)| (Arc::from(*zone), *count)).collect();
-        let slack_part = 1.0 / fleet as f64;
-        self.event(RoutingEvent::Fleet { nodes_by_zone, serving: fleet, rank: Some(0), slack_part, nodes: None });
+        let slack_share = 1.0 / fleet as f64;
+        self.event(RoutingEvent::Fleet { nodes_by_zone, serving: fleet, rank: Some(0), slack_share, nodes: None });
     }
 }
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -26,21 +26,21 @@
         for (index, count) in counts.iter().enumerate() {
             (0..*count).for_each(|_| shares.count(now, Some(&name(index))));
         }
-        let part = |index| shares.clone().part_taken(now, Some(&name(index)), level);
-        let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), part(i))).collect();
+        let fraction = |index| shares.clone().fraction_taken(now, Some(&name(index)), level);
+        let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), fraction(i))).collect();
         let all: f64 = tenants.iter().map(|(count, _)| count).sum();
-        let taken: f64 = tenants.iter().map(|(count, part)| count * part).sum();
+        let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
         prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} at {level}");
 
         let floor = FLOOR * level;
         let fair_share = (1.0 - FLOOR) * level * all / tenants.len() as f64;
-        for (count, part) in &tenants {
-            prop_assert!((floor..=1.0).contains(part));
-            prop_assert!(*count > fair_share || *part == 1.0, "asks for {count} of {fair_share} and gets {part}");
-            for (other_count, other_part) in &tenants {
-                let other_has_more = other_count * other_part > count * part + 1e-5 * all;
-                let is_fair = *part > 1.0 - 1e-6 || *other_part < floor + 1e-6;
-                prop_assert!(!other_has_more || is_fair, "{part} of {count}, {other_part} of {other_count}");
+        for (count, fraction) in &tenants {
+            prop_assert!((floor..=1.0).contains(fraction));
+            prop_assert!(*count > fair_share || *fraction == 1.0, "asks for {count} of {fair_share} and gets {fraction}");
+            for (other_count, other_fraction) in &tenants {
+                let other_has_more = other_count * other_fraction > count * fraction + 1e-5 * all;
+                let is_fair = *fraction > 1.0 - 1e-6 || *other_fraction < floor + 1e-6;
+                prop_assert!(!other_has_more || is_fair, "{fraction} of {count}, {other_fraction} of {other_count}");
             }
         }
     }
@@ -62,7 +62,7 @@
             let level = levels[request * levels.len() / 600];
             now = now + Duration::from_millis(random.random_range(0..=gap_ms * 2));
             shares.count(now, Some(&tenant));
-            owed += level - shares.part_taken(now, Some(&tenant), level);
+            owed += level - shares.fraction_taken(now, Some(&tenant), level);
             prop_assert!(owed.abs() <= MOST_OWED, "{owed} requests too few after {request}");
         }
     }
@@ -75,7 +75,7 @@
         let now = BootTime::from_millis(step * 37);
         let level = 0.05 + 0.9 * (step as f64 / 2000.0);
         shares.count(now, None);
-        assert_eq!(shares.part_taken(now, None, level), level, "to the last bit");
+        assert_eq!(shares.fraction_taken(now, None, level), level, "to the last bit");
     }
 }
 
@@ -89,8 +89,8 @@
         let is_greedy = step % 2 == 0;
         let tenant = if is_greedy { greedy.clone() } else { name(step % 10_000) };
         shares.count(now, Some(&tenant));
-        let part = shares.part_taken(now, Some(&tenant), 0.7);
-        if is_greedy { of_greedy.push(part) } else { of_others.push(part) }
+        let fraction = shares.fraction_taken(now, Some(&tenant), 0.7);
+        if is_greedy { of_greedy.push(fraction) } else { of_others.push(fraction) }
     }
     let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
     // The greedy one is held at the floor, and the others get what that leaves of a level of 0.7.
@@ -144,7 +144,7 @@
 }
 
 impl Served {
-    fn part(self) -> f64 {
+    fn fraction(self) -> f64 {
         self.in_time / self.asked.max(1.0)
     }
 }
@@ -194,11 +194,11 @@
         }
         node.shares.count(now, Some(tenant));
         let level = self.level.unwrap_or(node.admission.level());
-        let part = match refusing {
-            Refusing::ByShares if level < 1.0 => node.shares.part_taken(now, Some(tenant), level),
+        let fraction = match refusing {
+            Refusing::ByShares if level < 1.0 => node.shares.fraction_taken(now, Some(tenant), level),
             _ => level,
         };
-        if !self.random.random_bool(part) {
+        if !self.random.random_bool(fraction) {
             return false;
         }
         let waited = now.until(begins);
@@ -219,14 +219,14 @@
 }
 
 fn outcome(served: &[Served]) -> Outcome {
-    let mut parts: Vec<f64> = served.iter().map(|tenant| tenant.part()).collect();
+    let mut parts: Vec<f64> = served.iter().map(|tenant| tenant.fraction()).collect();
     let greedy = parts[0];
     parts.sort_by(f64::total_cmp);
     let worst = &parts[..parts.len().div_ceil(10)];
     let sum = |served: &[Served]| {
         let add =
             |sum: Served, one: &Served| Served { asked: sum.asked + one.asked, in_time: sum.in_time + one.in_time };
-        served.iter().fold(Served::default(), add).part()
+        served.iter().fold(Served::default(), add).fraction()
     };
     let worst_tenth = worst.iter().sum::<f64>() / worst.len() as f64;
     Outcome { worst_tenth, greedy, others: sum(&served[1..]), all: sum(served) }
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -73,10 +73,10 @@
         let now = BootTime::from_millis(1_000_000);
         let mut window = ExtraWindow::default();
         (0..requests).for_each(|_| window.count_request(now, &bound));
-        let mut before = window.spare_part(now, &bound, 1.0);
+        let mut before = window.spare_fraction(now, &bound, 1.0);
         for _ in 0..sends {
             window.try_spend(now, &bound, 1.0);
-            let after = window.spare_part(now, &bound, 1.0);
+            let after = window.spare_fraction(now, &bound, 1.0);
             prop_assert!((0.0..=1.0).contains(&after) && after <= before);
             before = after;
         }
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -39,7 +39,7 @@
     backends.offer(paths, CAPACITY * 0.4, Duration::from_secs(4));
     let calm = backends.tally(GOAL);
     assert_eq!(calm.refused, 0, "nothing is refused in calm times: {calm:?}");
-    assert!(calm.part(calm.in_time) > 0.98, "{calm:?}");
+    assert!(calm.fraction(calm.in_time) > 0.98, "{calm:?}");
     backends
 }
 
@@ -53,16 +53,16 @@
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
     offered(&mut backends, &["/q/1"], 1.5, 3);
     let settled = offered(&mut backends, &["/q/1"], 1.5, 8);
-    assert!(settled.part(settled.in_time) > 0.4, "of 0.67 that can be done: {settled:?}");
-    assert!(settled.part(settled.late) < 0.2, "{settled:?}");
-    assert!(settled.part(settled.failed) < 0.01, "what isn't taken is refused at once: {settled:?}");
+    assert!(settled.fraction(settled.in_time) > 0.4, "of 0.67 that can be done: {settled:?}");
+    assert!(settled.fraction(settled.late) < 0.2, "{settled:?}");
+    assert!(settled.fraction(settled.failed) < 0.01, "what isn't taken is refused at once: {settled:?}");
     let told = &backends.driver.not_admitted;
     assert_eq!(
         told.len() as u64,
         backends.driver.engine.counters.not_admitted,
         "each refusal says what it follows from"
     );
-    assert!(told.iter().all(|(_, part)| (0.0..1.0).contains(part)), "{told:?}");
+    assert!(told.iter().all(|(_, fraction)| (0.0..1.0).contains(fraction)), "{told:?}");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     offered(&mut backends, &["/q/1"], 0.5, 5);
     let after = offered(&mut backends, &["/q/1"], 0.5, 4);
     assert_eq!(after.refused, 0, "{after:?}");
-    assert!(after.part(after.in_time) > 0.97, "{after:?}");
+    assert!(after.fraction(after.in_time) > 0.97, "{after:?}");
 }
 
 #[test]
@@ -84,8 +84,8 @@
         backends.driver.configure(definition(version, vec![query("q", 1)], &SHARDS));
     }
     let stormy = backends.tally(GOAL);
-    assert!(stormy.part(stormy.refused) > 0.2, "{stormy:?}");
-    assert!(stormy.part(stormy.late) < 0.2, "{stormy:?}");
+    assert!(stormy.fraction(stormy.refused) > 0.2, "{stormy:?}");
+    assert!(stormy.fraction(stormy.late) < 0.2, "{stormy:?}");
 }
 
 #[test]
@@ -149,7 +149,7 @@
     backends.work = WORK * 5;
     offered(&mut backends, &["/q/1"], 0.08, 60);
     let after = offered(&mut backends, &["/q/1"], 0.08, 10);
-    assert!(after.part(after.refused) < 0.1, "{after:?}");
+    assert!(after.fraction(after.refused) < 0.1, "{after:?}");
 }
 
 #[test]
@@ -182,9 +182,9 @@
     assert_eq!(settled.refused, 0, "{settled:?}");
     offered(&mut backends, &["/q/1"], 0.01, 4);
     let of_surge = backends.tally_of_arrivals(GOAL, began, calmed);
-    assert!(of_surge.part(of_surge.in_time + of_surge.late) > 0.5, "{of_surge:?}");
+    assert!(of_surge.fraction(of_surge.in_time + of_surge.late) > 0.5, "{of_surge:?}");
     let of_calm = backends.tally_of_arrivals(GOAL, calmed, BootTime::FAR_FUTURE);
-    assert!(of_calm.part(of_calm.in_time) > 0.9, "{of_calm:?}");
+    assert!(of_calm.fraction(of_calm.in_time) > 0.9, "{of_calm:?}");
 }
 
 #[test]
@@ -208,7 +208,7 @@
     backends.offer(&["/q/1"], CAPACITY * 1.6, Duration::from_millis(300));
     let burst = offered(&mut backends, &["/q/1"], 0.3, 3);
     assert_eq!(burst.refused, 0, "{burst:?}");
-    assert!(burst.part(burst.in_time + burst.late) > 0.9, "{burst:?}");
+    assert!(burst.fraction(burst.in_time + burst.late) > 0.9, "{burst:?}");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -85,8 +85,8 @@
         RoutingAction::KeyRefused { request, cause } => {
             (format!("key {}", cause.name()), format!("{} {}", request.0, cause.detail()))
         }
-        RoutingAction::NotAdmitted { request, group, part } => {
-            ("not admitted".into(), format!("{} {group} {part}", request.0))
+        RoutingAction::NotAdmitted { request, group, fraction } => {
+            ("not admitted".into(), format!("{} {group} {fraction}", request.0))
         }
         RoutingAction::Admission { group, change } => {
             let (wait, tolerable) = (change.wait.as_nanos(), change.tolerable.as_nanos());
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -119,8 +119,8 @@
 fn fleet(world: &mut World, serving: usize, rank: Option<usize>) {
     let nodes_by_zone = [("a", serving.div_ceil(3)), ("b", serving / 3)];
     let nodes_by_zone = nodes_by_zone.into_iter().map(|(zone, count)| (Arc::from(zone), count)).collect();
-    let slack_part = 1.0 / serving as f64;
-    world.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_part, nodes: None });
+    let slack_share = 1.0 / serving as f64;
+    world.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes: None });
 }
 
 const TEN: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -59,7 +59,7 @@
     let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), entries(5));
     let nodes_by_zone = [(Arc::from("a"), NODES.len())].into_iter().collect();
     let nodes = Some(NODES.to_vec());
-    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_part: 1.0, nodes });
+    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_share: 1.0, nodes });
     world.offer((0.0, 14_000.0), 12.0, "/q/1", |arrival, number| by_tenant(arrival, ["t1", "t2", "t3"][number % 3]));
     world.offer((3000.0, 11_000.0), 50.0, "/q/2", |arrival, number| by_tenant(arrival, ["t1", "t1", "t2"][number % 3]));
     world
@@ -140,7 +140,7 @@
     definition.services.iter_mut().for_each(|service| service.max_connections = 40);
     let mut world = World::new(settings, Some(definition), entries(5));
     let nodes_by_zone = [(Arc::from("a"), 4)].into_iter().collect();
-    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: 4, rank: Some(2), slack_part: 0.25, nodes: None });
+    world.event(RoutingEvent::Fleet { nodes_by_zone, serving: 4, rank: Some(2), slack_share: 0.25, nodes: None });
     for instance in ["s0x", "s2y"] {
         world.searchers.get_mut(instance).expect("started").slowness = 9.0;
     }
