--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -29,7 +29,7 @@
 use staircross_cluster::{Member, MemberState};
 use staircross_quota::QuotaMessage;
 use staircross_routing::CaseRecord;
-use staircross_routing::selection::Distance;
+use staircross_routing::decision::placement::Distance;
 use staircross_types::{BootTime, NodeId, ZoneName};
 use staircross_wire::frame::{decode, encode};
 use std::io::ErrorKind;
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -9,7 +9,7 @@
 use crate::event_log::LineKind;
 use staircross_cluster::{Member, MemberState};
 use staircross_routing::SuspicionChange;
-use staircross_routing::mirror::MirrorChanges;
+use staircross_routing::state::mirror::MirrorChanges;
 use staircross_types::BootTime;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -11,7 +11,7 @@
 use crate::socket::SocketId;
 use staircross_http::{Request, ServerFault};
 use staircross_quota::QuotaChange;
-use staircross_routing::admission::AdmissionChange;
+use staircross_routing::decision::admission::AdmissionChange;
 use staircross_routing::engine::{RoutingAction, RoutingEvent, SendOrder, SendReason};
 use staircross_routing::{Arrival, CallerLink, Credential, RequestKey, Verdict};
 use staircross_types::ErrorKind;
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -2,7 +2,7 @@
 
 use super::{AbandonCause, Assignment, MISDIRECTED, Pool, PoolEvent, REST_GUARD, State};
 use staircross_http::{Answer, ClientFault};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{AttemptOutcome, NotRun, SearcherAnswer, SearcherKey};
 use staircross_types::BootTime;
 use std::time::Duration;
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -3,8 +3,8 @@
 //! Links between zones and regions are slow and paid for by the byte, so an operator must see what fills them. Only
 //! payloads of sockets are counted, at the side that opens the connection; datagrams where they are sent.
 
+use staircross_routing::decision::placement::Distance;
 use staircross_routing::engine::SendReason;
-use staircross_routing::selection::Distance;
 use std::ops::AddAssign;
 
 /// What bytes were sent or received for.
--- a/crates/staircross-gateway/tests/traffic.rs
+++ b/crates/staircross-gateway/tests/traffic.rs
@@ -1,8 +1,8 @@
 //! Bytes by purpose and distance.
 
 use staircross_gateway::traffic::{Purpose, Reach, Traffic};
+use staircross_routing::decision::placement::Distance;
 use staircross_routing::engine::SendReason;
-use staircross_routing::selection::Distance;
 
 #[test]
 fn bytes_are_told_apart_by_purpose_and_reach_and_add_up() {
--- a/crates/staircross-routing/src/definition_check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -2,10 +2,10 @@
 //!
 //! Findings name tenants, routes and regions; keys never.
 
-use crate::allowed_regions::AllowedRegions;
-use crate::definition::{RouteDefinition, RoutingDefinition};
+use crate::configuration::definition::{RouteDefinition, RoutingDefinition};
+use crate::configuration::tenants::{KeyDigest, TenantDefinition};
+use crate::decision::allowed_regions::AllowedRegions;
 use crate::keys::TenantKey;
-use crate::tenants::{KeyDigest, TenantDefinition};
 use hashbrown::hash_map::Entry;
 use hashbrown::{HashMap, HashSet};
 use std::fmt;
--- a/crates/staircross-routing/src/definition.rs
+++ b/crates/staircross-routing/src/configuration/definition.rs
@@ -1,6 +1,6 @@
 //! What one version of the configuration says.
 
-use crate::tenants::TenantDefinition;
+use crate::configuration::tenants::TenantDefinition;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/staircross-routing/src/definition_delta.rs
+++ b/crates/staircross-routing/src/configuration/delta.rs
@@ -4,8 +4,8 @@
 //! costs a call a node for each change, mostly of one route. A delta holds the routes and services that changed and a digest of what must come of
 //! it; whoever gets something else doesn't take it and reads the whole.
 
-use crate::definition::{CallerLimits, RouteDefinition, RoutingDefinition, ServiceEntry};
-use crate::tenants::TenantDefinition;
+use crate::configuration::definition::{CallerLimits, RouteDefinition, RoutingDefinition, ServiceEntry};
+use crate::configuration::tenants::TenantDefinition;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/table.rs
+++ b/crates/staircross-routing/src/configuration/table.rs
@@ -1,9 +1,9 @@
 //! Which route a request takes.
 
-use crate::definition::{RouteDefinition, RoutingDefinition};
+use crate::configuration::definition::{RouteDefinition, RoutingDefinition};
+use crate::configuration::rank::Rank;
+use crate::configuration::tenants::{Credential, KeyDigest, KeyRefusal, TenantDefinition};
 use crate::keys::TenantKey;
-use crate::rank::Rank;
-use crate::tenants::{Credential, KeyDigest, KeyRefusal, TenantDefinition};
 use hashbrown::HashMap;
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -1,7 +1,7 @@
 //! In which regions a request may be served.
 
-use crate::definition::RouteDefinition;
-use crate::tenants::TenantDefinition;
+use crate::configuration::definition::RouteDefinition;
+use crate::configuration::tenants::TenantDefinition;
 use std::sync::Arc;
 
 /// The regions that a request's route allows, and those that its tenant does; both bind.
--- a/crates/staircross-routing/src/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -4,7 +4,7 @@
 //! who sends; each takes a share that follows from how many nodes serve, so that the sum stays below the bound. Where the
 //! bound is less than a request for each node, as many nodes as it allows send one, others for each searcher.
 
-use crate::definition::ColdStart;
+use crate::configuration::definition::ColdStart;
 use serde::{Deserialize, Serialize};
 use staircross_types::BootTime;
 use std::collections::VecDeque;
--- a/crates/staircross-routing/src/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -1,6 +1,6 @@
 //! Whose requests are taken while only a part of them is: max-min fairness among tenants, with a floor.
 //!
-//! [`crate::admission`] says how much of the offered work is taken; this says whose. Refusing by chance lets a tenant that asks for
+//! [`crate::decision::admission`] says how much of the offered work is taken; this says whose. Refusing by chance lets a tenant that asks for
 //! much push out those that ask for little. So each tenant's recent requests are counted, and what is taken is filled up like
 //! water: a tenant that asks for less than its share is taken whole, and those that ask for more get the share. Nobody gets less
 //! than [`FLOOR`] of what is taken of all: how many of its requests are served is what a tenant notices, and one that has more
--- a/crates/staircross-routing/src/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -3,8 +3,8 @@
 //! A caller's clock runs from before it asks the directory until it has read the answer. What it spends besides this
 //! node's work follows from how far it is.
 
-use crate::definition::RouteDefinition;
-use crate::request::CallerLink;
+use crate::configuration::definition::RouteDefinition;
+use crate::state::request::CallerLink;
 use std::time::Duration;
 
 /// Round trips of a request before and after its time at this node, on a connection made for it: to connect to the directory
--- a/crates/staircross-routing/src/selection.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -7,11 +7,11 @@
 //!
 //! Where a route or a tenant allows some regions only, searchers elsewhere are left out whatever their time.
 
-use crate::allowed_regions::AllowedRegions;
-use crate::cold::{ColdBound, FleetRank, cold_share};
+use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::cold::{ColdBound, FleetRank, cold_share};
 use crate::keys::SearcherKey;
 use crate::policy::RoutingPolicy;
-use crate::searcher::Searcher;
+use crate::state::searcher::Searcher;
 use hashbrown::HashMap;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/staircross-routing/src/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -1,6 +1,6 @@
 //! Whose turn it is in a weighted set.
 
-use crate::definition::WeightedService;
+use crate::configuration::definition::WeightedService;
 use std::sync::Arc;
 
 /// Smooth weighted turns: over any stretch each service is picked as often as its weight says,
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -18,22 +18,22 @@
 mod suspicion;
 mod waiting;
 
-use crate::admission::{UsualWork, Wait};
-use crate::allowed_regions::AllowedRegions;
-use crate::cold::{ColdBound, FleetRank};
-use crate::definition::{RouteTarget, ServiceEntry};
+use crate::configuration::definition::{RouteTarget, ServiceEntry};
+use crate::configuration::table::RouteTable;
+use crate::decision::admission::{UsualWork, Wait};
+use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::cold::{ColdBound, FleetRank};
+use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
+use crate::decision::placement::Place;
+use crate::decision::quarantine::Quarantine;
+use crate::decision::turns::WeightedTurns;
 pub use crate::engine_message::{
     AbandonCause, HoldCause, LeftOutCause, ReportedAt, RoutingAction, RoutingEvent, SendOrder, SendReason, UnsentCause,
 };
 use crate::keys::{AttemptKey, ContentKey, Incarnation, RequestKey, SearcherKey};
 use crate::policy::RoutingPolicy;
-use crate::quarantine::Quarantine;
-use crate::request::Request;
-use crate::searcher::Searcher;
-use crate::selection::Place;
-use crate::table::RouteTable;
-use crate::turns::WeightedTurns;
-use crate::window::{ExtraBound, ExtraWindow};
+use crate::state::request::Request;
+use crate::state::searcher::Searcher;
 use arrival::HeldRequest;
 pub use counters::RoutingCounters;
 use hashbrown::HashMap;
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -5,14 +5,14 @@
 
 use super::dispatch::{DEADLINE_GUARD, refused};
 use super::{HoldCause, RoutingAction, RoutingEngine, SendReason};
-use crate::allowed_regions::AllowedRegions;
-use crate::definition::{RouteDefinition, RouteTarget};
-use crate::goal::usable_goal;
+use crate::configuration::definition::{RouteDefinition, RouteTarget};
+use crate::configuration::table::RouteTable;
+use crate::configuration::tenants::{Credential, KeyRefusal};
+use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::goal::usable_goal;
+use crate::decision::quarantine::Suspicion;
 use crate::keys::{RequestKey, TenantKey};
-use crate::quarantine::Suspicion;
-use crate::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
-use crate::table::RouteTable;
-use crate::tenants::{Credential, KeyRefusal};
+use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -2,12 +2,12 @@
 
 use super::first_probe::HARMLESS_WORK_FACTOR;
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
-use crate::allowed_regions::AllowedRegions;
+use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::placement::{Choice, choose};
+use crate::decision::quarantine::Suspicion;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::quarantine::Suspicion;
-use crate::request::{Attempt, Verdict};
-use crate::searcher::OpenAttempt;
-use crate::selection::{Choice, choose};
+use crate::state::request::{Attempt, Verdict};
+use crate::state::searcher::OpenAttempt;
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -7,9 +7,9 @@
 
 use super::waiting::Postponed;
 use super::{RoutingAction, RoutingEngine, SendReason, UnsentCause};
-use crate::definition::RouteDefinition;
+use crate::configuration::definition::RouteDefinition;
 use crate::keys::{ContentKey, RequestKey, RouteDigest};
-use crate::request::{Request, Waiting};
+use crate::state::request::{Request, Waiting};
 use rand_chacha::rand_core::RngCore;
 use staircross_types::BootTime;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::request::{AttemptOutcome, NotRun, SearcherAnswer, ShardState};
+use crate::state::request::{AttemptOutcome, NotRun, SearcherAnswer, ShardState};
 use staircross_types::BootTime;
 use std::time::Duration;
 
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -1,14 +1,14 @@
 //! Taking less than is offered while too much waits at the searchers of a group of services.
 
 use super::{RoutingAction, RoutingEngine, SentAttempt};
-use crate::admission::{Admission, AdmissionChange, Wait, tolerable_wait};
-use crate::definition::{RouteDefinition, RouteTarget};
-use crate::fair_share::FairShares;
-use crate::goal::usable_goal;
+use crate::configuration::definition::{RouteDefinition, RouteTarget};
+use crate::configuration::rank::Rank;
+use crate::configuration::table::RouteTable;
+use crate::decision::admission::{Admission, AdmissionChange, Wait, tolerable_wait};
+use crate::decision::fair_share::FairShares;
+use crate::decision::goal::usable_goal;
 use crate::keys::RequestKey;
-use crate::rank::Rank;
-use crate::request::{AttemptOutcome, CallerLink, NotRun};
-use crate::table::RouteTable;
+use crate::state::request::{AttemptOutcome, CallerLink, NotRun};
 use rand::Rng;
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas, which hold for all nodes together.
 
 use super::{RoutingAction, RoutingEngine, RoutingSettings};
-use crate::table::RouteTable;
+use crate::configuration::table::RouteTable;
 use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage, QuotaView};
 use staircross_types::{BootTime, NodeId};
 use std::collections::BTreeMap;
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -4,9 +4,9 @@
 //! its answer is delivered; what hasn't been sent isn't. A request of which nothing has run is refused at once.
 
 use super::{RoutingAction, RoutingEngine, SendReason, UnsentCause};
+use crate::configuration::tenants::KeyRefusal;
 use crate::keys::{AttemptKey, RequestKey};
-use crate::request::{Request, ShardState};
-use crate::tenants::KeyRefusal;
+use crate::state::request::{Request, ShardState};
 use staircross_types::BootTime;
 
 impl RoutingEngine {
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -1,10 +1,10 @@
 //! Which searchers the engine knows, and which of them are listed for a service.
 
 use super::{RoutingAction, RoutingEngine};
-use crate::definition::ColdStart;
+use crate::configuration::definition::ColdStart;
 use crate::keys::{Incarnation, SearcherKey};
-use crate::mirror::SearcherEntry;
-use crate::searcher::Searcher;
+use crate::state::mirror::SearcherEntry;
+use crate::state::searcher::Searcher;
 use staircross_types::BootTime;
 use std::sync::Arc;
 
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -3,10 +3,10 @@
 use super::dispatch::refused;
 use super::outcome::promises_not_run;
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
+use crate::configuration::tenants::KeyRefusal;
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
-use crate::request::{MergedAnswer, Request, ShardState, Verdict};
-use crate::tenants::KeyRefusal;
+use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -3,9 +3,9 @@
 use super::outcome::is_run_to_its_end;
 use super::waiting::Postponed;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
+use crate::decision::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
 use crate::keys::{AttemptKey, ContentKey, RequestKey, RouteDigest};
-use crate::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
-use crate::request::{AttemptOutcome, NotRun, Request, Shard, ShardState, Unknown};
+use crate::state::request::{AttemptOutcome, NotRun, Request, Shard, ShardState, Unknown};
 use staircross_types::BootTime;
 use std::time::Duration;
 
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -3,9 +3,9 @@
 //! A shard is given up only when nobody is left, or when its request's time is over before anybody may be asked.
 
 use super::{RoutingAction, RoutingEngine, UnsentCause, WaitingShard};
-use crate::allowed_regions::AllowedRegions;
+use crate::decision::allowed_regions::AllowedRegions;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::request::{SendReason, ShardState, Waiting};
+use crate::state::request::{SendReason, ShardState, Waiting};
 use staircross_types::BootTime;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -1,15 +1,15 @@
 //! What the engine takes in, and what it wants done.
 
-use crate::admission::AdmissionChange;
+use crate::configuration::table::RouteTable;
+use crate::configuration::tenants::{KeyRefusal, SentIdentity};
+use crate::decision::admission::AdmissionChange;
+use crate::decision::placement::Distance;
+use crate::decision::quarantine::{CaseRecord, SuspicionChange};
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::mirror::SearcherEntry;
-use crate::quarantine::{CaseRecord, SuspicionChange};
-use crate::report::ReportedLoad;
-pub use crate::request::SendReason;
-use crate::request::{Arrival, AttemptOutcome, Verdict};
-use crate::selection::Distance;
-use crate::table::RouteTable;
-use crate::tenants::{KeyRefusal, SentIdentity};
+use crate::state::mirror::SearcherEntry;
+use crate::state::report::ReportedLoad;
+pub use crate::state::request::SendReason;
+use crate::state::request::{Arrival, AttemptOutcome, Verdict};
 use hashbrown::HashMap;
 use staircross_quota::{QuotaChange, QuotaMessage};
 use staircross_types::{BootTime, NodeId};
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -5,16 +5,16 @@
 //! Bodies and fields aren't recorded; no decision depends on them.
 
 use crate::RoutingDefinition;
-use crate::cold::ColdBound;
+use crate::configuration::table::RouteTable;
+use crate::decision::cold::ColdBound;
+use crate::decision::extra_budget::ExtraBound;
+use crate::decision::quarantine::CaseRecord;
 use crate::engine::{RoutingAction, RoutingEngine, RoutingEvent, RoutingSettings, SendReason};
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::mirror::SearcherEntry;
 use crate::policy::RoutingPolicy;
-use crate::quarantine::CaseRecord;
-use crate::report::SearcherReport;
-use crate::request::{Arrival, AttemptOutcome, NotRun, SearcherAnswer, Unknown, Verdict};
-use crate::table::RouteTable;
-use crate::window::ExtraBound;
+use crate::state::mirror::SearcherEntry;
+use crate::state::report::SearcherReport;
+use crate::state::request::{Arrival, AttemptOutcome, NotRun, SearcherAnswer, Unknown, Verdict};
 use serde::{Deserialize, Serialize};
 use staircross_http::HeaderBlock;
 use staircross_quota::{QuotaBound, QuotaMessage};
--- a/crates/staircross-routing/src/known_configuration.rs
+++ b/crates/staircross-routing/src/state/known_configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration that this node knows, and how much of it a peer is sent.
 
-use crate::definition::{RouteDefinition, RouteTarget, RoutingDefinition};
-use crate::definition_delta::DefinitionDelta;
+use crate::configuration::definition::{RouteDefinition, RouteTarget, RoutingDefinition};
+use crate::configuration::delta::DefinitionDelta;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/crates/staircross-routing/src/known_entries.rs
+++ b/crates/staircross-routing/src/state/known_entries.rs
@@ -5,7 +5,7 @@
 //! other outdoes in both start and revision. Of these, the one of the latest start holds, so that nothing said of an earlier start
 //! touches a later one. Starts are compared with each other and with no clock.
 
-use crate::searcher_entry::SearcherEntry;
+use crate::state::searcher_entry::SearcherEntry;
 
 /// Entries remembered under one id. There is more than one only where an earlier start wrote after a later one.
 const MAX_STANDING: usize = 4;
--- a/crates/staircross-routing/src/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -3,14 +3,14 @@
 //! Each item carries the revision of its last change. Items are merged by revision, searchers' entries by their start too, and
 //! never by the order in which they arrive, so it doesn't matter whether they come from the store or from a peer.
 
-use crate::definition::RoutingDefinition;
-use crate::definition_delta::DefinitionDelta;
-use crate::evacuations::{Evacuations, ZoneChange};
-pub use crate::known_configuration::TakenConfiguration;
-use crate::known_configuration::{ConfigurationUpdate, KnownConfiguration};
-use crate::known_entries::{KnownEntries, WrittenEntry};
-pub use crate::searcher_entry::SearcherEntry;
-use crate::unreadable::UnreadableItem;
+use crate::configuration::definition::RoutingDefinition;
+use crate::configuration::delta::DefinitionDelta;
+use crate::state::evacuations::{Evacuations, ZoneChange};
+pub use crate::state::known_configuration::TakenConfiguration;
+use crate::state::known_configuration::{ConfigurationUpdate, KnownConfiguration};
+use crate::state::known_entries::{KnownEntries, WrittenEntry};
+pub use crate::state::searcher_entry::SearcherEntry;
+use crate::state::unreadable::UnreadableItem;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/staircross-routing/src/rejection.rs
+++ b/crates/staircross-routing/src/state/rejection.rs
@@ -4,7 +4,7 @@
 //! costs a repeat from a budget that all share, so remembering who rejects serves more requests than any pause: where 60 of 100
 //! requests to two thirds of a service's searchers were rejected, requests that failed fell from 9 in 100 to 1 in 1,000.
 
-use crate::decay::kept_fraction;
+use crate::state::decay::kept_fraction;
 use staircross_types::BootTime;
 use std::time::Duration;
 
--- a/crates/staircross-routing/src/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -1,11 +1,11 @@
 //! State of one request in flight.
 
-use crate::allowed_regions::AllowedRegions;
-use crate::definition::{GatherTarget, RouteDefinition};
+use crate::configuration::definition::{GatherTarget, RouteDefinition};
+use crate::configuration::table::RouteTable;
+use crate::configuration::tenants::{Credential, SentIdentity, TenantDefinition};
+use crate::decision::allowed_regions::AllowedRegions;
 use crate::keys::{ContentKey, RequestKey, SearcherKey, TenantKey};
-use crate::report::SearcherReport;
-use crate::table::RouteTable;
-use crate::tenants::{Credential, SentIdentity, TenantDefinition};
+use crate::state::report::SearcherReport;
 use serde::{Deserialize, Serialize};
 use staircross_http::HeaderBlock;
 use staircross_types::{BootTime, ErrorKind};
@@ -368,7 +368,7 @@
 
     pub fn gather(&self) -> Option<&GatherTarget> {
         match &self.route().target {
-            crate::definition::RouteTarget::Gather(gather) => Some(gather),
+            crate::configuration::definition::RouteTarget::Gather(gather) => Some(gather),
             _ => None,
         }
     }
--- a/crates/staircross-routing/src/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -3,13 +3,13 @@
 //! Of its reports, the slowness of its host counts for a moment, and its queue only in the log. A searcher
 //! that has gone or is leaving is never asked again; when it starts again under its id, that is another searcher.
 
-use crate::cold::ColdSends;
-use crate::decay::kept_fraction;
-use crate::definition::ColdStart;
+use crate::configuration::definition::ColdStart;
+use crate::decision::cold::ColdSends;
 use crate::keys::{AttemptKey, InstanceKey};
-use crate::mirror::SearcherEntry;
-use crate::rejection::RejectionRate;
-use crate::report::{ReportedLoad, SearcherReport};
+use crate::state::decay::kept_fraction;
+use crate::state::mirror::SearcherEntry;
+use crate::state::rejection::RejectionRate;
+use crate::state::report::{ReportedLoad, SearcherReport};
 use staircross_types::BootTime;
 use std::time::Duration;
 
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -1,7 +1,7 @@
 //! One lane: what it asks next, and what a reply means for it.
 
 use super::message::{Lane, ReaderAction, ReaderSettings, ReadingMode, StoreCall};
-use crate::mirror::{MirrorItem, MirrorUpdate};
+use crate::state::mirror::{MirrorItem, MirrorUpdate};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use staircross_types::BootTime;
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -1,6 +1,6 @@
 //! Calls to the store, its replies, and what the reader wants done.
 
-use crate::mirror::MirrorUpdate;
+use crate::state::mirror::MirrorUpdate;
 use std::time::Duration;
 
 /// What a lane reads.
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use hashbrown::HashMap;
 use staircross_http::HeaderBlock;
 use staircross_quota::{QuotaBound, QuotaChange, QuotaMessage};
-use staircross_routing::admission::AdmissionChange;
-use staircross_routing::definition::{GatherTarget, WeightedService};
+use staircross_routing::configuration::definition::{GatherTarget, WeightedService};
+use staircross_routing::decision::admission::AdmissionChange;
+use staircross_routing::decision::extra_budget::ExtraBound;
 use staircross_routing::engine::{AbandonCause, HoldCause, LeftOutCause, SendOrder, SendReason, UnsentCause};
 use staircross_routing::recording::{Decision, RecordedEvent, RecordedTurn};
-use staircross_routing::window::ExtraBound;
 use staircross_routing::{
     Arrival, AttemptKey, AttemptOutcome, CallerLimits, CallerLink, ColdBound, ColdStart, ConfigurationView, ContentKey,
     Credential, KeyRefusal, RequestKey, RouteDefinition, RouteTable, RouteTarget, RoutingAction, RoutingDefinition,
--- a/crates/staircross-routing/tests/definition_delta.rs
+++ b/crates/staircross-routing/tests/definition_delta.rs
@@ -1,7 +1,7 @@
 //! Changes of the configuration told to peers in place of the whole.
 
 use proptest::prelude::*;
-use staircross_routing::definition_delta::DefinitionDelta;
+use staircross_routing::configuration::delta::DefinitionDelta;
 use staircross_routing::{
     CallerLimits, ColdStart, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition, RouteTarget,
     RoutingDefinition, ServiceEntry, TakenConfiguration,
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{Driver, answer, definition, gather, records, route, searcher, settings};
+use staircross_routing::decision::quarantine::Quarantine;
 use staircross_routing::engine::{SendOrder, SendReason};
-use staircross_routing::quarantine::Quarantine;
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     AttemptOutcome, ContentKey, InstanceKey, LostAttempt, RequestKey, RouteDigest, RoutingEvent, RoutingPolicy,
     RoutingSettings, Verdict,
--- a/crates/staircross-routing/tests/fuzz.rs
+++ b/crates/staircross-routing/tests/fuzz.rs
@@ -8,7 +8,7 @@
 use common::{Driver, answer, definition, gather, records, route, searcher, weighted};
 use proptest::prelude::*;
 use staircross_routing::engine::RoutingEvent;
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     AttemptKey, AttemptOutcome, NotRun, RequestKey, RouteDefinition, RouteTable, RouteTarget, RoutingDefinition,
     Verdict,
--- a/crates/staircross-routing/tests/gather.rs
+++ b/crates/staircross-routing/tests/gather.rs
@@ -4,7 +4,7 @@
 
 use common::{Driver, LAPSE_MS, answer, definition, gather, records, route, searcher};
 use staircross_routing::engine::{LeftOutCause, RoutingEvent, SendReason};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     AttemptKey, AttemptOutcome, MergedAnswer, NotRun, RequestKey, RouteTable, SearcherEntry, Verdict,
 };
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Driver, answer, definition, gather, records, route, searcher};
+use staircross_routing::decision::goal::usable_goal;
 use staircross_routing::engine::RoutingEvent;
-use staircross_routing::goal::usable_goal;
 use staircross_routing::{CallerLink, RequestKey, RouteTarget};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -4,8 +4,8 @@
 
 use common::{Driver, answer, definition, route, searcher};
 use proptest::prelude::*;
-use staircross_routing::request::Unknown;
-use staircross_routing::window::{ExtraBound, ExtraWindow};
+use staircross_routing::decision::extra_budget::{ExtraBound, ExtraWindow};
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{AttemptOutcome, RequestKey, RouteTarget};
 use staircross_types::BootTime;
 use std::sync::Arc;
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -4,8 +4,8 @@
 
 use common::{Driver, answer, definition, gather, records, route, searcher};
 use proptest::prelude::*;
-use staircross_routing::mirror::MirrorChanges;
-use staircross_routing::request::Unknown;
+use staircross_routing::state::mirror::MirrorChanges;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     Arrival, AttemptOutcome, ColdStart, ContentKey, Mirror, MirrorItem, MirrorUpdate, NotRun, PeerKnowledge,
     RequestKey, RouteTarget, RoutingEvent, SearcherEntry, SearcherKey, ServiceEntry, TakenConfiguration,
--- a/crates/staircross-routing/tests/knowledge.rs
+++ b/crates/staircross-routing/tests/knowledge.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_routing::mirror::MirrorChanges;
+use staircross_routing::state::mirror::MirrorChanges;
 use staircross_routing::store_reader::{
     Lane, ReaderAction, ReaderSettings, ReadingMode, StoreCall, StoreReader, StoreReply,
 };
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -4,7 +4,7 @@
 
 use common::backends::{Backends, Tally};
 use common::{Driver, definition, gather, route, searcher, settings};
-use staircross_routing::admission::{Admission, Wait};
+use staircross_routing::decision::admission::{Admission, Wait};
 use staircross_routing::engine::SendReason;
 use staircross_routing::{RouteDefinition, RoutingSettings};
 use staircross_types::BootTime;
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -4,8 +4,8 @@
 
 use staircross_quota::{QuotaChange, QuotaMessage};
 use staircross_routing::RoutingAction;
+use staircross_routing::decision::placement::Distance;
 use staircross_routing::engine::{AbandonCause, SendOrder};
-use staircross_routing::selection::Distance;
 use staircross_routing::{AttemptKey, SentIdentity, Verdict};
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -7,7 +7,7 @@
 use rand_chacha::rand_core::SeedableRng;
 use staircross_quota::QuotaMessage;
 use staircross_routing::engine::SendOrder;
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     Arrival, AttemptKey, AttemptOutcome, CallerLink, ConfigurationView, ContentKey, Credential, NotRun, ReportedLoad,
     RequestKey, RouteTable, RoutingAction, RoutingDefinition, RoutingEngine, RoutingEvent, RoutingSettings,
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -9,12 +9,12 @@
 use common::{definition, gather, route, searcher, settings, weighted};
 use pinned::journal::Journal;
 use pinned::world::{START, World};
-use staircross_routing::admission::Admission;
+use staircross_routing::decision::admission::Admission;
 use staircross_routing::{
     Arrival, CallerLink, CaseRecord, ColdStart, ContentKey, Credential, KeyDigest, LostAttempt, RouteDefinition,
     RouteDigest, RouteTarget, RoutingDefinition, RoutingEvent, RoutingSettings, SearcherEntry, TenantDefinition,
 };
-use staircross_routing::{InstanceKey, quarantine::Quarantine};
+use staircross_routing::{InstanceKey, decision::quarantine::Quarantine};
 use staircross_types::Quota;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -4,9 +4,9 @@
 
 use common::{Driver, answer, definition, gather, records, route, searcher, settings};
 use proptest::prelude::*;
-use staircross_routing::cold::{FleetRank, cold_share};
+use staircross_routing::decision::cold::{FleetRank, cold_share};
 use staircross_routing::engine::{LeftOutCause, SendReason};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     AttemptOutcome, ColdBound, ColdStart, NotRun, RouteDefinition, RouteTable, RouteTarget, RoutingDefinition,
     RoutingEvent, RoutingSettings, SearcherEntry, Verdict,
--- a/crates/staircross-routing/tests/quarantine.rs
+++ b/crates/staircross-routing/tests/quarantine.rs
@@ -4,9 +4,9 @@
 
 use common::{Driver, answer, definition, gather, records, route, searcher};
 use proptest::prelude::*;
+use staircross_routing::decision::quarantine::Quarantine;
 use staircross_routing::engine::SendOrder;
-use staircross_routing::quarantine::Quarantine;
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     AttemptOutcome, CaseRecord, ContentKey, InstanceKey, LostAttempt, NotRun, RequestKey, RouteDigest, RouteTarget,
     RoutingEvent, SearcherEntry, Suspicion, Verdict,
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -4,9 +4,9 @@
 
 use common::{Driver, definition, settings};
 use staircross_quota::QuotaBound;
+use staircross_routing::configuration::tenants::TenantDefinition;
 use staircross_routing::engine::RoutingEvent;
 use staircross_routing::recording::{RecordedSettings, Replay};
-use staircross_routing::tenants::TenantDefinition;
 use staircross_routing::{RoutingDefinition, RoutingSettings};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::HashMap as StdHashMap;
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use common::{Driver, LAPSE_MS, answer, definition, route, searcher, weighted};
 use staircross_routing::engine::{AbandonCause, RoutingEvent, SendReason, UnsentCause};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RouteTarget, Verdict};
 use staircross_types::ErrorKind;
 use staircross_types::errors::Executed;
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -4,7 +4,7 @@
 
 use common::{Driver, answer, definition, gather, records, route, searcher};
 use staircross_routing::engine::{RoutingEvent, SendReason, UnsentCause};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     Arrival, AttemptOutcome, ConfigurationView, ContentKey, Credential, KeyDigest, NotRun, RequestKey, RouteTable,
     RouteTarget, RoutingDefinition, SearcherEntry, SentIdentity, TenantDefinition, Verdict,
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -4,7 +4,7 @@
 
 use common::{Driver, answer, definition, gather, records, route, searcher, settings};
 use staircross_routing::engine::{RoutingEvent, SendReason, UnsentCause};
-use staircross_routing::request::Unknown;
+use staircross_routing::state::request::Unknown;
 use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RoutingSettings, SearcherEntry, Verdict};
 use staircross_types::BootTime;
 use staircross_types::ErrorKind;
