--- a/crates/staircross-lab/src/main.rs
+++ b/crates/staircross-lab/src/main.rs
@@ -1,7 +1,6 @@
 //! The lab's command line. Exit codes: 0 done, 1 failed or a violation found, 2 wrong usage.
 
 use staircross_lab::demo::{self, DemoOptions};
-use staircross_lab::experiment::{overload, slopes, tail};
 use staircross_lab::fuzz::runner::{self, FuzzOptions};
 use std::process::ExitCode;
 
@@ -20,17 +19,6 @@
                 /// The nodes' log filter.
                 optional --log log: String
             }
-            /// Measure a simulated fleet.
-            cmd experiment {
-                /// `tail` or `overload`.
-                required name: String
-                /// Seed (default 1).
-                optional --seed seed: u64
-                /// Print JSON.
-                optional --json
-            }
-            /// Measure the slopes that capacity is planned from, and print the data file.
-            cmd slopes {}
             /// Stateful fuzzing of the request engine against a plain oracle.
             cmd fuzz {
                 /// Seed of all cases (default 1).
@@ -51,8 +39,6 @@
     let result = match flags.subcommand {
         flags::StaircrossLabCmd::Demo(command) => run_demo(command),
         flags::StaircrossLabCmd::Fuzz(command) => run_fuzz(&command),
-        flags::StaircrossLabCmd::Experiment(command) => run_experiment(&command),
-        flags::StaircrossLabCmd::Slopes(_) => run_slopes(),
     };
     match result {
         Ok(code) => code,
@@ -84,27 +70,3 @@
     }
     Ok(if summary.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
-
-fn run_experiment(command: &flags::Experiment) -> Result<ExitCode, String> {
-    let seed = command.seed.unwrap_or(1);
-    match command.name.as_str() {
-        "tail" => print_rows(&tail::run(seed), command.json),
-        "overload" => print_rows(&overload::run(seed), command.json),
-        other => Err(format!("experiment {other}: allowed are tail, overload")),
-    }
-}
-
-/// Prints rows as JSON, one a line, or as indented text.
-fn print_rows<T: serde::Serialize>(rows: &[T], json: bool) -> Result<ExitCode, String> {
-    for row in rows {
-        let text = if json { serde_json::to_string(row) } else { serde_json::to_string_pretty(row) };
-        println!("{}", text.map_err(|error| error.to_string())?);
-    }
-    Ok(ExitCode::SUCCESS)
-}
-
-fn run_slopes() -> Result<ExitCode, String> {
-    let text = toml::to_string(&slopes::run()).map_err(|error| error.to_string())?;
-    print!("{text}");
-    Ok(ExitCode::SUCCESS)
-}
--- a/crates/staircross-lab/src/sim/world/faults.rs
+++ b/crates/staircross-lab/src/sim/world/faults.rs
@@ -5,8 +5,6 @@
 use crate::sim::records::CutOff;
 use crate::sim::searcher::ReplyFault;
 use rand::Rng;
-use rand_chacha::ChaCha8Rng;
-use rand_chacha::rand_core::SeedableRng;
 use staircross_search::{LeafEvent, RootEvent, SubOutcome, SubReply, UnknownReason};
 use staircross_types::{SearcherId, ShardMap, Snapshot};
 use std::time::Duration;
@@ -155,30 +153,6 @@
         }
     }
 
-    /// Makes one copy of a shard in so many slow, chosen by the seed.
-    pub fn slow_one_copy_in(&mut self, one_in: usize, factor: f64, seed: u64) {
-        let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x510e);
-        for searcher in &mut self.searchers {
-            let held: Vec<_> = searcher.held.values().flatten().copied().collect();
-            for shard in held {
-                if random.random_range(0..one_in) == 0 {
-                    searcher.work_time.slow_copies.insert(shard, factor);
-                }
-            }
-        }
-    }
-
-    /// Counters of all roots together.
-    pub fn root_counters(&self) -> staircross_search::root::RootCounters {
-        let mut total = staircross_search::root::RootCounters::default();
-        for node in &self.nodes {
-            total.primaries += node.root.counters.primaries;
-            total.hedges += node.root.counters.hedges;
-            total.retries += node.root.counters.retries;
-        }
-        total
-    }
-
     /// A node's process is stopped for a while and wakes late.
     pub fn pause_node(&mut self, node: usize, span: Duration) {
         let index = node % self.nodes.len();
