--- a/crates/staircross/src/flags.rs
+++ b/crates/staircross/src/flags.rs
@@ -47,15 +47,6 @@
             /// Print JSON.
             optional --json
         }
-        /// Work out what a size needs, from measured slopes, and which limit comes first.
-        cmd plan {
-            /// Size (TOML); see examples/target.toml.
-            required --sizes sizes: PathBuf
-            /// Slopes (TOML) instead of the committed ones.
-            optional --slopes slopes: PathBuf
-            /// Print JSON.
-            optional --json
-        }
         /// Tell one request's way through the log of gateway nodes, with what they believed then.
         cmd explain {
             /// File with lines of one or several nodes.
--- a/crates/staircross/src/main.rs
+++ b/crates/staircross/src/main.rs
@@ -5,7 +5,6 @@
 mod check;
 mod explain;
 mod flags;
-mod plan;
 mod query;
 mod replay;
 mod run_node;
@@ -32,7 +31,6 @@
         flags::StaircrossCmd::Explain(command) => explain::run(&command),
         flags::StaircrossCmd::Replay(command) => replay::run(&command),
         flags::StaircrossCmd::Check(command) => check::run(&command),
-        flags::StaircrossCmd::Plan(command) => plan::run(&command),
     };
     match result {
         Ok(Verdict::Done) => ExitCode::SUCCESS,
