--- a/crates/staircross-config/src/settings.rs
+++ b/crates/staircross-config/src/settings.rs
@@ -4,7 +4,6 @@
 use serde::{Deserialize, Serialize};
 use staircross_types::ZoneName;
 use std::net::SocketAddr;
-use std::time::Duration;
 
 /// All settings of one node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,9 +117,4 @@
         check_range("limits.reply_bytes", self.limits.reply_bytes, 1024..=1024 * 1024 * 1024)?;
         check_range("limits.caller_timeout_ms", self.limits.caller_timeout_ms, 10..=600_000)
     }
-
-    /// Time between reads of the platform.
-    pub fn platform_poll(&self) -> Duration {
-        Duration::from_millis(self.platform.poll_ms)
-    }
 }
