--- a/crates/staircross-standin/src/lib.rs
+++ b/crates/staircross-standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds staircross: searchers and the platform.
+//! Stand-ins for the session tier's searchers and platform, which speak the project's own interface (`staircross-node`).
 //!
 //! | module | holds |
 //! | --- | --- |
