--- a/crates/staircross-config/tests/checks.rs
+++ b/crates/session/staircross-config/tests/checks.rs
@@ -2,7 +2,7 @@
 
 use staircross_config::{PlatformDocument, Settings};
 
-const GOOD: &str = include_str!("../../../examples/node.toml");
+const GOOD: &str = include_str!("../../../../examples/node.toml");
 
 fn settings_error(from: &str, to: &str) -> String {
     assert!(GOOD.contains(from), "{from}");
@@ -30,7 +30,7 @@
     insta::assert_debug_snapshot!(errors);
 }
 
-const DOCUMENT: &str = include_str!("../../../examples/services.json");
+const DOCUMENT: &str = include_str!("../../../../examples/services.json");
 
 fn document_error(from: &str, to: &str) -> String {
     assert!(DOCUMENT.contains(from), "{from}");
--- a/crates/staircross-config/tests/edits.rs
+++ b/crates/session/staircross-config/tests/edits.rs
@@ -3,7 +3,7 @@
 use staircross_config::{EditError, PlatformDocument, PolicyChange, ServiceEdit};
 use staircross_types::{SearcherId, ServiceName};
 
-const DOCUMENT: &str = include_str!("../../../examples/services.json");
+const DOCUMENT: &str = include_str!("../../../../examples/services.json");
 
 fn document() -> PlatformDocument {
     PlatformDocument::from_json("services.json", DOCUMENT).expect("the example is valid")
--- a/crates/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`snapshot_choice`] | which snapshot of a service is served |
 //! | [`replica`] | which replica of a shard is asked |
 //! | [`copies`] | which copies of shards are slow and avoided |
-//! | [`budget`], [`limiter`], [`latency`] | how much extra work, how many requests, how long is normal |
+//! | [`budget`], [`limiter`] | how much extra work, how many requests |
 //! | [`request`] | state of one request in flight |
 //! | [`message`] | typed sub-requests, replies and outcomes |
 //!
@@ -17,7 +17,6 @@
 
 pub mod budget;
 pub mod copies;
-pub mod latency;
 pub mod leaf;
 pub mod limiter;
 pub mod message;
--- a/crates/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -15,7 +15,6 @@
 
 use crate::budget::ExtraWorkBudget;
 use crate::copies::CopyHealth;
-use crate::latency::LatencyTracker;
 use crate::limiter::ConcurrencyLimiter;
 use crate::message::{Outcome, SubReply, SubRequest};
 use crate::replica::ReplicaTable;
@@ -27,6 +26,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_config::ServiceDefinition;
+use staircross_latency::LatencyTracker;
 use staircross_types::{AttemptId, BootTime, NodeId, RequestId, SearcherId, ServiceName, ShardMap, Snapshot};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -44,8 +44,6 @@
     pub attempts_per_shard: usize,
     /// Most plans per request, the first included.
     pub plans_per_request: usize,
-    /// Late point that doesn't follow the live latency. Only for experiments that show why it should.
-    pub fixed_hedge_delay: Option<Duration>,
 }
 
 impl Default for RootSettings {
@@ -55,7 +53,6 @@
             latency_guess: Duration::from_millis(20),
             attempts_per_shard: 4,
             plans_per_request: 3,
-            fixed_hedge_delay: None,
         }
     }
 }
@@ -249,8 +246,8 @@
             candidates: Vec::new(),
             current: None,
             stale: true,
-            latency: LatencyTracker::new(settings.latency_guess, settings.fixed_hedge_delay),
-            work: LatencyTracker::new(settings.latency_guess, None),
+            latency: LatencyTracker::new(settings.latency_guess),
+            work: LatencyTracker::new(settings.latency_guess),
             limiter: ConcurrencyLimiter::default(),
             definition,
         }
--- a/crates/staircross-search/tests/copies.rs
+++ b/crates/session/staircross-search/tests/copies.rs
@@ -1,7 +1,7 @@
 //! Slow copies: suspicion, avoidance, innocence.
 
+use staircross_latency::LatencyTracker;
 use staircross_search::copies::CopyHealth;
-use staircross_search::latency::LatencyTracker;
 use staircross_types::{BootTime, SearcherId, ShardId};
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 /// Found by the tail experiment: with five slow copies the usual tail was theirs, and none was suspected.
 #[test]
 fn late_point_is_not_drawn_up_by_many_slow_replies() {
-    let mut tracker = LatencyTracker::new(Duration::from_millis(1), None);
+    let mut tracker = LatencyTracker::new(Duration::from_millis(1));
     for number in 0..2000 {
         tracker.record(if number % 10 == 0 { SLOW } else { QUICK });
     }
--- a/crates/staircross-search/src/latency.rs
+++ b/crates/staircross-latency/src/lib.rs
@@ -1,4 +1,7 @@
-//! Live latency of sub-requests, the measure for "late".
+//! Live latency of sub-requests: the usual time, and the time from which one counts as late.
+//!
+//! Owns two windows of samples, in microseconds; relies on nothing but what it is given. The gateway's engine and the session tier's root
+//! hold one for each kind of work.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
@@ -22,14 +25,12 @@
     previous: Histogram<u32>,
     median: Duration,
     hedge_delay: Duration,
-    fixed: Option<Duration>,
 }
 
 impl LatencyTracker {
-    /// Starts with `guess` as every quantile until there are samples. `fixed` is the late point of an
-    /// experiment that doesn't follow the live one.
-    pub fn new(guess: Duration, fixed: Option<Duration>) -> Self {
-        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: guess, hedge_delay: guess, fixed }
+    /// Starts with `guess` as every quantile until there are samples.
+    pub fn new(guess: Duration) -> Self {
+        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: guess, hedge_delay: guess }
     }
 
     /// Adds one sample.
@@ -61,7 +62,7 @@
 
     /// Time after which an unanswered sub-request counts as late.
     pub fn hedge_delay(&self) -> Duration {
-        self.fixed.unwrap_or(self.hedge_delay)
+        self.hedge_delay
     }
 }
 
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -40,8 +40,8 @@
 use overload::ServiceGroup;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
+use staircross_latency::LatencyTracker;
 use staircross_quota::{FleetAllowance, QuotaBound};
-use staircross_search::latency::LatencyTracker;
 use staircross_types::{BootTime, NodeId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -313,7 +313,7 @@
 
     pub(crate) fn statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
-            work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL, None),
+            work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL),
             usual: UsualWork::default(),
             turns: WeightedTurns::default(),
         })
