--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -13,6 +13,7 @@
 //! | [`admission`] | how much of the offered work is taken while back ends are overloaded |
 //! | [`fair_share`] | whose requests are taken while only a fraction of them is |
 //! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
+//! | [`hedging`] | when a second searcher is asked besides one that is late |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
 
@@ -22,6 +23,7 @@
 pub mod extra_budget;
 pub mod fair_share;
 pub mod goal;
+pub mod hedging;
 pub mod placement;
 pub mod quarantine;
 pub mod turns;
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -3,32 +3,36 @@
 use super::first_probe::HARMLESS_WORK_FACTOR;
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::hedging::{HedgeTimes, hedge_delay_factor};
 use crate::decision::placement::{Choice, choose};
 use crate::decision::quarantine::Suspicion;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::state::request::{Attempt, Verdict};
+use crate::state::request::{Attempt, Request, Verdict};
 use crate::state::searcher::OpenAttempt;
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is overdue after the round trip and so many times the usual work.
+/// An attempt is overdue after the round trip and so many times the usual work of its searcher. Not measured; chosen
+/// later than the earliest hedge and earlier than [`HARMLESS_WORK_FACTOR`].
 const OVERDUE_FACTOR: f64 = 2.2;
-/// A hedge isn't sent before the round trip and so many times the usual work.
-const MIN_HEDGE_FACTOR: f64 = 1.5;
-/// Parts of the unusually long time after which a hedge is sent, while all of the budget is left and while none is. What isn't spent
-/// in a window is lost, so a full budget buys earlier hedges; a scarce one is kept for attempts that are surely late, and for repeats
-/// of those that failed. Against the whole time whatever is left: 0.006 of a day's worth where goals are short, in each kind of day.
-const HEDGE_DELAY_FACTORS: (f64, f64) = (0.5, 1.3);
-/// Times the usual work that a hedge is taken to need.
-const HEDGE_WORK_FACTOR: f64 = 2.0;
 /// The final answer goes out so long before the deadline.
 pub(super) const DEADLINE_GUARD: Duration = Duration::from_millis(10);
-/// Wait for a connection: a constant and so many times the round trip.
+/// Wait for a connection, the round trips besides. Not measured; chosen for a searcher's process that gets no turn for a while.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
+/// Round trips that a connection may take besides. Not measured; chosen for one that connects at its second try.
 const CONNECT_ROUND_TRIPS: u32 = 4;
 
+/// One attempt that is about to be made.
+#[derive(Clone, Copy)]
+struct Sending {
+    request: RequestKey,
+    shard_index: usize,
+    searcher: SearcherKey,
+    reason: SendReason,
+}
+
 impl RoutingEngine {
     /// Sends one more attempt for a shard, or says why not.
     pub(super) fn dispatch(
@@ -38,6 +42,31 @@
         shard_index: usize,
         reason: SendReason,
         actions: &mut Vec<RoutingAction>,
+    ) -> Result<(), UnsentCause> {
+        self.check_sendable(now, key, shard_index, reason, actions)?;
+        let Some(request) = self.requests.get(&key) else {
+            return Err(UnsentCause::NobodyLeft);
+        };
+        let service = request.shards[shard_index].service.clone();
+        let outcome = match self.choose_searcher(now, key, shard_index, &service) {
+            None => Err(self.note_unplaced(now, key, shard_index, reason)),
+            Some(searcher) => self.check_extra(now, key, &service, reason).map(|()| searcher),
+        };
+        match outcome {
+            Ok(searcher) => self.send(now, Sending { request: key, shard_index, searcher, reason }, actions),
+            Err(cause) => actions.push(RoutingAction::Unsent { request: key, service, reason, cause }),
+        }
+        outcome.map(|_| ())
+    }
+
+    /// Whether a request may be sent to anybody at present; a shard that may be later waits.
+    fn check_sendable(
+        &mut self,
+        now: BootTime,
+        key: RequestKey,
+        shard_index: usize,
+        reason: SendReason,
+        actions: &mut Vec<RoutingAction>,
     ) -> Result<(), UnsentCause> {
         let Some(request) = self.requests.get(&key) else {
             return Err(UnsentCause::NobodyLeft);
@@ -51,34 +80,48 @@
         if self.waits_for_trial(now, request) {
             return Err(self.postpone_suspect(now, key, shard_index, reason, actions));
         }
-        if let Some(until) = self.probed_until(now, key) {
-            return Err(self.postpone_for_probe(now, key, shard_index, reason, until));
+        match self.probed_until(now, key) {
+            Some(until) => Err(self.postpone_for_probe(now, key, shard_index, reason, until)),
+            None => Ok(()),
         }
-        let Some(request) = self.requests.get(&key) else {
-            return Err(UnsentCause::NobodyLeft);
-        };
+    }
+
+    /// The searcher that a shard is sent to; `None` when none can be asked now.
+    fn choose_searcher(
+        &mut self,
+        now: BootTime,
+        key: RequestKey,
+        shard_index: usize,
+        service: &Arc<str>,
+    ) -> Option<SearcherKey> {
+        let request = self.requests.get(&key)?;
         let (table, route_index, tenant) = (request.table.clone(), request.route_index, request.tenant);
         let route = &table.definition().routes[route_index];
         let regions = AllowedRegions::new(route, tenant.and_then(|key| table.tenant(key)));
-        let service = request.shards[shard_index].service.clone();
         let excluded = self.excluded(key, shard_index);
         let goal = Duration::from_millis(route.goal_ms);
         let usual_work = self.statistics(&route.name, goal).work.median();
-        let candidates = self.by_service.get(&service).map_or(&[][..], Vec::as_slice);
+        let candidates = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let choice = Choice { regions, excluded: &excluded, usual_work, goal };
-        let chosen = choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random);
+        choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random)
+    }
+
+    /// Whether an attempt beyond the needed may be made; one that may is paid from the budget.
+    fn check_extra(
+        &mut self,
+        now: BootTime,
+        key: RequestKey,
+        service: &Arc<str>,
+        reason: SendReason,
+    ) -> Result<(), UnsentCause> {
+        if reason == SendReason::Hedge && self.is_pressed(now, key, service) {
+            return Err(UnsentCause::Pressed);
+        }
         let is_extra = matches!(reason, SendReason::Hedge | SendReason::Retry);
-        let outcome = match chosen {
-            None => Err(self.note_unplaced(now, key, shard_index, reason)),
-            Some(_) if reason == SendReason::Hedge && self.is_pressed(now, key, &service) => Err(UnsentCause::Pressed),
-            Some(_) if is_extra && !self.spend(now, &service) => Err(UnsentCause::OverBudget),
-            Some(searcher) => Ok(searcher),
-        };
-        match outcome {
-            Ok(searcher) => self.send(now, key, shard_index, searcher, reason, actions),
-            Err(cause) => actions.push(RoutingAction::Unsent { request: key, service, reason, cause }),
+        match !is_extra || self.spend(now, service) {
+            true => Ok(()),
+            false => Err(UnsentCause::OverBudget),
         }
-        outcome.map(|_| ())
     }
 
     fn spend(&mut self, now: BootTime, service: &Arc<str>) -> bool {
@@ -90,43 +133,39 @@
         is_within_budget
     }
 
-    fn send(
-        &mut self,
-        now: BootTime,
-        key: RequestKey,
-        shard_index: usize,
-        searcher_key: SearcherKey,
-        reason: SendReason,
-        actions: &mut Vec<RoutingAction>,
-    ) {
-        let other_round_trip = self.longest_other_round_trip(now, key, searcher_key);
-        let hedge_delay_factor = self.hedge_delay_factor(now, searcher_key);
-        let Some(request) = self.requests.get_mut(&key) else {
+    fn send(&mut self, now: BootTime, sending: Sending, actions: &mut Vec<RoutingAction>) {
+        let Some(attempt) = self.begin_attempt(now, sending) else {
             return;
         };
-        let route = &request.table.definition().routes[request.route_index];
-        let searcher = &mut self.searchers[searcher_key.0 as usize];
-        let round_trip = self.place.round_trip(&searcher.entry.zone);
-        let (usual, late) = match self.routes.get(&route.name) {
-            Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
-            None => (Duration::ZERO, Duration::ZERO),
-        };
-        let attempt = AttemptKey { request: key, number: request.attempts.len() as u16 };
-        let work = usual.mul_f64(searcher.slowness(now));
-        let due_at = now + round_trip + work.mul_f64(OVERDUE_FACTOR);
+        match sending.reason {
+            SendReason::First => self.counters.firsts += 1,
+            SendReason::Hedge => self.counters.hedges += 1,
+            SendReason::Retry => self.counters.retries += 1,
+            SendReason::Reroute => self.counters.reroutes += 1,
+        }
+        actions.extend(self.send_order(now, sending, attempt).map(RoutingAction::Send));
+    }
+
+    /// Notes an attempt with its request and its searcher.
+    fn begin_attempt(&mut self, now: BootTime, sending: Sending) -> Option<AttemptKey> {
+        let times = self.hedge_times(now, sending)?;
+        let request = self.requests.get_mut(&sending.request)?;
+        let searcher = &mut self.searchers[sending.searcher.0 as usize];
+        let attempt = AttemptKey { request: sending.request, number: request.attempts.len() as u16 };
+        let work = times.usual.mul_f64(searcher.slowness(now));
+        let due_at = now + times.round_trip + work.mul_f64(OVERDUE_FACTOR);
         searcher.sent(now, OpenAttempt { attempt, sent_at: now, due_at });
-        let shard = &mut request.shards[shard_index];
-        shard.sent_to.push(searcher_key);
+        let shard = &mut request.shards[sending.shard_index];
+        shard.sent_to.push(sending.searcher);
         shard.outstanding += 1;
-        shard.tried.push(searcher_key);
-        let times = HedgeTimes { round_trip, other_round_trip, usual, late: late.mul_f64(hedge_delay_factor) };
+        shard.tried.push(sending.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let harmless_at = now + round_trip + work.mul_f64(HARMLESS_WORK_FACTOR);
-        let shard = shard_index as u32;
+        let harmless_at = now + times.round_trip + work.mul_f64(HARMLESS_WORK_FACTOR);
+        let shard = sending.shard_index as u32;
         request.attempts.push(Attempt { shard, hedge_at, harmless_at, is_open: true, is_resolved: false });
         let sent = SentAttempt {
-            searcher: searcher_key,
-            route: route.name.clone(),
+            searcher: sending.searcher,
+            route: request.route().name.clone(),
             sent_at: now,
             begun_at: now,
             group: request.group.clone(),
@@ -134,44 +173,52 @@
             is_request_answered: false,
         };
         self.sent.insert(attempt, sent);
-        match reason {
-            SendReason::First => self.counters.firsts += 1,
-            SendReason::Hedge => self.counters.hedges += 1,
-            SendReason::Retry => self.counters.retries += 1,
-            SendReason::Reroute => self.counters.reroutes += 1,
-        }
-        actions.push(RoutingAction::Send(SendOrder {
+        Some(attempt)
+    }
+
+    fn send_order(&self, now: BootTime, sending: Sending, attempt: AttemptKey) -> Option<SendOrder> {
+        let request = self.requests.get(&sending.request)?;
+        let searcher = &self.searchers[sending.searcher.0 as usize];
+        let round_trip = self.place.round_trip(&searcher.entry.zone);
+        Some(SendOrder {
             attempt,
-            searcher: searcher_key,
+            searcher: sending.searcher,
             instance: searcher.entry.instance.clone(),
             identity: request.identity(),
             address: searcher.entry.address,
             distance: self.place.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
-            is_idempotent: route.is_idempotent,
+            is_idempotent: request.route().is_idempotent,
             connect_patience: CONNECT_PATIENCE + round_trip * CONNECT_ROUND_TRIPS,
-            reason,
+            reason: sending.reason,
             reported: searcher.reported().map(|(at, load)| ReportedAt { load, age: now.since(at) }),
-        }));
+        })
+    }
+
+    fn hedge_times(&mut self, now: BootTime, sending: Sending) -> Option<HedgeTimes> {
+        let delay_factor = hedge_delay_factor(self.spare_fraction(now, sending.searcher));
+        let request = self.requests.get(&sending.request)?;
+        let other_round_trip = self.longest_other_round_trip(now, request, sending.searcher);
+        let round_trip = self.place.round_trip(&self.searchers[sending.searcher.0 as usize].entry.zone);
+        let (usual, late) = match self.routes.get(&request.route().name) {
+            Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
+            None => (Duration::ZERO, Duration::ZERO),
+        };
+        Some(HedgeTimes { round_trip, other_round_trip, usual, late, delay_factor })
     }
 
-    /// Part of the unusually long time that a hedge for an attempt at a searcher waits, by what is left of its service's budget.
-    fn hedge_delay_factor(&mut self, now: BootTime, searcher: SearcherKey) -> f64 {
+    /// Fraction of the budget of a searcher's service that isn't spent; `None` where hedges don't go by it.
+    fn spare_fraction(&mut self, now: BootTime, searcher: SearcherKey) -> Option<f64> {
         if !self.settings.policy.hedge_by_budget {
-            return 1.0;
+            return None;
         }
         let service = &self.searchers[searcher.0 as usize].entry.service;
         let (bound, slack_share) = (&self.settings.extra, self.slack_share);
-        let spare = self.windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share));
-        let (least, most) = HEDGE_DELAY_FACTORS;
-        most - (most - least) * spare
+        Some(self.windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share)))
     }
 
     /// The round trip to the farthest other searcher that the same shard may be sent to: a hedge may have to go there.
-    fn longest_other_round_trip(&self, now: BootTime, request: RequestKey, asked: SearcherKey) -> Duration {
-        let Some(request) = self.requests.get(&request) else {
-            return Duration::ZERO;
-        };
+    fn longest_other_round_trip(&self, now: BootTime, request: &Request, asked: SearcherKey) -> Duration {
         let service = &self.searchers[asked.0 as usize].entry.service;
         let others = self.askable(now, request.allowed_regions(), service).filter(|(peer, _)| *peer != asked);
         others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
@@ -190,27 +237,6 @@
     }
 }
 
-/// What the time of a hedge follows from.
-struct HedgeTimes {
-    /// To the searcher asked, and to the farthest other.
-    round_trip: Duration,
-    other_round_trip: Duration,
-    /// Median of the route's work, and what is taken as too long.
-    usual: Duration,
-    late: Duration,
-}
-
-impl HedgeTimes {
-    /// As late as still leaves time for another searcher's answer, but not later than is unusual.
-    fn hedge_at(&self, now: BootTime, answer_by: BootTime) -> BootTime {
-        let needed = self.other_round_trip + self.usual.mul_f64(HEDGE_WORK_FACTOR);
-        let last_moment = answer_by - needed;
-        let unusual = now + self.round_trip + self.late;
-        let least = now + self.round_trip + self.usual.mul_f64(MIN_HEDGE_FACTOR);
-        unusual.min(last_moment).max(least)
-    }
-}
-
 pub(super) fn refused(kind: ErrorKind, detail: &'static str) -> Verdict {
     Verdict::Refused { kind, detail, retry_after: None }
 }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -4,6 +4,7 @@
 use super::outcome::promises_not_run;
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::configuration::tenants::KeyRefusal;
+use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
@@ -12,12 +13,6 @@
 
 /// How long a searcher may go on with work whose caller has left.
 const DEPARTED_PATIENCE: Duration = Duration::from_millis(350);
-/// Time from a restart until the first hedge. A process that has just started has measured nothing that would tell late
-/// from usual; and when many start together, callers come back all at once, everything is late, and hedges would
-/// nearly double what the searchers have to do.
-const START_REST: Duration = Duration::from_secs(2);
-/// Time until a hedge that the budget refused, or that had nobody to go to, is thought of again.
-const HEDGE_PAUSE: Duration = Duration::from_millis(25);
 
 impl RoutingEngine {
     /// A request needs attention: a hedge is due, its goal is near, or its time is over.
@@ -38,24 +33,26 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let may_hedge = request.route().is_idempotent && self.settings.policy.hedges && !request.is_key_revoked;
-        let rests_until = self.settings.restarted_at.filter(|_| self.settings.policy.start_rest);
-        let rests_until = rests_until.map_or(BootTime::default(), |started| started + START_REST);
-        let most = request.route().max_attempts;
+        let policy = &self.settings.policy;
+        let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
+        let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
+        let (is_idempotent, most) = (route.is_idempotent, route.max_attempts);
         let mut late = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
-            if may_hedge && now < rests_until {
-                attempt.hedge_at = rests_until;
-            } else if may_hedge && shard.may_be_sent(most) && shard.outstanding == 1 {
-                attempt.hedge_at = now + HEDGE_PAUSE;
-                late.push(attempt.shard as usize);
-            } else {
-                attempt.hedge_at = BootTime::FAR_FUTURE;
-            }
+            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(most));
+            let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
+            attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
+                HedgeVerdict::Hedge { again_at } => {
+                    late.push(attempt.shard as usize);
+                    again_at
+                }
+                HedgeVerdict::NotBefore(time) => time,
+                HedgeVerdict::Never => BootTime::FAR_FUTURE,
+            };
         }
         for shard in late {
-            // A hedge that isn't made is thought of again after a pause.
+            // A hedge that isn't made is retried after a pause.
             let _unsent = self.dispatch(now, key, shard, SendReason::Hedge, actions);
         }
     }
--- /dev/null
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -0,0 +1,80 @@
+//! The rule of hedges: inputs and verdicts, with no engine around.
+
+use staircross_routing::RoutingPolicy;
+use staircross_routing::decision::hedging::{
+    HedgeTimes, HedgeVerdict, LateAttempt, hedge_delay_factor, judge, rests_until,
+};
+use staircross_types::BootTime;
+use std::time::Duration;
+
+const NOW: BootTime = BootTime::from_millis(10_000);
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+#[test]
+fn the_more_of_the_budget_is_left_the_earlier_a_hedge_goes_out() {
+    let rows = [(None, 1.0), (Some(1.0), 0.5), (Some(0.5), 0.9), (Some(0.0), 1.3)];
+    for (spare, factor) in rows {
+        assert!((hedge_delay_factor(spare) - factor).abs() < 1e-9, "{spare:?}");
+    }
+}
+
+#[test]
+fn a_hedge_goes_out_when_it_is_unusually_late_or_the_goal_is_near_but_not_before_usual_work_is_done() {
+    // Round trip 2 ms, to the farthest other 10 ms; usual work 20 ms, unusually long 80 ms.
+    let rows = [
+        // Factor, time left to answer, hedged after.
+        (1.0, 500, 82),
+        (0.5, 500, 42),
+        (1.3, 500, 106),
+        // Another searcher needs 10 ms and twice the usual work: 50 ms before the time to answer is over.
+        (1.0, 100, 50),
+        (1.0, 90, 40),
+        // Never before the round trip and 1.5 times the usual work.
+        (1.0, 60, 32),
+        (0.1, 500, 32),
+        (1.0, 0, 32),
+    ];
+    for (delay_factor, left, after) in rows {
+        let (round_trip, other_round_trip) = (ms(2), ms(10));
+        let times = HedgeTimes { round_trip, other_round_trip, usual: ms(20), late: ms(80), delay_factor };
+        assert_eq!(times.hedge_at(NOW, NOW + ms(left)), NOW + ms(after), "{delay_factor} {left}");
+    }
+}
+
+#[test]
+fn only_a_restarted_process_rests_and_for_two_seconds() {
+    let on = RoutingPolicy::default();
+    let off = RoutingPolicy { start_rest: false, ..on };
+    let rows =
+        [(None, on, BootTime::default()), (Some(NOW), on, NOW + ms(2000)), (Some(NOW), off, BootTime::default())];
+    for (restarted_at, policy, until) in rows {
+        assert_eq!(rests_until(restarted_at, &policy), until);
+    }
+}
+
+#[test]
+fn a_late_attempt_is_hedged_once_and_only_where_its_route_may_run_twice() {
+    let late = LateAttempt { is_idempotent: true, is_key_revoked: false, is_alone: true, may_be_sent: true };
+    let on = RoutingPolicy::default();
+    let off = RoutingPolicy { hedges: false, ..on };
+    let (rested, rests) = (BootTime::default(), NOW + ms(700));
+    let hedge = HedgeVerdict::Hedge { again_at: NOW + ms(25) };
+    let rows = [
+        (late, rested, on, hedge),
+        (late, NOW, on, hedge),
+        (late, rests, on, HedgeVerdict::NotBefore(rests)),
+        (late, rested, off, HedgeVerdict::Never),
+        (LateAttempt { is_idempotent: false, ..late }, rested, on, HedgeVerdict::Never),
+        (LateAttempt { is_idempotent: false, ..late }, rests, on, HedgeVerdict::Never),
+        (LateAttempt { is_key_revoked: true, ..late }, rested, on, HedgeVerdict::Never),
+        (LateAttempt { is_alone: false, ..late }, rested, on, HedgeVerdict::Never),
+        (LateAttempt { is_alone: false, ..late }, rests, on, HedgeVerdict::NotBefore(rests)),
+        (LateAttempt { may_be_sent: false, ..late }, rested, on, HedgeVerdict::Never),
+    ];
+    for (late, until, policy, verdict) in rows {
+        assert_eq!(judge(NOW, late, until, &policy), verdict, "{late:?} {until:?}");
+    }
+}
