--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -14,6 +14,7 @@
 //! | [`fair_share`] | whose requests are taken while only a fraction of them is |
 //! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
 //! | [`hedging`] | when a second searcher is asked besides one that is late |
+//! | [`retry`] | which end of an attempt lets a request be sent again, to whom, and when |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
 
@@ -26,4 +27,5 @@
 pub mod hedging;
 pub mod placement;
 pub mod quarantine;
+pub mod retry;
 pub mod turns;
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,12 +1,14 @@
 //! What the end of an attempt means for its request and its searcher.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
+use crate::decision::retry::{self, NextStep, RequestKind};
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::state::request::{AttemptOutcome, NotRun, SearcherAnswer, ShardState};
+use crate::state::request::{AttemptOutcome, NotRun, Request, SearcherAnswer, ShardState};
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// How long the answer of an attempt that nobody waits for is read out before its connection is closed.
+/// How long the answer of an attempt that nobody waits for is read out before its connection is closed. Not measured; chosen so
+/// that a connection whose answer is under way can be kept.
 const READ_OUT_PATIENCE: Duration = Duration::from_millis(1500);
 
 impl RoutingEngine {
@@ -24,6 +26,7 @@
         self.note_wait(now, &sent, &outcome, actions);
         self.note_searcher(now, &sent, &outcome);
         let shard = self.close_attempt(attempt);
+        // Before the outcome is judged as a lost searcher, which may end the request at once.
         if matches!(outcome, AttemptOutcome::Unknown(_)) {
             self.note_may_have_run(attempt.request);
         }
@@ -86,21 +89,30 @@
         outcome: AttemptOutcome,
         actions: &mut Vec<RoutingAction>,
     ) {
-        match outcome {
-            AttemptOutcome::Answered(answer) => self.apply_answer(now, key, shard, answer, actions),
-            // Only attempts of requests whose key is gone are taken back while their request goes on.
-            AttemptOutcome::Cancelled => self.give_up(key, shard, None),
-            AttemptOutcome::NotRun(NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Stale) => {
-                self.try_again(now, key, shard, SendReason::Reroute, None, actions);
-            }
-            AttemptOutcome::NotRun(NotRun::Shed | NotRun::OtherInstance) => {
-                self.try_again(now, key, shard, SendReason::Retry, None, actions);
+        let Some(request) = self.requests.get_mut(&key) else {
+            return;
+        };
+        let kind = kind_of(request);
+        let step = retry::next_step(&outcome, kind);
+        request.may_have_run |= retry::may_have_run(&outcome);
+        let answer = match outcome {
+            AttemptOutcome::Answered(answer) => Some(answer),
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::Cancelled => None,
+        };
+        request.is_answered |= answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
+        match (step, answer) {
+            (NextStep::TakePart, Some(answer)) => self.take_part(now, key, shard, answer, actions),
+            (NextStep::SendAgain(reason), failure) => self.try_again(now, key, shard, reason, failure, actions),
+            (NextStep::NotRepeatable, failure) => {
+                self.note_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
+                self.give_up(key, shard, failure);
             }
-            AttemptOutcome::Unknown(_) => self.try_again_if_repeatable(now, key, shard, None, actions),
+            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up(key, shard, failure),
         }
     }
 
-    fn apply_answer(
+    /// A shard's part is in: nothing more is done for it.
+    fn take_part(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -108,22 +120,11 @@
         answer: Box<SearcherAnswer>,
         actions: &mut Vec<RoutingAction>,
     ) {
-        self.note_may_have_run(key);
-        let Some(request) = self.requests.get_mut(&key) else {
-            return;
-        };
-        let is_success = (200..300).contains(&answer.status) && answer.stamp.is_some();
-        request.is_answered |= is_run_to_its_end(&answer);
-        let is_gather = request.gather().is_some();
-        // A searcher's own refusal of the request as such is final; another would say the same.
-        let is_final = is_success || (!is_gather && answer.status < 500 && !promises_not_run(answer.status));
-        if is_final {
+        if let Some(request) = self.requests.get_mut(&key) {
             request.shards[shard].state = ShardState::In(answer);
-            self.abandon_shard(key, shard, actions);
-            self.end_probe(now, key, actions);
-            return;
         }
-        self.try_again_if_repeatable(now, key, shard, Some(answer), actions);
+        self.abandon_shard(key, shard, actions);
+        self.end_probe(now, key, actions);
     }
 
     fn note_may_have_run(&mut self, key: RequestKey) {
@@ -132,47 +133,24 @@
         }
     }
 
-    /// What didn't run: a searcher that got nothing doesn't count against the most that may be asked, and may be asked again;
-    /// so may one that rejected the request for lack of room. Finding an ended connection uses it up, and whoever
-    /// can't be reached or rejects something is avoided for a while, so this is paced.
+    /// What didn't run may leave its searcher free to be asked again by the same request.
     fn note_unused(&mut self, key: RequestKey, shard: usize, searcher: SearcherKey, outcome: &AttemptOutcome) {
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
-        let may_be_asked_again = match reason {
-            NotRun::Stale => true,
-            NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Shed => self.settings.policy.waiting,
-            NotRun::OtherInstance => false,
-        };
+        let unused = retry::after_not_run(*reason, &self.settings.policy);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let shard = &mut request.shards[shard];
-        if matches!(reason, NotRun::Unconnected | NotRun::ConnectionRejected | NotRun::Stale) {
+        if !unused.is_counted {
             shard.forget_sending(searcher);
         }
-        if may_be_asked_again {
+        if unused.may_be_asked_again {
             shard.tried.retain(|tried| *tried != searcher);
         }
     }
 
-    fn try_again_if_repeatable(
-        &mut self,
-        now: BootTime,
-        key: RequestKey,
-        shard: usize,
-        failure: Option<Box<SearcherAnswer>>,
-        actions: &mut Vec<RoutingAction>,
-    ) {
-        let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
-        if is_idempotent {
-            self.try_again(now, key, shard, SendReason::Retry, failure, actions);
-        } else {
-            self.note_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
-            self.give_up(key, shard, failure);
-        }
-    }
-
     fn note_unsent(
         &self,
         key: RequestKey,
@@ -205,8 +183,7 @@
         if state.outstanding > 0 {
             return;
         }
-        // A failure that is at hand is passed on rather than kept until another may be asked.
-        let may_wait = failure.is_none() || request.gather().is_some();
+        let may_wait = retry::may_wait(failure.is_some(), kind_of(request));
         let outcome = match state.may_be_sent(most) {
             true => self.dispatch(now, key, shard, reason, actions),
             false => {
@@ -276,12 +253,6 @@
     }
 }
 
-/// Whether the searcher ran the request and lived on. A failure of its own may be told before the work that ends it.
-pub(super) fn is_run_to_its_end(answer: &SearcherAnswer) -> bool {
-    answer.status < 500 && !promises_not_run(answer.status)
-}
-
-/// Statuses by which a request is promised not to have run.
-pub(super) fn promises_not_run(status: u16) -> bool {
-    matches!(status, 408 | 421 | 429 | 503)
+fn kind_of(request: &Request) -> RequestKind {
+    RequestKind { is_idempotent: request.route().is_idempotent, is_gather: request.gather().is_some() }
 }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,10 +1,10 @@
 //! When a request ends, and how.
 
 use super::dispatch::refused;
-use super::outcome::promises_not_run;
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::configuration::tenants::KeyRefusal;
 use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
+use crate::decision::retry::promises_not_run;
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -1,9 +1,9 @@
 //! What lost searchers mean for the requests that ran there.
 
-use super::outcome::is_run_to_its_end;
 use super::waiting::Postponed;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
+use crate::decision::retry::is_run_to_its_end;
 use crate::keys::{AttemptKey, ContentKey, RequestKey, RouteDigest};
 use crate::state::request::{AttemptOutcome, NotRun, Request, Shard, ShardState, Unknown};
 use staircross_types::BootTime;
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -4,18 +4,15 @@
 
 use super::{RoutingAction, RoutingEngine, UnsentCause, WaitingShard};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::retry::budget_retry_at;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{SendReason, ShardState, Waiting};
 use staircross_types::BootTime;
 use std::collections::VecDeque;
 use std::sync::Arc;
-use std::time::Duration;
 
-/// Shards of one service that wait at once; bounds memory, those beyond are given up.
+/// Shards of one service that wait at once; those beyond are given up. Not measured; chosen to bound memory.
 const MAX_WAITING: usize = 1024;
-/// Time until a shard that the budget kept from being sent again is thought of once more: a part of the budget's window,
-/// of which a twentieth passes each half second.
-const BUDGET_PAUSE: Duration = Duration::from_millis(100);
 
 /// A sending that can't be made yet.
 pub(super) struct Postponed {
@@ -80,8 +77,8 @@
         let Some(shard) = self.requests.get(&key).map(|request| &request.shards[shard_index]) else {
             return;
         };
-        if self.settings.policy.waiting && shard.is_open() && shard.outstanding == 0 {
-            let retry_at = Some(now + BUDGET_PAUSE);
+        let retry_at = budget_retry_at(now, &self.settings.policy);
+        if retry_at.is_some() && shard.is_open() && shard.outstanding == 0 {
             let wait = Postponed { reason, cause: UnsentCause::OverBudget, retry_at };
             self.begin_waiting(now, key, shard_index, wait);
         }
