--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -15,6 +15,7 @@
 //! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
 //! | [`hedging`] | when a second searcher is asked besides one that is late |
 //! | [`retry`] | which end of an attempt lets a request be sent again, to whom, and when |
+//! | [`giving_up`] | when an answer is complete enough, when a request is refused, and with which kind |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
 
@@ -23,6 +24,7 @@
 pub mod cold;
 pub mod extra_budget;
 pub mod fair_share;
+pub mod giving_up;
 pub mod goal;
 pub mod hedging;
 pub mod placement;
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -3,28 +3,21 @@
 //! A request that comes before this node knows what it needs (a configuration, or who serves) is held for a moment: the
 //! first read of the store takes tens of milliseconds after a start, and a caller who is refused asks only once more.
 
-use super::dispatch::{DEADLINE_GUARD, refused};
 use super::{HoldCause, RoutingAction, RoutingEngine, SendReason};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
 use crate::configuration::table::RouteTable;
 use crate::configuration::tenants::{Credential, KeyRefusal};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::giving_up::{self, NodeLoad, Reach, ReachVerdict, Refusal, TimeBounds};
 use crate::decision::goal::usable_goal;
 use crate::decision::quarantine::Suspicion;
-use crate::keys::{RequestKey, TenantKey};
+use crate::keys::{ContentKey, RequestKey, TenantKey};
 use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest hold: a few reads of a store that answers slowly.
-const LONGEST_HOLD: Duration = Duration::from_millis(500);
-/// Part of a caller's patience that a hold may take, so that a refused one has time to ask another node.
-const HOLD_DIVISOR: u32 = 4;
-/// Requests held at once; those beyond are refused.
-const MAX_HELD: usize = 512;
-
 /// A request that waits until this node knows what it needs.
 #[derive(Debug)]
 pub(super) struct HeldRequest {
@@ -41,10 +34,37 @@
     Unprepared(HoldCause, Verdict),
 }
 
+impl NotBegun {
+    fn refused(kind: ErrorKind, detail: &'static str) -> Self {
+        NotBegun::Refused(Refusal::new(kind, detail).into())
+    }
+
+    fn unprepared(cause: HoldCause, kind: ErrorKind, detail: &'static str) -> Self {
+        NotBegun::Unprepared(cause, Refusal::new(kind, detail).into())
+    }
+}
+
+impl From<Refusal> for NotBegun {
+    fn from(refusal: Refusal) -> Self {
+        NotBegun::Refused(refusal.into())
+    }
+}
+
+/// What a request that is begun follows from.
+struct Admitted {
+    table: Arc<RouteTable>,
+    route_index: usize,
+    tenant: Option<TenantKey>,
+    content: ContentKey,
+    deadline: BootTime,
+    services: Vec<Arc<str>>,
+    group: Arc<str>,
+}
+
 impl HeldRequest {
     fn new(now: BootTime, arrival: Arrival) -> Self {
-        let fraction = arrival.patience.map_or(LONGEST_HOLD, |patience| patience / HOLD_DIVISOR);
-        HeldRequest { arrival, held_at: now, until: now + fraction.min(LONGEST_HOLD) }
+        let until = giving_up::hold_until(now, arrival.patience);
+        HeldRequest { arrival, held_at: now, until }
     }
 
     /// The arrival as if it came now. Once its hold is over, a request is judged by what is known.
@@ -70,7 +90,7 @@
     }
 
     fn may_hold(&self) -> bool {
-        self.settings.policy.holds && self.held.len() < MAX_HELD
+        giving_up::may_hold(self.held.len(), &self.settings.policy)
     }
 
     fn hold(&mut self, now: BootTime, arrival: Arrival, cause: HoldCause, actions: &mut Vec<RoutingAction>) {
@@ -119,76 +139,98 @@
         arrival: &Arrival,
         actions: &mut Vec<RoutingAction>,
     ) -> Result<Request, NotBegun> {
+        let admitted = self.check(now, arrival, actions)?;
+        Ok(self.new_request(now, arrival, admitted))
+    }
+
+    /// Whether a request can be begun, by this node and now. The order of the checks is that of their cost and of what they take from whom.
+    fn check(
+        &mut self,
+        now: BootTime,
+        arrival: &Arrival,
+        actions: &mut Vec<RoutingAction>,
+    ) -> Result<Admitted, NotBegun> {
         let (table, route_index) = self.find_route(arrival)?;
-        let refuse = |kind, detail| Err(NotBegun::Refused(refused(kind, detail)));
-        if arrival.is_overloaded {
-            return refuse(ErrorKind::Overloaded, "the node comes too late to its work");
-        }
-        if self.requests.len() >= self.settings.max_requests {
-            return refuse(ErrorKind::Overloaded, "the node holds as many requests as it may");
-        }
+        self.check_load(arrival)?;
         let route = &table.definition().routes[route_index];
         let tenant = judge_credential(&table, route, arrival, actions)?;
         let definition = tenant.and_then(|key| table.tenant(key));
-        let content = arrival.content.of_tenant(definition.map(|tenant| &*tenant.name));
-        if self.suspicion(now, content) == Suspicion::Quarantined {
-            return refuse(ErrorKind::Quarantined, "every searcher that ran this request ended; it was not sent");
-        }
-        let regions = AllowedRegions::new(route, definition);
-        let timeout = Duration::from_millis(route.timeout_ms);
-        let patience = arrival.patience.map_or(timeout, |patience| patience.min(timeout));
-        // What was read late has less time than it says.
-        let left = patience.saturating_sub(arrival.waited);
-        if left <= DEADLINE_GUARD {
-            return refuse(ErrorKind::Overloaded, "the request's time was over when it was read");
-        }
-        let deadline = now + (left - DEADLINE_GUARD);
+        let whose = definition.map(|tenant| &tenant.name);
+        let content = arrival.content.of_tenant(whose.map(|name| &**name));
+        self.check_content(now, content)?;
+        let deadline = deadline_of(now, route, arrival)?;
         let services = self.services_of(route);
-        self.check_replicas(now, arrival, route.least_shards(), regions, &services, deadline)?;
-        let whose = tenant.and_then(|key| table.tenant(key)).map(|tenant| &tenant.name);
+        self.check_reach(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
         self.check_quota(now, whose)?;
-        for service in &services {
-            let window = self.windows.entry(service.clone()).or_default();
-            window.count_request(now, &self.settings.extra);
-        }
+        self.count_request(now, &services);
         let group = services.first().cloned().unwrap_or_default();
         if let Some(fraction) = self.refusing_fraction(now, &group, table.rank(tenant, route), whose) {
             actions.push(RoutingAction::NotAdmitted { request: arrival.key, group, fraction });
-            return refuse(ErrorKind::Overloaded, "too much waits at the back ends already");
+            return Err(NotBegun::refused(ErrorKind::Overloaded, "too much waits at the back ends already"));
         }
-        let services_count = services.len();
-        Ok(Request {
-            route_index,
-            tenant,
+        Ok(Admitted { route_index, tenant, content, deadline, services, group, table: table.clone() })
+    }
+
+    fn check_load(&self, arrival: &Arrival) -> Result<(), Refusal> {
+        let (requests, max_requests) = (self.requests.len(), self.settings.max_requests);
+        let load = NodeLoad { is_overloaded: arrival.is_overloaded, requests, max_requests };
+        giving_up::refuse_by_load(load).map_or(Ok(()), Err)
+    }
+
+    fn check_content(&self, now: BootTime, content: ContentKey) -> Result<(), Refusal> {
+        match self.suspicion(now, content) {
+            Suspicion::Quarantined => {
+                let detail = "every searcher that ran this request ended; it was not sent";
+                Err(Refusal::new(ErrorKind::Quarantined, detail))
+            }
+            Suspicion::None | Suspicion::Suspect => Ok(()),
+        }
+    }
+
+    /// Counts a request towards the budgets of the services that it asks.
+    fn count_request(&mut self, now: BootTime, services: &[Arc<str>]) {
+        for service in services {
+            let window = self.windows.entry(service.clone()).or_default();
+            window.count_request(now, &self.settings.extra);
+        }
+    }
+
+    fn new_request(&self, now: BootTime, arrival: &Arrival, admitted: Admitted) -> Request {
+        let route = &admitted.table.definition().routes[admitted.route_index];
+        let answer_by = now + self.goal_of(route, arrival).saturating_sub(arrival.waited);
+        let is_probing = admitted.services.len() > 1 && self.is_to_be_probed(now, route, arrival.content);
+        Request {
+            route_index: admitted.route_index,
+            tenant: admitted.tenant,
             credential: arrival.credential,
             is_key_revoked: false,
-            shards: services.into_iter().map(Shard::new).collect(),
+            shards: admitted.services.into_iter().map(Shard::new).collect(),
             attempts: Vec::new(),
-            answer_by: (now + self.goal_of(route, arrival).saturating_sub(arrival.waited)).min(deadline),
-            deadline,
-            group,
-            content,
+            answer_by: answer_by.min(admitted.deadline),
+            deadline: admitted.deadline,
+            group: admitted.group,
+            content: admitted.content,
             may_have_run: false,
             is_answered: false,
             is_past_goal: false,
-            is_probing: services_count > 1 && self.is_to_be_probed(now, route, arrival.content),
-            table: table.clone(),
-        })
+            is_probing,
+            table: admitted.table,
+        }
     }
 
     fn find_route(&self, arrival: &Arrival) -> Result<(Arc<RouteTable>, usize), NotBegun> {
         let Some(table) = self.table.clone() else {
-            let verdict = refused(ErrorKind::NoConfiguration, "no configuration is known yet");
-            return Err(NotBegun::Unprepared(HoldCause::NoConfiguration, verdict));
+            let (cause, detail) = (HoldCause::NoConfiguration, "no configuration is known yet");
+            return Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail));
         };
         if let Some(route_index) = table.find_index(&arrival.host, &arrival.path) {
             return Ok((table, route_index));
         }
         if arrival.is_ahead_of(&table) {
-            let verdict = refused(ErrorKind::NoConfiguration, "a newer configuration may have this route");
-            return Err(NotBegun::Unprepared(HoldCause::OldConfiguration, verdict));
+            let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may have this route");
+            return Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail));
         }
-        Err(NotBegun::Refused(refused(ErrorKind::NoRoute, "no route has this host and path")))
+        Err(NotBegun::refused(ErrorKind::NoRoute, "no route has this host and path"))
     }
 
     fn goal_of(&self, route: &RouteDefinition, arrival: &Arrival) -> Duration {
@@ -217,34 +259,23 @@
     }
 
     /// Nothing is run where too few shards can have anybody to ask in time.
-    fn check_replicas(
+    fn check_reach(
         &self,
         now: BootTime,
         arrival: &Arrival,
-        least: usize,
+        route: &RouteDefinition,
         regions: AllowedRegions<'_>,
         services: &[Arc<str>],
         deadline: BootTime,
     ) -> Result<(), NotBegun> {
-        let may_be_asked =
-            |service: &&Arc<str>| self.next_chance(now, regions, service, &[]).is_some_and(|chance| chance < deadline);
-        let served = services.iter().filter(may_be_asked).count();
-        if served >= least {
-            return Ok(());
-        }
-        let verdict = if regions.are_all() {
-            refused(ErrorKind::NoReplica, "too few shards have a searcher that can be asked")
-        } else {
-            refused(
-                ErrorKind::NoAllowedReplica,
-                "too few shards have a searcher that can be asked in an allowed region",
-            )
-        };
-        if arrival.knows_searchers || regions.are_none() {
-            return Err(NotBegun::Refused(verdict));
+        let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
+        let reachable = chances.filter(|chance| !giving_up::is_too_late(*chance, deadline)).count();
+        let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
+        match giving_up::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
+            ReachVerdict::Begin => Ok(()),
+            ReachVerdict::Refuse(refusal) => Err(refusal.into()),
+            ReachVerdict::Hold(refusal) => Err(NotBegun::Unprepared(HoldCause::NoSearchers, refusal.into())),
         }
-        let verdict = refused(ErrorKind::NoReplicaYet, "searchers are only just becoming known");
-        Err(NotBegun::Unprepared(HoldCause::NoSearchers, verdict))
     }
 
     /// Sends the first attempt of each shard.
@@ -261,6 +292,11 @@
     }
 }
 
+fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
+    let timeout = Duration::from_millis(route.timeout_ms);
+    giving_up::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
+}
+
 /// Whose a request is. A node that is behind judges nobody: the newer configuration may hold the key.
 fn judge_credential(
     table: &RouteTable,
@@ -274,11 +310,11 @@
     }
     table.judge(route, arrival.credential).map_err(|refusal| {
         if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
-            let verdict = refused(ErrorKind::NoConfiguration, "a newer configuration may hold the key");
-            return NotBegun::Unprepared(HoldCause::OldConfiguration, verdict);
+            let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
+            return NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail);
         }
         actions.push(RoutingAction::KeyRefused { request: arrival.key, cause: refusal });
-        NotBegun::Refused(refused(ErrorKind::Unauthorized, refusal.detail()))
+        NotBegun::refused(ErrorKind::Unauthorized, refusal.detail())
     })
 }
 
@@ -286,12 +322,12 @@
 fn check_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotBegun> {
     match arrival.view {
         ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
-            let verdict = refused(ErrorKind::NoConfiguration, "a newer configuration is on its way");
-            Err(NotBegun::Unprepared(HoldCause::OldConfiguration, verdict))
+            let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration is on its way");
+            Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail))
         }
         ConfigurationView::Expired => {
             let detail = "the node hasn't heard of the configuration for too long to take keys by it";
-            Err(NotBegun::Refused(refused(ErrorKind::Unconfirmed, detail)))
+            Err(NotBegun::refused(ErrorKind::Unconfirmed, detail))
         }
         ConfigurationView::Current | ConfigurationView::Doubtful => Ok(()),
     }
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -3,13 +3,14 @@
 use super::first_probe::HARMLESS_WORK_FACTOR;
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::giving_up::DEADLINE_GUARD;
 use crate::decision::hedging::{HedgeTimes, hedge_delay_factor};
 use crate::decision::placement::{Choice, choose};
 use crate::decision::quarantine::Suspicion;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
-use crate::state::request::{Attempt, Request, Verdict};
+use crate::state::request::{Attempt, Request};
 use crate::state::searcher::OpenAttempt;
-use staircross_types::{BootTime, ErrorKind};
+use staircross_types::BootTime;
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +18,6 @@
 /// An attempt is overdue after the round trip and so many times the usual work of its searcher. Not measured; chosen
 /// later than the earliest hedge and earlier than [`HARMLESS_WORK_FACTOR`].
 const OVERDUE_FACTOR: f64 = 2.2;
-/// The final answer goes out so long before the deadline.
-pub(super) const DEADLINE_GUARD: Duration = Duration::from_millis(10);
 /// Wait for a connection, the round trips besides. Not measured; chosen for a searcher's process that gets no turn for a while.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
 /// Round trips that a connection may take besides. Not measured; chosen for one that connects at its second try.
@@ -236,7 +235,3 @@
         self.wakes.push(Reverse((due, key)));
     }
 }
-
-pub(super) fn refused(kind: ErrorKind, detail: &'static str) -> Verdict {
-    Verdict::Refused { kind, detail, retry_after: None }
-}
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,18 +1,18 @@
 //! When a request ends, and how.
 
-use super::dispatch::refused;
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
-use crate::configuration::tenants::KeyRefusal;
+use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
-use crate::decision::retry::promises_not_run;
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// How long a searcher may go on with work whose caller has left.
+/// How long a searcher may go on with work whose caller has left. Not measured; chosen so that most answers under way still come.
 const DEPARTED_PATIENCE: Duration = Duration::from_millis(350);
+/// The same for work that may not be repeated. Not measured; chosen longer than any such work.
+const UNREPEATABLE_PATIENCE: Duration = Duration::from_secs(600);
 
 impl RoutingEngine {
     /// A request needs attention: a hedge is due, its goal is near, or its time is over.
@@ -62,14 +62,9 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let parts = request.parts_in();
-        let open = request.open_shards();
-        let least = request.least_shards();
-        let is_enough = parts >= least;
-        let is_hopeless = parts + open < least && !request.is_unclear();
-        let is_best = now >= request.answer_by || !request.may_grow_in_time();
-        let is_time = now >= request.deadline || (is_best && is_enough);
-        if open > 0 && !is_hopeless && !is_time {
+        let progress = progress(now, request);
+        let standing = giving_up::judge(progress);
+        if standing == Standing::GoOn {
             return;
         }
         self.note_left_out(key, actions);
@@ -77,10 +72,11 @@
         let Some(mut request) = self.requests.remove(&key) else {
             return;
         };
-        if is_enough && request.gather().is_some() && parts < request.shards.len() {
+        let is_answered = standing == Standing::Answer;
+        if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
-        let verdict = if is_enough { success(&mut request) } else { failure(now, &mut request) };
+        let verdict = if is_answered { success(&mut request) } else { failure(now, &request) };
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
@@ -109,17 +105,29 @@
         };
         // Work that may not be repeated is left to end; the caller may ask what became of it.
         let is_idempotent = request.route().is_idempotent;
-        let patience = if is_idempotent { DEPARTED_PATIENCE } else { Duration::from_secs(600) };
+        let patience = if is_idempotent { DEPARTED_PATIENCE } else { UNREPEATABLE_PATIENCE };
         self.abandon_all(key, patience, AbandonCause::CallerGone, actions);
         self.requests.remove(&key);
     }
 }
 
+fn progress(now: BootTime, request: &Request) -> Progress {
+    Progress {
+        parts: request.parts_in(),
+        open: request.open_shards(),
+        least: request.least_shards(),
+        may_grow_in_time: request.may_grow_in_time(),
+        is_past_goal: now >= request.answer_by,
+        is_over: now >= request.deadline,
+        is_unclear: request.is_unclear(),
+    }
+}
+
 fn success(request: &mut Request) -> Verdict {
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
             Some(ShardState::In(answer)) => Verdict::Passed(answer),
-            _ => refused(ErrorKind::Internal, "a request without a part was taken as answered"),
+            _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
         };
     };
     let parts = request.shards.iter().filter_map(|shard| match &shard.state {
@@ -132,22 +140,13 @@
     Verdict::Merged(MergedAnswer { stamps, missing, body })
 }
 
-fn failure(now: BootTime, request: &mut Request) -> Verdict {
-    if request.gather().is_none()
-        && let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
-        && !promises_not_run(answer.status)
+fn failure(now: BootTime, request: &Request) -> Verdict {
+    if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
+        && giving_up::is_passed_on(answer, request.gather().is_some())
     {
         return Verdict::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
-    let is_over = now >= request.deadline;
-    if request.is_key_revoked && !may_have_run {
-        return refused(ErrorKind::Unauthorized, KeyRefusal::Revoked.detail());
-    }
-    match (may_have_run, is_over) {
-        (true, true) => refused(ErrorKind::TimedOut, "the time was over before enough shards had answered"),
-        (true, false) => refused(ErrorKind::BackEndsFailed, "too few shards are left to answer"),
-        (false, true) => refused(ErrorKind::Overloaded, "no searcher had room in time"),
-        (false, false) => refused(ErrorKind::NotDelivered, "every searcher asked turned the request away"),
-    }
+    let (is_over, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
+    giving_up::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
 }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -4,6 +4,7 @@
 
 use super::{RoutingAction, RoutingEngine, UnsentCause, WaitingShard};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::giving_up::is_too_late;
 use crate::decision::retry::budget_retry_at;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{SendReason, ShardState, Waiting};
@@ -106,7 +107,7 @@
         };
         let (service, deadline) = (request.shards[shard_index].service.clone(), request.deadline);
         let is_hopeless = wait.cause == UnsentCause::NobodyLeft
-            || wait.retry_at.is_some_and(|at| at >= deadline)
+            || wait.retry_at.is_some_and(|at| is_too_late(at, deadline))
             || (wait.reason == SendReason::Retry && !self.may_be_permitted_by(now, &service, deadline));
         let Some(request) = self.requests.get_mut(&key) else {
             return;
--- /dev/null
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -0,0 +1,180 @@
+//! The rule of answering, refusing and giving up: inputs and verdicts, with no engine around.
+
+mod common;
+
+use common::{answer, route};
+use staircross_routing::decision::allowed_regions::AllowedRegions;
+use staircross_routing::decision::giving_up::{
+    FailedRequest, NodeLoad, Progress, Reach, ReachVerdict, Standing, TimeBounds, deadline, hold_until, is_passed_on,
+    is_too_late, judge, judge_reach, may_hold, refuse, refuse_by_load,
+};
+use staircross_routing::{AttemptOutcome, RouteDefinition, RouteTarget, RoutingPolicy, TenantDefinition};
+use staircross_types::{BootTime, ErrorKind, Executed};
+use std::sync::Arc;
+use std::time::Duration;
+
+const NOW: BootTime = BootTime::from_millis(10_000);
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+#[test]
+fn a_node_without_room_refuses_at_once() {
+    let rows = [
+        // Too late to its work, requests held of at most 100; refused.
+        (false, 99, None),
+        (false, 100, Some(ErrorKind::Overloaded)),
+        (true, 0, Some(ErrorKind::Overloaded)),
+    ];
+    for (is_overloaded, requests, kind) in rows {
+        let load = NodeLoad { is_overloaded, requests, max_requests: 100 };
+        assert_eq!(refuse_by_load(load).map(|refusal| refusal.kind), kind, "{load:?}");
+    }
+}
+
+#[test]
+fn the_deadline_is_ten_milliseconds_before_the_callers_patience_or_the_routes_timeout_ends() {
+    let rows = [
+        // The caller's patience, what the request waited to be read; deadline after.
+        (None, 0, Some(3990)),
+        (Some(9000), 0, Some(3990)),
+        (Some(1000), 0, Some(990)),
+        (Some(1000), 400, Some(590)),
+        (Some(1000), 989, Some(1)),
+        (Some(1000), 990, None),
+        (Some(1000), 2000, None),
+    ];
+    for (patience, waited, after) in rows {
+        let bounds = TimeBounds { timeout: ms(4000), patience: patience.map(ms), waited: ms(waited) };
+        let verdict = deadline(NOW, bounds);
+        assert_eq!(verdict.ok(), after.map(|after| NOW + ms(after)), "{bounds:?}");
+        assert!(verdict.is_ok() || verdict.is_err_and(|refusal| refusal.kind == ErrorKind::Overloaded));
+    }
+}
+
+fn regions(names: &[&str]) -> Vec<Arc<str>> {
+    names.iter().map(|name| Arc::from(*name)).collect()
+}
+
+fn limited(allowed: &[&str]) -> RouteDefinition {
+    RouteDefinition { allowed_regions: regions(allowed), ..route("r", RouteTarget::Service(Arc::from("x"))) }
+}
+
+#[test]
+fn nothing_is_begun_that_too_few_shards_can_answer() {
+    let (anywhere, north) = (limited(&[]), limited(&["north"]));
+    let south = TenantDefinition {
+        name: Arc::from("t"),
+        keys: Vec::new(),
+        priority: 0,
+        quota: None,
+        allowed_regions: regions(&["south"]),
+    };
+    let (all, some) = (AllowedRegions::new(&anywhere, None), AllowedRegions::new(&north, None));
+    let none = AllowedRegions::new(&north, Some(&south));
+    let rows = [
+        // Shards that can be asked of at least 3, whether all searchers are known, regions; begun, or held or refused with which kind.
+        (3, true, all, "begin"),
+        (3, false, some, "begin"),
+        (2, true, all, "refuse no_replica"),
+        (2, true, some, "refuse no_allowed_replica"),
+        (2, false, all, "hold no_replica_yet"),
+        (2, false, some, "hold no_replica_yet"),
+        (0, true, none, "refuse no_allowed_replica"),
+        (0, false, none, "refuse no_allowed_replica"),
+    ];
+    for (reachable, knows_searchers, regions, expected) in rows {
+        let verdict = match judge_reach(Reach { reachable, least: 3, knows_searchers, regions }) {
+            ReachVerdict::Begin => "begin".to_owned(),
+            ReachVerdict::Refuse(refusal) => format!("refuse {}", refusal.kind),
+            ReachVerdict::Hold(refusal) => format!("hold {}", refusal.kind),
+        };
+        assert_eq!(verdict, expected, "{reachable} {knows_searchers} {regions:?}");
+    }
+}
+
+#[test]
+fn a_hold_takes_a_quarter_of_the_callers_patience_and_half_a_second_at_most() {
+    for (patience, after) in [(None, 500), (Some(400), 100), (Some(2000), 500), (Some(60_000), 500)] {
+        assert_eq!(hold_until(NOW, patience.map(ms)), NOW + ms(after), "{patience:?}");
+    }
+    let on = RoutingPolicy::default();
+    let off = RoutingPolicy { holds: false, ..on };
+    for (held, policy, may) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
+        assert_eq!(may_hold(held, &policy), may, "{held}");
+    }
+}
+
+#[test]
+fn a_shard_waits_only_for_what_comes_before_the_deadline() {
+    for (retry_at, late) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
+        assert_eq!(is_too_late(retry_at, NOW), late);
+    }
+}
+
+#[test]
+fn a_request_ends_when_nothing_more_can_come_too_little_can_or_it_is_time() {
+    // Of four shards three make an answer.
+    let waits = Progress {
+        parts: 0,
+        open: 4,
+        least: 3,
+        may_grow_in_time: true,
+        is_past_goal: false,
+        is_over: false,
+        is_unclear: false,
+    };
+    let rows = [
+        (waits, Standing::GoOn),
+        (Progress { parts: 3, open: 1, ..waits }, Standing::GoOn),
+        (Progress { parts: 4, open: 0, ..waits }, Standing::Answer),
+        (Progress { parts: 3, open: 0, ..waits }, Standing::Answer),
+        (Progress { parts: 3, open: 1, is_past_goal: true, ..waits }, Standing::Answer),
+        (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waits }, Standing::Answer),
+        // Too little for an answer: late is worth something, nothing isn't.
+        (Progress { parts: 2, open: 2, is_past_goal: true, ..waits }, Standing::GoOn),
+        (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waits }, Standing::GoOn),
+        (Progress { parts: 2, open: 2, is_past_goal: true, is_over: true, ..waits }, Standing::Fail),
+        (Progress { parts: 3, open: 1, is_past_goal: true, is_over: true, ..waits }, Standing::Answer),
+        // Two are lost.
+        (Progress { parts: 1, open: 1, ..waits }, Standing::Fail),
+        (Progress { parts: 0, open: 1, is_unclear: true, ..waits }, Standing::GoOn),
+        (Progress { parts: 0, open: 0, is_unclear: true, ..waits }, Standing::Fail),
+        (Progress { parts: 0, open: 1, is_unclear: true, is_over: true, ..waits }, Standing::Fail),
+    ];
+    for (progress, standing) in rows {
+        assert_eq!(judge(progress), standing, "{progress:?}");
+    }
+}
+
+#[test]
+fn a_searchers_own_failure_is_passed_on_unless_it_is_one_part_of_several_or_promises_not_run() {
+    for (status, is_gather, passed) in [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
+    {
+        let AttemptOutcome::Answered(failure) = answer(status, "", Vec::new()) else {
+            panic!("an answer");
+        };
+        assert_eq!(is_passed_on(&failure, is_gather), passed, "{status}");
+    }
+}
+
+#[test]
+fn a_request_that_may_have_run_is_never_refused_as_not_run() {
+    let rows = [
+        // May have run, deadline over, key revoked; kind.
+        (false, false, false, ErrorKind::NotDelivered),
+        (false, true, false, ErrorKind::Overloaded),
+        (true, false, false, ErrorKind::BackEndsFailed),
+        (true, true, false, ErrorKind::TimedOut),
+        (false, false, true, ErrorKind::Unauthorized),
+        (false, true, true, ErrorKind::Unauthorized),
+        (true, false, true, ErrorKind::BackEndsFailed),
+        (true, true, true, ErrorKind::TimedOut),
+    ];
+    for (may_have_run, is_over, is_key_revoked, kind) in rows {
+        let refusal = refuse(FailedRequest { may_have_run, is_over, is_key_revoked });
+        assert_eq!(refusal.kind, kind);
+        assert_eq!(kind.executed() == Executed::Maybe, may_have_run, "{kind}");
+    }
+}
