--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -13,6 +13,9 @@
 //! | [`admission`] | how much of the offered work is taken while back ends are overloaded |
 //! | [`fair_share`] | whose requests are taken while only a fraction of them is |
 //! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
+//! | [`hedging`] | when a second searcher is asked besides one that is late |
+//! | [`retry`] | which end of an attempt lets a request be sent again, to whom, and when |
+//! | [`giving_up`] | when an answer is complete enough, when a request is refused, and with which kind |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
 
@@ -21,7 +24,10 @@
 pub mod cold;
 pub mod extra_budget;
 pub mod fair_share;
+pub mod giving_up;
 pub mod goal;
+pub mod hedging;
 pub mod placement;
 pub mod quarantine;
+pub mod retry;
 pub mod turns;
