--- /dev/null
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -0,0 +1,81 @@
+//! When a searcher should answer, as a sum of times; the searcher with the least is asked.
+//!
+//! Some terms are prices rather than times: distance, because bytes between zones cost; a rejection, because the budget may not pay for
+//! the repeat; an entry that has gone, so that such a searcher comes last.
+
+use super::Choice;
+use super::place::{Distance, Place};
+use crate::state::searcher::Searcher;
+use staircross_types::BootTime;
+use std::time::Duration;
+
+/// Price of another zone of the region. Not measured by itself; with [`REGION_BIAS`] it is worth 0.003 to 0.009 on four deployments
+/// (`routing.near_first` in docs/studies/switches.md).
+const ZONE_BIAS: Duration = Duration::from_millis(4);
+/// Price of another region. Measured: 60 ms bring 0.0045 ± 0.0020, of which the price of bytes is 0.007, so callers are served a little worse
+/// (docs/studies/policy-rounds.md).
+const REGION_BIAS: Duration = Duration::from_millis(25);
+/// Price of a searcher whose entry has gone. Not measured; chosen above any other sum, so that it is asked after all others.
+const LAPSE_BIAS: Duration = Duration::from_secs(60);
+/// Pause that an overdue attempt is taken to show, in times that it is overdue. Not measured; `routing.avoid_overdue` as a whole is worth 0.004 to 0.008 (docs/studies/switches.md).
+const PAUSE_FACTOR: u32 = 2;
+
+/// Time after which a searcher is expected to answer, prices included.
+pub fn expected_time(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
+    let work = choice.usual_work.mul_f64(slowness(now, searcher, place));
+    place.round_trip(&searcher.entry.zone)
+        + distance_price(searcher, place)
+        + work
+        + queue(searcher, place, work)
+        + pause(now, searcher, place)
+        + lapse_price(searcher)
+        + rejection_price(now, searcher, place, choice)
+}
+
+/// How many times slower than usual: by its answers, or by what its host reported last, whichever is more.
+fn slowness(now: BootTime, searcher: &Searcher, place: &Place) -> f64 {
+    let measured = if place.policy.avoid_slow { searcher.slowness(now) } else { 1.0 };
+    let reported = if place.policy.reported_host { searcher.host_slowness(now) } else { 1.0 };
+    measured.max(reported)
+}
+
+/// Time in the searcher's queue, by this node's open attempts and as many of each other node of its zone.
+fn queue(searcher: &Searcher, place: &Place, work: Duration) -> Duration {
+    let slots = f64::from(searcher.entry.slots.max(1));
+    let at_work = searcher.open.len() as f64 * sharers(searcher, place);
+    work.mul_f64(((at_work + 1.0 - slots) / slots).max(0.0))
+}
+
+/// Nodes that probably send as much to the searcher as this one does, this one included.
+fn sharers(searcher: &Searcher, place: &Place) -> f64 {
+    if *searcher.entry.zone == *place.zone {
+        return place.nodes_by_zone.get(&place.zone).copied().unwrap_or(1).max(1) as f64;
+    }
+    1.0
+}
+
+/// Time that a searcher with an overdue attempt is expected to stay silent.
+fn pause(now: BootTime, searcher: &Searcher, place: &Place) -> Duration {
+    if place.policy.avoid_overdue { searcher.overdue(now) * PAUSE_FACTOR } else { Duration::ZERO }
+}
+
+fn distance_price(searcher: &Searcher, place: &Place) -> Duration {
+    match place.distance(&searcher.entry.zone) {
+        Distance::OwnRegion if place.policy.near_first => ZONE_BIAS,
+        Distance::Far if place.policy.near_first => REGION_BIAS,
+        Distance::OwnZone | Distance::OwnRegion | Distance::Far => Duration::ZERO,
+    }
+}
+
+fn lapse_price(searcher: &Searcher) -> Duration {
+    if searcher.is_serving() { Duration::ZERO } else { LAPSE_BIAS }
+}
+
+/// The route's goal times the probability of a rejection: the budget may not pay for a repeat, and then the part is missing. Measured where most
+/// searchers reject much: +0.198 ± 0.009 of the worth, against +0.083 ± 0.004 for the time of a repeat alone (docs/design/searcher-choice.md).
+fn rejection_price(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
+    if !place.policy.avoid_rejecting {
+        return Duration::ZERO;
+    }
+    choice.goal.mul_f64(searcher.rejection_rate(now))
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -0,0 +1,196 @@
+//! Placement by itself, as tables: what counts as how much time, who is left out, how connections are divided.
+
+mod common;
+
+use common::{route, searcher};
+use hashbrown::HashMap;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use staircross_routing::decision::allowed_regions::AllowedRegions;
+use staircross_routing::decision::cold::FleetRank;
+use staircross_routing::decision::placement::connections::usable_connections;
+use staircross_routing::decision::placement::{Choice, Place, choose, expected_time};
+use staircross_routing::state::searcher::{OpenAttempt, Searcher};
+use staircross_routing::{
+    AttemptKey, ColdBound, ReportedLoad, RequestKey, RouteDefinition, RouteTarget, RoutingPolicy, SearcherKey,
+    SearcherReport,
+};
+use staircross_types::BootTime;
+use std::sync::Arc;
+use std::time::Duration;
+
+const WORK_MS: u64 = 20;
+const GOAL_MS: u64 = 200;
+const MAX_CONNECTIONS: u32 = 40;
+
+/// A node in zone `a` of the north, beside `b`; `c` is in the south. Two nodes serve in `a`, two in `b`.
+fn place() -> Place {
+    let zones = [("a", "north"), ("b", "north"), ("c", "south")];
+    Place {
+        zone: Arc::from("a"),
+        regions: zones.iter().map(|(zone, region)| (Arc::from(*zone), Arc::from(*region))).collect(),
+        nodes_by_zone: HashMap::from([(Arc::from("a"), 2), (Arc::from("b"), 2)]),
+        fleet: FleetRank { rank: Some(0), serving: 4 },
+        cold: ColdBound::default(),
+        round_trips: HashMap::new(),
+        restarted_at: None,
+        policy: RoutingPolicy::default(),
+    }
+}
+
+fn now() -> BootTime {
+    BootTime::default() + Duration::from_secs(100)
+}
+
+fn at(zone: &str) -> Searcher {
+    Searcher::new(now(), searcher(zone, "x", zone), MAX_CONNECTIONS)
+}
+
+fn with(mut searcher: Searcher, change: impl FnOnce(&mut Searcher)) -> Searcher {
+    change(&mut searcher);
+    searcher
+}
+
+/// With open attempts, each due `due_ms` from now.
+fn busy(searcher: Searcher, attempts: u16, due_ms: i64) -> Searcher {
+    let due_at = if due_ms < 0 {
+        now() - Duration::from_millis(due_ms.unsigned_abs())
+    } else {
+        now() + Duration::from_millis(due_ms.unsigned_abs())
+    };
+    let open = |number| OpenAttempt { attempt: AttemptKey { request: RequestKey(0), number }, sent_at: now(), due_at };
+    with(searcher, |searcher| (0..attempts).for_each(|number| searcher.sent(now(), open(number))))
+}
+
+/// With one open attempt, and without room for another.
+fn full() -> Searcher {
+    with(busy(at("a"), 1, 50), |searcher| searcher.connection_rejected(now()))
+}
+
+fn reporting(percent: u32) -> Searcher {
+    let load = ReportedLoad { running: 0, waiting: 0, slots: 5, host_slowness: Some(percent) };
+    with(at("a"), |searcher| searcher.take_report(now(), SearcherReport { load: Some(load), cold: None }))
+}
+
+fn choice<'a>(route: &'a RouteDefinition, excluded: &'a [SearcherKey]) -> Choice<'a> {
+    Choice {
+        regions: AllowedRegions::new(route, None),
+        excluded,
+        usual_work: Duration::from_millis(WORK_MS),
+        goal: Duration::from_millis(GOAL_MS),
+    }
+}
+
+fn single() -> RouteDefinition {
+    route("s", RouteTarget::Service(Arc::from("x")))
+}
+
+#[test]
+fn expected_time_adds_up_times_and_prices() {
+    let (place, route) = (place(), single());
+    // The searcher; its expected time in ms.
+    let rows = [
+        ("idle in the zone: 1 round trip, 20 work", at("a"), 21),
+        ("another zone: 2 round trip, 4 price", at("b"), 26),
+        ("another region: 24 round trip, 25 price", at("c"), 69),
+        ("two attempts, doubled by the zone's other node, and one more fill five slots", busy(at("a"), 2, 50), 21),
+        ("five attempts doubled and one more are six beyond five slots: 24 queue", busy(at("a"), 5, 50), 45),
+        ("five of another zone count alone and one more: 4 queue", busy(at("b"), 5, 50), 30),
+        ("overdue by 15: 30 pause", busy(at("a"), 1, -15), 51),
+        ("its host three times slower: 60 work", reporting(300), 61),
+        ("its host faster counts as usual", reporting(50), 21),
+        ("rejected once, rate 0.3: 60 of the goal", with(at("a"), |it| it.shed(now())), 81),
+        ("its entry has gone: last", with(at("a"), |it| it.mark_lapsed(now())), 60_021),
+    ];
+    for (row, searcher, expected_ms) in rows {
+        let found = expected_time(now(), &searcher, &place, &choice(&route, &[]));
+        assert_eq!(found.as_millis(), expected_ms, "{row}");
+    }
+}
+
+#[test]
+fn a_switch_that_is_off_leaves_its_term_out() {
+    let off = RoutingPolicy::default();
+    let rows = [
+        ("near_first", RoutingPolicy { near_first: false, ..off }, at("c"), 44),
+        ("avoid_overdue", RoutingPolicy { avoid_overdue: false, ..off }, busy(at("a"), 1, -15), 21),
+        ("reported_host", RoutingPolicy { reported_host: false, ..off }, reporting(300), 21),
+        ("avoid_rejecting", RoutingPolicy { avoid_rejecting: false, ..off }, with(at("a"), |it| it.shed(now())), 21),
+    ];
+    for (row, policy, searcher, expected_ms) in rows {
+        let place = Place { policy, ..place() };
+        let found = expected_time(now(), &searcher, &place, &choice(&single(), &[]));
+        assert_eq!(found.as_millis(), expected_ms, "{row}");
+    }
+}
+
+#[test]
+fn the_best_that_may_be_asked_is_chosen() {
+    let (near, far, south) = (SearcherKey(0), SearcherKey(1), SearcherKey(2));
+    let southern = RouteDefinition { allowed_regions: vec![Arc::from("south")], ..single() };
+    let none = Vec::new;
+    // The route, who is excluded, the searcher of the node's own zone; who is asked.
+    let rows = [
+        ("the least time", single(), none(), at("a"), Some(near)),
+        ("excluded", single(), vec![near], at("a"), Some(far)),
+        ("all excluded", single(), vec![near, far, south], at("a"), None),
+        ("allowed regions", southern, none(), at("a"), Some(south)),
+        ("no room: nine of its share of nine", single(), none(), busy(at("a"), 9, 50), Some(far)),
+        ("unreachable a moment ago", single(), none(), with(at("a"), |it| it.failed(now())), Some(far)),
+        ("evacuated", single(), none(), with(at("a"), |it| it.set_evacuated(now(), true)), Some(far)),
+        ("gone", single(), none(), with(at("a"), Searcher::mark_gone), Some(far)),
+        ("accepts no further connection", single(), none(), full(), Some(far)),
+    ];
+    for (row, route, excluded, first, expected) in rows {
+        let table = [first, at("b"), at("c")];
+        let mut random = ChaCha8Rng::seed_from_u64(1);
+        let found = choose(now(), &choice(&route, &excluded), &[near, far, south], &table, &place(), &mut random);
+        assert_eq!(found, expected, "{row}");
+    }
+}
+
+#[test]
+fn searchers_within_a_tenth_of_the_best_share_the_work() {
+    let (mut place, route) = (place(), single());
+    place.policy.near_first = false;
+    // Measured round trip to zone `b` in ms, where the best takes 21 ms in all; whether `b` is asked too.
+    for (round_trip_ms, expected) in [(1, true), (3, true), (4, false)] {
+        place.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
+        assert_eq!(times_second(&place, &route, at("b")) > 0, expected, "{round_trip_ms}");
+    }
+    let share = times_second(&place, &route, at("a"));
+    assert!((400..600).contains(&share), "{share} of 1000");
+}
+
+/// How often of 1000 times the second of two is chosen, the first being idle in the node's zone.
+fn times_second(place: &Place, route: &RouteDefinition, second: Searcher) -> usize {
+    let table = [at("a"), second];
+    let mut random = ChaCha8Rng::seed_from_u64(1);
+    let keys = [SearcherKey(0), SearcherKey(1)];
+    let mut choose = || choose(now(), &choice(route, &[]), &keys, &table, place, &mut random);
+    (0..1000).filter(|_| choose() == Some(keys[1])).count()
+}
+
+#[test]
+fn connections_are_divided_by_zone_and_a_restarted_node_takes_its_share_in_steps() {
+    // Zone of the searcher; nodes of zones a and b; seconds since a restart; connections of 40 that this node may use.
+    let rows = [
+        ("a", 2, 2, None, 9), // 0.45 of 40 for two nodes.
+        ("a", 1, 3, None, 18),
+        ("b", 2, 2, None, 9), // 0.45 of 40 for the two outside b.
+        ("b", 3, 1, None, 6),
+        ("c", 2, 2, None, 9),    // No node there: 0.9 of 40 for all four.
+        ("a", 4, 0, None, 9),    // All nodes there.
+        ("a", 60, 60, None, 1),  // One at least.
+        ("a", 1, 3, Some(0), 4), // A quarter of 18.
+        ("a", 1, 3, Some(1), 9),
+        ("a", 1, 3, Some(3), 18),
+    ];
+    for (zone, near, other, restarted_s, expected) in rows {
+        let nodes_by_zone = HashMap::from([(Arc::from("a"), near), (Arc::from("b"), other)]);
+        let fleet = FleetRank { rank: Some(0), serving: near + other };
+        let restarted_at = restarted_s.map(|seconds| now() - Duration::from_secs(seconds));
+        let place = Place { nodes_by_zone, fleet, restarted_at, ..place() };
+        assert_eq!(usable_connections(now(), &at(zone), &place), expected, "{zone} {near} {other} {restarted_s:?}");
+    }
+}
