--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -1,8 +1,18 @@
 //! How much a node may send to a searcher that has just started.
 //!
-//! A cold searcher bears a few requests a second from all nodes together and falls over at well above that. Nodes don't agree on
-//! who sends; each takes a share that follows from how many nodes serve, so that the sum stays below the bound. Where the
-//! bound is less than a request for each node, as many nodes as it allows send one, others for each searcher.
+//! **Decides** for a cold searcher how many requests this node may have sent it within 1.25 s, and when the next may go. Other nodes compute their own
+//! shares; nothing is agreed. Where the bound is less than a request for each node, as many nodes as it allows send one, others for each searcher.
+//!
+//! **Inputs**: what the searcher bears while it is cold ([`ColdStart`], requests a second), the operator's bound on it ([`ColdBound`]), its id, and
+//! how many nodes serve and which of them this one is ([`FleetRank`]). When it is cold, [`crate::state::searcher`] knows.
+//!
+//! **Protects** searchers: a cold one bears a few requests a second from all nodes together and falls over at well above that. A promise to back
+//! ends, so it has no switch; where no `cold-per-s` is set, nothing is limited. What it costs wasn't measured by itself.
+//!
+//! **Doesn't know** what other nodes have sent. A node that is cut off divides by the largest fleet lately seen, so the sum stays below the bound.
+//!
+//! **Shown by** the log's `event=unsent cause=avoided` and `event=left_out cause=no_room` of a shard whose searchers have all just started.
+//! Alternatives: docs/design/cold-searchers.md.
 
 use crate::configuration::definition::ColdStart;
 use serde::{Deserialize, Serialize};
@@ -10,10 +20,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the bound that nodes plan to use; the rest is for nodes that see the fleet differently for a moment.
+/// Fraction of the bound that nodes plan to use. Not measured; chosen to leave 0.4 of it for nodes that see the fleet differently for a moment.
 const PLANNED_FRACTION: f64 = 0.6;
-/// Time over which sends are counted. The bound holds for one second at the searcher, and connecting may delay a request
-/// on its way there.
+/// Time over which sends are counted. Derived: the bound holds for one second at the searcher; the quarter more, by which connecting may delay a
+/// request on its way there, is not measured.
 const COUNTED: Duration = Duration::from_millis(1250);
 
 /// The bound on requests to a cold searcher in one second: what it bears times `factor`, plus `slack`.
@@ -41,7 +51,7 @@
     pub serving: usize,
 }
 
-/// Requests that a node may have sent to a cold searcher within the counted time; `None` where there is no limit.
+/// Requests that a node may have sent to a cold searcher within 1.25 s; `None` where there is no limit. A reserve may send none.
 pub fn cold_share(cold: ColdStart, bound: ColdBound, instance: &str, fleet: FleetRank) -> Option<usize> {
     let per_s = cold.requests_per_s?;
     let total = ((per_s * bound.factor + bound.slack) * PLANNED_FRACTION) as usize;
--- /dev/null
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -0,0 +1,63 @@
+//! Shares of cold searchers by themselves, as tables: how much a node may send, and when.
+
+use staircross_routing::decision::cold::{ColdSends, FleetRank, cold_share};
+use staircross_routing::{ColdBound, ColdStart};
+use staircross_types::BootTime;
+use std::time::Duration;
+
+fn at(millis: u64) -> BootTime {
+    BootTime::default() + Duration::from_millis(millis)
+}
+
+fn bearing(requests_per_s: Option<f64>) -> ColdStart {
+    ColdStart { requests_per_s, ..ColdStart::default() }
+}
+
+#[test]
+fn nodes_divide_six_tenths_of_the_bound() {
+    // Requests a second that the searcher bears, the bound's factor and slack, rank and number of serving nodes; this node's share.
+    let rows = [
+        (None, 1.0, 0.0, Some(0), 2, None),
+        (Some(10.0), 1.0, 0.0, Some(0), 2, Some(3)),
+        (Some(10.0), 1.0, 0.0, Some(1), 4, Some(1)),
+        (Some(10.0), 1.5, 5.0, Some(1), 4, Some(3)),
+        (Some(10.0), 1.0, 0.0, None, 2, Some(0)), // A reserve.
+        (Some(10.0), 1.0, 0.0, Some(0), 0, Some(6)),
+        (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request.
+    ];
+    for (per_s, factor, slack, rank, serving, expected) in rows {
+        let found = cold_share(bearing(per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
+        assert_eq!(found, expected, "{per_s:?} {factor} {slack} {rank:?} {serving}");
+    }
+}
+
+#[test]
+fn where_the_bound_is_less_than_one_each_some_nodes_send_one_and_others_for_the_next_searcher() {
+    // The searcher's id; which of ten nodes send it one, where it bears five requests a second.
+    for (instance, expected) in [("a", vec![3, 4, 5]), ("b", vec![2, 3, 4]), ("c", vec![1, 2, 3])] {
+        let share = |rank| {
+            let fleet = FleetRank { rank: Some(rank), serving: 10 };
+            cold_share(bearing(Some(5.0)), ColdBound::default(), instance, fleet)
+        };
+        let sending: Vec<usize> = (0..10).filter(|rank| share(*rank) == Some(1)).collect();
+        assert_eq!(sending, expected, "{instance}");
+    }
+}
+
+#[test]
+fn a_used_share_comes_back_after_the_counted_time() {
+    // Sends in ms, share; when one more may be sent, asked at 500 ms.
+    let rows = [
+        (vec![], 1, Some(500)),
+        (vec![], 0, None),
+        (vec![0], 1, Some(1250)),
+        (vec![0], 2, Some(500)),
+        (vec![0, 400], 2, Some(1250)),
+        (vec![0, 400], 1, Some(1650)),
+    ];
+    for (sends, share, expected) in rows {
+        let mut cold = ColdSends::default();
+        sends.iter().for_each(|millis| cold.note(at(*millis)));
+        assert_eq!(cold.next(at(500), share), expected.map(at), "{sends:?} {share}");
+    }
+}
