--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -15,12 +15,14 @@
 //! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
+//! | [`first_probe`] | which requests are sent to one shard first while such ones come |
 
 pub mod admission;
 pub mod allowed_regions;
 pub mod cold;
 pub mod extra_budget;
 pub mod fair_share;
+pub mod first_probe;
 pub mod goal;
 pub mod placement;
 pub mod quarantine;
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -12,7 +12,7 @@
 //! moment (docs/design/quarantine.md).
 //!
 //! **Doesn't know** why a connection ended, or what ran beside at other nodes; remembers nothing after a loss of all nodes. Copies of a first such
-//! request that come before anything has ended go to all shards; the contents that follow are tried on one first (`engine/first_probe`).
+//! request that come before anything has ended go to all shards; the contents that follow are tried on one first (`decision/first_probe`).
 //!
 //! **Shown by** the log's `event=suspicion` (content, level, searchers lost, source) and `event=alarm`, and refusals `quarantined`.
 //! **Turned off by** `routing.quarantine = false`.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -1,8 +1,8 @@
 //! Sending attempts, and when more are to be sent.
 
-use super::first_probe::HARMLESS_WORK_FACTOR;
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
+use crate::decision::first_probe::HARMLESS_WORK_FACTOR;
 use crate::decision::placement::{Choice, choose};
 use crate::decision::quarantine::Suspicion;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -1,23 +1,18 @@
-//! While a route's requests have ended searchers lately: one shard first.
+//! Carries out first probes: holds the other shards back, sends them when the first has answered, and logs alarms.
 //!
-//! A gathered request that ends its searchers ends one of each shard before anybody has seen the first end: its parts are asked at once. So while a
-//! route is on alarm, a content that nobody has answered lately is sent to one shard; to the others once that one has answered, or has lived for
-//! longer than a run usually takes. What it costs: such a request takes longer by one part's time. What it buys: of ten shards, such a request ends three
-//! searchers and not ten or more (`platform/tests/quarantine.rs`). Without an alarm nothing changes.
+//! [`crate::decision::first_probe`] says which requests, and why.
 
 use super::waiting::Postponed;
 use super::{RoutingAction, RoutingEngine, SendReason, UnsentCause};
 use crate::configuration::definition::RouteDefinition;
+use crate::decision::first_probe;
 use crate::keys::{ContentKey, RequestKey, RouteDigest};
 use crate::state::request::{Request, Waiting};
-use rand_chacha::rand_core::RngCore;
 use staircross_types::BootTime;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Times the usual work after which a run counts as harmless: what ends its searcher does so while it works.
-pub(super) const HARMLESS_WORK_FACTOR: f64 = 3.0;
-/// Time between looks whether an alarm is over: all routes are gone through.
+/// Time between looks for alarms that are over: each goes through all routes. Not measured; chosen so that a line comes a second late at most.
 const ALARM_LOOKS: Duration = Duration::from_secs(1);
 
 /// The alarms that were logged last.
@@ -31,17 +26,13 @@
 impl RoutingEngine {
     /// Whether a request is to be tried on one shard first.
     pub(super) fn is_to_be_probed(&self, now: BootTime, route: &RouteDefinition, content: ContentKey) -> bool {
-        self.settings.policy.first_probes
-            && self.settings.policy.quarantine
-            && self.quarantine.has_alarms()
-            && self.quarantine.is_alarmed(now, RouteDigest::of(&route.name))
-            && !self.quarantine.is_harmless(content)
+        first_probe::is_needed(now, &self.settings.policy, &self.quarantine, &route.name, content)
     }
 
-    /// The shard that a request is sent to first: any, so that no shard's searchers have to take all probes.
+    /// The shard that a request is sent to first.
     pub(super) fn first_shard(&mut self, request: &Request) -> usize {
         match request.is_probing {
-            true => self.random.next_u32() as usize % request.shards.len().max(1),
+            true => first_probe::first_of(request.shards.len(), &mut self.random),
             false => 0,
         }
     }
@@ -55,7 +46,7 @@
         request.is_probing.then_some(until)
     }
 
-    /// Has a shard wait for the word of the one that was asked first.
+    /// Has a shard wait for the end of the one that was asked first.
     pub(super) fn postpone_for_probe(
         &mut self,
         now: BootTime,
@@ -86,14 +77,14 @@
         self.retry_due(now, key, actions);
     }
 
-    /// Tells of alarms that are over, now and then.
+    /// Logs alarms that are over, a second late at most.
     pub(super) fn log_ended_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         if !self.alarms.routes.is_empty() && now >= self.alarms.logged_at + ALARM_LOOKS {
             self.log_alarms(now, actions);
         }
     }
 
-    /// Tells which routes' alarms were raised or are over since the last time.
+    /// Logs which routes' alarms were raised or are over since the last time.
     pub(super) fn log_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         self.alarms.logged_at = now;
         if !self.quarantine.has_alarms() && self.alarms.routes.is_empty() {
@@ -112,7 +103,7 @@
         self.alarms.routes = alarmed;
     }
 
-    /// Routes whose requests have ended searchers lately, as told last.
+    /// Routes whose requests have ended searchers lately, as logged last.
     pub fn alarm_count(&self) -> usize {
         self.alarms.routes.len()
     }
