--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -18,12 +18,14 @@
 //! | [`giving_up`] | when an answer is complete enough, when a request is refused, and with which kind |
 //! | [`goal`] | time that this node has to answer in time |
 //! | [`quarantine`] | which requests end the searchers that run them |
+//! | [`first_probe`] | which requests are sent to one shard first while such ones come |
 
 pub mod admission;
 pub mod allowed_regions;
 pub mod cold;
 pub mod extra_budget;
 pub mod fair_share;
+pub mod first_probe;
 pub mod giving_up;
 pub mod goal;
 pub mod hedging;
