--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -3,7 +3,7 @@
 //! The connection is kept between calls. A call that isn't answered in its time ends the connection,
 //! so that a late answer can never be taken for that of a later call.
 
-use crate::socket::{ConnectingState, IoContext, ReadOutcome, Socket, SocketId, WriteOutcome};
+use crate::socket::{ConnectingState, IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
 use rustix::net::sockopt;
 use staircross_http::client::Expected;
 use staircross_http::{Answer, ClientConnection, ClientProgress, write};
@@ -52,7 +52,7 @@
 
 /// A caller of one HTTP server, one call at a time.
 pub struct HttpCaller {
-    id_kind: u8,
+    id_kind: SocketKind,
     slot: u32,
     generation: u32,
     address: SocketAddr,
@@ -64,7 +64,7 @@
 
 impl HttpCaller {
     /// A caller of `address`; its tokens carry `id_kind` and `slot`.
-    pub fn new(id_kind: u8, slot: u32, address: SocketAddr) -> Self {
+    pub fn new(id_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
         HttpCaller { id_kind, slot, generation: 0, address, link: None, pending: None, bytes: 0 }
     }
 
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -1,7 +1,11 @@
 //! The event loop that carries events and actions between sockets and engines.
 //!
-//! One thread, one poll. In each turn, what the store and peers say is taken in before answers of
-//! searchers, and these before new requests: a process that wakes late learns first what has changed.
+//! One thread, one poll. A turn takes signals, then the events of sockets in [`TURN_ORDER`], then what is due
+//! by the clock; every [`TICK`] it looks besides at what has no exact time of its own.
+//!
+//! [`GatewayNode`] owns the sockets (server, pool, calls to the store and to peers, datagrams) and the engines that
+//! decide; it carries what comes in to the engines, and carries out what they order. It relies on the engines being
+//! sans-IO: they get the time with each event and never block. The modules below carry one subject each.
 
 mod caller_request;
 mod change_log;
@@ -29,7 +33,7 @@
 use crate::recorder::Recorder;
 use crate::server::{Server, ServerTimes};
 use crate::settings::{GatewaySettings, SettingsError, SettingsFile};
-use crate::socket::{IoContext, READ_CHUNK, SocketId};
+use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use crate::store_role::RoleKeeper;
 use crate::traffic::Traffic;
 use crate::unreadable_log::UnreadableLog;
@@ -57,26 +61,33 @@
 use stop::StopState;
 use summary::SUMMARY_EVERY;
 
-/// Kinds of tokens.
-const LISTENERS: u8 = 1;
-const SERVER: u8 = 2;
-const POOL: u8 = 3;
-const STORE: u8 = 4;
-const PEER: u8 = 5;
-const DATAGRAMS: u8 = 6;
+/// Order in which the events of one turn are handled, by kind of socket. A process that wakes late finds old
+/// and new events side by side in any order.
+const TURN_ORDER: [&[SocketKind]; 3] = [
+    // What has changed, so that whatever is decided in this turn is decided by it.
+    &[SocketKind::Store, SocketKind::Peer, SocketKind::Datagrams],
+    // Answers of searchers, so that requests in flight end, and what searchers report counts for the next ones.
+    &[SocketKind::Searcher],
+    // New requests, last.
+    &[SocketKind::Listener, SocketKind::Inbound],
+];
 
-/// Events taken from the poll at once.
+/// Events taken from the poll at once; those beyond come with the next turn. Not measured; chosen for the
+/// descriptors that a node has by default.
 const EVENTS: usize = 1024;
-/// Events handled before the clock is read again.
+/// Events handled before the clock is read again, so that a long turn doesn't take its start for now. Not
+/// measured; chosen so that reading the clock costs little beside the work.
 const EVENTS_PER_CLOCK: usize = 16;
-/// Time between looks at what has no exact time of its own.
+/// Time between looks at what has no exact time of its own: sweeps, readiness, roles, summaries. Not measured;
+/// chosen short beside what it looks at, which takes some hundred milliseconds and more.
 const TICK: Duration = Duration::from_millis(50);
 /// Life of a process that isn't the fleet's first during which fresh connections to searchers are proved:
 /// its machine may have lost power, and searchers still hold the connections of its run before.
 const STARTUP: Duration = Duration::from_secs(20);
 /// Life of such a process during which it looks for searchers again soon after each update on them.
 const READER_STARTUP: Duration = Duration::from_secs(3);
-/// Longest answer of a searcher, in bytes.
+/// Longest answer of a searcher, in bytes. Not measured; chosen so that one answer is a small share of a
+/// process's default memory.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
 quick_error! {
@@ -164,13 +175,13 @@
         let settings = settings_file.load()?;
         let now = clock::now();
         let poll = Poll::new().map_err(io_error("poll"))?;
-        let mut server = Server::new(LISTENERS, SERVER, settings.caller_connections());
+        let mut server = Server::new(settings.caller_connections());
         for (endpoint, name, address) in listeners(&settings) {
             server.listen(endpoint, address, poll.registry()).map_err(io_error(format!("{name} {address}")))?;
         }
         let peers = settings.listen.peers;
         let mut socket = UdpSocket::bind(peers).map_err(io_error(format!("listen.peers {peers} (datagrams)")))?;
-        let id = SocketId { kind: DATAGRAMS, generation: 0, slot: 0 };
+        let id = SocketId { kind: SocketKind::Datagrams, generation: 0, slot: 0 };
         poll.registry().register(&mut socket, id.token(), Interest::READABLE).map_err(io_error("datagrams"))?;
         let node = NodeId(rand::rng().random());
         let identity = FleetIdentity {
@@ -201,13 +212,13 @@
             ),
         );
         Ok(GatewayNode {
-            pool: Pool::new(POOL, *dialect.headers(), MAX_ANSWER, proves_until).with_policy(settings.policy.node),
+            pool: Pool::new(*dialect.headers(), MAX_ANSWER, proves_until).with_policy(settings.policy.node),
             fleet: Fleet::new(identity, settings.node.seeds.clone(), socket, now).with_policy(settings.policy.node),
-            store: [0, 1, 2].map(|slot| HttpCaller::new(STORE, slot, store)),
+            store: [0, 1, 2].map(|slot| HttpCaller::new(SocketKind::Store, slot, store)),
             store_calls: [const { None }; 3],
             store_called_at: [BootTime::default(); 3],
             is_view_old: false,
-            peer: HttpCaller::new(PEER, 0, peers),
+            peer: HttpCaller::new(SocketKind::Peer, 0, peers),
             reader,
             role,
             mirror: Mirror::default(),
@@ -258,14 +269,8 @@
             self.load.begin_turn(self.now);
             self.note_pause();
             self.take_signals();
-            for kinds in [&[STORE, PEER, DATAGRAMS][..], &[POOL][..], &[LISTENERS, SERVER][..]] {
-                let ours = events.iter().filter(|event| kinds.contains(&SocketId::from_token(event.token()).kind));
-                for (count, event) in ours.enumerate() {
-                    if count % EVENTS_PER_CLOCK == EVENTS_PER_CLOCK - 1 {
-                        self.now = clock::now();
-                    }
-                    self.on_socket(SocketId::from_token(event.token()), event);
-                }
+            for kinds in TURN_ORDER {
+                self.on_sockets(kinds, &events);
             }
             self.on_time();
             self.load.end_turn(clock::now());
@@ -291,15 +296,26 @@
         }
     }
 
+    /// Handles the events of sockets of these kinds.
+    fn on_sockets(&mut self, kinds: &[SocketKind], events: &Events) {
+        let decoded = events.iter().filter_map(|event| Some((SocketId::from_token(event.token())?, event)));
+        let ours = decoded.filter(|(id, _)| kinds.contains(&id.kind));
+        for (count, (id, event)) in ours.enumerate() {
+            if count % EVENTS_PER_CLOCK == EVENTS_PER_CLOCK - 1 {
+                self.now = clock::now();
+            }
+            self.on_socket(id, event);
+        }
+    }
+
     fn on_socket(&mut self, id: SocketId, event: &Event) {
         match id.kind {
-            LISTENERS => self.server.on_acceptable(self.now, id, self.poll.registry()),
-            SERVER => self.on_server_socket(id, event.is_writable()),
-            POOL => self.on_pool_socket(id, event.is_writable()),
-            STORE => self.on_store_socket(id, event.is_writable()),
-            PEER => self.on_peer_socket(id, event.is_writable()),
-            DATAGRAMS => self.on_datagrams(),
-            _ => {}
+            SocketKind::Listener => self.server.on_acceptable(self.now, id, self.poll.registry()),
+            SocketKind::Inbound => self.on_server_socket(id, event.is_writable()),
+            SocketKind::Searcher => self.on_pool_socket(id, event.is_writable()),
+            SocketKind::Store => self.on_store_socket(id, event.is_writable()),
+            SocketKind::Peer => self.on_peer_socket(id, event.is_writable()),
+            SocketKind::Datagrams => self.on_datagrams(),
         }
     }
 
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -109,7 +109,6 @@
 
 /// All connections to searchers.
 pub struct Pool {
-    kind: u8,
     names: HeaderNames,
     max_answer: usize,
     connections: Slab<Connection>,
@@ -132,9 +131,8 @@
 impl Pool {
     /// A pool without connections; `max_answer` bounds answers, in bytes. Fresh connections are proved
     /// until `proves_until`, and later where one has been reset.
-    pub fn new(kind: u8, names: HeaderNames, max_answer: usize, proves_until: BootTime) -> Self {
+    pub fn new(names: HeaderNames, max_answer: usize, proves_until: BootTime) -> Self {
         Pool {
-            kind,
             names,
             max_answer,
             connections: Slab::new(),
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -1,7 +1,7 @@
 //! Connections from their beginning until they carry something, and proving fresh ones.
 
 use super::{Assignment, Connection, Pool, PoolEvent, State, USUAL_REST};
-use crate::socket::{ConnectingState, IoContext, Socket, SocketId, WriteOutcome};
+use crate::socket::{ConnectingState, IoContext, Socket, SocketId, SocketKind, WriteOutcome};
 use crate::traffic::{Purpose, Reach};
 use staircross_http::{ClientConnection, ClientFault};
 use staircross_routing::{AttemptOutcome, NotRun, SearcherKey};
@@ -24,7 +24,7 @@
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
         let slot = entry.key();
-        let id = SocketId { kind: self.kind, generation, slot: slot as u32 };
+        let id = SocketId { kind: SocketKind::Searcher, generation, slot: slot as u32 };
         match Socket::connecting(assignment.order.address, id.token(), io.registry) {
             Ok(socket) => {
                 entry.insert(Connection {
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -1,7 +1,7 @@
 //! Connections that requests come in on.
 
 use crate::round_trip::round_trip;
-use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, WriteOutcome};
+use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
 use slab::Slab;
@@ -105,8 +105,6 @@
 
 /// All listeners and their connections.
 pub struct Server {
-    listener_kind: u8,
-    connection_kind: u8,
     listeners: Vec<Listening>,
     connections: Slab<Connection>,
     next_generation: u32,
@@ -114,23 +112,16 @@
 }
 
 impl Server {
-    /// A server without listeners. The kinds tell its tokens from those of other components.
-    pub fn new(listener_kind: u8, connection_kind: u8, max_connections: usize) -> Self {
-        Server {
-            listener_kind,
-            connection_kind,
-            listeners: Vec::new(),
-            connections: Slab::new(),
-            next_generation: 1,
-            max_connections,
-        }
+    /// A server without listeners that holds at most `max_connections`.
+    pub fn new(max_connections: usize) -> Self {
+        Server { listeners: Vec::new(), connections: Slab::new(), next_generation: 1, max_connections }
     }
 
     /// Listens on an address.
     pub fn listen(&mut self, endpoint: Endpoint, address: SocketAddr, registry: &Registry) -> io::Result<()> {
         let mut listener = TcpListener::bind(address)?;
         let slot = self.listeners.len() as u32;
-        let id = SocketId { kind: self.listener_kind, generation: 0, slot };
+        let id = SocketId { kind: SocketKind::Listener, generation: 0, slot };
         registry.register(&mut listener, id.token(), Interest::READABLE)?;
         self.listeners.push(Listening { endpoint, listener });
         Ok(())
@@ -177,7 +168,7 @@
         let generation = self.next_generation;
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
-        let id = SocketId { kind: self.connection_kind, generation, slot: entry.key() as u32 };
+        let id = SocketId { kind: SocketKind::Inbound, generation, slot: entry.key() as u32 };
         let link = CallerLink { round_trip: round_trip(&stream), is_fresh: true };
         if let Ok(socket) = Socket::accepted(stream, id.token(), registry) {
             entry.insert(Connection {
@@ -321,7 +312,7 @@
         let mut over = Vec::new();
         for (slot, connection) in &mut self.connections {
             let age = now.since(connection.since);
-            let id = SocketId { kind: self.connection_kind, generation: connection.generation, slot: slot as u32 };
+            let id = SocketId { kind: SocketKind::Inbound, generation: connection.generation, slot: slot as u32 };
             match connection.state {
                 State::Working => {}
                 State::Closing if age >= CLOSE_PATIENCE => over.push(slot),
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -1,4 +1,8 @@
-//! One non-blocking stream with its outgoing bytes.
+//! One non-blocking stream with its outgoing bytes, and the tokens that events name it by.
+//!
+//! [`Socket`] owns a registered stream and what is still to be written to it; which bytes these are is its
+//! owner's concern. [`SocketId`] is the one place where tokens are encoded and decoded. Relies on `mio` with
+//! edge-triggered readiness: who is told that a socket is ready reads until nothing is left.
 
 use mio::event::Source;
 use mio::net::TcpStream;
@@ -8,7 +12,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
-/// Bytes read at once.
+/// Bytes read at once. Not measured; chosen so that a usual head or answer comes in one read.
 pub const READ_CHUNK: usize = 16 * 1024;
 
 /// What a component needs to work on its sockets.
@@ -182,34 +186,69 @@
     }
 }
 
-/// Tokens of one component: kind, generation and slot, so that an event for a closed connection is
+/// What a socket is for, and so which component takes its events.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+#[repr(u8)]
+pub enum SocketKind {
+    /// A listener of the node's own server.
+    Listener = 1,
+    /// A connection that the node's own server has accepted.
+    Inbound = 2,
+    /// A connection to a searcher.
+    Searcher = 3,
+    /// A connection to the store.
+    Store = 4,
+    /// A connection to another node.
+    Peer = 5,
+    /// The socket of the datagrams between nodes.
+    Datagrams = 6,
+}
+
+impl SocketKind {
+    fn from_bits(bits: usize) -> Option<Self> {
+        match bits {
+            1 => Some(SocketKind::Listener),
+            2 => Some(SocketKind::Inbound),
+            3 => Some(SocketKind::Searcher),
+            4 => Some(SocketKind::Store),
+            5 => Some(SocketKind::Peer),
+            6 => Some(SocketKind::Datagrams),
+            _ => None,
+        }
+    }
+}
+
+/// Identity of a socket: kind, generation and slot, so that an event for a closed connection is
 /// never taken for one of its successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SocketId {
-    /// Which component.
-    pub kind: u8,
+    /// Which component takes its events.
+    pub kind: SocketKind,
     /// Rises with every connection.
     pub generation: u32,
     /// Place in the component's table.
     pub slot: u32,
 }
 
+/// Width of a slot within a token, in bits: what a token of 64 bits has left beside the generation and four
+/// bits for the kind. Far more slots than a process has descriptors.
 const SLOT_BITS: u32 = 28;
-const GENERATION_BITS: u32 = 32;
+/// Width of a generation within a token, in bits: that of [`SocketId::generation`].
+const GENERATION_BITS: u32 = u32::BITS;
 
 impl SocketId {
-    /// As a token.
+    /// The token under which the socket is registered.
     pub fn token(self) -> Token {
         let kind = (self.kind as usize) << (SLOT_BITS + GENERATION_BITS);
         let generation = (self.generation as usize) << SLOT_BITS;
         Token(kind | generation | self.slot as usize)
     }
 
-    /// From a token.
-    pub fn from_token(token: Token) -> Self {
-        let slot = (token.0 & ((1 << SLOT_BITS) - 1)) as u32;
+    /// The socket that a token stands for; none where no kind of socket has such a token.
+    pub fn from_token(token: Token) -> Option<Self> {
+        let kind = SocketKind::from_bits(token.0 >> (SLOT_BITS + GENERATION_BITS))?;
         let generation = (token.0 >> SLOT_BITS) as u32;
-        let kind = (token.0 >> (SLOT_BITS + GENERATION_BITS)) as u8;
-        SocketId { kind, generation, slot }
+        let slot = (token.0 & ((1 << SLOT_BITS) - 1)) as u32;
+        Some(SocketId { kind, generation, slot })
     }
 }
--- a/crates/staircross-gateway/tests/http_call.rs
+++ b/crates/staircross-gateway/tests/http_call.rs
@@ -2,14 +2,14 @@
 
 use mio::{Events, Poll};
 use staircross_gateway::http_call::{CallOutcome, HttpCaller};
-use staircross_gateway::socket::{IoContext, READ_CHUNK, SocketId};
+use staircross_gateway::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use staircross_http::ServerLimits;
 use staircross_types::BootTime;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-const KIND: u8 = 4;
+const KIND: SocketKind = SocketKind::Store;
 const START: BootTime = BootTime(1_000_000);
 const PATIENCE: Duration = Duration::from_millis(500);
 const LONG: Duration = Duration::from_secs(20);
@@ -47,7 +47,7 @@
         let limits = ServerLimits { head_bytes: 1 << 16, body_bytes: 1 << 20 };
         for event in &events {
             let mut io = IoContext { now: self.now, registry: self.poll.registry(), buffer: &mut self.buf, limits };
-            let id = SocketId::from_token(event.token());
+            let id = SocketId::from_token(event.token()).expect("a token of the caller");
             if let Some(outcome) = self.caller.on_ready(id, event.is_writable(), &mut io) {
                 return Some(outcome);
             }
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -16,7 +16,6 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-const KIND: u8 = 1;
 const LONG: Duration = Duration::from_secs(20);
 const START: BootTime = BootTime(1_000_000);
 const NAMES: HeaderNames = HeaderNames {
@@ -52,7 +51,7 @@
     fn with_proving_until(until: BootTime) -> Self {
         Fixture {
             poll: Poll::new().expect("a poll"),
-            pool: Pool::new(KIND, NAMES, 1 << 20, until),
+            pool: Pool::new(NAMES, 1 << 20, until),
             now: START,
             buf: Box::new([0; READ_CHUNK]),
             events: Vec::new(),
@@ -84,7 +83,7 @@
             assert!(Instant::now() < end, "{what}: {:?}", self.events);
             self.poll.poll(&mut ready, Some(Duration::from_millis(20))).expect("polling");
             for event in &ready {
-                let id = SocketId::from_token(event.token());
+                let id = SocketId::from_token(event.token()).expect("a token of the pool");
                 let is_writable = event.is_writable();
                 self.with_io(|pool, io, events| pool.on_ready(id, is_writable, io, events));
             }
--- /dev/null
+++ b/crates/staircross-gateway/tests/socket.rs
@@ -0,0 +1,29 @@
+//! Tokens: each socket has one of its own, and it comes back as the same socket.
+
+use mio::Token;
+use staircross_gateway::socket::{SocketId, SocketKind};
+
+const KINDS: [SocketKind; 6] = [
+    SocketKind::Listener,
+    SocketKind::Inbound,
+    SocketKind::Searcher,
+    SocketKind::Store,
+    SocketKind::Peer,
+    SocketKind::Datagrams,
+];
+
+#[test]
+fn a_token_comes_back_as_its_socket() {
+    for kind in KINDS {
+        for (generation, slot) in [(0, 0), (1, 2), (u32::MAX, (1 << 28) - 1)] {
+            let id = SocketId { kind, generation, slot };
+            assert_eq!(SocketId::from_token(id.token()), Some(id));
+        }
+    }
+}
+
+#[test]
+fn a_token_of_no_kind_is_no_socket() {
+    assert_eq!(SocketId::from_token(Token(0)), None);
+    assert_eq!(SocketId::from_token(Token(7 << 60)), None);
+}
