--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -7,6 +7,7 @@
 //! decide; it carries what comes in to the engines, and carries out what they order. It relies on the engines being
 //! sans-IO: they get the time with each event and never block. The modules below carry one subject each.
 
+mod attempts;
 mod caller_request;
 mod change_log;
 mod endpoints;
@@ -37,9 +38,8 @@
 use crate::store_role::RoleKeeper;
 use crate::traffic::Traffic;
 use crate::unreadable_log::UnreadableLog;
-use caller_request::CallerRequest;
+use caller_request::CallerRequests;
 use change_log::MemberLog;
-use hashbrown::HashMap;
 use mio::event::Event;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll};
@@ -49,9 +49,9 @@
 use rand_chacha::rand_core::SeedableRng;
 use setup::{listeners, routing_settings};
 use staircross_http::ServerLimits;
+use staircross_routing::Mirror;
 use staircross_routing::engine::{RoutingEngine, RoutingEvent};
 use staircross_routing::store_reader::{ReadingMode, StoreCall, StoreReader};
-use staircross_routing::{Mirror, RequestKey};
 use staircross_types::boot_clock as clock;
 use staircross_types::{BootTime, NodeId};
 use std::io::{self, ErrorKind};
@@ -144,9 +144,7 @@
     mirror: Mirror,
     unreadable_log: UnreadableLog,
     engine: RoutingEngine,
-    callers: HashMap<RequestKey, CallerRequest>,
-    by_connection: HashMap<SocketId, RequestKey>,
-    next_request: u64,
+    requests: CallerRequests,
     next_tick: BootTime,
     load: LoadMeter,
     is_ready: bool,
@@ -225,9 +223,7 @@
             unreadable_log: UnreadableLog::default(),
             recorder: recording::begin(&settings, &routing)?,
             engine: RoutingEngine::new(routing),
-            callers: HashMap::new(),
-            by_connection: HashMap::new(),
-            next_request: 1,
+            requests: CallerRequests::new(),
             next_tick: now,
             load: LoadMeter::new(now),
             is_ready: false,
--- /dev/null
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -0,0 +1,82 @@
+//! Attempts: what the engine orders at the pool, and what the pool reports of them.
+//!
+//! Relies on the pool for connections and on the engine for every decision; it owns nothing. Each call of the pool may
+//! end attempts at once, so what it reports is taken in before anything else happens.
+
+use super::GatewayNode;
+use crate::dialect::Dialect;
+use crate::pool::PoolEvent;
+use crate::socket::SocketId;
+use staircross_routing::AttemptKey;
+use staircross_routing::engine::{AbandonCause, RoutingEvent, SendOrder, SendReason};
+use std::time::Duration;
+
+/// Rest of connections to searchers at a node that serves no callers: others need them. Not measured; chosen far below the
+/// rest at nodes that serve, so that a node that has just become a reserve lets go soon.
+const RESERVE_REST: Duration = Duration::from_secs(2);
+
+impl<D: Dialect> GatewayNode<D> {
+    pub(super) fn send(&mut self, order: SendOrder) {
+        let Some(pending) = self.requests.get_mut(order.attempt.request) else {
+            return;
+        };
+        let outbound = pending.outbound.clone();
+        if order.reason != SendReason::First {
+            pending.extras += 1;
+            self.note_sent(&order);
+        }
+        let mut events = Vec::new();
+        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        self.pool.send(order, outbound, &mut io, &mut events);
+        self.take_pool_events(events);
+    }
+
+    pub(super) fn abandon(&mut self, attempt: AttemptKey, patience: Duration, cause: AbandonCause) {
+        let mut events = Vec::new();
+        self.pool.abandon(self.now, attempt, patience, cause, &mut events);
+        self.take_pool_events(events);
+    }
+
+    pub(super) fn recall(&mut self, attempt: AttemptKey) {
+        let mut events = Vec::new();
+        self.pool.recall(attempt, &mut events);
+        self.take_pool_events(events);
+    }
+
+    pub(super) fn on_pool_socket(&mut self, id: SocketId, is_writable: bool) {
+        let mut events = Vec::new();
+        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        self.pool.on_ready(id, is_writable, &mut io, &mut events);
+        self.take_pool_events(events);
+    }
+
+    pub(super) fn on_pool_time(&mut self) {
+        let mut events = Vec::new();
+        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        self.pool.on_tick(&mut io, &mut events);
+        self.take_pool_events(events);
+    }
+
+    pub(super) fn sweep_pool(&mut self) {
+        let mut events = Vec::new();
+        let most_rest = if self.is_serving { Duration::MAX } else { RESERVE_REST };
+        self.pool.sweep(self.now, most_rest, &mut events);
+        self.take_pool_events(events);
+    }
+
+    fn take_pool_events(&mut self, events: Vec<PoolEvent>) {
+        for event in events {
+            match event {
+                PoolEvent::Connected { searcher, took } => {
+                    self.engine_event(RoutingEvent::Connected { searcher, took });
+                }
+                PoolEvent::Begun { attempt } => self.engine_event(RoutingEvent::Begun { attempt }),
+                PoolEvent::Skipped { searcher } => self.log_skipped(searcher),
+                PoolEvent::Ended { attempt, outcome } => {
+                    self.note_attempt_ended(attempt, &outcome);
+                    self.engine_event(RoutingEvent::Ended { attempt, outcome });
+                }
+            }
+        }
+    }
+}
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -1,11 +1,56 @@
-//! A caller's request while it is worked on, and what was decided for it.
+//! Callers' requests while they are worked on, and what was decided for each.
+//!
+//! [`CallerRequests`] owns them, by the key under which the engine knows them and by the connection that waits. A
+//! connection has one request at a time: the server reads on only when it has written the answer.
 
 use crate::outbound::OutboundRequest;
 use crate::socket::SocketId;
-use staircross_routing::ContentKey;
+use hashbrown::HashMap;
+use staircross_routing::{ContentKey, RequestKey};
 use staircross_types::BootTime;
 use std::sync::Arc;
 
+/// All requests whose callers wait.
+pub(super) struct CallerRequests {
+    by_key: HashMap<RequestKey, CallerRequest>,
+    by_connection: HashMap<SocketId, RequestKey>,
+    next_key: u64,
+}
+
+impl CallerRequests {
+    pub fn new() -> Self {
+        CallerRequests { by_key: HashMap::new(), by_connection: HashMap::new(), next_key: 1 }
+    }
+
+    /// A key that no request of this process has had.
+    pub fn next_key(&mut self) -> RequestKey {
+        let key = RequestKey(self.next_key);
+        self.next_key += 1;
+        key
+    }
+
+    pub fn insert(&mut self, key: RequestKey, request: CallerRequest) {
+        self.by_connection.insert(request.connection, key);
+        self.by_key.insert(key, request);
+    }
+
+    pub fn get_mut(&mut self, key: RequestKey) -> Option<&mut CallerRequest> {
+        self.by_key.get_mut(&key)
+    }
+
+    /// The request whose answer a connection waits for.
+    pub fn key_of(&self, connection: SocketId) -> Option<RequestKey> {
+        self.by_connection.get(&connection).copied()
+    }
+
+    /// Ends a request: nobody waits for it any more.
+    pub fn take(&mut self, key: RequestKey) -> Option<CallerRequest> {
+        let request = self.by_key.remove(&key)?;
+        self.by_connection.remove(&request.connection);
+        Some(request)
+    }
+}
+
 /// A request whose caller waits.
 pub(super) struct CallerRequest {
     pub connection: SocketId,
@@ -55,7 +100,8 @@
     lines: Vec<(BootTime, String)>,
 }
 
-/// Decisions kept for one request.
+/// Decisions kept for one request; further ones are not logged. Not measured; chosen so that the hedges and retries of a
+/// request to many shards fit.
 const MAX_TRACE: usize = 96;
 
 impl Trace {
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -1,26 +1,22 @@
-//! Callers' requests: from their connection through the engine to searchers and back.
+//! Callers' requests: from their connection to the engine, and from its verdict to the answer.
+//!
+//! Relies on the server for whole requests, on the engine for every decision, and on `attempts` for what is sent to
+//! searchers. What is kept of a request until its end is owned by [`CallerRequests`](super::caller_request::CallerRequests).
 
 use super::GatewayNode;
 use super::caller_request::{CallerRequest, Target, Trace};
-use super::request_log::{Reported, notable_end};
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
 use crate::outbound::{AnswerContext, OutboundRequest};
-use crate::pool::PoolEvent;
 use crate::server::{Endpoint, ServerEvent};
 use crate::socket::SocketId;
-use staircross_http::{Request, ServerFault};
-use staircross_quota::QuotaChange;
-use staircross_routing::decision::admission::AdmissionChange;
-use staircross_routing::engine::{RoutingAction, RoutingEvent, SendOrder, SendReason};
+use staircross_http::{Request, RequestHead, ServerFault};
+use staircross_routing::engine::{RoutingAction, RoutingEvent};
 use staircross_routing::{Arrival, CallerLink, Credential, RequestKey, Verdict};
 use staircross_types::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Rest of connections to searchers at a node that serves no callers: others need them.
-const RESERVE_REST: Duration = Duration::from_secs(2);
-
 impl<D: Dialect> GatewayNode<D> {
     pub(super) fn on_server_socket(&mut self, id: SocketId, is_writable: bool) {
         let mut events = Vec::new();
@@ -53,25 +49,29 @@
     }
 
     fn on_request(&mut self, connection: SocketId, request: Request, link: CallerLink) {
-        let names = self.dialect.headers();
-        let outbound = OutboundRequest::new(&request, names);
+        let outbound = OutboundRequest::new(&request, self.dialect.headers());
         if outbound.id.is_none() {
             return self.refuse_connection(connection, ErrorKind::BadRequest);
         }
         if self.is_closed_to_requests() {
             return self.refuse_connection(connection, ErrorKind::Leaving);
         }
-        let key = RequestKey(self.next_request);
-        self.next_request += 1;
-        let head = &request.head;
-        let patience = head.headers.text(names.deadline_ms).and_then(|text| text.parse::<u64>().ok());
-        let waited = self.load.longest_wait(self.now);
-        let arrival = Arrival {
+        let key = self.requests.next_key();
+        let arrival = self.arrival(key, &request.head, &outbound, link);
+        let pending = self.caller_request(connection, &request.head, outbound, &arrival);
+        self.requests.insert(key, pending);
+        self.engine_event(RoutingEvent::Arrived(arrival));
+    }
+
+    /// What the engine decides a request by.
+    fn arrival(&self, key: RequestKey, head: &RequestHead, outbound: &OutboundRequest, link: CallerLink) -> Arrival {
+        let patience = head.headers.text(self.dialect.headers().deadline_ms).and_then(|text| text.parse::<u64>().ok());
+        Arrival {
             key,
             host: head.headers.text("host").unwrap_or_default().to_owned(),
             path: head.path().to_owned(),
             patience: patience.map(Duration::from_millis),
-            waited,
+            waited: self.load.longest_wait(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
             view: self.configuration_view(),
@@ -79,14 +79,23 @@
             link,
             content: outbound.content,
             credential: outbound.credential,
-        };
+        }
+    }
+
+    /// What the node keeps of a request until its end.
+    fn caller_request(
+        &self,
+        connection: SocketId,
+        head: &RequestHead,
+        outbound: OutboundRequest,
+        arrival: &Arrival,
+    ) -> CallerRequest {
         let (route, tenant) = self.identify(&arrival.host, &arrival.path, arrival.credential);
         // A newer configuration may know what this one doesn't.
         let is_nobodys = tenant.is_none() && arrival.credential != Credential::Missing;
         let target = || Target { host: arrival.host.clone(), path: arrival.path.clone() };
         let unrouted = (route.is_none() || is_nobodys).then(target);
-        let keeps_alive = head.keeps_alive();
-        let pending = CallerRequest {
+        CallerRequest {
             connection,
             outbound,
             route,
@@ -94,13 +103,10 @@
             unrouted,
             version: self.version(),
             arrived: self.now,
-            keeps_alive,
+            keeps_alive: head.keeps_alive(),
             extras: 0,
             trace: Trace::default(),
-        };
-        self.callers.insert(key, pending);
-        self.by_connection.insert(connection, key);
-        self.engine_event(RoutingEvent::Arrived(arrival));
+        }
     }
 
     /// Names of the route and the tenant of a request, for the log.
@@ -128,25 +134,12 @@
     }
 
     fn on_caller_gone(&mut self, connection: SocketId) {
-        let Some(key) = self.by_connection.remove(&connection) else {
+        let Some(key) = self.requests.key_of(connection) else {
             return;
         };
         self.metrics.caller_gone();
-        if let Some(pending) = self.callers.remove(&key) {
-            self.log_trace(&pending, LineKind::AnsweredTrace);
-            let took = self.now.since(pending.arrived).as_millis();
-            self.log.line(
-                self.now,
-                LineKind::Request,
-                format_args!(
-                    "event=caller_gone request={} route={} tenant={} version={} content={} ms={took}",
-                    pending.id(),
-                    pending.route_name(),
-                    pending.tenant_name(),
-                    pending.version,
-                    pending.content()
-                ),
-            );
+        if let Some(pending) = self.requests.take(key) {
+            self.log_caller_gone(&pending);
         }
         self.engine_event(RoutingEvent::CallerGone(key));
     }
@@ -191,128 +184,33 @@
     fn take_action(&mut self, action: RoutingAction) {
         match action {
             RoutingAction::Send(order) => self.send(order),
-            RoutingAction::Abandon { attempt, patience, cause } => {
-                let mut events = Vec::new();
-                self.pool.abandon(self.now, attempt, patience, cause, &mut events);
-                self.take_pool_events(events);
-            }
-            RoutingAction::Recall { attempt } => {
-                let mut events = Vec::new();
-                self.pool.recall(attempt, &mut events);
-                self.take_pool_events(events);
-            }
+            RoutingAction::Abandon { attempt, patience, cause } => self.abandon(attempt, patience, cause),
+            RoutingAction::Recall { attempt } => self.recall(attempt),
+            RoutingAction::Finish { request, verdict } => self.finish(request, verdict),
+            RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
+            RoutingAction::Suspicion { change, is_by_peers } => self.note_suspicion(change, is_by_peers),
             RoutingAction::Unsent { request, service, reason, cause } => {
-                let (reason, cause) = (reason.name(), cause.name());
-                self.note_decision(
-                    request,
-                    format_args!("event=unsent service={service} reason={reason} cause={cause}"),
-                );
+                self.note_unsent(request, &service, reason, cause);
             }
             RoutingAction::LeftOut { request, service, asked, cause } => {
-                let (asked, cause) = (asked.join(","), cause.name());
-                let text = format_args!("event=left_out service={service} asked={asked} cause={cause}");
-                self.note_decision(request, text);
-            }
-            RoutingAction::Held { request, cause } => {
-                self.note_decision(request, format_args!("event=held cause={}", cause.name()));
-            }
-            RoutingAction::KeyRefused { request, cause } => {
-                self.note_decision(request, format_args!("event=key_refused cause={}", cause.name()));
+                self.note_left_out(request, &service, &asked, cause);
             }
+            RoutingAction::Held { request, cause } => self.note_held(request, cause),
+            RoutingAction::KeyRefused { request, cause } => self.note_key_refused(request, cause),
             RoutingAction::NotAdmitted { request, group, fraction } => {
-                self.note_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
-            }
-            RoutingAction::Admission { group, change } => {
-                let AdmissionChange { level, wait, tolerable } = change;
-                let (wait, tolerable) = (wait.as_millis(), tolerable.as_millis());
-                let line = format_args!(
-                    "event=admission group={group} level={level:.2} wait_ms={wait} tolerable_ms={tolerable}"
-                );
-                self.log.line(self.now, LineKind::Belief, line);
+                self.note_not_admitted(request, &group, fraction);
             }
+            RoutingAction::Admission { group, change } => self.log_admission(&group, &change),
+            RoutingAction::Quota(change) => self.log_quota(&change),
             RoutingAction::Alarm { route, is_raised } => self.note_alarm(&route, is_raised),
-            RoutingAction::Suspicion { change, is_by_peers } => self.note_suspicion(change, is_by_peers),
-            RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
-            RoutingAction::Quota(change) => {
-                let QuotaChange { tenant, is_limited, pass, is_stranded } = change;
-                let line = format_args!(
-                    "event=quota tenant={tenant} limited={is_limited} pass={pass:.2} owner_silent={is_stranded}"
-                );
-                self.log.line(self.now, LineKind::Belief, line);
-            }
-            RoutingAction::Finish { request, verdict } => self.finish(request, verdict),
-        }
-    }
-
-    fn send(&mut self, order: SendOrder) {
-        let Some(pending) = self.callers.get_mut(&order.attempt.request) else {
-            return;
-        };
-        let outbound = pending.outbound.clone();
-        if order.reason != SendReason::First {
-            pending.extras += 1;
-            let (attempt, reason, instance) = (order.attempt.number, order.reason.name(), &order.instance);
-            let reported = Reported(order.reported);
-            let text = format_args!("event=send attempt={attempt} reason={reason} searcher={instance}{reported}");
-            self.note_decision(order.attempt.request, text);
-        }
-        let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        self.pool.send(order, outbound, &mut io, &mut events);
-        self.take_pool_events(events);
-    }
-
-    pub(super) fn on_pool_socket(&mut self, id: SocketId, is_writable: bool) {
-        let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        self.pool.on_ready(id, is_writable, &mut io, &mut events);
-        self.take_pool_events(events);
-    }
-
-    pub(super) fn on_pool_time(&mut self) {
-        let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        self.pool.on_tick(&mut io, &mut events);
-        self.take_pool_events(events);
-    }
-
-    pub(super) fn sweep_pool(&mut self) {
-        let mut events = Vec::new();
-        let most_rest = if self.is_serving { Duration::MAX } else { RESERVE_REST };
-        self.pool.sweep(self.now, most_rest, &mut events);
-        self.take_pool_events(events);
-    }
-
-    fn take_pool_events(&mut self, events: Vec<PoolEvent>) {
-        for event in events {
-            match event {
-                PoolEvent::Connected { searcher, took } => {
-                    self.engine_event(RoutingEvent::Connected { searcher, took });
-                }
-                PoolEvent::Begun { attempt } => self.engine_event(RoutingEvent::Begun { attempt }),
-                PoolEvent::Skipped { searcher } => {
-                    let line = format_args!("event=answer_skipped searcher={} reason=other_id", searcher.0);
-                    self.log.line(self.now, LineKind::Drop, line);
-                }
-                PoolEvent::Ended { attempt, outcome } => {
-                    if let Some(what) = notable_end(&outcome) {
-                        let number = attempt.number;
-                        let searcher = self.engine.instance_of(attempt).cloned().unwrap_or_default();
-                        let text = format_args!("event=attempt_ended attempt={number} searcher={searcher} {what}");
-                        self.note_decision(attempt.request, text);
-                    }
-                    self.engine_event(RoutingEvent::Ended { attempt, outcome });
-                }
-            }
         }
     }
 
     fn finish(&mut self, key: RequestKey, verdict: Verdict) {
-        let Some(mut pending) = self.callers.remove(&key) else {
+        let Some(mut pending) = self.requests.take(key) else {
             return;
         };
         self.name_held_route(&mut pending);
-        self.by_connection.remove(&pending.connection);
         let closes = !pending.keeps_alive || self.stop.is_some();
         let context = AnswerContext {
             names: self.dialect.headers(),
@@ -325,7 +223,7 @@
             Verdict::Passed(passed) => context.passed(passed),
             Verdict::Refused { kind, detail, retry_after } => context.refused(*kind, detail, *retry_after),
         };
-        self.note_finished(&pending, &verdict);
+        self.log_finished(&pending, &verdict);
         self.respond(pending.connection, answer, closes);
     }
 }
