--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -11,7 +11,10 @@
 mod caller_request;
 mod change_log;
 mod endpoints;
+mod error;
 mod knowledge;
+mod log_limits;
+mod operator;
 mod recording;
 mod reload;
 mod request_log;
@@ -22,10 +25,13 @@
 mod unreadable;
 mod view;
 
+pub use error::GatewayError;
+pub use operator::Signals;
+
 use crate::case_pushes::CasePushes;
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
-use crate::fleet::{Fleet, FleetIdentity};
+use crate::fleet::Fleet;
 use crate::http_call::HttpCaller;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
@@ -33,33 +39,26 @@
 use crate::pool::Pool;
 use crate::recorder::Recorder;
 use crate::server::{Server, ServerTimes};
-use crate::settings::{GatewaySettings, SettingsError, SettingsFile};
+use crate::settings::GatewaySettings;
 use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use crate::store_role::RoleKeeper;
 use crate::traffic::Traffic;
-use crate::unreadable_log::UnreadableLog;
 use caller_request::CallerRequests;
-use change_log::MemberLog;
+use error::io_error;
+use log_limits::LogLimits;
 use mio::event::Event;
-use mio::net::UdpSocket;
-use mio::{Events, Interest, Poll};
-use quick_error::quick_error;
-use rand::Rng;
+use mio::{Events, Poll};
+use operator::Operator;
 use rand_chacha::ChaCha8Rng;
-use rand_chacha::rand_core::SeedableRng;
-use setup::{listeners, routing_settings};
 use staircross_http::ServerLimits;
 use staircross_routing::Mirror;
 use staircross_routing::engine::{RoutingEngine, RoutingEvent};
-use staircross_routing::store_reader::{ReadingMode, StoreCall, StoreReader};
+use staircross_routing::store_reader::{StoreCall, StoreReader};
+use staircross_types::BootTime;
 use staircross_types::boot_clock as clock;
-use staircross_types::{BootTime, NodeId};
-use std::io::{self, ErrorKind};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::io::ErrorKind;
 use std::time::Duration;
 use stop::StopState;
-use summary::SUMMARY_EVERY;
 
 /// Order in which the events of one turn are handled, by kind of socket. A process that wakes late finds old
 /// and new events side by side in any order.
@@ -81,176 +80,68 @@
 /// Time between looks at what has no exact time of its own: sweeps, readiness, roles, summaries. Not measured;
 /// chosen short beside what it looks at, which takes some hundred milliseconds and more.
 const TICK: Duration = Duration::from_millis(50);
-/// Life of a process that isn't the fleet's first during which fresh connections to searchers are proved:
-/// its machine may have lost power, and searchers still hold the connections of its run before.
-const STARTUP: Duration = Duration::from_secs(20);
-/// Life of such a process during which it looks for searchers again soon after each update on them.
-const READER_STARTUP: Duration = Duration::from_secs(3);
-/// Longest answer of a searcher, in bytes. Not measured; chosen so that one answer is a small share of a
-/// process's default memory.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
-
-quick_error! {
-    /// Why a gateway node can't start.
-    #[derive(Debug)]
-    pub enum GatewayError {
-        /// A setting is invalid.
-        Settings(error: SettingsError) {
-            from()
-            display("{error}")
-        }
-        /// An address can't be listened on, or the system lacks something.
-        Io { what: String, error: io::Error } {
-            display("{what}: {error}")
-        }
-    }
-}
-
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> GatewayError {
-    let what = what.into();
-    move |error| GatewayError::Io { what, error }
-}
-
-/// What the outside asks of a running node.
-#[derive(Clone, Debug, Default)]
-pub struct Signals {
-    /// Stop as planned.
-    pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
-    pub reload: Arc<AtomicBool>,
-}
+/// Gap between two turns from which it is logged that the process stood still. Not measured; chosen far above what the loop
+/// sleeps, which is at most [`TICK`].
+const LATE_TURN: Duration = Duration::from_secs(1);
 
 /// A node.
 pub struct GatewayNode<D: Dialect> {
     dialect: D,
     settings: GatewaySettings,
-    signals: Signals,
-    settings_file: SettingsFile,
-    next_file_look: BootTime,
+    operator: Operator,
+    stop: Option<StopState>,
+
     poll: Poll,
+    /// Room that all sockets read into.
     buffer: Box<[u8; READ_CHUNK]>,
+    /// Time of the event that is being handled.
     now: BootTime,
     started: BootTime,
+    next_tick: BootTime,
+    load: LoadMeter,
+    random: ChaCha8Rng,
+
     server: Server,
     pool: Pool,
-    fleet: Fleet,
+    requests: CallerRequests,
+    engine: RoutingEngine,
+
+    /// A caller of the store for each lane.
     store: [HttpCaller; 3],
+    /// The call of each lane that waits for its answer.
     store_calls: [Option<StoreCall>; 3],
     /// When the last call of each lane was made.
     store_called_at: [BootTime; 3],
-    peer: HttpCaller,
     reader: StoreReader,
     role: RoleKeeper,
     mirror: Mirror,
-    unreadable_log: UnreadableLog,
-    engine: RoutingEngine,
-    requests: CallerRequests,
-    next_tick: BootTime,
-    load: LoadMeter,
+
+    fleet: Fleet,
+    /// Pulls from one peer at a time.
+    peer: HttpCaller,
+    /// Answers sent to peers lately.
+    peer_answers: RecentPeerAnswers,
+    /// Whether requests under which searchers were lost are to be sent to peers at once, and when they may be.
+    case_pushes: CasePushes,
+
+    /// Whether there is enough to serve by, as readiness says.
     is_ready: bool,
+    /// Whether callers are better sent elsewhere, as logged last.
     is_pressed: bool,
+    /// Whether the directory sends callers to this node.
     is_serving: bool,
     /// Whether the configuration hasn't been confirmed for longer than it may be.
     is_view_old: bool,
-    stop: Option<StopState>,
-    recorder: Option<Recorder>,
+
     log: EventLog,
+    log_limits: LogLimits,
     metrics: Metrics,
-    member_log: MemberLog,
-    /// Whether peers are to be told at once under which requests searchers were lost, and when they may be.
-    case_pushes: CasePushes,
-    /// Answers sent to peers lately.
-    peer_answers: RecentPeerAnswers,
     /// Bytes to and from store and peers.
     traffic: Traffic,
-    next_summary: BootTime,
-    random: ChaCha8Rng,
+    recorder: Option<Recorder>,
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Reads the settings and binds all addresses. `signals` are looked at while the node runs.
-    pub fn start(mut settings_file: SettingsFile, dialect: D, signals: Signals) -> Result<Self, GatewayError> {
-        let settings = settings_file.load()?;
-        let now = clock::now();
-        let poll = Poll::new().map_err(io_error("poll"))?;
-        let mut server = Server::new(settings.caller_connections());
-        for (endpoint, name, address) in listeners(&settings) {
-            server.listen(endpoint, address, poll.registry()).map_err(io_error(format!("{name} {address}")))?;
-        }
-        let peers = settings.listen.peers;
-        let mut socket = UdpSocket::bind(peers).map_err(io_error(format!("listen.peers {peers} (datagrams)")))?;
-        let id = SocketId { kind: SocketKind::Datagrams, generation: 0, slot: 0 };
-        poll.registry().register(&mut socket, id.token(), Interest::READABLE).map_err(io_error("datagrams"))?;
-        let node = NodeId(rand::rng().random());
-        let identity = FleetIdentity {
-            node,
-            peers,
-            callers: settings.listen.callers,
-            region: settings.node.region.clone(),
-            zone: settings.node.zone.clone(),
-        };
-        let proves_until = if settings.node.first_start { now } else { now + STARTUP };
-        let store = settings.store.address;
-        let mut role = RoleKeeper::new(now, settings.longest_silence());
-        let mut reader = StoreReader::new(settings.reader());
-        if settings.node.first_start {
-            role = role.with_first_start(now);
-            reader = reader.with_mode(now, ReadingMode::Following);
-        } else {
-            reader = reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP);
-        }
-        let routing = routing_settings(now, node, &settings);
-        let mut log = EventLog::new(&settings.node.name, settings.node.log);
-        log.line(
-            now,
-            LineKind::Belief,
-            format_args!(
-                "event=start run={node} zone={} callers={} peers={peers} store={store}",
-                settings.node.zone, settings.listen.callers
-            ),
-        );
-        Ok(GatewayNode {
-            pool: Pool::new(*dialect.headers(), MAX_ANSWER, proves_until).with_policy(settings.policy.node),
-            fleet: Fleet::new(identity, settings.node.seeds.clone(), socket, now).with_policy(settings.policy.node),
-            store: [0, 1, 2].map(|slot| HttpCaller::new(SocketKind::Store, slot, store)),
-            store_calls: [const { None }; 3],
-            store_called_at: [BootTime::default(); 3],
-            is_view_old: false,
-            peer: HttpCaller::new(SocketKind::Peer, 0, peers),
-            reader,
-            role,
-            mirror: Mirror::default(),
-            unreadable_log: UnreadableLog::default(),
-            recorder: recording::begin(&settings, &routing)?,
-            engine: RoutingEngine::new(routing),
-            requests: CallerRequests::new(),
-            next_tick: now,
-            load: LoadMeter::new(now),
-            is_ready: false,
-            is_pressed: false,
-            is_serving: false,
-            stop: None,
-            metrics: Metrics::default(),
-            member_log: MemberLog::default(),
-            case_pushes: CasePushes::default(),
-            peer_answers: RecentPeerAnswers::default(),
-            traffic: Traffic::default(),
-            next_summary: now + SUMMARY_EVERY,
-            random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
-            buffer: Box::new([0; READ_CHUNK]),
-            log,
-            now,
-            started: now,
-            server,
-            poll,
-            dialect,
-            signals,
-            settings_file,
-            next_file_look: now,
-            settings,
-        })
-    }
-
     /// Runs until a planned stop is done.
     pub fn run(mut self) -> Result<(), GatewayError> {
         let mut events = Events::with_capacity(EVENTS);
@@ -287,7 +178,7 @@
     /// A gap between turns says that the process, not the others, stood still.
     fn note_pause(&mut self) {
         let gap = self.load.gap();
-        if gap >= Duration::from_millis(1000) {
+        if gap >= LATE_TURN {
             self.log.line(self.now, LineKind::Belief, format_args!("event=woke_late gap_ms={}", gap.as_millis()));
         }
     }
@@ -362,10 +253,10 @@
     }
 
     fn take_signals(&mut self) {
-        if self.signals.stop.swap(false, Ordering::AcqRel) {
+        if self.operator.take_stop() {
             self.begin_stop();
         }
-        if self.signals.reload.swap(false, Ordering::AcqRel) {
+        if self.operator.take_reload() {
             self.reload();
         }
     }
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -70,8 +70,8 @@
 impl<D: Dialect> GatewayNode<D> {
     /// Logs a change of a member, or counts it.
     pub(super) fn note_member(&mut self, member: &Member) {
-        if !self.member_log.may_log(self.now) {
-            return self.member_log.held.count(member.state);
+        if !self.log_limits.members.may_log(self.now) {
+            return self.log_limits.members.held.count(member.state);
         }
         let line = format_args!(
             "event=member run={} address={} zone={} state={:?} ready={} record={}",
@@ -82,7 +82,7 @@
 
     /// Logs the changes that were counted.
     pub(super) fn log_held_members(&mut self) {
-        let Some(MemberCounts { alive, leaving, suspect, gone }) = self.member_log.take_held(self.now) else {
+        let Some(MemberCounts { alive, leaving, suspect, gone }) = self.log_limits.members.take_held(self.now) else {
             return;
         };
         let live = self.fleet.live_count();
--- a/crates/staircross-gateway/src/node/recording.rs
+++ b/crates/staircross-gateway/src/node/recording.rs
@@ -1,6 +1,7 @@
 //! Recording what the engine takes in and decides.
 
-use super::{GatewayError, GatewayNode, io_error};
+use super::GatewayNode;
+use super::error::{GatewayError, io_error};
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
 use crate::recorder::{Recorder, RecordingEnd};
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -8,26 +8,18 @@
 use staircross_routing::recording::RecordedEvent;
 use staircross_routing::store_reader::StoreReader;
 use std::net::SocketAddr;
-use std::time::Duration;
-
-/// Time between looks at the settings file.
-const FILE_LOOK: Duration = Duration::from_secs(1);
 
 impl<D: Dialect> GatewayNode<D> {
     /// Settings may change without any signal.
     pub(super) fn look_at_settings(&mut self) {
-        if self.now < self.next_file_look {
-            return;
-        }
-        self.next_file_look = self.now + FILE_LOOK;
-        if self.settings_file.has_changed() {
+        if self.operator.sees_change(self.now) {
             self.reload();
         }
     }
 
     /// Takes changed settings; bad ones are refused and everything stays as it is.
     pub(super) fn reload(&mut self) {
-        let settings = match self.settings_file.load() {
+        let settings = match self.operator.load() {
             Ok(settings) => settings,
             Err(error) => {
                 let line = format_args!("event=reload outcome=refused reason={:?}", error.to_string());
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -1,18 +1,165 @@
-//! What a node's parts are made with, by its settings.
+//! Starts a node: reads its settings, binds its addresses, and makes its components.
+//!
+//! Addresses are bound before anything is logged or recorded, so that a node that can't start leaves nothing behind. Owns
+//! nothing once the node runs; `reload` uses the bounds again.
 
-use crate::server::Endpoint;
-use crate::settings::GatewaySettings;
+use super::caller_request::CallerRequests;
+use super::error::{GatewayError, io_error};
+use super::log_limits::LogLimits;
+use super::operator::{Operator, Signals};
+use super::{GatewayNode, recording};
+use crate::case_pushes::CasePushes;
+use crate::dialect::{Dialect, HeaderNames};
+use crate::event_log::{EventLog, LineKind};
+use crate::fleet::{Fleet, FleetIdentity};
+use crate::http_call::HttpCaller;
+use crate::load::LoadMeter;
+use crate::metrics::Metrics;
+use crate::peer_answers::RecentPeerAnswers;
+use crate::pool::Pool;
+use crate::server::{Endpoint, Server};
+use crate::settings::{GatewaySettings, SettingsFile};
+use crate::socket::{READ_CHUNK, SocketId, SocketKind};
+use crate::store_role::RoleKeeper;
+use crate::traffic::Traffic;
+use mio::net::UdpSocket;
+use mio::{Interest, Poll, Registry};
 use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
 use staircross_quota::QuotaBound;
-use staircross_routing::ColdBound;
 use staircross_routing::decision::extra_budget::ExtraBound;
-use staircross_routing::engine::RoutingSettings;
+use staircross_routing::engine::{RoutingEngine, RoutingSettings};
+use staircross_routing::store_reader::{ReadingMode, StoreReader};
+use staircross_routing::{ColdBound, Mirror};
+use staircross_types::boot_clock as clock;
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(super) fn listeners(settings: &GatewaySettings) -> Vec<(Endpoint, &'static str, SocketAddr)> {
+/// Time after the start of a process that isn't the fleet's first during which fresh connections to searchers are proved:
+/// its machine may have lost power, and searchers still hold the connections of its earlier incarnation. Not measured;
+/// chosen for the time that searchers take to notice.
+const STARTUP: Duration = Duration::from_secs(20);
+/// Time after the start of such a process during which it looks for searchers again soon after each update on them. Not
+/// measured; chosen for the searchers that come back one by one after a loss of power.
+const READER_STARTUP: Duration = Duration::from_secs(3);
+/// Longest answer of a searcher, in bytes. Not measured; chosen so that one answer is a small share of a
+/// process's default memory.
+const MAX_ANSWER: usize = 8 * 1024 * 1024;
+
+impl<D: Dialect> GatewayNode<D> {
+    /// Reads the settings and binds all addresses. `signals` are looked at while the node runs.
+    ///
+    /// # Errors
+    ///
+    /// Where the settings can't be read or hold a value that isn't allowed, an address can't be bound, or the recording
+    /// that they ask for can't be created.
+    pub fn start(mut settings_file: SettingsFile, dialect: D, signals: Signals) -> Result<Self, GatewayError> {
+        let settings = settings_file.load()?;
+        let now = clock::now();
+        let poll = Poll::new().map_err(io_error("poll"))?;
+        let server = bind_server(&settings, poll.registry())?;
+        let datagrams = bind_datagrams(&settings, poll.registry())?;
+        let node = NodeId(rand::rng().random());
+        let routing = routing_settings(now, node, &settings);
+        Ok(GatewayNode {
+            log: begin_log(now, node, &settings),
+            pool: pool(now, &settings, *dialect.headers()),
+            fleet: fleet(now, node, &settings, datagrams),
+            store: [0, 1, 2].map(|slot| HttpCaller::new(SocketKind::Store, slot, settings.store.address)),
+            store_calls: [const { None }; 3],
+            store_called_at: [BootTime::default(); 3],
+            peer: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
+            reader: store_reader(now, &settings),
+            role: role_keeper(now, &settings),
+            mirror: Mirror::default(),
+            recorder: recording::begin(&settings, &routing)?,
+            engine: RoutingEngine::new(routing),
+            requests: CallerRequests::new(),
+            operator: Operator::new(now, signals, settings_file),
+            load: LoadMeter::new(now),
+            is_ready: false,
+            is_pressed: false,
+            is_serving: false,
+            is_view_old: false,
+            stop: None,
+            metrics: Metrics::default(),
+            log_limits: LogLimits::new(now),
+            case_pushes: CasePushes::default(),
+            peer_answers: RecentPeerAnswers::default(),
+            traffic: Traffic::default(),
+            random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
+            buffer: Box::new([0; READ_CHUNK]),
+            next_tick: now,
+            started: now,
+            now,
+            server,
+            poll,
+            dialect,
+            settings,
+        })
+    }
+}
+
+fn bind_server(settings: &GatewaySettings, registry: &Registry) -> Result<Server, GatewayError> {
+    let mut server = Server::new(settings.caller_connections());
+    for (endpoint, name, address) in listeners(settings) {
+        server.listen(endpoint, address, registry).map_err(io_error(format!("{name} {address}")))?;
+    }
+    Ok(server)
+}
+
+fn bind_datagrams(settings: &GatewaySettings, registry: &Registry) -> Result<UdpSocket, GatewayError> {
+    let address = settings.listen.peers;
+    let mut socket = UdpSocket::bind(address).map_err(io_error(format!("listen.peers {address} (datagrams)")))?;
+    let id = SocketId { kind: SocketKind::Datagrams, generation: 0, slot: 0 };
+    registry.register(&mut socket, id.token(), Interest::READABLE).map_err(io_error("datagrams"))?;
+    Ok(socket)
+}
+
+/// The log, with its first line.
+fn begin_log(now: BootTime, node: NodeId, settings: &GatewaySettings) -> EventLog {
+    let mut log = EventLog::new(&settings.node.name, settings.node.log);
+    let (zone, store) = (&settings.node.zone, settings.store.address);
+    let (callers, peers) = (settings.listen.callers, settings.listen.peers);
+    let line = format_args!("event=start run={node} zone={zone} callers={callers} peers={peers} store={store}");
+    log.line(now, LineKind::Belief, line);
+    log
+}
+
+fn pool(now: BootTime, settings: &GatewaySettings, names: HeaderNames) -> Pool {
+    let proves_until = if settings.node.first_start { now } else { now + STARTUP };
+    Pool::new(names, MAX_ANSWER, proves_until).with_policy(settings.policy.node)
+}
+
+fn fleet(now: BootTime, node: NodeId, settings: &GatewaySettings, datagrams: UdpSocket) -> Fleet {
+    let identity = FleetIdentity {
+        node,
+        peers: settings.listen.peers,
+        callers: settings.listen.callers,
+        region: settings.node.region.clone(),
+        zone: settings.node.zone.clone(),
+    };
+    Fleet::new(identity, settings.node.seeds.clone(), datagrams, now).with_policy(settings.policy.node)
+}
+
+/// At the first start of a fleet nobody reads before it knows its region; later a process reads once by itself.
+fn store_reader(now: BootTime, settings: &GatewaySettings) -> StoreReader {
+    let reader = StoreReader::new(settings.reader());
+    if settings.node.first_start {
+        return reader.with_mode(now, ReadingMode::Following);
+    }
+    reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP)
+}
+
+fn role_keeper(now: BootTime, settings: &GatewaySettings) -> RoleKeeper {
+    let keeper = RoleKeeper::new(now, settings.longest_silence());
+    if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
+}
+
+fn listeners(settings: &GatewaySettings) -> Vec<(Endpoint, &'static str, SocketAddr)> {
     let listen = &settings.listen;
     let mut all = vec![
         (Endpoint::Callers, "listen.callers", listen.callers),
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -21,10 +21,10 @@
 
     /// Writes the summary lines when they are due.
     pub(super) fn log_summary(&mut self) {
-        if self.now < self.next_summary {
+        if self.now < self.log_limits.next_summary {
             return;
         }
-        self.next_summary = self.now + SUMMARY_EVERY;
+        self.log_limits.next_summary = self.now + SUMMARY_EVERY;
         let mut text = String::from("event=traffic");
         for (purpose, reach, bytes) in self.all_traffic().counted() {
             // Writing to a string can't fail.
--- a/crates/staircross-gateway/src/node/unreadable.rs
+++ b/crates/staircross-gateway/src/node/unreadable.rs
@@ -9,7 +9,7 @@
     /// Counts and tells what the store holds that can't be used, once for each change of it.
     pub(super) fn note_unreadable(&mut self, items: &[UnreadableItem], source: &str) {
         for UnreadableItem { kind, key, revision, reason } in
-            items.iter().filter(|item| self.unreadable_log.is_new(item))
+            items.iter().filter(|item| self.log_limits.unreadable.is_new(item))
         {
             self.metrics.unreadable_items += 1;
             let line_kind = match kind {
