--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -1,4 +1,7 @@
 //! Counters and latency histograms, as Prometheus text.
+//!
+//! [`Metrics`] owns what is counted by request; counters of the engine, the pool and the fleet, and all gauges, are handed in
+//! when the text is made.
 
 use crate::tenant_metrics::TenantMetrics;
 use crate::traffic::Traffic;
@@ -10,10 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Upper bounds of the answer histogram, in milliseconds.
+/// Upper bounds of the answer histogram, in milliseconds. Not measured; chosen to cover answers from some
+/// milliseconds to ten seconds.
 const BUCKETS_MS: [u64; 12] = [5, 10, 25, 50, 75, 100, 150, 250, 500, 1000, 2500, 10_000];
-/// Routes that have a histogram of their own; further ones share one.
+/// Routes that have a histogram of their own; further ones share one. Not measured; chosen to bound the text.
 const MAX_ROUTES: usize = 64;
+/// Route name of the histogram that further routes share.
 const OTHER_ROUTES: &str = "other";
 
 #[derive(Clone, Debug, Default)]
@@ -102,10 +107,34 @@
     }
 }
 
+fn render_line(text: &mut String, name: &str, kind: &str, value: u64) {
+    // Writing to a string can't fail.
+    let _infallible = writeln!(text, "# TYPE staircross_{name} {kind}\nstaircross_{name} {value}");
+}
+
+fn render_gauges(gauges: Gauges, text: &mut String) {
+    let mut line = |name: &str, value: u64| render_line(text, name, "gauge", value);
+    line("requests_in_flight", gauges.in_flight as u64);
+    line("server_connections", gauges.server_connections as u64);
+    line("searcher_connections", gauges.searcher_connections as u64);
+    line("config_version", gauges.config_version);
+    line("store_revision", gauges.store_revision);
+    line("store_reachable", u64::from(gauges.store_reachable));
+    line("reads_store", u64::from(gauges.reads_store));
+    line("serving", u64::from(gauges.serving));
+    line("members", gauges.members as u64);
+    line("searchers", gauges.searchers as u64);
+    line("contents_suspect", gauges.suspects as u64);
+    line("contents_quarantined", gauges.quarantined as u64);
+    line("routes_alarmed", gauges.alarms as u64);
+    line("ready", u64::from(gauges.ready));
+}
+
 fn render_traffic(traffic: Traffic, text: &mut String) {
     text.push_str("# TYPE staircross_bytes_total counter\n");
     for (purpose, reach, bytes) in traffic.counted() {
         let (purpose, reach) = (purpose.name(), reach.name());
+        // Writing to a string can't fail.
         let _infallible = writeln!(text, "staircross_bytes_total{{purpose=\"{purpose}\",reach=\"{reach}\"}} {bytes}");
     }
 }
@@ -160,43 +189,8 @@
     /// All metrics as text.
     pub fn render(&self, counters: RoutingCounters, gauges: Gauges, traffic: Traffic) -> String {
         let mut text = String::with_capacity(4096);
-        let mut line = |name: &str, kind: &str, value: u64| {
-            // Writing to a string can't fail.
-            let _infallible = writeln!(text, "# TYPE staircross_{name} {kind}\nstaircross_{name} {value}");
-        };
-        line("answers_total", "counter", self.answers);
-        line("callers_gone_total", "counter", self.callers_gone);
-        line("attempts_first_total", "counter", counters.firsts);
-        line("attempts_hedge_total", "counter", counters.hedges);
-        line("attempts_retry_total", "counter", counters.retries);
-        line("attempts_reroute_total", "counter", counters.reroutes);
-        line("attempts_over_budget_total", "counter", counters.over_budget);
-        line("requests_not_admitted_total", "counter", counters.not_admitted);
-        line("requests_over_quota_total", "counter", counters.over_quota);
-        line("quota_messages_total", "counter", counters.quota_messages);
-        line("answers_partial_total", "counter", counters.partial_answers);
-        line("searcher_connects_total", "counter", gauges.connects);
-        line("searcher_answers_skipped_total", "counter", gauges.skipped);
-        line("searcher_connections_broken_total", "counter", gauges.broken);
-        line("searcher_connections_turned_away_total", "counter", gauges.connections_rejected);
-        line("peer_datagrams_total", "counter", gauges.datagrams);
-        line("peer_datagram_bytes_total", "counter", gauges.datagram_bytes);
-        line("directory_questions_total", "counter", self.directory_questions);
-        line("store_items_unreadable_total", "counter", self.unreadable_items);
-        line("requests_in_flight", "gauge", gauges.in_flight as u64);
-        line("server_connections", "gauge", gauges.server_connections as u64);
-        line("searcher_connections", "gauge", gauges.searcher_connections as u64);
-        line("config_version", "gauge", gauges.config_version);
-        line("store_revision", "gauge", gauges.store_revision);
-        line("store_reachable", "gauge", u64::from(gauges.store_reachable));
-        line("reads_store", "gauge", u64::from(gauges.reads_store));
-        line("serving", "gauge", u64::from(gauges.serving));
-        line("members", "gauge", gauges.members as u64);
-        line("searchers", "gauge", gauges.searchers as u64);
-        line("contents_suspect", "gauge", gauges.suspects as u64);
-        line("contents_quarantined", "gauge", gauges.quarantined as u64);
-        line("routes_alarmed", "gauge", gauges.alarms as u64);
-        line("ready", "gauge", u64::from(gauges.ready));
+        self.render_counters(counters, gauges, &mut text);
+        render_gauges(gauges, &mut text);
         self.store_calls.render(&mut text);
         render_traffic(traffic, &mut text);
         self.render_refusals(&mut text);
@@ -205,9 +199,33 @@
         text
     }
 
+    fn render_counters(&self, counters: RoutingCounters, gauges: Gauges, text: &mut String) {
+        let mut line = |name: &str, value: u64| render_line(text, name, "counter", value);
+        line("answers_total", self.answers);
+        line("callers_gone_total", self.callers_gone);
+        line("attempts_first_total", counters.firsts);
+        line("attempts_hedge_total", counters.hedges);
+        line("attempts_retry_total", counters.retries);
+        line("attempts_reroute_total", counters.reroutes);
+        line("attempts_over_budget_total", counters.over_budget);
+        line("requests_not_admitted_total", counters.not_admitted);
+        line("requests_over_quota_total", counters.over_quota);
+        line("quota_messages_total", counters.quota_messages);
+        line("answers_partial_total", counters.partial_answers);
+        line("searcher_connects_total", gauges.connects);
+        line("searcher_answers_skipped_total", gauges.skipped);
+        line("searcher_connections_broken_total", gauges.broken);
+        line("searcher_connections_turned_away_total", gauges.connections_rejected);
+        line("peer_datagrams_total", gauges.datagrams);
+        line("peer_datagram_bytes_total", gauges.datagram_bytes);
+        line("directory_questions_total", self.directory_questions);
+        line("store_items_unreadable_total", self.unreadable_items);
+    }
+
     fn render_refusals(&self, text: &mut String) {
         text.push_str("# TYPE staircross_refusals_total counter\n");
         for (kind, count) in &self.refusals {
+            // Writing to a string can't fail.
             let _infallible = writeln!(text, "staircross_refusals_total{{kind=\"{kind}\"}} {count}");
         }
     }
@@ -217,6 +235,7 @@
         for (route, histogram) in &self.routes {
             for (count, bound) in histogram.buckets.iter().zip(BUCKETS_MS) {
                 let seconds = bound as f64 / 1000.0;
+                // Writing to a string can't fail.
                 let _infallible =
                     writeln!(text, "staircross_answer_seconds_bucket{{route=\"{route}\",le=\"{seconds}\"}} {count}");
             }
