--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -14,6 +14,7 @@
 use staircross_routing::{AttemptKey, AttemptOutcome, RequestKey, SearcherKey, Verdict};
 use std::fmt;
 use std::sync::Arc;
+use std::time::Duration;
 
 impl<D: Dialect> GatewayNode<D> {
     /// One line for a decision within a request: what, for which request, how long after its arrival.
@@ -120,6 +121,7 @@
         }
     }
 
+    /// A request has its verdict.
     pub(super) fn log_finished(&mut self, pending: &CallerRequest, verdict: &Verdict) {
         let is_whole = match verdict {
             Verdict::Merged(merged) => merged.missing == 0,
@@ -128,22 +130,11 @@
         };
         self.log_trace(pending, if is_whole { LineKind::AnsweredTrace } else { LineKind::Trace });
         let took = self.now.since(pending.arrived);
-        let (outcome, parts, missing) = match verdict {
-            Verdict::Merged(merged) => ("merged", merged.stamps.len(), merged.missing),
-            Verdict::Passed(_) => ("passed", 1, 0),
-            Verdict::Refused { kind, .. } => (kind.name(), 0, 0),
-        };
-        match verdict {
-            Verdict::Refused { kind, .. } => self.metrics.refused(*kind),
-            Verdict::Merged(_) | Verdict::Passed(_) => self.metrics.answered(pending.route.as_ref(), took),
-        }
-        if let Some(tenant) = &pending.tenant {
-            self.metrics.tenants.count(tenant, matches!(verdict, Verdict::Refused { .. }));
-        }
-        let status = match verdict {
-            Verdict::Merged(_) => 200,
-            Verdict::Passed(answer) => answer.status,
-            Verdict::Refused { kind, .. } => kind.http_status(),
+        self.count_finished(pending, verdict, took);
+        let (outcome, status, parts, missing) = match verdict {
+            Verdict::Merged(merged) => ("merged", 200, merged.stamps.len(), merged.missing),
+            Verdict::Passed(answer) => ("passed", answer.status, 1, 0),
+            Verdict::Refused { kind, .. } => (kind.name(), kind.http_status(), 0, 0),
         };
         self.log.line(
             self.now,
@@ -161,6 +152,16 @@
             ),
         );
     }
+
+    fn count_finished(&mut self, pending: &CallerRequest, verdict: &Verdict, took: Duration) {
+        match verdict {
+            Verdict::Refused { kind, .. } => self.metrics.refused(*kind),
+            Verdict::Merged(_) | Verdict::Passed(_) => self.metrics.answered(pending.route.as_ref(), took),
+        }
+        if let Some(tenant) = &pending.tenant {
+            self.metrics.tenants.count(tenant, matches!(verdict, Verdict::Refused { .. }));
+        }
+    }
 }
 
 /// What a searcher reported last of its load, as the end of a line.
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -64,12 +64,11 @@
         let poll = Poll::new().map_err(io_error("poll"))?;
         let server = bind_server(&settings, poll.registry())?;
         let datagrams = bind_datagrams(&settings, poll.registry())?;
-        let node = NodeId(rand::rng().random());
-        let routing = routing_settings(now, node, &settings);
+        let routing = routing_settings(now, &settings);
         Ok(GatewayNode {
-            log: begin_log(now, node, &settings),
+            log: begin_log(now, routing.node, &settings),
             pool: pool(now, &settings, *dialect.headers()),
-            fleet: fleet(now, node, &settings, datagrams),
+            fleet: fleet(now, routing.node, &settings, datagrams),
             store: StoreCalls::new(settings.store.address),
             peer: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
             reader: store_reader(now, &settings),
@@ -156,6 +155,7 @@
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
 
+/// The listeners, each with the name of its setting.
 fn listeners(settings: &GatewaySettings) -> Vec<(Endpoint, &'static str, SocketAddr)> {
     let listen = &settings.listen;
     let mut all = vec![
@@ -188,7 +188,9 @@
     }
 }
 
-pub(super) fn routing_settings(now: BootTime, node: NodeId, settings: &GatewaySettings) -> RoutingSettings {
+/// The engine's settings, with the random numbers that make this incarnation a node of its own.
+fn routing_settings(now: BootTime, settings: &GatewaySettings) -> RoutingSettings {
+    let node = NodeId(rand::rng().random());
     let regions = settings.zones.iter();
     RoutingSettings {
         extra: extra_bound(settings),
