--- a/crates/staircross-gateway/src/lib.rs
+++ b/crates/staircross-gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | [`settings`] | a node's settings, checked at load |
 //! | [`dialect`] | what the surroundings call things: header names, paths, store calls |
-//! | [`socket`] | one non-blocking stream with its outgoing bytes |
+//! | [`socket`] | one non-blocking stream with its outgoing bytes, and the tokens of events |
 //! | [`round_trip`] | how far a peer is, as the kernel has measured it |
 //! | [`server`] | connections that requests come in on |
 //! | [`pool`] | connections to searchers |
@@ -20,7 +20,7 @@
 //! | [`recorder`] | records decisions, if asked to |
 //! | [`traffic`] | bytes sent and received, by purpose and distance |
 //! | [`event_log`], [`metrics`], [`tenant_metrics`] | structured lines, counters |
-//! | [`unreadable_log`] | which items of the store that can't be used have been told |
+//! | [`unreadable_log`] | which items of the store that can't be used have been logged |
 
 pub mod case_pushes;
 pub mod dialect;
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -1,7 +1,7 @@
 //! How busy this process is, and how late it comes to its work.
 //!
 //! A process that gets too little of its processor finds more and more waiting at each turn of its
-//! loop. What it reads then arrived at some time since the turn before; nothing tells it when.
+//! loop. What it reads then arrived at some time since the turn before; nothing says when.
 //!
 //! [`LoadMeter`] owns the times of the turns and relies on the loop to report both ends of each; what follows from
 //! a busy or late process is decided by the engine and the directory.
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -10,6 +10,7 @@
 mod attempts;
 mod caller_request;
 mod change_log;
+mod configuration_view;
 mod endpoints;
 mod error;
 mod knowledge;
@@ -25,7 +26,6 @@
 mod store_calls;
 mod summary;
 mod unreadable;
-mod view;
 
 pub use error::GatewayError;
 pub use operator::Signals;
@@ -159,6 +159,7 @@
         Ok(())
     }
 
+    /// Time until something is due.
     fn time_to_wait(&self) -> Duration {
         let wakes = [
             self.engine.next_wake(),
@@ -171,7 +172,7 @@
         clock::now().until(due.map_or(self.next_tick, |due| due.min(self.next_tick)))
     }
 
-    /// A gap between turns says that the process, not the others, stood still.
+    /// Logs a gap between turns: then this process, not the others, stood still.
     fn note_pause(&mut self) {
         let gap = self.load.gap();
         if gap >= LATE_TURN {
@@ -202,11 +203,13 @@
         }
     }
 
+    /// What is due by the clock, after all that came in: what came may have made it undue.
     fn on_time(&mut self) {
         self.now = clock::now();
         self.engine_event(RoutingEvent::Tick);
         self.on_pool_time();
         self.on_store_time();
+        // All that this turn brought goes out together.
         self.push_cases();
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
@@ -214,16 +217,20 @@
         }
     }
 
+    /// What has no exact time of its own.
     fn on_coarse_tick(&mut self) {
         self.sweep_server();
         self.sweep_pool();
+        // Who of the members lives decides who reads the store, and that whether a peer is asked instead.
         self.on_fleet_tick();
         self.decide_store_role();
         self.ask_better_informed();
-        self.note_view();
+        // What the node finds of itself follows from what it knows now.
+        self.note_configuration_view();
         self.update_readiness();
         self.on_stop_tick();
         self.look_at_settings();
+        // Lines last, so that this tick's are among those written.
         self.log_summary();
         self.log.on_tick(self.now);
     }
@@ -240,6 +247,7 @@
         IoContext { now, registry: poll.registry(), buffer, limits }
     }
 
+    /// Times that the configuration gives callers.
     fn server_times(&self) -> ServerTimes {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
         ServerTimes {
--- a/crates/staircross-gateway/src/node/view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -29,7 +29,7 @@
     }
 
     /// Logs when the view becomes too old, and when it is confirmed again; only where there are tenants.
-    pub(super) fn note_view(&mut self) {
+    pub(super) fn note_configuration_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
         let is_old = has_tenants && self.is_view_too_old();
         if is_old == self.status.is_view_old {
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Which configuration an asker is told now: more would fill this node's link, and callers' requests go over the same.
+    /// Which configuration an asker is sent now: more would fill this node's link, and callers' requests go over the same.
     fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,14 +1,14 @@
 //! What the node last found of itself: ready, pressed, serving, sure of its configuration.
 //!
 //! [`NodeStatus`] owns the findings; each is logged when it changes. Here is when a node is ready; `knowledge` finds
-//! whether it is pressed and serving, `view` whether it is sure of its configuration.
+//! whether it is pressed and serving, `configuration_view` whether it is sure of its configuration.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
 use std::time::Duration;
 
-/// Time that a node waits for a whole listing of the searchers before it is ready with a part of it. Not measured; chosen so
+/// Time that a node waits for a whole listing of the searchers before it is ready with less. Not measured; chosen so
 /// that a node is of use where no listing comes, and after the usual time in which one does.
 const LISTING_PATIENCE: Duration = Duration::from_secs(3);
 
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -76,7 +76,7 @@
         self.stop.as_ref().is_some_and(|stop| self.now >= stop.takes_until)
     }
 
-    /// How long callers may be told to keep an answer of the directory, so that they have left a
+    /// Time to live of the directory's answers, such that they have left a
     /// stopping node while it can still finish what it took from them.
     pub(super) fn directory_ttl(&self) -> Duration {
         let bounds = &self.settings.bounds;
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Calls the store at another address from now on; calls under way are given up.
+    /// Calls the store at another address from now on; calls under way are cancelled.
     pub fn set_address(&mut self, address: SocketAddr) {
         for caller in &mut self.callers {
             caller.set_address(address);
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -28,7 +28,7 @@
 /// Rest of a connection whose searcher doesn't say how long it keeps it. Not measured; chosen below what servers
 /// usually keep.
 const USUAL_REST: Duration = Duration::from_secs(30);
-/// Time before its searcher would close it at which a connection is given up. Not measured; chosen above the way of a request
+/// Time before its searcher would close it at which a connection is closed. Not measured; chosen above the way of a request
 /// and the second to which searchers state what they keep.
 const REST_GUARD: Duration = Duration::from_millis(1200);
 /// Time since its last use within which a connection is good enough for a request that can't be repeated: a searcher that has gone
--- a/crates/staircross-gateway/src/round_trip.rs
+++ b/crates/staircross-gateway/src/round_trip.rs
@@ -1,6 +1,6 @@
 //! How far a peer is, as the kernel has measured it.
 //!
-//! What callers spend on the way to this node is part of their time, and nothing in a request tells it. Owns nothing; relies on
+//! What callers spend on the way to this node counts against their time, and nothing in a request says how long it took. Owns nothing; relies on
 //! Linux's `TCP_INFO`.
 
 use mio::net::TcpStream;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Smoothed round trip of an accepted connection. Right after accepting it is that of the handshake; `None` where the
-/// system doesn't tell.
+/// system doesn't know it.
 pub fn round_trip(stream: &TcpStream) -> Option<Duration> {
     let info = tcp_info(stream).ok()?;
     let micros = u64::from(info.tcpi_rtt);
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -93,7 +93,7 @@
     generation: u32,
     /// Since when it is in its present state without progress.
     since: BootTime,
-    /// What the next request is told of the connection.
+    /// What the engine will know of the connection that the next request comes on.
     link: CallerLink,
 }
 
--- a/crates/staircross-gateway/src/settings/file.rs
+++ b/crates/staircross-gateway/src/settings/file.rs
@@ -14,7 +14,7 @@
     seen: Option<FileMark>,
 }
 
-/// What tells one content of a file from the next without reading it.
+/// What one content of a file differs from the next by, without reading it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileMark {
     modified: SystemTime,
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Socket`] owns a registered stream and what is still to be written to it; which bytes these are is its
 //! owner's concern. [`SocketId`] is the one place where tokens are encoded and decoded. Relies on `mio` with
-//! edge-triggered readiness: who is told that a socket is ready reads until nothing is left.
+//! edge-triggered readiness: a component that gets the event of a socket reads until nothing is left.
 
 use mio::event::Source;
 use mio::net::TcpStream;
@@ -181,7 +181,7 @@
 
     /// Says that nothing more will be written.
     pub fn finish_writing(&self) {
-        // If the peer is gone already, there is nobody to tell.
+        // A peer that is gone already needs no end.
         let _peer_may_be_gone = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/crates/staircross-gateway/src/tenant_metrics.rs
+++ b/crates/staircross-gateway/src/tenant_metrics.rs
@@ -1,6 +1,6 @@
 //! Requests and refusals by tenant, with a bound on what is shown.
 //!
-//! A fleet may have ten thousand tenants. The largest are shown one by one; the sums over all tenants tell the rest by subtraction and
+//! A fleet may have ten thousand tenants. The largest are shown one by one; the rest follows from the sums over all tenants and
 //! only ever grow, as counters must.
 //!
 //! [`TenantMetrics`] owns the counts and their text; it relies on the names coming from the configuration, so that callers can't
