--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -1,7 +1,7 @@
 //! The event loop that carries events and actions between sockets and engines.
 //!
-//! One thread, one poll. A turn takes signals, then the events of sockets in [`TURN_ORDER`], then what is due
-//! by the clock; every [`TICK`] it looks besides at what has no exact time of its own.
+//! One thread, one poll. A turn takes signals, then the events of sockets in `TURN_ORDER`, then what is due
+//! by the clock; every `TICK` it looks besides at what has no exact time of its own.
 //!
 //! [`GatewayNode`] owns the sockets (server, pool, calls to the store and to peers, datagrams) and the engines that
 //! decide; it carries what comes in to the engines, and carries out what they order. It relies on the engines being
@@ -74,6 +74,8 @@
     // New requests, last.
     &[SocketKind::Listener, SocketKind::Inbound],
 ];
+// A kind without a place would never be handled.
+const _: () = assert!(TURN_ORDER[0].len() + TURN_ORDER[1].len() + TURN_ORDER[2].len() == SocketKind::ALL.len());
 
 /// Events taken from the poll at once; those beyond come with the next turn. Not measured; chosen for the
 /// descriptors that a node has by default.
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -205,16 +205,18 @@
 }
 
 impl SocketKind {
+    /// All kinds.
+    pub const ALL: [SocketKind; 6] = [
+        SocketKind::Listener,
+        SocketKind::Inbound,
+        SocketKind::Searcher,
+        SocketKind::Store,
+        SocketKind::Peer,
+        SocketKind::Datagrams,
+    ];
+
     fn from_bits(bits: usize) -> Option<Self> {
-        match bits {
-            1 => Some(SocketKind::Listener),
-            2 => Some(SocketKind::Inbound),
-            3 => Some(SocketKind::Searcher),
-            4 => Some(SocketKind::Store),
-            5 => Some(SocketKind::Peer),
-            6 => Some(SocketKind::Datagrams),
-            _ => None,
-        }
+        SocketKind::ALL.into_iter().find(|kind| *kind as usize == bits)
     }
 }
 
--- a/crates/staircross-gateway/tests/socket.rs
+++ b/crates/staircross-gateway/tests/socket.rs
@@ -3,18 +3,9 @@
 use mio::Token;
 use staircross_gateway::socket::{SocketId, SocketKind};
 
-const KINDS: [SocketKind; 6] = [
-    SocketKind::Listener,
-    SocketKind::Inbound,
-    SocketKind::Searcher,
-    SocketKind::Store,
-    SocketKind::Peer,
-    SocketKind::Datagrams,
-];
-
 #[test]
 fn a_token_comes_back_as_its_socket() {
-    for kind in KINDS {
+    for kind in SocketKind::ALL {
         for (generation, slot) in [(0, 0), (1, 2), (u32::MAX, (1 << 28) - 1)] {
             let id = SocketId { kind, generation, slot };
             assert_eq!(SocketId::from_token(id.token()), Some(id));
