--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -1,26 +1,39 @@
 //! The event loop that carries events and actions between sockets and engines.
 //!
-//! One thread, one poll. In each turn, what the store and peers say is taken in before answers of
-//! searchers, and these before new requests: a process that wakes late learns first what has changed.
+//! One thread, one poll. A turn takes signals, then the events of sockets in `TURN_ORDER`, then what is due
+//! by the clock; every `TICK` it looks besides at what has no exact time of its own.
+//!
+//! [`GatewayNode`] owns the sockets (server, pool, calls to the store and to peers, datagrams) and the engines that
+//! decide; it carries what comes in to the engines, and carries out what they order. It relies on the engines being
+//! sans-IO: they get the time with each event and never block. The modules below carry one subject each.
 
+mod attempts;
 mod caller_request;
 mod change_log;
+mod configuration_view;
 mod endpoints;
+mod error;
 mod knowledge;
+mod log_limits;
+mod operator;
 mod recording;
 mod reload;
 mod request_log;
 mod requests;
 mod setup;
+mod status;
 mod stop;
+mod store_calls;
 mod summary;
 mod unreadable;
-mod view;
+
+pub use error::GatewayError;
+pub use operator::Signals;
 
 use crate::case_pushes::CasePushes;
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
-use crate::fleet::{Fleet, FleetIdentity};
+use crate::fleet::Fleet;
 use crate::http_call::HttpCaller;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
@@ -28,222 +41,100 @@
 use crate::pool::Pool;
 use crate::recorder::Recorder;
 use crate::server::{Server, ServerTimes};
-use crate::settings::{GatewaySettings, SettingsError, SettingsFile};
-use crate::socket::{IoContext, READ_CHUNK, SocketId};
+use crate::settings::GatewaySettings;
+use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use crate::store_role::RoleKeeper;
 use crate::traffic::Traffic;
-use crate::unreadable_log::UnreadableLog;
-use caller_request::CallerRequest;
-use change_log::MemberLog;
-use hashbrown::HashMap;
+use caller_request::CallerRequests;
+use error::io_error;
+use log_limits::LogLimits;
 use mio::event::Event;
-use mio::net::UdpSocket;
-use mio::{Events, Interest, Poll};
-use quick_error::quick_error;
-use rand::Rng;
+use mio::{Events, Poll};
+use operator::Operator;
 use rand_chacha::ChaCha8Rng;
-use rand_chacha::rand_core::SeedableRng;
-use setup::{listeners, routing_settings};
 use staircross_http::ServerLimits;
+use staircross_routing::Mirror;
 use staircross_routing::engine::{RoutingEngine, RoutingEvent};
-use staircross_routing::store_reader::{ReadingMode, StoreCall, StoreReader};
-use staircross_routing::{Mirror, RequestKey};
+use staircross_routing::store_reader::StoreReader;
+use staircross_types::BootTime;
 use staircross_types::boot_clock as clock;
-use staircross_types::{BootTime, NodeId};
-use std::io::{self, ErrorKind};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use status::NodeStatus;
+use std::io::ErrorKind;
 use std::time::Duration;
 use stop::StopState;
-use summary::SUMMARY_EVERY;
+use store_calls::StoreCalls;
 
-/// Kinds of tokens.
-const LISTENERS: u8 = 1;
-const SERVER: u8 = 2;
-const POOL: u8 = 3;
-const STORE: u8 = 4;
-const PEER: u8 = 5;
-const DATAGRAMS: u8 = 6;
+/// Order in which the events of one turn are handled, by kind of socket. A process that wakes late finds old
+/// and new events side by side in any order.
+const TURN_ORDER: [&[SocketKind]; 3] = [
+    // What has changed, so that whatever is decided in this turn is decided by it.
+    &[SocketKind::Store, SocketKind::Peer, SocketKind::Datagrams],
+    // Answers of searchers, so that requests in flight end, and what searchers report counts for the next ones.
+    &[SocketKind::Searcher],
+    // New requests, last.
+    &[SocketKind::Listener, SocketKind::Inbound],
+];
+// A kind without a place would never be handled.
+const _: () = assert!(TURN_ORDER[0].len() + TURN_ORDER[1].len() + TURN_ORDER[2].len() == SocketKind::ALL.len());
 
-/// Events taken from the poll at once.
+/// Events taken from the poll at once; those beyond come with the next turn. Not measured; chosen for the
+/// descriptors that a node has by default.
 const EVENTS: usize = 1024;
-/// Events handled before the clock is read again.
+/// Events handled before the clock is read again, so that a long turn doesn't take its start for now. Not
+/// measured; chosen so that reading the clock costs little beside the work.
 const EVENTS_PER_CLOCK: usize = 16;
-/// Time between looks at what has no exact time of its own.
+/// Time between looks at what has no exact time of its own: sweeps, readiness, roles, summaries. Not measured;
+/// chosen short beside what it looks at, which takes some hundred milliseconds and more.
 const TICK: Duration = Duration::from_millis(50);
-/// Life of a process that isn't the fleet's first during which fresh connections to searchers are proved:
-/// its machine may have lost power, and searchers still hold the connections of its run before.
-const STARTUP: Duration = Duration::from_secs(20);
-/// Life of such a process during which it looks for searchers again soon after each update on them.
-const READER_STARTUP: Duration = Duration::from_secs(3);
-/// Longest answer of a searcher, in bytes.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
-
-quick_error! {
-    /// Why a gateway node can't start.
-    #[derive(Debug)]
-    pub enum GatewayError {
-        /// A setting is invalid.
-        Settings(error: SettingsError) {
-            from()
-            display("{error}")
-        }
-        /// An address can't be listened on, or the system lacks something.
-        Io { what: String, error: io::Error } {
-            display("{what}: {error}")
-        }
-    }
-}
-
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> GatewayError {
-    let what = what.into();
-    move |error| GatewayError::Io { what, error }
-}
-
-/// What the outside asks of a running node.
-#[derive(Clone, Debug, Default)]
-pub struct Signals {
-    /// Stop as planned.
-    pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
-    pub reload: Arc<AtomicBool>,
-}
+/// Gap between two turns from which it is logged that the process stood still. Not measured; chosen far above what the loop
+/// sleeps, which is at most [`TICK`].
+const LATE_TURN: Duration = Duration::from_secs(1);
 
 /// A node.
 pub struct GatewayNode<D: Dialect> {
     dialect: D,
     settings: GatewaySettings,
-    signals: Signals,
-    settings_file: SettingsFile,
-    next_file_look: BootTime,
+    operator: Operator,
+    stop: Option<StopState>,
+
     poll: Poll,
+    /// Room that all sockets read into.
     buffer: Box<[u8; READ_CHUNK]>,
+    /// Time of the event that is being handled.
     now: BootTime,
     started: BootTime,
+    next_tick: BootTime,
+    load: LoadMeter,
+    status: NodeStatus,
+    random: ChaCha8Rng,
+
     server: Server,
     pool: Pool,
-    fleet: Fleet,
-    store: [HttpCaller; 3],
-    store_calls: [Option<StoreCall>; 3],
-    /// When the last call of each lane was made.
-    store_called_at: [BootTime; 3],
-    peer: HttpCaller,
+    requests: CallerRequests,
+    engine: RoutingEngine,
+
+    store: StoreCalls,
     reader: StoreReader,
     role: RoleKeeper,
     mirror: Mirror,
-    unreadable_log: UnreadableLog,
-    engine: RoutingEngine,
-    callers: HashMap<RequestKey, CallerRequest>,
-    by_connection: HashMap<SocketId, RequestKey>,
-    next_request: u64,
-    next_tick: BootTime,
-    load: LoadMeter,
-    is_ready: bool,
-    is_pressed: bool,
-    is_serving: bool,
-    /// Whether the configuration hasn't been confirmed for longer than it may be.
-    is_view_old: bool,
-    stop: Option<StopState>,
-    recorder: Option<Recorder>,
-    log: EventLog,
-    metrics: Metrics,
-    member_log: MemberLog,
-    /// Whether peers are to be told at once under which requests searchers were lost, and when they may be.
-    case_pushes: CasePushes,
+
+    fleet: Fleet,
+    /// Pulls from one peer at a time.
+    peer: HttpCaller,
     /// Answers sent to peers lately.
     peer_answers: RecentPeerAnswers,
+    /// Whether requests under which searchers were lost are to be sent to peers at once, and when they may be.
+    case_pushes: CasePushes,
+
+    log: EventLog,
+    log_limits: LogLimits,
+    metrics: Metrics,
     /// Bytes to and from store and peers.
     traffic: Traffic,
-    next_summary: BootTime,
-    random: ChaCha8Rng,
+    recorder: Option<Recorder>,
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Reads the settings and binds all addresses. `signals` are looked at while the node runs.
-    pub fn start(mut settings_file: SettingsFile, dialect: D, signals: Signals) -> Result<Self, GatewayError> {
-        let settings = settings_file.load()?;
-        let now = clock::now();
-        let poll = Poll::new().map_err(io_error("poll"))?;
-        let mut server = Server::new(LISTENERS, SERVER, settings.caller_connections());
-        for (endpoint, name, address) in listeners(&settings) {
-            server.listen(endpoint, address, poll.registry()).map_err(io_error(format!("{name} {address}")))?;
-        }
-        let peers = settings.listen.peers;
-        let mut socket = UdpSocket::bind(peers).map_err(io_error(format!("listen.peers {peers} (datagrams)")))?;
-        let id = SocketId { kind: DATAGRAMS, generation: 0, slot: 0 };
-        poll.registry().register(&mut socket, id.token(), Interest::READABLE).map_err(io_error("datagrams"))?;
-        let node = NodeId(rand::rng().random());
-        let identity = FleetIdentity {
-            node,
-            peers,
-            callers: settings.listen.callers,
-            region: settings.node.region.clone(),
-            zone: settings.node.zone.clone(),
-        };
-        let proves_until = if settings.node.first_start { now } else { now + STARTUP };
-        let store = settings.store.address;
-        let mut role = RoleKeeper::new(now, settings.longest_silence());
-        let mut reader = StoreReader::new(settings.reader());
-        if settings.node.first_start {
-            role = role.with_first_start(now);
-            reader = reader.with_mode(now, ReadingMode::Following);
-        } else {
-            reader = reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP);
-        }
-        let routing = routing_settings(now, node, &settings);
-        let mut log = EventLog::new(&settings.node.name, settings.node.log);
-        log.line(
-            now,
-            LineKind::Belief,
-            format_args!(
-                "event=start run={node} zone={} callers={} peers={peers} store={store}",
-                settings.node.zone, settings.listen.callers
-            ),
-        );
-        Ok(GatewayNode {
-            pool: Pool::new(POOL, *dialect.headers(), MAX_ANSWER, proves_until).with_policy(settings.policy.node),
-            fleet: Fleet::new(identity, settings.node.seeds.clone(), socket, now).with_policy(settings.policy.node),
-            store: [0, 1, 2].map(|slot| HttpCaller::new(STORE, slot, store)),
-            store_calls: [const { None }; 3],
-            store_called_at: [BootTime::default(); 3],
-            is_view_old: false,
-            peer: HttpCaller::new(PEER, 0, peers),
-            reader,
-            role,
-            mirror: Mirror::default(),
-            unreadable_log: UnreadableLog::default(),
-            recorder: recording::begin(&settings, &routing)?,
-            engine: RoutingEngine::new(routing),
-            callers: HashMap::new(),
-            by_connection: HashMap::new(),
-            next_request: 1,
-            next_tick: now,
-            load: LoadMeter::new(now),
-            is_ready: false,
-            is_pressed: false,
-            is_serving: false,
-            stop: None,
-            metrics: Metrics::default(),
-            member_log: MemberLog::default(),
-            case_pushes: CasePushes::default(),
-            peer_answers: RecentPeerAnswers::default(),
-            traffic: Traffic::default(),
-            next_summary: now + SUMMARY_EVERY,
-            random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
-            buffer: Box::new([0; READ_CHUNK]),
-            log,
-            now,
-            started: now,
-            server,
-            poll,
-            dialect,
-            signals,
-            settings_file,
-            next_file_look: now,
-            settings,
-        })
-    }
-
     /// Runs until a planned stop is done.
     pub fn run(mut self) -> Result<(), GatewayError> {
         let mut events = Events::with_capacity(EVENTS);
@@ -258,14 +149,8 @@
             self.load.begin_turn(self.now);
             self.note_pause();
             self.take_signals();
-            for kinds in [&[STORE, PEER, DATAGRAMS][..], &[POOL][..], &[LISTENERS, SERVER][..]] {
-                let ours = events.iter().filter(|event| kinds.contains(&SocketId::from_token(event.token()).kind));
-                for (count, event) in ours.enumerate() {
-                    if count % EVENTS_PER_CLOCK == EVENTS_PER_CLOCK - 1 {
-                        self.now = clock::now();
-                    }
-                    self.on_socket(SocketId::from_token(event.token()), event);
-                }
+            for kinds in TURN_ORDER {
+                self.on_sockets(kinds, &events);
             }
             self.on_time();
             self.load.end_turn(clock::now());
@@ -276,38 +161,57 @@
         Ok(())
     }
 
+    /// Time until something is due.
     fn time_to_wait(&self) -> Duration {
-        let wakes = [self.engine.next_wake(), self.reader.next_wake(), self.peer.next_wake(), self.pool.next_wake()];
-        let calls = self.store.iter().map(HttpCaller::next_wake);
-        let due = wakes.into_iter().chain(calls).flatten().min();
+        let wakes = [
+            self.engine.next_wake(),
+            self.reader.next_wake(),
+            self.peer.next_wake(),
+            self.pool.next_wake(),
+            self.store.next_wake(),
+        ];
+        let due = wakes.into_iter().flatten().min();
         clock::now().until(due.map_or(self.next_tick, |due| due.min(self.next_tick)))
     }
 
-    /// A gap between turns says that the process, not the others, stood still.
+    /// Logs a gap between turns: then this process, not the others, stood still.
     fn note_pause(&mut self) {
         let gap = self.load.gap();
-        if gap >= Duration::from_millis(1000) {
+        if gap >= LATE_TURN {
             self.log.line(self.now, LineKind::Belief, format_args!("event=woke_late gap_ms={}", gap.as_millis()));
         }
     }
 
+    /// Handles the events of sockets of these kinds.
+    fn on_sockets(&mut self, kinds: &[SocketKind], events: &Events) {
+        let decoded = events.iter().filter_map(|event| Some((SocketId::from_token(event.token())?, event)));
+        let ours = decoded.filter(|(id, _)| kinds.contains(&id.kind));
+        for (count, (id, event)) in ours.enumerate() {
+            if count % EVENTS_PER_CLOCK == EVENTS_PER_CLOCK - 1 {
+                self.now = clock::now();
+            }
+            self.on_socket(id, event);
+        }
+    }
+
     fn on_socket(&mut self, id: SocketId, event: &Event) {
         match id.kind {
-            LISTENERS => self.server.on_acceptable(self.now, id, self.poll.registry()),
-            SERVER => self.on_server_socket(id, event.is_writable()),
-            POOL => self.on_pool_socket(id, event.is_writable()),
-            STORE => self.on_store_socket(id, event.is_writable()),
-            PEER => self.on_peer_socket(id, event.is_writable()),
-            DATAGRAMS => self.on_datagrams(),
-            _ => {}
+            SocketKind::Listener => self.server.on_acceptable(self.now, id, self.poll.registry()),
+            SocketKind::Inbound => self.on_server_socket(id, event.is_writable()),
+            SocketKind::Searcher => self.on_pool_socket(id, event.is_writable()),
+            SocketKind::Store => self.on_store_socket(id, event.is_writable()),
+            SocketKind::Peer => self.on_peer_socket(id, event.is_writable()),
+            SocketKind::Datagrams => self.on_datagrams(),
         }
     }
 
+    /// What is due by the clock, after all that came in: what came may have made it undue.
     fn on_time(&mut self) {
         self.now = clock::now();
         self.engine_event(RoutingEvent::Tick);
         self.on_pool_time();
         self.on_store_time();
+        // All that this turn brought goes out together.
         self.push_cases();
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
@@ -315,16 +219,20 @@
         }
     }
 
+    /// What has no exact time of its own.
     fn on_coarse_tick(&mut self) {
         self.sweep_server();
         self.sweep_pool();
+        // Who of the members lives decides who reads the store, and that whether a peer is asked instead.
         self.on_fleet_tick();
         self.decide_store_role();
         self.ask_better_informed();
-        self.note_view();
+        // What the node finds of itself follows from what it knows now.
+        self.note_configuration_view();
         self.update_readiness();
         self.on_stop_tick();
         self.look_at_settings();
+        // Lines last, so that this tick's are among those written.
         self.log_summary();
         self.log.on_tick(self.now);
     }
@@ -341,6 +249,7 @@
         IoContext { now, registry: poll.registry(), buffer, limits }
     }
 
+    /// Times that the configuration gives callers.
     fn server_times(&self) -> ServerTimes {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
         ServerTimes {
@@ -350,10 +259,10 @@
     }
 
     fn take_signals(&mut self) {
-        if self.signals.stop.swap(false, Ordering::AcqRel) {
+        if self.operator.take_stop() {
             self.begin_stop();
         }
-        if self.signals.reload.swap(false, Ordering::AcqRel) {
+        if self.operator.take_reload() {
             self.reload();
         }
     }
--- a/crates/staircross-gateway/src/node/view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -1,4 +1,6 @@
 //! How old what the node knows of the configuration may be, and what that means for callers' keys.
+//!
+//! Owns nothing: the fleet knows until when the configuration was confirmed, the settings how long ago that may be.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -27,13 +29,13 @@
     }
 
     /// Logs when the view becomes too old, and when it is confirmed again; only where there are tenants.
-    pub(super) fn note_view(&mut self) {
+    pub(super) fn note_configuration_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
         let is_old = has_tenants && self.is_view_too_old();
-        if is_old == self.is_view_old {
+        if is_old == self.status.is_view_old {
             return;
         }
-        self.is_view_old = is_old;
+        self.status.is_view_old = is_old;
         let strict = self.settings.bounds.revoke_strict;
         let line = format_args!("event=configuration_view confirmed={} strict={strict}", !is_old);
         self.log.line(self.now, LineKind::Belief, line);
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -1,4 +1,7 @@
 //! Settings that change while the node runs.
+//!
+//! What of them is in force at once: the bounds, the silence that is borne, the store's address. Listeners stay as they are, and
+//! what was read at the start. Relies on `operator` for the file.
 
 use super::GatewayNode;
 use super::setup::{cold_bound, extra_bound, quota_bound};
@@ -8,26 +11,18 @@
 use staircross_routing::recording::RecordedEvent;
 use staircross_routing::store_reader::StoreReader;
 use std::net::SocketAddr;
-use std::time::Duration;
-
-/// Time between looks at the settings file.
-const FILE_LOOK: Duration = Duration::from_secs(1);
 
 impl<D: Dialect> GatewayNode<D> {
     /// Settings may change without any signal.
     pub(super) fn look_at_settings(&mut self) {
-        if self.now < self.next_file_look {
-            return;
-        }
-        self.next_file_look = self.now + FILE_LOOK;
-        if self.settings_file.has_changed() {
+        if self.operator.sees_change(self.now) {
             self.reload();
         }
     }
 
     /// Takes changed settings; bad ones are refused and everything stays as it is.
     pub(super) fn reload(&mut self) {
-        let settings = match self.settings_file.load() {
+        let settings = match self.operator.load() {
             Ok(settings) => settings,
             Err(error) => {
                 let line = format_args!("event=reload outcome=refused reason={:?}", error.to_string());
@@ -56,10 +51,7 @@
 
     /// The store has moved: everything is read anew there.
     fn follow_store(&mut self, address: SocketAddr) {
-        for caller in &mut self.store {
-            caller.set_address(address);
-        }
-        self.store_calls = [const { None }; 3];
+        self.store.set_address(address);
         self.reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.role.role().mode());
     }
 }
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -1,7 +1,12 @@
 //! Connections that requests come in on.
+//!
+//! [`Server`] owns the listeners and the accepted connections, reads whole requests and writes answers, one after the other on each
+//! connection. What a request means and when it is answered is the node's; each [`ServerEvent::Request`],
+//! [`ServerEvent::Fault`] and [`ServerEvent::Late`] must be answered with [`Server::respond`]. Relies on the server half of HTTP
+//! for framing.
 
 use crate::round_trip::round_trip;
-use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, WriteOutcome};
+use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
 use slab::Slab;
@@ -12,11 +17,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a peer to close after the last answer.
+/// Longest wait for a peer to close after the last answer. Not measured; chosen so that an answer that is on its way is read before
+/// the connection goes.
 const CLOSE_PATIENCE: Duration = Duration::from_millis(1500);
 /// Permission to send a body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes of further requests that are read while one is being answered.
+/// Bytes of further requests that are read at once while one is being answered. Not measured; chosen as a few times what is
+/// read at once.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
 /// Who is spoken to on a listener.
@@ -30,7 +37,7 @@
     Directory,
     /// Other nodes.
     Peers,
-    /// Whoever collects metrics.
+    /// The collector of metrics.
     Metrics,
 }
 
@@ -67,6 +74,7 @@
     },
 }
 
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// Waits for a request.
@@ -85,7 +93,7 @@
     generation: u32,
     /// Since when it is in its present state without progress.
     since: BootTime,
-    /// What the next request is told of the connection.
+    /// What the engine will know of the connection that the next request comes on.
     link: CallerLink,
 }
 
@@ -105,8 +113,6 @@
 
 /// All listeners and their connections.
 pub struct Server {
-    listener_kind: u8,
-    connection_kind: u8,
     listeners: Vec<Listening>,
     connections: Slab<Connection>,
     next_generation: u32,
@@ -114,23 +120,16 @@
 }
 
 impl Server {
-    /// A server without listeners. The kinds tell its tokens from those of other components.
-    pub fn new(listener_kind: u8, connection_kind: u8, max_connections: usize) -> Self {
-        Server {
-            listener_kind,
-            connection_kind,
-            listeners: Vec::new(),
-            connections: Slab::new(),
-            next_generation: 1,
-            max_connections,
-        }
+    /// A server without listeners that holds at most `max_connections`.
+    pub fn new(max_connections: usize) -> Self {
+        Server { listeners: Vec::new(), connections: Slab::new(), next_generation: 1, max_connections }
     }
 
     /// Listens on an address.
     pub fn listen(&mut self, endpoint: Endpoint, address: SocketAddr, registry: &Registry) -> io::Result<()> {
         let mut listener = TcpListener::bind(address)?;
         let slot = self.listeners.len() as u32;
-        let id = SocketId { kind: self.listener_kind, generation: 0, slot };
+        let id = SocketId { kind: SocketKind::Listener, generation: 0, slot };
         registry.register(&mut listener, id.token(), Interest::READABLE)?;
         self.listeners.push(Listening { endpoint, listener });
         Ok(())
@@ -177,7 +176,7 @@
         let generation = self.next_generation;
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
-        let id = SocketId { kind: self.connection_kind, generation, slot: entry.key() as u32 };
+        let id = SocketId { kind: SocketKind::Inbound, generation, slot: entry.key() as u32 };
         let link = CallerLink { round_trip: round_trip(&stream), is_fresh: true };
         if let Ok(socket) = Socket::accepted(stream, id.token(), registry) {
             entry.insert(Connection {
@@ -321,7 +320,7 @@
         let mut over = Vec::new();
         for (slot, connection) in &mut self.connections {
             let age = now.since(connection.since);
-            let id = SocketId { kind: self.connection_kind, generation: connection.generation, slot: slot as u32 };
+            let id = SocketId { kind: SocketKind::Inbound, generation: connection.generation, slot: slot as u32 };
             match connection.state {
                 State::Working => {}
                 State::Closing if age >= CLOSE_PATIENCE => over.push(slot),
