--- a/crates/staircross-gateway/src/fleet/announcement.rs
+++ b/crates/staircross-gateway/src/fleet/announcement.rs
@@ -1,4 +1,7 @@
-//! What nodes say of themselves with every datagram.
+//! What nodes announce of themselves with every datagram, and the datagram's form.
+//!
+//! Owns the names on the wire: one letter a field, since datagrams go out every few milliseconds. Relies on the messages
+//! of membership and quotas, which it carries.
 
 use serde::{Deserialize, Serialize};
 use staircross_cluster::membership::MembershipMessage;
@@ -52,10 +55,10 @@
     /// Requests under which searchers were lost, some of them each time.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub cases: Vec<CaseRecord>,
-    /// What is told of tenants' quotas.
+    /// Reports on tenants' quotas.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub quotas: Vec<QuotaMessage>,
-    /// None when only the announcement is told.
+    /// `None` when only the announcement is sent.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub message: Option<MembershipMessage>,
 }
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -1,8 +1,11 @@
 //! Until when this node's configuration is known to have been the newest.
 //!
-//! Whoever the store answers knows that it had heard of everything at the time at which it asked. It tells how long ago that is with
-//! each datagram, and whoever hears it tells it on. An announcement binds a time to a version: it confirms a node's configuration once the node has that
-//! version or a later one.
+//! Owns the latest such time, and an announcement on a version that isn't here yet. Relies on the node, which reports when the store was
+//! asked, and on peers' announcements.
+//!
+//! A node that the store answers knows that it had heard of everything at the time at which it asked. It announces how long ago that is
+//! with each datagram, and each node that hears it passes it on. An announcement binds a time to a version: it confirms a node's
+//! configuration once the node has that version or a later one.
 
 use super::Fleet;
 use staircross_types::{BootTime, NodeId};
@@ -17,7 +20,7 @@
     pub at: BootTime,
 }
 
-/// What was heard of the newest version.
+/// Until when the configuration is confirmed, and what would confirm a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Confirmation {
     at: Option<BootTime>,
@@ -65,7 +68,7 @@
         self.sends_confirmation = is_sent;
     }
 
-    /// Takes what a datagram says. It may have waited to be read for as long as this process stood still, so it is taken to have come
+    /// Takes what a datagram announces. It may have waited to be read for as long as this process stood still, so it is taken to have come
     /// right after the last time at which none waited.
     pub(super) fn take_confirmation(&mut self, from: NodeId) {
         let announced = self.announced.get(&from);
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -1,4 +1,7 @@
-//! Who of a region reads the store, what it tells the others, and whom a node asks that lacks something.
+//! Which nodes of a region are its designated readers, what they announce, and which peer is asked by a node that is behind.
+//!
+//! Owns the choice of readers and of the peer that is asked, and since when the node has been behind. Relies on membership for who lives
+//! where and on what peers announced last. Whether a designated node reads already is for `store_role` to say.
 
 use super::{Announcement, Fleet};
 use crate::store_role::READERS_PER_REGION;
@@ -9,11 +12,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a reader lets its own watch tell what a peer knows already.
+/// How long a reader waits for its own watch to bring what a peer knows already. Not measured; chosen for a watch that the store answers
+/// at once and the reader's link, and well below the bounds on updates.
 const BEHIND_PATIENCE: Duration = Duration::from_millis(400);
 
 impl Fleet {
-    /// A reader of the region says when the store last answered it.
+    /// Takes a heartbeat: a reader of the region announces when the store last answered it.
     pub(super) fn take_heartbeat(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
         let own_region = &self.membership.own().region;
         let is_near = self.membership.get(from).is_some_and(|member| member.region == *own_region);
@@ -29,12 +33,12 @@
         self.reader_heartbeat
     }
 
-    /// Whether this node is one of the readers of its region.
+    /// Whether this node is one of the designated readers of its region; where following is turned off, each node is.
     pub fn is_designated_reader(&self) -> bool {
         !self.policy.store_readers || self.readers().contains(&self.node)
     }
 
-    /// Those with the lowest ids, of different zones if there are some.
+    /// The designated readers: those with the lowest ids, of different zones if there are some.
     fn readers(&self) -> Vec<NodeId> {
         let Some(first) = self.region_mates().next() else {
             return Vec::new();
@@ -45,7 +49,7 @@
         std::iter::once(first).chain(others).map(|member| member.node).collect()
     }
 
-    /// Live members of the region that aren't its readers.
+    /// Live members of the region that aren't its designated readers.
     fn followers(&self) -> impl Iterator<Item = &Member> {
         let readers = if self.policy.store_readers { self.readers() } else { Vec::new() };
         let follows = self.policy.store_readers;
@@ -97,7 +101,7 @@
         before != self.own
     }
 
-    /// A peer that knows more; once this node has been behind for a while, if it `is_reading` the store itself.
+    /// A peer that knows more; where the node `is_reading` the store itself, only after it has been behind for `BEHIND_PATIENCE`.
     pub fn better_informed(&mut self, now: BootTime, is_reading: bool) -> Option<SocketAddr> {
         let is_version_behind = self.is_version_behind();
         self.version_behind_since =
@@ -108,7 +112,7 @@
             .live()
             .filter(|member| self.announced.get(&member.node).is_some_and(|known| self.own.is_behind(known)))
             .collect();
-        // Any of the nearest: all that lack the same would ask the same one else.
+        // Any of the nearest: otherwise all that lack the same would ask the same one.
         let nearest = ahead.iter().map(|member| distance(member)).min();
         let is_nearest = |member: &&&Member| Some(distance(member)) == nearest;
         let addresses: Vec<SocketAddr> = ahead.iter().filter(is_nearest).map(|member| member.peer_address).collect();
