--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -82,6 +82,7 @@
     pub(super) fn refresh_own_confirmation(&mut self, now: BootTime) {
         let confirmed_at = self.confirmation.at().filter(|_| self.sends_confirmation);
         let age = confirmed_at.map(|at| now.since(at).as_millis());
+        // An age of more than 49 days is not announced, like one that isn't known.
         self.own.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
     }
 }
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -87,6 +87,7 @@
 
     pub(super) fn refresh_own_heartbeat(&mut self, now: BootTime) {
         let age = self.store_contact.map(|at| now.since(at).as_millis());
+        // An age of more than 49 days is not announced, like one that isn't known.
         self.own.store_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
         self.refresh_own_confirmation(now);
     }
