--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -1,6 +1,10 @@
 //! What this node knows of the platform's store.
 //!
-//! Each item carries the revision of its last change. Items are merged by revision, searchers' entries by their start too, and
+//! Owns a copy of what the store holds, as far as it is known, and up to which revisions that is all. Relies on `known_configuration`,
+//! `known_entries` and `evacuations` for what holds of each kind. It makes no calls and puts nothing in force: an update is merged, and
+//! what was new is returned.
+//!
+//! Each item carries the revision of its last change. Items are merged by revision, searchers' entries by their incarnation too, and
 //! never by the order in which they arrive, so it doesn't matter whether they come from the store or from a peer.
 
 use crate::configuration::definition::RoutingDefinition;
@@ -15,7 +19,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most items that are remembered as gone.
+/// Most searchers that are remembered as gone; beyond it the older half is forgotten, and peers that are behind get a whole listing. Not
+/// measured; chosen above the searchers of large fleets, which have some hundreds.
 const MAX_TOMBSTONES: usize = 4096;
 
 /// One item of the store with its revision.
@@ -66,12 +71,12 @@
     pub items: Vec<(u64, MirrorItem)>,
     /// Whether searchers that aren't listed are gone.
     pub is_complete_for_searchers: bool,
-    /// Revision up to which the update tells all changes; 0 when it doesn't.
+    /// Revision up to which the update holds all changes; 0 when it doesn't.
     pub up_to: u64,
     /// Revision at which zones that aren't listed as evacuated weren't; `None` when the update doesn't list them all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_evacuations_at: Option<u64>,
-    /// Items that can't be used, for the log of whoever read them; they aren't sent to peers.
+    /// Items that can't be used, for the log of the node that read them; they aren't sent to peers.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableItem>,
 }
@@ -85,7 +90,7 @@
     pub version: u64,
     /// Revision up to which it knows evacuations.
     pub evacuations: u64,
-    /// Which newer configuration it is told; what it isn't told it reads from the store.
+    /// Which newer configuration it takes; what it isn't sent it reads from the store.
     pub takes: TakenConfiguration,
 }
 
@@ -103,8 +108,8 @@
     pub evacuated: Option<Vec<Arc<str>>>,
 }
 
-/// Changes while a merge goes on. An update may tell several of one id; how things stand after it counts, but for that a
-/// start which once said that it leaves goes on leaving.
+/// Changes while a merge goes on. An update may hold several of one id; how things stand after it counts, but an
+/// incarnation that once was draining goes on draining.
 #[derive(Default)]
 struct Touched {
     configuration: Option<Arc<RoutingDefinition>>,
@@ -116,7 +121,7 @@
 struct TouchedSearcher {
     /// Revision of the entry that held before the merge.
     before: Option<u64>,
-    /// Starts that said that they leave.
+    /// Starts, in Unix milliseconds, of incarnations that were draining.
     draining: Vec<u64>,
 }
 
@@ -143,15 +148,41 @@
     }
 }
 
+/// What a listing holds: of its kind, all else is gone.
+#[derive(Default)]
+struct Listed {
+    /// Ids of searchers.
+    searchers: Vec<Arc<str>>,
+    /// Zones that are evacuated.
+    evacuated: Vec<Arc<str>>,
+}
+
+impl Listed {
+    fn note(&mut self, item: &MirrorItem) {
+        match item {
+            MirrorItem::Searcher { entry } => self.searchers.push(entry.instance.clone()),
+            MirrorItem::Evacuation { zone, is_active: true } => self.evacuated.push(zone.clone()),
+            MirrorItem::Evacuation { .. }
+            | MirrorItem::SearcherGone { .. }
+            | MirrorItem::Configuration { .. }
+            | MirrorItem::ConfigurationChanges { .. } => {}
+        }
+    }
+}
+
 /// A copy of what the store holds, as far as it is known.
 #[derive(Debug, Default)]
 pub struct Mirror {
     configuration: KnownConfiguration,
     searchers: BTreeMap<Arc<str>, KnownEntries>,
     evacuations: Evacuations,
+    /// Revision up to which all changes of searchers are known.
     up_to: u64,
+    /// Newest revision of a searcher's entry or of its end.
     newest: u64,
+    /// Revision from which on all ends of entries are remembered; a peer that is further behind gets a whole listing.
     tombstones_from: u64,
+    /// Whether a whole listing of the searchers has been merged.
     has_listing: bool,
 }
 
@@ -181,9 +212,9 @@
         self.newest
     }
 
-    /// Revision up to which nothing of the searchers is lacking: a peer that is asked tells what came later. After a whole listing that
+    /// Revision up to which nothing of the searchers is lacking: a peer that is asked sends what came later. After a whole listing that
     /// is the listing's revision, which may be beyond the newest change; asked for what came after that change, a peer could not
-    /// tell which ends it never heard of, and would have to tell everything, 30 KB for 300 searchers, at each question.
+    /// know which ends this node never heard of, and would have to send everything, 30 KB for 300 searchers, at each question.
     pub fn known_revision(&self) -> u64 {
         if self.has_listing { self.newest.max(self.up_to) } else { self.newest }
     }
@@ -206,37 +237,20 @@
     /// Merges an update and returns what was new.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
         let mut touched = Touched::default();
-        let mut listed: Vec<Arc<str>> = Vec::new();
-        let mut listed_zones: Vec<Arc<str>> = Vec::new();
+        let mut listed = Listed::default();
+        let is_listing = update.is_complete_for_searchers || update.all_evacuations_at.is_some();
         for (revision, item) in update.items {
-            match item {
-                MirrorItem::Configuration { definition } => {
-                    touched.configuration = self.configuration.take(revision, definition).or(touched.configuration);
-                }
-                MirrorItem::ConfigurationChanges { deltas } => {
-                    touched.configuration = self.configuration.take_deltas(revision, &deltas).or(touched.configuration);
-                }
-                MirrorItem::Searcher { entry } => {
-                    if update.is_complete_for_searchers {
-                        listed.push(entry.instance.clone());
-                    }
-                    self.take_searcher(revision, entry, &mut touched);
-                }
-                MirrorItem::SearcherGone { instance } => self.take_gone(revision, instance, &mut touched),
-                MirrorItem::Evacuation { zone, is_active } => {
-                    if update.all_evacuations_at.is_some() && is_active {
-                        listed_zones.push(zone.clone());
-                    }
-                    touched.has_evacuations |= self.evacuations.take(revision, zone, is_active);
-                }
+            if is_listing {
+                listed.note(&item);
             }
+            self.take(revision, item, &mut touched);
         }
         if let Some(at) = update.all_evacuations_at {
-            touched.has_evacuations |= self.evacuations.end_unlisted(at, &listed_zones);
+            touched.has_evacuations |= self.evacuations.end_unlisted(at, &listed.evacuated);
         }
         if update.is_complete_for_searchers {
-            listed.sort();
-            self.drop_unlisted(update.up_to, &listed, &mut touched);
+            listed.searchers.sort();
+            self.drop_unlisted(update.up_to, &listed.searchers, &mut touched);
             self.has_listing = true;
         }
         self.up_to = self.up_to.max(update.up_to);
@@ -245,6 +259,24 @@
         MirrorChanges { evacuated, ..touched.into_changes(&self.searchers) }
     }
 
+    fn take(&mut self, revision: u64, item: MirrorItem, touched: &mut Touched) {
+        match item {
+            MirrorItem::Configuration { definition } => {
+                let newer = self.configuration.take(revision, definition);
+                touched.configuration = newer.or(touched.configuration.take());
+            }
+            MirrorItem::ConfigurationChanges { deltas } => {
+                let newer = self.configuration.take_deltas(revision, &deltas);
+                touched.configuration = newer.or(touched.configuration.take());
+            }
+            MirrorItem::Searcher { entry } => self.take_searcher(revision, entry, touched),
+            MirrorItem::SearcherGone { instance } => self.take_gone(revision, instance, touched),
+            MirrorItem::Evacuation { zone, is_active } => {
+                touched.has_evacuations |= self.evacuations.take(revision, zone, is_active);
+            }
+        }
+    }
+
     /// Everything that a peer lacks, but for a large configuration that it doesn't take.
     pub fn changes_for(&self, peer: PeerKnowledge) -> MirrorUpdate {
         let revision = peer.revision;
