--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -15,7 +15,7 @@
 //! | [`GatewaySettings::lapse_grace`] | a searcher's entry has ended and nothing new is heard of it |
 
 use super::{BoundSettings, GatewaySettings};
-use staircross_routing::store_reader::ReaderSettings;
+use staircross_routing::store_reader::{ProbeIntervals, ReaderSettings};
 use std::time::Duration;
 
 /// Descriptors kept for files, listeners and calls to the store and peers. Not measured; chosen as a quarter of the default limit.
@@ -61,11 +61,10 @@
         let searcher_rest = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
         let silence = self.longest_silence();
         let unconfirmed = self.longest_unconfirmed();
-        let (usual_probe, probe_while_away) = usual.probe;
         ReaderSettings {
             configuration_rest: usual.configuration_rest.min(configuration_rest),
             searcher_rest: usual.searcher_rest.min(searcher_rest),
-            probe: (usual_probe.min(unconfirmed.mul_f64(PROBE_FRACTION)), probe_while_away),
+            probe: ProbeIntervals { usual: usual.probe.usual.min(unconfirmed.mul_f64(PROBE_FRACTION)), ..usual.probe },
             probe_for_others: silence.min(unconfirmed).mul_f64(PROBE_FRACTION),
             probe_in_doubt: silence.mul_f64(DOUBT_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
