--- a/crates/staircross-routing/src/decision/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -1,4 +1,14 @@
 //! In which regions a request may be served.
+//!
+//! **Decides** for a request and a searcher's region whether it may be sent there. Both the route's regions and the tenant's bind; an empty list allows
+//! all. A zone whose region isn't known serves only what may be served anywhere.
+//!
+//! **Inputs**: the route's and the tenant's allowed regions, by the configuration that the request was begun with, and the region's name.
+//!
+//! **Protects** a promise to tenants and routes about where their requests run, so it has no switch. It costs requests that nobody there can serve:
+//! they are refused at once, never moved.
+//!
+//! **Shown by** refusals `no_allowed_replica`. docs/design/allowed-regions.md has the rest.
 
 use crate::configuration::definition::RouteDefinition;
 use crate::configuration::tenants::TenantDefinition;
@@ -30,7 +40,7 @@
         self.route.is_empty() && self.tenant.is_empty()
     }
 
-    /// Whether no region will ever do, whoever serves there.
+    /// Whether no region will ever do, whichever searchers serve there.
     pub fn are_none(&self) -> bool {
         let is_disjoint = || !self.route.iter().any(|region| self.tenant.contains(region));
         !self.route.is_empty() && !self.tenant.is_empty() && is_disjoint()
--- a/crates/staircross-routing/src/decision/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -1,10 +1,19 @@
 //! Whose turn it is in a weighted set.
+//!
+//! **Decides** for each request of a route with weighted services which of them serves it: smooth weighted turns, without chance.
+//!
+//! **Inputs**: the services and their weights (whole numbers; 0 takes none), as the configuration lists them. A changed set starts over.
+//!
+//! **Buys** exact shares over any stretch of a node's requests, give or take one; by chance they would differ by the root of their number. It has
+//! no switch. Each node counts its own requests and knows nothing of others'.
+//!
+//! **Shown by** the service in the log's `event=send` and `event=finish` of the route's requests.
 
 use crate::configuration::definition::WeightedService;
 use std::sync::Arc;
 
 /// Smooth weighted turns: over any stretch each service is picked as often as its weight says,
-/// give or take one, without luck.
+/// give or take one.
 #[derive(Debug, Default)]
 pub struct WeightedTurns {
     credits: Vec<Credit>,
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -1,4 +1,7 @@
-//! Taking less than is offered while too much waits at the searchers of a group of services.
+//! Carries waits to admission, and refuses what admission doesn't take.
+//!
+//! Owns, for each group of services that are asked together, its level, its wait and its tenants' shares; and the wait of each service. The rules
+//! are [`crate::decision::admission`] and [`crate::decision::fair_share`].
 
 use super::{RoutingAction, RoutingEngine, SentAttempt};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
@@ -20,10 +23,11 @@
 pub(super) struct ServiceGroup {
     admission: Admission,
     wait: Wait,
-    /// Index of the most urgent route that asks them, and the priorities of all that do.
+    /// Index of the most urgent route that asks them.
     route_index: usize,
+    /// The most and the least urgent priority of the routes that ask them.
     priorities: (u32, u32),
-    /// Whose requests are taken while not all are, by rank.
+    /// Tenants' shares of what is taken, by rank.
     shares: BTreeMap<Rank, FairShares>,
 }
 
@@ -63,8 +67,8 @@
         self.waits.retain(|service, _| self.services.contains_key(service));
     }
 
-    /// Whether a request is refused because too much waits: then, the part of its tenant's requests at its rank that is taken now.
-    /// `tenant` is whose it is, where that is known.
+    /// Whether a request is refused because too much waits: then, the fraction of its tenant's requests at its rank that is taken now.
+    /// `tenant` is `None` where no tenant is known.
     pub(super) fn refusing_fraction(
         &mut self,
         now: BootTime,
--- /dev/null
+++ b/crates/staircross-routing/tests/rule_turns.rs
@@ -0,0 +1,36 @@
+//! Weighted turns by themselves, as a table: the set, and who is asked in turn.
+
+use staircross_routing::configuration::definition::WeightedService;
+use staircross_routing::decision::turns::WeightedTurns;
+use std::sync::Arc;
+
+fn set(weights: &[(&str, u32)]) -> Vec<WeightedService> {
+    let entry = |(service, weight): &(&str, u32)| WeightedService { service: Arc::from(*service), weight: *weight };
+    weights.iter().map(entry).collect()
+}
+
+fn next(turns: &mut WeightedTurns, set: &[WeightedService], count: usize) -> String {
+    (0..count).map(|_| turns.next(set).map_or_else(|| "-".to_owned(), |service| service.to_string())).collect()
+}
+
+#[test]
+fn services_take_turns_by_their_weights() {
+    let rows = [
+        (set(&[("a", 1)]), "aaaa"),
+        (set(&[("a", 1), ("b", 1)]), "baba"),
+        (set(&[("a", 3), ("b", 1)]), "abaaabaa"),
+        (set(&[("a", 1), ("b", 0)]), "aaaa"),
+        (set(&[("a", 0)]), "--"),
+        (set(&[]), "--"),
+    ];
+    for (set, expected) in rows {
+        assert_eq!(next(&mut WeightedTurns::default(), &set, expected.len()), expected);
+    }
+}
+
+#[test]
+fn a_changed_set_starts_over() {
+    let mut turns = WeightedTurns::default();
+    assert_eq!(next(&mut turns, &set(&[("a", 3), ("b", 1)]), 2), "ab");
+    assert_eq!(next(&mut turns, &set(&[("a", 1), ("b", 3)]), 4), "bbab");
+}
