--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -2,6 +2,8 @@
 #![allow(dead_code)]
 
 pub mod backends;
+pub mod mirror;
+pub mod store;
 
 use hashbrown::HashMap;
 use staircross_http::HeaderBlock;
--- /dev/null
+++ b/crates/staircross-routing/tests/common/store.rs
@@ -0,0 +1,92 @@
+//! A store reader with a clock in the hands of the test: its calls are kept, their replies are given by the test.
+
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+use staircross_routing::MirrorUpdate;
+use staircross_routing::store_reader::{
+    Lane, ReaderAction, ReaderSettings, ReadingMode, StoreCall, StoreReader, StoreReply,
+};
+use staircross_types::BootTime;
+use std::time::Duration;
+
+/// A store reader, the time, and all that the reader has wanted done.
+pub struct Store {
+    pub reader: StoreReader,
+    pub random: ChaCha8Rng,
+    pub now: BootTime,
+    pub calls: Vec<(Lane, StoreCall)>,
+    pub learned: Vec<(Lane, MirrorUpdate)>,
+    pub reachable: Vec<bool>,
+    pub cancelled: Vec<Lane>,
+}
+
+impl Store {
+    pub fn new() -> Self {
+        Store {
+            reader: StoreReader::new(ReaderSettings::default()),
+            random: ChaCha8Rng::seed_from_u64(1),
+            now: BootTime::from_millis(1000),
+            calls: Vec::new(),
+            learned: Vec::new(),
+            reachable: Vec::new(),
+            cancelled: Vec::new(),
+        }
+    }
+
+    /// Keeps what the reader wants done.
+    pub fn take(&mut self, actions: Vec<ReaderAction>) {
+        for action in actions {
+            match action {
+                ReaderAction::Call { lane, call, .. } => self.calls.push((lane, call)),
+                ReaderAction::Learned { lane, update } => self.learned.push((lane, update)),
+                ReaderAction::Cancel { lane } => self.cancelled.push(lane),
+                ReaderAction::Reachable { is_reachable, .. } => self.reachable.push(is_reachable),
+            }
+        }
+    }
+
+    /// Lets time pass and returns the calls made for a lane since the last time.
+    pub fn calls(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
+        let end = self.now + Duration::from_millis(millis);
+        loop {
+            let mut actions = Vec::new();
+            self.reader.on_tick(self.now, &mut actions);
+            self.take(actions);
+            match self.reader.next_wake().filter(|wake| *wake <= end) {
+                Some(wake) => self.now = self.now.max(wake),
+                None => break,
+            }
+        }
+        self.now = end;
+        let (ours, others) = std::mem::take(&mut self.calls).into_iter().partition(|(of, _)| *of == lane);
+        self.calls = others;
+        let ours: Vec<(Lane, StoreCall)> = ours;
+        ours.into_iter().map(|(_, call)| call).collect()
+    }
+
+    /// Answers the call of a lane that is under way.
+    pub fn reply(&mut self, lane: Lane, reply: StoreReply) {
+        let mut actions = Vec::new();
+        self.reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
+        self.take(actions);
+    }
+
+    /// Fails the call of a lane that is under way.
+    pub fn fail(&mut self, lane: Lane) {
+        let mut actions = Vec::new();
+        self.reader.on_failed(self.now, lane, &mut self.random, &mut actions);
+        self.take(actions);
+    }
+}
+
+/// Whether a call watches for what came after a revision.
+pub fn is_watch_after(call: &StoreCall, revision: u64) -> bool {
+    matches!(call, StoreCall::Watch { after, .. } if *after == revision)
+}
+
+/// Sets the mode of the reader, and keeps what it wants done.
+pub fn set_mode(store: &mut Store, mode: ReadingMode) {
+    let mut actions = Vec::new();
+    store.reader.set_mode(store.now, mode, &mut actions);
+    store.take(actions);
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/evacuations.rs
@@ -0,0 +1,91 @@
+//! Evacuations in a mirror: when they begin and end, by the store and by peers.
+
+mod common;
+
+use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, known, listing, searcher};
+use staircross_routing::state::mirror::MirrorChanges;
+use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, TakenConfiguration};
+use std::sync::Arc;
+
+fn evacuation(zone: &str, is_active: bool) -> MirrorItem {
+    MirrorItem::Evacuation { zone: Arc::from(zone), is_active }
+}
+
+fn zones(changes: &MirrorChanges) -> Option<Vec<String>> {
+    let zones = changes.evacuated.as_ref()?;
+    Some(zones.iter().map(|zone| zone.to_string()).collect())
+}
+
+#[test]
+fn evacuations_are_told_once_and_older_news_of_them_changes_nothing() {
+    let mut mirror = Mirror::default();
+    assert_eq!(zones(&mirror.merge(changes(vec![(20, evacuation("a", true))]))), Some(vec!["a".to_owned()]));
+    assert_eq!(zones(&mirror.merge(changes(vec![(20, evacuation("a", true))]))), None);
+    assert_eq!(zones(&mirror.merge(changes(vec![(15, evacuation("a", false))]))), None);
+    assert_eq!(zones(&mirror.merge(changes(vec![(22, evacuation("a", false))]))), Some(Vec::new()));
+    assert_eq!(zones(&mirror.merge(changes(vec![(20, evacuation("a", true))]))), None, "its end is remembered");
+}
+
+#[test]
+fn a_whole_reading_ends_evacuations_that_it_does_not_list() {
+    let mut mirror = Mirror::default();
+    mirror.merge(changes(vec![(20, evacuation("a", true)), (21, evacuation("b", true)), (40, evacuation("c", true))]));
+    let items = vec![(21, evacuation("b", true))];
+    let read = MirrorUpdate { items, all_evacuations_at: Some(30), ..MirrorUpdate::default() };
+    let told = mirror.merge(read);
+    assert_eq!(zones(&told), Some(vec!["b".to_owned(), "c".to_owned()]), "one is newer than the reading");
+}
+
+#[test]
+fn a_peer_passes_on_beginnings_and_ends_of_evacuations_whatever_else_the_asker_knows() {
+    let mut mirror = Mirror::default();
+    mirror.merge(listing(46, vec![(45, searcher("s", false))]));
+    mirror.merge(changes(vec![(10, configuration(3)), (47, evacuation("a", true))]));
+    let mut peer = Mirror::default();
+    peer.merge(mirror.changes_for(NOTHING_KNOWN));
+    assert_eq!(peer.evacuations_revision(), 47);
+    mirror.merge(changes(vec![(60, evacuation("a", false))]));
+    let told = peer.merge(mirror.changes_for(known(&peer)));
+    assert_eq!(zones(&told), Some(Vec::new()));
+    assert_eq!(mirror.changes_for(known(&peer)).items, [], "nothing is left to tell");
+}
+
+#[test]
+fn an_evacuation_comes_with_a_configuration_that_is_too_large_to_be_passed_on() {
+    let mut mirror = Mirror::default();
+    mirror.merge(changes(vec![(10, configuration_of(1000)), (12, evacuation("a", true))]));
+    let told = mirror.changes_for(PeerKnowledge { takes: TakenConfiguration::Small, ..NOTHING_KNOWN });
+    assert_eq!(told.items, [(12, evacuation("a", true))]);
+}
+
+#[test]
+fn an_evacuation_that_had_ended_by_a_whole_reading_is_not_begun_again_by_a_peers_older_word() {
+    let mut mirror = Mirror::default();
+    mirror.merge(MirrorUpdate {
+        items: vec![(9, configuration(2))],
+        all_evacuations_at: Some(9),
+        ..MirrorUpdate::default()
+    });
+    let changes = mirror.merge(changes(vec![(5, evacuation("a", true))]));
+    assert_eq!(zones(&changes), None, "it was over by the reading");
+    assert_eq!(zones(&mirror.merge(changes_of("a", 11))), Some(vec!["a".to_owned()]), "a later one holds");
+}
+
+#[test]
+fn a_peer_that_has_read_all_tells_of_evacuations_that_had_ended_before_it_heard_of_them() {
+    let mut reader = Mirror::default();
+    reader.merge(MirrorUpdate {
+        items: vec![(9, configuration(2))],
+        all_evacuations_at: Some(9),
+        ..MirrorUpdate::default()
+    });
+    let mut asker = Mirror::default();
+    asker.merge(changes(vec![(3, configuration(1)), (5, evacuation("a", true)), (12, evacuation("b", true))]));
+    let told = reader.changes_for(known(&asker));
+    assert_eq!(zones(&asker.merge(told)), Some(vec!["b".to_owned()]), "one that began later goes on");
+    assert_eq!(asker.version(), 2);
+}
+
+fn changes_of(zone: &str, revision: u64) -> MirrorUpdate {
+    changes(vec![(revision, evacuation(zone, true))])
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -0,0 +1,82 @@
+//! What a mirror sends to a peer that asks for changes: only what the peer lacks and takes.
+
+mod common;
+
+use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, gone, known, listing, names, searcher};
+use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, TakenConfiguration};
+
+#[test]
+fn a_peer_that_has_the_configuration_is_not_sent_it_again() {
+    let mut mirror = Mirror::default();
+    mirror.merge(listing(10, vec![(3, searcher("a", false))]));
+    mirror.merge(changes(vec![(11, configuration(4)), (12, gone("a"))]));
+    let has_configuration = |version| {
+        let peer = PeerKnowledge { revision: 10, version, evacuations: 0, takes: TakenConfiguration::Small };
+        let items = mirror.changes_for(peer).items;
+        items.iter().any(|(_, item)| matches!(item, MirrorItem::Configuration { .. }))
+    };
+    assert!(has_configuration(3));
+    assert!(!has_configuration(4));
+}
+
+#[test]
+fn a_large_configuration_is_passed_on_only_to_those_that_take_it() {
+    let with_routes = |count| {
+        let mut mirror = Mirror::default();
+        mirror.merge(changes(vec![(11, configuration_of(count)), (12, searcher("a", false))]));
+        mirror
+    };
+    let passed = |mirror: &Mirror, takes| {
+        mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, takes }).items.len()
+    };
+    assert_eq!(passed(&with_routes(200), TakenConfiguration::Small), 2);
+    assert_eq!(passed(&with_routes(1000), TakenConfiguration::Small), 1, "the searcher alone");
+    assert_eq!(
+        passed(&with_routes(1000), TakenConfiguration::Any),
+        2,
+        "whoever the store doesn't serve must get it from a peer"
+    );
+    assert_eq!(passed(&with_routes(200), TakenConfiguration::None), 1, "the link is busy");
+}
+
+#[test]
+fn only_a_mirror_that_has_a_whole_listing_passes_on_a_whole_one() {
+    let mut partial = Mirror::default();
+    partial.merge(changes(vec![(9, searcher("b", false))]));
+    assert!(!partial.has_listing());
+    let update = partial.changes_for(NOTHING_KNOWN);
+    assert!(!update.is_complete_for_searchers);
+    let mut newcomer = Mirror::default();
+    newcomer.merge(update);
+    assert_eq!(names(&newcomer), ["b"]);
+    assert!(!newcomer.has_listing(), "a node that knows a part isn't ready by it");
+    partial.merge(listing(12, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
+    newcomer.merge(partial.changes_for(NOTHING_KNOWN));
+    assert!(partial.has_listing() && newcomer.has_listing());
+}
+
+#[test]
+fn a_follower_that_asks_for_a_configuration_is_not_told_the_whole_listing_again() {
+    let mut reader = Mirror::default();
+    // Other items of the store changed after the last searcher: the listing is of a later revision.
+    reader.merge(listing(90, vec![(45, searcher("s", false)), (44, searcher("t", false))]));
+    reader.merge(changes(vec![(20, configuration(1))]));
+    let mut follower = Mirror::default();
+    follower.merge(reader.changes_for(NOTHING_KNOWN));
+    reader.merge(changes(vec![(95, configuration(2))]));
+    let told = reader.changes_for(known(&follower));
+    assert!(matches!(told.items.as_slice(), [(95, MirrorItem::ConfigurationChanges { .. })]), "{:?}", told.items);
+    assert!(!told.is_complete_for_searchers);
+    follower.merge(told);
+    assert_eq!(follower.version(), 2);
+    reader.merge(changes(vec![(97, gone("s"))]));
+    follower.merge(reader.changes_for(known(&follower)));
+    assert_eq!(names(&follower), ["t"], "and hears of what changes later");
+}
+
+#[test]
+fn a_node_without_a_listing_asks_for_all_that_came_after_what_it_knows() {
+    let mut partial = Mirror::default();
+    partial.merge(MirrorUpdate { items: vec![(9, searcher("b", false))], up_to: 60, ..MirrorUpdate::default() });
+    assert_eq!(partial.known_revision(), 9);
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -0,0 +1,110 @@
+//! The lanes of a store reader: a listing, then watches from its revision, and how soon the next call follows.
+
+mod common;
+
+use common::mirror::{changes, configuration, searcher};
+use common::store::{Store, is_watch_after};
+use staircross_routing::MirrorUpdate;
+use staircross_routing::store_reader::{Lane, StoreCall, StoreReply};
+
+#[test]
+fn a_lane_reads_once_then_watches_from_there() {
+    let mut store = Store::new();
+    assert_eq!(store.calls(0, Lane::Configuration), [StoreCall::List { lane: Lane::Configuration, after: None }]);
+    let update = changes(vec![(5, configuration(1))]);
+    store.reply(Lane::Configuration, StoreReply::Items { update, at: 9, next: None });
+    let calls = store.calls(0, Lane::Configuration);
+    assert!(is_watch_after(&calls[0], 9), "{calls:?}");
+    store.reply(Lane::Configuration, StoreReply::Changes { update: MirrorUpdate::default(), at: 12 });
+    let calls = store.calls(0, Lane::Configuration);
+    assert!(is_watch_after(&calls[0], 12), "without news it watches on at once: {calls:?}");
+}
+
+#[test]
+fn a_listing_of_several_pages_is_whole_only_with_the_last() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Searchers);
+    let first = changes(vec![(3, searcher("a", false))]);
+    let next = Some("servers/a".to_owned());
+    store.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next: next.clone() });
+    assert!(store.learned.is_empty());
+    assert_eq!(store.calls(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
+    let second = changes(vec![(22, searcher("b", false))]);
+    store.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
+    let (_, whole) = &store.learned[0];
+    assert!(whole.is_complete_for_searchers);
+    assert_eq!((whole.items.len(), whole.up_to), (2, 20), "known only up to the first page's revision");
+    let calls = store.calls(0, Lane::Searchers);
+    assert!(is_watch_after(&calls[0], 20), "{calls:?}");
+}
+
+#[test]
+fn after_news_a_lane_rests_so_that_a_storm_is_few_calls() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Configuration);
+    store.reply(
+        Lane::Configuration,
+        StoreReply::Items { update: changes(vec![(1, configuration(1))]), at: 1, next: None },
+    );
+    let mut is_watching = !store.calls(0, Lane::Configuration).is_empty();
+    let mut calls = 0;
+    for step in 0..30 {
+        // A change each 100 ms: whoever watches hears of it at once.
+        if is_watching {
+            let revision = step + 2;
+            let update = changes(vec![(revision, configuration(revision))]);
+            store.reply(Lane::Configuration, StoreReply::Changes { update, at: revision });
+            is_watching = false;
+        }
+        let made = store.calls(100, Lane::Configuration).len();
+        calls += made;
+        is_watching |= made > 0;
+    }
+    assert!(calls <= 8, "{calls} calls in 3 s of a storm");
+    assert!(calls >= 4, "{calls} calls: news must not wait for seconds");
+}
+
+#[test]
+fn a_forgotten_history_is_read_anew() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Searchers);
+    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
+    store.calls(0, Lane::Searchers);
+    store.reply(Lane::Searchers, StoreReply::HistoryGone);
+    assert_eq!(store.calls(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: None }]);
+}
+
+#[test]
+fn a_broken_watch_goes_on_where_it_was() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Searchers);
+    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
+    store.calls(0, Lane::Searchers);
+    store.fail(Lane::Searchers);
+    let calls = store.calls(200, Lane::Searchers);
+    assert!(is_watch_after(&calls[0], 4), "{calls:?}");
+}
+
+#[test]
+fn a_store_that_refuses_is_asked_ever_more_seldom_but_for_ever() {
+    let mut store = Store::new();
+    let mut calls = 0;
+    for _ in 0..600 {
+        for _ in store.calls(100, Lane::Configuration) {
+            calls += 1;
+            store.reply(Lane::Configuration, StoreReply::Refused { status: 429 });
+        }
+    }
+    assert!((55..130).contains(&calls), "{calls} calls in a minute");
+    assert_eq!(store.reachable, Vec::<bool>::new(), "it was never reachable");
+}
+
+#[test]
+fn what_a_peer_told_is_watched_from_there() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Configuration);
+    store.fail(Lane::Configuration);
+    store.reader.on_peer_report(Lane::Configuration, 33);
+    let calls = store.calls(2000, Lane::Configuration);
+    assert!(is_watch_after(&calls[0], 33), "{calls:?}");
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/store_lapses.rs
@@ -0,0 +1,81 @@
+//! Searchers whose entries lapsed: how soon a store reader looks for them again, and while it may lack some.
+
+mod common;
+
+use common::mirror::{changes, gone, searcher};
+use common::store::Store;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+use staircross_routing::MirrorUpdate;
+use staircross_routing::store_reader::{Lane, ReaderSettings, StoreReader, StoreReply};
+use staircross_types::BootTime;
+use std::time::Duration;
+
+#[test]
+fn after_ends_of_entries_a_lane_looks_again_sooner() {
+    let mut store = Store::new();
+    store.calls(0, Lane::Searchers);
+    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+    store.calls(0, Lane::Searchers);
+    store.reply(Lane::Searchers, StoreReply::Changes { update: changes(vec![(11, gone("s"))]), at: 11 });
+    assert_eq!(store.calls(100, Lane::Searchers), []);
+    assert_eq!(store.calls(100, Lane::Searchers).len(), 1, "those that only lapsed come back soon");
+}
+
+#[test]
+fn while_entries_that_lapsed_together_come_back_a_lane_looks_again_soon_after_each() {
+    let rests_after = |count: usize| {
+        let mut store = Store::new();
+        store.calls(0, Lane::Searchers);
+        store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+        store.calls(0, Lane::Searchers);
+        let ends = (0..count).map(|number| (11 + number as u64, gone(&format!("s{number}")))).collect();
+        store.reply(Lane::Searchers, StoreReply::Changes { update: changes(ends), at: 50 });
+        let mut rests = Vec::new();
+        for revision in 51..60 {
+            let rest = (1..20_u64).find(|_| !store.calls(50, Lane::Searchers).is_empty()).map(|steps| steps * 50);
+            rests.extend(rest);
+            let back = changes(vec![(revision, searcher("s0", false))]);
+            store.reply(Lane::Searchers, StoreReply::Changes { update: back, at: revision });
+        }
+        rests
+    };
+    assert_eq!(rests_after(1)[..3], [150, 900, 900], "one that has left");
+    assert_eq!(rests_after(12), [150; 9], "many that lapsed");
+}
+
+#[test]
+fn a_process_started_anew_looks_again_soon_for_searchers_that_are_just_coming_back() {
+    let rest_of = |reader: StoreReader| {
+        let mut store = Store { reader, ..Store::new() };
+        store.calls(0, Lane::Searchers);
+        store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+        store.calls(0, Lane::Searchers);
+        let updates = changes(vec![(11, searcher("s", false))]);
+        store.reply(Lane::Searchers, StoreReply::Changes { update: updates, at: 11 });
+        (1..20_u64).find(|_| !store.calls(50, Lane::Searchers).is_empty()).map(|steps| steps * 50)
+    };
+    let usual = StoreReader::new(ReaderSettings::default());
+    assert_eq!(rest_of(usual), Some(900));
+    let young = StoreReader::new(ReaderSettings::default()).with_starting_until(BootTime::from_millis(4000));
+    assert_eq!(rest_of(young), Some(150));
+}
+
+#[test]
+fn searchers_may_be_lacking_while_a_process_is_young_and_after_many_have_lapsed() {
+    let now = BootTime::from_millis(1_000_000);
+    let until = now + Duration::from_secs(3);
+    let mut young = StoreReader::new(ReaderSettings::default()).with_starting_until(until);
+    assert!(young.may_lack_searchers(now));
+    assert!(!young.may_lack_searchers(until));
+    let lapse = |reader: &mut StoreReader, ends: usize| {
+        let items = (0..ends).map(|number| (30 + number as u64, gone(&format!("s{number}")))).collect();
+        let reply = StoreReply::Changes { update: changes(items), at: 50 };
+        let mut rng = ChaCha8Rng::seed_from_u64(1);
+        reader.on_reply(until, Lane::Searchers, reply, &mut rng, &mut Vec::new());
+    };
+    lapse(&mut young, 2);
+    assert!(!young.may_lack_searchers(until), "a few that end are no lapse");
+    lapse(&mut young, 20);
+    assert!(young.may_lack_searchers(until));
+}
