--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -2,7 +2,10 @@
 #![allow(dead_code)]
 
 pub mod backends;
+pub mod incarnations;
 pub mod mirror;
+pub mod quarantine;
+pub mod requests;
 pub mod store;
 
 use hashbrown::HashMap;
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -1,33 +1,14 @@
-//! Searchers that start again under the id that they had: what nodes know of them, and whom the engine asks.
+//! Searchers that start again under the id that they had: what nodes know of them.
 
 mod common;
 
-use common::{Driver, answer, definition, gather, records, route, searcher};
+use common::incarnations::{draining, started};
+use common::mirror::{NOTHING_KNOWN, changes, listing};
 use proptest::prelude::*;
 use staircross_routing::state::mirror::MirrorChanges;
-use staircross_routing::state::request::Unknown;
-use staircross_routing::{
-    Arrival, AttemptOutcome, ColdStart, ContentKey, Mirror, MirrorItem, MirrorUpdate, NotRun, PeerKnowledge,
-    RequestKey, RouteTarget, RoutingEvent, SearcherEntry, SearcherKey, ServiceEntry, TakenConfiguration,
-};
-use staircross_types::ErrorKind;
-use staircross_types::errors::Executed;
+use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use std::time::Duration;
-
-const BROKEN: AttemptOutcome = AttemptOutcome::Unknown(Unknown::Broken);
-const NOTHING_KNOWN: PeerKnowledge =
-    PeerKnowledge { revision: 0, version: 0, evacuations: 0, takes: TakenConfiguration::Any };
-
-/// The entry of a searcher of books at one of its starts.
-fn started(instance: &str, born_ms: u64) -> SearcherEntry {
-    SearcherEntry { born_ms, ..searcher(instance, "books", "a") }
-}
-
-fn draining(instance: &str, born_ms: u64) -> SearcherEntry {
-    SearcherEntry { is_draining: true, ..started(instance, born_ms) }
-}
 
 fn written(revision: u64, entry: SearcherEntry) -> (u64, MirrorItem) {
     (revision, MirrorItem::Searcher { entry })
@@ -37,14 +18,6 @@
     (revision, MirrorItem::SearcherGone { instance: Arc::from(instance) })
 }
 
-fn changes(items: Vec<(u64, MirrorItem)>) -> MirrorUpdate {
-    MirrorUpdate { items, ..MirrorUpdate::default() }
-}
-
-fn listing(at: u64, items: Vec<(u64, MirrorItem)>) -> MirrorUpdate {
-    MirrorUpdate { items, is_complete_for_searchers: true, up_to: at, ..MirrorUpdate::default() }
-}
-
 /// Who is known: id, start, whether leaving.
 fn view(mirror: &Mirror) -> Vec<(String, u64, bool)> {
     mirror.searchers().map(|entry| (entry.instance.to_string(), entry.born_ms, entry.is_draining)).collect()
@@ -254,172 +227,3 @@
         }
     }
 }
-
-fn books() -> RouteTarget {
-    RouteTarget::Service(Arc::from("books"))
-}
-
-/// One route to the service of books.
-fn driver(is_idempotent: bool, searchers: Vec<SearcherEntry>) -> Driver {
-    let mut route = route("r", books());
-    route.is_idempotent = is_idempotent;
-    Driver::with(definition(1, vec![route], &["books", "maps"]), searchers)
-}
-
-fn learn(driver: &mut Driver, entry: SearcherEntry) {
-    driver.event(RoutingEvent::Searchers(vec![entry]));
-}
-
-fn good() -> AttemptOutcome {
-    answer(200, "stamp", Vec::new())
-}
-
-#[test]
-fn the_next_start_of_a_searcher_that_was_leaving_is_asked() {
-    let mut driver = driver(true, vec![started("s", 100)]);
-    learn(&mut driver, draining("s", 100));
-    learn(&mut driver, started("s", 200));
-    let request = driver.request("/r/1");
-    assert_eq!(driver.instances(request), ["s"]);
-    learn(&mut driver, draining("s", 200));
-    let request = driver.request("/r/1");
-    assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplica));
-}
-
-#[test]
-fn a_later_start_is_a_searcher_of_its_own_and_the_earlier_is_asked_no_more() {
-    let mut driver = driver(true, vec![started("s", 100)]);
-    let first = driver.request("/r/1");
-    let earlier = driver.sent_for(first)[0].searcher;
-    learn(&mut driver, started("s", 200));
-    for _ in 0..10 {
-        let request = driver.request("/r/1");
-        let order = driver.sent_for(request)[0].clone();
-        assert_ne!(order.searcher, earlier, "connections to the earlier start aren't used");
-        driver.end(order.attempt, good());
-    }
-}
-
-#[test]
-fn failures_of_the_earlier_start_are_not_held_against_the_later() {
-    let far = SearcherEntry { zone: Arc::from("c"), ..started("far", 100) };
-    let mut driver = driver(true, vec![started("near", 100), far]);
-    let asked_first = |driver: &mut Driver| {
-        let request = driver.request("/r/1");
-        driver.instances(request)[0].clone()
-    };
-    assert_eq!(asked_first(&mut driver), "near");
-    let attempt = driver.sends[0].attempt;
-    driver.end(attempt, AttemptOutcome::NotRun(NotRun::Unconnected));
-    assert_eq!(asked_first(&mut driver), "far", "whoever couldn't be reached is left alone for a while");
-    learn(&mut driver, started("near", 200));
-    assert_eq!(asked_first(&mut driver), "near");
-}
-
-#[test]
-fn a_request_that_may_not_be_repeated_stays_unknown_when_its_searcher_starts_again() {
-    let mut driver = driver(false, vec![started("s", 100)]);
-    let request = driver.request("/r/1");
-    learn(&mut driver, started("s", 200));
-    assert!(driver.verdict(request).is_none(), "the earlier start may still answer");
-    driver.end(driver.sends[0].attempt, BROKEN);
-    assert_eq!(driver.sent_for(request).len(), 1, "the later start isn't asked");
-    let refusal = driver.refusal(request);
-    assert!(refusal.is_some_and(|kind| kind.executed() == Executed::Maybe), "{refusal:?}");
-}
-
-#[test]
-fn the_later_start_counts_as_one_more_searcher_asked() {
-    let mut driver = driver(true, vec![started("s", 100)]);
-    let request = driver.request("/r/1");
-    for born_ms in [200, 300, 400] {
-        let attempt = driver.sends.last().expect("sent").attempt;
-        learn(&mut driver, started("s", born_ms));
-        driver.end(attempt, BROKEN);
-        driver.pass_ms(300);
-    }
-    assert_eq!(driver.sent_for(request).len(), 2, "the route lets two be asked");
-}
-
-#[test]
-fn a_searcher_that_starts_again_cold_is_sent_no_more_than_it_bears() {
-    let mut definition = definition(1, vec![route("r", books())], &[]);
-    let cold_start = ColdStart { duration_ms: 5000, requests_per_s: Some(5.0) };
-    definition.services = vec![ServiceEntry { name: Arc::from("books"), max_connections: 40, cold_start }];
-    let cold = |born_ms| SearcherEntry { cold_ms: 5000, ..started("s", born_ms) };
-    let mut driver = Driver::with(definition, vec![cold(100)]);
-    for born_ms in 101..120 {
-        driver.request("/r/1");
-        learn(&mut driver, cold(born_ms));
-    }
-    assert!((1..=5).contains(&driver.sends.len()), "{}", driver.sends.len());
-}
-
-#[test]
-fn an_entry_that_names_another_service_takes_the_searcher_out_of_the_earlier_one() {
-    for born_ms in [100, 200] {
-        let mut driver = driver(true, vec![started("s", 100)]);
-        learn(&mut driver, SearcherEntry { service: Arc::from("maps"), ..started("s", born_ms) });
-        let request = driver.request("/r/1");
-        assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplica), "start {born_ms}");
-    }
-}
-
-const DEADLY: ContentKey = ContentKey(0xdead);
-
-/// One shard of books with one searcher, which ends under the deadly content.
-fn shard() -> Driver {
-    let route = route("g", gather(&["books"], 3, 1.0));
-    Driver::with(definition(1, vec![route], &["books"]), vec![started("s", 100)])
-}
-
-fn ask_deadly(driver: &mut Driver) -> RequestKey {
-    let arrival = Arrival { content: DEADLY, ..driver.arrival("/g/x") };
-    let key = arrival.key;
-    driver.event(RoutingEvent::Arrived(arrival));
-    key
-}
-
-fn end_under_deadly(driver: &mut Driver) -> SearcherKey {
-    ask_deadly(driver);
-    driver.pass_ms(5);
-    let order = driver.sends.last().expect("sent").clone();
-    driver.end(order.attempt, BROKEN);
-    order.searcher
-}
-
-fn answer_another(driver: &mut Driver) {
-    let harmless = driver.request("/g/y");
-    let attempt = driver.sent_for(harmless)[0].attempt;
-    driver.pass_ms(5);
-    driver.end(attempt, answer(200, "s.1", records(&[1])));
-}
-
-#[test]
-fn a_content_that_ends_a_searcher_at_each_of_its_starts_is_quarantined() {
-    let mut driver = shard();
-    for born_ms in [200, 300, 400] {
-        end_under_deadly(&mut driver);
-        learn(&mut driver, started("s", born_ms));
-        driver.pass_ms(4500);
-        // The next start serves others well; that says nothing of the one that ended.
-        answer_another(&mut driver);
-    }
-    let request = ask_deadly(&mut driver);
-    assert_eq!(driver.refusal(request), Some(ErrorKind::Quarantined));
-}
-
-#[test]
-fn an_answer_on_a_new_connection_does_not_prove_that_the_start_which_was_lost_lives() {
-    let mut driver = shard();
-    for born_ms in [200, 300, 400] {
-        let searcher = end_under_deadly(&mut driver);
-        driver.pass_ms(4500);
-        // The next start has the address and the id, and its entry isn't known here yet.
-        driver.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(1) });
-        answer_another(&mut driver);
-        learn(&mut driver, started("s", born_ms));
-    }
-    let request = ask_deadly(&mut driver);
-    assert_eq!(driver.refusal(request), Some(ErrorKind::Quarantined));
-}
--- /dev/null
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -0,0 +1,217 @@
+//! What nodes tell each other of quarantined contents and of suspects.
+
+mod common;
+
+use common::Driver;
+use common::quarantine::{BROKEN, DEADLY, ask, driver, lost, part, told_by_peer};
+use proptest::prelude::*;
+use staircross_routing::decision::quarantine::Quarantine;
+use staircross_routing::engine::SendOrder;
+use staircross_routing::{AttemptOutcome, CaseRecord, ContentKey, NotRun, RoutingEvent, Suspicion, Verdict};
+use staircross_types::{BootTime, ErrorKind};
+use std::time::Duration;
+
+#[test]
+fn what_one_node_learned_holds_at_the_others_until_somebody_answers() {
+    let now = BootTime::from_millis(1_000_000);
+    let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
+    let mut lost_at = now;
+    for number in 0..3 {
+        let sent_at = lost_at + Duration::from_millis(10);
+        lost_at = sent_at + Duration::from_millis(60);
+        here.note_lost(lost_at, lost(DEADLY, number, sent_at));
+    }
+    // The other machine's clock began elsewhere.
+    let elsewhere = BootTime::from_millis(77_000_000);
+    there.merge(elsewhere, &here.records(lost_at));
+    assert_eq!(there.suspicion(elsewhere, DEADLY), Suspicion::Quarantined);
+    let later = Duration::from_secs(5);
+    there.note_answered(elsewhere + later, DEADLY);
+    here.merge(lost_at + later, &there.records(elsewhere + later));
+    assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
+    // What was told before comes late, and changes nothing.
+    let mut stale = Quarantine::default();
+    stale.note_lost(lost_at, lost(DEADLY, 9, now));
+    here.merge(lost_at + later, &stale.records(lost_at + later));
+    assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
+}
+
+/// A request that may not be repeated, sent to a searcher before its content is quarantined.
+fn sent_once_before_quarantine(driver: &mut Driver) -> SendOrder {
+    let request = ask(driver, "/once/x", DEADLY);
+    let order = driver.sent_for(request)[0].clone();
+    driver.pass_ms(10);
+    let told = told_by_peer(driver.now, DEADLY);
+    driver.event(RoutingEvent::PeerCases(told));
+    order
+}
+
+#[test]
+fn an_attempt_that_may_not_be_repeated_is_left_to_its_end_when_its_content_is_quarantined() {
+    let mut driver = driver();
+    let order = sent_once_before_quarantine(&mut driver);
+    let request = order.attempt.request;
+    assert!(driver.abandoned.is_empty(), "its searcher may be at work on it, and nobody may do it again");
+    assert_eq!(driver.refusal(request), None);
+    let refused = ask(&mut driver, "/once/x", DEADLY);
+    assert_eq!(driver.refusal(refused), Some(ErrorKind::Quarantined), "others aren't sent");
+    driver.end(order.attempt, part(&order));
+    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
+}
+
+#[test]
+fn an_attempt_that_may_not_be_repeated_and_fails_in_quarantine_is_told_truly_and_sent_to_nobody_else() {
+    let refusals = [
+        (BROKEN, ErrorKind::BackEndsFailed),
+        (AttemptOutcome::NotRun(NotRun::Unconnected), ErrorKind::NotDelivered),
+        (AttemptOutcome::NotRun(NotRun::Shed), ErrorKind::NotDelivered),
+    ];
+    for (outcome, expected) in refusals {
+        let mut driver = driver();
+        let order = sent_once_before_quarantine(&mut driver);
+        driver.end(order.attempt, outcome.clone());
+        assert_eq!(driver.refusal(order.attempt.request), Some(expected), "{outcome:?}");
+        assert_eq!(driver.sent_for(order.attempt.request).len(), 1, "{outcome:?}");
+    }
+}
+
+#[test]
+fn more_losses_do_not_lift_a_quarantine() {
+    let now = BootTime::from_millis(1_000_000);
+    let at = |ms| now + Duration::from_millis(ms);
+    let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
+    here.note_lost(at(41), lost(DEADLY, 0, now));
+    here.note_lost(at(45), lost(DEADLY, 1, now));
+    here.note_lost(at(81), lost(DEADLY, 2, at(42)));
+    assert_eq!(here.suspicion(at(81), DEADLY), Suspicion::Quarantined);
+    // The other shards' searchers were sent it before any had ended, and end one after the other.
+    for number in 3..10 {
+        here.note_lost(at(81 + number), lost(DEADLY, number, now));
+        assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "{number} lost");
+        there.merge(at(100), &here.records(at(100)));
+        assert_eq!(there.suspicion(at(100), DEADLY), Suspicion::Quarantined, "told after {number}");
+    }
+}
+
+#[test]
+fn what_a_peer_suspects_is_passed_on_at_once_and_what_it_clears_is_not() {
+    // A node pushes to peers of its region, and only some of those pass anything on to other regions.
+    let now = BootTime::from_millis(1_000_000);
+    let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
+    for number in 0..2 {
+        here.note_lost(now, lost(DEADLY, number, now));
+    }
+    let suspect = there.merge(now, &here.records(now));
+    assert_eq!(suspect.len(), 1);
+    assert!(suspect[0].is_urgent(true), "each moment may cost one searcher a shard");
+    here.note_answered(now, DEADLY);
+    let cleared = there.merge(now, &here.records(now));
+    assert_eq!(cleared.len(), 1);
+    assert!(!cleared[0].is_urgent(true));
+}
+
+#[test]
+fn what_is_suspected_last_is_told_before_what_peers_were_told_already() {
+    let now = BootTime::from_millis(1_000_000);
+    let mut here = Quarantine::default();
+    for number in 0..20 {
+        here.note_lost(now, lost(ContentKey(number), 1, now));
+        here.note_lost(now, lost(ContentKey(number), 2, now));
+    }
+    (0..8).for_each(|_| drop(here.records(now)));
+    here.note_lost(now, lost(DEADLY, 1, now));
+    here.note_lost(now, lost(DEADLY, 2, now));
+    let told = here.records(now);
+    assert!(told.iter().any(|record| record.content == DEADLY), "{told:?}");
+    assert!(told.len() <= 5, "a datagram has room for no more");
+}
+
+#[test]
+fn word_of_losses_that_was_long_on_its_way_does_not_undo_an_answer() {
+    for is_known_before in [false, true] {
+        let now = BootTime::from_millis(1_000_000);
+        let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
+        let mut lost_at = now;
+        for number in 0..4 {
+            let sent_at = lost_at + Duration::from_millis(10);
+            lost_at = sent_at + Duration::from_millis(30);
+            here.note_lost(lost_at, lost(DEADLY, number, sent_at));
+        }
+        let losses = here.records(lost_at);
+        if is_known_before {
+            there.merge(lost_at, &losses);
+        }
+        let answered = lost_at + Duration::from_millis(20);
+        here.note_answered(answered, DEADLY);
+        there.merge(answered + Duration::from_millis(1), &here.records(answered));
+        // Told before the answer, it comes after it: by another way, or from a node that was busy.
+        there.merge(answered + Duration::from_millis(120), &losses);
+        here.merge(answered + Duration::from_millis(150), &losses);
+        let later = answered + Duration::from_millis(200);
+        let thought = [here.suspicion(later, DEADLY), there.suspicion(later, DEADLY)];
+        assert_eq!(thought, [Suspicion::None; 2], "known before: {is_known_before}");
+    }
+}
+
+#[test]
+fn many_suspects_do_not_push_out_what_is_quarantined() {
+    let mut quarantine = Quarantine::default();
+    let mut now = BootTime::from_millis(1_000_000);
+    for number in 0..3 {
+        now = now + Duration::from_millis(50);
+        quarantine.note_lost(now, lost(DEADLY, number, now - Duration::from_millis(10)));
+    }
+    for number in 0..2000 {
+        now = now + Duration::from_millis(1);
+        quarantine.note_lost(now, lost(ContentKey(number), number, now));
+        quarantine.note_lost(now, lost(ContentKey(number), number + 1, now));
+    }
+    assert_eq!(quarantine.suspicion(now, DEADLY), Suspicion::Quarantined);
+    let (suspects, quarantined) = quarantine.counts(now);
+    assert!(suspects < 256 && quarantined == 1, "{suspects} {quarantined}");
+    assert!(quarantine.records(now).iter().any(|record| record.content == DEADLY), "it is told among many others");
+}
+
+/// A searcher lost at one of three nodes, some time after the one before.
+fn loss() -> impl Strategy<Value = (usize, u64, u64)> {
+    (0..3_usize, 0..4_u64, 1..40_u64)
+}
+
+proptest! {
+    /// Nodes that tell each other everything, in any order, agree on what they think of a content; an answer at one of them clears it at all.
+    #[test]
+    fn nodes_that_tell_each_other_agree(
+        losses in proptest::collection::vec(loss(), 1..12),
+        envelopes in proptest::collection::vec((0..3_usize, 0..3_usize), 0..20),
+        answering in 0..3_usize,
+    ) {
+        let mut nodes = [(); 3].map(|()| Quarantine::default());
+        let mut now = BootTime::from_millis(1_000_000);
+        let tell = |nodes: &mut [Quarantine; 3], now, from: usize, to: usize| {
+            let records: Vec<CaseRecord> = nodes[from].records(now);
+            nodes[to].merge(now, &records);
+        };
+        let tell_all = |nodes: &mut [Quarantine; 3], now| {
+            for (from, to) in [(0, 1), (1, 2), (2, 0), (0, 1), (1, 2), (2, 0)] {
+                tell(nodes, now, from, to);
+            }
+        };
+        let mut envelopes = envelopes.into_iter();
+        for (node, searcher, gap) in losses {
+            let sent_at = now;
+            now = now + Duration::from_millis(gap * 10);
+            nodes[node].note_lost(now, lost(DEADLY, searcher, sent_at));
+            if let Some((from, to)) = envelopes.next() {
+                tell(&mut nodes, now, from, to);
+            }
+        }
+        now = now + Duration::from_millis(500);
+        tell_all(&mut nodes, now);
+        let thought = nodes.each_ref().map(|node| node.suspicion(now, DEADLY));
+        prop_assert!(thought.iter().all(|suspicion| *suspicion == thought[0]), "{thought:?}");
+        nodes[answering].note_answered(now, DEADLY);
+        tell_all(&mut nodes, now);
+        let thought = nodes.each_ref().map(|node| node.suspicion(now, DEADLY));
+        prop_assert!(thought.iter().all(|suspicion| *suspicion == Suspicion::None), "{thought:?}");
+    }
+}
--- /dev/null
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -0,0 +1,195 @@
+//! Bounds of requests to one service: deadlines, extra sends, requests held, searchers' room, and shares of weighted services.
+
+mod common;
+
+use common::requests::{repeatable, service_route, three_searchers};
+use common::{Driver, answer, definition, route, searcher, weighted};
+use staircross_routing::engine::{AbandonCause, RoutingEvent, SendReason, UnsentCause};
+use staircross_routing::state::request::Unknown;
+use staircross_routing::{AttemptOutcome, NotRun};
+use staircross_types::ErrorKind;
+use std::sync::Arc;
+use std::time::Duration;
+
+#[test]
+fn the_deadline_is_the_lesser_of_caller_and_route_and_the_final_answer_comes_before_it() {
+    let mut driver = repeatable();
+    let mut arrival = driver.arrival("/r/1");
+    arrival.patience = Some(Duration::from_millis(1500));
+    let key = arrival.key;
+    let began = driver.now;
+    driver.event(RoutingEvent::Arrived(arrival));
+    assert_eq!(driver.sends[0].deadline, began + Duration::from_millis(1500));
+    driver.pass_ms(1499);
+    assert_eq!(driver.refusal(key), Some(ErrorKind::TimedOut));
+}
+
+#[test]
+fn time_that_a_request_waited_to_be_read_is_taken_off() {
+    let mut driver = repeatable();
+    let mut late = driver.arrival("/r/1");
+    late.patience = Some(Duration::from_millis(1000));
+    late.waited = Duration::from_millis(1000);
+    let key = late.key;
+    driver.event(RoutingEvent::Arrived(late));
+    assert_eq!(driver.refusal(key), Some(ErrorKind::Overloaded));
+    assert!(driver.sends.is_empty(), "nothing may run for a caller that has left");
+
+    let mut half = driver.arrival("/r/2");
+    half.patience = Some(Duration::from_millis(1000));
+    half.waited = Duration::from_millis(400);
+    let began = driver.now;
+    driver.event(RoutingEvent::Arrived(half));
+    assert_eq!(driver.sends[0].deadline, began + Duration::from_millis(600));
+}
+
+#[test]
+fn a_node_that_comes_too_late_to_its_work_refuses_at_once() {
+    let mut driver = repeatable();
+    let mut arrival = driver.arrival("/r/1");
+    arrival.is_overloaded = true;
+    let key = arrival.key;
+    driver.event(RoutingEvent::Arrived(arrival));
+    assert_eq!(driver.refusal(key), Some(ErrorKind::Overloaded));
+}
+
+#[test]
+fn a_departed_caller_ends_all_its_attempts() {
+    let mut driver = repeatable();
+    let request = driver.request("/r/1");
+    driver.event(RoutingEvent::CallerGone(request));
+    assert_eq!(driver.abandoned, [(driver.sends[0].attempt, AbandonCause::CallerGone)]);
+    driver.end(driver.sends[0].attempt, AttemptOutcome::Cancelled);
+    assert!(driver.finished.is_empty());
+    assert_eq!(driver.engine.in_flight(), 0);
+}
+
+#[test]
+fn extra_sends_stay_within_the_budget_in_every_window() {
+    let mut driver = repeatable();
+    driver.fleet(&[("a", 1), ("b", 1), ("c", 1)], 3);
+    for _ in 0..400 {
+        driver.request("/r/1");
+        let attempt = driver.sends.last().expect("sent").attempt;
+        driver.pass_ms(20);
+        // Every answer is lost; each retry is one more arrival.
+        driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
+        if let Some(last) = driver.sends.last().filter(|last| last.attempt != attempt) {
+            let again = last.attempt;
+            driver.end(again, answer(200, "stamp", Vec::new()));
+        }
+    }
+    let extras = driver.sends.iter().filter(|order| order.reason == SendReason::Retry).count() as f64;
+    let own_slack = 50.0 / 3.0;
+    assert!(extras <= 400.0 * 0.2 + own_slack, "{extras} retries for 400 requests");
+    assert!(extras >= 40.0, "the budget is used: {extras}");
+    assert!(driver.unsent.iter().any(|(_, cause)| *cause == UnsentCause::OverBudget), "and what it refuses is told");
+}
+
+#[test]
+fn a_lone_request_of_a_small_service_may_be_retried() {
+    let mut driver = repeatable();
+    let request = driver.request("/r/1");
+    driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
+    assert_eq!(driver.sent_for(request).len(), 2);
+}
+
+#[test]
+fn weighted_services_get_their_exact_shares() {
+    let target = weighted(&[("red", 3), ("green", 1), ("off", 0)]);
+    let searchers = vec![searcher("r1", "red", "a"), searcher("g1", "green", "a"), searcher("o1", "off", "a")];
+    let mut driver = Driver::with(definition(1, vec![route("r", target)], &["red", "green", "off"]), searchers);
+    for _ in 0..80 {
+        driver.request("/r/1");
+        let attempt = driver.sends.last().expect("sent").attempt;
+        driver.pass_ms(5);
+        driver.end(attempt, answer(200, "stamp", Vec::new()));
+    }
+    let count = |name: &str| driver.sends.iter().filter(|order| &*order.instance == name).count();
+    assert_eq!((count("r1"), count("g1"), count("o1")), (60, 20, 0));
+}
+
+#[test]
+fn a_slow_part_of_a_weighted_set_keeps_its_share() {
+    let target = weighted(&[("red", 1), ("green", 1)]);
+    let searchers = vec![searcher("r1", "red", "a"), searcher("g1", "green", "a")];
+    let mut driver = Driver::with(definition(1, vec![route("r", target)], &["red", "green"]), searchers);
+    for _ in 0..60 {
+        driver.request("/r/1");
+        let order = driver.sends.last().expect("sent").clone();
+        let is_slow = &*order.instance == "r1";
+        driver.pass_ms(if is_slow { 200 } else { 5 });
+        driver.end(order.attempt, answer(200, "stamp", Vec::new()));
+    }
+    let red = driver.sends.iter().filter(|order| &*order.instance == "r1").count();
+    assert_eq!(red, 30);
+}
+
+#[test]
+fn a_request_beyond_the_most_that_are_held_is_refused_as_not_run() {
+    let mut settings = common::settings();
+    settings.max_requests = 1;
+    let mut driver = Driver::new();
+    driver.engine = staircross_routing::RoutingEngine::new(settings);
+    let table =
+        staircross_routing::RouteTable::new(Arc::new(definition(1, vec![service_route("r", "books")], &["books"])));
+    driver.event(RoutingEvent::Configuration(Arc::new(table)));
+    driver.event(RoutingEvent::Searchers(three_searchers()));
+    driver.request("/r/1");
+    let second = driver.request("/r/2");
+    assert_eq!(driver.refusal(second), Some(ErrorKind::Overloaded));
+}
+
+#[test]
+fn a_full_searcher_makes_the_next_request_wait_until_a_connection_is_free() {
+    let mut entry = searcher("s1", "books", "a");
+    entry.slots = 1;
+    let mut driver = Driver::with(definition(1, vec![service_route("r", "books")], &["books"]), vec![entry]);
+    driver.fleet(&[("a", 40)], 40);
+    let first = driver.request("/r/1");
+    let second = driver.request("/r/2");
+    assert_eq!((driver.sent_for(first).len(), driver.sent_for(second).len()), (1, 0), "one connection each");
+    driver.end(driver.sends[0].attempt, answer(200, "stamp", Vec::new()));
+    assert_eq!(driver.sent_for(second).len(), 1);
+}
+
+#[test]
+fn a_request_that_found_no_room_in_time_is_refused_as_not_run() {
+    let mut driver =
+        Driver::with(definition(1, vec![service_route("r", "books")], &["books"]), vec![searcher("s1", "books", "a")]);
+    driver.fleet(&[("a", 40)], 40);
+    driver.request("/r/1");
+    let second = driver.request("/r/2");
+    driver.pass_ms(4000);
+    assert_eq!(driver.refusal(second), Some(ErrorKind::Overloaded));
+    assert!(driver.sent_for(second).is_empty());
+}
+
+#[test]
+fn searchers_that_all_lose_answers_go_on_being_asked() {
+    let mut driver = repeatable();
+    for _ in 0..100 {
+        let request = driver.request("/r/1");
+        assert!(!driver.sent_for(request).is_empty(), "refused though three searchers live");
+        for attempt in driver.sent_for(request).iter().map(|order| order.attempt).collect::<Vec<_>>() {
+            driver.pass_ms(5);
+            driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
+        }
+    }
+}
+
+#[test]
+fn a_repeat_that_had_to_wait_for_room_still_counts_as_one() {
+    let both = vec![searcher("s1", "books", "a"), searcher("s2", "books", "a")];
+    let mut few_connections = definition(1, vec![service_route("r", "books")], &["books"]);
+    few_connections.services[0].max_connections = 3;
+    let mut driver = Driver::with(few_connections, both);
+    driver.fleet(&[("a", 3)], 3);
+    let first = driver.request("/r/1");
+    let second = driver.request("/r/2");
+    driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
+    assert_eq!(driver.sent_for(first).len(), 1, "the other searcher has no room yet");
+    driver.end(driver.sends[1].attempt, answer(200, "stamp", Vec::new()));
+    assert!(driver.verdict(second).is_some());
+    assert_eq!(driver.reasons(first), [SendReason::First, SendReason::Retry]);
+}
