--- /dev/null
+++ b/crates/staircross-routing/tests/history/mod.rs
@@ -0,0 +1,300 @@
+//! A random history of the routing engine: its steps, and the world that plays them and keeps the ledger.
+//!
+//! The ledger says what was sent where and how each sending ended; `judge` holds every action of the engine against it.
+
+mod judge;
+
+use crate::common::{self, Driver, answer, definition, gather, records, route, searcher, weighted};
+use proptest::prelude::*;
+use staircross_routing::engine::RoutingEvent;
+use staircross_routing::state::request::Unknown;
+use staircross_routing::{
+    AttemptKey, AttemptOutcome, NotRun, RequestKey, RouteDefinition, RouteTable, RouteTarget, RoutingDefinition,
+};
+use staircross_types::BootTime;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+const SHARDS: [&str; 3] = ["x", "y", "z"];
+const ZONES: [&str; 3] = ["a", "b", "c"];
+const SERVICES: [&str; 5] = ["x", "y", "z", "solo", "other"];
+
+/// Something that happens to a node.
+#[derive(Clone, Debug)]
+pub enum Step {
+    Arrive(u8),
+    End(prop::sample::Index, u8),
+    CallerLeaves(prop::sample::Index),
+    Pass(u16),
+    Drain(prop::sample::Index),
+    Vanish(prop::sample::Index),
+    Appear(u8, u8),
+    Configure(bool),
+    Fleet(u8),
+    Evacuate(u8),
+}
+
+/// A step of a history, the usual ones more often.
+pub fn any_step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        6 => (0..5_u8).prop_map(Step::Arrive),
+        14 => (any::<prop::sample::Index>(), 0..12_u8).prop_map(|(which, how)| Step::End(which, how)),
+        1 => any::<prop::sample::Index>().prop_map(Step::CallerLeaves),
+        6 => (1..400_u16).prop_map(Step::Pass),
+        1 => any::<prop::sample::Index>().prop_map(Step::Drain),
+        1 => any::<prop::sample::Index>().prop_map(Step::Vanish),
+        2 => (0..5_u8, 0..3_u8).prop_map(|(service, zone)| Step::Appear(service, zone)),
+        1 => any::<bool>().prop_map(Step::Configure),
+        1 => (1..12_u8).prop_map(Step::Fleet),
+        1 => (0..6_u8).prop_map(Step::Evacuate),
+    ]
+}
+
+fn routes(is_second: bool) -> Vec<RouteDefinition> {
+    let mut once = route("once", RouteTarget::Service(Arc::from("solo")));
+    once.is_idempotent = false;
+    // Zones `a` and `b` are in the north, `c` isn't.
+    let mut northern = route("northern", gather(&SHARDS, 2, 0.6));
+    northern.allowed_regions = vec![Arc::from("north")];
+    let shards: &[&str] = if is_second { &SHARDS[..2] } else { &SHARDS };
+    vec![
+        route("query", gather(shards, 2, 0.6)),
+        route("solo", RouteTarget::Service(Arc::from("solo"))),
+        once,
+        route("split", weighted(&[("solo", 2), ("other", 1)])),
+        northern,
+    ]
+}
+
+/// Connections of each searcher, for all nodes together.
+const MAX_CONNECTIONS: u32 = 4;
+const PATHS: [&str; 5] = ["/query/1", "/solo/1", "/once/1", "/split/1", "/northern/1"];
+/// The route whose requests may be served in the north alone.
+const NORTHERN: usize = 4;
+
+fn configuration(version: u64) -> RoutingDefinition {
+    let mut whole = definition(version, routes(version.is_multiple_of(2)), &SERVICES);
+    // So few that shards often have to wait for a searcher with room.
+    whole.services.iter_mut().for_each(|service| service.max_connections = MAX_CONNECTIONS);
+    whole
+}
+
+/// How one sending ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Fate {
+    Open,
+    NotRun,
+    MayHaveRun,
+}
+
+#[derive(Debug)]
+struct Sending {
+    attempt: AttemptKey,
+    instance: String,
+    service: String,
+    fate: Fate,
+    /// Whether the searcher got anything.
+    arrived: bool,
+}
+
+/// What one request may look like from outside.
+#[derive(Debug)]
+struct Asked {
+    route: usize,
+    version: u64,
+    arrived: BootTime,
+    caller_left: bool,
+}
+
+/// Little slack, so that short histories can use it up.
+const SLACK: f64 = 4.0;
+
+fn tight_settings() -> staircross_routing::RoutingSettings {
+    let mut settings = common::settings();
+    settings.extra.slack = SLACK;
+    settings
+}
+
+struct World {
+    driver: Driver,
+    version: u64,
+    next_instance: u32,
+    /// Instances that may be asked, with their service.
+    serving: BTreeMap<String, String>,
+    /// Instances whose entry has gone, with their service and when that was told.
+    lapsed: BTreeMap<String, (String, BootTime)>,
+    /// Zones of all instances that ever were.
+    zones: BTreeMap<String, &'static str>,
+    /// The zone that is being evacuated.
+    evacuated: Option<&'static str>,
+    sendings: Vec<Sending>,
+    requests: BTreeMap<RequestKey, Asked>,
+    /// Parts given to each request: signature, service, records.
+    parts: BTreeMap<RequestKey, Vec<(String, String, Vec<u8>)>>,
+    judged_sends: usize,
+    judged_ends: usize,
+    arrivals: Vec<(BootTime, String)>,
+    extras: Vec<(BootTime, AttemptKey)>,
+}
+
+impl World {
+    fn new() -> Self {
+        let mut world = World {
+            driver: Driver::with_settings(tight_settings(), configuration(1), Vec::new()),
+            version: 1,
+            next_instance: 0,
+            serving: BTreeMap::new(),
+            lapsed: BTreeMap::new(),
+            zones: BTreeMap::new(),
+            evacuated: None,
+            sendings: Vec::new(),
+            requests: BTreeMap::new(),
+            parts: BTreeMap::new(),
+            judged_sends: 0,
+            judged_ends: 0,
+            arrivals: Vec::new(),
+            extras: Vec::new(),
+        };
+        for service in 0..5 {
+            for zone in 0..2 {
+                world.appear(service, zone);
+            }
+        }
+        world
+    }
+
+    fn appear(&mut self, service: u8, zone: u8) {
+        let instance = format!("i{}", self.next_instance);
+        self.next_instance += 1;
+        let service = SERVICES[usize::from(service)];
+        let zone = ZONES[usize::from(zone)];
+        self.driver.event(RoutingEvent::Searchers(vec![searcher(&instance, service, zone)]));
+        self.zones.insert(instance.clone(), zone);
+        self.serving.insert(instance, service.to_owned());
+    }
+
+    fn pick(&self, which: &prop::sample::Index) -> Option<(String, String)> {
+        let all: Vec<_> = self.serving.iter().collect();
+        (!all.is_empty()).then(|| {
+            let (instance, service) = all[which.index(all.len())];
+            (instance.clone(), service.clone())
+        })
+    }
+
+    fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
+        match step {
+            Step::Arrive(route) => self.arrive(usize::from(*route)),
+            Step::End(which, how) => self.end(which, *how),
+            Step::CallerLeaves(which) => self.caller_leaves(which),
+            Step::Pass(millis) => self.driver.pass_ms(u64::from(*millis)),
+            Step::Drain(which) => {
+                if let Some((instance, service)) = self.pick(which) {
+                    self.serving.remove(&instance);
+                    let mut entry = searcher(&instance, &service, self.zones[&instance]);
+                    entry.is_draining = true;
+                    self.driver.event(RoutingEvent::Searchers(vec![entry]));
+                }
+            }
+            Step::Vanish(which) => {
+                if let Some((instance, service)) = self.pick(which) {
+                    self.serving.remove(&instance);
+                    self.lapsed.insert(instance.clone(), (service, self.driver.now));
+                    self.driver.event(RoutingEvent::SearchersGone(vec![Arc::from(instance.as_str())]));
+                }
+            }
+            Step::Appear(service, zone) => self.appear(*service, *zone),
+            Step::Configure(bumps) => {
+                self.version += if *bumps { 1 } else { 2 };
+                let table = RouteTable::new(Arc::new(configuration(self.version)));
+                self.driver.event(RoutingEvent::Configuration(Arc::new(table)));
+            }
+            // One of the zones, or none.
+            Step::Evacuate(which) => {
+                self.evacuated = ZONES.get(usize::from(*which)).copied();
+                let zones = self.evacuated.iter().map(|zone| Arc::from(*zone)).collect();
+                self.driver.event(RoutingEvent::Evacuated(zones));
+            }
+            Step::Fleet(count) => self.driver.fleet(&[("a", 1), ("b", 1)], usize::from(*count).max(2)),
+        }
+        self.judge()
+    }
+
+    fn arrive(&mut self, route: usize) {
+        let arrival = self.driver.arrival(PATHS[route]);
+        let asked = Asked { route, version: self.version, arrived: self.driver.now, caller_left: false };
+        self.requests.insert(arrival.key, asked);
+        // A weighted route's request counts for whichever service it is meant for, which isn't seen from here.
+        for service in self.shards_of(arrival.key) {
+            self.arrivals.push((self.driver.now, service));
+        }
+        self.driver.event(RoutingEvent::Arrived(arrival));
+    }
+
+    fn shards_of(&self, request: RequestKey) -> Vec<String> {
+        let definition = configuration(self.requests[&request].version);
+        match &definition.routes[self.requests[&request].route].target {
+            RouteTarget::Gather(target) => target.shards.iter().map(|shard| shard.to_string()).collect(),
+            RouteTarget::Service(service) => vec![service.to_string()],
+            RouteTarget::Weighted(set) => set.iter().map(|entry| entry.service.to_string()).collect(),
+        }
+    }
+
+    fn end(&mut self, which: &prop::sample::Index, how: u8) {
+        let open: Vec<usize> =
+            (0..self.sendings.len()).filter(|index| self.sendings[*index].fate == Fate::Open).collect();
+        if open.is_empty() {
+            return;
+        }
+        let index = open[which.index(open.len())];
+        let attempt = self.sendings[index].attempt;
+        let service = self.sendings[index].service.clone();
+        let stamp = format!("{}-{}", attempt.request.0, attempt.number);
+        let body = records(&[how, attempt.number as u8, attempt.request.0 as u8]);
+        let (outcome, fate, arrived) = match how {
+            0..=5 => (answer(200, &stamp, body.clone()), Fate::MayHaveRun, true),
+            6 => (answer(500, &stamp, body.clone()), Fate::MayHaveRun, true),
+            7 => (AttemptOutcome::Unknown(Unknown::Broken), Fate::MayHaveRun, true),
+            8 => (AttemptOutcome::NotRun(NotRun::Shed), Fate::NotRun, true),
+            9 => (AttemptOutcome::NotRun(NotRun::OtherInstance), Fate::NotRun, true),
+            10 => (AttemptOutcome::NotRun(NotRun::Unconnected), Fate::NotRun, false),
+            _ => (AttemptOutcome::NotRun(NotRun::ConnectionRejected), Fate::NotRun, false),
+        };
+        self.sendings[index].fate = fate;
+        self.sendings[index].arrived = arrived;
+        if how <= 5 {
+            self.parts.entry(attempt.request).or_default().push((stamp, service, body));
+        }
+        if how == 9 {
+            // Another run lives there: it must not be asked again.
+            let instance = self.sendings[index].instance.clone();
+            self.serving.remove(&instance);
+        }
+        self.driver.end(attempt, outcome);
+    }
+
+    fn caller_leaves(&mut self, which: &prop::sample::Index) {
+        let ended: BTreeSet<RequestKey> = self.driver.finished.iter().map(|(key, _)| *key).collect();
+        let waiting: Vec<RequestKey> = self
+            .requests
+            .iter()
+            .filter(|(key, asked)| !ended.contains(key) && !asked.caller_left)
+            .map(|(key, _)| *key)
+            .collect();
+        if !waiting.is_empty() {
+            let key = waiting[which.index(waiting.len())];
+            if let Some(asked) = self.requests.get_mut(&key) {
+                asked.caller_left = true;
+            }
+            self.driver.event(RoutingEvent::CallerGone(key));
+        }
+    }
+}
+
+/// Plays a history and judges each step of it, and its end.
+pub fn play(steps: &[Step]) -> Result<(), TestCaseError> {
+    let mut world = World::new();
+    for step in steps {
+        world.step(step)?;
+    }
+    world.finish()
+}
