--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -2,6 +2,11 @@
 #![allow(dead_code)]
 
 pub mod backends;
+pub mod incarnations;
+pub mod mirror;
+pub mod quarantine;
+pub mod requests;
+pub mod store;
 
 use hashbrown::HashMap;
 use staircross_http::HeaderBlock;
