--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -8,7 +8,7 @@
 //! fraction of the slack that is this node's (0 to 1, by the nodes that live).
 //!
 //! **What it protects.** Back ends, from callers' requests being multiplied while they are slow: each node spends a fraction of its own requests and
-//! its share of the slack, so that the sum stays below the bound whoever is cut off from whom. **What it costs.** Answers in time, hardly answers: on one
+//! its share of the slack, so that the sum stays below the bound whichever nodes are cut off from each other. **What it costs.** Answers in time, hardly answers: on one
 //! day with slow searchers 2,277 hedges and 266 retries were refused, nearly all within nine seconds, and of seven requests that ended as `back_ends_failed`
 //! one was over budget (`docs/design/extra-sends.md`).
 //!
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its first attempts.
+//! A request from its arrival to its first attempts: asks the rules in order whether it is begun, held or refused.
 //!
 //! A request that comes before this node knows what it needs (a configuration, or who serves) is held for a moment: the
 //! first read of the store takes tens of milliseconds after a start, and a caller who is refused asks only once more.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -1,4 +1,7 @@
-//! Sending attempts, and when more are to be sent.
+//! Sending attempts: asks the rules whether, to whom and how late a hedge may follow, and notes what was sent.
+//!
+//! Owns no state of its own. Relies on [`crate::decision::placement`], [`crate::decision::hedging`] and [`crate::decision::extra_budget`]. What can't be sent
+//! now is left waiting by `waiting`, or given up.
 
 use super::first_probe::HARMLESS_WORK_FACTOR;
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,4 +1,6 @@
-//! What the end of an attempt means for its request and its searcher.
+//! The end of an attempt: notes it with its searcher and its request, and carries out what [`crate::decision::retry`] says.
+//!
+//! Owns how long answers are read out that nobody waits for.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::retry::{self, NextStep, RequestKind};
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,4 +1,6 @@
-//! When a request ends, and how.
+//! The end of requests: gathers what [`crate::decision::giving_up`] and [`crate::decision::hedging`] judge by, and carries out their verdicts.
+//!
+//! Owns how long attempts may go on whose caller has left.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
