--- a/crates/staircross-routing/src/decision/admission/usual_work.rs
+++ b/crates/staircross-routing/src/decision/admission/usual_work.rs
@@ -1,7 +1,7 @@
 //! The usual work of a route: how long its sub-requests take where nothing queues.
 //!
 //! Estimated as the least median of any window so far, with a slow rise, since work may have grown since that median was seen. A
-//! queue that has stood since this node started can't be told from work. [`super::wait`] counts as waiting what exceeds the estimate.
+//! queue that has stood since this node started looks like work. [`super::wait`] counts as waiting what exceeds the estimate.
 
 use super::quantile_window::QuantileWindow;
 use staircross_types::BootTime;
--- a/crates/staircross-routing/src/decision/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -8,7 +8,7 @@
 //! **Protects** a promise to tenants and routes about where their requests run, so it has no switch. It costs requests that nobody there can serve:
 //! they are refused at once, never moved.
 //!
-//! **Shown by** refusals `no_allowed_replica`. docs/design/allowed-regions.md has the rest.
+//! **Shown by** refusals `no_allowed_replica`. docs/DESIGN.md names the page that has the rest.
 
 use crate::configuration::definition::RouteDefinition;
 use crate::configuration::tenants::TenantDefinition;
--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -7,7 +7,7 @@
 //! how many nodes serve and which of them this one is ([`FleetRank`]). When it is cold, [`crate::state::searcher`] knows.
 //!
 //! **Protects** searchers: a cold one bears a few requests a second from all nodes together and falls over at well above that. A promise to back
-//! ends, so it has no switch; where no `cold-per-s` is set, nothing is limited. What it costs wasn't measured by itself.
+//! ends, so it has no switch; where the service names no such rate, nothing is limited. What it costs wasn't measured by itself.
 //!
 //! **Doesn't know** what other nodes have sent. A node that is cut off divides by the largest fleet lately seen, so the sum stays below the bound.
 //!
