--- a/crates/staircross-routing/src/decision/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -7,7 +7,7 @@
 //! **Buys** exact shares over any stretch of a node's requests, give or take one; by chance they would differ by the root of their number. It has
 //! no switch. Each node counts its own requests and knows nothing of others'.
 //!
-//! **Shown by** the service in the log's `event=send` and `event=finish` of the route's requests.
+//! **Shown by** the searcher in the log's `event=send`, whose `event=searcher` line names the service, for requests that were logged whole.
 
 use crate::configuration::definition::WeightedService;
 use std::sync::Arc;
