--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -60,7 +60,7 @@
     FetchSession { token: SessionToken, ask: u64 },
     /// A session was closed.
     ForgetSession { token: SessionToken },
-    /// Take a session over from `holder`, which is told.
+    /// Take a session over from `holder`, which is notified.
     TakeOver { token: SessionToken, holder: NodeId },
     /// A planned stop begins.
     Leave,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// This run.
+    /// This incarnation.
     pub fn node(&self) -> NodeId {
         self.me
     }
@@ -204,7 +204,7 @@
     }
 
     fn on_envelope(&mut self, now: BootTime, envelope: Envelope, actions: &mut Vec<ClusterAction>) {
-        // Meant for the run that was at this address before.
+        // Meant for the incarnation that was at this address before.
         if envelope.to.is_some_and(|to| to != self.me) || envelope.from == self.me {
             return;
         }
--- a/crates/staircross-cluster/src/member.rs
+++ b/crates/staircross-cluster/src/member.rs
@@ -2,8 +2,8 @@
 //!
 //! Records of the same run merge: the higher version wins, and at equal versions the worse state.
 //! Only the node itself raises its version, which is how it refutes a suspicion, or a death that
-//! was declared while it was paused or cut off. A process that was restarted is a new run with a
-//! new [`NodeId`]; it can't refute anything about the run before it.
+//! was declared while it was paused or cut off. A process that was restarted is a new incarnation with a
+//! new [`NodeId`]; it can't refute anything about the one before it.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{NodeId, ZoneName};
@@ -28,7 +28,7 @@
 /// One node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The run.
+    /// The incarnation.
     #[serde(rename = "n")]
     pub node: NodeId,
     /// Where peers reach it.
@@ -71,7 +71,7 @@
         (other.version, other.state) > (self.version, self.state)
     }
 
-    /// Whether the run is considered over.
+    /// Whether the incarnation is considered over.
     pub fn is_gone(&self) -> bool {
         matches!(self.state, MemberState::Dead | MemberState::Left)
     }
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -58,7 +58,7 @@
     next_seed_contact: BootTime,
     next_dead_contact: BootTime,
     next_compare: BootTime,
-    /// When a listing last told something new.
+    /// When a listing last brought something new.
     learned_at: Option<BootTime>,
     /// Deaths that this node itself declared, for metrics.
     pub declared_dead: u64,
@@ -117,7 +117,7 @@
         self.members.values().filter(|member| member.node != self.me && !member.is_gone())
     }
 
-    /// Whether the run is known to be gone.
+    /// Whether the incarnation is known to be gone.
     pub fn is_gone(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(Member::is_gone)
     }
@@ -174,10 +174,10 @@
                 let is_stranger = !self.members.contains_key(&from);
                 let known = self.take_probe_updates(now, updates, actions);
                 let mut updates = self.take_updates(from);
-                // Whoever is wrongly thought gone must hear of it to refute it.
+                // A member that is wrongly thought gone must hear of it to refute it.
                 let slandered = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
                 updates.extend(slandered.cloned());
-                // Whoever says what it thinks of this node, or knows it by its address only, must hear how it is.
+                // A node that says what it thinks of this one, or knows it by its address only, must hear how it is.
                 if (names_us || is_stranger) && !updates.iter().any(|record| record.node == self.me) {
                     updates.push(self.own().clone());
                 }
@@ -227,7 +227,7 @@
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
     }
 
-    /// Joins through seeds, and keeps telling seeds that have restarted that there is a fleet.
+    /// Joins through seeds, and keeps announcing the fleet to seeds that have restarted.
     fn contact_seeds(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         if now < self.next_seed_contact {
             return;
@@ -241,7 +241,7 @@
             shuffle(&mut unknown, random);
             unknown.truncate(1);
         }
-        // Whoever knows somebody near will be told the rest there, and only has to be known to the seed.
+        // A joiner that knows somebody near gets the rest there, and only has to be known to the seed.
         let has_mates = !self.near_and_far().0.is_empty();
         for seed in unknown {
             let message = match has_mates {
@@ -270,7 +270,7 @@
         }
         let is_new = match self.members.get(&node) {
             Some(known) => known.is_superseded_by(&record),
-            // The end of a run never met, or forgotten, is nothing new.
+            // The end of an incarnation never met, or forgotten, is nothing new.
             None => !record.is_gone(),
         };
         if !is_new {
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -1,7 +1,7 @@
 //! How members come to know the same, with few bytes.
 //!
-//! Updates are sent until they are mostly known; whoever is asked says what it knew already, so that old updates
-//! dies early. What gets lost that way is found by comparing fingerprints when nothing is being told.
+//! Updates are sent until they are mostly known; the node that is asked says what it knew already, so that old updates
+//! dies early. What gets lost that way is found by comparing fingerprints when nothing is being sent.
 
 use super::{IdSpan, Membership, MembershipAction, MembershipMessage};
 use crate::member::{Member, MemberState};
@@ -45,7 +45,7 @@
         known
     }
 
-    /// What many know already needn't be told for much longer.
+    /// What many know already needn't be sent for much longer.
     pub(super) fn note_redundant_sends(&mut self, sent: &[NodeId], known: u32, is_far: bool) {
         let in_vain = |index: usize| known.checked_shr(index as u32).unwrap_or(0) & 1 == 1;
         for (_, node) in sent.iter().enumerate().filter(|(index, _)| in_vain(*index)) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes what another knows of members in a span; what it lacks there is told.
+    /// Takes what another knows of members in a span; what it lacks there is sent.
     pub(super) fn take_listing(
         &mut self,
         now: BootTime,
@@ -138,7 +138,7 @@
         let listed: BTreeMap<NodeId, (u64, MemberState)> =
             members.iter().map(|member| (member.node, (member.version, member.state))).collect();
         for member in members {
-            // Not passed on as updates: others compare too, and the fleet must not be told everything by everybody.
+            // Not passed on as updates: others compare too, and the fleet must not be sent everything by everybody.
             if self.merge(now, member, actions) {
                 self.learned_at = Some(now);
                 self.next_compare = self.next_compare.min(now + COMPARE_LEARNING);
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -1,8 +1,8 @@
 //! What regions send each other.
 //!
 //! Bytes between regions are dear, and a member is watched well by those around it. So in a region of some size only a few
-//! members, the relays, tell other regions who has come and gone; they are those with the lowest ids, as each sees it.
-//! Whoever they tell passes it on within its own region.
+//! members, the relays, send other regions who has come and gone; they are those with the lowest ids, as each sees it.
+//! A node that they send it to passes it on within its own region.
 
 use super::{IdSpan, Membership, MembershipAction, Rumor};
 use crate::member::{Member, MemberState};
@@ -11,13 +11,13 @@
 
 /// Relays of a region: with some of them gone or cut off, others go on.
 const RELAYS: usize = 4;
-/// Members of other regions that a relay tells at once of a change.
+/// Members of other regions that a relay sends a change to at once.
 pub(super) const RELAY_PUSHES: usize = 2;
 /// How often a relay sends one update to other regions.
 const FAR_RETRANSMITS: u32 = 3;
 
 impl Membership {
-    /// Whether this node tells other regions what is new in its own.
+    /// Whether this node sends other regions what is new in its own.
     pub(super) fn is_relay(&self) -> bool {
         let own = self.own();
         let mates = self.members.values().filter(|member| member.region == own.region);
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Answers a node that has just started: with its own region where that is known, since those around it tell it the
+    /// Answers a node that has just started: with its own region where that is known, since those around it send it the
     /// rest, else with everybody.
     pub(super) fn answer_joiner(
         &mut self,
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Tells suspects that they are suspected, so that whoever was only paused refutes at once.
+    /// Notifies suspects that they are suspected, so that a member that was only paused refutes at once.
     pub(super) fn remind_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -27,16 +27,16 @@
 /// A message on its way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The run that sends.
+    /// The incarnation that sends.
     #[serde(rename = "f")]
     pub from: NodeId,
     /// Where it can be answered.
     #[serde(rename = "a")]
     pub from_address: SocketAddr,
-    /// The run it is for; `None` for whoever listens at the address.
+    /// The incarnation it is for; `None` for any that listens at the address.
     #[serde(rename = "t")]
     pub to: Option<NodeId>,
-    /// Where it goes. Not sent: whoever receives it is there.
+    /// Where it goes. Not sent: the receiver is there.
     #[serde(skip, default = "unspecified_address")]
     pub to_address: SocketAddr,
     /// What it says.
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -1,7 +1,7 @@
 //! The platform's document as this node holds it, relayed between nodes.
 //!
-//! The platform alone decides what is in force; a node takes every newer document from whoever has
-//! it, and never an older one. Each node tells a few others which revision it holds; whoever has a
+//! The platform alone decides what is in force; a node takes every newer document from any node that has
+//! it, and never an older one. Each node announces to a few others which revision it holds; one that has a
 //! newer one answers with it. So a node that the platform doesn't serve follows its peers.
 
 use crate::member::Member;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whoever has less gets the document, whoever has more is asked for it by being told what is held.
+    /// A node that has less gets the document; one that has more is asked for it by the announcement of what is held.
     fn answer_to(&self, theirs: u64) -> Option<PublishedMessage> {
         let own = self.revision();
         match &self.held {
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -124,7 +124,7 @@
         self.nodes.len()
     }
 
-    /// Starts a node, as a new run without memory.
+    /// Starts a node, as a new incarnation without memory.
     pub fn start(&mut self, index: usize) {
         let me = Member {
             node: NodeId(self.next_run.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)),
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -126,7 +126,7 @@
 /// Who this node is and where it is reached.
 #[derive(Clone, Debug)]
 pub struct FleetIdentity {
-    /// This run.
+    /// This incarnation.
     pub node: NodeId,
     /// Where peers reach it.
     pub peers: SocketAddr,
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! The owner keeps the tenant's token bucket. Nodes take tokens first and report them, and the owner answers with the part of the
 //! tenant's requests that nodes are to admit. The part is 1 while the bucket holds more than its headroom, and otherwise what the
-//! rate and the bucket's level leave of the demand, so that admissions settle at the rate whoever asks where.
+//! rate and the bucket's level leave of the demand, so that admissions settle at the rate wherever requests come.
 
 use crate::bound::Limits;
 use crate::bucket::Bucket;
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`bucket`] | a token bucket |
 //! | [`ledger`] | the owner's side: what all nodes admit of a tenant |
 //! | [`spender`] | every other node's side: what it admits, and whether its owner answers |
-//! | [`refusal`] | what a request beyond a quota is told |
+//! | [`refusal`] | how a request beyond a quota is refused |
 //! | [`tenant`] | one tenant at one node |
 //! | [`allowance`] | [`FleetAllowance`], which joins them |
 //!
--- a/crates/staircross-quota/src/refusal.rs
+++ b/crates/staircross-quota/src/refusal.rs
@@ -1,4 +1,4 @@
-//! What a request beyond its tenant's quota is told.
+//! How a request beyond its tenant's quota is refused.
 
 use std::time::Duration;
 
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -165,7 +165,7 @@
         if is_admitted { Ok(()) } else { Err(refusal(fraction, random)) }
     }
 
-    /// Counts a request decided on this node's own, for whoever will own the tenant.
+    /// Counts a request decided on this node's own, for the node that will own the tenant.
     fn count_stranded(&mut self, now: BootTime, is_admitted: bool) {
         if let Some(spender) = &mut self.spender {
             spender.count(now, is_admitted, &self.limits);
--- a/crates/staircross-routing/src/configuration/delta.rs
+++ b/crates/staircross-routing/src/configuration/delta.rs
@@ -2,7 +2,7 @@
 //!
 //! A configuration of 1,700 routes is a quarter of a megabyte. Passed on whole it fills the links of small machines, and read by each node from the store it
 //! costs a call a node for each change, mostly of one route. A delta holds the routes and services that changed and a digest of what must come of
-//! it; whoever gets something else doesn't take it and reads the whole.
+//! it; a node that gets something else doesn't take it and reads the whole.
 
 use crate::configuration::definition::{CallerLimits, RouteDefinition, RoutingDefinition, ServiceEntry};
 use crate::configuration::tenants::TenantDefinition;
@@ -88,7 +88,7 @@
         (digest(&new)? == self.digest).then_some(new)
     }
 
-    /// Routes that are told, and names of those that are gone.
+    /// Routes that are sent, and names of those that are gone.
     pub fn changed_routes(&self) -> (&[RouteDefinition], &[Arc<str>]) {
         (&self.routes.set, &self.routes.gone)
     }
--- a/crates/staircross-routing/src/configuration/rank.rs
+++ b/crates/staircross-routing/src/configuration/rank.rs
@@ -21,7 +21,7 @@
     ///
     /// A tenant's steps begin where those of the tenants above it end, so that steps sort as ranks do. Tenants count by how many
     /// different priorities are above theirs, not by their figures: how far apart an operator writes these says nothing, and each step
-    /// takes more from whoever stands there. Routes count by their figures, with tenants as without.
+    /// takes more from the rank that stands there. Routes count by their figures, with tenants as without.
     pub fn steps(self, routes: RangeInclusive<u32>) -> u32 {
         let (first, last) = routes.into_inner();
         let steps_a_tenant = last.saturating_sub(first).saturating_add(1);
--- a/crates/staircross-routing/src/configuration/table.rs
+++ b/crates/staircross-routing/src/configuration/table.rs
@@ -50,7 +50,7 @@
         self.definition.tenants.get(key.0 as usize)
     }
 
-    /// How urgent a request is. Whoever is nobody's comes after all tenants.
+    /// How urgent a request is. A request that is no tenant's comes after all tenants'.
     pub fn rank(&self, tenant: Option<TenantKey>, route: &RouteDefinition) -> Rank {
         let priority = tenant.and_then(|key| self.tenant(key)).map(|tenant| tenant.priority);
         let above = self.tenant_priorities.partition_point(|known| priority.is_none_or(|own| *known < own));
--- a/crates/staircross-routing/src/configuration/tenants.rs
+++ b/crates/staircross-routing/src/configuration/tenants.rs
@@ -1,6 +1,6 @@
 //! Tenants: whose requests a node takes, and how they prove who they are.
 //!
-//! A key is a secret. Only its digest is kept, told to peers, recorded and compared; no output shows either.
+//! A key is a secret. Only its digest is kept, sent to peers, recorded and compared; no output shows either.
 
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 /// Bytes of the digest that are kept; by far enough that no two keys of a fleet share them.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of a caller's key. Two digests are looked up by hash, so how long that takes tells nothing of the key.
+/// Digest of a caller's key. Two digests are looked up by hash, so how long that takes reveals nothing of the key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What the caller is told.
+    /// What the caller reads.
     pub fn detail(self) -> &'static str {
         match self {
             KeyRefusal::Missing => "the request carries no key",
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -11,7 +11,7 @@
 //! away (`docs/studies/policy-rounds.md`); against no regard to the distance +0.0017 to +0.0216 on four fleets (`docs/studies/switches.md`).
 //!
 //! **What it doesn't know.** Whether the caller had to ask the directory this time; how long it takes to read the answer; the round trip where the
-//! system doesn't tell it.
+//! system doesn't report it.
 //!
 //! **At work.** Log: `finish` gives the time an answer took, `left_out cause=late` the shards that it went out without. Metric: `answers_partial_total`.
 //! **Switch of `[policy]`.** `routing.caller_distance`: all callers are taken to be near.
@@ -33,7 +33,7 @@
 /// trips: -0.0009 and +0.0004.
 const TURNS: Duration = Duration::from_millis(10);
 
-/// What callers are taken to spend where the system doesn't tell how far they are. Of 16, 22 and 30 ms for all callers, mean worth of a day against 22 ms:
+/// What callers are taken to spend where the system doesn't report how far they are. Of 16, 22 and 30 ms for all callers, mean worth of a day against 22 ms:
 /// 16 ms -0.0072, 30 ms -0.0019 ± 0.0014 where callers are 1 ms away and +0.0146 ± 0.0019 where they are 3 ms away.
 const USUAL_SPENT: Duration = Duration::from_millis(22);
 
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -113,7 +113,7 @@
     }
 
     /// A searcher answered something that was sent to it at `sent_at`: whatever broke before, it is alive. Where a connection to it may
-    /// have come up since the loss, the last one at `connected_at`, the answer may be from a later start under its id and proves nothing.
+    /// have come up since the loss, the last one at `connected_at`, the answer may be from a later incarnation under its id and proves nothing.
     pub fn note_alive(
         &mut self,
         now: BootTime,
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -69,7 +69,7 @@
     /// When this process started, if it isn't the first on its machine: searchers may still count the connections
     /// of the one before.
     pub restarted_at: Option<BootTime>,
-    /// This run of the node.
+    /// This incarnation of the node.
     pub node: NodeId,
     /// How far all nodes together may exceed tenants' quotas.
     pub quota: QuotaBound,
@@ -121,7 +121,7 @@
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) searchers: Vec<Searcher>,
-    /// The start that holds of each id.
+    /// The incarnation that holds of each id.
     by_instance: HashMap<Arc<str>, SearcherKey>,
     by_incarnation: HashMap<Incarnation, SearcherKey>,
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
@@ -257,7 +257,7 @@
         self.requests.len() + self.held.len()
     }
 
-    /// The searcher's run that an attempt which still holds a connection was sent to.
+    /// The searcher's incarnation that an attempt which still holds a connection was sent to.
     pub fn instance_of(&self, attempt: AttemptKey) -> Option<&Arc<str>> {
         let sent = self.sent.get(&attempt)?;
         Some(&self.searchers[sent.searcher.0 as usize].entry.instance)
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Messages told to a peer at once, so that a datagram is never cut on its way.
+/// Messages sent to a peer at once, so that a datagram is never cut on its way.
 const MESSAGES_AT_ONCE: usize = 10;
 
 /// The allowance of a node that has just started.
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -25,8 +25,8 @@
         services.iter().for_each(|service| self.serve_waiting(now, service, actions));
     }
 
-    /// A start that isn't known yet is a searcher of its own, and that of the same id before it is asked no more. Which of two starts
-    /// holds was decided by whoever tells of it.
+    /// An incarnation that isn't known yet is a searcher of its own, and the one before it under the same id is asked no more. Which of two
+    /// holds was decided by the mirror, before the engine gets it.
     fn set_searcher(&mut self, now: BootTime, entry: SearcherEntry) {
         let service = entry.service.clone();
         let instance = entry.instance.clone();
@@ -77,7 +77,7 @@
         searcher
     }
 
-    /// Takes which zones' searchers get no new work; whoever waits for one that may be asked again gets its chance.
+    /// Takes which zones' searchers get no new work; a shard that waits for one that may be asked again gets its chance.
     pub(super) fn set_evacuated(&mut self, now: BootTime, zones: Vec<Arc<str>>, actions: &mut Vec<RoutingAction>) {
         self.evacuated = zones;
         for searcher in &mut self.searchers {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whoever is at its address is no longer the one that was asked for.
+    /// The process at its address is no longer the one that was asked for.
     pub(crate) fn forget_serving(&mut self, key: SearcherKey) {
         self.searchers[key.0 as usize].mark_gone();
         self.unlist(key);
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -24,7 +24,7 @@
     Configuration(Arc<RouteTable>),
     /// New or changed entries.
     Searchers(Vec<SearcherEntry>),
-    /// Runs whose entries have gone.
+    /// Incarnations whose entries have gone.
     SearchersGone(Vec<Arc<str>>),
     /// All zones whose searchers are to get no new work.
     Evacuated(Vec<Arc<str>>),
@@ -38,7 +38,7 @@
         rank: Option<usize>,
         /// This node's part of the slack for extra sends, 0 to 1.
         slack_share: f64,
-        /// Live nodes that take callers' requests, reserves too; `None` where they are those told last.
+        /// Live nodes that take callers' requests, reserves too; `None` where they are those of the last event.
         nodes: Option<Vec<NodeId>>,
     },
     /// A request has arrived.
@@ -149,11 +149,11 @@
         /// The change, and what it follows from.
         change: AdmissionChange,
     },
-    /// What is thought of a content has changed: the log is told, and peers.
+    /// What is believed of a content has changed: for the log, and for peers.
     Suspicion {
         /// The change.
         change: SuspicionChange,
-        /// Whether it follows from what peers told.
+        /// Whether it follows from what peers reported.
         is_by_peers: bool,
     },
     /// Send a peer messages on tenants' quotas.
@@ -188,18 +188,18 @@
     Superseded,
     /// The caller left.
     CallerGone,
-    /// Every searcher that ran what is asked for has ended; whoever hasn't begun it yet shouldn't.
+    /// Every searcher that ran what is asked for has ended; a searcher that hasn't begun it yet shouldn't.
     Quarantined,
 }
 
 /// Why a shard has no part in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeftOutCause {
-    /// Whoever was asked hadn't answered when the request ended.
+    /// The searcher that was asked hadn't answered when the request ended.
     Late,
     /// Nobody had room to be asked.
     NoRoom,
-    /// Whoever was asked failed, and no other could be asked.
+    /// The searcher that was asked failed, and no other could be asked.
     Failed,
     /// There was nobody to ask.
     Nobody,
@@ -292,7 +292,7 @@
     pub attempt: AttemptKey,
     /// The searcher.
     pub searcher: SearcherKey,
-    /// Its run.
+    /// Its incarnation.
     pub instance: Arc<str>,
     /// Whom the request is for, as it is sent to the searcher.
     pub identity: SentIdentity,
--- a/crates/staircross-routing/src/keys.rs
+++ b/crates/staircross-routing/src/keys.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantKey(pub u32);
 
-/// What a request asks for, whoever asks and whichever try it is: a digest of host, method, target and body, alike on all nodes.
+/// What a request asks for, the same for each caller and each retry: a digest of host, method, target and body, alike on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentKey(pub u64);
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// One start of a searcher under its id.
+/// One incarnation of a searcher under its id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     /// The id.
@@ -53,7 +53,7 @@
     pub born_ms: u64,
 }
 
-/// One start of a searcher, alike on all nodes: a digest of its id and its start.
+/// One incarnation of a searcher, alike on all nodes: a digest of its id and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceKey(pub u64);
 
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -1,6 +1,6 @@
 //! Recorded decisions, and making them again.
 //!
-//! The engine takes its decisions from what it is told, the time it is told at, and a seed. A record of these is
+//! The engine takes its decisions from its events, their times, and a seed. A record of these is
 //! enough to take them again, with the same code or another version of it, and to see where it decides otherwise.
 //! Bodies and fields aren't recorded; no decision depends on them.
 
@@ -128,7 +128,7 @@
     Send {
         /// The sending.
         attempt: AttemptKey,
-        /// The run of the searcher.
+        /// The incarnation of the searcher.
         instance: Arc<str>,
         /// Why.
         reason: SendReason,
--- a/crates/staircross-routing/src/state/report.rs
+++ b/crates/staircross-routing/src/state/report.rs
@@ -1,6 +1,6 @@
 //! What a searcher says of itself with its answers.
 //!
-//! Reports lag and may mislead, so they come with their age wherever they are used or told.
+//! Reports lag and may mislead, so they come with their age wherever they are used or logged.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -66,7 +66,7 @@
 /// What is known of a caller's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLink {
-    /// Time to the caller and back, if the system tells.
+    /// Time to the caller and back, if the system reports it.
     pub round_trip: Option<Duration>,
     /// Whether the connection was made for this request.
     pub is_fresh: bool,
@@ -230,8 +230,8 @@
 pub(crate) struct Waiting {
     /// Why it is to be sent; what counts as extra goes on counting so.
     pub reason: SendReason,
-    /// When a searcher may be asked again; far in the future where all that could be asked lack room, of which
-    /// the end of an attempt tells.
+    /// When a searcher may be asked again; far in the future where all that could be asked lack room, which
+    /// the end of an attempt shows.
     pub retry_at: BootTime,
 }
 
@@ -386,7 +386,7 @@
         self.shards.iter().filter(|shard| shard.is_open()).count()
     }
 
-    /// Whether its key was revoked while it isn't known yet whether anything of it runs: the next end of an attempt tells.
+    /// Whether its key was revoked while it isn't known yet whether anything of it runs: the next end of an attempt shows.
     pub fn is_unclear(&self) -> bool {
         let is_anything_out = || self.attempts.iter().any(|attempt| attempt.is_open);
         self.is_key_revoked && !self.may_have_run && is_anything_out()
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The same, counting what was sent to the start before it while that was cold: it may have reached this one.
+    /// The same, counting what was sent to the incarnation before it while that was cold: it may have reached this one.
     pub fn with_cold_sends(self, cold_sends: ColdSends) -> Self {
         Searcher { cold_sends, ..self }
     }
@@ -197,7 +197,7 @@
         self.is_evacuated = is_evacuated;
     }
 
-    /// Notes that a connection to its address came up. The process there may be a later start under the same id.
+    /// Notes that a connection to its address came up. The process there may be a later incarnation under the same id.
     pub fn note_connected(&mut self, now: BootTime) {
         self.connected_at = Some(now);
     }
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether searchers that live may be missing from what is known: entries lapse while the store is away, and are written anew
-    /// one by one. A restarted process can't tell which those are.
+    /// one by one. A restarted process can't know which those are.
     pub fn may_lack_searchers(&self, now: BootTime) -> bool {
         now < self.starting_until || now < self.lane(Lane::Searchers).returns_until
     }
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -109,7 +109,7 @@
         /// Longest wait.
         patience: Duration,
     },
-    /// Give up the call that is out on a lane; its end isn't to be told.
+    /// Give up the call that is out on a lane; its end isn't to be reported.
     Cancel {
         /// The lane.
         lane: Lane,
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// First frame, from whoever connects.
+/// First frame, from the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Hello {
     version: u32,
@@ -58,14 +58,14 @@
     nonce: u128,
 }
 
-/// Second frame, from whoever accepts.
+/// Second frame, from the accepting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Challenge {
     nonce: u128,
     proof: [u8; 32],
 }
 
-/// Third frame, from whoever connects.
+/// Third frame, from the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Response {
     proof: [u8; 32],
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Checks whoever connects and returns its run. `nonce` is fresh and random.
+/// Checks the connecting node and returns its incarnation. `nonce` is fresh and random.
 pub fn accept(stream: &mut (impl Read + Write), key: &ClusterKey, nonce: u128) -> Result<NodeId, WireError> {
     let hello: Hello = read_frame(stream, MAX_HANDSHAKE)?;
     if hello.version != PROTOCOL_VERSION {
