--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -10,7 +10,7 @@
 
 /// Members of each other region that are probed in a round: a part of those of the own region, but some.
 const FAR_DIVISOR: usize = 8;
-const LEAST_FAR: usize = 3;
+const MIN_FAR: usize = 3;
 
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
@@ -67,7 +67,7 @@
             by_region.entry(&member.region).or_default().push(member.node);
         }
         let mut round = by_region.remove(self.own().region.as_str()).unwrap_or_default();
-        let far_count = if self.is_relay() { LEAST_FAR.max(round.len() / FAR_DIVISOR) } else { LEAST_FAR };
+        let far_count = if self.is_relay() { MIN_FAR.max(round.len() / FAR_DIVISOR) } else { MIN_FAR };
         for far in by_region.values() {
             round.extend(far.choose_multiple(random, far_count));
         }
--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -23,7 +23,7 @@
 /// that meet, one for hedges.
 const CONNECTIONS_PER_NODE: f64 = 4.5;
 /// Serving nodes of a zone that has so many, so that one may go.
-const LEAST_PER_ZONE: usize = 2;
+const MIN_PER_ZONE: usize = 2;
 /// Busy share, in percent, that serving nodes are planned to have at the most.
 const PLANNED_LOAD: usize = 40;
 /// Farther nodes that stand in for each near one that is pressed.
@@ -172,7 +172,7 @@
     let planned = f64::from(connections) * PLANNED_FRACTION / CONNECTIONS_PER_NODE;
     let by_connections = (planned * nodes.len() as f64 / total as f64).ceil() as usize;
     let load: usize = nodes.iter().map(|node| usize::from(node.load)).sum();
-    by_connections.max(LEAST_PER_ZONE).max(load.div_ceil(PLANNED_LOAD)).min(nodes.len())
+    by_connections.max(MIN_PER_ZONE).max(load.div_ceil(PLANNED_LOAD)).min(nodes.len())
 }
 
 fn with_room<'a>(nodes: impl Iterator<Item = &'a Candidate>) -> Vec<SocketAddr> {
--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -16,7 +16,7 @@
 /// A call whose answer is coming in is given so much longer with each piece, but never more than so long in all. Giving up an answer
 /// that is half there and asking for it again makes a busy server busier.
 const PROGRESS_PATIENCE: Duration = Duration::from_millis(1000);
-const MOST_PATIENCE: Duration = Duration::from_secs(10);
+const MAX_PATIENCE: Duration = Duration::from_secs(10);
 /// Longest wait for a connection.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(700);
 /// Probes of a connection on which nothing moves: a peer that is cut off is noticed in a few seconds.
@@ -106,7 +106,7 @@
         write::end_head(&mut request);
         let due = io.now + patience;
         let connect_due = io.now + CONNECT_PATIENCE;
-        let latest = due.max(io.now + MOST_PATIENCE);
+        let latest = due.max(io.now + MAX_PATIENCE);
         self.pending = Some(Pending { due, latest, connect_due, request, is_sent: false });
         if self.link.is_none() && !self.connect(io) {
             return Some(self.fail());
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -10,8 +10,8 @@
 /// Callers keep an answer of the directory up to so many times as long as they were told.
 const DIRECTORY_KEPT: u32 = 3;
 /// Bounds of what callers are told. Short, so that they leave a dead node soon.
-const LEAST_DIRECTORY_TTL: Duration = Duration::from_millis(250);
-const MOST_DIRECTORY_TTL: Duration = Duration::from_secs(2);
+const MIN_DIRECTORY_TTL: Duration = Duration::from_millis(250);
+const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 /// Kept free before the process would be killed.
 const KILL_GUARD: Duration = Duration::from_millis(500);
 /// Kept free besides for requests that were taken last.
@@ -76,8 +76,8 @@
         let bounds = &self.settings.bounds;
         let grace = Duration::from_secs_f64(bounds.stop_s);
         let lingering = grace.saturating_sub(KILL_GUARD + KILL_GUARD + LAST_REQUESTS);
-        let longest = Duration::from_secs_f64(bounds.directory_ttl_s).min(MOST_DIRECTORY_TTL);
-        (lingering / DIRECTORY_KEPT).clamp(LEAST_DIRECTORY_TTL, longest.max(LEAST_DIRECTORY_TTL))
+        let longest = Duration::from_secs_f64(bounds.directory_ttl_s).min(MAX_DIRECTORY_TTL);
+        (lingering / DIRECTORY_KEPT).clamp(MIN_DIRECTORY_TTL, longest.max(MIN_DIRECTORY_TTL))
     }
 
     pub(super) fn is_stopped(&self) -> bool {
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -11,7 +11,7 @@
 
 /// A fresh connection is proved for the time that it took to come up and this, but not longer than that.
 const PROVING: Duration = Duration::from_millis(3);
-const MOST_PROVING: Duration = Duration::from_millis(50);
+const MAX_PROVING: Duration = Duration::from_millis(50);
 /// Time after the reset of a fresh connection during which those to its searcher are proved.
 const RESET_MEMORY: Duration = Duration::from_secs(5);
 
@@ -64,7 +64,7 @@
             return;
         };
         if self.must_prove(slot, io.now) {
-            let until = io.now + (took + PROVING).min(MOST_PROVING);
+            let until = io.now + (took + PROVING).min(MAX_PROVING);
             let connection = &mut self.connections[slot];
             connection.state = State::Proving { assignment };
             self.proving.push(Reverse((until, slot, connection.generation)));
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -19,7 +19,7 @@
 const QUIET: Duration = Duration::from_millis(1200);
 /// Longest time that a node waits to know its region: at the first start of a fleet, when seeds may be seconds late and there
 /// is nothing to serve, and later, as a part of the silence that a follower bears.
-const MOST_FIRST_SETTLING: Duration = Duration::from_secs(3);
+const MAX_FIRST_SETTLING: Duration = Duration::from_secs(3);
 const SETTLING_FRACTION: f64 = 0.8;
 /// At the first start of a fleet: time until readers have told what they read.
 const FIRST_READING: Duration = Duration::from_millis(1500);
@@ -92,7 +92,7 @@
 
     /// The fleet starts for the first time: others are given time to read.
     pub fn with_first_start(self, now: BootTime) -> Self {
-        RoleKeeper { settles_until: now + MOST_FIRST_SETTLING, heartbeat: now + FIRST_READING, ..self }
+        RoleKeeper { settles_until: now + MAX_FIRST_SETTLING, heartbeat: now + FIRST_READING, ..self }
     }
 
     /// The role as last decided.
--- a/crates/staircross-gateway/src/unreadable_log.rs
+++ b/crates/staircross-gateway/src/unreadable_log.rs
@@ -6,7 +6,7 @@
 use staircross_routing::UnreadableItem;
 
 /// Items remembered, some 100 bytes each. With more, all are told again.
-const MOST_ITEMS: usize = 1024;
+const MAX_ITEMS: usize = 1024;
 
 /// What was told, by key.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
         if self.logged.get(&item.key) == Some(&item.revision) {
             return false;
         }
-        if self.logged.len() >= MOST_ITEMS {
+        if self.logged.len() >= MAX_ITEMS {
             self.logged.clear();
         }
         self.logged.insert(item.key.clone(), item.revision);
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -35,7 +35,7 @@
 /// Change of the fraction, relative to itself, that is announced to all nodes.
 const ANNOUNCED_CHANGE: f64 = 0.2;
 /// Least part that changes are measured against.
-const LEAST_FRACTION: f64 = 0.05;
+const MIN_FRACTION: f64 = 0.05;
 
 /// What one node has reported.
 #[derive(Clone, Copy, Debug)]
@@ -150,7 +150,7 @@
             return false;
         }
         let (age, gap) = (now.since(self.announced_at), gap(nodes));
-        let change = (pass - self.announced) / self.announced.max(LEAST_FRACTION);
+        let change = (pass - self.announced) / self.announced.max(MIN_FRACTION);
         let is_tighter = self.announced >= 1.0 || change < -ANNOUNCED_CHANGE;
         let is_easier = pass >= 1.0 || change > ANNOUNCED_CHANGE;
         (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
--- a/crates/staircross-routing/src/admission.rs
+++ b/crates/staircross-routing/src/admission.rs
@@ -26,7 +26,7 @@
 const GROUP_REQUESTS: usize = 6;
 const GROUP_WINDOW: Duration = Duration::from_millis(200);
 /// Samples kept of one window; more say nothing new.
-const MOST_SAMPLES: usize = 512;
+const MAX_SAMPLES: usize = 512;
 /// Age at which a wait is no longer believed.
 const WAIT_LIFE: Duration = Duration::from_millis(1500);
 /// Times of what gathering the samples took, for which a wait that is no longer believed isn't taken for none either: a node with
@@ -35,7 +35,7 @@
 /// Time between two judgements.
 const JUDGEMENT_SPACING: Duration = Duration::from_millis(250);
 /// Longest time that is waited for the effect of a decrease.
-const MOST_DELAY: Duration = Duration::from_millis(1000);
+const MAX_DELAY: Duration = Duration::from_millis(1000);
 /// A wait of so many times the tolerable one begins to limit what is taken; then it is kept at so many times.
 const TOO_LONG: f64 = 1.0;
 const TARGET: f64 = 0.6;
@@ -48,15 +48,15 @@
 const WARM_UP: Duration = Duration::from_secs(3);
 /// Change of what is taken for each tolerable wait off the target, and bounds of one change.
 const GAIN: f64 = 0.25;
-const MOST_DECREASE: f64 = 0.25;
-const MOST_INCREASE: f64 = 0.05;
+const MAX_DECREASE: f64 = 0.25;
+const MAX_INCREASE: f64 = 0.05;
 /// Spacings that one increase may make up for.
-const MOST_SPACINGS: f64 = 8.0;
+const MAX_SPACINGS: f64 = 8.0;
 /// A wait of less than so many times the tolerable one says that nothing queues, and its increase.
 const NO_QUEUE: f64 = 0.25;
 const FAST_INCREASE: f64 = 0.12;
 /// The least part that is taken. Below it, refusals cost more than the answers that they make possible.
-const LEAST_LEVEL: f64 = 0.05;
+const MIN_LEVEL: f64 = 0.05;
 /// What a sub-request counts as that a searcher rejected for lack of room.
 const SHED_WAIT: Duration = Duration::from_millis(500);
 /// Each rank below the most urgent raises the exponent of the part that is taken.
@@ -67,7 +67,7 @@
 const USUAL_RISE: f64 = 0.002;
 const USUAL_RISE_REFUSING: f64 = 0.05;
 /// Longest time without samples that counts for the rise.
-const MOST_RISE_SPAN: Duration = Duration::from_secs(5);
+const MAX_RISE_SPAN: Duration = Duration::from_secs(5);
 
 /// A quantile of the samples that come within a window of time.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     /// Adds a sample; gives the quantile when the window is over, and begins the next.
     fn add(&mut self, now: BootTime, sample: Duration) -> Option<Duration> {
         let began = *self.began.get_or_insert(now);
-        if self.samples.len() < MOST_SAMPLES {
+        if self.samples.len() < MAX_SAMPLES {
             self.samples.push(sample.as_secs_f32());
         }
         if now.since(began) < self.length || self.samples.len() < self.least_samples {
@@ -120,7 +120,7 @@
 impl UsualWork {
     /// Adds the time of an answered sub-request, without the round trip. `level` is the part of the work that is taken.
     pub fn record(&mut self, now: BootTime, worked: Duration, level: f64) {
-        let span = now.since(self.recorded_at).min(MOST_RISE_SPAN).as_secs_f64();
+        let span = now.since(self.recorded_at).min(MAX_RISE_SPAN).as_secs_f64();
         self.recorded_at = now;
         let rise = USUAL_RISE + USUAL_RISE_REFUSING * (1.0 - level).powi(2);
         self.seconds = self.seconds.map(|known| known * (1.0 + rise * span));
@@ -166,7 +166,7 @@
 
     /// The wait at the searchers of a group of services, of which a request asks `fan_out`.
     pub fn at_group(fan_out: usize) -> Self {
-        let samples = (fan_out * GROUP_REQUESTS).clamp(GROUP_SAMPLES, MOST_SAMPLES);
+        let samples = (fan_out * GROUP_REQUESTS).clamp(GROUP_SAMPLES, MAX_SAMPLES);
         Wait::new(QuantileWindow::new(GROUP_QUANTILE, GROUP_WINDOW, samples))
     }
 
@@ -253,19 +253,16 @@
         if now.since(first_judged) < WARM_UP || (!self.is_limiting() && !self.stands(now, ratio)) {
             return None;
         }
-        let change = if ratio < NO_QUEUE {
-            FAST_INCREASE
-        } else {
-            (GAIN * (TARGET - ratio)).clamp(-MOST_DECREASE, MOST_INCREASE)
-        };
+        let change =
+            if ratio < NO_QUEUE { FAST_INCREASE } else { (GAIN * (TARGET - ratio)).clamp(-MAX_DECREASE, MAX_INCREASE) };
         // A node with few requests judges seldom; what is taken rises by the time that has passed all the same.
         let spacings = now.since(last_judged).as_secs_f64() / JUDGEMENT_SPACING.as_secs_f64();
-        let change = if change > 0.0 { (1.0 + change).powf(spacings.clamp(1.0, MOST_SPACINGS)) - 1.0 } else { change };
+        let change = if change > 0.0 { (1.0 + change).powf(spacings.clamp(1.0, MAX_SPACINGS)) - 1.0 } else { change };
         if change < 0.0 {
             // What was sent before tells of the queue before: the effect shows once that has gone through.
-            self.next_judgement = self.next_judgement + (wait * 2).min(MOST_DELAY);
+            self.next_judgement = self.next_judgement + (wait * 2).min(MAX_DELAY);
         }
-        self.level = (before * (1.0 + change)).clamp(LEAST_LEVEL, 1.0);
+        self.level = (before * (1.0 + change)).clamp(MIN_LEVEL, 1.0);
         (self.level != before).then_some(AdmissionChange { wait, tolerable, level: self.level })
     }
 
--- a/crates/staircross-routing/src/definition_check.rs
+++ b/crates/staircross-routing/src/definition_check.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Least burst that lets one request through at any time.
-const LEAST_BURST: f64 = 1.0;
+const MIN_BURST: f64 = 1.0;
 
 /// One weakness of a configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -76,7 +76,7 @@
     let tenant = tenant.clone();
     match (rate_per_s > 0.0, burst) {
         (false, burst) if burst > 0.0 => Some(Finding::BurstWithoutRate { tenant }),
-        (true, burst) if burst < LEAST_BURST => Some(Finding::BurstBelowOne { tenant, burst }),
+        (true, burst) if burst < MIN_BURST => Some(Finding::BurstBelowOne { tenant, burst }),
         _ => None,
     }
 }
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -23,7 +23,7 @@
 /// Part of a caller's patience that a hold may take, so that a refused one has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
 /// Requests held at once; those beyond are refused.
-const MOST_HELD: usize = 512;
+const MAX_HELD: usize = 512;
 
 /// A request that waits until this node knows what it needs.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     }
 
     fn may_hold(&self) -> bool {
-        self.settings.policy.holds && self.held.len() < MOST_HELD
+        self.settings.policy.holds && self.held.len() < MAX_HELD
     }
 
     fn hold(&mut self, now: BootTime, arrival: Arrival, cause: HoldCause, actions: &mut Vec<RoutingAction>) {
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -16,7 +16,7 @@
 /// An attempt is overdue after the round trip and so many times the usual work.
 const OVERDUE_FACTOR: f64 = 2.2;
 /// A hedge isn't sent before the round trip and so many times the usual work.
-const LEAST_HEDGE_FACTOR: f64 = 1.5;
+const MIN_HEDGE_FACTOR: f64 = 1.5;
 /// Parts of the unusually long time after which a hedge is sent, while all of the budget is left and while none is. What isn't spent
 /// in a window is lost, so a full budget buys earlier hedges; a scarce one is kept for attempts that are surely late, and for repeats
 /// of those that failed. Against the whole time whatever is left: 0.006 of a day's worth where goals are short, in each kind of day.
@@ -206,7 +206,7 @@
         let needed = self.other_round_trip + self.usual.mul_f64(HEDGE_WORK_FACTOR);
         let last_moment = answer_by - needed;
         let unusual = now + self.round_trip + self.late;
-        let least = now + self.round_trip + self.usual.mul_f64(LEAST_HEDGE_FACTOR);
+        let least = now + self.round_trip + self.usual.mul_f64(MIN_HEDGE_FACTOR);
         unusual.min(last_moment).max(least)
     }
 }
--- a/crates/staircross-routing/src/fair_share.rs
+++ b/crates/staircross-routing/src/fair_share.rs
@@ -12,7 +12,7 @@
 //! A node sees a few requests of a tenant in the time over which it counts, so what it sees of one tenant is mostly chance. Shares follow
 //! the counts all the same: they are wrong at one node for a moment, and right over nodes and seconds. What must hold at each node is the
 //! sum, and it does: what was taken too much or too little so far is made good with the next requests, so that the sum of all parts given
-//! is within [`MOST_OWED`] requests of what the level asks for.
+//! is within [`MAX_OWED`] requests of what the level asks for.
 //!
 //! Nothing is sent to other nodes. With one tenant, or none, each request's part is the level itself, to the last bit.
 
@@ -25,7 +25,7 @@
 const HALF_LIFE: Duration = Duration::from_secs(7);
 /// Tenants that are counted one by one; the least active make way and are counted together. Whoever asks much isn't among
 /// those, and a node takes hardly so many requests from others in the time that counts.
-const MOST_TENANTS: usize = 256;
+const MAX_TENANTS: usize = 256;
 /// Part of the level that every tenant's requests are taken with at least. Of 0, 0.5, 0.75 and 1 (which is chance alone) the greatest at
 /// which others are still served better than by chance beside a tenant that asks for 7.5 times its usual, and the only
 /// one of the first three at which the worst tenth of tenants gets within 0.05 of all in each case tried.
@@ -34,14 +34,14 @@
 /// requests.
 const OWED_GAIN: f64 = 0.1;
 /// Requests that may be owed either way: aiming at all or nothing makes good whatever is owed, so no more adds up.
-pub const MOST_OWED: f64 = 1.0 / OWED_GAIN + 1.0;
+pub const MAX_OWED: f64 = 1.0 / OWED_GAIN + 1.0;
 /// Counts are kept in units that grow by half-lives, so that only the tenant that asks is touched; at so many times, all are
 /// brought back to the first unit and those that count no more are dropped.
-const MOST_SCALE: f64 = 1e9;
+const MAX_SCALE: f64 = 1e9;
 /// Requests below which a tenant counts no more.
 const NO_DEMAND: f64 = 0.01;
 /// Steps in which the share is sought at most, and how exactly, as a part of all.
-const MOST_STEPS: usize = 40;
+const MAX_STEPS: usize = 40;
 const PRECISION: f64 = 1e-9;
 
 /// Part that is taken of `count` requests at a share.
@@ -70,7 +70,7 @@
             *count += unit;
             return;
         }
-        if self.counts.len() >= MOST_TENANTS {
+        if self.counts.len() >= MAX_TENANTS {
             self.merge_least();
         }
         self.counts.insert(tenant.cloned().unwrap_or_default(), unit);
@@ -102,7 +102,7 @@
         }
         let (mut low, mut high) = (0.0, self.counts.values().copied().fold(unit, f64::max));
         let mut share = (low + high) / 2.0;
-        for _ in 0..MOST_STEPS {
+        for _ in 0..MAX_STEPS {
             let is_cut = |count: f64| floor * count < share && share < count;
             let of_rest = self.rest * fraction_at(share, unit, floor);
             let rest_cut = if is_cut(unit) { self.rest / unit } else { 0.0 };
@@ -133,7 +133,7 @@
     fn unit(&mut self, now: BootTime) -> f64 {
         let unit_at = *self.unit_at.get_or_insert(now);
         let unit = (now.since(unit_at).as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        if unit < MOST_SCALE {
+        if unit < MAX_SCALE {
             return unit;
         }
         self.unit_at = Some(now);
--- a/crates/staircross-routing/src/goal.rs
+++ b/crates/staircross-routing/src/goal.rs
@@ -17,12 +17,12 @@
 /// What callers are taken to spend where the system doesn't tell how far they are.
 const USUAL_SPENT: Duration = Duration::from_millis(22);
 /// Most of the goal that is left to the caller's side.
-const MOST_FRACTION: f64 = 0.5;
+const MAX_FRACTION: f64 = 0.5;
 
 /// Time from a request's arrival until an answer must be on its way to be worth most.
 pub fn usable_goal(route: &RouteDefinition, link: &CallerLink) -> Duration {
     let goal = Duration::from_millis(route.goal_ms);
-    goal - spent_by_caller(link).min(goal.mul_f64(MOST_FRACTION))
+    goal - spent_by_caller(link).min(goal.mul_f64(MAX_FRACTION))
 }
 
 fn spent_by_caller(link: &CallerLink) -> Duration {
--- a/crates/staircross-routing/src/known_configuration.rs
+++ b/crates/staircross-routing/src/known_configuration.rs
@@ -11,7 +11,7 @@
 const ROUTE_BYTES: usize = 100;
 const NAME_BYTES: usize = 10;
 /// Changes of the configuration that are remembered, so that a peer that missed some is told what it lacks; and the most bytes of one.
-const MOST_DELTAS: usize = 4;
+const MAX_DELTAS: usize = 4;
 const LARGE_DELTA: usize = LARGE_CONFIGURATION / 8;
 
 /// Which newer configuration is passed on to a peer.
@@ -84,7 +84,7 @@
             return self.deltas.clear();
         };
         self.deltas.push_back(delta);
-        if self.deltas.len() > MOST_DELTAS {
+        if self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
         }
     }
--- a/crates/staircross-routing/src/known_entries.rs
+++ b/crates/staircross-routing/src/known_entries.rs
@@ -8,7 +8,7 @@
 use crate::searcher_entry::SearcherEntry;
 
 /// Entries remembered under one id. There is more than one only where an earlier start wrote after a later one.
-const MOST_STANDING: usize = 4;
+const MAX_STANDING: usize = 4;
 
 /// An entry and the revision at which it was written.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
         self.standing.retain(|known| !known.is_outdone_by(&written));
         let place = self.standing.partition_point(|known| known.revision < written.revision);
         self.standing.insert(place, written);
-        self.standing.truncate(MOST_STANDING);
+        self.standing.truncate(MAX_STANDING);
         true
     }
 
--- a/crates/staircross-routing/src/quarantine.rs
+++ b/crates/staircross-routing/src/quarantine.rs
@@ -23,14 +23,14 @@
 use std::ops::Bound;
 
 /// Contents remembered; bounds memory (some 100 KB). Suspects that have been lost least lately go first.
-const MOST_CASES: usize = 256;
+const MAX_CASES: usize = 256;
 /// Contents sent with one datagram, quarantined ones and others: some 100 bytes each.
 const SENT_QUARANTINED: usize = 3;
 const SENT_OTHERS: usize = 2;
-const MOST_SENT: usize = SENT_QUARANTINED + SENT_OTHERS;
+const MAX_SENT: usize = SENT_QUARANTINED + SENT_OTHERS;
 /// Contents suspected anew that are sent with one datagram, ahead of the others, and those that wait for it.
 const SENT_RAISED: usize = 3;
-const MOST_RAISED: usize = 16;
+const MAX_RAISED: usize = 16;
 
 /// What is thought of a content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -242,7 +242,7 @@
         self.last_sent_quarantined = quarantined.last().copied();
         self.last_sent_other = others.last().copied();
         let by_turns = quarantined.into_iter().chain(others).filter(|content| !raised.contains(content));
-        let to_send: Vec<ContentKey> = raised.iter().copied().chain(by_turns).take(MOST_SENT).collect();
+        let to_send: Vec<ContentKey> = raised.iter().copied().chain(by_turns).take(MAX_SENT).collect();
         to_send.into_iter().filter_map(|content| self.record_to_send(now, content)).collect()
     }
 
@@ -281,7 +281,7 @@
         if suspicion > before {
             self.raised.retain(|known| *known != content);
             self.raised.push_front(content);
-            self.raised.truncate(MOST_RAISED);
+            self.raised.truncate(MAX_RAISED);
         }
         (suspicion != before).then_some(SuspicionChange { content, suspicion, losses, is_raised: suspicion > before })
     }
@@ -303,11 +303,11 @@
 
     /// Makes room for a content that isn't known yet.
     fn make_room(&mut self, now: BootTime, content: ContentKey) {
-        if self.cases.len() < MOST_CASES || self.cases.contains_key(&content) {
+        if self.cases.len() < MAX_CASES || self.cases.contains_key(&content) {
             return;
         }
         self.forget_old(now);
-        if self.cases.len() >= MOST_CASES {
+        if self.cases.len() >= MAX_CASES {
             let least = self.cases.iter().min_by_key(|(_, case)| (case.suspicion(now), case.newest()));
             let least = least.map(|(content, _)| *content);
             least.map(|content| self.cases.remove(&content));
--- a/crates/staircross-routing/src/quarantine/case.rs
+++ b/crates/staircross-routing/src/quarantine/case.rs
@@ -17,7 +17,7 @@
 /// Time for which a content that was sent to peers is remembered as answered, so that they learn it too.
 pub(super) const ANSWER_MEMORY: Duration = Duration::from_secs(60);
 /// Losses remembered of one content: twice what decides.
-const MOST_LOSSES: usize = 6;
+const MAX_LOSSES: usize = 6;
 /// Losses of one content sent to peers.
 const SENT_LOSSES: usize = 4;
 /// Longest time that a datagram is taken to be on its way. What peers tell seems later by so much; without a tolerance, two nodes that tell each
@@ -98,7 +98,7 @@
             None => self.losses.push(loss),
         }
         self.losses.sort_by_key(|loss| loss.lost_at);
-        if self.losses.len() > MOST_LOSSES {
+        if self.losses.len() > MAX_LOSSES {
             let is_alive = self.losses.iter().position(|loss| loss.is_alive);
             let needless = is_alive.or_else(|| self.losses.iter().position(|loss| !self.is_proof(loss)));
             needless.map(|index| self.losses.remove(index));
--- a/crates/staircross-routing/src/quarantine/recent_answers.rs
+++ b/crates/staircross-routing/src/quarantine/recent_answers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Contents of one generation; two are kept, some 80 KB.
-const MOST_CONTENTS: usize = 2048;
+const MAX_CONTENTS: usize = 2048;
 /// Time after which a generation is full though few contents were answered: searchers may be of another version by then.
 const GENERATION_TIME: Duration = Duration::from_secs(600);
 
@@ -21,7 +21,7 @@
 impl RecentAnswers {
     /// A searcher has answered a content.
     pub fn note(&mut self, now: BootTime, content: ContentKey) {
-        if self.recent.len() >= MOST_CONTENTS || now.since(self.begun_at) >= GENERATION_TIME {
+        if self.recent.len() >= MAX_CONTENTS || now.since(self.begun_at) >= GENERATION_TIME {
             self.older = std::mem::take(&mut self.recent);
             self.begun_at = now;
         }
--- a/crates/staircross-routing/src/unreadable.rs
+++ b/crates/staircross-routing/src/unreadable.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Longest part of a key that is told.
-const MOST_KEY_CHARS: usize = 64;
+const MAX_KEY_CHARS: usize = 64;
 
 /// What an item's key stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -105,7 +105,7 @@
     /// An item at a key.
     pub fn new(kind: KeyKind, key: &str, revision: Option<u64>, reason: UnreadableReason) -> Self {
         let printable = |c: char| if c.is_control() || c.is_whitespace() { '?' } else { c };
-        let key = key.chars().take(MOST_KEY_CHARS).map(printable).collect();
+        let key = key.chars().take(MAX_KEY_CHARS).map(printable).collect();
         UnreadableItem { kind, key, revision, reason }
     }
 }
--- a/crates/staircross-search/src/latency.rs
+++ b/crates/staircross-search/src/latency.rs
@@ -8,7 +8,7 @@
 /// Samples after which an old window is dropped.
 const WINDOW: u64 = 4096;
 /// The late point is never more than this many medians.
-const MOST_MEDIANS: u32 = 4;
+const MAX_MEDIANS: u32 = 4;
 /// Samples from which a window's tail quantile is used.
 const ENOUGH_SAMPLES: u64 = 512;
 /// Largest latency told apart, in microseconds.
@@ -51,7 +51,7 @@
         self.median = Duration::from_micros(source.value_at_quantile(0.5));
         let tail = Duration::from_micros(source.value_at_quantile(HEDGE_QUANTILE));
         // Once more than a few in a hundred are slow, the tail is theirs and would excuse them all.
-        self.hedge_delay = tail.min(self.median * MOST_MEDIANS);
+        self.hedge_delay = tail.min(self.median * MAX_MEDIANS);
     }
 
     /// Latency that half of the sub-requests stay under.
--- a/crates/staircross-search/src/root/finish.rs
+++ b/crates/staircross-search/src/root/finish.rs
@@ -12,7 +12,7 @@
 /// How long a late receipt can still settle a ticket whose outcome was unknown.
 const LATE_RECEIPT_WINDOW: Duration = Duration::from_secs(60);
 /// A request with less time left than this isn't planned anew.
-const LEAST_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
+const MIN_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
 
 impl RootEngine {
     /// Ends the request if nothing more can come, or too little.
@@ -43,7 +43,7 @@
         let is_search = matches!(request.work, Work::Search(_));
         let is_page = request.page_start().is_some();
         let plans = request.excluded.len() + 1;
-        let in_time = now.until(request.deadline) > LEAST_TIME_TO_REPLAN;
+        let in_time = now.until(request.deadline) > MIN_TIME_TO_REPLAN;
         if !snapshot_gone || !is_search || is_page || !in_time || plans >= self.settings.plans_per_request {
             return false;
         }
