--- a/crates/staircross-search/src/root.rs
+++ b/crates/staircross-search/src/root.rs
@@ -121,8 +121,6 @@
     pub retries: u64,
     /// Sub-requests sent another way after an explicit "not run" that wasn't a shed.
     pub reroutes: u64,
-    /// Plans thrown away because their snapshot had gone.
-    pub replans: u64,
     /// Replies dropped because they matched nothing that was asked.
     pub foreign_replies: u64,
     /// Replies that came after the final word.
--- a/crates/staircross-search/src/root/finish.rs
+++ b/crates/staircross-search/src/root/finish.rs
@@ -66,7 +66,6 @@
             let next_attempt = request.attempts.len() as u32 + 1;
             request.restart(map, next_attempt);
         }
-        self.counters.replans += 1;
         self.plan(now, sequence, actions);
         true
     }
