--- a/crates/staircross-search/src/copies.rs
+++ b/crates/staircross-search/src/copies.rs
@@ -35,15 +35,15 @@
 }
 
 /// Suspicions against copies. Only suspected copies take memory.
+#[derive(Default)]
 pub struct CopyHealth {
-    is_on: bool,
     suspicions: HashMap<Copy, Suspicion>,
 }
 
 impl CopyHealth {
-    /// No suspicions. Switched off, none ever arises.
-    pub fn new(is_on: bool) -> Self {
-        CopyHealth { is_on, suspicions: HashMap::new() }
+    /// No suspicions.
+    pub fn new() -> Self {
+        CopyHealth::default()
     }
 
     /// Notes that these shards' replies were overtaken by those of another copy asked later.
@@ -77,9 +77,6 @@
     }
 
     fn strike(&mut self, now: BootTime, copy: Copy) {
-        if !self.is_on {
-            return;
-        }
         let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { strikes: 0, avoid_until: now });
         suspicion.strikes = suspicion.strikes.saturating_add(1);
         if suspicion.strikes >= STRIKES_TO_AVOID {
--- a/crates/staircross-search/src/root.rs
+++ b/crates/staircross-search/src/root.rs
@@ -46,10 +46,6 @@
     pub plans_per_request: usize,
     /// Late point that doesn't follow the live latency. Only for experiments that show why it should.
     pub fixed_hedge_delay: Option<Duration>,
-    /// Whether slow copies are avoided. Off only in experiments that show why it is on.
-    pub avoid_slow_copies: bool,
-    /// Whether admission is limited. Off only in experiments that show why it is on.
-    pub limit_admission: bool,
 }
 
 impl Default for RootSettings {
@@ -59,9 +55,7 @@
             latency_guess: Duration::from_millis(20),
             attempts_per_shard: 4,
             plans_per_request: 3,
-            limit_admission: true,
             fixed_hedge_delay: None,
-            avoid_slow_copies: true,
         }
     }
 }
@@ -154,7 +148,7 @@
             services: BTreeMap::new(),
             views: HashMap::new(),
             replicas: ReplicaTable::default(),
-            copies: CopyHealth::new(settings.avoid_slow_copies),
+            copies: CopyHealth::new(),
             requests: HashMap::new(),
             wakes: BinaryHeap::new(),
             unknown_actions: HashMap::new(),
--- a/crates/staircross-search/src/root/submit.rs
+++ b/crates/staircross-search/src/root/submit.rs
@@ -91,7 +91,7 @@
             self.narrow_to_target(&mut request);
         }
         let admitted = self.services.get_mut(&name).is_some_and(|service| service.limiter.try_admit());
-        if !admitted && self.settings.limit_admission {
+        if !admitted {
             let outcome = refused(ErrorKind::Overloaded, format!("service {name} has no room for another request"));
             self.give_ticket_back(now, &request, &outcome);
             return Err(outcome);
