--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -1,12 +1,13 @@
-//! Which nodes callers are sent to.
+//! Chooses the nodes that callers are sent to.
 //!
-//! Owns the choice of serving nodes and of the addresses in an answer. Relies on the fleet for the candidates and their loads, and on the
-//! engine for what searchers accept.
+//! This module owns the choice of the serving nodes and of the addresses in an answer. The fleet supplies the
+//! candidates and their loads, and the engine supplies the number of connections that searchers accept.
 //!
-//! Every serving node holds connections to every searcher of the shards that it asks, and a searcher
-//! accepts only so many. So in a large fleet some of the ready nodes serve, the same ones whichever
-//! node is asked: in each zone those with the lowest ids. The others are a reserve: they know what the
-//! serving ones know, and callers are sent to them as soon as one of those is gone or too busy.
+//! Every serving node holds connections to every searcher of the shards that it queries, and a searcher accepts a
+//! limited number of connections. So in a large fleet only some of the ready nodes serve callers: in each zone those
+//! with the lowest ids, so that every node of the fleet chooses the same ones. The other nodes are reserves: they
+//! have the same state as the serving nodes, and callers are sent to them as soon as a serving node is gone or too
+//! busy.
 
 use crate::dialect::DirectoryQuery;
 use crate::load::is_pressed;
@@ -17,32 +18,33 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Addresses in one answer: some 1.3 KB.
+/// Maximum number of addresses in one answer, which is then some 1.3 KB long.
 const MAX_ADDRESSES: usize = 64;
-/// Fraction of a searcher's connections that serving nodes are planned to use. The rest is for reserves that still hold some, and for incarnations
-/// that are gone but not yet noticed.
+/// Fraction of a searcher's connections that serving nodes are planned to use. The rest is for reserves that still
+/// hold some, and for incarnations that are gone but not yet noticed.
 const PLANNED_FRACTION: f64 = 0.9;
-/// Connections to each searcher that a serving node should have: one for its usual work, one for requests
-/// that meet, one for hedges, and half as much again. At 4.5 instead of 3 fewer nodes see more of the traffic each, and hedge better; at 5
-/// and 6 days with trouble lost again what calm ones won.
+/// Planned number of connections from each serving node to each searcher: one for its usual work, one for concurrent
+/// requests, one for hedges, and half as much again. At 4.5 instead of 3, fewer nodes each see more of the traffic
+/// and hedge better. At 5 and 6, days with faults lost what calm days had gained.
 const CONNECTIONS_PER_NODE: f64 = 4.5;
-/// Least serving nodes of a zone that has so many, so that one may go.
+/// Minimum number of serving nodes of a zone, if it has as many, so that one may fail.
 const MIN_PER_ZONE: usize = 2;
-/// Busy fraction, in percent, that serving nodes are planned to have at the most. Below that at which a node counts as pressed.
+/// Maximum busy fraction, in percent, that is planned for serving nodes. Below the fraction at which a node counts as
+/// pressed.
 const PLANNED_LOAD: usize = 40;
-/// Farther nodes that stand in for each near one that is pressed.
+/// Number of farther nodes added to an answer for each near node, if all near nodes are pressed.
 const FARTHER_PER_PRESSED: usize = 2;
 
 /// A node that callers may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its incarnation.
+    /// Id of the node's incarnation.
     pub node: NodeId,
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
     /// Busy fraction of its process, in percent.
     pub load: u8,
@@ -54,12 +56,12 @@
     }
 }
 
-/// How near a node is to a caller.
+/// How near a zone is to a caller, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Nearness {
     Zone,
     Region,
-    /// Another region, in which the host's requests may be served.
+    /// Another region, where requests for the caller's host may be served.
     Allowed,
     Elsewhere,
 }
@@ -67,7 +69,7 @@
 /// The candidates of one zone.
 #[derive(Clone, Debug, Default)]
 struct Zone {
-    /// In the order of their ids; the serving ones come first.
+    /// Candidates in the order of their ids; the first `serving` of them serve.
     nodes: Vec<Candidate>,
     serving: usize,
 }
@@ -93,15 +95,15 @@
     }
 }
 
-/// The nodes that serve callers, by zone.
+/// The candidates of all zones, divided into serving nodes and reserves.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     zones: BTreeMap<String, Zone>,
 }
 
 impl Directory {
-    /// Divides `candidates` into serving ones and reserves. `connections` is what the searcher with the
-    /// lowest bound accepts from all nodes together; without it all candidates serve.
+    /// Divides `candidates` into serving nodes and reserves. `connections` is the smallest number of connections that
+    /// any searcher accepts from all nodes together; without it, all candidates serve.
     pub fn new(candidates: Vec<Candidate>, connections: Option<u32>) -> Self {
         let total = candidates.len();
         let mut directory = Directory::default();
@@ -118,30 +120,32 @@
         directory
     }
 
-    /// Whether callers are sent to a node.
+    /// Whether callers are sent to this node.
     pub fn is_serving(&self, node: NodeId) -> bool {
         self.zones.values().any(|zone| zone.serving().iter().any(|known| known.node == node))
     }
 
-    /// Number of a node among all that serve, from 0; `None` for a reserve.
+    /// Returns the position of a node among all serving nodes, from 0; `None` for a reserve.
     pub fn serving_rank(&self, node: NodeId) -> Option<usize> {
         let serving = self.zones.values().flat_map(Zone::serving);
         serving.map(|candidate| candidate.node).position(|known| known == node)
     }
 
-    /// Serving nodes by zone.
+    /// Returns the number of serving nodes of each zone.
     pub fn serving_by_zone(&self) -> impl Iterator<Item = (&str, usize)> {
         self.zones.iter().map(|(name, zone)| (name.as_str(), zone.serving))
     }
 
-    /// Nodes that don't serve.
+    /// Returns the number of nodes that don't serve.
     pub fn reserve_count(&self) -> usize {
         self.zones.values().map(|zone| zone.nodes.len() - zone.serving).sum()
     }
 
-    /// Addresses for a caller: serving nodes of its zone, else of its region, else of the regions `allowed` for its requests,
-    /// else all. Where all of them are pressed, their reserves join them, and where there are none, farther ones with room,
-    /// though none outside the allowed regions. `allowed` is empty where requests may be served anywhere.
+    /// Returns the addresses for a caller: serving nodes of its zone, else of its region, else of the regions
+    /// `allowed` for its requests, else of all zones. If all of these nodes are pressed, the reserves of the same
+    /// zones that aren't pressed are returned instead. If there are none, all nodes of these zones are returned,
+    /// together with some farther nodes that aren't pressed, though none outside the allowed regions. `allowed` is
+    /// empty if requests may be served anywhere.
     pub fn addresses_for(&self, query: &DirectoryQuery, allowed: &[Arc<str>], rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
         let ranked = || self.zones.iter().map(|(name, zone)| (zone.nearness(query, allowed, name), zone));
         let Some(nearest) = ranked().map(|(nearness, _)| nearness).min() else {
@@ -171,7 +175,8 @@
     }
 }
 
-/// Nodes of a zone that serve: as many as the searchers' connections allow, but enough for the load.
+/// Returns how many nodes of a zone serve: as many as the searchers' connections allow, but at least enough for the
+/// load.
 fn serving_count(nodes: &[Candidate], total: usize, connections: u32) -> usize {
     let planned = f64::from(connections) * PLANNED_FRACTION / CONNECTIONS_PER_NODE;
     let by_connections = (planned * nodes.len() as f64 / total as f64).ceil() as usize;
--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -1,9 +1,9 @@
-//! Structured lines on standard output, bounded and never blocking.
+//! Structured log lines on standard output, bounded and non-blocking.
 //!
-//! Each line is `event=NAME key=value …`. [`EventLog`] owns the lines that aren't written yet; they go out in
-//! pieces. When the reader is slow, lines are dropped and counted, and the count is logged as soon as there is room.
-//! Each kind of line has its own rate, so that a flood of one doesn't drown the others. Relies on its owner to
-//! call [`EventLog::on_tick`], and on standard output being a pipe, a file or a terminal.
+//! Each line is `event=NAME key=value …`. [`EventLog`] buffers the lines and writes them in pieces. When the reader
+//! is slow, lines are dropped and counted, and the count is logged as soon as there is space. Each kind of line has
+//! its own rate limit, so that a flood of one kind doesn't displace the others. The owner must call
+//! [`EventLog::on_tick`] regularly, and standard output must be a pipe, a file or a terminal.
 
 use rustix::fs::{OFlags, fcntl_getfl, fcntl_setfl};
 use staircross_types::BootTime;
@@ -11,27 +11,28 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Bytes kept for a slow reader. What a pipe holds by default.
+/// Maximum number of bytes buffered for a slow reader. The default capacity of a pipe.
 const MAX_PENDING: usize = 64 * 1024;
-/// Bytes from which a piece is written at once, and most in one write. A pipe takes so much whole or not
-/// at all (`PIPE_BUF`), so that no line is cut.
+/// Number of buffered bytes from which they are written at once, and the maximum length of one write. A pipe accepts
+/// this many bytes whole or not at all (`PIPE_BUF`), so that no line is cut.
 const WRITE_AT: usize = 4 * 1024;
-/// Longest time that a line waits for company. So that an operator who follows the log sees lines at once.
+/// Maximum time for which a line waits for others to be written with it. Short, so that an operator who follows the
+/// log sees lines at once.
 const WRITE_AFTER: Duration = Duration::from_millis(500);
 
-/// Kinds of lines.
+/// Kinds of log lines; each kind has its own rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// Start, stop, reload, dependencies, beliefs: rare and always wanted.
+    /// Events of the node itself, and changes of what it knows of its dependencies and peers: rare and always wanted.
     Belief,
-    /// Final word on a request.
+    /// The end of a request.
     Request,
-    /// All decisions within one request that failed or lacks a part, logged together when it has ended: so
-    /// that a trace is whole.
+    /// All decisions for one request that failed or lacks a part, logged together when the request ends, so that a
+    /// trace is complete.
     Trace,
-    /// The same of a request that was answered in full, though not straight away.
+    /// All decisions for a request that was answered in full, but only after further decisions such as a retry.
     AnsweredTrace,
-    /// What was dropped and why.
+    /// Something that the node dropped, with the reason.
     Drop,
 }
 
@@ -39,18 +40,19 @@
     const ALL: [LineKind; 5] =
         [LineKind::Belief, LineKind::Request, LineKind::Trace, LineKind::AnsweredTrace, LineKind::Drop];
 
-    /// Lines a second, of traces requests a second; as many may come at once.
+    /// Returns the number of lines (for traces: requests) that may be logged in one second.
     fn rate(self) -> u32 {
         match self {
-            // Lets through what a large fleet's start brings: what comes in numbers is logged together.
+            // Enough for the start of a large fleet, whose many changes are logged as counts.
             LineKind::Belief => 400,
-            // A node of a large fleet, which sees a few requests a second, logs them all; a busy one's log is a sample.
+            // A node of a large fleet gets a few requests a second and logs them all; a busy node logs a sample.
             LineKind::Request => 150,
-            // Below the requests, because each has many lines: the failed ones of a bad second are enough to see why.
+            // Lower than the rate of requests, because each trace has many lines. The failed requests of a bad second
+            // are enough to see the cause.
             LineKind::Trace => 60,
-            // A sample: nobody looks for the cause of an answer in full.
+            // A sample is enough: complete answers are rarely investigated.
             LineKind::AnsweredTrace => 10,
-            // A sample: a drop repeats what its sender does, and is counted elsewhere.
+            // A sample is enough: drops repeat as their sender repeats itself, and are counted elsewhere.
             LineKind::Drop => 50,
         }
     }
@@ -66,7 +68,7 @@
     }
 }
 
-/// What is left of a kind's rate in this second.
+/// The remaining lines of a kind in the present second.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
     tokens: u32,
@@ -74,7 +76,7 @@
     held_back: u64,
 }
 
-/// Where lines go.
+/// The buffered event log of a node.
 pub struct EventLog {
     node: String,
     pending: Vec<u8>,
@@ -85,7 +87,7 @@
 }
 
 impl EventLog {
-    /// A log whose lines name `node`.
+    /// Creates a log whose lines contain the name `node`.
     pub fn new(node: &str, is_enabled: bool) -> Self {
         make_non_blocking();
         let full = |kind: LineKind| Allowance { tokens: kind.rate(), refilled_at: BootTime::default(), held_back: 0 };
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Adds a line if its kind's rate allows.
+    /// Adds a line if the rate limit of its kind allows it.
     pub fn line(&mut self, now: BootTime, kind: LineKind, text: Arguments<'_>) {
         if !self.is_enabled || !self.take_token(now, kind) {
             return;
@@ -107,7 +109,8 @@
         self.push(now, text);
     }
 
-    /// Adds the lines of a request's trace, each with the time of its decision, if the rate of traces allows.
+    /// Adds the lines of a request's trace, each with the time of its decision, if the rate limit of `kind` allows
+    /// it.
     pub fn trace<'a>(&mut self, now: BootTime, kind: LineKind, lines: impl Iterator<Item = (BootTime, &'a str)>) {
         if !self.is_enabled || !self.take_token(now, kind) {
             return;
@@ -146,7 +149,7 @@
         self.oldest.get_or_insert(now);
     }
 
-    /// Writes what is due.
+    /// Writes the buffered lines if they are due.
     pub fn on_tick(&mut self, now: BootTime) {
         let is_due = self.oldest.is_some_and(|oldest| now.since(oldest) >= WRITE_AFTER);
         if is_due || self.pending.len() >= WRITE_AT {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Writes as much as the reader takes.
+    /// Writes as many buffered lines as the reader accepts.
     pub fn flush(&mut self, now: BootTime) {
         while !self.pending.is_empty() {
             let piece = &self.pending[..whole_lines(&self.pending, WRITE_AT)];
@@ -173,7 +176,7 @@
     }
 }
 
-/// Length of the lines that fit into `most` bytes; a longer line stands alone.
+/// Returns the length of the whole lines that fit into `most` bytes; a longer first line is returned alone.
 fn whole_lines(buf: &[u8], most: usize) -> usize {
     if buf.len() <= most {
         return buf.len();
@@ -183,7 +186,8 @@
     fitting.or_else(|| buf.iter().position(end)).map_or(buf.len(), |last| last + 1)
 }
 
-/// A full pipe must never hold up requests. Where the flag can't be set, output is a file or a terminal.
+/// Makes standard output non-blocking, so that a full pipe never delays requests. If the flag can't be set, the
+/// output is a file or a terminal.
 fn make_non_blocking() {
     if let Ok(flags) = fcntl_getfl(rustix::stdio::stdout()) {
         let _best_effort = fcntl_setfl(rustix::stdio::stdout(), flags | OFlags::NONBLOCK);
--- a/crates/staircross-gateway/src/lib.rs
+++ b/crates/staircross-gateway/src/lib.rs
@@ -1,26 +1,26 @@
-//! The runtime for routed requests: one thread, sockets and clocks around the sans-IO engines.
+//! The runtime of a gateway node: one thread with sockets and clocks around the sans-IO engines.
 //!
-//! | module | job |
+//! | module | task |
 //! | --- | --- |
-//! | [`settings`] | a node's settings, checked at load |
-//! | [`dialect`] | what the surroundings call things: header names, paths, store calls |
-//! | [`socket`] | one non-blocking stream with its outgoing bytes, and the tokens of events |
-//! | [`round_trip`] | how far a peer is, as the kernel has measured it |
-//! | [`server`] | connections that requests come in on |
+//! | [`settings`] | a node's settings, validated when they are loaded |
+//! | [`dialect`] | names and formats that depend on the environment: header names, paths, store calls |
+//! | [`socket`] | one non-blocking stream with its outgoing bytes, and the poll tokens of sockets |
+//! | [`round_trip`] | a peer's round-trip time, as measured by the kernel |
+//! | [`server`] | incoming connections |
 //! | [`pool`] | connections to searchers |
-//! | [`peer_answers`] | answers sent to peers within the last second |
-//! | [`case_pushes`] | when requests that end searchers are pushed to peers at once |
-//! | [`http_call`] | one outgoing call at a time, to the store or a peer |
-//! | [`outbound`] | what of a request is sent on, and how answers are written |
-//! | [`fleet`] | members, announcements, what this node may spend of what they share |
-//! | [`directory`] | which nodes callers are sent to |
+//! | [`peer_answers`] | sizes of the answers sent to peers within the last second |
+//! | [`case_pushes`] | rate limit of pushes to peers about requests that end searchers |
+//! | [`http_call`] | one outgoing HTTP call at a time, to the store or a peer |
+//! | [`outbound`] | the parts of a request that are sent on, and the format of answers |
+//! | [`fleet`] | members, announcements, and this node's share of the fleet's common limits |
+//! | [`directory`] | the choice of the nodes that callers are sent to |
 //! | [`store_role`] | whether this node reads the store or follows a peer that does |
-//! | [`load`] | how busy this process is, and how late it comes to its work |
-//! | [`node`] | the event loop that carries events and actions between all of these |
-//! | [`recorder`] | records decisions, if asked to |
+//! | [`load`] | the busy share of this process, and the delay with which it handles its work |
+//! | [`node`] | the event loop that connects all of these |
+//! | [`recorder`] | writes the engine's decisions to a file, if the settings ask for it |
 //! | [`traffic`] | bytes sent and received, by purpose and distance |
-//! | [`event_log`], [`metrics`], [`tenant_metrics`] | structured lines, counters |
-//! | [`unreadable_log`] | which items of the store that can't be used have been logged |
+//! | [`event_log`], [`metrics`], [`tenant_metrics`] | structured log lines and counters |
+//! | [`unreadable_log`] | the unusable items of the store that have been logged |
 
 pub mod case_pushes;
 pub mod dialect;
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -1,11 +1,11 @@
-//! The event loop that carries events and actions between sockets and engines.
+//! The event loop of a gateway node: it passes events from sockets to the engines and carries out their actions.
 //!
-//! One thread, one poll. A turn takes signals, then the events of sockets in `TURN_ORDER`, then what is due
-//! by the clock; every `TICK` it looks besides at what has no exact time of its own.
+//! The loop has one thread and one poll. Each turn handles signals first, then socket events in the order of
+//! `TURN_ORDER`, then everything that is due by the clock. Work without an exact due time is done every `TICK`.
 //!
-//! [`GatewayNode`] owns the sockets (server, pool, calls to the store and to peers, datagrams) and the engines that
-//! decide; it carries what comes in to the engines, and carries out what they order. It relies on the engines being
-//! sans-IO: they get the time with each event and never block. The modules below carry one subject each.
+//! [`GatewayNode`] owns the sockets (server, searcher pool, calls to the store and to peers, datagrams) and the
+//! engines, which make the decisions. The engines are sans-IO: they get the current time with each event and never
+//! block. Each submodule handles one subject.
 
 mod attempts;
 mod caller_request;
@@ -64,31 +64,33 @@
 use stop::StopState;
 use store_calls::StoreCalls;
 
-/// Order in which the events of one turn are handled, by kind of socket. A process that wakes late finds old
-/// and new events side by side in any order.
+/// Order in which the socket events of one turn are handled, by kind of socket. When the process wakes late, old and
+/// new events arrive together in arbitrary order.
 const TURN_ORDER: [&[SocketKind]; 3] = [
-    // What has changed, so that whatever is decided in this turn is decided by it.
+    // Updates from the store and from peers come first, so that every decision of this turn uses them.
     &[SocketKind::Store, SocketKind::Peer, SocketKind::Datagrams],
-    // Answers of searchers, so that requests in flight end, and what searchers report counts for the next ones.
+    // Searcher answers come next, so that requests in flight end and the reported load counts for the next requests.
     &[SocketKind::Searcher],
-    // New requests, last.
+    // New requests come last.
     &[SocketKind::Listener, SocketKind::Inbound],
 ];
-// A kind without a place would never be handled.
+// Events of a kind that isn't in `TURN_ORDER` would never be handled.
 const _: () = assert!(TURN_ORDER[0].len() + TURN_ORDER[1].len() + TURN_ORDER[2].len() == SocketKind::ALL.len());
 
-/// Events taken from the poll at once; those beyond come with the next turn. For the descriptors that a node has by default.
+/// Maximum number of events that one poll returns; the next turn gets the others. Matches the default number of
+/// descriptors of a node (1024).
 const EVENTS: usize = 1024;
-/// Events handled before the clock is read again, so that a long turn doesn't take its start for now. So that reading the clock costs little beside
-/// the work.
+/// Number of events after which the clock is read again, so that the time stays current in a long turn. Large enough
+/// that reading the clock costs little beside the work.
 const EVENTS_PER_CLOCK: usize = 16;
-/// Time between looks at what has no exact time of its own: sweeps, readiness, roles, summaries. Short beside what it looks at, which takes some
-/// hundred milliseconds and more.
+/// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. Short beside
+/// the timeouts that it checks, which are some hundred milliseconds and longer.
 const TICK: Duration = Duration::from_millis(50);
-/// Gap between two turns from which it is logged that the process stood still. Far above what the loop sleeps, which is at most [`TICK`].
+/// Gap between two turns from which the process counts as stalled, which is logged. Far longer than the loop sleeps,
+/// which is at most [`TICK`].
 const LATE_TURN: Duration = Duration::from_secs(1);
 
-/// A node.
+/// A gateway node: its sockets, its engines and the loop that connects them.
 pub struct GatewayNode<D: Dialect> {
     dialect: D,
     settings: GatewaySettings,
@@ -96,7 +98,7 @@
     stop: Option<StopState>,
 
     poll: Poll,
-    /// Room that all sockets read into.
+    /// Read buffer that all sockets share.
     buffer: Box<[u8; READ_CHUNK]>,
     /// Time of the event that is being handled.
     now: BootTime,
@@ -117,29 +119,29 @@
     mirror: Mirror,
 
     fleet: Fleet,
-    /// Pulls from one peer at a time.
+    /// HTTP client for pulls from peers, one peer at a time.
     peer: HttpCaller,
-    /// Answers sent to peers lately.
+    /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
-    /// Whether requests under which searchers were lost are to be sent to peers at once, and when they may be.
+    /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
     case_pushes: CasePushes,
 
     log: EventLog,
     log_limits: LogLimits,
     metrics: Metrics,
-    /// Bytes to and from store and peers.
+    /// Bytes exchanged with the store, and with peers in pulls.
     traffic: Traffic,
     recorder: Option<Recorder>,
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Runs until a planned stop is done.
+    /// Runs the event loop until a planned stop is complete.
     pub fn run(mut self) -> Result<(), GatewayError> {
         let mut events = Events::with_capacity(EVENTS);
         while !self.is_stopped() {
             match self.poll.poll(&mut events, Some(self.time_to_wait())) {
                 Ok(()) => {}
-                // A signal; whatever it asks for is looked at below.
+                // A signal interrupted the poll; `take_signals` handles it below.
                 Err(error) if error.kind() == ErrorKind::Interrupted => events.clear(),
                 Err(error) => return Err(io_error("poll")(error)),
             }
@@ -159,7 +161,7 @@
         Ok(())
     }
 
-    /// Time until something is due.
+    /// Returns the time until the next timer or tick is due.
     fn time_to_wait(&self) -> Duration {
         let wakes = [
             self.engine.next_wake(),
@@ -172,7 +174,7 @@
         clock::now().until(due.map_or(self.next_tick, |due| due.min(self.next_tick)))
     }
 
-    /// Logs a gap between turns: then this process, not the others, stood still.
+    /// Logs a long gap between two turns. Such a gap means that this process stood still, not its peers.
     fn note_pause(&mut self) {
         let gap = self.load.gap();
         if gap >= LATE_TURN {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Handles the events of sockets of these kinds.
+    /// Handles the events of sockets of the given kinds.
     fn on_sockets(&mut self, kinds: &[SocketKind], events: &Events) {
         let decoded = events.iter().filter_map(|event| Some((SocketId::from_token(event.token())?, event)));
         let ours = decoded.filter(|(id, _)| kinds.contains(&id.kind));
@@ -203,13 +205,14 @@
         }
     }
 
-    /// What is due by the clock, after all that came in: what came may have made it undue.
+    /// Handles everything that is due by the clock. This follows the socket events because they may have made a timer
+    /// obsolete.
     fn on_time(&mut self) {
         self.now = clock::now();
         self.engine_event(RoutingEvent::Tick);
         self.on_pool_time();
         self.on_store_time();
-        // All that this turn brought goes out together.
+        // Pushed last, so that one push carries everything that this turn has brought.
         self.push_cases();
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
@@ -217,25 +220,26 @@
         }
     }
 
-    /// What has no exact time of its own.
+    /// Does the work that has no exact due time.
     fn on_coarse_tick(&mut self) {
         self.sweep_server();
         self.sweep_pool();
-        // Who of the members lives decides who reads the store, and that whether a peer is asked instead.
+        // Which members are alive decides who reads the store, and the store role decides whether a peer is asked
+        // instead.
         self.on_fleet_tick();
         self.decide_store_role();
         self.ask_better_informed();
-        // What the node finds of itself follows from what it knows now.
+        // The node's own status is derived from the updates above.
         self.note_configuration_view();
         self.update_readiness();
         self.on_stop_tick();
         self.look_at_settings();
-        // Lines last, so that this tick's are among those written.
+        // Log lines are written last, so that those of this tick are included.
         self.log_summary();
         self.log.on_tick(self.now);
     }
 
-    /// Sockets' context for one call.
+    /// Returns the context that the sockets need for one call.
     fn io<'a>(
         now: BootTime,
         poll: &'a Poll,
@@ -247,7 +251,7 @@
         IoContext { now, registry: poll.registry(), buffer, limits }
     }
 
-    /// Times that the configuration gives callers.
+    /// Returns the head and idle timeouts that the configuration sets for callers' connections.
     fn server_times(&self) -> ServerTimes {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
         ServerTimes {
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: what the engine orders at the pool, and what the pool reports of them.
+//! Attempts: passes the engine's orders to the searcher pool, and the pool's reports to the engine.
 //!
-//! Relies on the pool for connections and on the engine for every decision; it owns nothing. Each call of the pool may
-//! end attempts at once, so what it reports is taken in before anything else happens.
+//! This module owns no state. It relies on the pool for connections and on the engine for every decision. Each call
+//! of the pool may end attempts at once, so its events are handled before anything else.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -11,8 +11,9 @@
 use staircross_routing::engine::{AbandonCause, RoutingEvent, SendOrder, SendReason};
 use std::time::Duration;
 
-/// Rest of connections to searchers at a node that serves no callers: others need them. Far below the rest at nodes that serve, so that a node that
-/// has just become a reserve lets go soon.
+/// Time for which a node that serves no callers keeps an idle connection to a searcher; other nodes need the
+/// connections. Far shorter than on nodes that serve, so that a node that has just become a reserve releases its
+/// connections soon.
 const RESERVE_REST: Duration = Duration::from_secs(2);
 
 impl<D: Dialect> GatewayNode<D> {
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -1,7 +1,8 @@
-//! Callers' requests while they are worked on, and what was decided for each.
+//! Callers' requests in flight, and the trace of the decisions for each.
 //!
-//! [`CallerRequests`] owns them, by the key under which the engine knows them and by the connection that waits. A
-//! connection has one request at a time: the server reads on only when it has written the answer.
+//! [`CallerRequests`] owns them and finds them by the engine's request key and by the connection that waits for the
+//! answer. A connection has one request at a time: the server reads the next one only after it has written the
+//! answer.
 
 use crate::outbound::OutboundRequest;
 use crate::socket::SocketId;
@@ -10,7 +11,7 @@
 use staircross_types::BootTime;
 use std::sync::Arc;
 
-/// All requests whose callers wait.
+/// All requests whose callers wait for an answer.
 pub(super) struct CallerRequests {
     by_key: HashMap<RequestKey, CallerRequest>,
     by_connection: HashMap<SocketId, RequestKey>,
@@ -22,7 +23,7 @@
         CallerRequests { by_key: HashMap::new(), by_connection: HashMap::new(), next_key: 1 }
     }
 
-    /// A key that no request of this process has had.
+    /// Returns a key that no earlier request of this process has had.
     pub fn next_key(&mut self) -> RequestKey {
         let key = RequestKey(self.next_key);
         self.next_key += 1;
@@ -38,24 +39,24 @@
         self.by_key.get_mut(&key)
     }
 
-    /// Whether nobody waits.
+    /// Whether no caller waits for an answer.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// All of them, in the order in which they came.
+    /// Returns the keys of all requests in order of arrival.
     pub fn keys(&self) -> Vec<RequestKey> {
         let mut keys: Vec<RequestKey> = self.by_key.keys().copied().collect();
         keys.sort_unstable();
         keys
     }
 
-    /// The request whose answer a connection waits for.
+    /// Returns the key of the request whose answer a connection waits for.
     pub fn key_of(&self, connection: SocketId) -> Option<RequestKey> {
         self.by_connection.get(&connection).copied()
     }
 
-    /// Ends a request: nobody waits for it any more.
+    /// Removes a request and returns it; its caller no longer waits for an answer from here on.
     pub fn take(&mut self, key: RequestKey) -> Option<CallerRequest> {
         let request = self.by_key.remove(&key)?;
         self.by_connection.remove(&request.connection);
@@ -63,24 +64,24 @@
     }
 }
 
-/// A request whose caller waits.
+/// A request whose caller waits for the answer.
 pub(super) struct CallerRequest {
     pub connection: SocketId,
     pub outbound: OutboundRequest,
     pub route: Option<Arc<str>>,
-    /// Whose it is.
+    /// Name of the tenant to which the request's key belongs.
     pub tenant: Option<Arc<str>>,
-    /// What was asked for, where no route or no tenant was known when the request came.
+    /// Host and path of the request, kept if its route or tenant was unknown at its arrival.
     pub unrouted: Option<Target>,
     pub version: u64,
     pub arrived: BootTime,
     pub keeps_alive: bool,
-    /// Attempts besides the first of each shard.
+    /// Number of attempts beyond the first one of each shard.
     pub extras: u32,
     pub trace: Trace,
 }
 
-/// What a route is found by.
+/// Host and path, by which a route is found.
 pub(super) struct Target {
     pub host: String,
     pub path: String,
@@ -91,12 +92,12 @@
         self.outbound.id.as_deref().and_then(|id| std::str::from_utf8(id).ok()).unwrap_or("-")
     }
 
-    /// Its tenant's name, for logs.
+    /// Returns the tenant's name for logs, or `-`.
     pub fn tenant_name(&self) -> &str {
         self.tenant.as_deref().unwrap_or("-")
     }
 
-    /// What it asks for, as quarantine counts it.
+    /// Returns the content key under which quarantine counts this request.
     pub fn content(&self) -> ContentKey {
         self.outbound.content.of_tenant(self.tenant.as_deref())
     }
@@ -106,13 +107,14 @@
     }
 }
 
-/// Decisions within a request, kept until it ends.
+/// Log lines of the decisions for one request, kept until it ends.
 #[derive(Default)]
 pub(super) struct Trace {
     lines: Vec<(BootTime, String)>,
 }
 
-/// Decisions kept for one request; further ones are not logged. So that the hedges and retries of a request to many shards fit.
+/// Maximum number of decisions kept for one request; further ones are not logged. Enough for the hedges and retries
+/// of a request to many shards.
 const MAX_TRACE: usize = 96;
 
 impl Trace {
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -1,10 +1,10 @@
-//! Lines on changes of what the node believes of members and searchers, bounded.
+//! Rate-limited log lines on changes of members, searchers, suspicions and alarms.
 //!
-//! When a large fleet starts, each node learns of every member and every searcher. A line for each would make the volume grow
-//! with the square of the fleet, and the lines that matter would be lost among them. So single changes have lines
-//! of their own, and what comes in numbers is logged together.
+//! When a large fleet starts, each node learns of every member and every searcher. With a line for each, the log
+//! volume would grow with the square of the fleet's size, and the important lines would be lost in it. So only a few
+//! changes get lines of their own, and the others are logged as counts.
 //!
-//! [`MemberLog`] owns what was counted of members; what changed is found by the fleet, the mirror and the engine.
+//! [`MemberLog`] owns the counts of member changes. The fleet, the mirror and the engine detect the changes.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -16,14 +16,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes of members that have lines of their own within one span; those beyond are counted, and logged together when it ends.
+/// Maximum number of member changes logged in single lines within one span; further ones are counted and logged
+/// together when the span ends.
 const SINGLE_MEMBERS: usize = 5;
-/// Time within which changes of members are counted together. So that an operator who follows the log sees them at once.
+/// Length of the span over which member changes are counted. Short, so that an operator who follows the log sees the
+/// counts at once.
 const SPAN: Duration = Duration::from_secs(1);
-/// Changes of searchers learned at once that have lines of their own; more, such as a listing, are logged in one.
+/// Maximum number of searcher changes in one update that are logged in single lines; a larger update, such as a
+/// listing, is logged in one line.
 const SINGLE_SEARCHERS: usize = 5;
 
-/// Changes of members within the present span.
+/// Member changes within the current span.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLog {
     span_began: BootTime,
@@ -31,7 +34,7 @@
     held: MemberCounts,
 }
 
-/// Changes of members, by the state that they led to.
+/// Numbers of member changes by the state that the member changed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct MemberCounts {
     alive: usize,
@@ -52,7 +55,7 @@
 }
 
 impl MemberLog {
-    /// Whether one more change has a line of its own now.
+    /// Counts one more change, and returns whether it gets a line of its own.
     fn may_log(&mut self, now: BootTime) -> bool {
         if now.since(self.span_began) >= SPAN {
             self.span_began = now;
@@ -62,7 +65,7 @@
         self.logged <= SINGLE_MEMBERS
     }
 
-    /// What was counted in a span that is over.
+    /// Returns and clears the counts of a span that is over; `None` if the span is still open or nothing was counted.
     fn take_held(&mut self, now: BootTime) -> Option<MemberCounts> {
         let is_over = now.since(self.span_began) >= SPAN;
         let held = std::mem::take(if is_over { &mut self.held } else { return None });
@@ -71,7 +74,7 @@
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Logs a change of a member, or counts it.
+    /// Logs a member's change, or counts it if the span has had enough single lines.
     pub(super) fn note_member(&mut self, member: &Member) {
         if !self.log_limits.members.may_log(self.now) {
             return self.log_limits.members.held.count(member.state);
@@ -83,7 +86,7 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// Logs the changes that were counted.
+    /// Logs the counted member changes once their span is over.
     pub(super) fn log_held_members(&mut self) {
         let Some(MemberCounts { alive, leaving, suspect, gone }) = self.log_limits.members.take_held(self.now) else {
             return;
@@ -94,7 +97,7 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// Logs what a merge has changed of the searchers.
+    /// Logs the searchers that a merge has added, changed or removed.
     pub(super) fn note_searchers(&mut self, changes: &MirrorChanges, source: &str) {
         if changes.searchers.len() + changes.gone.len() > SINGLE_SEARCHERS {
             return self.note_listing(changes, source);
@@ -112,13 +115,14 @@
         }
     }
 
-    /// Logs which zones' searchers get no new work from now on.
+    /// Logs the zones that are now evacuated: their searchers get no new work.
     pub(super) fn note_evacuated(&mut self, zones: &[Arc<str>], source: &str) {
         let line = format_args!("event=evacuated zones={} source={source}", zones.join(","));
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// Logs what is believed of a content now, and has it sent to peers at once where each moment may cost another searcher.
+    /// Logs a change of a content's suspicion. An urgent change is also scheduled for a push to peers, since any
+    /// delay may cost another searcher.
     pub(super) fn note_suspicion(&mut self, change: SuspicionChange, is_by_peers: bool) {
         let SuspicionChange { content, suspicion, losses, .. } = change;
         let source = if is_by_peers { "peer" } else { "own" };
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Logs that requests of a route have ended searchers lately, or do so no more.
+    /// Logs that an alarm is raised for a route, because its requests have ended searchers lately, or that it is
+    /// cleared.
     pub(super) fn note_alarm(&mut self, route: &str, is_raised: bool) {
         self.log.line(self.now, LineKind::Belief, format_args!("event=alarm route={route} raised={is_raised}"));
     }
--- a/crates/staircross-gateway/src/node/configuration_view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -1,6 +1,7 @@
-//! How old what the node knows of the configuration may be, and what that means for callers' keys.
+//! How long ago the node's configuration was last confirmed, and whether keys may be judged by it.
 //!
-//! Owns nothing: the fleet knows until when the configuration was confirmed, the settings how long ago that may be.
+//! This module owns no state: the fleet knows when the configuration was last confirmed, and the settings say how
+//! long ago that may be.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -9,7 +10,7 @@
 use std::time::Duration;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// What requests that need a key are judged by now.
+    /// Returns the view by which requests that need a key are judged now.
     pub(super) fn configuration_view(&self) -> ConfigurationView {
         match (self.is_view_too_old(), self.settings.bounds.revoke_strict) {
             (false, _) => ConfigurationView::Current,
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Whether keys may have been revoked for longer than the settings allow without this node's knowing.
+    /// Whether a key may have been revoked longer ago than the settings allow without this node's knowledge.
     fn is_view_too_old(&self) -> bool {
         let Some(revoke_ms) = self.settings.bounds.revoke_ms else {
             return false;
@@ -28,7 +29,8 @@
         self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > most)
     }
 
-    /// Logs when the view becomes too old, and when it is confirmed again; only where there are tenants.
+    /// Logs when the last confirmation becomes too old, and when the configuration is confirmed again. Only nodes
+    /// with tenants log this.
     pub(super) fn note_configuration_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
         let is_old = has_tenants && self.is_view_too_old();
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -1,6 +1,7 @@
-//! The node's own endpoints: readiness, directory, peers, metrics.
+//! The endpoints that the node answers itself: readiness, directory, peers, metrics.
 //!
-//! Each answers at once from what the node knows: owns nothing, and relies on the dialect for the form of readiness and directory.
+//! Each request is answered at once from the node's present state. This module owns no state, and relies on the
+//! dialect for the format of the readiness and directory endpoints.
 
 use super::GatewayNode;
 use super::knowledge::{ANY_SIZE, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
@@ -14,8 +15,9 @@
 use staircross_routing::{PeerKnowledge, TakenConfiguration};
 use staircross_wire::frame::encode;
 
-/// Large answers to peers that go out within a second. The narrowest links seen carry 14 Mbit/s. Measured together with reading large
-/// configurations from the store: on days of a large configuration answers 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
+/// Maximum number of large answers to peers within a second. The narrowest links seen carry 14 Mbit/s. Measured
+/// together with reading large configurations from the store: on days with a large configuration, answers with status
+/// 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
 const LARGE_ANSWERS: usize = 2;
 
 impl<D: Dialect> GatewayNode<D> {
@@ -56,7 +58,7 @@
         context.plain(200, body.content_type, &body.bytes)
     }
 
-    /// Sends a peer what it lacks.
+    /// Answers a peer's pull with the updates that the peer lacks.
     fn changes(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         let Some(peer) = known_by_peer(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Which configuration an asker is sent now: more would fill this node's link, and callers' requests go over the same.
+    /// Returns the largest configuration that a peer may be sent now. A larger one would fill this node's link, which
+    /// also carries callers' requests.
     fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
@@ -109,7 +112,7 @@
     }
 }
 
-/// What a peer's question says of itself.
+/// Parses the target of a pull; returns what the peer knows already, or `None` if the target is malformed.
 fn known_by_peer(target: &str) -> Option<PeerKnowledge> {
     let (revision, rest) = target.strip_prefix(CHANGES_TARGET)?.split_once(VERSION_FIELD)?;
     let (rest, takes) = match rest.strip_suffix(ANY_SIZE) {
--- a/crates/staircross-gateway/src/node/error.rs
+++ b/crates/staircross-gateway/src/node/error.rs
@@ -1,28 +1,28 @@
-//! Why a node can't start or go on.
+//! Errors that keep a node from starting or running.
 //!
-//! What goes wrong while a node runs is logged, and the node goes on; only a poll that fails ends it.
+//! Errors at run time are logged and the node continues; only a failing poll ends it.
 
 use crate::settings::SettingsError;
 use quick_error::quick_error;
 use std::io;
 
 quick_error! {
-    /// Why a gateway node can't start.
+    /// The reason why a gateway node can't start, or why its event loop failed.
     #[derive(Debug)]
     pub enum GatewayError {
-        /// A setting is invalid.
+        /// The settings can't be read, or one of them is invalid.
         Settings(error: SettingsError) {
             from()
             display("{error}")
         }
-        /// An address can't be listened on, or the system lacks something.
+        /// An address can't be bound, or another system call failed.
         Io { what: String, error: io::Error } {
             display("{what}: {error}")
         }
     }
 }
 
-/// Makes an error of the system one that says `what` failed.
+/// Returns a function that wraps a system error and says `what` failed.
 pub(super) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> GatewayError {
     let what = what.into();
     move |error| GatewayError::Io { what, error }
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -1,18 +1,23 @@
-//! What the node knows, and the way of a change from the store, or from a peer, to the decision.
+//! How updates from the store and from peers reach the routing engine.
 //!
-//! Owns the glue only: what is known stands in the mirror, what peers are sent in the fleet, what is decided upon in the engine. Relies on
-//! the store reader for when the store is called, and on the store role for whether it is.
+//! This module only connects other components: the mirror holds the known state, the fleet announces it to peers, and
+//! the engine decides by it. The store reader decides when the store is called, and the store role whether it is
+//! called at all.
 //!
-//! A change takes one of two ways in, and one way on:
+//! An update passes through these steps:
 //!
-//! 1. *From the store* ([`store`]): the role gives the reader its mode, the reader says which calls are due, the node makes them and hands
-//!    back each reply; what a reply holds comes back as [`ReaderAction::Learned`](staircross_routing::store_reader::ReaderAction::Learned).
-//! 2. *From a peer* ([`peers`]): each datagram announces the sender's version and revisions ([`fleet`]); a node that is behind pulls what
-//!    it lacks from one that is ahead, and has the reader go on from the revision that it got that way.
-//! 3. *Merged* ([`GatewayNode::learn`]): the mirror merges by revision and version, so that neither the order nor the way matters, and
-//!    returns what was new.
-//! 4. *In force*: what was new goes to the engine as events, in the same turn of the loop. The next decision is made by it.
-//! 5. *Published*: a designated reader announces its new revisions to its followers at once; they pull, as in 2.
+//! 1. *From the store* ([`store`]): the role sets the reader's mode, the reader says which calls are due, and the
+//!    node makes them and hands back each reply. The reader returns the contents of a reply as
+//!    [`ReaderAction::Learned`](staircross_routing::store_reader::ReaderAction::Learned).
+//! 2. *Or from a peer* ([`peers`]): each datagram announces the sender's version and revisions ([`fleet`]). A node
+//!    that is behind pulls the missing updates from a node that is ahead. Its reader then continues from the revision
+//!    that the pull has reached.
+//! 3. *Merged* ([`GatewayNode::learn`]): the mirror merges by revision and version, so neither the order nor the
+//!    source matters, and returns the changes.
+//! 4. *Applied*: the changes go to the engine as events in the same turn of the event loop, so the next decision uses
+//!    them.
+//! 5. *Published*: a designated reader announces its new revisions to its followers at once; they pull them as in
+//!    step 2.
 
 mod fleet;
 mod peers;
@@ -29,12 +34,13 @@
 use std::sync::Arc;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Merges what was learned, puts what was new in force, and publishes it. `source` is a lane or a peer, for the log.
+    /// Merges an update, applies the changes and publishes them. `source` is the store lane or `peer`, for the log.
     fn learn(&mut self, update: MirrorUpdate, source: &str) {
         self.note_unreadable(&update.unreadable, source);
         let mut changes = self.mirror.merge(update);
         let configuration = changes.configuration.take();
-        // Evacuations first and the configuration last: requests that were held for want of it are sent as it comes into force.
+        // Evacuations are applied first and the configuration last: requests that were held until the configuration
+        // is known are sent as soon as it is applied.
         if let Some(zones) = changes.evacuated.take() {
             self.note_evacuated(&zones, source);
             self.engine_event(RoutingEvent::Evacuated(zones));
--- a/crates/staircross-gateway/src/node/knowledge/fleet.rs
+++ b/crates/staircross-gateway/src/node/knowledge/fleet.rs
@@ -1,7 +1,7 @@
-//! The node among its peers: their datagrams, its own, and what follows from a change of members.
+//! Exchange with peers: incoming and outgoing datagrams, and the effects of membership changes.
 //!
-//! Owns no state: members, announcements and the directory stand in the fleet. Relies on the engine for the requests under which
-//! searchers were lost, which go out with the datagrams.
+//! This module owns no state: the fleet holds members, announcements and the directory. The engine supplies the
+//! records of requests during which searchers were lost; datagrams carry them to peers.
 
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
@@ -27,7 +27,8 @@
             self.log.line(self.now, LineKind::Belief, line);
         }
         self.fleet.set_load(self.load.percent(), &mut events);
-        // Not the records of a push in the same turn: they take turns, and each tick's datagrams carry the next.
+        // These aren't the records of a push in the same turn: the records take turns, and the datagrams of each tick
+        // carry the next ones.
         self.fleet.set_cases(self.engine.case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
         self.take_fleet_events(events);
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Pushes the requests under which searchers were lost to some peers at once, if there are updates, and not too often.
+    /// Pushes the records of requests during which searchers were lost to some peers at once, if there are updates
+    /// and the rate limit allows it.
     pub(in crate::node) fn push_cases(&mut self) {
         if !self.case_pushes.take(self.now) {
             return;
--- a/crates/staircross-gateway/src/node/knowledge/peers.rs
+++ b/crates/staircross-gateway/src/node/knowledge/peers.rs
@@ -1,7 +1,7 @@
-//! Pulls: what a node that is behind asks of a peer that is ahead.
+//! Pulls: a node that is behind asks a peer that is ahead for the missing updates.
 //!
-//! Owns the question's form and the one pull that may be out. Relies on the fleet for which peer is ahead, and on the mirror for what this
-//! node has already; the answer is written in `peer_answers`.
+//! This module owns the format of the request target; one pull at a time is in flight. The fleet says which peer is
+//! ahead, and the mirror what this node has already. `endpoints` answers the pulls of peers.
 
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
@@ -15,22 +15,22 @@
 use staircross_wire::frame::decode;
 use std::time::Duration;
 
-/// Silence after which a pull is given up and counts as failed. Above a round trip between regions and the time that a peer's link needs for a
-/// configuration that is passed on, and below the bounds on updates.
+/// Silence after which a pull is given up and counts as failed. Longer than a round trip between regions plus the
+/// time that a peer's link needs for a configuration that is passed on, and shorter than the bounds on updates.
 const PEER_PATIENCE: Duration = Duration::from_millis(900);
-/// Target at which peers are asked for what changed after a revision.
+/// Prefix of the request target of a pull; the revision after which changes are wanted follows it.
 pub(in crate::node) const CHANGES_TARGET: &str = "/changes?after=";
-/// Names the version of the configuration that the asker has, after the revision.
+/// Parameter after the revision: the version of the configuration that the pulling node has.
 pub(in crate::node) const VERSION_FIELD: &str = "&version=";
-/// Names the revision up to which the asker knows evacuations, after the version.
+/// Parameter after the version: the revision up to which the pulling node knows evacuations.
 pub(in crate::node) const EVACUATIONS_FIELD: &str = "&evacuations=";
-/// Ends the question of an asker that takes a configuration however large.
+/// Suffix of the target if the pulling node accepts a configuration of any size.
 pub(in crate::node) const ANY_SIZE: &str = "&any-size";
-/// Status of an answer that holds an update.
+/// HTTP status of an answer that holds an update.
 const OK: u16 = 200;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Pulls what this node lacks from a peer that is ahead, unless a pull is out.
+    /// Pulls missing updates from a peer that is ahead, unless a pull is in flight.
     pub(in crate::node) fn ask_better_informed(&mut self) {
         if self.peer.is_calling() {
             return;
@@ -61,11 +61,12 @@
         }
     }
 
-    /// Takes what a peer sent. Where that leaves the node behind, or nothing came, it reads the store by itself.
+    /// Applies a peer's answer. If the pull failed, the node reads the store itself for a while; if the configuration
+    /// is still behind, the node reads that once from the store.
     pub(super) fn on_peer_outcome(&mut self, outcome: CallOutcome) {
         let peer = self.peer.address();
         self.traffic.count(Purpose::Pulls, self.fleet.reach_of_address(peer), self.peer.take_bytes());
-        // An answer that can't be read is no update; the line below logs it as not understood.
+        // An answer that can't be decoded holds no update; the line below logs it with `understood=false`.
         let update = match &outcome {
             CallOutcome::Answered(answer) if answer.head.status == OK => decode::<MirrorUpdate>(&answer.body).ok(),
             CallOutcome::Answered(_) | CallOutcome::Failed => None,
--- a/crates/staircross-gateway/src/node/knowledge/store.rs
+++ b/crates/staircross-gateway/src/node/knowledge/store.rs
@@ -1,7 +1,8 @@
-//! The node's calls to the store: its role, the calls that are due, and their replies.
+//! Calls to the store: the node's store role, the calls that are due, and their replies.
 //!
-//! Owns no decision: the role keeper says whether the store is read, the store reader which calls are due, the dialect how they are
-//! written. Relies on one caller of HTTP for each lane, so that a call that hangs holds up no other lane.
+//! This module makes no decisions: the store role says whether the store is read, the store reader which calls are
+//! due, and the dialect how they are written. Each lane has its own HTTP client, so that a call that hangs doesn't
+//! block the other lanes.
 
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
@@ -12,7 +13,8 @@
 use staircross_routing::store_reader::{Lane, ReaderAction, StoreReply};
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Decides whether the node reads the store or follows a reader of its region, and has the reader ask accordingly.
+    /// Decides whether the node reads the store or follows a reader of its region, and sets the store reader's mode
+    /// to match.
     pub(in crate::node) fn decide_store_role(&mut self) {
         if let Some(heartbeat) = self.fleet.newest_heartbeat() {
             self.role.note_heartbeat(heartbeat);
@@ -30,7 +32,7 @@
         self.take_reader_actions(actions);
     }
 
-    /// Ends calls whose time is over, and makes those that are due.
+    /// Ends the calls that have timed out, and makes those that are due.
     pub(in crate::node) fn on_store_time(&mut self) {
         for (index, lane) in Lane::ALL.into_iter().enumerate() {
             if let Some(outcome) = self.store.callers[index].on_tick(self.now) {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Hands the reader a call's reply, or that there was none.
+    /// Passes a call's reply, or its failure, to the store reader.
     fn on_store_outcome(&mut self, lane: Lane, outcome: CallOutcome) {
         let call = self.store.pending[lane as usize].take();
         self.traffic.count(Purpose::Store, Reach::Unknown, self.store.callers[lane as usize].take_bytes());
@@ -115,8 +117,9 @@
         self.take_reader_actions(actions);
     }
 
-    /// The store answered a probe: what is known is confirmed up to the probe where a watch of the configuration was out by then, and
-    /// followers get a heartbeat where both watches are served.
+    /// Handles the store's answer to a probe. The configuration is confirmed as of the probe if a watch of it was
+    /// already in flight by then. A designated reader sends its followers a heartbeat if the store serves both
+    /// watches.
     fn on_store_alive(&mut self) {
         self.role.note_probe_answered(self.now);
         let [watched_at, _, probed_at] = self.store.called_at;
--- a/crates/staircross-gateway/src/node/log_limits.rs
+++ b/crates/staircross-gateway/src/node/log_limits.rs
@@ -1,14 +1,14 @@
-//! What bounds the lines that a node would write without end.
+//! State that limits how many log lines a node writes.
 //!
-//! It owns what was logged of members and of unreadable items, and when the next summary is due; `change_log`, `unreadable`
-//! and `summary` write the lines.
+//! This module owns the record of the members and unreadable items that were logged, and the time of the next
+//! summary. `change_log`, `unreadable` and `summary` write the lines.
 
 use super::change_log::MemberLog;
 use super::summary::SUMMARY_EVERY;
 use crate::unreadable_log::UnreadableLog;
 use staircross_types::BootTime;
 
-/// What was logged lately of what comes in numbers.
+/// State of the limits on log lines about members, unreadable items and summaries.
 pub(super) struct LogLimits {
     pub members: MemberLog,
     pub unreadable: UnreadableLog,
--- a/crates/staircross-gateway/src/node/operator.rs
+++ b/crates/staircross-gateway/src/node/operator.rs
@@ -1,6 +1,7 @@
-//! What the operator asks of a running node: signals, and a settings file that changes.
+//! Requests of the operator to a running node: signals, and changes of the settings file.
 //!
-//! It owns the flags that signal handlers set and the file, and says what is asked now; `stop` and `reload` carry it out.
+//! This module owns the settings file and the flags that signal handlers set, and reports what is requested. `stop`
+//! and `reload` carry it out.
 
 use crate::settings::{GatewaySettings, SettingsError, SettingsFile};
 use staircross_types::BootTime;
@@ -8,19 +9,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Time between looks at the settings file. Small beside the bound on configurations, and so that a look costs nothing.
+/// Interval at which the settings file is checked for changes. Short beside the bound on configuration updates, and
+/// long enough that the checks cost next to nothing.
 const FILE_LOOK: Duration = Duration::from_secs(1);
 
-/// What the outside asks of a running node.
+/// Flags that a signal handler sets to control a running node.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Stop as planned.
+    /// Requests a planned stop.
     pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
+    /// Requests a reload of the settings.
     pub reload: Arc<AtomicBool>,
 }
 
-/// Signals and the settings file.
+/// The operator's inputs: signal flags and the settings file.
 #[derive(Debug)]
 pub(super) struct Operator {
     signals: Signals,
@@ -33,17 +35,17 @@
         Operator { signals, file, next_look: now }
     }
 
-    /// Whether a stop has been asked for since this was asked last.
+    /// Returns whether a stop was requested since the last call, and clears the request.
     pub fn take_stop(&self) -> bool {
         self.signals.stop.swap(false, Ordering::AcqRel)
     }
 
-    /// Whether a reload has been asked for since this was asked last.
+    /// Returns whether a reload was requested since the last call, and clears the request.
     pub fn take_reload(&self) -> bool {
         self.signals.reload.swap(false, Ordering::AcqRel)
     }
 
-    /// Whether the file has changed, where it is time to look.
+    /// Whether the settings file has changed; checks it only when the next check is due.
     pub fn sees_change(&mut self, now: BootTime) -> bool {
         if now < self.next_look {
             return false;
@@ -52,7 +54,7 @@
         self.file.has_changed()
     }
 
-    /// Reads and checks the file.
+    /// Reads and validates the settings file.
     pub fn load(&mut self) -> Result<GatewaySettings, SettingsError> {
         self.file.load()
     }
--- a/crates/staircross-gateway/src/node/recording.rs
+++ b/crates/staircross-gateway/src/node/recording.rs
@@ -1,7 +1,8 @@
-//! Recording what the engine takes in and decides.
+//! Records the engine's events and decisions.
 //!
-//! Each event is taken down before the engine handles it and written with its decisions, so that a replay can compare them. The file
-//! is owned by [`Recorder`]; where it can't be written or is full, recording ends with a line and the node goes on.
+//! Each event is captured before the engine handles it, and written together with the resulting decisions, so that a
+//! replay can compare them. [`Recorder`] owns the file. When the file can't be written or is full, the recording ends
+//! with a log line and the node continues.
 
 use super::GatewayNode;
 use super::error::{GatewayError, io_error};
@@ -12,7 +13,7 @@
 use staircross_routing::engine::{RoutingAction, RoutingEvent, RoutingSettings};
 use staircross_routing::recording::{Decision, Record, RecordedEvent, RecordedSettings, RecordedTurn};
 
-/// Bytes of a megabyte in `node.record_mb`.
+/// Bytes per megabyte of the setting `node.record_mb`.
 const MEGABYTE: u64 = 1 << 20;
 
 /// Begins a recording if the settings ask for one.
@@ -23,12 +24,13 @@
     let create = || io_error(format!("node.record {}", path.display()));
     let mut recorder = Recorder::create(path, settings.node.record_mb * MEGABYTE).map_err(create())?;
     let first = Record::Begin(RecordedSettings::new(&settings.node.name, routing));
-    // A file too short for its beginning holds nothing to replay.
+    // If the size limit doesn't even allow the first record, there is nothing to replay and nothing is recorded.
     Ok(recorder.write(&first).is_ok().then_some(recorder))
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// The event as it will be recorded; `None` where nothing is, or where it changes nothing.
+    /// Returns the event in the form in which it is recorded; `None` without a recording, and for a tick at which the
+    /// engine has nothing due.
     pub(super) fn to_record(&self, event: &RoutingEvent) -> Option<RecordedEvent> {
         self.recorder.as_ref()?;
         let is_idle_tick =
@@ -36,7 +38,7 @@
         (!is_idle_tick).then(|| event.into())
     }
 
-    /// Records an event and what the engine wanted done.
+    /// Records an event and the engine's decisions.
     pub(super) fn record(&mut self, event: RecordedEvent, actions: &[RoutingAction]) {
         let decisions = actions.iter().filter_map(Decision::in_action).collect();
         let turn = RecordedTurn { at: self.now, event, decisions };
@@ -51,7 +53,7 @@
 
     fn end_recording_on(&mut self, outcome: Result<(), RecordingEnd>) {
         if let Err(end) = outcome {
-            // Dropping it writes out what is buffered.
+            // Dropping the recorder writes out the buffered records.
             self.recorder = None;
             let line = format_args!("event=recording_ended cause={}", end.name());
             self.log.line(self.now, LineKind::Belief, line);
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -1,7 +1,8 @@
-//! Settings that change while the node runs.
+//! Reloads the settings while the node runs.
 //!
-//! What of them is in force at once: the bounds, the silence that is borne, the store's address. Listeners stay as they are, and
-//! what was read at the start. Relies on `operator` for the file.
+//! Bounds, the longest silence of readers that a follower tolerates, and the store's address take effect at once.
+//! Listener addresses stay as they are, and so does everything that is only read at the start. This module relies on
+//! `operator` for the file.
 
 use super::GatewayNode;
 use super::setup::{cold_bound, extra_bound, quota_bound};
@@ -13,14 +14,14 @@
 use std::net::SocketAddr;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Settings may change without any signal.
+    /// Reloads the settings if their file has changed, without waiting for a signal.
     pub(super) fn look_at_settings(&mut self) {
         if self.operator.sees_change(self.now) {
             self.reload();
         }
     }
 
-    /// Takes changed settings; bad ones are refused and everything stays as it is.
+    /// Reads and applies the settings; invalid ones are rejected and all old settings stay in force.
     pub(super) fn reload(&mut self) {
         let settings = match self.operator.load() {
             Ok(settings) => settings,
@@ -29,7 +30,7 @@
                 return self.log.line(self.now, LineKind::Belief, line);
             }
         };
-        // Addresses that are in use can't be moved without cutting somebody off.
+        // Changing a listener's address would cut its connections.
         let keeps_addresses = settings.listen == self.settings.listen;
         let line = format_args!("event=reload outcome=taken addresses_unchanged={keeps_addresses}");
         self.log.line(self.now, LineKind::Belief, line);
@@ -49,7 +50,7 @@
         self.settings = GatewaySettings { listen: self.settings.listen.clone(), ..settings };
     }
 
-    /// The store has moved: everything is read anew there.
+    /// Switches to another address of the store, and reads everything again from there.
     fn follow_store(&mut self, address: SocketAddr) {
         self.store.set_address(address);
         self.reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.role.role().mode());
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -1,7 +1,7 @@
-//! What is logged of callers' requests: their decisions, kept until they end, and their ends.
+//! Log lines on callers' requests: the decisions for each, and its end.
 //!
-//! A `note_…` function adds to the trace of its request, which is logged when the request ends and only where its end
-//! warrants that; a `log_…` function writes a line at once. Relies on `caller_request` for the traces.
+//! A `note_…` function adds a line to its request's trace. The trace is written when the request ends. A `log_…`
+//! function writes a line at once. This module relies on `caller_request` for the traces.
 
 use super::GatewayNode;
 use super::caller_request::CallerRequest;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// One line for a decision within a request: what, for which request, how long after its arrival.
+    /// Adds a decision to its request's trace, with the request's id and the time since its arrival.
     pub(super) fn note_decision(&mut self, request: RequestKey, text: fmt::Arguments<'_>) {
         let Some(pending) = self.requests.get_mut(request) else {
             return;
@@ -27,7 +27,7 @@
         pending.trace.add(self.now, line);
     }
 
-    /// An attempt besides the first of a shard is sent.
+    /// Traces an attempt that is sent in addition to the first one of its shard.
     pub(super) fn note_sent(&mut self, order: &SendOrder) {
         let (attempt, reason, instance) = (order.attempt.number, order.reason.name(), &order.instance);
         let reported = Reported(order.reported);
@@ -35,13 +35,13 @@
         self.note_decision(order.attempt.request, text);
     }
 
-    /// An attempt that was wanted isn't made.
+    /// Traces an attempt that was wanted but isn't made.
     pub(super) fn note_unsent(&mut self, request: RequestKey, service: &str, reason: SendReason, cause: UnsentCause) {
         let (reason, cause) = (reason.name(), cause.name());
         self.note_decision(request, format_args!("event=unsent service={service} reason={reason} cause={cause}"));
     }
 
-    /// A request ends without a part of a shard.
+    /// Traces that a request ends without a shard's part.
     pub(super) fn note_left_out(
         &mut self,
         request: RequestKey,
@@ -53,12 +53,12 @@
         self.note_decision(request, format_args!("event=left_out service={service} asked={asked} cause={cause}"));
     }
 
-    /// A request waits until this node knows what it needs.
+    /// Traces that a request waits until this node has the state that it needs.
     pub(super) fn note_held(&mut self, request: RequestKey, cause: HoldCause) {
         self.note_decision(request, format_args!("event=held cause={}", cause.name()));
     }
 
-    /// A request came while its route was on alarm, or its first probe has moved on.
+    /// Traces that a request arrived while an alarm was raised for its route, or that its first probe has advanced.
     pub(super) fn note_probe(&mut self, request: RequestKey, step: ProbeStep) {
         let name = step.name();
         match step.alarm_age() {
@@ -70,35 +70,36 @@
         }
     }
 
-    /// A request's key lets nobody in.
+    /// Traces that a request's key was rejected.
     pub(super) fn note_key_refused(&mut self, request: RequestKey, cause: KeyRefusal) {
         self.note_decision(request, format_args!("event=key_refused cause={}", cause.name()));
     }
 
-    /// A request is refused because too much waits at its services.
+    /// Traces that a request is refused because too much work waits at its services.
     pub(super) fn note_not_admitted(&mut self, request: RequestKey, group: &str, fraction: f64) {
         self.note_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
     }
 
-    /// An attempt has ended; an answer that counts is in the line of the request's own end.
+    /// Traces the end of an attempt. A successful answer has no line here: the line of the request's own end covers
+    /// it.
     pub(super) fn note_attempt_ended(&mut self, attempt: AttemptKey, outcome: &AttemptOutcome) {
         let Some(what) = notable_end(outcome) else {
             return;
         };
         let number = attempt.number;
-        // Only an attempt that the engine has forgotten has no searcher: its line goes without the name.
+        // Only an attempt that the engine no longer knows has no searcher; its line has an empty name.
         let searcher = self.engine.instance_of(attempt).cloned().unwrap_or_default();
         let text = format_args!("event=attempt_ended attempt={number} searcher={searcher} {what}");
         self.note_decision(attempt.request, text);
     }
 
-    /// A searcher's answer belonged to another request.
+    /// Logs that a searcher sent an answer with another request's id, which was skipped.
     pub(super) fn log_skipped(&mut self, searcher: SearcherKey) {
         let line = format_args!("event=answer_skipped searcher={} reason=other_id", searcher.0);
         self.log.line(self.now, LineKind::Drop, line);
     }
 
-    /// What is taken of the work offered to a group of services has changed.
+    /// Logs a change of the fraction of work that is admitted to a group of services.
     pub(super) fn log_admission(&mut self, group: &str, change: &AdmissionChange) {
         let AdmissionChange { level, wait, tolerable } = change;
         let (wait, tolerable) = (wait.as_millis(), tolerable.as_millis());
@@ -107,7 +108,7 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// A tenant has become limited at this node, or is free again.
+    /// Logs that a tenant has become limited by its quota at this node, or no longer is.
     pub(super) fn log_quota(&mut self, change: &QuotaChange) {
         let QuotaChange { tenant, is_limited, pass, is_stranded, substitute } = change;
         let substitute = substitute.map_or_else(|| "-".to_owned(), |node| node.to_string());
@@ -117,7 +118,7 @@
         self.log.line(self.now, LineKind::Belief, line);
     }
 
-    /// A caller left before its request had an answer.
+    /// Logs that a caller disconnected before its request was answered.
     pub(super) fn log_caller_gone(&mut self, pending: &CallerRequest) {
         self.log_trace(pending, LineKind::AnsweredTrace);
         let took = self.now.since(pending.arrived).as_millis();
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A request has its verdict.
+    /// Logs and counts the end of a request.
     pub(super) fn log_finished(&mut self, pending: &CallerRequest, verdict: &Verdict) {
         let is_whole = match verdict {
             Verdict::Merged(merged) => merged.missing == 0,
@@ -178,7 +179,7 @@
     }
 }
 
-/// What a searcher reported last of its load, as the end of a line.
+/// Formats the load that a searcher last reported, as the end of a log line.
 struct Reported(Option<ReportedAt>);
 
 impl fmt::Display for Reported {
@@ -190,7 +191,8 @@
     }
 }
 
-/// What is logged of an attempt's end; an answer that counts is in the line of the request's own end.
+/// Describes an attempt's end for the trace; `None` for a successful answer, which the line of the request's own end
+/// covers.
 fn notable_end(outcome: &AttemptOutcome) -> Option<String> {
     match outcome {
         AttemptOutcome::Answered(answer) if answer.status < 300 => None,
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -1,7 +1,8 @@
-//! Callers' requests: from their connection to the engine, and from its verdict to the answer.
+//! Callers' requests, from the arrival at the server to the answer.
 //!
-//! Relies on the server for whole requests, on the engine for every decision, and on `attempts` for what is sent to
-//! searchers. What is kept of a request until its end is owned by [`CallerRequests`](super::caller_request::CallerRequests).
+//! This module relies on the server for complete requests, on the engine for every decision, and on `attempts` for
+//! everything that is sent to searchers. [`CallerRequests`](super::caller_request::CallerRequests) owns the state of
+//! each request until it ends.
 
 use super::GatewayNode;
 use super::caller_request::{CallerRequest, Target, Trace};
@@ -17,12 +18,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How the answer to a request ends.
+/// How the answer to a request is sent.
 #[derive(Clone, Copy)]
 struct Ending {
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after the answer.
     closes: bool,
-    /// Whether it goes without its body.
+    /// Whether the answer has no body because the request's method is `HEAD`.
     is_head: bool,
 }
 
@@ -72,7 +73,7 @@
         self.engine_event(RoutingEvent::Arrived(arrival));
     }
 
-    /// What the engine decides a request by.
+    /// Collects the facts by which the engine decides about a request.
     fn arrival(&self, key: RequestKey, head: &RequestHead, outbound: &OutboundRequest, link: CallerLink) -> Arrival {
         let patience = head.headers.text(self.dialect.headers().deadline_ms).and_then(|text| text.parse::<u64>().ok());
         Arrival {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What the node keeps of a request until its end.
+    /// Creates the state that the node keeps of a request until it ends.
     fn caller_request(
         &self,
         connection: SocketId,
@@ -100,7 +101,7 @@
         arrival: &Arrival,
     ) -> CallerRequest {
         let (route, tenant) = self.identify(&arrival.host, &arrival.path, arrival.credential);
-        // A newer configuration may know what this one doesn't.
+        // A newer configuration may contain the route or the tenant.
         let is_nobodys = tenant.is_none() && arrival.credential != Credential::Missing;
         let target = || Target { host: arrival.host.clone(), path: arrival.path.clone() };
         let unrouted = (route.is_none() || is_nobodys).then(target);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Names of the route and the tenant of a request, for the log.
+    /// Returns the names of a request's route and tenant, for logs and metrics.
     fn identify(&self, host: &str, path: &str, credential: Credential) -> (Option<Arc<str>>, Option<Arc<str>>) {
         let found = self.engine.table().and_then(|table| Some((table, table.find_index(host, path)?)));
         let Some((table, index)) = found else {
@@ -133,7 +134,7 @@
         self.engine.table().map_or(0, |table| table.version())
     }
 
-    /// Names the route and the tenant of a request that was held until they were known.
+    /// Sets the route and tenant names of a request that arrived before they were known.
     fn name_held_route(&self, pending: &mut CallerRequest) {
         let Some(target) = pending.unrouted.take() else {
             return;
@@ -162,13 +163,14 @@
         self.refuse_connection(connection, kind);
     }
 
-    /// Refuses what never became a request, and ends the connection.
+    /// Refuses a connection that sent no valid request in time, and closes it.
     fn refuse_connection(&mut self, connection: SocketId, kind: ErrorKind) {
         self.refuse_unread(connection, kind, Ending { closes: true, is_head: false });
     }
 
-    /// Refuses a request that comes too late in a planned stop. Its connection is kept for as long as callers can connect: whoever goes on asking
-    /// would make a new one for each request, and one that is made as the listener closes is reset.
+    /// Refuses a request that arrives too late in a planned stop. Its connection stays open while callers can still
+    /// connect: otherwise a caller that goes on sending would make a new connection for each request, and one that is
+    /// made just as the listener closes is reset.
     fn refuse_leaving(&mut self, connection: SocketId, is_head: bool) {
         let ending = Ending { closes: !self.is_listening_to_callers(), is_head };
         self.refuse_unread(connection, ErrorKind::Leaving, ending);
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -1,7 +1,7 @@
-//! Starts a node: reads its settings, binds its addresses, and makes its components.
+//! Starts a node: reads its settings, binds its addresses and builds its components.
 //!
-//! Addresses are bound before anything is logged or recorded, so that a node that can't start leaves nothing behind. Owns
-//! nothing once the node runs; `reload` uses the bounds again.
+//! Addresses are bound before anything is logged or recorded, so that a failed start leaves nothing behind. This
+//! module owns no state. `reload` uses its bounds as well.
 
 use super::caller_request::CallerRequests;
 use super::error::{GatewayError, io_error};
@@ -40,22 +40,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the start of a process that isn't the fleet's first during which fresh connections to searchers are proved: its machine may have lost
-/// power, and searchers still hold the connections of its earlier incarnation. For the time that searchers take to notice.
+/// Time after a restart during which fresh connections to searchers are proved. The machine may have lost power, and
+/// searchers may still hold connections of the earlier incarnation; this time lets them notice. It doesn't apply to
+/// the first start of the whole fleet.
 const STARTUP: Duration = Duration::from_secs(20);
-/// Time after the start of such a process during which it looks for searchers again soon after each update on them. For the searchers that come back
-/// one by one after a loss of power.
+/// Time after a restart during which the node looks for searchers again soon after each update on them, since
+/// searchers return one by one after a loss of power.
 const READER_STARTUP: Duration = Duration::from_secs(3);
-/// Longest answer of a searcher, in bytes. So that one answer is a small share of a process's default memory.
+/// Maximum length of a searcher's answer, in bytes, so that one answer is a small share of the process's default
+/// memory.
 const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Reads the settings and binds all addresses. `signals` are looked at while the node runs.
+    /// Reads the settings, binds all addresses and builds the node. The node checks `signals` while it runs.
     ///
     /// # Errors
     ///
-    /// Where the settings can't be read or hold a value that isn't allowed, an address can't be bound, or the recording
-    /// that they ask for can't be created.
+    /// Returns an error if the settings can't be read or hold an invalid value, if an address can't be bound, or if
+    /// the recording that the settings ask for can't be created.
     pub fn start(mut settings_file: SettingsFile, dialect: D, signals: Signals) -> Result<Self, GatewayError> {
         let settings = settings_file.load()?;
         let now = clock::now();
@@ -113,7 +115,7 @@
     Ok(socket)
 }
 
-/// The log, with its first line.
+/// Creates the log and writes its first line.
 fn begin_log(now: BootTime, node: NodeId, settings: &GatewaySettings) -> EventLog {
     let mut log = EventLog::new(&settings.node.name, settings.node.log);
     let (zone, store) = (&settings.node.zone, settings.store.address);
@@ -139,7 +141,8 @@
     Fleet::new(identity, settings.node.seeds.clone(), datagrams, now).with_policy(settings.policy.node)
 }
 
-/// At the first start of a fleet nobody reads before it knows its region; later a process reads once by itself.
+/// Creates the store reader. At the first start of a fleet, no node reads the store before it knows its region; after
+/// a restart, each node reads the store once.
 fn store_reader(now: BootTime, settings: &GatewaySettings) -> StoreReader {
     let reader = StoreReader::new(settings.reader());
     if settings.node.first_start {
@@ -153,7 +156,7 @@
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
 
-/// The listeners, each with the name of its setting.
+/// Returns the listener addresses, each with its endpoint and the name of its setting.
 fn listeners(settings: &GatewaySettings) -> Vec<(Endpoint, &'static str, SocketAddr)> {
     let listen = &settings.listen;
     let mut all = vec![
@@ -186,7 +189,7 @@
     }
 }
 
-/// The engine's settings, with the random numbers that make this incarnation a node of its own.
+/// Returns the engine's settings. They include the random seed and the new node id of this incarnation.
 fn routing_settings(now: BootTime, settings: &GatewaySettings) -> RoutingSettings {
     let node = new_id(settings, rand::rng().random());
     let regions = settings.zones.iter();
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,32 +1,34 @@
-//! What the node last found of itself: ready, pressed, serving, sure of its configuration.
+//! The node's status as last evaluated: ready, pressed, serving, sure of its configuration.
 //!
-//! [`NodeStatus`] owns the findings; each is logged when it changes. Here is when a node is ready; `knowledge` finds
-//! whether it is pressed and serving, `configuration_view` whether it is sure of its configuration.
+//! [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
+//! `knowledge` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
+//! confirmed.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
 use std::time::Duration;
 
-/// Time that a node waits for a whole listing of the searchers before it is ready with less. So that a node is of use where no listing comes, and
-/// after the usual time in which one does.
+/// Time for which a starting node waits for a complete listing of the searchers before it becomes ready with an
+/// incomplete one. Longer than a listing usually takes, and bounded so that the node is useful even where no listing
+/// arrives.
 const LISTING_PATIENCE: Duration = Duration::from_secs(3);
 
-/// What the node last found of itself.
+/// The node's status as last evaluated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct NodeStatus {
-    /// Whether there is enough to serve by, as readiness says.
+    /// Whether the node has enough state to serve requests, as the readiness endpoint reports.
     pub is_ready: bool,
-    /// Whether it is so busy that callers are better sent elsewhere.
+    /// Whether the node is so busy that callers should be sent to other nodes.
     pub is_pressed: bool,
-    /// Whether the directory sends callers here.
+    /// Whether the directory sends callers to this node.
     pub is_serving: bool,
-    /// Whether the configuration hasn't been confirmed for longer than it may be.
+    /// Whether the configuration was last confirmed longer ago than the settings allow.
     pub is_view_old: bool,
 }
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Ready when there is something to serve by.
+    /// Evaluates readiness; a change is logged and announced to peers.
     pub(super) fn update_readiness(&mut self) {
         let is_ready = self.knows_enough() && self.stop.is_none();
         if is_ready == self.status.is_ready {
@@ -40,8 +42,8 @@
         self.take_fleet_events(events);
     }
 
-    /// Whether there is a configuration and a listing. Half a listing answers half the requests; but a part is better than
-    /// nothing for long.
+    /// Whether the node has a configuration and a listing of searchers. Half a listing answers only half the
+    /// requests, but after `LISTING_PATIENCE` a partial listing is better than none.
     fn knows_enough(&self) -> bool {
         let knows_all = self.mirror.has_listing();
         let knows_some = self.mirror.searchers().next().is_some() && self.now.since(self.started) >= LISTING_PATIENCE;
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -1,12 +1,19 @@
-//! A planned stop: announced at once, carried out when callers have gone elsewhere.
+//! Planned stop: the node announces that it leaves, and stops once callers have gone to other nodes.
 //!
-//! First requests are served as ever, then they are refused as not run. When nothing is under way, or the end is near, callers' listeners close, so
-//! that connecting is refused, and each refusal closes its connection. When no connection has been used for a while either, the node ends. What is
-//! under way when the process would soon be killed is answered. A caller that connects late, or goes on using its connection, is so answered and
-//! never cut.
+//! A stop passes through these phases:
 //!
-//! [`StopState`] owns the times of a stop in progress. Relies on the settings for the time until the process is killed, and on
-//! callers keeping an answer of the directory no longer than they may.
+//! 1. Requests are still served, while callers may hold this node's address from the directory.
+//! 2. New requests are refused as not executed.
+//! 3. When no request is in flight, or the deadline is near, the callers' listeners close, so that new connections
+//!    are refused. From then on, each refusal closes its connection.
+//! 4. When no caller's connection has been used for a while either, the node ends.
+//! 5. At the deadline, shortly before the process would be killed, the requests still in flight are answered with a
+//!    timeout.
+//!
+//! So a caller that connects late or goes on using its connection gets an answer and is never cut off.
+//!
+//! [`StopState`] owns the times of a stop in progress. This module relies on the settings for the time until the
+//! process is killed, and on callers not keeping an answer of the directory for longer than allowed.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -17,35 +24,36 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// Times the stated time to live for which callers may keep an answer of the directory. Given by the platform.
+/// Factor on the stated time to live for which callers may keep an answer of the directory. The platform sets it.
 const DIRECTORY_KEPT: u32 = 3;
-/// Shortest time to live of the directory's answers, so that callers don't ask before most requests.
+/// Minimum time to live of the directory's answers, so that callers don't have to ask before most of their requests.
 const MIN_DIRECTORY_TTL: Duration = Duration::from_millis(250);
-/// Longest time to live of the directory's answers, whatever the settings allow: callers are to leave a dead node soon.
+/// Maximum time to live of the directory's answers, whatever the settings allow, so that callers soon leave a dead
+/// node.
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
-/// Time kept free before the process would be killed, for a late wake-up and the last writes.
+/// Reserve before the time at which the process would be killed, for a late wake-up and the last writes.
 const KILL_GUARD: Duration = Duration::from_millis(500);
-/// Time kept free besides for requests that were taken last: above the time that callers usually give.
+/// Further reserve for the requests that were accepted last. Longer than callers usually wait.
 const LAST_REQUESTS: Duration = Duration::from_millis(1500);
-/// Looks in a row that find nothing to do before the listeners close. Looks and not time: after a pause of
-/// this process, requests may wait in its sockets that it hasn't read.
+/// Number of consecutive idle ticks after which the listeners close. This counts ticks rather than time: after a
+/// pause of this process, requests may wait unread in its sockets.
 const IDLE_LOOKS: u32 = 3;
-/// Time for which all connections of callers must have rested at the end. Callers that rest longer between requests see the end of the
-/// connection before they send.
+/// Time for which all callers' connections must have been idle before the node ends. Callers that pause longer
+/// between requests see that the connection has ended before they send again.
 const LAST_REST: Duration = Duration::from_millis(500);
-/// Time before the last moment at which the listeners close though requests are under way: callers who go on asking must each be answered once more
-/// and find no way back.
+/// Time before the deadline at which the listeners close even with requests in flight. It must be long enough to
+/// answer each caller that goes on sending once more, after which the caller can't connect again.
 const LAST_CLOSING: Duration = Duration::from_millis(1000);
-// Whoever connects until then is refused, and not taken.
+// By the time the listeners close, requests on new connections must already be refused.
 const _: () = assert!(LAST_CLOSING.as_millis() < LAST_REQUESTS.as_millis());
 
 /// A planned stop in progress.
 pub(super) struct StopState {
-    /// Until when requests are still taken from callers who hold this node's address.
+    /// Until when requests are still accepted, since callers may hold this node's address.
     takes_until: BootTime,
-    /// When the listeners close whatever is in flight.
+    /// When the listeners close even with requests in flight.
     closes_by: BootTime,
-    /// When the node ends whatever is in flight.
+    /// Deadline at which the node ends even with requests in flight.
     latest: BootTime,
     idle_looks: u32,
     has_closed_listeners: bool,
@@ -95,7 +103,7 @@
         let has_ended = stop.has_closed_listeners && is_idle && self.server.have_callers_rested(now, LAST_REST);
         let is_latest = now >= stop.latest;
         if is_latest && !self.requests.is_empty() {
-            // Their answers go out before the next tick ends the node.
+            // The answers are written before the next tick ends the node.
             return self.answer_in_flight();
         }
         stop.is_done = has_ended || is_latest;
@@ -106,7 +114,8 @@
         }
     }
 
-    /// Answers what can't be waited for any longer: its callers are told that it may have run.
+    /// Answers all requests in flight with a timeout, since the node can't wait any longer; the answer says that the
+    /// request may have run.
     fn answer_in_flight(&mut self) {
         for key in self.requests.keys() {
             let detail = "the node stops and can't wait any longer; the request may have run";
@@ -115,18 +124,18 @@
         }
     }
 
-    /// Whether what comes now is refused as not run: its end could not be waited for.
+    /// Whether new requests are refused as not executed, because the node couldn't wait for their end.
     pub(super) fn is_closed_to_requests(&self) -> bool {
         self.stop.as_ref().is_some_and(|stop| self.now >= stop.takes_until)
     }
 
-    /// Whether callers can connect.
+    /// Whether the callers' listeners are open.
     pub(super) fn is_listening_to_callers(&self) -> bool {
         self.stop.as_ref().is_none_or(|stop| !stop.has_closed_listeners)
     }
 
-    /// Time to live of the directory's answers, such that they have left a
-    /// stopping node while it can still finish what it took from them.
+    /// Returns the time to live of the directory's answers. It is short enough that callers have left a stopping node
+    /// while the node can still finish the requests that it accepted from them.
     pub(super) fn directory_ttl(&self) -> Duration {
         let bounds = &self.settings.bounds;
         let grace = Duration::from_secs_f64(bounds.stop_s);
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -1,8 +1,8 @@
-//! Calls to the store, one at a time in each lane.
+//! The calls to the store that are in flight, at most one in each lane.
 //!
-//! Owns the connections and what was asked on them. What is asked and when is decided by
-//! [`StoreReader`](staircross_routing::store_reader::StoreReader), what an answer means by the dialect; both are brought
-//! together in `knowledge`. Lanes stand in the order of [`Lane::ALL`].
+//! This module owns the connections and the pending call of each lane.
+//! [`StoreReader`](staircross_routing::store_reader::StoreReader) decides which calls are made and when, and the
+//! dialect interprets the replies; `knowledge` connects the two. Arrays are indexed in the order of [`Lane::ALL`].
 
 use crate::http_call::HttpCaller;
 use crate::socket::SocketKind;
@@ -10,15 +10,14 @@
 use staircross_types::BootTime;
 use std::net::SocketAddr;
 
-/// Number of lanes.
 const LANES: usize = Lane::ALL.len();
 
-/// Calls to the store, by lane.
+/// Connections and pending calls to the store, by lane.
 pub(super) struct StoreCalls {
     pub callers: [HttpCaller; LANES],
-    /// The call of each lane that waits for its answer.
+    /// The call in flight in each lane.
     pub pending: [Option<StoreCall>; LANES],
-    /// When the last call of each lane was made.
+    /// Time of the last call in each lane.
     pub called_at: [BootTime; LANES],
 }
 
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Calls the store at another address from now on; calls under way are cancelled.
+    /// Changes the store's address; calls in flight are cancelled.
     pub fn set_address(&mut self, address: SocketAddr) {
         for caller in &mut self.callers {
             caller.set_address(address);
@@ -39,7 +38,7 @@
         self.pending = [const { None }; LANES];
     }
 
-    /// When the first of the calls under way is over.
+    /// Returns when the first of the calls in flight times out.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.callers.iter().filter_map(HttpCaller::next_wake).min()
     }
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -1,6 +1,6 @@
-//! What the node has sent, received and asked since its start, logged at intervals.
+//! Periodic log lines with totals since the start: bytes sent and received, and calls to the store.
 //!
-//! Relies on each component's own counters of bytes, and adds them up.
+//! This module adds up the byte counters of the components.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -9,11 +9,12 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Time between two summaries. So that they are a small share of the lines, and an hour shows its course.
+/// Interval between two summaries. Long enough that summaries are a small share of the log lines, and short enough to
+/// show how an hour went.
 pub(super) const SUMMARY_EVERY: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Bytes sent and received since the start.
+    /// Returns the bytes sent and received since the start.
     pub(super) fn all_traffic(&self) -> Traffic {
         let mut traffic = self.traffic;
         traffic += self.pool.traffic;
--- a/crates/staircross-gateway/src/node/unreadable.rs
+++ b/crates/staircross-gateway/src/node/unreadable.rs
@@ -1,7 +1,7 @@
-//! Lines on items of the store that can't be used.
+//! Log lines on unusable items in the store.
 //!
-//! What makes an item unreadable is found by the dialect and the mirror; which of them were logged is kept in
-//! [`UnreadableLog`](crate::unreadable_log::UnreadableLog).
+//! The dialect and the mirror detect unusable items. [`UnreadableLog`](crate::unreadable_log::UnreadableLog)
+//! remembers which of them were logged.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -9,7 +9,7 @@
 use staircross_routing::{KeyKind, UnreadableItem};
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Counts and logs what the store holds that can't be used, once for each change of it.
+    /// Counts and logs the store's unusable items, once for each revision of an item.
     pub(super) fn note_unreadable(&mut self, items: &[UnreadableItem], source: &str) {
         for UnreadableItem { kind, key, revision, reason } in
             items.iter().filter(|item| self.log_limits.unreadable.is_new(item))
--- a/crates/staircross-gateway/src/unreadable_log.rs
+++ b/crates/staircross-gateway/src/unreadable_log.rs
@@ -1,23 +1,25 @@
-//! Which items of the store that can't be used have been logged already.
+//! Remembers which unusable items of the store have been logged.
 //!
-//! A listing repeats what stood there before. So each item has one line for each of its changes, however often it is read.
+//! Each listing of the store returns the same unusable items again. So an item is logged only once for each of its
+//! revisions, however often it is read.
 //!
-//! [`UnreadableLog`] owns what was logged, by the store's key; the lines are written by the node.
+//! [`UnreadableLog`] owns the logged revisions by store key; the node writes the lines.
 
 use hashbrown::HashMap;
 use staircross_routing::UnreadableItem;
 
-/// Items remembered, some 100 bytes each; with more, all are logged again. Bounds them to some 100 KB.
+/// Maximum number of items remembered, at some 100 bytes each, which bounds the memory to some 100 KB. When it is
+/// exceeded, the list is cleared and all items are logged again.
 const MAX_ITEMS: usize = 1024;
 
-/// Revisions that were logged, by key.
+/// The logged revisions of unusable items, by store key.
 #[derive(Debug, Default)]
 pub struct UnreadableLog {
     logged: HashMap<String, Option<u64>>,
 }
 
 impl UnreadableLog {
-    /// Notes an item; returns whether it or a change of it is new.
+    /// Notes an item, and returns whether the item or its revision is new and must be logged.
     pub fn is_new(&mut self, item: &UnreadableItem) -> bool {
         if self.logged.get(&item.key) == Some(&item.revision) {
             return false;
