--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -22,18 +22,18 @@
 const MAX_ADDRESSES: usize = 64;
 /// Fraction of a searcher's connections that serving nodes are planned to use. The rest is for reserves that still
 /// hold some, and for incarnations that are gone but not yet noticed.
-const PLANNED_FRACTION: f64 = 0.9;
+const PLANNED_CONNECTION_FRACTION: f64 = 0.9;
 /// Planned number of connections from each serving node to each searcher: one for its usual work, one for concurrent
 /// requests, one for hedges, and half as much again. At 4.5 instead of 3, fewer nodes each see more of the traffic
 /// and hedge better. At 5 and 6, days with faults lost what calm days had gained.
 const CONNECTIONS_PER_NODE: f64 = 4.5;
 /// Minimum number of serving nodes of a zone, if it has as many, so that one may fail.
-const MIN_PER_ZONE: usize = 2;
+const MIN_SERVING_PER_ZONE: usize = 2;
 /// Maximum busy fraction, in percent, that is planned for serving nodes. Below the fraction at which a node counts as
 /// pressed.
-const PLANNED_LOAD: usize = 40;
+const MAX_PLANNED_LOAD_PERCENT: usize = 40;
 /// Number of farther nodes added to an answer for each near node, if all near nodes are pressed.
-const FARTHER_PER_PRESSED: usize = 2;
+const FARTHER_NODES_PER_PRESSED: usize = 2;
 
 /// A node that callers may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -152,17 +152,17 @@
             return Vec::new();
         };
         let near: Vec<&Zone> = ranked().filter(|(nearness, _)| *nearness == nearest).map(|(_, zone)| zone).collect();
-        let mut addrs = with_room(near.iter().flat_map(|zone| zone.serving()));
+        let mut addrs = unpressed_addresses(near.iter().flat_map(|zone| zone.serving()));
         if addrs.is_empty() {
-            addrs = with_room(near.iter().flat_map(|zone| &zone.nodes));
+            addrs = unpressed_addresses(near.iter().flat_map(|zone| &zone.nodes));
         }
         if addrs.is_empty() {
             addrs = near.iter().flat_map(|zone| &zone.nodes).map(|node| node.addr).collect();
-            let is_open = |nearness: Nearness| allowed.is_empty() || nearness < Nearness::Elsewhere;
-            let farther = ranked().filter(|(nearness, _)| *nearness != nearest && is_open(*nearness));
-            let mut farther = with_room(farther.flat_map(|(_, zone)| &zone.nodes));
+            let is_eligible = |nearness: Nearness| allowed.is_empty() || nearness < Nearness::Elsewhere;
+            let farther = ranked().filter(|(nearness, _)| *nearness != nearest && is_eligible(*nearness));
+            let mut farther = unpressed_addresses(farther.flat_map(|(_, zone)| &zone.nodes));
             farther.shuffle(rng);
-            farther.truncate(addrs.len() * FARTHER_PER_PRESSED);
+            farther.truncate(addrs.len() * FARTHER_NODES_PER_PRESSED);
             addrs.extend(farther);
         }
         addrs.sort_unstable();
@@ -178,12 +178,12 @@
 /// Returns how many nodes of a zone serve: as many as the searchers' connections allow, but at least enough for the
 /// load.
 fn serving_count(nodes: &[Candidate], total: usize, connections: u32) -> usize {
-    let planned = f64::from(connections) * PLANNED_FRACTION / CONNECTIONS_PER_NODE;
+    let planned = f64::from(connections) * PLANNED_CONNECTION_FRACTION / CONNECTIONS_PER_NODE;
     let by_connections = (planned * nodes.len() as f64 / total as f64).ceil() as usize;
     let load: usize = nodes.iter().map(|node| usize::from(node.load)).sum();
-    by_connections.max(MIN_PER_ZONE).max(load.div_ceil(PLANNED_LOAD)).min(nodes.len())
+    by_connections.max(MIN_SERVING_PER_ZONE).max(load.div_ceil(MAX_PLANNED_LOAD_PERCENT)).min(nodes.len())
 }
 
-fn with_room<'a>(nodes: impl Iterator<Item = &'a Candidate>) -> Vec<SocketAddr> {
+fn unpressed_addresses<'a>(nodes: impl Iterator<Item = &'a Candidate>) -> Vec<SocketAddr> {
     nodes.filter(|node| !node.is_pressed()).map(|node| node.addr).collect()
 }
--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -12,19 +12,19 @@
 use std::time::Duration;
 
 /// Maximum number of bytes buffered for a slow reader. The default capacity of a pipe.
-const MAX_PENDING: usize = 64 * 1024;
+const MAX_PENDING_BYTES: usize = 64 * 1024;
 /// Number of buffered bytes from which they are written at once, and the maximum length of one write. A pipe accepts
 /// this many bytes whole or not at all (`PIPE_BUF`), so that no line is cut.
-const WRITE_AT: usize = 4 * 1024;
+const WRITE_CHUNK_BYTES: usize = 4 * 1024;
 /// Maximum time for which a line waits for others to be written with it. Short, so that an operator who follows the
 /// log sees lines at once.
-const WRITE_AFTER: Duration = Duration::from_millis(500);
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(500);
 
 /// Kinds of log lines; each kind has its own rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
     /// Events of the node itself, and changes of what it knows of its dependencies and peers: rare and always wanted.
-    Belief,
+    NodeEvent,
     /// The end of a request.
     Request,
     /// All decisions for one request that failed or lacks a part, logged together when the request ends, so that a
@@ -38,13 +38,13 @@
 
 impl LineKind {
     const ALL: [LineKind; 5] =
-        [LineKind::Belief, LineKind::Request, LineKind::Trace, LineKind::AnsweredTrace, LineKind::Drop];
+        [LineKind::NodeEvent, LineKind::Request, LineKind::Trace, LineKind::AnsweredTrace, LineKind::Drop];
 
     /// Returns the number of lines (for traces: requests) that may be logged in one second.
     fn rate(self) -> u32 {
         match self {
             // Enough for the start of a large fleet, whose many changes are logged as counts.
-            LineKind::Belief => 400,
+            LineKind::NodeEvent => 400,
             // A node of a large fleet gets a few requests a second and logs them all; a busy node logs a sample.
             LineKind::Request => 150,
             // Lower than the rate of requests, because each trace has many lines. The failed requests of a bad second
@@ -57,9 +57,10 @@
         }
     }
 
+    /// Returns the name of the kind in the line `event=lines_held_back`.
     fn name(self) -> &'static str {
         match self {
-            LineKind::Belief => "belief",
+            LineKind::NodeEvent => "belief",
             LineKind::Request => "request",
             LineKind::Trace => "trace",
             LineKind::AnsweredTrace => "answered_trace",
@@ -70,7 +71,7 @@
 
 /// The remaining lines of a kind in the present second.
 #[derive(Clone, Copy, Debug)]
-struct Allowance {
+struct RateLimit {
     tokens: u32,
     refilled_at: BootTime,
     held_back: u64,
@@ -80,8 +81,8 @@
 pub struct EventLog {
     node: String,
     pending: Vec<u8>,
-    oldest: Option<BootTime>,
-    allowances: [Allowance; LineKind::ALL.len()],
+    oldest_pending: Option<BootTime>,
+    rate_limits: [RateLimit; LineKind::ALL.len()],
     dropped: u64,
     is_enabled: bool,
 }
@@ -90,12 +91,12 @@
     /// Creates a log whose lines contain the name `node`.
     pub fn new(node: &str, is_enabled: bool) -> Self {
         make_non_blocking();
-        let full = |kind: LineKind| Allowance { tokens: kind.rate(), refilled_at: BootTime::default(), held_back: 0 };
+        let full = |kind: LineKind| RateLimit { tokens: kind.rate(), refilled_at: BootTime::default(), held_back: 0 };
         EventLog {
             node: node.to_owned(),
             pending: Vec::new(),
-            oldest: None,
-            allowances: LineKind::ALL.map(full),
+            oldest_pending: None,
+            rate_limits: LineKind::ALL.map(full),
             dropped: 0,
             is_enabled,
         }
@@ -121,38 +122,38 @@
     }
 
     fn take_token(&mut self, now: BootTime, kind: LineKind) -> bool {
-        let allowance = &mut self.allowances[kind as usize];
-        if now.since(allowance.refilled_at) >= Duration::from_secs(1) {
-            allowance.tokens = kind.rate();
-            allowance.refilled_at = now;
-            let held_back = std::mem::take(&mut allowance.held_back);
+        let rate_limit = &mut self.rate_limits[kind as usize];
+        if now.since(rate_limit.refilled_at) >= Duration::from_secs(1) {
+            rate_limit.tokens = kind.rate();
+            rate_limit.refilled_at = now;
+            let held_back = std::mem::take(&mut rate_limit.held_back);
             if held_back > 0 {
                 self.push(now, format_args!("event=lines_held_back kind={} count={held_back}", kind.name()));
             }
         }
-        let allowance = &mut self.allowances[kind as usize];
-        if allowance.tokens == 0 {
-            allowance.held_back += 1;
+        let rate_limit = &mut self.rate_limits[kind as usize];
+        if rate_limit.tokens == 0 {
+            rate_limit.held_back += 1;
             return false;
         }
-        allowance.tokens -= 1;
+        rate_limit.tokens -= 1;
         true
     }
 
     fn push(&mut self, now: BootTime, text: Arguments<'_>) {
-        if self.pending.len() >= MAX_PENDING {
+        if self.pending.len() >= MAX_PENDING_BYTES {
             self.dropped += 1;
             return;
         }
         // Writing to a vector can't fail.
         let _infallible = writeln!(self.pending, "t={:.3} node={} {text}", now.0 as f64 / 1e6, self.node);
-        self.oldest.get_or_insert(now);
+        self.oldest_pending.get_or_insert(now);
     }
 
     /// Writes the buffered lines if they are due.
     pub fn on_tick(&mut self, now: BootTime) {
-        let is_due = self.oldest.is_some_and(|oldest| now.since(oldest) >= WRITE_AFTER);
-        if is_due || self.pending.len() >= WRITE_AT {
+        let is_due = self.oldest_pending.is_some_and(|oldest| now.since(oldest) >= MAX_WRITE_DELAY);
+        if is_due || self.pending.len() >= WRITE_CHUNK_BYTES {
             self.flush(now);
         }
     }
@@ -160,7 +161,7 @@
     /// Writes as many buffered lines as the reader accepts.
     pub fn flush(&mut self, now: BootTime) {
         while !self.pending.is_empty() {
-            let piece = &self.pending[..whole_lines(&self.pending, WRITE_AT)];
+            let piece = &self.pending[..whole_lines_len(&self.pending, WRITE_CHUNK_BYTES)];
             match rustix::io::write(rustix::stdio::stdout(), piece) {
                 Ok(0) | Err(_) => break,
                 Ok(count) => {
@@ -168,21 +169,21 @@
                 }
             }
         }
-        self.oldest = if self.pending.is_empty() { None } else { Some(now) };
-        if self.pending.len() < MAX_PENDING / 2 && self.dropped > 0 {
+        self.oldest_pending = if self.pending.is_empty() { None } else { Some(now) };
+        if self.pending.len() < MAX_PENDING_BYTES / 2 && self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
             self.push(now, format_args!("event=lines_dropped count={dropped} reason=slow_reader"));
         }
     }
 }
 
-/// Returns the length of the whole lines that fit into `most` bytes; a longer first line is returned alone.
-fn whole_lines(buf: &[u8], most: usize) -> usize {
-    if buf.len() <= most {
+/// Returns the length of the whole lines that fit into `max_bytes`; a longer first line is returned alone.
+fn whole_lines_len(buf: &[u8], max_bytes: usize) -> usize {
+    if buf.len() <= max_bytes {
         return buf.len();
     }
     let end = |byte: &u8| *byte == b'\n';
-    let fitting = buf[..most].iter().rposition(end);
+    let fitting = buf[..max_bytes].iter().rposition(end);
     fitting.or_else(|| buf.iter().position(end)).map_or(buf.len(), |last| last + 1)
 }
 
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -1,7 +1,8 @@
 //! The event loop of a gateway node: it passes events from sockets to the engines and carries out their actions.
 //!
 //! The loop has one thread and one poll. Each turn handles signals first, then socket events in the order of
-//! `TURN_ORDER`, then everything that is due by the clock. Work without an exact due time is done every `TICK`.
+//! `TURN_ORDER`, then everything that is due by the clock. Work without an exact due time is done every
+//! `TICK_INTERVAL`.
 //!
 //! [`GatewayNode`] owns the sockets (server, searcher pool, calls to the store and to peers, datagrams) and the
 //! engines, which make the decisions. The engines are sans-IO: they get the current time with each event and never
@@ -79,16 +80,16 @@
 
 /// Maximum number of events that one poll returns; the next turn gets the others. Matches the default number of
 /// descriptors of a node (1024).
-const EVENTS: usize = 1024;
+const EVENT_CAPACITY: usize = 1024;
 /// Number of events after which the clock is read again, so that the time stays current in a long turn. Large enough
 /// that reading the clock costs little beside the work.
-const EVENTS_PER_CLOCK: usize = 16;
+const EVENTS_PER_CLOCK_READ: usize = 16;
 /// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. Short beside
 /// the timeouts that it checks, which are some hundred milliseconds and longer.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Gap between two turns from which the process counts as stalled, which is logged. Far longer than the loop sleeps,
-/// which is at most [`TICK`].
-const LATE_TURN: Duration = Duration::from_secs(1);
+/// which is at most [`TICK_INTERVAL`].
+const STALL_GAP: Duration = Duration::from_secs(1);
 
 /// A gateway node: its sockets, its engines and the loop that connects them.
 pub struct GatewayNode<D: Dialect> {
@@ -114,13 +115,13 @@
     engine: RoutingEngine,
 
     store: StoreCalls,
-    reader: StoreReader,
-    role: RoleKeeper,
+    store_reader: StoreReader,
+    store_role: RoleKeeper,
     mirror: Mirror,
 
     fleet: Fleet,
     /// HTTP client for pulls from peers, one peer at a time.
-    peer: HttpCaller,
+    peer_client: HttpCaller,
     /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
     /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
@@ -137,36 +138,40 @@
 impl<D: Dialect> GatewayNode<D> {
     /// Runs the event loop until a planned stop is complete.
     pub fn run(mut self) -> Result<(), GatewayError> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         while !self.is_stopped() {
-            match self.poll.poll(&mut events, Some(self.time_to_wait())) {
+            match self.poll.poll(&mut events, Some(self.poll_timeout())) {
                 Ok(()) => {}
-                // A signal interrupted the poll; `take_signals` handles it below.
+                // A signal interrupted the poll; `handle_signals` handles it below.
                 Err(error) if error.kind() == ErrorKind::Interrupted => events.clear(),
                 Err(error) => return Err(io_error("poll")(error)),
             }
             self.now = clock::now();
             self.load.begin_turn(self.now);
-            self.note_pause();
-            self.take_signals();
+            self.log_stall();
+            self.handle_signals();
             for kinds in TURN_ORDER {
-                self.on_sockets(kinds, &events);
+                self.handle_socket_events(kinds, &events);
             }
-            self.on_time();
+            self.handle_timers();
             self.load.end_turn(clock::now());
         }
-        self.log.line(self.now, LineKind::Belief, format_args!("event=stopped in_flight={}", self.engine.in_flight()));
+        self.log.line(
+            self.now,
+            LineKind::NodeEvent,
+            format_args!("event=stopped in_flight={}", self.engine.in_flight()),
+        );
         self.flush_recording();
         self.log.flush(self.now);
         Ok(())
     }
 
     /// Returns the time until the next timer or tick is due.
-    fn time_to_wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let wakes = [
             self.engine.next_wake(),
-            self.reader.next_wake(),
-            self.peer.next_wake(),
+            self.store_reader.next_wake(),
+            self.peer_client.next_wake(),
             self.pool.next_wake(),
             self.store.next_wake(),
         ];
@@ -175,19 +180,19 @@
     }
 
     /// Logs a long gap between two turns. Such a gap means that this process stood still, not its peers.
-    fn note_pause(&mut self) {
+    fn log_stall(&mut self) {
         let gap = self.load.gap();
-        if gap >= LATE_TURN {
-            self.log.line(self.now, LineKind::Belief, format_args!("event=woke_late gap_ms={}", gap.as_millis()));
+        if gap >= STALL_GAP {
+            self.log.line(self.now, LineKind::NodeEvent, format_args!("event=woke_late gap_ms={}", gap.as_millis()));
         }
     }
 
     /// Handles the events of sockets of the given kinds.
-    fn on_sockets(&mut self, kinds: &[SocketKind], events: &Events) {
+    fn handle_socket_events(&mut self, kinds: &[SocketKind], events: &Events) {
         let decoded = events.iter().filter_map(|event| Some((SocketId::from_token(event.token())?, event)));
         let ours = decoded.filter(|(id, _)| kinds.contains(&id.kind));
         for (count, (id, event)) in ours.enumerate() {
-            if count % EVENTS_PER_CLOCK == EVENTS_PER_CLOCK - 1 {
+            if count % EVENTS_PER_CLOCK_READ == EVENTS_PER_CLOCK_READ - 1 {
                 self.now = clock::now();
             }
             self.on_socket(id, event);
@@ -207,40 +212,40 @@
 
     /// Handles everything that is due by the clock. This follows the socket events because they may have made a timer
     /// obsolete.
-    fn on_time(&mut self) {
+    fn handle_timers(&mut self) {
         self.now = clock::now();
-        self.engine_event(RoutingEvent::Tick);
-        self.on_pool_time();
-        self.on_store_time();
+        self.process_routing_event(RoutingEvent::Tick);
+        self.handle_pool_timers();
+        self.handle_store_timers();
         // Pushed last, so that one push carries everything that this turn has brought.
         self.push_cases();
         if self.now >= self.next_tick {
-            self.next_tick = self.now + TICK;
-            self.on_coarse_tick();
+            self.next_tick = self.now + TICK_INTERVAL;
+            self.handle_tick();
         }
     }
 
     /// Does the work that has no exact due time.
-    fn on_coarse_tick(&mut self) {
+    fn handle_tick(&mut self) {
         self.sweep_server();
         self.sweep_pool();
         // Which members are alive decides who reads the store, and the store role decides whether a peer is asked
         // instead.
         self.on_fleet_tick();
         self.decide_store_role();
-        self.ask_better_informed();
+        self.pull_if_behind();
         // The node's own status is derived from the updates above.
-        self.note_configuration_view();
+        self.log_configuration_view();
         self.update_readiness();
         self.on_stop_tick();
-        self.look_at_settings();
+        self.reload_changed_settings();
         // Log lines are written last, so that those of this tick are included.
         self.log_summary();
         self.log.on_tick(self.now);
     }
 
     /// Returns the context that the sockets need for one call.
-    fn io<'a>(
+    fn io_context<'a>(
         now: BootTime,
         poll: &'a Poll,
         buffer: &'a mut [u8; READ_CHUNK],
@@ -260,11 +265,11 @@
         }
     }
 
-    fn take_signals(&mut self) {
-        if self.operator.take_stop() {
+    fn handle_signals(&mut self) {
+        if self.operator.take_stop_request() {
             self.begin_stop();
         }
-        if self.operator.take_reload() {
+        if self.operator.take_reload_request() {
             self.reload();
         }
     }
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -14,68 +14,68 @@
 /// Time for which a node that serves no callers keeps an idle connection to a searcher; other nodes need the
 /// connections. Far shorter than on nodes that serve, so that a node that has just become a reserve releases its
 /// connections soon.
-const RESERVE_REST: Duration = Duration::from_secs(2);
+const RESERVE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<D: Dialect> GatewayNode<D> {
-    pub(super) fn send(&mut self, order: SendOrder) {
+    pub(super) fn send_attempt(&mut self, order: SendOrder) {
         let Some(pending) = self.requests.get_mut(order.attempt.request) else {
             return;
         };
         let outbound = pending.outbound.clone();
         if order.reason != SendReason::First {
-            pending.extras += 1;
-            self.note_sent(&order);
+            pending.extra_attempts += 1;
+            self.trace_sent(&order);
         }
         let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         self.pool.send(order, outbound, &mut io, &mut events);
-        self.take_pool_events(events);
+        self.handle_pool_events(events);
     }
 
-    pub(super) fn abandon(&mut self, attempt: AttemptKey, patience: Duration, cause: AbandonCause) {
+    pub(super) fn abandon_attempt(&mut self, attempt: AttemptKey, patience: Duration, cause: AbandonCause) {
         let mut events = Vec::new();
         self.pool.abandon(self.now, attempt, patience, cause, &mut events);
-        self.take_pool_events(events);
+        self.handle_pool_events(events);
     }
 
-    pub(super) fn recall(&mut self, attempt: AttemptKey) {
+    pub(super) fn recall_attempt(&mut self, attempt: AttemptKey) {
         let mut events = Vec::new();
         self.pool.recall(attempt, &mut events);
-        self.take_pool_events(events);
+        self.handle_pool_events(events);
     }
 
     pub(super) fn on_pool_socket(&mut self, id: SocketId, is_writable: bool) {
         let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         self.pool.on_ready(id, is_writable, &mut io, &mut events);
-        self.take_pool_events(events);
+        self.handle_pool_events(events);
     }
 
-    pub(super) fn on_pool_time(&mut self) {
+    pub(super) fn handle_pool_timers(&mut self) {
         let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         self.pool.on_tick(&mut io, &mut events);
-        self.take_pool_events(events);
+        self.handle_pool_events(events);
     }
 
     pub(super) fn sweep_pool(&mut self) {
         let mut events = Vec::new();
-        let most_rest = if self.status.is_serving { Duration::MAX } else { RESERVE_REST };
-        self.pool.sweep(self.now, most_rest, &mut events);
-        self.take_pool_events(events);
+        let max_idle = if self.status.is_serving { Duration::MAX } else { RESERVE_IDLE_TIMEOUT };
+        self.pool.sweep(self.now, max_idle, &mut events);
+        self.handle_pool_events(events);
     }
 
-    fn take_pool_events(&mut self, events: Vec<PoolEvent>) {
+    fn handle_pool_events(&mut self, events: Vec<PoolEvent>) {
         for event in events {
             match event {
                 PoolEvent::Connected { searcher, took } => {
-                    self.engine_event(RoutingEvent::Connected { searcher, took });
+                    self.process_routing_event(RoutingEvent::Connected { searcher, took });
                 }
-                PoolEvent::Begun { attempt } => self.engine_event(RoutingEvent::Begun { attempt }),
-                PoolEvent::Skipped { searcher } => self.log_skipped(searcher),
+                PoolEvent::Begun { attempt } => self.process_routing_event(RoutingEvent::Begun { attempt }),
+                PoolEvent::Skipped { searcher } => self.log_skipped_answer(searcher),
                 PoolEvent::Ended { attempt, outcome } => {
-                    self.note_attempt_ended(attempt, &outcome);
-                    self.engine_event(RoutingEvent::Ended { attempt, outcome });
+                    self.trace_attempt_ended(attempt, &outcome);
+                    self.process_routing_event(RoutingEvent::Ended { attempt, outcome });
                 }
             }
         }
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -72,17 +72,17 @@
     /// Name of the tenant to which the request's key belongs.
     pub tenant: Option<Arc<str>>,
     /// Host and path of the request, kept if its route or tenant was unknown at its arrival.
-    pub unrouted: Option<Target>,
+    pub unresolved_target: Option<RouteTarget>,
     pub version: u64,
     pub arrived: BootTime,
     pub keeps_alive: bool,
     /// Number of attempts beyond the first one of each shard.
-    pub extras: u32,
+    pub extra_attempts: u32,
     pub trace: Trace,
 }
 
 /// Host and path, by which a route is found.
-pub(super) struct Target {
+pub(super) struct RouteTarget {
     pub host: String,
     pub path: String,
 }
@@ -115,11 +115,11 @@
 
 /// Maximum number of decisions kept for one request; further ones are not logged. Enough for the hedges and retries
 /// of a request to many shards.
-const MAX_TRACE: usize = 96;
+const MAX_TRACE_LINES: usize = 96;
 
 impl Trace {
     pub fn add(&mut self, now: BootTime, text: String) {
-        if self.lines.len() < MAX_TRACE {
+        if self.lines.len() < MAX_TRACE_LINES {
             self.lines.push((now, text));
         }
     }
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -18,20 +18,20 @@
 
 /// Maximum number of member changes logged in single lines within one span; further ones are counted and logged
 /// together when the span ends.
-const SINGLE_MEMBERS: usize = 5;
+const MAX_MEMBER_LINES: usize = 5;
 /// Length of the span over which member changes are counted. Short, so that an operator who follows the log sees the
 /// counts at once.
-const SPAN: Duration = Duration::from_secs(1);
+const MEMBER_LOG_SPAN: Duration = Duration::from_secs(1);
 /// Maximum number of searcher changes in one update that are logged in single lines; a larger update, such as a
 /// listing, is logged in one line.
-const SINGLE_SEARCHERS: usize = 5;
+const MAX_SEARCHER_LINES: usize = 5;
 
 /// Member changes within the current span.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLog {
-    span_began: BootTime,
+    span_start: BootTime,
     logged: usize,
-    held: MemberCounts,
+    unlogged: MemberCounts,
 }
 
 /// Numbers of member changes by the state that the member changed to.
@@ -56,79 +56,80 @@
 
 impl MemberLog {
     /// Counts one more change, and returns whether it gets a line of its own.
-    fn may_log(&mut self, now: BootTime) -> bool {
-        if now.since(self.span_began) >= SPAN {
-            self.span_began = now;
+    fn try_take_line(&mut self, now: BootTime) -> bool {
+        if now.since(self.span_start) >= MEMBER_LOG_SPAN {
+            self.span_start = now;
             self.logged = 0;
         }
         self.logged += 1;
-        self.logged <= SINGLE_MEMBERS
+        self.logged <= MAX_MEMBER_LINES
     }
 
     /// Returns and clears the counts of a span that is over; `None` if the span is still open or nothing was counted.
-    fn take_held(&mut self, now: BootTime) -> Option<MemberCounts> {
-        let is_over = now.since(self.span_began) >= SPAN;
-        let held = std::mem::take(if is_over { &mut self.held } else { return None });
-        (held != MemberCounts::default()).then_some(held)
+    fn take_unlogged(&mut self, now: BootTime) -> Option<MemberCounts> {
+        let is_over = now.since(self.span_start) >= MEMBER_LOG_SPAN;
+        let unlogged = std::mem::take(if is_over { &mut self.unlogged } else { return None });
+        (unlogged != MemberCounts::default()).then_some(unlogged)
     }
 }
 
 impl<D: Dialect> GatewayNode<D> {
     /// Logs a member's change, or counts it if the span has had enough single lines.
-    pub(super) fn note_member(&mut self, member: &Member) {
-        if !self.log_limits.members.may_log(self.now) {
-            return self.log_limits.members.held.count(member.state);
+    pub(super) fn log_member(&mut self, member: &Member) {
+        if !self.log_limits.members.try_take_line(self.now) {
+            return self.log_limits.members.unlogged.count(member.state);
         }
         let line = format_args!(
             "event=member run={} address={} zone={} state={:?} ready={} record={}",
             member.node, member.caller_address, member.zone, member.state, member.is_ready, member.version
         );
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
     /// Logs the counted member changes once their span is over.
-    pub(super) fn log_held_members(&mut self) {
-        let Some(MemberCounts { alive, leaving, suspect, gone }) = self.log_limits.members.take_held(self.now) else {
+    pub(super) fn log_member_totals(&mut self) {
+        let Some(MemberCounts { alive, leaving, suspect, gone }) = self.log_limits.members.take_unlogged(self.now)
+        else {
             return;
         };
         let live = self.fleet.live_count();
         let line =
             format_args!("event=members alive={alive} leaving={leaving} suspect={suspect} gone={gone} live={live}");
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
     /// Logs the searchers that a merge has added, changed or removed.
-    pub(super) fn note_searchers(&mut self, changes: &MirrorChanges, source: &str) {
-        if changes.searchers.len() + changes.gone.len() > SINGLE_SEARCHERS {
-            return self.note_listing(changes, source);
+    pub(super) fn log_searchers(&mut self, changes: &MirrorChanges, source: &str) {
+        if changes.searchers.len() + changes.gone.len() > MAX_SEARCHER_LINES {
+            return self.log_searcher_totals(changes, source);
         }
         for entry in &changes.searchers {
             let line = format_args!(
                 "event=searcher instance={} born={} service={} address={} draining={} cold_ms={} source={source}",
                 entry.instance, entry.born_ms, entry.service, entry.address, entry.is_draining, entry.cold_ms
             );
-            self.log.line(self.now, LineKind::Belief, line);
+            self.log.line(self.now, LineKind::NodeEvent, line);
         }
         for instance in &changes.gone {
             let line = format_args!("event=searcher_gone instance={instance} source={source}");
-            self.log.line(self.now, LineKind::Belief, line);
+            self.log.line(self.now, LineKind::NodeEvent, line);
         }
     }
 
     /// Logs the zones that are now evacuated: their searchers get no new work.
-    pub(super) fn note_evacuated(&mut self, zones: &[Arc<str>], source: &str) {
+    pub(super) fn log_evacuated(&mut self, zones: &[Arc<str>], source: &str) {
         let line = format_args!("event=evacuated zones={} source={source}", zones.join(","));
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
     /// Logs a change of a content's suspicion. An urgent change is also scheduled for a push to peers, since any
     /// delay may cost another searcher.
-    pub(super) fn note_suspicion(&mut self, change: SuspicionChange, is_by_peers: bool) {
+    pub(super) fn on_suspicion_change(&mut self, change: SuspicionChange, is_by_peers: bool) {
         let SuspicionChange { content, suspicion, losses, .. } = change;
         let source = if is_by_peers { "peer" } else { "own" };
         let line =
             format_args!("event=suspicion content={content} level={} lost={losses} source={source}", suspicion.name());
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
         if change.is_urgent(is_by_peers) {
             self.case_pushes.note_update();
         }
@@ -136,11 +137,11 @@
 
     /// Logs that an alarm is raised for a route, because its requests have ended searchers lately, or that it is
     /// cleared.
-    pub(super) fn note_alarm(&mut self, route: &str, is_raised: bool) {
-        self.log.line(self.now, LineKind::Belief, format_args!("event=alarm route={route} raised={is_raised}"));
+    pub(super) fn log_alarm(&mut self, route: &str, is_raised: bool) {
+        self.log.line(self.now, LineKind::NodeEvent, format_args!("event=alarm route={route} raised={is_raised}"));
     }
 
-    fn note_listing(&mut self, changes: &MirrorChanges, source: &str) {
+    fn log_searcher_totals(&mut self, changes: &MirrorChanges, source: &str) {
         let draining = changes.searchers.iter().filter(|entry| entry.is_draining).count();
         let (changed, gone) = (changes.searchers.len(), changes.gone.len());
         let revision = self.mirror.newest_revision();
@@ -148,6 +149,6 @@
         let line = format_args!(
             "event=searchers changed={changed} draining={draining} gone={gone} known={known} revision={revision} source={source}"
         );
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 }
--- a/crates/staircross-gateway/src/node/configuration_view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -12,7 +12,7 @@
 impl<D: Dialect> GatewayNode<D> {
     /// Returns the view by which requests that need a key are judged now.
     pub(super) fn configuration_view(&self) -> ConfigurationView {
-        match (self.is_view_too_old(), self.settings.bounds.revoke_strict) {
+        match (self.is_confirmation_overdue(), self.settings.bounds.revoke_strict) {
             (false, _) => ConfigurationView::Current,
             (true, true) => ConfigurationView::Expired,
             (true, false) if self.fleet.is_version_behind() => ConfigurationView::Doubtful,
@@ -21,25 +21,25 @@
     }
 
     /// Whether a key may have been revoked longer ago than the settings allow without this node's knowledge.
-    fn is_view_too_old(&self) -> bool {
+    fn is_confirmation_overdue(&self) -> bool {
         let Some(revoke_ms) = self.settings.bounds.revoke_ms else {
             return false;
         };
-        let most = Duration::from_millis(revoke_ms);
-        self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > most)
+        let max_age = Duration::from_millis(revoke_ms);
+        self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > max_age)
     }
 
     /// Logs when the last confirmation becomes too old, and when the configuration is confirmed again. Only nodes
     /// with tenants log this.
-    pub(super) fn note_configuration_view(&mut self) {
+    pub(super) fn log_configuration_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
-        let is_old = has_tenants && self.is_view_too_old();
-        if is_old == self.status.is_view_old {
+        let is_overdue = has_tenants && self.is_confirmation_overdue();
+        if is_overdue == self.status.is_confirmation_overdue {
             return;
         }
-        self.status.is_view_old = is_old;
+        self.status.is_confirmation_overdue = is_overdue;
         let strict = self.settings.bounds.revoke_strict;
-        let line = format_args!("event=configuration_view confirmed={} strict={strict}", !is_old);
-        self.log.line(self.now, LineKind::Belief, line);
+        let line = format_args!("event=configuration_view confirmed={} strict={strict}", !is_overdue);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -4,7 +4,7 @@
 //! dialect for the format of the readiness and directory endpoints.
 
 use super::GatewayNode;
-use super::knowledge::{ANY_SIZE, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+use super::knowledge::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
 use crate::dialect::Dialect;
 use crate::metrics::Gauges;
 use crate::outbound::AnswerContext;
@@ -18,24 +18,24 @@
 /// Maximum number of large answers to peers within a second. The narrowest links seen carry 14 Mbit/s. Measured
 /// together with reading large configurations from the store: on days with a large configuration, answers with status
 /// 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
-const LARGE_ANSWERS: usize = 2;
+const MAX_LARGE_ANSWERS: usize = 2;
 
 impl<D: Dialect> GatewayNode<D> {
-    pub(super) fn on_own_endpoint(&mut self, connection: SocketId, endpoint: Endpoint, request: &Request) {
+    pub(super) fn answer_own_endpoint(&mut self, connection: SocketId, endpoint: Endpoint, request: &Request) {
         let closes = !request.head.keeps_alive();
         let names = *self.dialect.headers();
         let context = AnswerContext { names: &names, id: None, closes, is_head: request.head.method == "HEAD" };
         let answer = match endpoint {
-            Endpoint::Readiness => self.readiness(&context, request),
-            Endpoint::Directory => self.directory(&context, request),
-            Endpoint::Peers => self.changes(&context, request),
+            Endpoint::Readiness => self.answer_readiness(&context, request),
+            Endpoint::Directory => self.answer_directory(&context, request),
+            Endpoint::Peers => self.answer_pull(&context, request),
             Endpoint::Metrics => context.plain(200, "text/plain; version=0.0.4", self.render_metrics().as_bytes()),
             Endpoint::Callers => context.plain(404, "text/plain", b""),
         };
         self.respond(connection, answer, closes);
     }
 
-    fn readiness(&self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+    fn answer_readiness(&self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         if request.head.path() != self.dialect.readiness_path() {
             return context.plain(404, "text/plain", b"");
         }
@@ -43,7 +43,7 @@
         context.plain(status, "text/plain", b"")
     }
 
-    fn directory(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+    fn answer_directory(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         let Some(query) = self.dialect.directory_query(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
@@ -59,11 +59,11 @@
     }
 
     /// Answers a peer's pull with the updates that the peer lacks.
-    fn changes(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
-        let Some(peer) = known_by_peer(&request.head.target) else {
+    fn answer_pull(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+        let Some(peer) = parse_peer_knowledge(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
-        let peer = PeerKnowledge { takes: self.may_serve(peer.takes), ..peer };
+        let peer = PeerKnowledge { takes: self.limit_to_link_capacity(peer.takes), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
                 self.peer_answers.note(self.now, body.len());
@@ -75,11 +75,11 @@
 
     /// Returns the largest configuration that a peer may be sent now. A larger one would fill this node's link, which
     /// also carries callers' requests.
-    fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
+    fn limit_to_link_capacity(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
             _ if recent.bytes >= self.settings.max_bytes_to_peers() => TakenConfiguration::None,
-            TakenConfiguration::Any if recent.large >= LARGE_ANSWERS => TakenConfiguration::Small,
+            TakenConfiguration::Any if recent.large >= MAX_LARGE_ANSWERS => TakenConfiguration::Small,
             wanted => wanted,
         }
     }
@@ -95,8 +95,8 @@
             searcher_connections: self.pool.connection_count(),
             config_version: self.mirror.version(),
             store_revision: self.mirror.newest_revision(),
-            store_reachable: self.reader.is_reachable(),
-            reads_store: self.role.role() == StoreRole::Reader,
+            store_reachable: self.store_reader.is_reachable(),
+            reads_store: self.store_role.role() == StoreRole::Reader,
             serving: self.status.is_serving,
             members: self.fleet.live_count(),
             searchers: self.engine.serving_searchers(),
@@ -113,9 +113,9 @@
 }
 
 /// Parses the target of a pull; returns what the peer knows already, or `None` if the target is malformed.
-fn known_by_peer(target: &str) -> Option<PeerKnowledge> {
+fn parse_peer_knowledge(target: &str) -> Option<PeerKnowledge> {
     let (revision, rest) = target.strip_prefix(CHANGES_TARGET)?.split_once(VERSION_FIELD)?;
-    let (rest, takes) = match rest.strip_suffix(ANY_SIZE) {
+    let (rest, takes) = match rest.strip_suffix(ANY_SIZE_SUFFIX) {
         Some(rest) => (rest, TakenConfiguration::Any),
         None => (rest, TakenConfiguration::Small),
     };
--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -12,8 +12,8 @@
 //! 2. *Or from a peer* ([`peers`]): each datagram announces the sender's version and revisions ([`fleet`]). A node
 //!    that is behind pulls the missing updates from a node that is ahead. Its reader then continues from the revision
 //!    that the pull has reached.
-//! 3. *Merged* ([`GatewayNode::learn`]): the mirror merges by revision and version, so neither the order nor the
-//!    source matters, and returns the changes.
+//! 3. *Merged* ([`GatewayNode::apply_update`]): the mirror merges by revision and version, so neither the order nor
+//!    the source matters, and returns the changes.
 //! 4. *Applied*: the changes go to the engine as events in the same turn of the event loop, so the next decision uses
 //!    them.
 //! 5. *Published*: a designated reader announces its new revisions to its followers at once; they pull them as in
@@ -23,7 +23,7 @@
 mod peers;
 mod store;
 
-pub(super) use peers::{ANY_SIZE, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+pub(super) use peers::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -35,25 +35,25 @@
 
 impl<D: Dialect> GatewayNode<D> {
     /// Merges an update, applies the changes and publishes them. `source` is the store lane or `peer`, for the log.
-    fn learn(&mut self, update: MirrorUpdate, source: &str) {
-        self.note_unreadable(&update.unreadable, source);
+    fn apply_update(&mut self, update: MirrorUpdate, source: &str) {
+        self.log_unreadable(&update.unreadable, source);
         let mut changes = self.mirror.merge(update);
         let configuration = changes.configuration.take();
         // Evacuations are applied first and the configuration last: requests that were held until the configuration
         // is known are sent as soon as it is applied.
         if let Some(zones) = changes.evacuated.take() {
-            self.note_evacuated(&zones, source);
-            self.engine_event(RoutingEvent::Evacuated(zones));
+            self.log_evacuated(&zones, source);
+            self.process_routing_event(RoutingEvent::Evacuated(zones));
         }
-        self.note_searchers(&changes, source);
+        self.log_searchers(&changes, source);
         if !changes.searchers.is_empty() {
-            self.engine_event(RoutingEvent::Searchers(changes.searchers));
+            self.process_routing_event(RoutingEvent::Searchers(changes.searchers));
         }
         if !changes.gone.is_empty() {
-            self.engine_event(RoutingEvent::SearchersGone(changes.gone));
+            self.process_routing_event(RoutingEvent::SearchersGone(changes.gone));
         }
         if let Some(definition) = configuration {
-            self.put_in_force(definition, source);
+            self.apply_configuration(definition, source);
         }
         let is_new = self.fleet.set_knowledge(&self.mirror);
         if is_new && self.fleet.is_designated_reader() {
@@ -61,10 +61,10 @@
         }
     }
 
-    fn put_in_force(&mut self, definition: Arc<RoutingDefinition>, source: &str) {
+    fn apply_configuration(&mut self, definition: Arc<RoutingDefinition>, source: &str) {
         self.log.line(
             self.now,
-            LineKind::Belief,
+            LineKind::NodeEvent,
             format_args!(
                 "event=configuration version={} routes={} services={} tenants={} source={source}",
                 definition.version,
@@ -74,7 +74,7 @@
             ),
         );
         self.fleet.set_confirmation_sent(!definition.tenants.is_empty());
-        self.engine_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
+        self.process_routing_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
         self.fleet.set_connections(self.engine.tightest_connections());
         self.update_fleet_shape();
     }
--- a/crates/staircross-gateway/src/node/knowledge/fleet.rs
+++ b/crates/staircross-gateway/src/node/knowledge/fleet.rs
@@ -14,7 +14,7 @@
     pub(in crate::node) fn on_datagrams(&mut self) {
         let mut events = Vec::new();
         self.fleet.on_readable(self.now, &mut events);
-        self.take_fleet_events(events);
+        self.handle_fleet_events(events);
     }
 
     pub(in crate::node) fn on_fleet_tick(&mut self) {
@@ -24,15 +24,15 @@
         if was_pressed != self.status.is_pressed {
             let line =
                 format_args!("event=pressed pressed={} busy_percent={}", self.status.is_pressed, self.load.percent());
-            self.log.line(self.now, LineKind::Belief, line);
+            self.log.line(self.now, LineKind::NodeEvent, line);
         }
         self.fleet.set_load(self.load.percent(), &mut events);
         // These aren't the records of a push in the same turn: the records take turns, and the datagrams of each tick
         // carry the next ones.
         self.fleet.set_cases(self.engine.case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
-        self.take_fleet_events(events);
-        self.log_held_members();
+        self.handle_fleet_events(events);
+        self.log_member_totals();
         if self.fleet.is_directory_stale(self.now) {
             self.update_fleet_shape();
         }
@@ -47,10 +47,10 @@
         self.fleet.set_cases(self.engine.case_records(self.now));
         let mut events = Vec::new();
         self.fleet.push(&mut events);
-        self.take_fleet_events(events);
+        self.handle_fleet_events(events);
     }
 
-    pub(in crate::node) fn take_fleet_events(&mut self, events: Vec<FleetEvent>) {
+    pub(in crate::node) fn handle_fleet_events(&mut self, events: Vec<FleetEvent>) {
         if events.is_empty() {
             return;
         }
@@ -59,19 +59,19 @@
             match event {
                 FleetEvent::Member { member } => {
                     is_shape_changed = true;
-                    if self.is_region_mate(&member) {
-                        self.role.note_learned(self.now);
+                    if self.is_in_own_region(&member) {
+                        self.store_role.note_learned(self.now);
                     }
-                    self.note_member(&member);
+                    self.log_member(&member);
                 }
                 FleetEvent::Quotas { from, messages } => {
-                    self.engine_event(RoutingEvent::PeerQuota { from, messages });
+                    self.process_routing_event(RoutingEvent::PeerQuota { from, messages });
                 }
                 FleetEvent::Isolated { is_isolated } => {
-                    self.log.line(self.now, LineKind::Belief, format_args!("event=isolated isolated={is_isolated}"));
-                    self.engine_event(RoutingEvent::Isolated { is_isolated });
+                    self.log.line(self.now, LineKind::NodeEvent, format_args!("event=isolated isolated={is_isolated}"));
+                    self.process_routing_event(RoutingEvent::Isolated { is_isolated });
                 }
-                FleetEvent::Cases(records) => self.engine_event(RoutingEvent::PeerCases(records)),
+                FleetEvent::Cases(records) => self.process_routing_event(RoutingEvent::PeerCases(records)),
             }
         }
         if is_shape_changed {
@@ -79,18 +79,18 @@
         }
     }
 
-    fn is_region_mate(&self, member: &Member) -> bool {
+    fn is_in_own_region(&self, member: &Member) -> bool {
         member.region == self.settings.node.region
     }
 
     pub(super) fn update_fleet_shape(&mut self) {
         let FleetShape { nodes_by_zone, serving, rank, slack_share } = self.fleet.shape(self.now);
         let nodes = self.fleet.take_quota_nodes();
-        self.engine_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes });
+        self.process_routing_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes });
         let is_serving = self.fleet.is_serving();
         if is_serving != self.status.is_serving {
             self.status.is_serving = is_serving;
-            self.log.line(self.now, LineKind::Belief, format_args!("event=serving serving={is_serving}"));
+            self.log.line(self.now, LineKind::NodeEvent, format_args!("event=serving serving={is_serving}"));
         }
     }
 }
--- a/crates/staircross-gateway/src/node/knowledge/peers.rs
+++ b/crates/staircross-gateway/src/node/knowledge/peers.rs
@@ -17,7 +17,7 @@
 
 /// Silence after which a pull is given up and counts as failed. Longer than a round trip between regions plus the
 /// time that a peer's link needs for a configuration that is passed on, and shorter than the bounds on updates.
-const PEER_PATIENCE: Duration = Duration::from_millis(900);
+const PULL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Prefix of the request target of a pull; the revision after which changes are wanted follows it.
 pub(in crate::node) const CHANGES_TARGET: &str = "/changes?after=";
 /// Parameter after the revision: the version of the configuration that the pulling node has.
@@ -25,38 +25,38 @@
 /// Parameter after the version: the revision up to which the pulling node knows evacuations.
 pub(in crate::node) const EVACUATIONS_FIELD: &str = "&evacuations=";
 /// Suffix of the target if the pulling node accepts a configuration of any size.
-pub(in crate::node) const ANY_SIZE: &str = "&any-size";
+pub(in crate::node) const ANY_SIZE_SUFFIX: &str = "&any-size";
 /// HTTP status of an answer that holds an update.
-const OK: u16 = 200;
+const HTTP_OK: u16 = 200;
 
 impl<D: Dialect> GatewayNode<D> {
     /// Pulls missing updates from a peer that is ahead, unless a pull is in flight.
-    pub(in crate::node) fn ask_better_informed(&mut self) {
-        if self.peer.is_calling() {
+    pub(in crate::node) fn pull_if_behind(&mut self) {
+        if self.peer_client.is_calling() {
             return;
         }
-        let is_reading = self.role.role() == StoreRole::Reader || self.reader.is_reading_once();
+        let is_reading = self.store_role.role() == StoreRole::Reader || self.store_reader.is_reading_once();
         let Some(address) = self.fleet.better_informed(self.now, is_reading) else {
             return;
         };
         self.fleet.note_asked(self.now);
-        self.peer.set_address(address);
+        self.peer_client.set_address(address);
         let (revision, version) = (self.mirror.known_revision(), self.mirror.version());
         let evacuations = self.mirror.evacuations_revision();
-        let (is_served, behind_since) = (self.reader.is_reachable(), self.fleet.version_behind_since());
-        let takes_any = is_reading && self.role.takes_any_size(self.now, is_served, behind_since);
-        let any_size = if takes_any { ANY_SIZE } else { "" };
+        let (is_served, behind_since) = (self.store_reader.is_reachable(), self.fleet.version_behind_since());
+        let takes_any = is_reading && self.store_role.takes_any_size(self.now, is_served, behind_since);
+        let any_size = if takes_any { ANY_SIZE_SUFFIX } else { "" };
         let target =
             format!("{CHANGES_TARGET}{revision}{VERSION_FIELD}{version}{EVACUATIONS_FIELD}{evacuations}{any_size}");
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        if let Some(outcome) = self.peer.get(&target, PEER_PATIENCE, &mut io) {
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
+        if let Some(outcome) = self.peer_client.get(&target, PULL_TIMEOUT, &mut io) {
             self.on_peer_outcome(outcome);
         }
     }
 
     pub(in crate::node) fn on_peer_socket(&mut self, id: SocketId, is_writable: bool) {
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        if let Some(outcome) = self.peer.on_ready(id, is_writable, &mut io) {
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
+        if let Some(outcome) = self.peer_client.on_ready(id, is_writable, &mut io) {
             self.on_peer_outcome(outcome);
         }
     }
@@ -64,29 +64,29 @@
     /// Applies a peer's answer. If the pull failed, the node reads the store itself for a while; if the configuration
     /// is still behind, the node reads that once from the store.
     pub(super) fn on_peer_outcome(&mut self, outcome: CallOutcome) {
-        let peer = self.peer.address();
-        self.traffic.count(Purpose::Pulls, self.fleet.reach_of_address(peer), self.peer.take_bytes());
+        let peer = self.peer_client.address();
+        self.traffic.count(Purpose::Pulls, self.fleet.reach_of_address(peer), self.peer_client.take_bytes());
         // An answer that can't be decoded holds no update; the line below logs it with `understood=false`.
         let update = match &outcome {
-            CallOutcome::Answered(answer) if answer.head.status == OK => decode::<MirrorUpdate>(&answer.body).ok(),
+            CallOutcome::Answered(answer) if answer.head.status == HTTP_OK => decode::<MirrorUpdate>(&answer.body).ok(),
             CallOutcome::Answered(_) | CallOutcome::Failed => None,
         };
         let is_understood = update.is_some();
         self.log.line(
             self.now,
-            LineKind::Belief,
+            LineKind::NodeEvent,
             format_args!("event=asked_peer peer={peer} understood={is_understood}"),
         );
         let Some(update) = update else {
-            return self.role.note_unserved(self.now);
+            return self.store_role.note_unserved(self.now);
         };
-        self.learn(update, "peer");
-        self.reader.on_peer_report(Lane::Searchers, self.mirror.known_revision());
+        self.apply_update(update, "peer");
+        self.store_reader.on_peer_report(Lane::Searchers, self.mirror.known_revision());
         if !self.fleet.is_version_behind() {
-            return self.reader.on_peer_report(Lane::Configuration, self.mirror.operator_up_to());
+            return self.store_reader.on_peer_report(Lane::Configuration, self.mirror.operator_up_to());
         }
         let mut actions = Vec::new();
-        self.reader.read_configuration(self.now, &mut actions);
-        self.take_reader_actions(actions);
+        self.store_reader.read_configuration(self.now, &mut actions);
+        self.apply_reader_actions(actions);
     }
 }
--- a/crates/staircross-gateway/src/node/knowledge/store.rs
+++ b/crates/staircross-gateway/src/node/knowledge/store.rs
@@ -17,37 +17,37 @@
     /// to match.
     pub(in crate::node) fn decide_store_role(&mut self) {
         if let Some(heartbeat) = self.fleet.newest_heartbeat() {
-            self.role.note_heartbeat(heartbeat);
+            self.store_role.note_heartbeat(heartbeat);
         }
-        self.reader.set_has_followers(self.now, self.fleet.has_followers());
-        let before = self.role.role();
-        let role = self.role.decide(self.now, self.fleet.is_designated_reader());
+        self.store_reader.set_has_followers(self.now, self.fleet.has_followers());
+        let before = self.store_role.role();
+        let role = self.store_role.decide(self.now, self.fleet.is_designated_reader());
         if role == before {
             return;
         }
-        self.log.line(self.now, LineKind::Belief, format_args!("event=store_role role={}", role.name()));
+        self.log.line(self.now, LineKind::NodeEvent, format_args!("event=store_role role={}", role.name()));
         self.fleet.set_store_contact(None);
         let mut actions = Vec::new();
-        self.reader.set_mode(self.now, role.mode(), &mut actions);
-        self.take_reader_actions(actions);
+        self.store_reader.set_mode(self.now, role.mode(), &mut actions);
+        self.apply_reader_actions(actions);
     }
 
     /// Ends the calls that have timed out, and makes those that are due.
-    pub(in crate::node) fn on_store_time(&mut self) {
+    pub(in crate::node) fn handle_store_timers(&mut self) {
         for (index, lane) in Lane::ALL.into_iter().enumerate() {
-            if let Some(outcome) = self.store.callers[index].on_tick(self.now) {
+            if let Some(outcome) = self.store.clients[index].on_tick(self.now) {
                 self.on_store_outcome(lane, outcome);
             }
         }
-        if let Some(outcome) = self.peer.on_tick(self.now) {
+        if let Some(outcome) = self.peer_client.on_tick(self.now) {
             self.on_peer_outcome(outcome);
         }
         let mut actions = Vec::new();
-        self.reader.on_tick(self.now, &mut actions);
-        self.take_reader_actions(actions);
+        self.store_reader.on_tick(self.now, &mut actions);
+        self.apply_reader_actions(actions);
     }
 
-    pub(super) fn take_reader_actions(&mut self, actions: Vec<ReaderAction>) {
+    pub(super) fn apply_reader_actions(&mut self, actions: Vec<ReaderAction>) {
         for action in actions {
             match action {
                 ReaderAction::Call { lane, call, patience } => {
@@ -56,24 +56,24 @@
                     self.metrics.store_calls.count(&call);
                     self.store.pending[index] = Some(call);
                     self.store.called_at[index] = self.now;
-                    let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-                    if let Some(outcome) = self.store.callers[index].get(&target, patience, &mut io) {
+                    let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
+                    if let Some(outcome) = self.store.clients[index].get(&target, patience, &mut io) {
                         self.on_store_outcome(lane, outcome);
                     }
                 }
                 ReaderAction::Cancel { lane } => {
-                    self.store.callers[lane as usize].cancel();
+                    self.store.clients[lane as usize].cancel();
                     self.store.pending[lane as usize] = None;
                 }
                 ReaderAction::Learned { lane, update } => {
-                    self.learn(update, lane.name());
+                    self.apply_update(update, lane.name());
                     if lane == Lane::Configuration {
                         self.fleet.confirm(self.store.called_at[lane as usize]);
                     }
                 }
                 ReaderAction::Reachable { lane, is_reachable } => self.log.line(
                     self.now,
-                    LineKind::Belief,
+                    LineKind::NodeEvent,
                     format_args!("event=store lane={} reachable={is_reachable}", lane.name()),
                 ),
             }
@@ -83,8 +83,8 @@
     pub(in crate::node) fn on_store_socket(&mut self, id: SocketId, is_writable: bool) {
         let index = id.slot as usize;
         let lane = Lane::ALL[index];
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-        if let Some(outcome) = self.store.callers[index].on_ready(id, is_writable, &mut io) {
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
+        if let Some(outcome) = self.store.clients[index].on_ready(id, is_writable, &mut io) {
             self.on_store_outcome(lane, outcome);
         }
     }
@@ -92,7 +92,7 @@
     /// Passes a call's reply, or its failure, to the store reader.
     fn on_store_outcome(&mut self, lane: Lane, outcome: CallOutcome) {
         let call = self.store.pending[lane as usize].take();
-        self.traffic.count(Purpose::Store, Reach::Unknown, self.store.callers[lane as usize].take_bytes());
+        self.traffic.count(Purpose::Store, Reach::Unknown, self.store.clients[lane as usize].take_bytes());
         let reply = match (outcome, &call) {
             (CallOutcome::Answered(answer), Some(call)) => {
                 Some(self.dialect.store_reply(call, answer.head.status, &answer.body))
@@ -107,26 +107,26 @@
                     let line = format_args!("event=store_refused lane={} status={status}", lane.name());
                     self.log.line(self.now, LineKind::Drop, line);
                 }
-                self.reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
+                self.store_reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
             }
-            None => self.reader.on_failed(self.now, lane, &mut self.random, &mut actions),
+            None => self.store_reader.on_failed(self.now, lane, &mut self.random, &mut actions),
         }
         if is_alive {
-            self.on_store_alive();
+            self.on_probe_answered();
         }
-        self.take_reader_actions(actions);
+        self.apply_reader_actions(actions);
     }
 
     /// Handles the store's answer to a probe. The configuration is confirmed as of the probe if a watch of it was
     /// already in flight by then. A designated reader sends its followers a heartbeat if the store serves both
     /// watches.
-    fn on_store_alive(&mut self) {
-        self.role.note_probe_answered(self.now);
+    fn on_probe_answered(&mut self) {
+        self.store_role.note_probe_answered(self.now);
         let [watched_at, _, probed_at] = self.store.called_at;
-        if self.reader.watches_configuration() && watched_at <= probed_at {
+        if self.store_reader.watches_configuration() && watched_at <= probed_at {
             self.fleet.confirm(probed_at);
         }
-        if self.reader.is_reachable() && self.fleet.is_designated_reader() {
+        if self.store_reader.is_reachable() && self.fleet.is_designated_reader() {
             self.fleet.set_store_contact(Some(self.now));
             self.fleet.notify_followers(self.now);
         }
--- a/crates/staircross-gateway/src/node/log_limits.rs
+++ b/crates/staircross-gateway/src/node/log_limits.rs
@@ -4,7 +4,7 @@
 //! summary. `change_log`, `unreadable` and `summary` write the lines.
 
 use super::change_log::MemberLog;
-use super::summary::SUMMARY_EVERY;
+use super::summary::SUMMARY_INTERVAL;
 use crate::unreadable_log::UnreadableLog;
 use staircross_types::BootTime;
 
@@ -20,7 +20,7 @@
         LogLimits {
             members: MemberLog::default(),
             unreadable: UnreadableLog::default(),
-            next_summary: now + SUMMARY_EVERY,
+            next_summary: now + SUMMARY_INTERVAL,
         }
     }
 }
--- a/crates/staircross-gateway/src/node/operator.rs
+++ b/crates/staircross-gateway/src/node/operator.rs
@@ -11,7 +11,7 @@
 
 /// Interval at which the settings file is checked for changes. Short beside the bound on configuration updates, and
 /// long enough that the checks cost next to nothing.
-const FILE_LOOK: Duration = Duration::from_secs(1);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Flags that a signal handler sets to control a running node.
 #[derive(Clone, Debug, Default)]
@@ -27,30 +27,30 @@
 pub(super) struct Operator {
     signals: Signals,
     file: SettingsFile,
-    next_look: BootTime,
+    next_file_check: BootTime,
 }
 
 impl Operator {
     pub fn new(now: BootTime, signals: Signals, file: SettingsFile) -> Self {
-        Operator { signals, file, next_look: now }
+        Operator { signals, file, next_file_check: now }
     }
 
     /// Returns whether a stop was requested since the last call, and clears the request.
-    pub fn take_stop(&self) -> bool {
+    pub fn take_stop_request(&self) -> bool {
         self.signals.stop.swap(false, Ordering::AcqRel)
     }
 
     /// Returns whether a reload was requested since the last call, and clears the request.
-    pub fn take_reload(&self) -> bool {
+    pub fn take_reload_request(&self) -> bool {
         self.signals.reload.swap(false, Ordering::AcqRel)
     }
 
     /// Whether the settings file has changed; checks it only when the next check is due.
-    pub fn sees_change(&mut self, now: BootTime) -> bool {
-        if now < self.next_look {
+    pub fn has_file_changed(&mut self, now: BootTime) -> bool {
+        if now < self.next_file_check {
             return false;
         }
-        self.next_look = now + FILE_LOOK;
+        self.next_file_check = now + FILE_CHECK_INTERVAL;
         self.file.has_changed()
     }
 
--- a/crates/staircross-gateway/src/node/recording.rs
+++ b/crates/staircross-gateway/src/node/recording.rs
@@ -31,7 +31,7 @@
 impl<D: Dialect> GatewayNode<D> {
     /// Returns the event in the form in which it is recorded; `None` without a recording, and for a tick at which the
     /// engine has nothing due.
-    pub(super) fn to_record(&self, event: &RoutingEvent) -> Option<RecordedEvent> {
+    pub(super) fn recorded_event(&self, event: &RoutingEvent) -> Option<RecordedEvent> {
         self.recorder.as_ref()?;
         let is_idle_tick =
             matches!(event, RoutingEvent::Tick) && self.engine.next_wake().is_none_or(|due| due > self.now);
@@ -43,20 +43,20 @@
         let decisions = actions.iter().filter_map(Decision::in_action).collect();
         let turn = RecordedTurn { at: self.now, event, decisions };
         let outcome = self.recorder.as_mut().map_or(Ok(()), |recorder| recorder.write(&Record::Turn(turn)));
-        self.end_recording_on(outcome);
+        self.end_recording_on_error(outcome);
     }
 
     pub(super) fn flush_recording(&mut self) {
         let outcome = self.recorder.as_mut().map_or(Ok(()), Recorder::flush);
-        self.end_recording_on(outcome);
+        self.end_recording_on_error(outcome);
     }
 
-    fn end_recording_on(&mut self, outcome: Result<(), RecordingEnd>) {
+    fn end_recording_on_error(&mut self, outcome: Result<(), RecordingEnd>) {
         if let Err(end) = outcome {
             // Dropping the recorder writes out the buffered records.
             self.recorder = None;
             let line = format_args!("event=recording_ended cause={}", end.name());
-            self.log.line(self.now, LineKind::Belief, line);
+            self.log.line(self.now, LineKind::NodeEvent, line);
         }
     }
 }
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -15,8 +15,8 @@
 
 impl<D: Dialect> GatewayNode<D> {
     /// Reloads the settings if their file has changed, without waiting for a signal.
-    pub(super) fn look_at_settings(&mut self) {
-        if self.operator.sees_change(self.now) {
+    pub(super) fn reload_changed_settings(&mut self) {
+        if self.operator.has_file_changed(self.now) {
             self.reload();
         }
     }
@@ -27,13 +27,13 @@
             Ok(settings) => settings,
             Err(error) => {
                 let line = format_args!("event=reload outcome=refused reason={:?}", error.to_string());
-                return self.log.line(self.now, LineKind::Belief, line);
+                return self.log.line(self.now, LineKind::NodeEvent, line);
             }
         };
         // Changing a listener's address would cut its connections.
         let keeps_addresses = settings.listen == self.settings.listen;
         let line = format_args!("event=reload outcome=taken addresses_unchanged={keeps_addresses}");
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
         let bound = extra_bound(&settings);
         self.engine.set_extra_bound(bound);
         self.record(RecordedEvent::ExtraBound(bound), &[]);
@@ -43,16 +43,16 @@
         let bound = quota_bound(&settings);
         self.engine.set_quota_bound(self.now, bound);
         self.record(RecordedEvent::QuotaBound(bound), &[]);
-        self.role.set_longest_silence(settings.longest_silence());
+        self.store_role.set_longest_silence(settings.longest_silence());
         if settings.store != self.settings.store {
-            self.follow_store(settings.store.address);
+            self.switch_store(settings.store.address);
         }
         self.settings = GatewaySettings { listen: self.settings.listen.clone(), ..settings };
     }
 
     /// Switches to another address of the store, and reads everything again from there.
-    fn follow_store(&mut self, address: SocketAddr) {
+    fn switch_store(&mut self, address: SocketAddr) {
         self.store.set_address(address);
-        self.reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.role.role().mode());
+        self.store_reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.store_role.role().mode());
     }
 }
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -1,6 +1,6 @@
 //! Log lines on callers' requests: the decisions for each, and its end.
 //!
-//! A `note_…` function adds a line to its request's trace. The trace is written when the request ends. A `log_…`
+//! A `trace_…` function adds a line to its request's trace. The trace is written when the request ends. A `log_…`
 //! function writes a line at once. This module relies on `caller_request` for the traces.
 
 use super::GatewayNode;
@@ -18,7 +18,7 @@
 
 impl<D: Dialect> GatewayNode<D> {
     /// Adds a decision to its request's trace, with the request's id and the time since its arrival.
-    pub(super) fn note_decision(&mut self, request: RequestKey, text: fmt::Arguments<'_>) {
+    pub(super) fn trace_decision(&mut self, request: RequestKey, text: fmt::Arguments<'_>) {
         let Some(pending) = self.requests.get_mut(request) else {
             return;
         };
@@ -28,21 +28,21 @@
     }
 
     /// Traces an attempt that is sent in addition to the first one of its shard.
-    pub(super) fn note_sent(&mut self, order: &SendOrder) {
+    pub(super) fn trace_sent(&mut self, order: &SendOrder) {
         let (attempt, reason, instance) = (order.attempt.number, order.reason.name(), &order.instance);
-        let reported = Reported(order.reported);
+        let reported = ReportedLoad(order.reported);
         let text = format_args!("event=send attempt={attempt} reason={reason} searcher={instance}{reported}");
-        self.note_decision(order.attempt.request, text);
+        self.trace_decision(order.attempt.request, text);
     }
 
     /// Traces an attempt that was wanted but isn't made.
-    pub(super) fn note_unsent(&mut self, request: RequestKey, service: &str, reason: SendReason, cause: UnsentCause) {
+    pub(super) fn trace_unsent(&mut self, request: RequestKey, service: &str, reason: SendReason, cause: UnsentCause) {
         let (reason, cause) = (reason.name(), cause.name());
-        self.note_decision(request, format_args!("event=unsent service={service} reason={reason} cause={cause}"));
+        self.trace_decision(request, format_args!("event=unsent service={service} reason={reason} cause={cause}"));
     }
 
     /// Traces that a request ends without a shard's part.
-    pub(super) fn note_left_out(
+    pub(super) fn trace_left_out(
         &mut self,
         request: RequestKey,
         service: &str,
@@ -50,51 +50,51 @@
         cause: LeftOutCause,
     ) {
         let (asked, cause) = (asked.join(","), cause.name());
-        self.note_decision(request, format_args!("event=left_out service={service} asked={asked} cause={cause}"));
+        self.trace_decision(request, format_args!("event=left_out service={service} asked={asked} cause={cause}"));
     }
 
     /// Traces that a request waits until this node has the state that it needs.
-    pub(super) fn note_held(&mut self, request: RequestKey, cause: HoldCause) {
-        self.note_decision(request, format_args!("event=held cause={}", cause.name()));
+    pub(super) fn trace_held(&mut self, request: RequestKey, cause: HoldCause) {
+        self.trace_decision(request, format_args!("event=held cause={}", cause.name()));
     }
 
     /// Traces that a request arrived while an alarm was raised for its route, or that its first probe has advanced.
-    pub(super) fn note_probe(&mut self, request: RequestKey, step: ProbeStep) {
+    pub(super) fn trace_probe(&mut self, request: RequestKey, step: ProbeStep) {
         let name = step.name();
         match step.alarm_age() {
             Some(age) => {
                 let age = age.as_millis();
-                self.note_decision(request, format_args!("event=probe step={name} alarm_age_ms={age}"));
+                self.trace_decision(request, format_args!("event=probe step={name} alarm_age_ms={age}"));
             }
-            None => self.note_decision(request, format_args!("event=probe step={name}")),
+            None => self.trace_decision(request, format_args!("event=probe step={name}")),
         }
     }
 
     /// Traces that a request's key was rejected.
-    pub(super) fn note_key_refused(&mut self, request: RequestKey, cause: KeyRefusal) {
-        self.note_decision(request, format_args!("event=key_refused cause={}", cause.name()));
+    pub(super) fn trace_key_refused(&mut self, request: RequestKey, cause: KeyRefusal) {
+        self.trace_decision(request, format_args!("event=key_refused cause={}", cause.name()));
     }
 
     /// Traces that a request is refused because too much work waits at its services.
-    pub(super) fn note_not_admitted(&mut self, request: RequestKey, group: &str, fraction: f64) {
-        self.note_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
+    pub(super) fn trace_not_admitted(&mut self, request: RequestKey, group: &str, fraction: f64) {
+        self.trace_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
     }
 
     /// Traces the end of an attempt. A successful answer has no line here: the line of the request's own end covers
     /// it.
-    pub(super) fn note_attempt_ended(&mut self, attempt: AttemptKey, outcome: &AttemptOutcome) {
-        let Some(what) = notable_end(outcome) else {
+    pub(super) fn trace_attempt_ended(&mut self, attempt: AttemptKey, outcome: &AttemptOutcome) {
+        let Some(what) = describe_failed_attempt(outcome) else {
             return;
         };
         let number = attempt.number;
         // Only an attempt that the engine no longer knows has no searcher; its line has an empty name.
         let searcher = self.engine.instance_of(attempt).cloned().unwrap_or_default();
         let text = format_args!("event=attempt_ended attempt={number} searcher={searcher} {what}");
-        self.note_decision(attempt.request, text);
+        self.trace_decision(attempt.request, text);
     }
 
     /// Logs that a searcher sent an answer with another request's id, which was skipped.
-    pub(super) fn log_skipped(&mut self, searcher: SearcherKey) {
+    pub(super) fn log_skipped_answer(&mut self, searcher: SearcherKey) {
         let line = format_args!("event=answer_skipped searcher={} reason=other_id", searcher.0);
         self.log.line(self.now, LineKind::Drop, line);
     }
@@ -105,7 +105,7 @@
         let (wait, tolerable) = (wait.as_millis(), tolerable.as_millis());
         let line =
             format_args!("event=admission group={group} level={level:.2} wait_ms={wait} tolerable_ms={tolerable}");
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
     /// Logs that a tenant has become limited by its quota at this node, or no longer is.
@@ -115,7 +115,7 @@
         let line = format_args!(
             "event=quota tenant={tenant} limited={is_limited} pass={pass:.2} owner_silent={is_stranded} substitute={substitute}"
         );
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
     /// Logs that a caller disconnected before its request was answered.
@@ -138,12 +138,12 @@
 
     /// Logs and counts the end of a request.
     pub(super) fn log_finished(&mut self, pending: &CallerRequest, verdict: &Verdict) {
-        let is_whole = match verdict {
+        let is_complete = match verdict {
             Verdict::Merged(merged) => merged.missing == 0,
             Verdict::Passed(answer) => answer.status < 500,
             Verdict::Refused { .. } => false,
         };
-        self.log_trace(pending, if is_whole { LineKind::AnsweredTrace } else { LineKind::Trace });
+        self.log_trace(pending, if is_complete { LineKind::AnsweredTrace } else { LineKind::Trace });
         let took = self.now.since(pending.arrived);
         self.count_finished(pending, verdict, took);
         let (outcome, status, parts, missing) = match verdict {
@@ -161,7 +161,7 @@
                 pending.route_name(),
                 pending.tenant_name(),
                 pending.version,
-                pending.extras,
+                pending.extra_attempts,
                 pending.content(),
                 took.as_secs_f64() * 1000.0
             ),
@@ -180,9 +180,9 @@
 }
 
 /// Formats the load that a searcher last reported, as the end of a log line.
-struct Reported(Option<ReportedAt>);
+struct ReportedLoad(Option<ReportedAt>);
 
-impl fmt::Display for Reported {
+impl fmt::Display for ReportedLoad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(reported) => write!(f, " load={} load_age_ms={}", reported.load, reported.age.as_millis()),
@@ -193,7 +193,7 @@
 
 /// Describes an attempt's end for the trace; `None` for a successful answer, which the line of the request's own end
 /// covers.
-fn notable_end(outcome: &AttemptOutcome) -> Option<String> {
+fn describe_failed_attempt(outcome: &AttemptOutcome) -> Option<String> {
     match outcome {
         AttemptOutcome::Answered(answer) if answer.status < 300 => None,
         AttemptOutcome::Answered(answer) => Some(format!("outcome=failed status={}", answer.status)),
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -5,7 +5,7 @@
 //! each request until it ends.
 
 use super::GatewayNode;
-use super::caller_request::{CallerRequest, Target, Trace};
+use super::caller_request::{CallerRequest, RouteTarget, Trace};
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
 use crate::outbound::{AnswerContext, OutboundRequest};
@@ -20,7 +20,7 @@
 
 /// How the answer to a request is sent.
 #[derive(Clone, Copy)]
-struct Ending {
+struct ResponseOptions {
     /// Whether the connection is closed after the answer.
     closes: bool,
     /// Whether the answer has no body because the request's method is `HEAD`.
@@ -30,26 +30,26 @@
 impl<D: Dialect> GatewayNode<D> {
     pub(super) fn on_server_socket(&mut self, id: SocketId, is_writable: bool) {
         let mut events = Vec::new();
-        let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         self.server.on_ready(id, is_writable, &mut io, &mut events);
-        self.take_server_events(events);
+        self.handle_server_events(events);
     }
 
     pub(super) fn sweep_server(&mut self) {
         let mut events = Vec::new();
         let times = self.server_times();
         self.server.sweep(self.now, times, &mut events);
-        self.take_server_events(events);
+        self.handle_server_events(events);
     }
 
-    fn take_server_events(&mut self, events: Vec<ServerEvent>) {
+    fn handle_server_events(&mut self, events: Vec<ServerEvent>) {
         for event in events {
             match event {
                 ServerEvent::Request { connection, endpoint: Endpoint::Callers, request, link } => {
                     self.on_request(connection, *request, link);
                 }
                 ServerEvent::Request { connection, endpoint, request, .. } => {
-                    self.on_own_endpoint(connection, endpoint, &request);
+                    self.answer_own_endpoint(connection, endpoint, &request);
                 }
                 ServerEvent::Fault { connection, fault } => self.on_fault(connection, fault),
                 ServerEvent::Late { connection } => self.refuse_connection(connection, ErrorKind::CallerTooSlow),
@@ -63,14 +63,14 @@
         if outbound.id.is_none() {
             return self.refuse_connection(connection, ErrorKind::BadRequest);
         }
-        if self.is_closed_to_requests() {
-            return self.refuse_leaving(connection, &*outbound.method == "HEAD");
+        if self.is_refusing_requests() {
+            return self.refuse_while_stopping(connection, &*outbound.method == "HEAD");
         }
         let key = self.requests.next_key();
         let arrival = self.arrival(key, &request.head, &outbound, link);
         let pending = self.caller_request(connection, &request.head, outbound, &arrival);
         self.requests.insert(key, pending);
-        self.engine_event(RoutingEvent::Arrived(arrival));
+        self.process_routing_event(RoutingEvent::Arrived(arrival));
     }
 
     /// Collects the facts by which the engine decides about a request.
@@ -85,7 +85,7 @@
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
             view: self.configuration_view(),
-            knows_searchers: self.mirror.has_listing() && !self.reader.may_lack_searchers(self.now),
+            knows_searchers: self.mirror.has_listing() && !self.store_reader.may_lack_searchers(self.now),
             link,
             content: outbound.content,
             credential: outbound.credential,
@@ -100,27 +100,32 @@
         outbound: OutboundRequest,
         arrival: &Arrival,
     ) -> CallerRequest {
-        let (route, tenant) = self.identify(&arrival.host, &arrival.path, arrival.credential);
+        let (route, tenant) = self.find_route_and_tenant(&arrival.host, &arrival.path, arrival.credential);
         // A newer configuration may contain the route or the tenant.
-        let is_nobodys = tenant.is_none() && arrival.credential != Credential::Missing;
-        let target = || Target { host: arrival.host.clone(), path: arrival.path.clone() };
-        let unrouted = (route.is_none() || is_nobodys).then(target);
+        let is_tenant_unknown = tenant.is_none() && arrival.credential != Credential::Missing;
+        let target = || RouteTarget { host: arrival.host.clone(), path: arrival.path.clone() };
+        let unresolved_target = (route.is_none() || is_tenant_unknown).then(target);
         CallerRequest {
             connection,
             outbound,
             route,
             tenant,
-            unrouted,
+            unresolved_target,
             version: self.version(),
             arrived: self.now,
             keeps_alive: head.keeps_alive(),
-            extras: 0,
+            extra_attempts: 0,
             trace: Trace::default(),
         }
     }
 
     /// Returns the names of a request's route and tenant, for logs and metrics.
-    fn identify(&self, host: &str, path: &str, credential: Credential) -> (Option<Arc<str>>, Option<Arc<str>>) {
+    fn find_route_and_tenant(
+        &self,
+        host: &str,
+        path: &str,
+        credential: Credential,
+    ) -> (Option<Arc<str>>, Option<Arc<str>>) {
         let found = self.engine.table().and_then(|table| Some((table, table.find_index(host, path)?)));
         let Some((table, index)) = found else {
             return (None, None);
@@ -135,11 +140,12 @@
     }
 
     /// Sets the route and tenant names of a request that arrived before they were known.
-    fn name_held_route(&self, pending: &mut CallerRequest) {
-        let Some(target) = pending.unrouted.take() else {
+    fn resolve_held_request(&self, pending: &mut CallerRequest) {
+        let Some(target) = pending.unresolved_target.take() else {
             return;
         };
-        (pending.route, pending.tenant) = self.identify(&target.host, &target.path, pending.outbound.credential);
+        (pending.route, pending.tenant) =
+            self.find_route_and_tenant(&target.host, &target.path, pending.outbound.credential);
         pending.version = self.version();
     }
 
@@ -151,7 +157,7 @@
         if let Some(pending) = self.requests.take(key) {
             self.log_caller_gone(&pending);
         }
-        self.engine_event(RoutingEvent::CallerGone(key));
+        self.process_routing_event(RoutingEvent::CallerGone(key));
     }
 
     fn on_fault(&mut self, connection: SocketId, fault: ServerFault) {
@@ -165,21 +171,21 @@
 
     /// Refuses a connection that sent no valid request in time, and closes it.
     fn refuse_connection(&mut self, connection: SocketId, kind: ErrorKind) {
-        self.refuse_unread(connection, kind, Ending { closes: true, is_head: false });
+        self.refuse_unread(connection, kind, ResponseOptions { closes: true, is_head: false });
     }
 
     /// Refuses a request that arrives too late in a planned stop. Its connection stays open while callers can still
     /// connect: otherwise a caller that goes on sending would make a new connection for each request, and one that is
     /// made just as the listener closes is reset.
-    fn refuse_leaving(&mut self, connection: SocketId, is_head: bool) {
-        let ending = Ending { closes: !self.is_listening_to_callers(), is_head };
+    fn refuse_while_stopping(&mut self, connection: SocketId, is_head: bool) {
+        let ending = ResponseOptions { closes: !self.is_listening_to_callers(), is_head };
         self.refuse_unread(connection, ErrorKind::Leaving, ending);
     }
 
-    fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, ending: Ending) {
+    fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, ending: ResponseOptions) {
         self.metrics.refused(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
-        let Ending { closes, is_head } = ending;
+        let ResponseOptions { closes, is_head } = ending;
         let context = AnswerContext { names: self.dialect.headers(), id: None, closes, is_head };
         let answer = context.refused(kind, kind.meaning(), None);
         self.respond(connection, answer, closes);
@@ -187,54 +193,54 @@
 
     pub(super) fn respond(&mut self, connection: SocketId, answer: Vec<u8>, closes: bool) {
         let mut events = Vec::new();
-        let io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
+        let io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         self.server.respond(connection, answer, closes, &io, &mut events);
-        self.take_server_events(events);
+        self.handle_server_events(events);
     }
 
-    pub(super) fn engine_event(&mut self, event: RoutingEvent) {
+    pub(super) fn process_routing_event(&mut self, event: RoutingEvent) {
         let mut actions = Vec::new();
-        let recorded = self.to_record(&event);
+        let recorded = self.recorded_event(&event);
         self.engine.on_event(self.now, event, &mut actions);
         if let Some(recorded) = recorded {
             self.record(recorded, &actions);
         }
         for action in actions {
-            self.take_action(action);
+            self.apply_action(action);
         }
     }
 
-    fn take_action(&mut self, action: RoutingAction) {
+    fn apply_action(&mut self, action: RoutingAction) {
         match action {
-            RoutingAction::Send(order) => self.send(order),
-            RoutingAction::Abandon { attempt, patience, cause } => self.abandon(attempt, patience, cause),
-            RoutingAction::Recall { attempt } => self.recall(attempt),
-            RoutingAction::Finish { request, verdict } => self.finish(request, verdict),
+            RoutingAction::Send(order) => self.send_attempt(order),
+            RoutingAction::Abandon { attempt, patience, cause } => self.abandon_attempt(attempt, patience, cause),
+            RoutingAction::Recall { attempt } => self.recall_attempt(attempt),
+            RoutingAction::Finish { request, verdict } => self.finish_request(request, verdict),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
-            RoutingAction::Suspicion { change, is_by_peers } => self.note_suspicion(change, is_by_peers),
+            RoutingAction::Suspicion { change, is_by_peers } => self.on_suspicion_change(change, is_by_peers),
             RoutingAction::Unsent { request, service, reason, cause } => {
-                self.note_unsent(request, &service, reason, cause);
+                self.trace_unsent(request, &service, reason, cause);
             }
             RoutingAction::LeftOut { request, service, asked, cause } => {
-                self.note_left_out(request, &service, &asked, cause);
+                self.trace_left_out(request, &service, &asked, cause);
             }
-            RoutingAction::Held { request, cause } => self.note_held(request, cause),
-            RoutingAction::KeyRefused { request, cause } => self.note_key_refused(request, cause),
+            RoutingAction::Held { request, cause } => self.trace_held(request, cause),
+            RoutingAction::KeyRefused { request, cause } => self.trace_key_refused(request, cause),
             RoutingAction::NotAdmitted { request, group, fraction } => {
-                self.note_not_admitted(request, &group, fraction);
+                self.trace_not_admitted(request, &group, fraction);
             }
             RoutingAction::Admission { group, change } => self.log_admission(&group, &change),
             RoutingAction::Quota(change) => self.log_quota(&change),
-            RoutingAction::Alarm { route, is_raised } => self.note_alarm(&route, is_raised),
-            RoutingAction::Probe { request, step } => self.note_probe(request, step),
+            RoutingAction::Alarm { route, is_raised } => self.log_alarm(&route, is_raised),
+            RoutingAction::Probe { request, step } => self.trace_probe(request, step),
         }
     }
 
-    pub(super) fn finish(&mut self, key: RequestKey, verdict: Verdict) {
+    pub(super) fn finish_request(&mut self, key: RequestKey, verdict: Verdict) {
         let Some(mut pending) = self.requests.take(key) else {
             return;
         };
-        self.name_held_route(&mut pending);
+        self.resolve_held_request(&mut pending);
         let closes = !pending.keeps_alive || self.stop.is_some();
         let context = AnswerContext {
             names: self.dialect.headers(),
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -43,13 +43,13 @@
 /// Time after a restart during which fresh connections to searchers are proved. The machine may have lost power, and
 /// searchers may still hold connections of the earlier incarnation; this time lets them notice. It doesn't apply to
 /// the first start of the whole fleet.
-const STARTUP: Duration = Duration::from_secs(20);
+const CONNECTION_PROOF_TIME: Duration = Duration::from_secs(20);
 /// Time after a restart during which the node looks for searchers again soon after each update on them, since
 /// searchers return one by one after a loss of power.
-const READER_STARTUP: Duration = Duration::from_secs(3);
+const READER_STARTUP_TIME: Duration = Duration::from_secs(3);
 /// Maximum length of a searcher's answer, in bytes, so that one answer is a small share of the process's default
 /// memory.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 impl<D: Dialect> GatewayNode<D> {
     /// Reads the settings, binds all addresses and builds the node. The node checks `signals` while it runs.
@@ -67,12 +67,12 @@
         let routing = routing_settings(now, &settings);
         Ok(GatewayNode {
             log: begin_log(now, routing.node, &settings),
-            pool: pool(now, &settings, *dialect.headers()),
-            fleet: fleet(now, routing.node, &settings, datagrams),
+            pool: build_pool(now, &settings, *dialect.headers()),
+            fleet: build_fleet(now, routing.node, &settings, datagrams),
             store: StoreCalls::new(settings.store.address),
-            peer: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
-            reader: store_reader(now, &settings),
-            role: role_keeper(now, &settings),
+            peer_client: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
+            store_reader: build_store_reader(now, &settings),
+            store_role: build_store_role(now, &settings),
             mirror: Mirror::default(),
             recorder: recording::begin(&settings, &routing)?,
             engine: RoutingEngine::new(routing),
@@ -121,16 +121,16 @@
     let (zone, store) = (&settings.node.zone, settings.store.address);
     let (callers, peers) = (settings.listen.callers, settings.listen.peers);
     let line = format_args!("event=start run={node} zone={zone} callers={callers} peers={peers} store={store}");
-    log.line(now, LineKind::Belief, line);
+    log.line(now, LineKind::NodeEvent, line);
     log
 }
 
-fn pool(now: BootTime, settings: &GatewaySettings, names: HeaderNames) -> Pool {
-    let proves_until = if settings.node.first_start { now } else { now + STARTUP };
-    Pool::new(names, MAX_ANSWER, proves_until).with_policy(settings.policy.node)
+fn build_pool(now: BootTime, settings: &GatewaySettings, names: HeaderNames) -> Pool {
+    let proves_until = if settings.node.first_start { now } else { now + CONNECTION_PROOF_TIME };
+    Pool::new(names, MAX_ANSWER_BYTES, proves_until).with_policy(settings.policy.node)
 }
 
-fn fleet(now: BootTime, node: NodeId, settings: &GatewaySettings, datagrams: UdpSocket) -> Fleet {
+fn build_fleet(now: BootTime, node: NodeId, settings: &GatewaySettings, datagrams: UdpSocket) -> Fleet {
     let identity = FleetIdentity {
         node,
         peers: settings.listen.peers,
@@ -143,15 +143,15 @@
 
 /// Creates the store reader. At the first start of a fleet, no node reads the store before it knows its region; after
 /// a restart, each node reads the store once.
-fn store_reader(now: BootTime, settings: &GatewaySettings) -> StoreReader {
+fn build_store_reader(now: BootTime, settings: &GatewaySettings) -> StoreReader {
     let reader = StoreReader::new(settings.reader());
     if settings.node.first_start {
         return reader.with_mode(now, ReadingMode::Following);
     }
-    reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP)
+    reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP_TIME)
 }
 
-fn role_keeper(now: BootTime, settings: &GatewaySettings) -> RoleKeeper {
+fn build_store_role(now: BootTime, settings: &GatewaySettings) -> RoleKeeper {
     let keeper = RoleKeeper::new(now, settings.longest_silence());
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -12,7 +12,7 @@
 /// Time for which a starting node waits for a complete listing of the searchers before it becomes ready with an
 /// incomplete one. Longer than a listing usually takes, and bounded so that the node is useful even where no listing
 /// arrives.
-const LISTING_PATIENCE: Duration = Duration::from_secs(3);
+const LISTING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The node's status as last evaluated.
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,29 +24,30 @@
     /// Whether the directory sends callers to this node.
     pub is_serving: bool,
     /// Whether the configuration was last confirmed longer ago than the settings allow.
-    pub is_view_old: bool,
+    pub is_confirmation_overdue: bool,
 }
 
 impl<D: Dialect> GatewayNode<D> {
     /// Evaluates readiness; a change is logged and announced to peers.
     pub(super) fn update_readiness(&mut self) {
-        let is_ready = self.knows_enough() && self.stop.is_none();
+        let is_ready = self.has_state_to_serve() && self.stop.is_none();
         if is_ready == self.status.is_ready {
             return;
         }
         self.status.is_ready = is_ready;
         let line = format_args!("event=ready ready={is_ready} version={}", self.mirror.version());
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
         let mut events = Vec::new();
         self.fleet.set_ready(is_ready, &mut events);
-        self.take_fleet_events(events);
+        self.handle_fleet_events(events);
     }
 
     /// Whether the node has a configuration and a listing of searchers. Half a listing answers only half the
-    /// requests, but after `LISTING_PATIENCE` a partial listing is better than none.
-    fn knows_enough(&self) -> bool {
-        let knows_all = self.mirror.has_listing();
-        let knows_some = self.mirror.searchers().next().is_some() && self.now.since(self.started) >= LISTING_PATIENCE;
-        self.engine.table().is_some() && (knows_all || knows_some)
+    /// requests, but after `LISTING_TIMEOUT` a partial listing is better than none.
+    fn has_state_to_serve(&self) -> bool {
+        let has_full_listing = self.mirror.has_listing();
+        let has_partial_listing =
+            self.mirror.searchers().next().is_some() && self.now.since(self.started) >= LISTING_TIMEOUT;
+        self.engine.table().is_some() && (has_full_listing || has_partial_listing)
     }
 }
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -25,37 +25,37 @@
 use std::time::Duration;
 
 /// Factor on the stated time to live for which callers may keep an answer of the directory. The platform sets it.
-const DIRECTORY_KEPT: u32 = 3;
+const DIRECTORY_TTL_FACTOR: u32 = 3;
 /// Minimum time to live of the directory's answers, so that callers don't have to ask before most of their requests.
 const MIN_DIRECTORY_TTL: Duration = Duration::from_millis(250);
 /// Maximum time to live of the directory's answers, whatever the settings allow, so that callers soon leave a dead
 /// node.
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 /// Reserve before the time at which the process would be killed, for a late wake-up and the last writes.
-const KILL_GUARD: Duration = Duration::from_millis(500);
+const KILL_MARGIN: Duration = Duration::from_millis(500);
 /// Further reserve for the requests that were accepted last. Longer than callers usually wait.
-const LAST_REQUESTS: Duration = Duration::from_millis(1500);
+const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(1500);
 /// Number of consecutive idle ticks after which the listeners close. This counts ticks rather than time: after a
 /// pause of this process, requests may wait unread in its sockets.
-const IDLE_LOOKS: u32 = 3;
+const IDLE_TICKS_TO_CLOSE: u32 = 3;
 /// Time for which all callers' connections must have been idle before the node ends. Callers that pause longer
 /// between requests see that the connection has ended before they send again.
-const LAST_REST: Duration = Duration::from_millis(500);
+const FINAL_IDLE_TIME: Duration = Duration::from_millis(500);
 /// Time before the deadline at which the listeners close even with requests in flight. It must be long enough to
 /// answer each caller that goes on sending once more, after which the caller can't connect again.
-const LAST_CLOSING: Duration = Duration::from_millis(1000);
+const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(1000);
 // By the time the listeners close, requests on new connections must already be refused.
-const _: () = assert!(LAST_CLOSING.as_millis() < LAST_REQUESTS.as_millis());
+const _: () = assert!(LISTENER_CLOSE_MARGIN.as_millis() < LAST_REQUESTS_MARGIN.as_millis());
 
 /// A planned stop in progress.
 pub(super) struct StopState {
     /// Until when requests are still accepted, since callers may hold this node's address.
-    takes_until: BootTime,
+    accepts_until: BootTime,
     /// When the listeners close even with requests in flight.
-    closes_by: BootTime,
+    listeners_close_at: BootTime,
     /// Deadline at which the node ends even with requests in flight.
-    latest: BootTime,
-    idle_looks: u32,
+    deadline: BootTime,
+    idle_ticks: u32,
     has_closed_listeners: bool,
     is_done: bool,
 }
@@ -63,28 +63,28 @@
 impl<D: Dialect> GatewayNode<D> {
     pub(super) fn begin_stop(&mut self) {
         if self.stop.is_some() {
-            self.log.line(self.now, LineKind::Belief, format_args!("event=stop_again"));
+            self.log.line(self.now, LineKind::NodeEvent, format_args!("event=stop_again"));
             return;
         }
         let in_flight = self.engine.in_flight();
-        self.log.line(self.now, LineKind::Belief, format_args!("event=stop_begins in_flight={in_flight}"));
+        self.log.line(self.now, LineKind::NodeEvent, format_args!("event=stop_begins in_flight={in_flight}"));
         let grace = Duration::from_secs_f64(self.settings.bounds.stop_s);
-        let latest = self.now + grace.saturating_sub(KILL_GUARD);
-        let has_left = self.now + self.directory_ttl() * DIRECTORY_KEPT + KILL_GUARD;
-        let takes_until = has_left.min(latest - LAST_REQUESTS).max(self.now);
-        let closes_by = latest - LAST_CLOSING;
+        let deadline = self.now + grace.saturating_sub(KILL_MARGIN);
+        let callers_left_at = self.now + self.directory_ttl() * DIRECTORY_TTL_FACTOR + KILL_MARGIN;
+        let accepts_until = callers_left_at.min(deadline - LAST_REQUESTS_MARGIN).max(self.now);
+        let listeners_close_at = deadline - LISTENER_CLOSE_MARGIN;
         self.stop = Some(StopState {
-            takes_until,
-            closes_by,
-            latest,
-            idle_looks: 0,
+            accepts_until,
+            listeners_close_at,
+            deadline,
+            idle_ticks: 0,
             has_closed_listeners: false,
             is_done: false,
         });
         self.update_readiness();
         let mut events = Vec::new();
         self.fleet.leave(MemberState::Leaving, &mut events);
-        self.take_fleet_events(events);
+        self.handle_fleet_events(events);
     }
 
     pub(super) fn on_stop_tick(&mut self) {
@@ -93,40 +93,40 @@
         let Some(stop) = &mut self.stop else {
             return;
         };
-        let is_idle = !is_busy && now >= stop.takes_until;
-        stop.idle_looks = if is_idle { stop.idle_looks + 1 } else { 0 };
-        let must_close = stop.idle_looks >= IDLE_LOOKS || now >= stop.closes_by;
+        let is_idle = !is_busy && now >= stop.accepts_until;
+        stop.idle_ticks = if is_idle { stop.idle_ticks + 1 } else { 0 };
+        let must_close = stop.idle_ticks >= IDLE_TICKS_TO_CLOSE || now >= stop.listeners_close_at;
         if must_close && !stop.has_closed_listeners {
             stop.has_closed_listeners = true;
             self.server.stop_listening(now, Endpoint::Callers, self.poll.registry());
         }
-        let has_ended = stop.has_closed_listeners && is_idle && self.server.have_callers_rested(now, LAST_REST);
-        let is_latest = now >= stop.latest;
-        if is_latest && !self.requests.is_empty() {
+        let has_ended = stop.has_closed_listeners && is_idle && self.server.have_callers_rested(now, FINAL_IDLE_TIME);
+        let is_past_deadline = now >= stop.deadline;
+        if is_past_deadline && !self.requests.is_empty() {
             // The answers are written before the next tick ends the node.
-            return self.answer_in_flight();
+            return self.time_out_requests_in_flight();
         }
-        stop.is_done = has_ended || is_latest;
+        stop.is_done = has_ended || is_past_deadline;
         if stop.is_done {
             let mut events = Vec::new();
             self.fleet.leave(MemberState::Left, &mut events);
-            self.take_fleet_events(events);
+            self.handle_fleet_events(events);
         }
     }
 
     /// Answers all requests in flight with a timeout, since the node can't wait any longer; the answer says that the
     /// request may have run.
-    fn answer_in_flight(&mut self) {
+    fn time_out_requests_in_flight(&mut self) {
         for key in self.requests.keys() {
             let detail = "the node stops and can't wait any longer; the request may have run";
-            self.finish(key, Verdict::Refused { kind: ErrorKind::TimedOut, detail, retry_after: None });
-            self.engine_event(RoutingEvent::CallerGone(key));
+            self.finish_request(key, Verdict::Refused { kind: ErrorKind::TimedOut, detail, retry_after: None });
+            self.process_routing_event(RoutingEvent::CallerGone(key));
         }
     }
 
     /// Whether new requests are refused as not executed, because the node couldn't wait for their end.
-    pub(super) fn is_closed_to_requests(&self) -> bool {
-        self.stop.as_ref().is_some_and(|stop| self.now >= stop.takes_until)
+    pub(super) fn is_refusing_requests(&self) -> bool {
+        self.stop.as_ref().is_some_and(|stop| self.now >= stop.accepts_until)
     }
 
     /// Whether the callers' listeners are open.
@@ -139,9 +139,9 @@
     pub(super) fn directory_ttl(&self) -> Duration {
         let bounds = &self.settings.bounds;
         let grace = Duration::from_secs_f64(bounds.stop_s);
-        let lingering = grace.saturating_sub(KILL_GUARD + KILL_GUARD + LAST_REQUESTS);
+        let time_to_leave = grace.saturating_sub(KILL_MARGIN + KILL_MARGIN + LAST_REQUESTS_MARGIN);
         let longest = Duration::from_secs_f64(bounds.directory_ttl_s).min(MAX_DIRECTORY_TTL);
-        (lingering / DIRECTORY_KEPT).clamp(MIN_DIRECTORY_TTL, longest.max(MIN_DIRECTORY_TTL))
+        (time_to_leave / DIRECTORY_TTL_FACTOR).clamp(MIN_DIRECTORY_TTL, longest.max(MIN_DIRECTORY_TTL))
     }
 
     pub(super) fn is_stopped(&self) -> bool {
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -10,36 +10,36 @@
 use staircross_types::BootTime;
 use std::net::SocketAddr;
 
-const LANES: usize = Lane::ALL.len();
+const LANE_COUNT: usize = Lane::ALL.len();
 
 /// Connections and pending calls to the store, by lane.
 pub(super) struct StoreCalls {
-    pub callers: [HttpCaller; LANES],
+    pub clients: [HttpCaller; LANE_COUNT],
     /// The call in flight in each lane.
-    pub pending: [Option<StoreCall>; LANES],
+    pub pending: [Option<StoreCall>; LANE_COUNT],
     /// Time of the last call in each lane.
-    pub called_at: [BootTime; LANES],
+    pub called_at: [BootTime; LANE_COUNT],
 }
 
 impl StoreCalls {
     pub fn new(address: SocketAddr) -> Self {
         StoreCalls {
-            callers: Lane::ALL.map(|lane| HttpCaller::new(SocketKind::Store, lane as u32, address)),
-            pending: [const { None }; LANES],
-            called_at: [BootTime::default(); LANES],
+            clients: Lane::ALL.map(|lane| HttpCaller::new(SocketKind::Store, lane as u32, address)),
+            pending: [const { None }; LANE_COUNT],
+            called_at: [BootTime::default(); LANE_COUNT],
         }
     }
 
     /// Changes the store's address; calls in flight are cancelled.
     pub fn set_address(&mut self, address: SocketAddr) {
-        for caller in &mut self.callers {
-            caller.set_address(address);
+        for client in &mut self.clients {
+            client.set_address(address);
         }
-        self.pending = [const { None }; LANES];
+        self.pending = [const { None }; LANE_COUNT];
     }
 
     /// Returns when the first of the calls in flight times out.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.callers.iter().filter_map(HttpCaller::next_wake).min()
+        self.clients.iter().filter_map(HttpCaller::next_wake).min()
     }
 }
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -11,7 +11,7 @@
 
 /// Interval between two summaries. Long enough that summaries are a small share of the log lines, and short enough to
 /// show how an hour went.
-pub(super) const SUMMARY_EVERY: Duration = Duration::from_secs(10);
+pub(super) const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> GatewayNode<D> {
     /// Returns the bytes sent and received since the start.
@@ -27,18 +27,18 @@
         if self.now < self.log_limits.next_summary {
             return;
         }
-        self.log_limits.next_summary = self.now + SUMMARY_EVERY;
+        self.log_limits.next_summary = self.now + SUMMARY_INTERVAL;
         let mut text = String::from("event=traffic");
         for (purpose, reach, bytes) in self.all_traffic().counted() {
             // Writing to a string can't fail.
             let _infallible = write!(text, " {}_{}={bytes}", purpose.name(), reach.name());
         }
-        self.log.line(self.now, LineKind::Belief, format_args!("{text}"));
+        self.log.line(self.now, LineKind::NodeEvent, format_args!("{text}"));
         let calls = self.metrics.store_calls;
         let line = format_args!(
             "event=store_calls reads={} lists={} watches={} probes={}",
             calls.reads, calls.lists, calls.watches, calls.probes
         );
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 }
--- a/crates/staircross-gateway/src/node/unreadable.rs
+++ b/crates/staircross-gateway/src/node/unreadable.rs
@@ -10,13 +10,13 @@
 
 impl<D: Dialect> GatewayNode<D> {
     /// Counts and logs the store's unusable items, once for each revision of an item.
-    pub(super) fn note_unreadable(&mut self, items: &[UnreadableItem], source: &str) {
+    pub(super) fn log_unreadable(&mut self, items: &[UnreadableItem], source: &str) {
         for UnreadableItem { kind, key, revision, reason } in
             items.iter().filter(|item| self.log_limits.unreadable.is_new(item))
         {
             self.metrics.unreadable_items += 1;
             let line_kind = match kind {
-                KeyKind::Configuration => LineKind::Belief,
+                KeyKind::Configuration => LineKind::NodeEvent,
                 KeyKind::Searcher | KeyKind::Evacuation | KeyKind::Unknown => LineKind::Drop,
             };
             let (kind, revision) = (kind.name(), revision.unwrap_or_default());
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -6,9 +6,9 @@
 //!
 //! | role | updates come from | changes to |
 //! | --- | --- | --- |
-//! | reader | the store | follower, once it isn't designated and hears a reader's heartbeat; a node that had to read by itself waits for `HOLD` first |
+//! | reader | the store | follower, once it isn't designated and hears a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
 //! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `longest_silence` without a heartbeat |
-//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `GRACE_FRACTION` of `longest_silence`; follower, if a heartbeat arrives |
+//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `longest_silence`; follower, if a heartbeat arrives |
 //!
 //! Each call to the store has a cost, and so has each byte of an answer that crosses regions. So
 //! [`READERS_PER_REGION`] nodes of a region are designated readers and send the others their revisions and heartbeats
@@ -25,27 +25,27 @@
 pub const READERS_PER_REGION: usize = 2;
 /// Time for which a node that had to read by itself continues to read. Long against the silence that a follower
 /// tolerates, so that a region whose readers come and go doesn't list the store at each change.
-const HOLD: Duration = Duration::from_secs(10);
+const SELF_READING_TIME: Duration = Duration::from_secs(10);
 /// Time without a new member of the region after which the region counts as settled, that is, all its members are
 /// taken to be known. A joining node asks a seed once a second, and a fifth is added for a late answer. When nodes
 /// chose readers after half a second, most of 195 nodes considered themselves readers.
-const QUIET: Duration = Duration::from_millis(1200);
+const SETTLE_TIME: Duration = Duration::from_millis(1200);
 /// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there
 /// is nothing to serve yet. Shorter than the time that a fleet has to start before traffic arrives.
-const MAX_FIRST_SETTLING: Duration = Duration::from_secs(3);
+const MAX_FIRST_SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Maximum wait for the region to settle at any later start, as a fraction of the silence that a follower tolerates.
 /// Below 1, so that a designated reader reads before its followers would probe.
-const SETTLING_FRACTION: f64 = 0.8;
+const MAX_SETTLE_FRACTION: f64 = 0.8;
 /// Time that readers get for their first listing at the first start of a fleet; a follower counts silence from its
-/// end. Covers [`QUIET`] and one call.
-const FIRST_READING: Duration = Duration::from_millis(1500);
+/// end. Covers [`SETTLE_TIME`] and one call.
+const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
 /// silence that a follower tolerates. That silence is 0.4 of the bound on updates: 0.4 of it, a probe, this third of
 /// 0.4 and a call stay below the bound.
-const GRACE_FRACTION: f64 = 0.33;
+const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
 /// silence that a follower tolerates. Below 1, so that the reader is in time either way.
-const LARGE_FRACTION: f64 = 0.75;
+const LARGE_CONFIGURATION_FRACTION: f64 = 0.75;
 
 /// The source of a node's updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,9 +89,9 @@
     /// Until when the node reads the store even if it isn't designated.
     reads_until: BootTime,
     /// When a change of a member of the region was last received.
-    learned_at: BootTime,
+    member_changed_at: BootTime,
     /// When the region counts as settled at the latest, whatever is still received.
-    settles_until: BootTime,
+    settled_by: BootTime,
     /// When the store first answered a probe of this node during the present time as a prober.
     probed_at: Option<BootTime>,
 }
@@ -105,15 +105,15 @@
             role: StoreRole::Follower,
             heartbeat_at: now,
             reads_until: BootTime::default(),
-            learned_at: now,
-            settles_until: now + longest_silence.mul_f64(SETTLING_FRACTION),
+            member_changed_at: now,
+            settled_by: now + longest_silence.mul_f64(MAX_SETTLE_FRACTION),
             probed_at: None,
         }
     }
 
     /// Applies the times of a fleet's first start, which give readers time for their first listing.
     pub fn with_first_start(self, now: BootTime) -> Self {
-        RoleKeeper { settles_until: now + MAX_FIRST_SETTLING, heartbeat_at: now + FIRST_READING, ..self }
+        RoleKeeper { settled_by: now + MAX_FIRST_SETTLE_TIME, heartbeat_at: now + FIRST_LISTING_TIME, ..self }
     }
 
     /// Returns the role as last decided.
@@ -128,7 +128,7 @@
 
     /// Notes a change of a member of the region; further members may follow.
     pub fn note_learned(&mut self, now: BootTime) {
-        self.learned_at = now;
+        self.member_changed_at = now;
     }
 
     /// Notes a heartbeat: the store answered a reader of the region at time `at`.
@@ -141,29 +141,29 @@
         self.probed_at.get_or_insert(now);
     }
 
-    /// Notes that a pull from a peer failed: the node reads the store itself for `HOLD`.
+    /// Notes that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
     pub fn note_unserved(&mut self, now: BootTime) {
-        self.reads_until = now + HOLD;
+        self.reads_until = now + SELF_READING_TIME;
     }
 
     /// Whether a reader asks a peer even for a configuration that is too large to be passed on to every node. It does
     /// so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes a
     /// while to answer, and peers' links are narrower than the store's.
     pub fn takes_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
-        let patience = self.longest_silence.mul_f64(LARGE_FRACTION);
+        let patience = self.longest_silence.mul_f64(LARGE_CONFIGURATION_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
         !is_served || is_late
     }
 
     /// Decides the role; `is_designated` says whether the node is one of its region's designated readers.
     pub fn decide(&mut self, now: BootTime, is_designated: bool) -> StoreRole {
-        let is_reader = (is_designated && self.knows_region(now)) || now < self.reads_until;
+        let is_reader = (is_designated && self.is_region_settled(now)) || now < self.reads_until;
         self.role = match self.role {
             _ if is_reader => StoreRole::Reader,
             _ if now.since(self.heartbeat_at) < self.longest_silence => StoreRole::Follower,
             StoreRole::Reader => StoreRole::Reader,
-            StoreRole::Prober if self.must_read(now) => {
-                self.reads_until = now + HOLD;
+            StoreRole::Prober if self.is_probe_grace_over(now) => {
+                self.reads_until = now + SELF_READING_TIME;
                 StoreRole::Reader
             }
             StoreRole::Follower | StoreRole::Prober => StoreRole::Prober,
@@ -174,13 +174,13 @@
         self.role
     }
 
-    fn knows_region(&self, now: BootTime) -> bool {
-        now >= self.settles_until || now.since(self.learned_at) >= QUIET
+    fn is_region_settled(&self, now: BootTime) -> bool {
+        now >= self.settled_by || now.since(self.member_changed_at) >= SETTLE_TIME
     }
 
     /// Whether the store has answered this node for long enough while no reader was heard.
-    fn must_read(&self, now: BootTime) -> bool {
-        let grace = self.longest_silence.mul_f64(GRACE_FRACTION);
+    fn is_probe_grace_over(&self, now: BootTime) -> bool {
+        let grace = self.longest_silence.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
     }
 }
