--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -44,7 +44,7 @@
 use crate::server::{Server, ServerTimes};
 use crate::settings::GatewaySettings;
 use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
-use crate::store_role::RoleKeeper;
+use crate::store_role::StoreRoleSelector;
 use crate::traffic::Traffic;
 use caller_request::CallerRequests;
 use error::io_error;
@@ -116,7 +116,7 @@
 
     store: StoreCalls,
     store_reader: StoreReader,
-    store_role: RoleKeeper,
+    store_role: StoreRoleSelector,
     mirror: Mirror,
 
     fleet: Fleet,
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -22,7 +22,7 @@
 use crate::server::{Endpoint, Server};
 use crate::settings::{GatewaySettings, SettingsFile};
 use crate::socket::{READ_CHUNK, SocketId, SocketKind};
-use crate::store_role::RoleKeeper;
+use crate::store_role::StoreRoleSelector;
 use crate::traffic::Traffic;
 use mio::net::UdpSocket;
 use mio::{Interest, Poll, Registry};
@@ -151,8 +151,8 @@
     reader.with_mode(now, ReadingMode::Once).with_starting_until(now + READER_STARTUP_TIME)
 }
 
-fn build_store_role(now: BootTime, settings: &GatewaySettings) -> RoleKeeper {
-    let keeper = RoleKeeper::new(now, settings.longest_silence());
+fn build_store_role(now: BootTime, settings: &GatewaySettings) -> StoreRoleSelector {
+    let keeper = StoreRoleSelector::new(now, settings.longest_silence());
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
 
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -80,7 +80,7 @@
 
 /// Decides a node's role from heartbeats, probes and members.
 #[derive(Debug)]
-pub struct RoleKeeper {
+pub struct StoreRoleSelector {
     /// Longest time without a heartbeat that a follower tolerates.
     longest_silence: Duration,
     role: StoreRole,
@@ -96,11 +96,11 @@
     probed_at: Option<BootTime>,
 }
 
-impl RoleKeeper {
+impl StoreRoleSelector {
     /// Creates the state of a process that has just started: a follower, which becomes a prober after
     /// `longest_silence` without a heartbeat.
     pub fn new(now: BootTime, longest_silence: Duration) -> Self {
-        RoleKeeper {
+        StoreRoleSelector {
             longest_silence,
             role: StoreRole::Follower,
             heartbeat_at: now,
@@ -113,7 +113,7 @@
 
     /// Applies the times of a fleet's first start, which give readers time for their first listing.
     pub fn with_first_start(self, now: BootTime) -> Self {
-        RoleKeeper { settled_by: now + MAX_FIRST_SETTLE_TIME, heartbeat_at: now + FIRST_LISTING_TIME, ..self }
+        StoreRoleSelector { settled_by: now + MAX_FIRST_SETTLE_TIME, heartbeat_at: now + FIRST_LISTING_TIME, ..self }
     }
 
     /// Returns the role as last decided.
--- a/crates/staircross-gateway/tests/store_role.rs
+++ b/crates/staircross-gateway/tests/store_role.rs
@@ -1,6 +1,6 @@
 //! Who reads the store in a region, and for how long others rely on it.
 
-use staircross_gateway::store_role::{RoleKeeper, StoreRole};
+use staircross_gateway::store_role::{StoreRole, StoreRoleSelector};
 use staircross_types::BootTime;
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 }
 
 /// A node that has just started.
-fn started() -> RoleKeeper {
-    RoleKeeper::new(at(0), SILENCE)
+fn started() -> StoreRoleSelector {
+    StoreRoleSelector::new(at(0), SILENCE)
 }
 
 #[test]
@@ -27,7 +27,7 @@
 
 #[test]
 fn members_that_are_still_learned_of_put_that_off_but_not_for_long() {
-    let mut patient = RoleKeeper::new(at(0), SILENCE * 4);
+    let mut patient = StoreRoleSelector::new(at(0), SILENCE * 4);
     patient.note_learned(at(1000));
     assert_eq!(patient.decide(at(2199), true), StoreRole::Follower);
     assert_eq!(patient.decide(at(2200), true), StoreRole::Reader, "nobody else was learned of");
