--- a/crates/staircross-gateway/src/node/knowledge/peers.rs
+++ b/crates/staircross-gateway/src/node/knowledge/peers.rs
@@ -44,7 +44,7 @@
         let (revision, version) = (self.mirror.known_revision(), self.mirror.version());
         let evacuations = self.mirror.evacuations_revision();
         let (is_served, behind_since) = (self.store_reader.is_reachable(), self.fleet.version_behind_since());
-        let takes_any = is_reading && self.store_role.takes_any_size(self.now, is_served, behind_since);
+        let takes_any = is_reading && self.store_role.should_pull_any_size(self.now, is_served, behind_since);
         let any_size = if takes_any { ANY_SIZE_SUFFIX } else { "" };
         let target =
             format!("{CHANGES_TARGET}{revision}{VERSION_FIELD}{version}{EVACUATIONS_FIELD}{evacuations}{any_size}");
@@ -78,7 +78,7 @@
             format_args!("event=asked_peer peer={peer} understood={is_understood}"),
         );
         let Some(update) = update else {
-            return self.store_role.note_unserved(self.now);
+            return self.store_role.note_pull_failed(self.now);
         };
         self.apply_update(update, "peer");
         self.store_reader.on_peer_report(Lane::Searchers, self.mirror.known_revision());
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -127,7 +127,7 @@
     }
 
     /// Notes a change of a member of the region; further members may follow.
-    pub fn note_learned(&mut self, now: BootTime) {
+    pub fn note_member_change(&mut self, now: BootTime) {
         self.member_changed_at = now;
     }
 
@@ -142,14 +142,14 @@
     }
 
     /// Notes that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
-    pub fn note_unserved(&mut self, now: BootTime) {
+    pub fn note_pull_failed(&mut self, now: BootTime) {
         self.reads_until = now + SELF_READING_TIME;
     }
 
     /// Whether a reader asks a peer even for a configuration that is too large to be passed on to every node. It does
     /// so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes a
     /// while to answer, and peers' links are narrower than the store's.
-    pub fn takes_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
+    pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
         let patience = self.longest_silence.mul_f64(LARGE_CONFIGURATION_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
         !is_served || is_late
--- a/crates/staircross-gateway/tests/store_role.rs
+++ b/crates/staircross-gateway/tests/store_role.rs
@@ -28,11 +28,11 @@
 #[test]
 fn members_that_are_still_learned_of_put_that_off_but_not_for_long() {
     let mut patient = StoreRoleSelector::new(at(0), SILENCE * 4);
-    patient.note_learned(at(1000));
+    patient.note_member_change(at(1000));
     assert_eq!(patient.decide(at(2199), true), StoreRole::Follower);
     assert_eq!(patient.decide(at(2200), true), StoreRole::Reader, "nobody else was learned of");
     let mut busy = started();
-    busy.note_learned(at(SETTLED - 10));
+    busy.note_member_change(at(SETTLED - 10));
     assert_eq!(busy.decide(at(SETTLED), true), StoreRole::Reader, "news may not wait for ever");
 }
 
@@ -113,11 +113,11 @@
 #[test]
 fn at_the_first_start_of_a_fleet_nobody_reads_before_it_knows_its_region() {
     let mut keeper = started().with_first_start(at(0));
-    keeper.note_learned(at(900));
+    keeper.note_member_change(at(900));
     assert_eq!(keeper.decide(at(2099), true), StoreRole::Follower);
     assert_eq!(keeper.decide(at(2100), true), StoreRole::Reader);
     let mut busy = started().with_first_start(at(0));
-    busy.note_learned(at(2900));
+    busy.note_member_change(at(2900));
     assert_ne!(busy.decide(at(2999), true), StoreRole::Reader);
     assert_eq!(busy.decide(at(3000), true), StoreRole::Reader);
 }
@@ -137,7 +137,7 @@
     let mut keeper = started();
     keeper.note_heartbeat(at(0));
     assert_eq!(keeper.decide(at(1), false), StoreRole::Follower);
-    keeper.note_unserved(at(2));
+    keeper.note_pull_failed(at(2));
     assert_eq!(keeper.decide(at(3), false), StoreRole::Reader, "although signs are fresh");
     keeper.note_heartbeat(at(9900));
     assert_eq!(keeper.decide(at(9950), false), StoreRole::Reader);
@@ -149,8 +149,8 @@
     let mut keeper = started();
     assert_eq!(keeper.decide(at(SETTLED), true), StoreRole::Reader);
     let behind_since = Some(at(2000));
-    assert!(!keeper.takes_any_size(at(2000), true, behind_since));
-    assert!(!keeper.takes_any_size(at(2899), true, behind_since), "the store is being read by others too");
-    assert!(keeper.takes_any_size(at(2900), true, behind_since));
-    assert!(keeper.takes_any_size(at(2000), false, behind_since));
+    assert!(!keeper.should_pull_any_size(at(2000), true, behind_since));
+    assert!(!keeper.should_pull_any_size(at(2899), true, behind_since), "the store is being read by others too");
+    assert!(keeper.should_pull_any_size(at(2900), true, behind_since));
+    assert!(keeper.should_pull_any_size(at(2000), false, behind_since));
 }
