--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -14,7 +14,6 @@
 mod configuration_view;
 mod endpoints;
 mod error;
-mod knowledge;
 mod log_limits;
 mod operator;
 mod recording;
@@ -27,6 +26,7 @@
 mod store_calls;
 mod summary;
 mod unreadable;
+mod updates;
 
 pub use error::GatewayError;
 pub use operator::Signals;
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -4,7 +4,7 @@
 //! dialect for the format of the readiness and directory endpoints.
 
 use super::GatewayNode;
-use super::knowledge::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+use super::updates::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
 use crate::dialect::Dialect;
 use crate::metrics::Gauges;
 use crate::outbound::AnswerContext;
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -178,14 +178,14 @@
     /// connect: otherwise a caller that goes on sending would make a new connection for each request, and one that is
     /// made just as the listener closes is reset.
     fn refuse_while_stopping(&mut self, connection: SocketId, is_head: bool) {
-        let ending = ResponseOptions { closes: !self.is_listening_to_callers(), is_head };
-        self.refuse_unread(connection, ErrorKind::Leaving, ending);
+        let options = ResponseOptions { closes: !self.is_listening_to_callers(), is_head };
+        self.refuse_unread(connection, ErrorKind::Leaving, options);
     }
 
-    fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, ending: ResponseOptions) {
+    fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, options: ResponseOptions) {
         self.metrics.refused(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
-        let ResponseOptions { closes, is_head } = ending;
+        let ResponseOptions { closes, is_head } = options;
         let context = AnswerContext { names: self.dialect.headers(), id: None, closes, is_head };
         let answer = context.refused(kind, kind.meaning(), None);
         self.respond(connection, answer, closes);
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,7 +1,7 @@
 //! The node's status as last evaluated: ready, pressed, serving, sure of its configuration.
 //!
 //! [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
-//! `knowledge` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
+//! `updates` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
 //! confirmed.
 
 use super::GatewayNode;
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -2,7 +2,7 @@
 //!
 //! This module owns the connections and the pending call of each lane.
 //! [`StoreReader`](staircross_routing::store_reader::StoreReader) decides which calls are made and when, and the
-//! dialect interprets the replies; `knowledge` connects the two. Arrays are indexed in the order of [`Lane::ALL`].
+//! dialect interprets the replies; `updates` connects the two. Arrays are indexed in the order of [`Lane::ALL`].
 
 use crate::http_call::HttpCaller;
 use crate::socket::SocketKind;
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -7,8 +7,8 @@
 //! | role | updates come from | changes to |
 //! | --- | --- | --- |
 //! | reader | the store | follower, once it isn't designated and hears a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
-//! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `longest_silence` without a heartbeat |
-//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `longest_silence`; follower, if a heartbeat arrives |
+//! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `heartbeat_timeout` without a heartbeat |
+//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
 //!
 //! Each call to the store has a cost, and so has each byte of an answer that crosses regions. So
 //! [`READERS_PER_REGION`] nodes of a region are designated readers and send the others their revisions and heartbeats
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct StoreRoleSelector {
     /// Longest time without a heartbeat that a follower tolerates.
-    longest_silence: Duration,
+    heartbeat_timeout: Duration,
     role: StoreRole,
     /// When the store last answered a reader of the region, according to the heartbeats that arrived here.
     heartbeat_at: BootTime,
@@ -98,15 +98,15 @@
 
 impl StoreRoleSelector {
     /// Creates the state of a process that has just started: a follower, which becomes a prober after
-    /// `longest_silence` without a heartbeat.
-    pub fn new(now: BootTime, longest_silence: Duration) -> Self {
+    /// `heartbeat_timeout` without a heartbeat.
+    pub fn new(now: BootTime, heartbeat_timeout: Duration) -> Self {
         StoreRoleSelector {
-            longest_silence,
+            heartbeat_timeout,
             role: StoreRole::Follower,
             heartbeat_at: now,
             reads_until: BootTime::default(),
             member_changed_at: now,
-            settled_by: now + longest_silence.mul_f64(MAX_SETTLE_FRACTION),
+            settled_by: now + heartbeat_timeout.mul_f64(MAX_SETTLE_FRACTION),
             probed_at: None,
         }
     }
@@ -122,8 +122,8 @@
     }
 
     /// Changes how long a follower tolerates silence.
-    pub fn set_longest_silence(&mut self, longest_silence: Duration) {
-        self.longest_silence = longest_silence;
+    pub fn set_heartbeat_timeout(&mut self, heartbeat_timeout: Duration) {
+        self.heartbeat_timeout = heartbeat_timeout;
     }
 
     /// Notes a change of a member of the region; further members may follow.
@@ -150,7 +150,7 @@
     /// so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes a
     /// while to answer, and peers' links are narrower than the store's.
     pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
-        let patience = self.longest_silence.mul_f64(LARGE_CONFIGURATION_FRACTION);
+        let patience = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
         !is_served || is_late
     }
@@ -160,7 +160,7 @@
         let is_reader = (is_designated && self.is_region_settled(now)) || now < self.reads_until;
         self.role = match self.role {
             _ if is_reader => StoreRole::Reader,
-            _ if now.since(self.heartbeat_at) < self.longest_silence => StoreRole::Follower,
+            _ if now.since(self.heartbeat_at) < self.heartbeat_timeout => StoreRole::Follower,
             StoreRole::Reader => StoreRole::Reader,
             StoreRole::Prober if self.is_probe_grace_over(now) => {
                 self.reads_until = now + SELF_READING_TIME;
@@ -180,7 +180,7 @@
 
     /// Whether the store has answered this node for long enough while no reader was heard.
     fn is_probe_grace_over(&self, now: BootTime) -> bool {
-        let grace = self.longest_silence.mul_f64(PROBER_GRACE_FRACTION);
+        let grace = self.heartbeat_timeout.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
     }
 }
