--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -5,9 +5,10 @@
 //!
 //! Every serving node holds connections to every searcher of the shards that it queries, and a searcher accepts a
 //! limited number of connections. So in a large fleet only some of the ready nodes serve callers: in each zone those
-//! with the lowest ids, so that every node of the fleet chooses the same ones. The other nodes are reserves: they
-//! have the same state as the serving nodes, and callers are sent to them as soon as a serving node is gone or too
-//! busy.
+//! with the lowest ids, so that every node of the fleet chooses the same ones. The other nodes are reserves. They
+//! have the same state as the serving nodes, and serve as soon as a serving node of their zone is gone or the load of
+//! the zone needs more nodes. Callers are also sent to them while all the nearest serving nodes are pressed, that is,
+//! too busy for more callers.
 
 use crate::dialect::DirectoryQuery;
 use crate::load::is_pressed;
--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -60,6 +60,7 @@
     /// Returns the name of the kind in the line `event=lines_held_back`.
     fn name(self) -> &'static str {
         match self {
+            // Logs keep this name of the kind.
             LineKind::NodeEvent => "belief",
             LineKind::Request => "request",
             LineKind::Trace => "trace",
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -1,8 +1,7 @@
 //! Reloads the settings while the node runs.
 //!
-//! Bounds, the longest silence of readers that a follower tolerates, and the store's address take effect at once.
-//! Listener addresses stay as they are, and so does everything that is only read at the start. This module relies on
-//! `operator` for the file.
+//! Bounds, the heartbeat timeout of followers and the store's address take effect at once. Listener addresses stay as
+//! they are, and so does everything that is only read at the start. This module relies on `operator` for the file.
 
 use super::GatewayNode;
 use super::setup::{cold_bound, extra_bound, quota_bound};
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -182,6 +182,7 @@
         self.refuse_unread(connection, ErrorKind::Leaving, options);
     }
 
+    /// Refuses a request that the engine never gets.
     fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, options: ResponseOptions) {
         self.metrics.refused(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
@@ -198,6 +199,7 @@
         self.handle_server_events(events);
     }
 
+    /// Passes an event to the engine, records it if a recording is in progress, and carries out the engine's actions.
     pub(super) fn process_routing_event(&mut self, event: RoutingEvent) {
         let mut actions = Vec::new();
         let recorded = self.recorded_event(&event);
@@ -236,6 +238,7 @@
         }
     }
 
+    /// Removes a request, and logs and writes the answer to its verdict.
     pub(super) fn finish_request(&mut self, key: RequestKey, verdict: Verdict) {
         let Some(mut pending) = self.requests.take(key) else {
             return;
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -40,9 +40,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after a restart during which fresh connections to searchers are proved. The machine may have lost power, and
-/// searchers may still hold connections of the earlier incarnation; this time lets them notice. It doesn't apply to
-/// the first start of the whole fleet.
+/// Time after a restart during which fresh connections to searchers are proved, that is, the pool waits for a
+/// possible reset before it sends a request on one. The machine may have lost power, and searchers may still hold
+/// connections of the earlier incarnation; this time lets them notice. It doesn't apply to the first start of the
+/// whole fleet.
 const CONNECTION_PROOF_TIME: Duration = Duration::from_secs(20);
 /// Time after a restart during which the node looks for searchers again soon after each update on them, since
 /// searchers return one by one after a loss of power.
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -61,6 +61,7 @@
 }
 
 impl<D: Dialect> GatewayNode<D> {
+    /// Begins a planned stop and announces it to peers. If a stop is in progress already, the request is only logged.
     pub(super) fn begin_stop(&mut self) {
         if self.stop.is_some() {
             self.log.line(self.now, LineKind::NodeEvent, format_args!("event=stop_again"));
@@ -87,6 +88,7 @@
         self.handle_fleet_events(events);
     }
 
+    /// Advances a stop in progress: closes the listeners, answers what can't be waited for, and ends the node.
     pub(super) fn on_stop_tick(&mut self) {
         let is_busy = self.engine.in_flight() > 0 || self.server.is_busy();
         let now = self.now;
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Logs a new configuration, passes it to the engine and updates everything that depends on it.
     fn apply_configuration(&mut self, definition: Arc<RoutingDefinition>, source: &str) {
         self.log.line(
             self.now,
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -83,6 +83,7 @@
         member.region == self.settings.node.region
     }
 
+    /// Passes the number of serving nodes and this node's share of the common limits to the engine.
     pub(super) fn update_fleet_shape(&mut self) {
         let FleetShape { nodes_by_zone, serving, rank, slack_share } = self.fleet.shape(self.now);
         let nodes = self.fleet.take_quota_nodes();
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Applies a peer's answer. If the pull failed, the node reads the store itself for a while; if the configuration
-    /// is still behind, the node reads that once from the store.
+    /// Applies a peer's answer. If the pull failed, the node reads the store itself for a while. If a peer still has
+    /// a newer configuration after the pull, the node reads the configuration from the store.
     pub(super) fn on_peer_outcome(&mut self, outcome: CallOutcome) {
         let peer = self.peer_client.address();
         self.traffic.count(Purpose::Pulls, self.fleet.reach_of_address(peer), self.peer_client.take_bytes());
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -20,31 +20,31 @@
 use std::time::Duration;
 
 /// Number of designated readers of a region, in different zones if there are several. The loss of one reader leaves
-/// another, and the loss of both is noticed within the silence that a follower tolerates. With two readers a zone
-/// there were 12 in fleets of six zones, and their calls were nearly all of the calls of a quiet day.
+/// another, and the loss of both is noticed within the heartbeat timeout. With two readers a zone there were 12 in
+/// fleets of six zones, and their calls were nearly all of the calls of a quiet day.
 pub const READERS_PER_REGION: usize = 2;
-/// Time for which a node that had to read by itself continues to read. Long against the silence that a follower
-/// tolerates, so that a region whose readers come and go doesn't list the store at each change.
+/// Time for which a node that had to read by itself continues to read. Long against the heartbeat timeout, so that a
+/// region whose readers come and go doesn't list the store at each change.
 const SELF_READING_TIME: Duration = Duration::from_secs(10);
-/// Time without a new member of the region after which the region counts as settled, that is, all its members are
-/// taken to be known. A joining node asks a seed once a second, and a fifth is added for a late answer. When nodes
-/// chose readers after half a second, most of 195 nodes considered themselves readers.
+/// Time without a change of a member of the region after which the region counts as settled, that is, all its members
+/// are taken to be known. A joining node asks a seed once a second, and a fifth is added for a late answer. When
+/// nodes chose readers after half a second, most of 195 nodes considered themselves readers.
 const SETTLE_TIME: Duration = Duration::from_millis(1200);
 /// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there
 /// is nothing to serve yet. Shorter than the time that a fleet has to start before traffic arrives.
 const MAX_FIRST_SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Maximum wait for the region to settle at any later start, as a fraction of the silence that a follower tolerates.
-/// Below 1, so that a designated reader reads before its followers would probe.
+/// Maximum wait for the region to settle at any later start, as a fraction of the heartbeat timeout. Below 1, so that
+/// a designated reader reads before its followers would probe.
 const MAX_SETTLE_FRACTION: f64 = 0.8;
-/// Time that readers get for their first listing at the first start of a fleet; a follower counts silence from its
+/// Time that readers get for their first listing at the first start of a fleet; the heartbeat timeout counts from its
 /// end. Covers [`SETTLE_TIME`] and one call.
 const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
-/// silence that a follower tolerates. That silence is 0.4 of the bound on updates: 0.4 of it, a probe, this third of
-/// 0.4 and a call stay below the bound.
+/// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of it, a probe, this third of 0.4 and a call
+/// stay below the bound.
 const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
-/// silence that a follower tolerates. Below 1, so that the reader is in time either way.
+/// heartbeat timeout. Below 1, so that the reader is in time either way.
 const LARGE_CONFIGURATION_FRACTION: f64 = 0.75;
 
 /// The source of a node's updates.
@@ -81,16 +81,16 @@
 /// Decides a node's role from heartbeats, probes and members.
 #[derive(Debug)]
 pub struct StoreRoleSelector {
-    /// Longest time without a heartbeat that a follower tolerates.
+    /// Time without a heartbeat after which a follower becomes a prober.
     heartbeat_timeout: Duration,
     role: StoreRole,
     /// When the store last answered a reader of the region, according to the heartbeats that arrived here.
     heartbeat_at: BootTime,
     /// Until when the node reads the store even if it isn't designated.
     reads_until: BootTime,
-    /// When a change of a member of the region was last received.
+    /// When a member of the region last joined or changed.
     member_changed_at: BootTime,
-    /// When the region counts as settled at the latest, whatever is still received.
+    /// Time from which the region counts as settled even if further changes of members arrive.
     settled_by: BootTime,
     /// When the store first answered a probe of this node during the present time as a prober.
     probed_at: Option<BootTime>,
@@ -121,7 +121,7 @@
         self.role
     }
 
-    /// Changes how long a follower tolerates silence.
+    /// Changes the heartbeat timeout.
     pub fn set_heartbeat_timeout(&mut self, heartbeat_timeout: Duration) {
         self.heartbeat_timeout = heartbeat_timeout;
     }
@@ -178,7 +178,7 @@
         now >= self.settled_by || now.since(self.member_changed_at) >= SETTLE_TIME
     }
 
-    /// Whether the store has answered this node for long enough while no reader was heard.
+    /// Whether the grace time of a prober is over: the store answered it that long ago, and still no reader is heard.
     fn is_probe_grace_over(&self, now: BootTime) -> bool {
         let grace = self.heartbeat_timeout.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
