--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -57,7 +57,7 @@
     }
 
     /// Removes a request and returns it; its caller no longer waits for an answer from here on.
-    pub fn take(&mut self, key: RequestKey) -> Option<CallerRequest> {
+    pub fn remove(&mut self, key: RequestKey) -> Option<CallerRequest> {
         let request = self.by_key.remove(&key)?;
         self.by_connection.remove(&request.connection);
         Some(request)
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -29,7 +29,7 @@
 /// Member changes within the current span.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MemberLog {
-    span_start: BootTime,
+    span_started_at: BootTime,
     logged: usize,
     unlogged: MemberCounts,
 }
@@ -57,8 +57,8 @@
 impl MemberLog {
     /// Counts one more change, and returns whether it gets a line of its own.
     fn try_take_line(&mut self, now: BootTime) -> bool {
-        if now.since(self.span_start) >= MEMBER_LOG_SPAN {
-            self.span_start = now;
+        if now.since(self.span_started_at) >= MEMBER_LOG_SPAN {
+            self.span_started_at = now;
             self.logged = 0;
         }
         self.logged += 1;
@@ -67,7 +67,7 @@
 
     /// Returns and clears the counts of a span that is over; `None` if the span is still open or nothing was counted.
     fn take_unlogged(&mut self, now: BootTime) -> Option<MemberCounts> {
-        let is_over = now.since(self.span_start) >= MEMBER_LOG_SPAN;
+        let is_over = now.since(self.span_started_at) >= MEMBER_LOG_SPAN;
         let unlogged = std::mem::take(if is_over { &mut self.unlogged } else { return None });
         (unlogged != MemberCounts::default()).then_some(unlogged)
     }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -4,7 +4,7 @@
 //! dialect for the format of the readiness and directory endpoints.
 
 use super::GatewayNode;
-use super::updates::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+use super::updates::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
 use crate::dialect::Dialect;
 use crate::metrics::Gauges;
 use crate::outbound::AnswerContext;
@@ -114,12 +114,12 @@
 
 /// Parses the target of a pull; returns what the peer knows already, or `None` if the target is malformed.
 fn parse_peer_knowledge(target: &str) -> Option<PeerKnowledge> {
-    let (revision, rest) = target.strip_prefix(CHANGES_TARGET)?.split_once(VERSION_FIELD)?;
+    let (revision, rest) = target.strip_prefix(PULL_TARGET_PREFIX)?.split_once(VERSION_PARAM)?;
     let (rest, takes) = match rest.strip_suffix(ANY_SIZE_SUFFIX) {
         Some(rest) => (rest, TakenConfiguration::Any),
         None => (rest, TakenConfiguration::Small),
     };
-    let (version, evacuations) = rest.split_once(EVACUATIONS_FIELD)?;
+    let (version, evacuations) = rest.split_once(EVACUATIONS_PARAM)?;
     Some(PeerKnowledge {
         revision: revision.parse().ok()?,
         version: version.parse().ok()?,
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -67,14 +67,20 @@
             return self.refuse_while_stopping(connection, &*outbound.method == "HEAD");
         }
         let key = self.requests.next_key();
-        let arrival = self.arrival(key, &request.head, &outbound, link);
-        let pending = self.caller_request(connection, &request.head, outbound, &arrival);
+        let arrival = self.build_arrival(key, &request.head, &outbound, link);
+        let pending = self.build_caller_request(connection, &request.head, outbound, &arrival);
         self.requests.insert(key, pending);
         self.process_routing_event(RoutingEvent::Arrived(arrival));
     }
 
     /// Collects the facts by which the engine decides about a request.
-    fn arrival(&self, key: RequestKey, head: &RequestHead, outbound: &OutboundRequest, link: CallerLink) -> Arrival {
+    fn build_arrival(
+        &self,
+        key: RequestKey,
+        head: &RequestHead,
+        outbound: &OutboundRequest,
+        link: CallerLink,
+    ) -> Arrival {
         let patience = head.headers.text(self.dialect.headers().deadline_ms).and_then(|text| text.parse::<u64>().ok());
         Arrival {
             key,
@@ -93,7 +99,7 @@
     }
 
     /// Creates the state that the node keeps of a request until it ends.
-    fn caller_request(
+    fn build_caller_request(
         &self,
         connection: SocketId,
         head: &RequestHead,
@@ -154,7 +160,7 @@
             return;
         };
         self.metrics.caller_gone();
-        if let Some(pending) = self.requests.take(key) {
+        if let Some(pending) = self.requests.remove(key) {
             self.log_caller_gone(&pending);
         }
         self.process_routing_event(RoutingEvent::CallerGone(key));
@@ -240,7 +246,7 @@
 
     /// Removes a request, and logs and writes the answer to its verdict.
     pub(super) fn finish_request(&mut self, key: RequestKey, verdict: Verdict) {
-        let Some(mut pending) = self.requests.take(key) else {
+        let Some(mut pending) = self.requests.remove(key) else {
             return;
         };
         self.resolve_held_request(&mut pending);
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -23,7 +23,7 @@
 mod peers;
 mod store;
 
-pub(super) use peers::{ANY_SIZE_SUFFIX, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+pub(super) use peers::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -19,11 +19,11 @@
 /// time that a peer's link needs for a configuration that is passed on, and shorter than the bounds on updates.
 const PULL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Prefix of the request target of a pull; the revision after which changes are wanted follows it.
-pub(in crate::node) const CHANGES_TARGET: &str = "/changes?after=";
+pub(in crate::node) const PULL_TARGET_PREFIX: &str = "/changes?after=";
 /// Parameter after the revision: the version of the configuration that the pulling node has.
-pub(in crate::node) const VERSION_FIELD: &str = "&version=";
+pub(in crate::node) const VERSION_PARAM: &str = "&version=";
 /// Parameter after the version: the revision up to which the pulling node knows evacuations.
-pub(in crate::node) const EVACUATIONS_FIELD: &str = "&evacuations=";
+pub(in crate::node) const EVACUATIONS_PARAM: &str = "&evacuations=";
 /// Suffix of the target if the pulling node accepts a configuration of any size.
 pub(in crate::node) const ANY_SIZE_SUFFIX: &str = "&any-size";
 /// HTTP status of an answer that holds an update.
@@ -47,7 +47,7 @@
         let takes_any = is_reading && self.store_role.should_pull_any_size(self.now, is_served, behind_since);
         let any_size = if takes_any { ANY_SIZE_SUFFIX } else { "" };
         let target =
-            format!("{CHANGES_TARGET}{revision}{VERSION_FIELD}{version}{EVACUATIONS_FIELD}{evacuations}{any_size}");
+            format!("{PULL_TARGET_PREFIX}{revision}{VERSION_PARAM}{version}{EVACUATIONS_PARAM}{evacuations}{any_size}");
         let mut io = Self::io_context(self.now, &self.poll, &mut self.buffer, &self.engine);
         if let Some(outcome) = self.peer_client.get(&target, PULL_TIMEOUT, &mut io) {
             self.on_peer_outcome(outcome);
