--- a/crates/staircross-gateway/src/node/unreadable.rs
+++ b/crates/staircross-gateway/src/node/unreadable.rs
@@ -12,7 +12,7 @@
     /// Counts and logs the store's unusable items, once for each revision of an item.
     pub(super) fn log_unreadable(&mut self, items: &[UnreadableItem], source: &str) {
         for UnreadableItem { kind, key, revision, reason } in
-            items.iter().filter(|item| self.log_limits.unreadable.is_new(item))
+            items.iter().filter(|item| self.log_limits.unreadable.insert(item))
         {
             self.metrics.unreadable_items += 1;
             let line_kind = match kind {
--- a/crates/staircross-gateway/src/unreadable_log.rs
+++ b/crates/staircross-gateway/src/unreadable_log.rs
@@ -19,8 +19,8 @@
 }
 
 impl UnreadableLog {
-    /// Notes an item, and returns whether the item or its revision is new and must be logged.
-    pub fn is_new(&mut self, item: &UnreadableItem) -> bool {
+    /// Remembers an item, and returns whether the item or its revision is new and must be logged.
+    pub fn insert(&mut self, item: &UnreadableItem) -> bool {
         if self.logged.get(&item.key) == Some(&item.revision) {
             return false;
         }
--- a/crates/staircross-gateway/tests/unreadable_log.rs
+++ b/crates/staircross-gateway/tests/unreadable_log.rs
@@ -10,10 +10,10 @@
 #[test]
 fn an_item_that_is_read_again_unchanged_is_no_news() {
     let mut log = UnreadableLog::default();
-    assert!(log.is_new(&item(1, 5)));
-    assert!(!log.is_new(&item(1, 5)));
-    assert!(log.is_new(&item(2, 5)), "another item");
-    assert!(log.is_new(&item(1, 6)), "a change of the first");
-    (10..3000).for_each(|number| assert!(log.is_new(&item(number, 1))));
-    assert!(!log.is_new(&item(2999, 1)), "however many there were");
+    assert!(log.insert(&item(1, 5)));
+    assert!(!log.insert(&item(1, 5)));
+    assert!(log.insert(&item(2, 5)), "another item");
+    assert!(log.insert(&item(1, 6)), "a change of the first");
+    (10..3000).for_each(|number| assert!(log.insert(&item(number, 1))));
+    assert!(!log.insert(&item(2999, 1)), "however many there were");
 }
