--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -30,7 +30,8 @@
     /// All decisions for one request that failed or lacks a part, logged together when the request ends, so that a
     /// trace is complete.
     Trace,
-    /// All decisions for a request that was answered in full, but only after further decisions such as a retry.
+    /// All decisions for a request that was answered in full, but only after further decisions such as a retry, or
+    /// whose caller left first.
     AnsweredTrace,
     /// Something that the node dropped, with the reason.
     Drop,
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -17,6 +17,7 @@
 const RESERVE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<D: Dialect> GatewayNode<D> {
+    /// Sends an attempt through the pool. An attempt beyond the first one of its shard is counted and traced.
     pub(super) fn send_attempt(&mut self, order: SendOrder) {
         let Some(pending) = self.requests.get_mut(order.attempt.request) else {
             return;
@@ -32,12 +33,14 @@
         self.handle_pool_events(events);
     }
 
+    /// Gives up an attempt whose answer is no longer wanted; the pool waits at most `patience` for its end.
     pub(super) fn abandon_attempt(&mut self, attempt: AttemptKey, patience: Duration, cause: AbandonCause) {
         let mut events = Vec::new();
         self.pool.abandon(self.now, attempt, patience, cause, &mut events);
         self.handle_pool_events(events);
     }
 
+    /// Takes an attempt back if nothing of it was sent.
     pub(super) fn recall_attempt(&mut self, attempt: AttemptKey) {
         let mut events = Vec::new();
         self.pool.recall(attempt, &mut events);
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -73,6 +73,7 @@
     pub tenant: Option<Arc<str>>,
     /// Host and path of the request, kept if its route or tenant was unknown at its arrival.
     pub unresolved_target: Option<RouteTarget>,
+    /// Version of the configuration in which the route and the tenant were found.
     pub version: u64,
     pub arrived: BootTime,
     pub keeps_alive: bool,
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -1,8 +1,8 @@
-//! Rate-limited log lines on changes of members, searchers, suspicions and alarms.
+//! Log lines on changes of members, searchers, evacuations, suspicions and alarms.
 //!
 //! When a large fleet starts, each node learns of every member and every searcher. With a line for each, the log
 //! volume would grow with the square of the fleet's size, and the important lines would be lost in it. So only a few
-//! changes get lines of their own, and the others are logged as counts.
+//! changes of members and searchers get lines of their own, and the others are logged as counts.
 //!
 //! [`MemberLog`] owns the counts of member changes. The fleet, the mirror and the engine detect the changes.
 
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -21,6 +21,7 @@
 const MAX_LARGE_ANSWERS: usize = 2;
 
 impl<D: Dialect> GatewayNode<D> {
+    /// Answers a request to any endpoint but that of callers.
     pub(super) fn answer_own_endpoint(&mut self, connection: SocketId, endpoint: Endpoint, request: &Request) {
         let closes = !request.head.keeps_alive();
         let names = *self.dialect.headers();
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -1,7 +1,9 @@
 //! Reloads the settings while the node runs.
 //!
-//! Bounds, the heartbeat timeout of followers and the store's address take effect at once. Listener addresses stay as
-//! they are, and so does everything that is only read at the start. This module relies on `operator` for the file.
+//! Bounds that are read when they are used, the engine's bounds on extra attempts, cold starts and quotas, the
+//! heartbeat timeout of followers and the store's address take effect at once. Listener addresses stay as they are,
+//! and so does everything that is only read at the start. The intervals at which the store is read stay as they are,
+//! too, until a later reload changes the store's address. This module relies on `operator` for the file.
 
 use super::GatewayNode;
 use super::setup::{cold_bound, extra_bound, quota_bound};
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -24,7 +24,8 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// Factor on the stated time to live for which callers may keep an answer of the directory. The platform sets it.
+/// Callers may keep an answer of the directory for this many times its stated time to live. The platform sets this
+/// factor.
 const DIRECTORY_TTL_FACTOR: u32 = 3;
 /// Minimum time to live of the directory's answers, so that callers don't have to ask before most of their requests.
 const MIN_DIRECTORY_TTL: Duration = Duration::from_millis(250);
