--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The node's status as last evaluated: ready, pressed, serving, sure of its configuration.
+//! The node's status as last evaluated: ready, pressed, serving, configuration confirmed.
 //!
 //! [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
 //! `updates` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -2,7 +2,7 @@
 //!
 //! A stop passes through these phases:
 //!
-//! 1. Requests are still served, while callers may hold this node's address from the directory.
+//! 1. Requests are still served, because callers may still hold this node's address from the directory.
 //! 2. New requests are refused as not executed.
 //! 3. When no request is in flight, or the deadline is near, the callers' listeners close, so that new connections
 //!    are refused. From then on, each refusal closes its connection.
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -17,7 +17,7 @@
         self.handle_fleet_events(events);
     }
 
-    /// Updates the announced load and records, and lets the fleet do its periodic work.
+    /// Updates the announced load and records, and runs the periodic work of the fleet.
     pub(in crate::node) fn on_fleet_tick(&mut self) {
         let mut events = Vec::new();
         let was_pressed = self.status.is_pressed;
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -6,7 +6,7 @@
 //!
 //! | role | updates come from | changes to |
 //! | --- | --- | --- |
-//! | reader | the store | follower, once it isn't designated and hears a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
+//! | reader | the store | follower, once it isn't designated and receives a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
 //! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `heartbeat_timeout` without a heartbeat |
 //! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
 //!
@@ -54,7 +54,7 @@
     Reader,
     /// The node pulls updates from readers of its region.
     Follower,
-    /// The node gets no updates: it hears no reader, and probes the store.
+    /// The node gets no updates: it receives no heartbeat, and probes the store.
     Prober,
 }
 
@@ -146,9 +146,9 @@
         self.reads_until = now + SELF_READING_TIME;
     }
 
-    /// Whether a reader asks a peer even for a configuration that is too large to be passed on to every node. It does
-    /// so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes a
-    /// while to answer, and peers' links are narrower than the store's.
+    /// Whether a reader pulls a configuration from a peer even if it is too large to be passed on to every node. It
+    /// does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes
+    /// a while to answer, and peers' links are narrower than the store's.
     pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
         let patience = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
@@ -178,7 +178,8 @@
         now >= self.settled_by || now.since(self.member_changed_at) >= SETTLE_TIME
     }
 
-    /// Whether the grace time of a prober is over: the store answered it that long ago, and still no reader is heard.
+    /// Whether the grace time of a prober is over: the store answered it that long ago, and still no heartbeat has
+    /// arrived.
     fn is_probe_grace_over(&self, now: BootTime) -> bool {
         let grace = self.heartbeat_timeout.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
