--- a/crates/staircross-gateway/src/node/configuration_view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -1,6 +1,7 @@
-//! How old what the node knows of the configuration may be, and what that means for callers' keys.
+//! How long ago the node's configuration was last confirmed, and whether keys may be judged by it.
 //!
-//! Owns nothing: the fleet knows until when the configuration was confirmed, the settings how long ago that may be.
+//! This module owns no state: the fleet knows when the configuration was last confirmed, and the settings say how
+//! long ago that may be.
 
 use super::GatewayNode;
 use crate::dialect::Dialect;
@@ -9,9 +10,9 @@
 use std::time::Duration;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// What requests that need a key are judged by now.
+    /// Returns the view by which requests that need a key are judged now.
     pub(super) fn configuration_view(&self) -> ConfigurationView {
-        match (self.is_view_too_old(), self.settings.bounds.revoke_strict) {
+        match (self.is_confirmation_overdue(), self.settings.bounds.revoke_strict) {
             (false, _) => ConfigurationView::Current,
             (true, true) => ConfigurationView::Expired,
             (true, false) if self.fleet.is_version_behind() => ConfigurationView::Doubtful,
@@ -19,25 +20,26 @@
         }
     }
 
-    /// Whether keys may have been revoked for longer than the settings allow without this node's knowing.
-    fn is_view_too_old(&self) -> bool {
+    /// Whether a key may have been revoked longer ago than the settings allow without this node's knowledge.
+    fn is_confirmation_overdue(&self) -> bool {
         let Some(revoke_ms) = self.settings.bounds.revoke_ms else {
             return false;
         };
-        let most = Duration::from_millis(revoke_ms);
-        self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > most)
+        let max_age = Duration::from_millis(revoke_ms);
+        self.fleet.confirmed_at().is_none_or(|at| self.now.since(at) > max_age)
     }
 
-    /// Logs when the view becomes too old, and when it is confirmed again; only where there are tenants.
-    pub(super) fn note_configuration_view(&mut self) {
+    /// Logs when the last confirmation becomes too old, and when the configuration is confirmed again. Only nodes
+    /// with tenants log this.
+    pub(super) fn log_configuration_view(&mut self) {
         let has_tenants = self.engine.table().is_some_and(|table| !table.definition().tenants.is_empty());
-        let is_old = has_tenants && self.is_view_too_old();
-        if is_old == self.status.is_view_old {
+        let is_overdue = has_tenants && self.is_confirmation_overdue();
+        if is_overdue == self.status.is_confirmation_overdue {
             return;
         }
-        self.status.is_view_old = is_old;
+        self.status.is_confirmation_overdue = is_overdue;
         let strict = self.settings.bounds.revoke_strict;
-        let line = format_args!("event=configuration_view confirmed={} strict={strict}", !is_old);
-        self.log.line(self.now, LineKind::Belief, line);
+        let line = format_args!("event=configuration_view confirmed={} strict={strict}", !is_overdue);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -1,9 +1,10 @@
-//! The node's own endpoints: readiness, directory, peers, metrics.
+//! The endpoints that the node answers itself: readiness, directory, peers, metrics.
 //!
-//! Each answers at once from what the node knows: owns nothing, and relies on the dialect for the form of readiness and directory.
+//! Each request is answered at once from the node's present state. This module owns no state, and relies on the
+//! dialect for the format of the readiness and directory endpoints.
 
 use super::GatewayNode;
-use super::knowledge::{ANY_SIZE, CHANGES_TARGET, EVACUATIONS_FIELD, VERSION_FIELD};
+use super::updates::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
 use crate::dialect::Dialect;
 use crate::metrics::Gauges;
 use crate::outbound::AnswerContext;
@@ -14,26 +15,28 @@
 use staircross_routing::{PeerKnowledge, TakenConfiguration};
 use staircross_wire::frame::encode;
 
-/// Large answers to peers that go out within a second. The narrowest links seen carry 14 Mbit/s. Measured together with reading large
-/// configurations from the store: on days of a large configuration answers 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
-const LARGE_ANSWERS: usize = 2;
+/// Maximum number of large answers to peers within a second. The narrowest links seen carry 14 Mbit/s. Measured
+/// together with reading large configurations from the store: on days with a large configuration, answers with status
+/// 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
+const MAX_LARGE_ANSWERS: usize = 2;
 
 impl<D: Dialect> GatewayNode<D> {
-    pub(super) fn on_own_endpoint(&mut self, connection: SocketId, endpoint: Endpoint, request: &Request) {
+    /// Answers a request to any endpoint but that of callers.
+    pub(super) fn answer_own_endpoint(&mut self, connection: SocketId, endpoint: Endpoint, request: &Request) {
         let closes = !request.head.keeps_alive();
         let names = *self.dialect.headers();
         let context = AnswerContext { names: &names, id: None, closes, is_head: request.head.method == "HEAD" };
         let answer = match endpoint {
-            Endpoint::Readiness => self.readiness(&context, request),
-            Endpoint::Directory => self.directory(&context, request),
-            Endpoint::Peers => self.changes(&context, request),
+            Endpoint::Readiness => self.answer_readiness(&context, request),
+            Endpoint::Directory => self.answer_directory(&context, request),
+            Endpoint::Peers => self.answer_pull(&context, request),
             Endpoint::Metrics => context.plain(200, "text/plain; version=0.0.4", self.render_metrics().as_bytes()),
             Endpoint::Callers => context.plain(404, "text/plain", b""),
         };
         self.respond(connection, answer, closes);
     }
 
-    fn readiness(&self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+    fn answer_readiness(&self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         if request.head.path() != self.dialect.readiness_path() {
             return context.plain(404, "text/plain", b"");
         }
@@ -41,7 +44,7 @@
         context.plain(status, "text/plain", b"")
     }
 
-    fn directory(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+    fn answer_directory(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
         let Some(query) = self.dialect.directory_query(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
@@ -56,12 +59,12 @@
         context.plain(200, body.content_type, &body.bytes)
     }
 
-    /// Sends a peer what it lacks.
-    fn changes(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
-        let Some(peer) = known_by_peer(&request.head.target) else {
+    /// Answers a peer's pull with the updates that the peer lacks.
+    fn answer_pull(&mut self, context: &AnswerContext<'_>, request: &Request) -> Vec<u8> {
+        let Some(peer) = parse_peer_knowledge(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
-        let peer = PeerKnowledge { takes: self.may_serve(peer.takes), ..peer };
+        let peer = PeerKnowledge { takes: self.limit_to_link_capacity(peer.takes), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
                 self.peer_answers.note(self.now, body.len());
@@ -71,12 +74,13 @@
         }
     }
 
-    /// Which configuration an asker is sent now: more would fill this node's link, and callers' requests go over the same.
-    fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
+    /// Returns the largest configuration that a peer may be sent now. A larger one would fill this node's link, which
+    /// also carries callers' requests.
+    fn limit_to_link_capacity(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
             _ if recent.bytes >= self.settings.max_bytes_to_peers() => TakenConfiguration::None,
-            TakenConfiguration::Any if recent.large >= LARGE_ANSWERS => TakenConfiguration::Small,
+            TakenConfiguration::Any if recent.large >= MAX_LARGE_ANSWERS => TakenConfiguration::Small,
             wanted => wanted,
         }
     }
@@ -92,8 +96,8 @@
             searcher_connections: self.pool.connection_count(),
             config_version: self.mirror.version(),
             store_revision: self.mirror.newest_revision(),
-            store_reachable: self.reader.is_reachable(),
-            reads_store: self.role.role() == StoreRole::Reader,
+            store_reachable: self.store_reader.is_reachable(),
+            reads_store: self.store_role.role() == StoreRole::Reader,
             serving: self.status.is_serving,
             members: self.fleet.live_count(),
             searchers: self.engine.serving_searchers(),
@@ -109,14 +113,14 @@
     }
 }
 
-/// What a peer's question says of itself.
-fn known_by_peer(target: &str) -> Option<PeerKnowledge> {
-    let (revision, rest) = target.strip_prefix(CHANGES_TARGET)?.split_once(VERSION_FIELD)?;
-    let (rest, takes) = match rest.strip_suffix(ANY_SIZE) {
+/// Parses the target of a pull; returns what the peer knows already, or `None` if the target is malformed.
+fn parse_peer_knowledge(target: &str) -> Option<PeerKnowledge> {
+    let (revision, rest) = target.strip_prefix(PULL_TARGET_PREFIX)?.split_once(VERSION_PARAM)?;
+    let (rest, takes) = match rest.strip_suffix(ANY_SIZE_SUFFIX) {
         Some(rest) => (rest, TakenConfiguration::Any),
         None => (rest, TakenConfiguration::Small),
     };
-    let (version, evacuations) = rest.split_once(EVACUATIONS_FIELD)?;
+    let (version, evacuations) = rest.split_once(EVACUATIONS_PARAM)?;
     Some(PeerKnowledge {
         revision: revision.parse().ok()?,
         version: version.parse().ok()?,
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -1,7 +1,9 @@
-//! Settings that change while the node runs.
+//! Reloads the settings while the node runs.
 //!
-//! What of them is in force at once: the bounds, the silence that is borne, the store's address. Listeners stay as they are, and
-//! what was read at the start. Relies on `operator` for the file.
+//! Bounds that are read when they are used, the engine's bounds on extra attempts, cold starts and quotas, the
+//! heartbeat timeout of followers and the store's address take effect at once. Listener addresses stay as they are,
+//! and so does everything that is only read at the start. The intervals at which the store is read stay as they are,
+//! too, until a later reload changes the store's address. This module relies on `operator` for the file.
 
 use super::GatewayNode;
 use super::setup::{cold_bound, extra_bound, quota_bound};
@@ -13,26 +15,26 @@
 use std::net::SocketAddr;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// Settings may change without any signal.
-    pub(super) fn look_at_settings(&mut self) {
-        if self.operator.sees_change(self.now) {
+    /// Reloads the settings if their file has changed, without waiting for a signal.
+    pub(super) fn reload_changed_settings(&mut self) {
+        if self.operator.has_file_changed(self.now) {
             self.reload();
         }
     }
 
-    /// Takes changed settings; bad ones are refused and everything stays as it is.
+    /// Reads and applies the settings; invalid ones are rejected and all old settings stay in force.
     pub(super) fn reload(&mut self) {
         let settings = match self.operator.load() {
             Ok(settings) => settings,
             Err(error) => {
                 let line = format_args!("event=reload outcome=refused reason={:?}", error.to_string());
-                return self.log.line(self.now, LineKind::Belief, line);
+                return self.log.line(self.now, LineKind::NodeEvent, line);
             }
         };
-        // Addresses that are in use can't be moved without cutting somebody off.
+        // Changing a listener's address would cut its connections.
         let keeps_addresses = settings.listen == self.settings.listen;
         let line = format_args!("event=reload outcome=taken addresses_unchanged={keeps_addresses}");
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
         let bound = extra_bound(&settings);
         self.engine.set_extra_bound(bound);
         self.record(RecordedEvent::ExtraBound(bound), &[]);
@@ -42,16 +44,16 @@
         let bound = quota_bound(&settings);
         self.engine.set_quota_bound(self.now, bound);
         self.record(RecordedEvent::QuotaBound(bound), &[]);
-        self.role.set_longest_silence(settings.longest_silence());
+        self.store_role.set_heartbeat_timeout(settings.longest_silence());
         if settings.store != self.settings.store {
-            self.follow_store(settings.store.address);
+            self.switch_store(settings.store.address);
         }
         self.settings = GatewaySettings { listen: self.settings.listen.clone(), ..settings };
     }
 
-    /// The store has moved: everything is read anew there.
-    fn follow_store(&mut self, address: SocketAddr) {
+    /// Switches to another address of the store, and reads everything again from there.
+    fn switch_store(&mut self, address: SocketAddr) {
         self.store.set_address(address);
-        self.reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.role.role().mode());
+        self.store_reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.store_role.role().mode());
     }
 }
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -1,7 +1,7 @@
-//! What is logged of callers' requests: their decisions, kept until they end, and their ends.
+//! Log lines on callers' requests: the decisions for each, and its end.
 //!
-//! A `note_…` function adds to the trace of its request, which is logged when the request ends and only where its end
-//! warrants that; a `log_…` function writes a line at once. Relies on `caller_request` for the traces.
+//! A `trace_…` function adds a line to its request's trace. The trace is written when the request ends. A `log_…`
+//! function writes a line at once. This module relies on `caller_request` for the traces.
 
 use super::GatewayNode;
 use super::caller_request::CallerRequest;
@@ -17,8 +17,8 @@
 use std::time::Duration;
 
 impl<D: Dialect> GatewayNode<D> {
-    /// One line for a decision within a request: what, for which request, how long after its arrival.
-    pub(super) fn note_decision(&mut self, request: RequestKey, text: fmt::Arguments<'_>) {
+    /// Adds a decision to its request's trace, with the request's id and the time since its arrival.
+    pub(super) fn trace_decision(&mut self, request: RequestKey, text: fmt::Arguments<'_>) {
         let Some(pending) = self.requests.get_mut(request) else {
             return;
         };
@@ -27,22 +27,22 @@
         pending.trace.add(self.now, line);
     }
 
-    /// An attempt besides the first of a shard is sent.
-    pub(super) fn note_sent(&mut self, order: &SendOrder) {
+    /// Traces an attempt that is sent in addition to the first one of its shard.
+    pub(super) fn trace_sent(&mut self, order: &SendOrder) {
         let (attempt, reason, instance) = (order.attempt.number, order.reason.name(), &order.instance);
-        let reported = Reported(order.reported);
+        let reported = ReportedLoad(order.reported);
         let text = format_args!("event=send attempt={attempt} reason={reason} searcher={instance}{reported}");
-        self.note_decision(order.attempt.request, text);
+        self.trace_decision(order.attempt.request, text);
     }
 
-    /// An attempt that was wanted isn't made.
-    pub(super) fn note_unsent(&mut self, request: RequestKey, service: &str, reason: SendReason, cause: UnsentCause) {
+    /// Traces an attempt that was wanted but isn't made.
+    pub(super) fn trace_unsent(&mut self, request: RequestKey, service: &str, reason: SendReason, cause: UnsentCause) {
         let (reason, cause) = (reason.name(), cause.name());
-        self.note_decision(request, format_args!("event=unsent service={service} reason={reason} cause={cause}"));
+        self.trace_decision(request, format_args!("event=unsent service={service} reason={reason} cause={cause}"));
     }
 
-    /// A request ends without a part of a shard.
-    pub(super) fn note_left_out(
+    /// Traces that a request ends without a shard's part.
+    pub(super) fn trace_left_out(
         &mut self,
         request: RequestKey,
         service: &str,
@@ -50,74 +50,75 @@
         cause: LeftOutCause,
     ) {
         let (asked, cause) = (asked.join(","), cause.name());
-        self.note_decision(request, format_args!("event=left_out service={service} asked={asked} cause={cause}"));
+        self.trace_decision(request, format_args!("event=left_out service={service} asked={asked} cause={cause}"));
     }
 
-    /// A request waits until this node knows what it needs.
-    pub(super) fn note_held(&mut self, request: RequestKey, cause: HoldCause) {
-        self.note_decision(request, format_args!("event=held cause={}", cause.name()));
+    /// Traces that a request waits until this node has the state that it needs.
+    pub(super) fn trace_held(&mut self, request: RequestKey, cause: HoldCause) {
+        self.trace_decision(request, format_args!("event=held cause={}", cause.name()));
     }
 
-    /// A request came while its route was on alarm, or its first probe has moved on.
-    pub(super) fn note_probe(&mut self, request: RequestKey, step: ProbeStep) {
+    /// Traces that a request arrived while an alarm was raised for its route, or that its first probe has advanced.
+    pub(super) fn trace_probe(&mut self, request: RequestKey, step: ProbeStep) {
         let name = step.name();
         match step.alarm_age() {
             Some(age) => {
                 let age = age.as_millis();
-                self.note_decision(request, format_args!("event=probe step={name} alarm_age_ms={age}"));
+                self.trace_decision(request, format_args!("event=probe step={name} alarm_age_ms={age}"));
             }
-            None => self.note_decision(request, format_args!("event=probe step={name}")),
+            None => self.trace_decision(request, format_args!("event=probe step={name}")),
         }
     }
 
-    /// A request's key lets nobody in.
-    pub(super) fn note_key_refused(&mut self, request: RequestKey, cause: KeyRefusal) {
-        self.note_decision(request, format_args!("event=key_refused cause={}", cause.name()));
+    /// Traces that a request's key was rejected.
+    pub(super) fn trace_key_refused(&mut self, request: RequestKey, cause: KeyRefusal) {
+        self.trace_decision(request, format_args!("event=key_refused cause={}", cause.name()));
     }
 
-    /// A request is refused because too much waits at its services.
-    pub(super) fn note_not_admitted(&mut self, request: RequestKey, group: &str, fraction: f64) {
-        self.note_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
+    /// Traces that a request is refused because too much work waits at its services.
+    pub(super) fn trace_not_admitted(&mut self, request: RequestKey, group: &str, fraction: f64) {
+        self.trace_decision(request, format_args!("event=not_admitted group={group} part={fraction:.2}"));
     }
 
-    /// An attempt has ended; an answer that counts is in the line of the request's own end.
-    pub(super) fn note_attempt_ended(&mut self, attempt: AttemptKey, outcome: &AttemptOutcome) {
-        let Some(what) = notable_end(outcome) else {
+    /// Traces the end of an attempt. A successful answer has no line here: the line of the request's own end covers
+    /// it.
+    pub(super) fn trace_attempt_ended(&mut self, attempt: AttemptKey, outcome: &AttemptOutcome) {
+        let Some(what) = describe_failed_attempt(outcome) else {
             return;
         };
         let number = attempt.number;
-        // Only an attempt that the engine has forgotten has no searcher: its line goes without the name.
+        // Only an attempt that the engine no longer knows has no searcher; its line has an empty name.
         let searcher = self.engine.instance_of(attempt).cloned().unwrap_or_default();
         let text = format_args!("event=attempt_ended attempt={number} searcher={searcher} {what}");
-        self.note_decision(attempt.request, text);
+        self.trace_decision(attempt.request, text);
     }
 
-    /// A searcher's answer belonged to another request.
-    pub(super) fn log_skipped(&mut self, searcher: SearcherKey) {
+    /// Logs that a searcher sent an answer with another request's id, which was skipped.
+    pub(super) fn log_skipped_answer(&mut self, searcher: SearcherKey) {
         let line = format_args!("event=answer_skipped searcher={} reason=other_id", searcher.0);
         self.log.line(self.now, LineKind::Drop, line);
     }
 
-    /// What is taken of the work offered to a group of services has changed.
+    /// Logs a change of the fraction of work that is admitted to a group of services.
     pub(super) fn log_admission(&mut self, group: &str, change: &AdmissionChange) {
         let AdmissionChange { level, wait, tolerable } = change;
         let (wait, tolerable) = (wait.as_millis(), tolerable.as_millis());
         let line =
             format_args!("event=admission group={group} level={level:.2} wait_ms={wait} tolerable_ms={tolerable}");
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
-    /// A tenant has become limited at this node, or is free again.
+    /// Logs that a tenant has become limited by its quota at this node, or no longer is.
     pub(super) fn log_quota(&mut self, change: &QuotaChange) {
         let QuotaChange { tenant, is_limited, pass, is_stranded, substitute } = change;
         let substitute = substitute.map_or_else(|| "-".to_owned(), |node| node.to_string());
         let line = format_args!(
             "event=quota tenant={tenant} limited={is_limited} pass={pass:.2} owner_silent={is_stranded} substitute={substitute}"
         );
-        self.log.line(self.now, LineKind::Belief, line);
+        self.log.line(self.now, LineKind::NodeEvent, line);
     }
 
-    /// A caller left before its request had an answer.
+    /// Logs that a caller disconnected before its request was answered.
     pub(super) fn log_caller_gone(&mut self, pending: &CallerRequest) {
         self.log_trace(pending, LineKind::AnsweredTrace);
         let took = self.now.since(pending.arrived).as_millis();
@@ -135,14 +136,14 @@
         }
     }
 
-    /// A request has its verdict.
+    /// Logs and counts the end of a request.
     pub(super) fn log_finished(&mut self, pending: &CallerRequest, verdict: &Verdict) {
-        let is_whole = match verdict {
+        let is_complete = match verdict {
             Verdict::Merged(merged) => merged.missing == 0,
             Verdict::Passed(answer) => answer.status < 500,
             Verdict::Refused { .. } => false,
         };
-        self.log_trace(pending, if is_whole { LineKind::AnsweredTrace } else { LineKind::Trace });
+        self.log_trace(pending, if is_complete { LineKind::AnsweredTrace } else { LineKind::Trace });
         let took = self.now.since(pending.arrived);
         self.count_finished(pending, verdict, took);
         let (outcome, status, parts, missing) = match verdict {
@@ -160,7 +161,7 @@
                 pending.route_name(),
                 pending.tenant_name(),
                 pending.version,
-                pending.extras,
+                pending.extra_attempts,
                 pending.content(),
                 took.as_secs_f64() * 1000.0
             ),
@@ -178,10 +179,10 @@
     }
 }
 
-/// What a searcher reported last of its load, as the end of a line.
-struct Reported(Option<ReportedAt>);
+/// Formats the load that a searcher last reported, as the end of a log line.
+struct ReportedLoad(Option<ReportedAt>);
 
-impl fmt::Display for Reported {
+impl fmt::Display for ReportedLoad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(reported) => write!(f, " load={} load_age_ms={}", reported.load, reported.age.as_millis()),
@@ -190,8 +191,9 @@
     }
 }
 
-/// What is logged of an attempt's end; an answer that counts is in the line of the request's own end.
-fn notable_end(outcome: &AttemptOutcome) -> Option<String> {
+/// Describes an attempt's end for the trace; `None` for a successful answer, which the line of the request's own end
+/// covers.
+fn describe_failed_attempt(outcome: &AttemptOutcome) -> Option<String> {
     match outcome {
         AttemptOutcome::Answered(answer) if answer.status < 300 => None,
         AttemptOutcome::Answered(answer) => Some(format!("outcome=failed status={}", answer.status)),
--- /dev/null
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -0,0 +1,82 @@
+//! How updates from the store and from peers reach the routing engine.
+//!
+//! This module only connects other components: the mirror holds the known state, the fleet announces it to peers, and
+//! the engine decides by it. The store reader decides when the store is called, and the store role whether it is
+//! called at all.
+//!
+//! An update passes through these steps:
+//!
+//! 1. *From the store* ([`store`]): the role sets the reader's mode, the reader says which calls are due, and the
+//!    node makes them and hands back each reply. The reader returns the contents of a reply as
+//!    [`ReaderAction::Learned`](staircross_routing::store_reader::ReaderAction::Learned).
+//! 2. *Or from a peer* ([`peers`]): each datagram announces the sender's version and revisions ([`fleet`]). A node
+//!    that is behind pulls the missing updates from a node that is ahead. Its reader then continues from the revision
+//!    that the pull has reached.
+//! 3. *Merged* ([`GatewayNode::apply_update`]): the mirror merges by revision and version, so neither the order nor
+//!    the source matters, and returns the changes.
+//! 4. *Applied*: the changes go to the engine as events in the same turn of the event loop, so the next decision uses
+//!    them.
+//! 5. *Published*: a designated reader announces its new revisions to its followers at once; they pull them as in
+//!    step 2.
+
+mod fleet;
+mod peers;
+mod store;
+
+pub(super) use peers::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
+
+use super::GatewayNode;
+use crate::dialect::Dialect;
+use crate::event_log::LineKind;
+use staircross_routing::configuration::definition::RoutingDefinition;
+use staircross_routing::engine::RoutingEvent;
+use staircross_routing::{MirrorUpdate, RouteTable};
+use std::sync::Arc;
+
+impl<D: Dialect> GatewayNode<D> {
+    /// Merges an update, applies the changes and publishes them. `source` is the store lane or `peer`, for the log.
+    fn apply_update(&mut self, update: MirrorUpdate, source: &str) {
+        self.log_unreadable(&update.unreadable, source);
+        let mut changes = self.mirror.merge(update);
+        let configuration = changes.configuration.take();
+        // Evacuations are applied first and the configuration last: requests that were held until the configuration
+        // is known are sent as soon as it is applied.
+        if let Some(zones) = changes.evacuated.take() {
+            self.log_evacuated(&zones, source);
+            self.process_routing_event(RoutingEvent::Evacuated(zones));
+        }
+        self.log_searchers(&changes, source);
+        if !changes.searchers.is_empty() {
+            self.process_routing_event(RoutingEvent::Searchers(changes.searchers));
+        }
+        if !changes.gone.is_empty() {
+            self.process_routing_event(RoutingEvent::SearchersGone(changes.gone));
+        }
+        if let Some(definition) = configuration {
+            self.apply_configuration(definition, source);
+        }
+        let is_new = self.fleet.set_knowledge(&self.mirror);
+        if is_new && self.fleet.is_designated_reader() {
+            self.fleet.notify_followers(self.now);
+        }
+    }
+
+    /// Logs a new configuration, passes it to the engine and updates everything that depends on it.
+    fn apply_configuration(&mut self, definition: Arc<RoutingDefinition>, source: &str) {
+        self.log.line(
+            self.now,
+            LineKind::NodeEvent,
+            format_args!(
+                "event=configuration version={} routes={} services={} tenants={} source={source}",
+                definition.version,
+                definition.routes.len(),
+                definition.services.len(),
+                definition.tenants.len()
+            ),
+        );
+        self.fleet.set_confirmation_sent(!definition.tenants.is_empty());
+        self.process_routing_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
+        self.fleet.set_connections(self.engine.tightest_connections());
+        self.update_fleet_shape();
+    }
+}
