--- a/crates/staircross-latency/src/lib.rs
+++ b/crates/staircross-latency/src/lib.rs
@@ -1,25 +1,26 @@
-//! Live latency of sub-requests: the usual time, and the time from which one counts as late.
+//! Latency of recent sub-requests: the median, and the delay after which a sub-request counts as late and may be
+//! hedged.
 //!
-//! Owns two windows of samples, in microseconds; relies on nothing but what it is given. The gateway's engine and the session tier's root
-//! hold one for each kind of work.
+//! A [`LatencyTracker`] keeps two windows of samples, in microseconds, and depends only on the samples that it is
+//! given. The gateway's engine and the session tier's root keep one tracker for each kind of work.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Samples after which the quantiles are computed anew.
+/// Number of samples after which the quantiles are computed again.
 const REFRESH_EVERY: u64 = 64;
-/// Samples after which an old window is dropped.
+/// Number of samples in a window. A full window replaces the previous one.
 const WINDOW: u64 = 4096;
-/// The late point is never more than this many medians.
+/// Upper bound of the hedge delay, as a multiple of the median.
 const MAX_MEDIANS: u32 = 4;
-/// Samples from which a window's tail quantile is used.
+/// Number of samples from which the quantiles of the current window are used.
 const ENOUGH_SAMPLES: u64 = 512;
-/// Largest latency told apart, in microseconds.
+/// Largest latency that is recorded, in microseconds; longer ones are recorded as this one.
 const MAX_MICROS: u64 = 60_000_000;
-/// Quantile after which a sub-request is late enough for a hedge.
+/// Quantile of latencies that is used as the hedge delay.
 const HEDGE_QUANTILE: f64 = 0.98;
 
-/// Quantiles over the last one to two windows of samples.
+/// Quantiles over the latest one or two windows of samples.
 pub struct LatencyTracker {
     current: Histogram<u32>,
     previous: Histogram<u32>,
@@ -28,7 +29,7 @@
 }
 
 impl LatencyTracker {
-    /// Starts with `guess` as every quantile until there are samples.
+    /// Creates a tracker that returns `guess` for every quantile until there are samples.
     pub fn new(guess: Duration) -> Self {
         LatencyTracker { current: new_histogram(), previous: new_histogram(), median: guess, hedge_delay: guess }
     }
@@ -46,16 +47,17 @@
     }
 
     fn refresh(&mut self) {
-        // A window just begun has too few samples for a tail quantile; the one before is full.
+        // A new window has too few samples for a tail quantile; the previous window is full.
         let current_is_enough = self.current.len() >= ENOUGH_SAMPLES || self.previous.is_empty();
         let source = if current_is_enough { &self.current } else { &self.previous };
         self.median = Duration::from_micros(source.value_at_quantile(0.5));
         let tail = Duration::from_micros(source.value_at_quantile(HEDGE_QUANTILE));
-        // Once more than a few in a hundred are slow, the tail is theirs and would excuse them all.
+        // If more than a few percent of sub-requests are slow, they make up the tail, and without the bound none of
+        // them would count as late.
         self.hedge_delay = tail.min(self.median * MAX_MEDIANS);
     }
 
-    /// Latency that half of the sub-requests stay under.
+    /// Median latency of sub-requests.
     pub fn median(&self) -> Duration {
         self.median
     }
--- a/crates/staircross-quota/src/acting.rs
+++ b/crates/staircross-quota/src/acting.rs
@@ -1,9 +1,11 @@
-//! Standing in for a tenant's owner that doesn't answer.
+//! State of a node that substitutes for a tenant's owner that doesn't answer.
 //!
-//! The membership takes some seconds to see that a node is gone. Until then each node would find out by itself, by a request that it admits and a report that
-//! isn't answered; in a large fleet these requests alone exceed a quota. So the first node that finds out stands in for the owner: it tells the
-//! others, which report to it once, and again with what they admit, and keep to the fraction that it grants. Of several the one that would own the tenant first remains. It ends with the owner's next
-//! answer, or when the membership names another.
+//! The membership takes some seconds to detect that a node is gone. Until then each node would detect it separately,
+//! by a request that it admits and a report that isn't answered; in a large fleet these requests alone exceed a quota.
+//! So the first node that detects it substitutes for the owner: it sends the other nodes a grant, each of them reports
+//! to it once and again with what it admits, and all of them admit the fraction that it grants. If several nodes
+//! substitute at once, the one with the highest owner score for the tenant remains. Substitution ends with the owner's
+//! next answer, or when the membership names another owner.
 
 use crate::bound::Limits;
 use crate::fleet::Fleet;
@@ -12,36 +14,37 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Silence of the owner after which a node stands in for it: two sendings of a report that weren't answered.
+/// Time without an answer from the owner after which a node substitutes for it. A report is sent twice in that time.
 pub(crate) const ACT_AFTER: Duration = Duration::from_millis(200);
-/// Time since its last report for which a node counts as one that is granted to. Longer than the membership takes to see that the owner is gone, since a node
-/// that no request comes to reports once.
+/// Time since a node's last report during which it still counts as one that receives this node's grants. Longer than
+/// the membership takes to detect that the owner is gone, because a node without requests reports only once.
 const FOLLOWER_LIFE: Duration = Duration::from_secs(5);
-/// Time after which the fraction is granted again where nothing has changed: half the life of a grant.
+/// Time after which an unchanged fraction is granted again. Half the time for which a grant is valid.
 const REPEAT: Duration = Duration::from_secs(2);
-/// Time between two looks at what is to be granted.
+/// Time between two checks of whether a new fraction must be granted.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// What a node keeps that stands in for an owner.
+/// What a node that substitutes for an owner keeps for one tenant.
 #[derive(Debug)]
 pub(crate) struct Acting {
-    /// Whom it stands in for.
+    /// The owner that doesn't answer.
     owner: NodeId,
     ledger: Ledger,
-    /// When to look at what is to be granted.
+    /// Time of the next check of whether a new fraction must be granted.
     pub due: BootTime,
     is_announced: bool,
 }
 
 impl Acting {
-    /// Begins with what this node has admitted unconfirmed.
+    /// Starts a substitution; `open` are the requests of this node that the owner hasn't confirmed.
     pub fn new(now: BootTime, owner: NodeId, limits: &Limits, open: Counts) -> Self {
         let mut ledger = Ledger::with_level(now, limits.substitute_credit());
         ledger.count(open);
         Acting { owner, ledger, due: now, is_announced: false }
     }
 
-    /// Whether any other node reports to this one. Without any it decides as one that is on its own.
+    /// Returns whether any other node reports to this one. A substitute without reports decides like a node that
+    /// reaches neither the owner nor a substitute.
     pub fn is_followed(&self, now: BootTime) -> bool {
         self.followers(now) > 0
     }
@@ -50,14 +53,15 @@
         self.ledger.heard_since(now, FOLLOWER_LIFE)
     }
 
-    /// Part of the requests that this node and its followers are to admit now. They may spend a part of the quota only: the owner may live and grant the rest.
+    /// Returns the fraction of requests that this node and the nodes that report to it should admit now. Together they
+    /// may spend only a part of the quota, because the owner may be alive and grant the rest.
     pub fn pass(&mut self, now: BootTime, limits: &Limits, fleet: &Fleet) -> f64 {
         let fraction = fleet.stranded_fraction(now, self.followers(now) + 1);
         self.ledger.refill_keeping(now, limits, fraction);
         self.ledger.pass(limits, fraction)
     }
 
-    /// What a node is granted in the owner's place.
+    /// Returns a grant of the fraction `pass` in the owner's place.
     pub fn grant(&self, now: BootTime, tenant: TenantHash, pass: f64) -> QuotaGrant {
         QuotaGrant::unsolicited(now, tenant, pass).with_instead_of(self.owner)
     }
@@ -67,13 +71,13 @@
         self.ledger.count(counts);
     }
 
-    /// Takes a follower's report.
+    /// Counts what another node reports, and returns the confirmation for it.
     pub fn take_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
         self.ledger.take_report(now, from, report)
     }
 
-    /// The fraction that all `nodes` are to be granted now, if it must be announced. The first word limits nobody: only what the others
-    /// report tells how much there is.
+    /// Returns the fraction to grant to all nodes, if a grant is due now. The first grant limits nobody, because only
+    /// the reports that it causes show the demand.
     pub fn due_grant(&mut self, now: BootTime, limits: &Limits, fleet: &Fleet) -> Option<f64> {
         if now < self.due {
             return None;
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -1,4 +1,4 @@
-//! What one node may admit of the tenants' quotas, which hold for all nodes together.
+//! Admission at one node under the tenants' quotas, which hold for all nodes together.
 
 use crate::bound::{Limits, QuotaBound};
 use crate::fleet::{Fleet, FleetView};
@@ -12,45 +12,46 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time from a process's start, at the fleet's first start, during which a tenant's burst is whole: nothing can have been spent of it. Longer than a
-/// fleet takes to start.
+/// Time since the start of a process, at the fleet's first start, during which a tenant's burst is regarded as unused.
+/// Longer than a fleet takes to start.
 const FIRST_START: Duration = Duration::from_secs(10);
-/// Nodes that must be silent for a node to count itself as cut off. A single one may have ended.
+/// Number of nodes that must leave reports unanswered before a node regards itself as cut off. A single silent node
+/// may have ended.
 const ASKED_IF_ALONE: usize = 2;
 
-/// A tenant has become limited at this node, or is free again.
+/// A tenant has become limited at this node, or is no longer limited.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaChange {
     /// The tenant.
     pub tenant: Arc<str>,
-    /// Whether it is limited now.
+    /// Whether the tenant is limited now.
     pub is_limited: bool,
-    /// Part of its requests that passes.
+    /// Fraction of the tenant's requests that is admitted, 0 to 1.
     pub pass: f64,
-    /// Whether this node decides on its own, since the tenant's owner doesn't answer.
+    /// Whether this node decides without owner and substitute, because it reaches neither.
     pub is_stranded: bool,
-    /// The node that stands in for an owner that doesn't answer, maybe this one.
+    /// The node that substitutes for an owner that doesn't answer; may be this node.
     pub substitute: Option<NodeId>,
 }
 
-/// What this node thinks of a tenant's quota at the moment.
+/// The state of a tenant's quota as one node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaView {
-    /// Node that keeps the tenant's tokens.
+    /// Node that keeps the tenant's token bucket.
     pub owner: NodeId,
-    /// Whether that is this node.
+    /// Whether this node is the owner.
     pub is_owned: bool,
-    /// Tokens left; known to the owner alone.
+    /// Tokens in the bucket; known to the owner only.
     pub level: Option<f64>,
-    /// Part of the tenant's requests that passes, 0 to 1.
+    /// Fraction of the tenant's requests that is admitted, 0 to 1.
     pub pass: f64,
-    /// Whether this node decides on its own.
+    /// Whether this node decides without owner and substitute, because it reaches neither.
     pub is_stranded: bool,
-    /// The node that stands in for an owner that doesn't answer, maybe this one.
+    /// The node that substitutes for an owner that doesn't answer; may be this node.
     pub substitute: Option<NodeId>,
 }
 
-/// What one node may admit.
+/// Decides at one node which requests are admitted under quotas that all nodes share.
 #[derive(Debug)]
 pub struct FleetAllowance {
     bound: QuotaBound,
@@ -59,20 +60,21 @@
     is_first_start: bool,
     fleet: Fleet,
     tenants: HashMap<TenantHash, Tenant>,
-    /// Tenants for which something is due.
+    /// Tenants that have something to send at some time.
     active: BTreeSet<TenantHash>,
     wake: Option<BootTime>,
-    /// When the first report was sent since the last message of any node, and to which nodes reports went since.
+    /// Time of the first report since any node last sent a message, and the nodes that were sent reports since.
     unanswered: Option<(BootTime, Vec<NodeId>)>,
-    /// Whether no peer's datagram has come for some time.
+    /// Whether no datagram of any peer has arrived for some time.
     is_isolated: bool,
-    /// Requests counted, which random numbers are drawn from.
+    /// Number of random numbers drawn so far, from which the next one is computed.
     draws: u64,
     changes: Vec<QuotaChange>,
 }
 
 impl FleetAllowance {
-    /// An allowance without quotas: everything is admitted. `is_first_start` says that no process of the fleet has run before.
+    /// Creates an instance without quotas, which admits everything. `is_first_start` says that no process of the fleet
+    /// has run before.
     pub fn new(bound: QuotaBound, own: NodeId, now: BootTime, is_first_start: bool) -> Self {
         FleetAllowance {
             bound,
@@ -90,12 +92,12 @@
         }
     }
 
-    /// Changes the bound; quotas follow with the next configuration.
+    /// Sets the bound. Tenants' limits are computed from it when [`FleetAllowance::set_quotas`] is called next.
     pub fn set_bound(&mut self, bound: QuotaBound) {
         self.bound = bound;
     }
 
-    /// Takes the quotas of a configuration. What is known of tenants that stay is kept.
+    /// Sets the quotas of a configuration. The state of tenants that remain is kept.
     pub fn set_quotas(&mut self, _now: BootTime, quotas: impl Iterator<Item = (Arc<str>, Quota)>) {
         let mut former = std::mem::take(&mut self.tenants);
         for (name, quota) in quotas {
@@ -107,12 +109,12 @@
         }
     }
 
-    /// Takes which nodes serve callers.
+    /// Sets the nodes that serve callers.
     pub fn set_fleet(&mut self, now: BootTime, view: FleetView) {
         if !self.fleet.set(now, view) {
             return;
         }
-        // A report that isn't confirmed must reach the new owner also when no further request comes.
+        // A report that isn't confirmed must reach the new owner even if no further request arrives.
         let active: Vec<TenantHash> = self.active.iter().copied().collect();
         let is_first = self.is_first(now);
         for hash in active {
@@ -123,13 +125,13 @@
         }
     }
 
-    /// Takes whether this node hears nothing from any peer, though they send each other datagrams all the time: it is cut off, and knows it before
-    /// any report of its own goes unanswered.
+    /// Sets whether no datagram of any peer has arrived for some time, although peers send each other datagrams all
+    /// the time. An isolated node knows that it is cut off before any report of its own goes unanswered.
     pub fn set_isolated(&mut self, is_isolated: bool) {
         self.is_isolated = is_isolated;
     }
 
-    /// Takes a token for one request of a tenant.
+    /// Admits or refuses one request of a tenant.
     pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
         let (random, is_first, is_alone) = (self.random(), self.is_first(now), self.is_alone(now));
@@ -158,7 +160,7 @@
         taken
     }
 
-    /// Takes a message of another node.
+    /// Handles a message of another node and appends the answers to `envelopes`.
     pub fn on_message(
         &mut self,
         now: BootTime,
@@ -186,7 +188,7 @@
                 envelopes.extend(former.map(|to| QuotaEnvelope { to, message: tenant.claim(now, fleet_fraction) }));
                 tenant.take_report(now, from, report, fleet_fraction)
             }
-            // The sender has a version of the configuration that this node doesn't have, or no longer has.
+            // The sender has a version of the configuration that this node doesn't have yet, or no longer has.
             None => Some((1.0, Confirmation { epoch: report.epoch, counts: report.counts })),
         };
         let Some((pass, confirmation)) = answer else {
@@ -202,7 +204,7 @@
         let Some(tenant) = self.tenants.get_mut(&grant.tenant) else {
             return;
         };
-        // The first request here may come while the tenant is limited.
+        // The tenant may become limited before this node receives its first request.
         tenant.refresh(now, self.own, &self.fleet, is_first);
         if grant.instead_of.is_some() {
             let dispute = tenant.take_grant_acting(now, from, self.own, grant).map(QuotaMessage::Grant);
@@ -210,7 +212,7 @@
             let answer = if is_owner { Some(tenant.claim(now, fleet_fraction)) } else { dispute };
             envelopes.extend(answer.map(|message| QuotaEnvelope { to: from, message }));
         } else if let Some(spender) = &mut tenant.spender {
-            // The grant of a former owner counts no more.
+            // Grants of a former owner are ignored.
             if spender.owner == from {
                 spender.take_grant(now, grant);
                 if grant.confirmation.is_some() {
@@ -223,7 +225,7 @@
         self.note_due(grant.tenant);
     }
 
-    /// Sends what is due.
+    /// Appends the messages that are due to `envelopes`.
     pub fn on_tick(&mut self, now: BootTime, envelopes: &mut Vec<QuotaEnvelope>) {
         if self.wake.is_none_or(|wake| wake > now) {
             return;
@@ -261,12 +263,12 @@
         self.wake = self.active.iter().filter_map(|hash| self.tenants.get(hash)?.due()).min();
     }
 
-    /// When [`FleetAllowance::on_tick`] is due next.
+    /// Time at which [`FleetAllowance::on_tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.wake
     }
 
-    /// What this node thinks of a tenant's quota; none where the tenant has no quota.
+    /// Returns the state of a tenant's quota as this node sees it; `None` if the tenant has no quota.
     pub fn view(&self, now: BootTime, tenant: &str) -> Option<QuotaView> {
         let tenant = self.tenants.get(&TenantHash::of(tenant))?;
         let is_stranded = self.is_alone(now) || tenant.is_stranded(now, &self.fleet);
@@ -280,7 +282,8 @@
         })
     }
 
-    /// Tenants that became limited or free since the last call, at most a few a second for each.
+    /// Returns the tenants that became limited or unlimited since the last call. A tenant changes at most a few times
+    /// per second.
     pub fn take_changes(&mut self) -> Vec<QuotaChange> {
         std::mem::take(&mut self.changes)
     }
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Whether no node has said anything for some time though several should have: this node is cut off.
+    /// Returns whether this node is cut off: no peer has sent anything for some time, although several should have.
     fn is_alone(&self, now: BootTime) -> bool {
         let is_silent =
             |(since, asked): &(BootTime, Vec<NodeId>)| now.since(*since) >= PATIENCE && asked.len() >= ASKED_IF_ALONE;
@@ -315,7 +318,7 @@
         self.fleet.fraction(now)
     }
 
-    /// A number from 0 to 1, another each time and at each node.
+    /// Returns a number from 0 to 1 that differs for each call and each node.
     fn random(&mut self) -> f64 {
         self.draws += 1;
         let hash = xxh3_64_with_seed(&self.own.0.to_le_bytes(), self.draws);
--- a/crates/staircross-quota/src/bucket.rs
+++ b/crates/staircross-quota/src/bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket.
+//! Token bucket.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Tokens that come at a steady rate and are kept up to a bound. The level may fall below 0: what was admitted elsewhere is taken
-/// after the fact.
+/// Tokens that accrue at a steady rate up to a capacity. The level may fall below 0, because requests that other nodes
+/// admitted are subtracted after the fact.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     level: f64,
@@ -16,7 +16,7 @@
         Bucket { level, at: now }
     }
 
-    /// Lets time pass at a rate, up to a bound.
+    /// Adds the tokens that accrued since the last refill at `rate`, and caps the level at `most`.
     pub fn refill(&mut self, now: BootTime, rate: f64, most: f64) {
         self.level = (self.level + rate * now.since(self.at).as_secs_f64()).min(most);
         self.at = now.max(self.at);
@@ -26,12 +26,12 @@
         self.level
     }
 
-    /// Takes tokens that are spent already.
+    /// Subtracts tokens for requests that were already admitted; the level may become negative.
     pub fn spend(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Takes one token if there is one; the time until there is one otherwise.
+    /// Takes one token if there is one, and otherwise returns the time until there is one.
     pub fn try_take(&mut self, rate: f64) -> Result<(), Duration> {
         if self.level >= 1.0 {
             self.level -= 1.0;
@@ -42,5 +42,6 @@
     }
 }
 
-/// Longest wait for a token that callers are sent, in seconds. So that callers come back at all.
+/// Longest time until the next token that is returned to callers, in seconds. Without it a very low rate would keep
+/// callers from ever coming back.
 const LONGEST_WAIT_S: f64 = 10.0;
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Which nodes there are, and which of them owns a tenant.
+//! The nodes of the fleet, and which of them owns a tenant.
 
 use crate::message::TenantHash;
 use serde::{Deserialize, Serialize};
@@ -6,40 +6,46 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fraction of a quota that an owner grants to the nodes that it can reach, in times their fraction of the largest fleet: both sides of a cut stay within
-/// the excess that bounds permit, and a fleet that has lost a third still serves tenants at two thirds of their rate without loss.
+/// Factor of the fraction of a quota that an owner grants, which is the number of nodes that it reaches divided by the
+/// size of the largest known fleet. With 1 both sides of a network partition stay within the excess that bounds
+/// permit, and a fleet that has lost a third of its nodes still serves tenants at two thirds of their rate without
+/// refusals.
 const CUT_FACTOR: f64 = 1.0;
-/// The same for nodes without an owner: until the owner's side has seen the cut, which takes some seconds, that side grants the whole quota.
+/// Like [`CUT_FACTOR`], for nodes without an owner. Below 1 because the owner's side detects a partition only after
+/// some seconds, and grants the whole quota until then.
 const STRANDED_FACTOR: f64 = 0.5;
-/// Nodes that a starting node takes the fleet to have, at least. Above the 6 to 80 nodes of the model's schedules.
+/// Smallest fleet size that a starting node assumes. Above the 6 to 80 nodes of the simulated schedules in
+/// `tests/bound.rs`.
 const ASSUMED_AT_RESTART: usize = 128;
-/// How long the largest fleet seen counts. Longer than a cut that the rest of the fleet doesn't take for a loss.
+/// Time for which the largest fleet seen is remembered. Longer than a partition which the rest of the fleet doesn't
+/// regard as a loss of nodes.
 const PEAK_LIFE: Duration = Duration::from_secs(30);
 /// Time without a new member after which a node no longer counts as starting.
 const STEADY: Duration = Duration::from_millis(600);
-/// Time without a change of the nodes after which all are taken to see the same. Above the time in which a change is known everywhere.
+/// Time without a change of the nodes after which all nodes are assumed to have the same view. Longer than a change
+/// takes to reach every node.
 const SETTLED: Duration = Duration::from_secs(1);
 
-/// The nodes as one of them sees them.
+/// The nodes of the fleet as one node sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// Live nodes that take callers' requests.
+    /// Live nodes that serve callers' requests.
     pub serving: Vec<NodeId>,
 }
 
-/// The view in use, and how it came about.
+/// The current view of the fleet, and how it has developed.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     own: NodeId,
     view: FleetView,
-    /// Most nodes that were seen at once lately, and when last.
+    /// Largest number of nodes seen at once within [`PEAK_LIFE`], and when it was last seen.
     peak: (usize, BootTime),
-    /// Most nodes that this process has seen, and when first.
+    /// Largest number of nodes that this process has seen, and when it was first seen.
     grown: (usize, BootTime),
     is_restarted: bool,
-    /// When the nodes changed last.
+    /// Time of the last change of the nodes.
     pub changed_at: BootTime,
-    /// Rises with each change.
+    /// Number of the view, incremented with each change of the nodes.
     pub generation: u32,
 }
 
@@ -49,7 +55,7 @@
         Fleet { own, view, peak: (1, now), grown: (1, now), is_restarted, changed_at: now, generation: 1 }
     }
 
-    /// Takes a new view; says whether the nodes are others.
+    /// Sets a new view, and returns whether the nodes have changed.
     pub fn set(&mut self, now: BootTime, mut view: FleetView) -> bool {
         view.serving.sort_unstable();
         view.serving.dedup();
@@ -68,28 +74,31 @@
         is_changed
     }
 
-    /// Nodes that serve.
+    /// Nodes that serve callers' requests.
     pub fn serving(&self) -> &[NodeId] {
         &self.view.serving
     }
 
-    /// Largest fleet that is to be reckoned with.
+    /// Fleet size to assume when quotas are divided: the largest seen recently, and at least [`ASSUMED_AT_RESTART`]
+    /// while this node is starting.
     pub fn peak(&self, now: BootTime) -> usize {
         let seen = self.peak.0.max(1);
         if self.is_starting(now) { seen.max(ASSUMED_AT_RESTART) } else { seen }
     }
 
-    /// Whether this process was restarted and still learns who else there is: all nodes may have been.
+    /// Returns whether this process was restarted and is still learning which other nodes exist. All nodes may have
+    /// been restarted.
     pub fn is_starting(&self, now: BootTime) -> bool {
         self.is_restarted && now.since(self.grown.1) < STEADY
     }
 
-    /// Whether the nodes have been the same for a while. Until then one that is taken for an owner may not take itself for one, and not answer.
+    /// Returns whether the nodes have been the same for [`SETTLED`]. Before that, a node that others regard as an
+    /// owner may not know that it is one, and not answer.
     pub fn is_settled(&self, now: BootTime) -> bool {
         now.since(self.changed_at) >= SETTLED
     }
 
-    /// Whether this node sees itself alone where others were.
+    /// Returns whether this node sees no other node although it has seen some recently, or is starting.
     pub fn is_left_alone(&self, now: BootTime) -> bool {
         self.view.serving.len() <= 1 && self.peak(now) > 1
     }
@@ -104,13 +113,14 @@
         (STRANDED_FACTOR * nodes as f64 / self.peak(now) as f64).min(1.0)
     }
 
-    /// The owner of a tenant: the node with the highest score. A change of one node moves only the tenants that it owns.
+    /// Returns the owner of a tenant: the node with the highest score (rendezvous hashing). A node that joins or
+    /// leaves changes only the owner of the tenants that it owns.
     pub fn owner_of(&self, tenant: TenantHash) -> NodeId {
         self.view.serving.iter().copied().max_by_key(|node| score(*node, tenant)).unwrap_or(self.own)
     }
 }
 
-/// Whether a node comes before another where both would own a tenant.
+/// Returns whether `node` has a higher owner score for the tenant than `other`.
 pub(crate) fn is_before(node: NodeId, other: NodeId, tenant: TenantHash) -> bool {
     score(node, tenant) > score(other, tenant)
 }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -1,8 +1,9 @@
-//! The owner's side: what all nodes admit of one tenant.
+//! The owner's state of one tenant: the token bucket, and what all nodes have reported.
 //!
-//! The owner keeps the tenant's token bucket. Nodes take tokens first and report them, and the owner answers with the part of the
-//! tenant's requests that nodes are to admit. The part is 1 while the bucket holds more than its headroom, and otherwise what the
-//! rate and the bucket's level leave of the demand, so that admissions settle at the rate wherever requests come.
+//! The owner keeps the tenant's token bucket. The other nodes admit requests first and report them afterwards, and the
+//! owner answers with the fraction of the tenant's requests to admit. The fraction is 1 while the bucket holds more
+//! than the headroom. Otherwise it is the ratio of the available rate (the refill rate, corrected by the bucket's
+//! level) to the demand, so that admissions settle at the rate whichever nodes the requests reach.
 
 use crate::bound::Limits;
 use crate::bucket::Bucket;
@@ -11,30 +12,35 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time within which the bucket's level is brought back to 0, in seconds. Three times the round trip of a report and its answer, so that the fraction
-/// doesn't swing.
+/// Time within which the bucket's level is to be brought back to 0, in seconds. Three times the round trip of a report
+/// and its answer, so that the fraction doesn't oscillate.
 const CORRECTION_S: f64 = 0.6;
-/// Time over which demand is averaged, in seconds. Below [`CORRECTION_S`], so that a rise shows within it.
+/// Time constant of the average of demand, in seconds. Below [`CORRECTION_S`], so that a rise of demand shows within
+/// that time.
 const DEMAND_S: f64 = 0.4;
-/// Fraction of the headroom that a new owner starts with: what was admitted before it is unknown.
+/// Fraction of the headroom that a new owner starts with, because it doesn't know what was admitted before.
 const NEW_OWNER_FRACTION: f64 = 0.5;
-/// Time for which another owner's grant halves this owner's rate. Longer than [`REPEAT`], by which it is heard of again.
+/// Time for which a grant of another owner halves this owner's rate. Longer than [`REPEAT`], after which the other
+/// owner grants again.
 const RIVAL_LIFE: Duration = Duration::from_millis(1500);
-/// Time between two grants to a former owner that may still grant. Well below [`RIVAL_LIFE`].
+/// Time between two grants to a former owner that may still regard itself as the owner. Well below [`RIVAL_LIFE`].
 const ASK_FORMER: Duration = Duration::from_millis(500);
-/// Silence after which a node's counts are forgotten. A bound on memory.
+/// Time since a node's last report after which its counts are dropped. Bounds memory.
 const FORGET_NODE: Duration = Duration::from_secs(60);
-/// Shortest time between two grants to all nodes that less passes. The time after which a report is sent again.
+/// Shortest time between two grants to all nodes that lower the fraction. Equal to the time after which a report is
+/// sent again.
 const SHORTEST_GAP: Duration = Duration::from_millis(100);
-/// The same for each node that must get one. At most 500 datagrams a second.
+/// Like [`SHORTEST_GAP`], for each node that receives the grant. Limits grants to 500 datagrams per second.
 const GAP_PER_NODE: Duration = Duration::from_millis(2);
-/// Factor of the gaps where more passes: a grant that comes late costs some refusals then, and no excess.
+/// Factor of the time between two grants for those that raise the fraction. A late raise costs some refusals, but no
+/// excess.
 const EASING_FACTOR: u32 = 3;
-/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A few times below the life of a grant.
+/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A fraction of the time for
+/// which a grant is valid.
 const REPEAT: Duration = Duration::from_millis(1000);
-/// Change of the fraction, relative to itself, that is announced to all nodes.
+/// Change of the fraction, relative to the last one granted, from which all nodes are sent a new grant.
 const ANNOUNCED_CHANGE: f64 = 0.2;
-/// Least fraction that changes are measured against. So that changes of tiny fractions aren't announced.
+/// Smallest base for relative changes of the fraction, so that changes of tiny fractions cause no grants.
 const MIN_FRACTION: f64 = 0.05;
 
 /// What one node has reported.
@@ -44,34 +50,35 @@
     at: BootTime,
 }
 
-/// What the owner keeps of one tenant.
+/// The owner's state of one tenant.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     bucket: Bucket,
-    /// Requests a second that come to all nodes, and when that was last brought up to date.
+    /// Requests per second that reach all nodes together (a decaying average), and the time of its last update.
     demand: f64,
     demand_at: BootTime,
     reported: HashMap<NodeId, Reported>,
-    /// Other nodes that spoke as owner, and until when that counts.
+    /// Other nodes that have acted as the owner, each with the time until which that counts.
     rivals: Vec<(NodeId, BootTime)>,
     /// The former owner that was last sent a grant of this node, and when.
     asked_former: Option<(NodeId, BootTime)>,
-    /// Fraction that all nodes were granted last, and when.
+    /// The fraction that all nodes were last granted, and when.
     announced: f64,
     announced_at: BootTime,
-    /// When this node ceased to be the owner.
+    /// Time at which this node ceased to be the owner.
     pub lost_at: Option<BootTime>,
 }
 
 impl Ledger {
-    /// A ledger of a node that has been the owner for `owned_for` without a request, or is the first owner ever.
+    /// Creates the ledger of a node that has been the owner for `owned_for` without a request. `is_first` says that
+    /// the fleet has just started for the first time, so that nothing of the burst is used.
     pub fn new(now: BootTime, limits: &Limits, owned_for: Duration, is_first: bool) -> Self {
         let full = limits.burst + limits.headroom();
         let start = limits.headroom() * NEW_OWNER_FRACTION + limits.rate * owned_for.as_secs_f64();
         Self::with_level(now, if is_first { full } else { start.min(full) })
     }
 
-    /// A ledger with so many tokens.
+    /// Creates a ledger with `level` tokens.
     pub fn with_level(now: BootTime, level: f64) -> Self {
         Ledger {
             bucket: Bucket::new(now, level),
@@ -86,12 +93,13 @@
         }
     }
 
-    /// Brings bucket and demand up to date; `fleet_fraction` is what this owner's side of the fleet may spend.
+    /// Updates the bucket and the demand to the present; `fleet_fraction` is the fraction of the quota that this owner
+    /// may grant.
     pub fn refill(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
         self.refill_to(now, limits, fleet_fraction, (limits.burst + limits.headroom()) * fleet_fraction);
     }
 
-    /// The same; tokens above what the bucket fills up to are kept.
+    /// Like [`Ledger::refill`], but keeps tokens beyond the bucket's capacity.
     pub fn refill_keeping(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
         let full = (limits.burst + limits.headroom()) * fleet_fraction;
         self.refill_to(now, limits, fleet_fraction, full.max(self.bucket.level()));
@@ -108,13 +116,13 @@
         limits.rate * fleet_fraction / (1 + self.rivals.len()) as f64
     }
 
-    /// Counts requests.
+    /// Counts requests as demand, and takes tokens for those that were admitted.
     pub fn count(&mut self, counts: Counts) {
         self.demand += f64::from(counts.offered) / DEMAND_S;
         self.bucket.spend(f64::from(counts.admitted));
     }
 
-    /// Part of the tenant's requests that nodes are to admit, 0 to 1.
+    /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
     pub fn pass(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
         if self.bucket.level() >= limits.headroom() * fleet_fraction && self.bucket.level() > 0.0 {
             return 1.0;
@@ -123,7 +131,8 @@
         if rate >= self.demand { 1.0 } else { (rate / self.demand).max(0.0) }
     }
 
-    /// Takes a node's report; what was counted for it so far is the answer. A report that is late or came twice counts nothing.
+    /// Counts what a node reports, and returns the total counted for it so far as the confirmation. A report that
+    /// arrives late or twice counts nothing.
     pub fn take_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
         let fresh = Confirmation { epoch: report.epoch, counts: report.confirmed };
         let known = self.reported.get(&from).map_or(fresh, |known| known.confirmation);
@@ -141,7 +150,8 @@
         confirmation
     }
 
-    /// Another node has spoken as owner: both halve their rate. Says whether that is new.
+    /// Records that another node has acted as the owner, which halves the rate that each of the two grants. Returns
+    /// whether that is new.
     pub fn note_rival(&mut self, now: BootTime, rival: NodeId) -> bool {
         let is_new = self.rivals.iter().all(|(node, until)| *node != rival || *until <= now);
         self.rivals.retain(|(node, _)| *node != rival);
@@ -149,7 +159,7 @@
         is_new
     }
 
-    /// Whether a former owner is to be sent a grant of this node now.
+    /// Returns whether a former owner should be sent a grant of this node now, and if so records that it is sent.
     pub fn ask_former(&mut self, now: BootTime, former: NodeId) -> bool {
         let is_due = self.asked_former.is_none_or(|(node, at)| node != former || now.since(at) >= ASK_FORMER);
         if is_due {
@@ -158,7 +168,7 @@
         is_due
     }
 
-    /// Whether all `nodes` are to be granted the fraction now.
+    /// Returns whether all `nodes` nodes should be sent the fraction `pass` now.
     pub fn is_announcement_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
         if pass >= 1.0 && self.announced >= 1.0 {
             return false;
@@ -170,29 +180,29 @@
         (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
     }
 
-    /// Time since all nodes were granted a fraction last.
+    /// Time since all nodes were last granted a fraction.
     pub fn announced_for(&self, now: BootTime) -> Duration {
         now.since(self.announced_at)
     }
 
-    /// Nodes that have reported within a time.
+    /// Number of nodes that have reported within `time`.
     pub fn heard_since(&self, now: BootTime, time: Duration) -> usize {
         self.reported.values().filter(|reported| now.since(reported.at) < time).count()
     }
 
-    /// All nodes are granted the fraction.
+    /// Records that all nodes are sent the fraction `pass`, and drops the counts of nodes that have long been silent.
     pub fn note_announced(&mut self, now: BootTime, pass: f64) {
         self.announced = pass;
         self.announced_at = now;
         self.reported.retain(|_, reported| now.since(reported.at) < FORGET_NODE);
     }
 
-    /// Whether nodes hold a fraction below 1 that must be granted again.
+    /// Returns whether nodes were granted a fraction below 1, which must be granted again.
     pub fn is_limiting(&self) -> bool {
         self.announced < 1.0
     }
 
-    /// Tokens.
+    /// Tokens in the bucket; negative if more was admitted than it held.
     pub fn level(&self) -> f64 {
         self.bucket.level()
     }
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -1,19 +1,22 @@
-//! Tenants' quotas, kept by all nodes together.
+//! Distributed rate limiting: per-tenant quotas that all nodes of a fleet enforce together.
 //!
-//! | module | holds |
+//! Each tenant has one owner among the nodes. The owner keeps the tenant's token bucket; the other nodes admit
+//! requests first, report the counts to the owner, and receive the fraction of requests to admit.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | [`bound`] | how far all nodes together may exceed a quota, and what follows for one tenant |
-//! | [`message`] | what nodes send each other |
-//! | [`fleet`] | which nodes there are, and which of them owns a tenant |
+//! | [`bound`] | how far all nodes together may exceed a quota, and the limits this gives one tenant |
+//! | [`message`] | messages that nodes exchange about quotas |
+//! | [`fleet`] | the nodes of the fleet, and which of them owns a tenant |
 //! | [`bucket`] | a token bucket |
-//! | [`ledger`] | the owner's side: what all nodes admit of a tenant |
-//! | [`spender`] | every other node's side: what it admits, and whether its owner answers |
-//! | [`refusal`] | how a request beyond a quota is refused |
-//! | [`acting`] | standing in for an owner that doesn't answer |
+//! | [`ledger`] | the owner's state of a tenant: the token bucket, and what all nodes have reported |
+//! | [`spender`] | the state of a tenant at a node that doesn't own it: counts, reports, and whether the owner answers |
+//! | [`refusal`] | the refusal of a request that exceeds a quota |
+//! | [`acting`] | the state of a node that substitutes for an owner that doesn't answer |
 //! | [`tenant`] | one tenant at one node |
-//! | [`allowance`] | [`FleetAllowance`], which joins them |
+//! | [`allowance`] | [`FleetAllowance`], the entry point, which combines the other modules |
 //!
-//! The design and its figures are in `docs/design/fleet-allowance.md`.
+//! The design and its measurements are in `docs/design/fleet-allowance.md`.
 
 mod acting;
 pub mod allowance;
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -1,12 +1,13 @@
-//! What nodes send each other of quotas.
+//! Messages that nodes exchange about quotas.
 //!
-//! Every message may be lost, late or doubled: counts are totals, and grants carry the owner's time.
+//! Any message may be lost, delayed or duplicated. Therefore reports carry totals instead of differences, and grants
+//! carry the owner's time.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{BootTime, NodeId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names a tenant in messages: a hash of its name.
+/// Identifies a tenant in messages by a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TenantHash(pub u64);
@@ -18,10 +19,10 @@
     }
 }
 
-/// Requests of one tenant at one node.
+/// Numbers of one tenant's requests at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that came.
+    /// Requests that arrived.
     #[serde(rename = "o")]
     pub offered: u32,
     /// Requests that were admitted.
@@ -30,7 +31,7 @@
 }
 
 impl Counts {
-    /// What came after `earlier`.
+    /// Requests counted after `earlier`.
     pub fn since(self, earlier: Counts) -> Counts {
         Counts {
             offered: self.offered.saturating_sub(earlier.offered),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The lesser of each.
+    /// Smaller value of each count.
     pub fn at_most(self, other: Counts) -> Counts {
         Counts { offered: self.offered.min(other.offered), admitted: self.admitted.min(other.admitted) }
     }
@@ -50,89 +51,89 @@
     }
 }
 
-/// A node reports to a tenant's owner what it has admitted.
+/// A node's report to a tenant's owner of the requests that it has counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantHash,
-    /// Rises with each change of owner that the node sees; its counts start anew then.
+    /// Rises with each change of owner that the sender sees. The counts start anew with each epoch.
     #[serde(rename = "e")]
     pub epoch: u32,
-    /// Total of the epoch.
+    /// Total since the start of the epoch.
     #[serde(rename = "c")]
     pub counts: Counts,
-    /// What the owner is known to have counted of it.
+    /// Part of `counts` that the owner has confirmed.
     #[serde(rename = "k")]
     pub confirmed: Counts,
-    /// Who spoke as owner to the sender a moment ago, if that was another: it may live, and still grant.
+    /// The owner before this one, if it granted to the sender a moment ago: it may be alive, and still grant.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub former: Option<NodeId>,
 }
 
-/// The total that an owner has counted for a node.
+/// Total that an owner has counted for a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// Epoch of the node.
+    /// Epoch of the reporting node.
     #[serde(rename = "e")]
     pub epoch: u32,
-    /// Total of the epoch.
+    /// Total since the start of the epoch.
     #[serde(rename = "c")]
     pub counts: Counts,
 }
 
-/// A tenant's owner grants a node which part of the requests to admit.
+/// A grant of a tenant's owner to a node: the fraction of requests to admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
     /// The tenant.
     #[serde(rename = "t")]
     pub tenant: TenantHash,
-    /// The owner's time, in microseconds; a later grant replaces an earlier one.
+    /// The sender's time, in microseconds; a later grant replaces an earlier one.
     #[serde(rename = "s")]
     pub granted_at: u64,
-    /// Part of the tenant's requests that nodes admit, 0 to 1.
+    /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
     #[serde(rename = "p")]
     pub pass: f32,
-    /// The answer to a report; none where the grant answers none.
+    /// Confirmation of the report that this grant answers; `None` if it answers none.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub confirmation: Option<Confirmation>,
-    /// The owner that the sender stands in for, since it doesn't answer; none where the sender is the owner.
+    /// The owner that doesn't answer and that the sender substitutes for; `None` if the sender is the owner.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub instead_of: Option<NodeId>,
 }
 
 impl QuotaGrant {
-    /// A grant that answers no report.
+    /// Creates a grant that answers no report.
     pub fn unsolicited(now: BootTime, tenant: TenantHash, pass: f64) -> Self {
         QuotaGrant { tenant, granted_at: now.0, pass: pass as f32, confirmation: None, instead_of: None }
     }
 
-    /// The same of a node that stands in for the owner.
+    /// Marks the grant as sent in place of `owner`.
     pub fn with_instead_of(self, owner: NodeId) -> Self {
         QuotaGrant { instead_of: Some(owner), ..self }
     }
 
-    /// The same as the answer to a report.
+    /// Makes the grant the answer to a report.
     pub fn with_confirmation(self, confirmation: Confirmation) -> Self {
         QuotaGrant { confirmation: Some(confirmation), ..self }
     }
 }
 
-/// One message.
+/// A message about quotas between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// To the owner.
+    /// Report to the owner or its substitute.
     #[serde(rename = "r")]
     Report(QuotaReport),
-    /// From the owner.
+    /// Grant from the owner or its substitute.
     #[serde(rename = "w")]
     Grant(QuotaGrant),
 }
 
-/// A message and whom it is for.
+/// A message and its receiver.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaEnvelope {
-    /// The receiver.
+    /// The receiving node.
     pub to: NodeId,
     /// The message.
     pub message: QuotaMessage,
--- a/crates/staircross-quota/src/refusal.rs
+++ b/crates/staircross-quota/src/refusal.rs
@@ -1,10 +1,11 @@
-//! How a request beyond its tenant's quota is refused.
+//! Refusal of a request that exceeds its tenant's quota.
 
 use std::time::Duration;
 
-/// A request is beyond its tenant's quota.
+/// The request was refused because its tenant's quota is used up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRefusal {
-    /// When there will be room; spread, so that not all who are refused come back at once.
+    /// Time after which the caller should retry. Includes a random part, so that refused callers don't all retry at
+    /// once.
     pub retry_after: Duration,
 }
--- a/crates/staircross-quota/src/spender.rs
+++ b/crates/staircross-quota/src/spender.rs
@@ -1,4 +1,5 @@
-//! A node's side of a tenant that another node owns: what it admits, what it reports, and whether the owner answers.
+//! The state of a tenant at a node that doesn't own it: what the node admits and reports, and whether the owner
+//! answers.
 
 use crate::bound::Limits;
 use crate::message::{Counts, QuotaGrant, QuotaReport, TenantHash};
@@ -7,30 +8,34 @@
 
 /// Time after which a report that wasn't answered is sent again. Longer than the round trip between regions.
 const REPEAT: Duration = Duration::from_millis(100);
-/// Longest time between two sendings of a report that isn't answered. Three doublings of [`REPEAT`].
+/// Longest time between two transmissions of an unanswered report. Three doublings of [`REPEAT`].
 const SLOW_REPEAT: Duration = Duration::from_millis(800);
-/// Silence of the owner after which this node is on its own. Five sendings, so that a tenth of datagrams lost each way leaves a false alarm in some
-/// thousand.
+/// Time without an answer from the owner after which this node decides without it. Five transmissions, so that with a
+/// tenth of the datagrams lost in each direction about one in some thousand such detections is false.
 pub(crate) const PATIENCE: Duration = Duration::from_millis(500);
-/// The same for a node that has admitted more than its share meanwhile. Three sendings.
+/// Like [`PATIENCE`], for a node that has meanwhile admitted more than its share. Three transmissions.
 pub(crate) const DOUBT: Duration = Duration::from_millis(300);
-/// Time for which a fraction below 1 holds without being granted again. It is granted again each second, so three grants may be lost.
+/// Time for which a granted fraction is valid. A fraction below 1 is granted again each second, so three grants may be
+/// lost.
 const GRANT_LIFE: Duration = Duration::from_millis(4000);
-/// Time for which a tenant that was limited is taken to ask too much still, so that a node on its own gives it no credit.
+/// Time for which a tenant that was limited is still assumed to exceed its quota, so that a node which decides without
+/// the owner gives it no credit.
 const LIMITED_MEMORY: Duration = Duration::from_secs(10);
-/// Time for which a former owner may act as one still. Above the time until nodes agree on who is there, some 3 s.
+/// Time for which a former owner may still regard itself as the owner. Longer than the nodes take to agree on the
+/// membership, some 3 s.
 const FORMER_LIFE: Duration = Duration::from_secs(4);
 
-/// Who stands in for an owner that doesn't answer.
+/// The node that substitutes for an owner that doesn't answer.
 #[derive(Clone, Copy, Debug)]
 struct Substitute {
     node: NodeId,
     pass: f64,
     pass_until: BootTime,
     confirmed: Counts,
-    /// Whether it has answered a report of this node, and so counts this node as one of its own.
+    /// Whether the substitute has answered a report of this node, and therefore counts this node among those that
+    /// receive its grants.
     has_answered: bool,
-    /// When the oldest report to it that isn't answered was sent first.
+    /// Time of the first transmission of the oldest report to the substitute that it hasn't answered.
     unanswered_since: Option<BootTime>,
 }
 
@@ -44,26 +49,26 @@
     }
 }
 
-/// What a node keeps of a tenant that another node owns.
+/// The state of a tenant that another node owns.
 #[derive(Debug)]
 pub(crate) struct Spender {
     pub owner: NodeId,
     epoch: u32,
     counts: Counts,
     confirmed: Counts,
-    /// When the oldest report that isn't answered was sent first.
+    /// Time of the first transmission of the oldest report that the owner hasn't answered.
     unanswered_since: Option<BootTime>,
-    /// When to report next.
+    /// Time of the next report.
     due: Option<BootTime>,
     repeat: Duration,
     pass: f64,
     granted_at: u64,
     pass_until: BootTime,
-    /// When the tenant was last known to be limited.
+    /// Time at which the tenant was last known to be limited.
     limited_at: Option<BootTime>,
-    /// Who spoke as owner before, and until when it may still think that it is.
+    /// The owner before this one, and the time until which it may still regard itself as the owner.
     former: Option<(NodeId, BootTime)>,
-    /// When the owner answered a report last.
+    /// Time of the owner's last answer to a report.
     answered_at: Option<BootTime>,
     substitute: Option<Substitute>,
 }
@@ -88,7 +93,8 @@
         }
     }
 
-    /// Another node owns the tenant now. What wasn't confirmed is reported to it; the part holds until it speaks.
+    /// Switches to another owner. Counts that the former owner hasn't confirmed are reported to the new one; the
+    /// granted fraction remains valid until the new owner grants one.
     pub fn set_owner(&mut self, now: BootTime, owner: NodeId, epoch: u32) {
         let counts = self.counts.since(self.confirmed);
         let is_open = counts != Counts::default();
@@ -104,13 +110,13 @@
         };
     }
 
-    /// Part of the requests to admit.
+    /// Fraction of requests to admit, 0 to 1.
     pub fn pass(&self, now: BootTime) -> f64 {
         let granted = if now < self.pass_until { self.pass } else { 1.0 };
         self.heard_substitute(now).map_or(granted, |substitute| substitute.pass.min(granted))
     }
 
-    /// The node that stands in for the owner, if it answers.
+    /// The node that substitutes for the owner, if it answers.
     pub fn substitute(&self, now: BootTime) -> Option<NodeId> {
         self.heard_substitute(now).map(|substitute| substitute.node)
     }
@@ -119,7 +125,7 @@
         self.substitute.as_ref().filter(|substitute| substitute.is_heard(now))
     }
 
-    /// Whether the owner has answered within a time.
+    /// Returns whether the owner has answered a report within `time`.
     pub fn was_answered(&self, now: BootTime, time: Duration) -> bool {
         self.answered_at.is_some_and(|at| now.since(at) < time)
     }
@@ -129,17 +135,17 @@
         self.counts.since(self.confirmed)
     }
 
-    /// Whether the tenant was limited a moment ago.
+    /// Returns whether the tenant was limited within [`LIMITED_MEMORY`].
     pub fn was_limited(&self, now: BootTime) -> bool {
         self.limited_at.is_some_and(|at| now.since(at) < LIMITED_MEMORY)
     }
 
-    /// Whether the owner owes an answer for some time.
+    /// Returns whether the owner has left a report unanswered for at least `time`.
     pub fn is_silent(&self, now: BootTime, time: Duration) -> bool {
         self.unanswered_since.is_some_and(|since| now.since(since) >= time)
     }
 
-    /// Counts a request, which is to be reported soon.
+    /// Counts a request and schedules the report of it.
     pub fn count(&mut self, now: BootTime, is_admitted: bool, limits: &Limits) {
         self.counts.count(is_admitted);
         let is_limited = self.pass(now) < 1.0;
@@ -147,8 +153,8 @@
         self.due = Some(self.due.map_or(now + delay, |due| due.min(now + delay)));
     }
 
-    /// Requests admitted that nobody has confirmed, and the part of the tenant's burst that they may make: less with each moment that an
-    /// answer is owed.
+    /// Returns the admitted requests that the substitute (or without one the owner) hasn't confirmed, and how much of
+    /// the tenant's burst they may use. That part shrinks while a report remains unanswered.
     pub fn unconfirmed(&self, now: BootTime) -> Unconfirmed {
         let (confirmed, since) = match self.heard_substitute(now) {
             Some(substitute) => (substitute.confirmed, substitute.unanswered_since),
@@ -159,18 +165,19 @@
         Unconfirmed { admitted: self.counts.since(confirmed).admitted, trust }
     }
 
-    /// When to report next.
+    /// Time of the next report.
     pub fn due(&self) -> Option<BootTime> {
         self.due
     }
 
-    /// The report that is due now, if one is.
+    /// Returns the report that is due now, if there is one, and schedules its repetition.
     pub fn report(&mut self, now: BootTime, tenant: TenantHash) -> Option<DueReport> {
         if self.due.is_none_or(|due| due > now) {
             return None;
         }
         let counts = self.counts;
-        // While another stands in for it, the owner is asked only by nodes that owe it something: all others would ask a dead one in vain.
+        // While there is a substitute, only nodes with counts that the owner hasn't confirmed report to the owner.
+        // Otherwise all nodes would send reports to a node that may be gone.
         let asks_owner = self.heard_substitute(now).is_none() || counts != self.confirmed;
         if asks_owner {
             self.unanswered_since.get_or_insert(now);
@@ -191,7 +198,7 @@
         Some(DueReport { report, owner: asks_owner.then_some(self.owner), substitute })
     }
 
-    /// Takes the owner's grant.
+    /// Applies a grant of the owner.
     pub fn take_grant(&mut self, now: BootTime, grant: &QuotaGrant) {
         if let Some(confirmation) = grant.confirmation.filter(|confirmation| confirmation.epoch == self.epoch) {
             self.confirmed.offered = self.confirmed.offered.max(confirmation.counts.offered.min(self.counts.offered));
@@ -214,8 +221,10 @@
         }
     }
 
-    /// Takes a grant of a node that stands in for the owner. One that is new is reported to at once: it must know how many nodes it grants to. Once it has
-    /// confirmed all, only what the owner hasn't confirmed is repeated, and seldom: the substitute itself goes on asking the owner.
+    /// Applies a grant of a node that substitutes for the owner. This node reports to a new substitute at once,
+    /// because the substitute must know how many nodes it grants to. Once the substitute has confirmed all counts,
+    /// only those that the owner hasn't confirmed are reported again, and at long intervals: the substitute itself
+    /// keeps asking the owner.
     pub fn take_substitutes_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant) {
         if self.substitute.is_none_or(|known| known.node != from) {
             self.due = Some(now);
@@ -249,20 +258,20 @@
     }
 }
 
-/// A report, and who is to get it.
+/// A report and its receivers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DueReport {
     pub report: QuotaReport,
-    /// The owner, if it is to be asked.
+    /// The owner, if the report is to be sent to it.
     pub owner: Option<NodeId>,
-    /// The node that stands in for it, if that hasn't confirmed all.
+    /// The owner's substitute, if it hasn't confirmed all counts.
     pub substitute: Option<NodeId>,
 }
 
-/// Requests that a node has admitted and nobody has confirmed.
+/// Requests that this node has admitted and that haven't been confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unconfirmed {
     pub admitted: u32,
-    /// Part of the tenant's burst that they may make, 0 to 1.
+    /// Fraction of the tenant's burst that these requests may use, 0 to 1.
     pub trust: f64,
 }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -12,19 +12,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which a node that is no longer the owner answers reports of nodes that don't know that yet. Above the time in which a planned stop is
-/// known everywhere.
+/// Time for which a former owner still answers reports of nodes that don't know the new owner yet. Longer than a
+/// planned stop takes to become known everywhere.
 const LINGER: Duration = Duration::from_secs(2);
-/// Time between two checks of a tenant that is limited. The owner's shortest time between two grants.
+/// Time between two checks of a limited tenant. Equal to the shortest time between two grants of the owner.
 const LIMITED_LOOK: Duration = Duration::from_millis(100);
-/// Time without a refusal after which a tenant counts as free again, so that the log doesn't alternate.
+/// Time without a refusal after which a tenant is no longer logged as limited, so that the log doesn't alternate
+/// between the two states.
 const FREE_AFTER: Duration = Duration::from_secs(3);
-/// Shortest time after which a refused caller is asked to come back, in seconds. Above a round trip.
+/// Shortest time after which a refused caller should retry, in seconds. Longer than a round trip.
 const SOONEST_RETURN_S: f64 = 0.25;
-/// Longest time over which refused callers are spread, in seconds, so that as many come back as pass. So that callers still come.
+/// Longest time over which the retries of refused callers are spread, in seconds. Bounded so that callers still retry
+/// when hardly any request is admitted.
 const LATEST_SPREAD_S: f64 = 8.0;
 
-/// One tenant at one node.
+/// One tenant at one node, which is the tenant's owner, follows another owner, or substitutes for one.
 #[derive(Debug)]
 pub(crate) struct Tenant {
     pub name: Arc<str>,
@@ -34,21 +36,23 @@
     generation: u32,
     pub ledger: Option<Ledger>,
     pub spender: Option<Spender>,
-    /// Set while this node stands in for the owner.
+    /// Present while this node substitutes for the owner.
     acting: Option<Acting>,
-    /// Tokens of a node that is on its own.
+    /// Token bucket that this node uses while it reaches neither owner nor substitute.
     stranded: Option<Bucket>,
-    /// What is left of the parts of earlier requests; a request passes when it reaches 1.
+    /// Sum of the fractions of earlier requests that hasn't led to an admission yet; a request is admitted when it
+    /// reaches 1.
     carry: f64,
     ledger_due: Option<BootTime>,
-    /// Whether it asked anything here while this node didn't know who else there is.
+    /// Whether the tenant has sent a request here while this node was starting and didn't know the other nodes.
     has_asked: bool,
-    /// When a request was last refused, where the log says that the tenant is limited.
+    /// Time of the last refusal, while the tenant is logged as limited.
     limited_at: Option<BootTime>,
 }
 
 impl Tenant {
-    /// A tenant without any requests yet; `carry` is drawn at random, so that few requests at many nodes pass at the fraction granted.
+    /// Creates a tenant without requests. `carry` is random, so that with few requests at each of many nodes the
+    /// granted fraction is still admitted overall.
     pub fn new(name: Arc<str>, limits: Limits, own: NodeId, carry: f64) -> Self {
         Tenant {
             hash: TenantHash::of(&name),
@@ -67,12 +71,13 @@
         }
     }
 
-    /// Finds the owner anew where nodes have changed.
+    /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after [`LINGER`].
     pub fn refresh(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
             let owner = fleet.owner_of(self.hash);
-            // While many nodes come and go, a node that stands in for one that stays the owner would begin anew with each, and tell all others each time.
+            // A substitution continues while the owner remains the same. Otherwise, while many nodes join and leave,
+            // the substitute would start again with each change and send a grant to all nodes each time.
             if owner != self.owner {
                 self.acting = None;
             }
@@ -110,7 +115,8 @@
         }
     }
 
-    /// Whether the owner is silent: for long, or for a moment in which this node has admitted more than its part.
+    /// Returns whether this node has to decide without owner and substitute: the owner has been silent for
+    /// [`PATIENCE`], or for [`DOUBT`] while this node has admitted more than its share.
     pub fn is_stranded(&self, now: BootTime, fleet: &Fleet) -> bool {
         let Some(spender) = &self.spender else {
             return false;
@@ -123,7 +129,7 @@
         spender.is_silent(now, PATIENCE) || (spender.is_silent(now, DOUBT) && is_over_credit)
     }
 
-    /// Decides about a request as the owner.
+    /// Admits or refuses a request as the owner.
     pub fn take_owned(&mut self, now: BootTime, fleet_fraction: f64, random: f64) -> Result<(), QuotaRefusal> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(());
@@ -139,7 +145,7 @@
         if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
     }
 
-    /// Decides about a request of a tenant that another node owns, which answers.
+    /// Admits or refuses a request as a node whose owner or substitute answers.
     pub fn take_followed(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
         let Some(spender) = &mut self.spender else {
             return Ok(());
@@ -154,17 +160,17 @@
         if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
     }
 
-    /// Whether this node stands in for the owner, and others take its word.
+    /// Returns whether this node substitutes for the owner and other nodes report to it.
     pub fn is_acting(&self, now: BootTime) -> bool {
         self.acting.as_ref().is_some_and(|acting| acting.is_followed(now))
     }
 
-    /// The node that stands in for the owner, `own` where this one does.
+    /// The node that substitutes for the owner, `own` if it is this one.
     pub fn substitute_or(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
         if self.is_acting(now) { Some(own) } else { self.spender.as_ref()?.substitute(now) }
     }
 
-    /// Begins to stand in for an owner that doesn't answer, where nobody else does.
+    /// Starts to substitute for an owner that doesn't answer, if no other node does.
     pub fn stand_in(&mut self, now: BootTime) {
         let Some(spender) = &self.spender else {
             return;
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Decides about a request in the owner's place.
+    /// Admits or refuses a request in the owner's place.
     pub fn take_acting(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
         let Some(acting) = &mut self.acting else {
             return Ok(());
@@ -187,7 +193,7 @@
         if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
     }
 
-    /// Takes a report in the owner's place; none where this node doesn't stand in for it.
+    /// Handles a report in the owner's place; `None` if this node doesn't substitute for the owner.
     pub fn take_report_acting(
         &mut self,
         now: BootTime,
@@ -201,14 +207,15 @@
         Some(acting.grant(now, self.hash, pass).with_confirmation(confirmation))
     }
 
-    /// What all nodes are to be granted now in the owner's place.
+    /// The grant to send to all nodes now in the owner's place, if one is due.
     pub fn due_grant_acting(&mut self, now: BootTime, fleet: &Fleet) -> Option<QuotaGrant> {
         let acting = self.acting.as_mut()?;
         let pass = acting.due_grant(now, &self.limits, fleet)?;
         Some(acting.grant(now, self.hash, pass))
     }
 
-    /// Another node stands in for an owner. The answer, where it shouldn't: this node comes before it in that.
+    /// Handles a grant of a node that substitutes for an owner. Returns a grant as an objection if this node
+    /// substitutes too and has the higher owner score.
     pub fn take_grant_acting(
         &mut self,
         now: BootTime,
@@ -231,12 +238,13 @@
         None
     }
 
-    /// The owner answers: nobody is needed in its place.
+    /// Stops substituting for the owner, because it answers.
     pub fn end_acting(&mut self) {
         self.acting = None;
     }
 
-    /// Decides about a request on this node's own: its fixed part of the rate, and seldom one request at once.
+    /// Admits or refuses a request without owner and substitute, by a bucket with this node's fixed share of the rate
+    /// and a small credit.
     pub fn take_stranded(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
         let fraction = fleet.stranded_fraction(now, 1);
         let rate = self.limits.rate * fraction;
@@ -244,7 +252,7 @@
         let was_limited = self.spender.as_ref().is_some_and(|spender| spender.was_limited(now));
         let credit = if was_limited { 0.0 } else { self.limits.stranded_credit(fleet.peak(now)) };
         let open = self.spender.as_ref().map_or(0, |spender| spender.open().admitted);
-        // The random part lets few requests at many nodes pass at the rate granted.
+        // The random part makes few requests at each of many nodes pass at the granted rate overall.
         let bucket = self.stranded.get_or_insert_with(|| Bucket::new(now, credit + random - f64::from(open)));
         bucket.refill(now, rate, most.max(credit));
         let taken = bucket.try_take(rate);
@@ -252,8 +260,9 @@
         taken.map_err(|wait| QuotaRefusal { retry_after: wait + Duration::from_secs_f64(random) })
     }
 
-    /// Decides about a request right after a restart, while this node doesn't know who else there is. Nodes that know of different
-    /// peers take different ones for the owner, so nobody's grant counts yet; what is admitted is reported all the same.
+    /// Admits or refuses a request right after a restart, while this node doesn't know which other nodes exist. Nodes
+    /// that know different peers assume different owners, so no grant is used yet; admissions are reported all the
+    /// same.
     pub fn take_starting(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
         let fraction = self.limits.starting_fraction(!self.has_asked);
         self.has_asked = true;
@@ -262,7 +271,7 @@
         if is_admitted { Ok(()) } else { Err(refusal(fraction, random)) }
     }
 
-    /// Counts a request of a tenant that another node owns, or will own.
+    /// Counts a request that this node has not decided as the owner.
     fn count_unowned(&mut self, now: BootTime, is_admitted: bool) {
         if let Some(acting) = &mut self.acting {
             acting.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
@@ -274,7 +283,7 @@
         }
     }
 
-    /// Takes a report as the owner; none where this node isn't.
+    /// Handles a report as the owner; `None` if this node isn't the owner.
     pub fn take_report(
         &mut self,
         now: BootTime,
@@ -292,23 +301,25 @@
         Some((pass, confirmation))
     }
 
-    /// Another node has spoken as owner. Says whether this one is the owner too, and hasn't known of it.
+    /// Records that another node has acted as the owner. Returns whether this node is an owner too and didn't know of
+    /// the other one.
     pub fn note_rival(&mut self, now: BootTime, rival: NodeId) -> bool {
         self.ledger.as_mut().is_some_and(|ledger| ledger.note_rival(now, rival))
     }
 
-    /// What the owner sends another node that acts as owner.
+    /// Returns the grant that the owner sends to another node which acts as the owner.
     pub fn claim(&self, now: BootTime, fleet_fraction: f64) -> QuotaMessage {
         QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_fraction)))
     }
 
-    /// Whether this node is the owner, and hasn't asked a former one yet whether it still is.
+    /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
+    /// still acts as one.
     pub fn is_new_rival(&mut self, now: BootTime, former: NodeId) -> bool {
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none());
         ledger.is_some_and(|ledger| ledger.ask_former(now, former))
     }
 
-    /// The fraction that all `nodes` are to be granted now, if it must be announced.
+    /// Returns the fraction to grant to all `nodes` nodes, if a grant is due now.
     pub fn due_grant(&mut self, now: BootTime, fleet_fraction: f64, nodes: usize) -> Option<f64> {
         if self.ledger_due.is_none_or(|due| due > now) {
             return None;
@@ -327,12 +338,12 @@
         is_new.then_some(pass)
     }
 
-    /// The report that is due now, if one is.
+    /// Returns the report that is due now, if there is one.
     pub fn report(&mut self, now: BootTime) -> Option<DueReport> {
         self.spender.as_mut()?.report(now, self.hash)
     }
 
-    /// Notes how a request was decided. Says whether the tenant is limited now, where that has changed.
+    /// Records the decision about a request. Returns whether the tenant is limited now, if that has changed.
     pub fn note_decided(&mut self, now: BootTime, is_admitted: bool) -> Option<bool> {
         let was_limited = self.limited_at.is_some();
         if !is_admitted {
@@ -344,14 +355,14 @@
         (is_limited != was_limited).then_some(is_limited)
     }
 
-    /// When something is due next.
+    /// Time at which something is to be sent next.
     pub fn due(&self) -> Option<BootTime> {
         let report = self.spender.as_ref().and_then(Spender::due);
         let acting = self.acting.as_ref().map(|acting| acting.due);
         [report, self.ledger_due, acting].into_iter().flatten().min()
     }
 
-    /// Part of the requests that pass as far as this node knows.
+    /// Fraction of requests to admit, as far as this node knows.
     pub fn pass(&self, now: BootTime, fleet_fraction: f64) -> f64 {
         match (&self.ledger, &self.spender) {
             (_, Some(spender)) => spender.pass(now),
@@ -361,7 +372,8 @@
     }
 }
 
-/// Whether a request passes where a part of all does.
+/// Decides whether to admit a request when the fraction `pass` is to be admitted. `carry` accumulates the fractions,
+/// so that admissions are spread evenly.
 fn draw(carry: &mut f64, pass: f64) -> bool {
     if pass >= 1.0 {
         return true;
@@ -374,7 +386,7 @@
     true
 }
 
-/// Callers that are refused at the same time come back over a time in which as many pass as were refused.
+/// Creates a refusal. Retries are spread over the time in which as many requests are admitted as were refused.
 fn refusal(pass: f64, random: f64) -> QuotaRefusal {
     let spread = (1.0 / pass.max(f64::MIN_POSITIVE)).min(LATEST_SPREAD_S);
     QuotaRefusal { retry_after: Duration::from_secs_f64(SOONEST_RETURN_S + random * spread) }
