--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -1,10 +1,10 @@
 //! Admission at one node under the tenants' quotas, which hold for all nodes together.
 
-use crate::bound::{Limits, QuotaBound};
+use crate::bound::{QuotaBound, TenantLimits};
 use crate::fleet::{Fleet, FleetView};
+use crate::follower::{DueReport, OWNER_TIMEOUT};
 use crate::message::{Confirmation, QuotaEnvelope, QuotaGrant, QuotaMessage, QuotaReport, TenantHash};
 use crate::refusal::QuotaRefusal;
-use crate::spender::{DueReport, PATIENCE};
 use crate::tenant::Tenant;
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::{BTreeSet, HashMap};
@@ -14,10 +14,10 @@
 
 /// Time since the start of a process, at the fleet's first start, during which a tenant's burst is regarded as unused.
 /// Longer than a fleet takes to start.
-const FIRST_START: Duration = Duration::from_secs(10);
+const FIRST_START_PERIOD: Duration = Duration::from_secs(10);
 /// Number of nodes that must leave reports unanswered before a node regards itself as cut off. A single silent node
 /// may have ended.
-const ASKED_IF_ALONE: usize = 2;
+const MIN_SILENT_NODES: usize = 2;
 
 /// A tenant has become limited at this node, or is no longer limited.
 #[derive(Clone, Debug, PartialEq)]
@@ -61,14 +61,14 @@
     fleet: Fleet,
     tenants: HashMap<TenantHash, Tenant>,
     /// Tenants that have something to send at some time.
-    active: BTreeSet<TenantHash>,
-    wake: Option<BootTime>,
+    scheduled: BTreeSet<TenantHash>,
+    next_wake: Option<BootTime>,
     /// Time of the first report since any node last sent a message, and the nodes that were sent reports since.
-    unanswered: Option<(BootTime, Vec<NodeId>)>,
+    unanswered_reports: Option<(BootTime, Vec<NodeId>)>,
     /// Whether no datagram of any peer has arrived for some time.
     is_isolated: bool,
     /// Number of random numbers drawn so far, from which the next one is computed.
-    draws: u64,
+    random_draws: u64,
     changes: Vec<QuotaChange>,
 }
 
@@ -83,11 +83,11 @@
             is_first_start,
             fleet: Fleet::new(own, now, !is_first_start),
             tenants: HashMap::new(),
-            active: BTreeSet::new(),
-            wake: None,
-            unanswered: None,
+            scheduled: BTreeSet::new(),
+            next_wake: None,
+            unanswered_reports: None,
             is_isolated: false,
-            draws: 0,
+            random_draws: 0,
             changes: Vec::new(),
         }
     }
@@ -99,10 +99,10 @@
 
     /// Sets the quotas of a configuration. The state of tenants that remain is kept.
     pub fn set_quotas(&mut self, _now: BootTime, quotas: impl Iterator<Item = (Arc<str>, Quota)>) {
-        let mut former = std::mem::take(&mut self.tenants);
+        let mut previous = std::mem::take(&mut self.tenants);
         for (name, quota) in quotas {
-            let limits = Limits::new(&self.bound, quota);
-            let known = former.remove(&TenantHash::of(&name));
+            let limits = TenantLimits::new(&self.bound, quota);
+            let known = previous.remove(&TenantHash::of(&name));
             let mut tenant = known.unwrap_or_else(|| Tenant::new(name, limits, self.own, self.random()));
             tenant.limits = limits;
             self.tenants.insert(tenant.hash, tenant);
@@ -111,17 +111,17 @@
 
     /// Sets the nodes that serve callers.
     pub fn set_fleet(&mut self, now: BootTime, view: FleetView) {
-        if !self.fleet.set(now, view) {
+        if !self.fleet.set_view(now, view) {
             return;
         }
         // A report that isn't confirmed must reach the new owner even if no further request arrives.
-        let active: Vec<TenantHash> = self.active.iter().copied().collect();
-        let is_first = self.is_first(now);
-        for hash in active {
+        let scheduled: Vec<TenantHash> = self.scheduled.iter().copied().collect();
+        let is_in_first_start = self.is_in_first_start(now);
+        for hash in scheduled {
             if let Some(tenant) = self.tenants.get_mut(&hash) {
-                tenant.refresh(now, self.own, &self.fleet, is_first);
+                tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
             }
-            self.note_due(hash);
+            self.schedule(hash);
         }
     }
 
@@ -134,30 +134,31 @@
     /// Admits or refuses one request of a tenant.
     pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
-        let (random, is_first, is_alone) = (self.random(), self.is_first(now), self.is_alone(now));
-        let fleet_fraction = self.fleet_fraction(now);
+        let (random, is_in_first_start, is_cut_off) =
+            (self.random(), self.is_in_first_start(now), self.is_cut_off(now));
+        let quota_fraction = self.quota_fraction(now);
         let Some(tenant) = self.tenants.get_mut(&hash) else {
             return Ok(());
         };
-        tenant.refresh(now, self.own, &self.fleet, is_first);
-        let is_stranded = is_alone || tenant.is_stranded(now, &self.fleet);
-        let taken = match (is_stranded, tenant.owner == self.own) {
-            _ if self.fleet.is_starting(now) => tenant.take_starting(now, random),
-            (true, _) => tenant.take_stranded(now, &self.fleet, random),
-            _ if tenant.is_acting(now) => tenant.take_acting(now, &self.fleet, random),
-            (false, true) => tenant.take_owned(now, fleet_fraction, random),
-            (false, false) => tenant.take_followed(now, random),
+        tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+        let is_stranded = is_cut_off || tenant.is_stranded(now, &self.fleet);
+        let decision = match (is_stranded, tenant.owner == self.own) {
+            _ if self.fleet.is_starting(now) => tenant.decide_while_starting(now, random),
+            (true, _) => tenant.decide_locally(now, &self.fleet, random),
+            _ if tenant.is_substitute(now) => tenant.decide_as_substitute(now, &self.fleet, random),
+            (false, true) => tenant.decide_as_owner(now, quota_fraction, random),
+            (false, false) => tenant.decide_as_follower(now, random),
         };
-        let is_admitted = taken.is_ok();
-        self.changes.extend(tenant.note_decided(now, is_admitted).map(|is_limited| QuotaChange {
+        let is_admitted = decision.is_ok();
+        self.changes.extend(tenant.record_decision(now, is_admitted).map(|is_limited| QuotaChange {
             tenant: tenant.name.clone(),
             is_limited,
-            pass: tenant.pass(now, fleet_fraction),
+            pass: tenant.pass(now, quota_fraction),
             is_stranded,
-            substitute: tenant.substitute_or(now, self.own),
+            substitute: tenant.current_substitute(now, self.own),
         }));
-        self.note_due(hash);
-        taken
+        self.schedule(hash);
+        decision
     }
 
     /// Handles a message of another node and appends the answers to `envelopes`.
@@ -168,7 +169,7 @@
         message: QuotaMessage,
         envelopes: &mut Vec<QuotaEnvelope>,
     ) {
-        self.unanswered = None;
+        self.unanswered_reports = None;
         match message {
             QuotaMessage::Report(report) => self.on_report(now, from, &report, envelopes),
             QuotaMessage::Grant(grant) => self.on_grant(now, from, &grant, envelopes),
@@ -176,17 +177,21 @@
     }
 
     fn on_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport, envelopes: &mut Vec<QuotaEnvelope>) {
-        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
+        let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
-                tenant.refresh(now, self.own, &self.fleet, is_first);
-                if let Some(grant) = tenant.take_report_acting(now, from, report, &self.fleet) {
+                tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+                if let Some(grant) = tenant.handle_report_as_substitute(now, from, report, &self.fleet) {
                     envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
-                    return self.note_due(report.tenant);
+                    return self.schedule(report.tenant);
                 }
-                let former = report.former.filter(|former| *former != self.own && tenant.is_new_rival(now, *former));
-                envelopes.extend(former.map(|to| QuotaEnvelope { to, message: tenant.claim(now, fleet_fraction) }));
-                tenant.take_report(now, from, report, fleet_fraction)
+                let former = report
+                    .former
+                    .filter(|former| *former != self.own && tenant.should_notify_former_owner(now, *former));
+                envelopes.extend(
+                    former.map(|to| QuotaEnvelope { to, message: tenant.ownership_claim(now, quota_fraction) }),
+                );
+                tenant.handle_report_as_owner(now, from, report, quota_fraction)
             }
             // The sender has a version of the configuration that this node doesn't have yet, or no longer has.
             None => Some((1.0, Confirmation { epoch: report.epoch, counts: report.counts })),
@@ -196,89 +201,89 @@
         };
         let grant = QuotaGrant::unsolicited(now, report.tenant, pass).with_confirmation(confirmation);
         envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
-        self.note_due(report.tenant);
+        self.schedule(report.tenant);
     }
 
     fn on_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant, envelopes: &mut Vec<QuotaEnvelope>) {
-        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
+        let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
         let Some(tenant) = self.tenants.get_mut(&grant.tenant) else {
             return;
         };
         // The tenant may become limited before this node receives its first request.
-        tenant.refresh(now, self.own, &self.fleet, is_first);
-        if grant.instead_of.is_some() {
-            let dispute = tenant.take_grant_acting(now, from, self.own, grant).map(QuotaMessage::Grant);
-            let is_owner = grant.instead_of == Some(self.own) && tenant.owner == self.own;
-            let answer = if is_owner { Some(tenant.claim(now, fleet_fraction)) } else { dispute };
+        tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+        if grant.substituted_owner.is_some() {
+            let objection = tenant.handle_substitute_grant(now, from, self.own, grant).map(QuotaMessage::Grant);
+            let is_owner = grant.substituted_owner == Some(self.own) && tenant.owner == self.own;
+            let answer = if is_owner { Some(tenant.ownership_claim(now, quota_fraction)) } else { objection };
             envelopes.extend(answer.map(|message| QuotaEnvelope { to: from, message }));
-        } else if let Some(spender) = &mut tenant.spender {
+        } else if let Some(follower) = &mut tenant.follower {
             // Grants of a former owner are ignored.
-            if spender.owner == from {
-                spender.take_grant(now, grant);
+            if follower.owner == from {
+                follower.apply_grant(now, grant);
                 if grant.confirmation.is_some() {
-                    tenant.end_acting();
+                    tenant.end_substitution();
                 }
             }
-        } else if grant.confirmation.is_none() && tenant.note_rival(now, from) {
-            envelopes.push(QuotaEnvelope { to: from, message: tenant.claim(now, fleet_fraction) });
+        } else if grant.confirmation.is_none() && tenant.record_rival_owner(now, from) {
+            envelopes.push(QuotaEnvelope { to: from, message: tenant.ownership_claim(now, quota_fraction) });
         }
-        self.note_due(grant.tenant);
+        self.schedule(grant.tenant);
     }
 
     /// Appends the messages that are due to `envelopes`.
     pub fn on_tick(&mut self, now: BootTime, envelopes: &mut Vec<QuotaEnvelope>) {
-        if self.wake.is_none_or(|wake| wake > now) {
+        if self.next_wake.is_none_or(|next_wake| next_wake > now) {
             return;
         }
-        let (is_first, fleet_fraction) = (self.is_first(now), self.fleet_fraction(now));
-        let may_stand_in = !self.is_isolated && self.fleet.is_settled(now);
-        let active: Vec<TenantHash> = self.active.iter().copied().collect();
-        for hash in active {
+        let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
+        let may_substitute = !self.is_isolated && self.fleet.is_settled(now);
+        let scheduled: Vec<TenantHash> = self.scheduled.iter().copied().collect();
+        for hash in scheduled {
             let Some(tenant) = self.tenants.get_mut(&hash) else {
-                self.active.remove(&hash);
+                self.scheduled.remove(&hash);
                 continue;
             };
-            tenant.refresh(now, self.own, &self.fleet, is_first);
-            let report = tenant.report(now);
-            if report.is_some() && may_stand_in {
-                tenant.stand_in(now);
+            tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+            let report = tenant.take_due_report(now);
+            if report.is_some() && may_substitute {
+                tenant.start_substitution_if_needed(now);
             }
-            let due_grant = tenant.due_grant(now, fleet_fraction, self.fleet.serving().len());
-            let granted = due_grant.map(|pass| QuotaGrant::unsolicited(now, hash, pass));
-            let granted_acting = tenant.due_grant_acting(now, &self.fleet);
-            if tenant.due().is_none() {
-                self.active.remove(&hash);
+            let due_grant = tenant.take_due_grant(now, quota_fraction, self.fleet.serving().len());
+            let owner_grant = due_grant.map(|pass| QuotaGrant::unsolicited(now, hash, pass));
+            let substitute_grant = tenant.take_due_substitute_grant(now, &self.fleet);
+            if tenant.next_due().is_none() {
+                self.scheduled.remove(&hash);
             }
             if let Some(DueReport { report, owner, substitute }) = report {
-                owner.into_iter().for_each(|owner| self.note_asked(now, owner));
+                owner.into_iter().for_each(|owner| self.record_report_sent(now, owner));
                 let receivers = [owner, substitute].into_iter().flatten();
                 envelopes.extend(receivers.map(|to| QuotaEnvelope { to, message: QuotaMessage::Report(report) }));
             }
-            for grant in [granted, granted_acting].into_iter().flatten() {
+            for grant in [owner_grant, substitute_grant].into_iter().flatten() {
                 let message = QuotaMessage::Grant(grant);
                 let others = self.fleet.serving().iter().filter(|node| **node != self.own);
                 envelopes.extend(others.map(|node| QuotaEnvelope { to: *node, message }));
             }
         }
-        self.wake = self.active.iter().filter_map(|hash| self.tenants.get(hash)?.due()).min();
+        self.next_wake = self.scheduled.iter().filter_map(|hash| self.tenants.get(hash)?.next_due()).min();
     }
 
     /// Time at which [`FleetAllowance::on_tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.wake
+        self.next_wake
     }
 
     /// Returns the state of a tenant's quota as this node sees it; `None` if the tenant has no quota.
     pub fn view(&self, now: BootTime, tenant: &str) -> Option<QuotaView> {
         let tenant = self.tenants.get(&TenantHash::of(tenant))?;
-        let is_stranded = self.is_alone(now) || tenant.is_stranded(now, &self.fleet);
+        let is_stranded = self.is_cut_off(now) || tenant.is_stranded(now, &self.fleet);
         Some(QuotaView {
             owner: tenant.owner,
             is_owned: tenant.owner == self.own,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
-            pass: tenant.pass(now, self.fleet_fraction(now)),
+            pass: tenant.pass(now, self.quota_fraction(now)),
             is_stranded,
-            substitute: tenant.substitute_or(now, self.own),
+            substitute: tenant.current_substitute(now, self.own),
         })
     }
 
@@ -288,40 +293,43 @@
         std::mem::take(&mut self.changes)
     }
 
-    fn note_due(&mut self, hash: TenantHash) {
-        let Some(due) = self.tenants.get(&hash).and_then(Tenant::due) else {
+    fn schedule(&mut self, hash: TenantHash) {
+        let Some(due) = self.tenants.get(&hash).and_then(Tenant::next_due) else {
             return;
         };
-        self.active.insert(hash);
-        self.wake = Some(self.wake.map_or(due, |wake| wake.min(due)));
+        self.scheduled.insert(hash);
+        self.next_wake = Some(self.next_wake.map_or(due, |next_wake| next_wake.min(due)));
     }
 
-    fn note_asked(&mut self, now: BootTime, to: NodeId) {
-        let (_, asked) = self.unanswered.get_or_insert_with(|| (now, Vec::new()));
-        if asked.len() < ASKED_IF_ALONE && !asked.contains(&to) {
-            asked.push(to);
+    fn record_report_sent(&mut self, now: BootTime, to: NodeId) {
+        let (_, receivers) = self.unanswered_reports.get_or_insert_with(|| (now, Vec::new()));
+        if receivers.len() < MIN_SILENT_NODES && !receivers.contains(&to) {
+            receivers.push(to);
         }
     }
 
     /// Returns whether this node is cut off: no peer has sent anything for some time, although several should have.
-    fn is_alone(&self, now: BootTime) -> bool {
-        let is_silent =
-            |(since, asked): &(BootTime, Vec<NodeId>)| now.since(*since) >= PATIENCE && asked.len() >= ASKED_IF_ALONE;
-        self.is_isolated || self.fleet.is_left_alone(now) || self.unanswered.as_ref().is_some_and(is_silent)
+    fn is_cut_off(&self, now: BootTime) -> bool {
+        let is_silent = |(since, receivers): &(BootTime, Vec<NodeId>)| {
+            now.since(*since) >= OWNER_TIMEOUT && receivers.len() >= MIN_SILENT_NODES
+        };
+        self.is_isolated
+            || self.fleet.has_lost_all_peers(now)
+            || self.unanswered_reports.as_ref().is_some_and(is_silent)
     }
 
-    fn is_first(&self, now: BootTime) -> bool {
-        self.is_first_start && now.since(self.started) < FIRST_START
+    fn is_in_first_start(&self, now: BootTime) -> bool {
+        self.is_first_start && now.since(self.started) < FIRST_START_PERIOD
     }
 
-    fn fleet_fraction(&self, now: BootTime) -> f64 {
-        self.fleet.fraction(now)
+    fn quota_fraction(&self, now: BootTime) -> f64 {
+        self.fleet.owner_fraction(now)
     }
 
     /// Returns a number from 0 to 1 that differs for each call and each node.
     fn random(&mut self) -> f64 {
-        self.draws += 1;
-        let hash = xxh3_64_with_seed(&self.own.0.to_le_bytes(), self.draws);
+        self.random_draws += 1;
+        let hash = xxh3_64_with_seed(&self.own.0.to_le_bytes(), self.random_draws);
         (hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -20,28 +20,28 @@
 const STEADY_EXCESS_FRACTION: f64 = 0.1;
 /// Fraction of the permitted excess that nodes may admit while reports are delayed for batching. Below
 /// [`HEADROOM_FRACTION`].
-const DELAY_FRACTION: f64 = 0.1;
+const REPORT_DELAY_FRACTION: f64 = 0.1;
 /// Demand of a hot tenant, as a multiple of its rate, for which the delay of reports is computed.
-const HOT_FACTOR: f64 = 6.0;
+const HOT_DEMAND_FACTOR: f64 = 6.0;
 /// Shortest delay of a report. A shorter delay saves no excess, because the round trip dominates.
-const SHORTEST_DELAY: Duration = Duration::from_millis(20);
+const MIN_REPORT_DELAY: Duration = Duration::from_millis(20);
 /// Longest delay of a report. A longer delay would hide demand from the owner.
-const LONGEST_DELAY: Duration = Duration::from_millis(500);
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(500);
 /// Fraction of the permitted excess that all nodes without an owner together may admit at once.
-const STRANDED_FRACTION: f64 = 0.2;
+const LOCAL_CREDIT_FRACTION: f64 = 0.2;
 /// Fraction of the permitted excess that a node which substitutes for an owner may grant at once, so that a tenant
 /// with its usual demand is served until the membership names another owner.
-const SUBSTITUTE_FRACTION: f64 = 0.1;
+const SUBSTITUTE_CREDIT_FRACTION: f64 = 0.1;
 /// Fraction of the largest known fleet that is assumed to be without an owner at the same time, each node separately.
 /// Covers the loss of one zone of three.
-const STRANDED_NODES: f64 = 1.0 / 3.0;
+const OWNERLESS_NODES_FRACTION: f64 = 1.0 / 3.0;
 /// Demand of a hot tenant after a restart of all nodes, as a multiple of its rate.
-const STARTING_HOT_FACTOR: f64 = 4.0;
+const STARTUP_HOT_DEMAND_FACTOR: f64 = 4.0;
 /// Time until restarted nodes are assumed to know each other, in seconds. Twice the time without a new member after
 /// which a node no longer counts as starting.
-const STARTING_S: f64 = 1.2;
+const STARTUP_S: f64 = 1.2;
 /// Fraction of the permitted excess for each starting node's first request of a tenant; later requests share the rest.
-const STARTING_FIRST_FRACTION: f64 = 0.8;
+const STARTUP_FIRST_REQUEST_FRACTION: f64 = 0.8;
 
 /// Bound on the requests of a tenant that all nodes together admit in each sliding window: `(rate * window + burst) *
 /// (1 + over) + slack`.
@@ -64,7 +64,7 @@
 
 /// Limits of one tenant, computed from its quota and the bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Limits {
+pub(crate) struct TenantLimits {
     /// Requests per second that are granted evenly: the quota's rate, and the parts of the burst and of the permitted
     /// excess that are spread over the window.
     pub rate: f64,
@@ -74,13 +74,17 @@
     excess: f64,
 }
 
-impl Limits {
+impl TenantLimits {
     pub fn new(bound: &QuotaBound, quota: Quota) -> Self {
         let window = bound.window.as_secs_f64();
         let excess = bound.over * (quota.rate_per_s * window + quota.burst) + bound.slack;
         let excess = excess.max(0.0);
-        let steady = quota.burst * STEADY_BURST_FRACTION + excess * STEADY_EXCESS_FRACTION;
-        Limits { rate: quota.rate_per_s + steady / window, burst: quota.burst * (1.0 - STEADY_BURST_FRACTION), excess }
+        let spread_evenly = quota.burst * STEADY_BURST_FRACTION + excess * STEADY_EXCESS_FRACTION;
+        TenantLimits {
+            rate: quota.rate_per_s + spread_evenly / window,
+            burst: quota.burst * (1.0 - STEADY_BURST_FRACTION),
+            excess,
+        }
     }
 
     /// Requests beyond the burst that the owner grants on purpose.
@@ -90,13 +94,13 @@
 
     /// Requests that a node which substitutes for an owner may grant at once.
     pub fn substitute_credit(&self) -> f64 {
-        self.excess * SUBSTITUTE_FRACTION
+        self.excess * SUBSTITUTE_CREDIT_FRACTION
     }
 
     /// Time for which a report may be delayed, so that it covers more requests.
     pub fn report_delay(&self) -> Duration {
-        let seconds = DELAY_FRACTION * self.excess / (HOT_FACTOR * self.rate).max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(seconds.clamp(SHORTEST_DELAY.as_secs_f64(), LONGEST_DELAY.as_secs_f64()))
+        let seconds = REPORT_DELAY_FRACTION * self.excess / (HOT_DEMAND_FACTOR * self.rate).max(f64::MIN_POSITIVE);
+        Duration::from_secs_f64(seconds.clamp(MIN_REPORT_DELAY.as_secs_f64(), MAX_REPORT_DELAY.as_secs_f64()))
     }
 
     /// Fraction of requests that a starting node, which doesn't know the other nodes yet, admits. It keeps the
@@ -104,16 +108,17 @@
     /// nothing was admitted while they were down. A tenant with its usual demand seldom sends one node two requests in
     /// that time and a hot tenant does, so most of the excess is reserved for the first request at each node
     /// (`is_first`).
-    pub fn starting_fraction(&self, is_first: bool) -> f64 {
-        let most = STARTING_HOT_FACTOR * self.rate * STARTING_S;
-        let fraction = if is_first { STARTING_FIRST_FRACTION } else { 1.0 - STARTING_FIRST_FRACTION };
-        (self.excess * fraction / most.max(f64::MIN_POSITIVE)).min(1.0)
+    pub fn startup_fraction(&self, is_first_request: bool) -> f64 {
+        let demand = STARTUP_HOT_DEMAND_FACTOR * self.rate * STARTUP_S;
+        let fraction =
+            if is_first_request { STARTUP_FIRST_REQUEST_FRACTION } else { 1.0 - STARTUP_FIRST_REQUEST_FRACTION };
+        (self.excess * fraction / demand.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
     /// Requests that a node without an owner, in a fleet of `peak` nodes, may admit at once. A value below 1 is the
     /// probability of admitting one request.
-    pub fn stranded_credit(&self, peak: usize) -> f64 {
-        let stranded = (peak as f64 * STRANDED_NODES).max(1.0);
-        self.excess * STRANDED_FRACTION / stranded
+    pub fn local_credit(&self, peak: usize) -> f64 {
+        let ownerless_nodes = (peak as f64 * OWNERLESS_NODES_FRACTION).max(1.0);
+        self.excess * LOCAL_CREDIT_FRACTION / ownerless_nodes
     }
 }
--- a/crates/staircross-quota/src/bucket.rs
+++ b/crates/staircross-quota/src/bucket.rs
@@ -8,18 +8,18 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     level: f64,
-    at: BootTime,
+    refilled_at: BootTime,
 }
 
 impl Bucket {
     pub fn new(now: BootTime, level: f64) -> Self {
-        Bucket { level, at: now }
+        Bucket { level, refilled_at: now }
     }
 
     /// Adds the tokens that accrued since the last refill at `rate`, and caps the level at `most`.
-    pub fn refill(&mut self, now: BootTime, rate: f64, most: f64) {
-        self.level = (self.level + rate * now.since(self.at).as_secs_f64()).min(most);
-        self.at = now.max(self.at);
+    pub fn refill(&mut self, now: BootTime, rate: f64, capacity: f64) {
+        self.level = (self.level + rate * now.since(self.refilled_at).as_secs_f64()).min(capacity);
+        self.refilled_at = now.max(self.refilled_at);
     }
 
     pub fn level(&self) -> f64 {
@@ -27,7 +27,7 @@
     }
 
     /// Subtracts tokens for requests that were already admitted; the level may become negative.
-    pub fn spend(&mut self, tokens: f64) {
+    pub fn debit(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
@@ -38,10 +38,10 @@
             return Ok(());
         }
         let seconds = (1.0 - self.level) / rate.max(f64::MIN_POSITIVE);
-        Err(Duration::from_secs_f64(seconds.min(LONGEST_WAIT_S)))
+        Err(Duration::from_secs_f64(seconds.min(MAX_WAIT_S)))
     }
 }
 
 /// Longest time until the next token that is returned to callers, in seconds. Without it a very low rate would keep
 /// callers from ever coming back.
-const LONGEST_WAIT_S: f64 = 10.0;
+const MAX_WAIT_S: f64 = 10.0;
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -10,21 +10,21 @@
 /// size of the largest known fleet. With 1 both sides of a network partition stay within the excess that bounds
 /// permit, and a fleet that has lost a third of its nodes still serves tenants at two thirds of their rate without
 /// refusals.
-const CUT_FACTOR: f64 = 1.0;
-/// Like [`CUT_FACTOR`], for nodes without an owner. Below 1 because the owner's side detects a partition only after
+const OWNER_FACTOR: f64 = 1.0;
+/// Like [`OWNER_FACTOR`], for nodes without an owner. Below 1 because the owner's side detects a partition only after
 /// some seconds, and grants the whole quota until then.
-const STRANDED_FACTOR: f64 = 0.5;
+const OWNERLESS_FACTOR: f64 = 0.5;
 /// Smallest fleet size that a starting node assumes. Above the 6 to 80 nodes of the simulated schedules in
 /// `tests/bound.rs`.
-const ASSUMED_AT_RESTART: usize = 128;
+const MIN_NODES_AT_RESTART: usize = 128;
 /// Time for which the largest fleet seen is remembered. Longer than a partition which the rest of the fleet doesn't
 /// regard as a loss of nodes.
-const PEAK_LIFE: Duration = Duration::from_secs(30);
+const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Time without a new member after which a node no longer counts as starting.
-const STEADY: Duration = Duration::from_millis(600);
+const STARTING_PERIOD: Duration = Duration::from_millis(600);
 /// Time without a change of the nodes after which all nodes are assumed to have the same view. Longer than a change
 /// takes to reach every node.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLED_PERIOD: Duration = Duration::from_secs(1);
 
 /// The nodes of the fleet as one node sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,10 +38,10 @@
 pub(crate) struct Fleet {
     own: NodeId,
     view: FleetView,
-    /// Largest number of nodes seen at once within [`PEAK_LIFE`], and when it was last seen.
+    /// Largest number of nodes seen at once within [`PEAK_RETENTION`], and when it was last seen.
     peak: (usize, BootTime),
     /// Largest number of nodes that this process has seen, and when it was first seen.
-    grown: (usize, BootTime),
+    largest_seen: (usize, BootTime),
     is_restarted: bool,
     /// Time of the last change of the nodes.
     pub changed_at: BootTime,
@@ -52,18 +52,18 @@
 impl Fleet {
     pub fn new(own: NodeId, now: BootTime, is_restarted: bool) -> Self {
         let view = FleetView { serving: vec![own] };
-        Fleet { own, view, peak: (1, now), grown: (1, now), is_restarted, changed_at: now, generation: 1 }
+        Fleet { own, view, peak: (1, now), largest_seen: (1, now), is_restarted, changed_at: now, generation: 1 }
     }
 
     /// Sets a new view, and returns whether the nodes have changed.
-    pub fn set(&mut self, now: BootTime, mut view: FleetView) -> bool {
+    pub fn set_view(&mut self, now: BootTime, mut view: FleetView) -> bool {
         view.serving.sort_unstable();
         view.serving.dedup();
-        if view.serving.len() >= self.peak.0 || now.since(self.peak.1) >= PEAK_LIFE {
+        if view.serving.len() >= self.peak.0 || now.since(self.peak.1) >= PEAK_RETENTION {
             self.peak = (view.serving.len(), now);
         }
-        if view.serving.len() > self.grown.0 {
-            self.grown = (view.serving.len(), now);
+        if view.serving.len() > self.largest_seen.0 {
+            self.largest_seen = (view.serving.len(), now);
         }
         let is_changed = view.serving != self.view.serving;
         self.view = view;
@@ -79,52 +79,52 @@
         &self.view.serving
     }
 
-    /// Fleet size to assume when quotas are divided: the largest seen recently, and at least [`ASSUMED_AT_RESTART`]
+    /// Fleet size to assume when quotas are divided: the largest seen recently, and at least [`MIN_NODES_AT_RESTART`]
     /// while this node is starting.
     pub fn peak(&self, now: BootTime) -> usize {
         let seen = self.peak.0.max(1);
-        if self.is_starting(now) { seen.max(ASSUMED_AT_RESTART) } else { seen }
+        if self.is_starting(now) { seen.max(MIN_NODES_AT_RESTART) } else { seen }
     }
 
     /// Returns whether this process was restarted and is still learning which other nodes exist. All nodes may have
     /// been restarted.
     pub fn is_starting(&self, now: BootTime) -> bool {
-        self.is_restarted && now.since(self.grown.1) < STEADY
+        self.is_restarted && now.since(self.largest_seen.1) < STARTING_PERIOD
     }
 
-    /// Returns whether the nodes have been the same for [`SETTLED`]. Before that, a node that others regard as an
-    /// owner may not know that it is one, and not answer.
+    /// Returns whether the nodes have been the same for [`SETTLED_PERIOD`]. Before that, a node that others regard as
+    /// an owner may not know that it is one, and not answer.
     pub fn is_settled(&self, now: BootTime) -> bool {
-        now.since(self.changed_at) >= SETTLED
+        now.since(self.changed_at) >= SETTLED_PERIOD
     }
 
     /// Returns whether this node sees no other node although it has seen some recently, or is starting.
-    pub fn is_left_alone(&self, now: BootTime) -> bool {
+    pub fn has_lost_all_peers(&self, now: BootTime) -> bool {
         self.view.serving.len() <= 1 && self.peak(now) > 1
     }
 
     /// Fraction of a quota that an owner may grant, 0 to 1.
-    pub fn fraction(&self, now: BootTime) -> f64 {
-        (CUT_FACTOR * self.view.serving.len() as f64 / self.peak(now) as f64).min(1.0)
+    pub fn owner_fraction(&self, now: BootTime) -> f64 {
+        (OWNER_FACTOR * self.view.serving.len() as f64 / self.peak(now) as f64).min(1.0)
     }
 
     /// Fraction of a quota that `nodes` without an owner may spend together, 0 to 1.
-    pub fn stranded_fraction(&self, now: BootTime, nodes: usize) -> f64 {
-        (STRANDED_FACTOR * nodes as f64 / self.peak(now) as f64).min(1.0)
+    pub fn ownerless_fraction(&self, now: BootTime, nodes: usize) -> f64 {
+        (OWNERLESS_FACTOR * nodes as f64 / self.peak(now) as f64).min(1.0)
     }
 
     /// Returns the owner of a tenant: the node with the highest score (rendezvous hashing). A node that joins or
     /// leaves changes only the owner of the tenants that it owns.
     pub fn owner_of(&self, tenant: TenantHash) -> NodeId {
-        self.view.serving.iter().copied().max_by_key(|node| score(*node, tenant)).unwrap_or(self.own)
+        self.view.serving.iter().copied().max_by_key(|node| owner_score(*node, tenant)).unwrap_or(self.own)
     }
 }
 
 /// Returns whether `node` has a higher owner score for the tenant than `other`.
-pub(crate) fn is_before(node: NodeId, other: NodeId, tenant: TenantHash) -> bool {
-    score(node, tenant) > score(other, tenant)
+pub(crate) fn has_higher_score(node: NodeId, other: NodeId, tenant: TenantHash) -> bool {
+    owner_score(node, tenant) > owner_score(other, tenant)
 }
 
-fn score(node: NodeId, tenant: TenantHash) -> u64 {
+fn owner_score(node: NodeId, tenant: TenantHash) -> u64 {
     xxh3_64_with_seed(&node.0.to_le_bytes(), tenant.0)
 }
--- a/crates/staircross-quota/src/spender.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -1,36 +1,36 @@
 //! The state of a tenant at a node that doesn't own it: what the node admits and reports, and whether the owner
 //! answers.
 
-use crate::bound::Limits;
+use crate::bound::TenantLimits;
 use crate::message::{Counts, QuotaGrant, QuotaReport, TenantHash};
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
 /// Time after which a report that wasn't answered is sent again. Longer than the round trip between regions.
-const REPEAT: Duration = Duration::from_millis(100);
-/// Longest time between two transmissions of an unanswered report. Three doublings of [`REPEAT`].
-const SLOW_REPEAT: Duration = Duration::from_millis(800);
+const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time between two transmissions of an unanswered report. Three doublings of [`REPORT_RETRY_INTERVAL`].
+const MAX_REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(800);
 /// Time without an answer from the owner after which this node decides without it. Five transmissions, so that with a
 /// tenth of the datagrams lost in each direction about one in some thousand such detections is false.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(500);
-/// Like [`PATIENCE`], for a node that has meanwhile admitted more than its share. Three transmissions.
-pub(crate) const DOUBT: Duration = Duration::from_millis(300);
+pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Like [`OWNER_TIMEOUT`], for a node that has meanwhile admitted more than its share. Three transmissions.
+pub(crate) const OVERSPENT_OWNER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a granted fraction is valid. A fraction below 1 is granted again each second, so three grants may be
 /// lost.
-const GRANT_LIFE: Duration = Duration::from_millis(4000);
+const GRANT_VALIDITY: Duration = Duration::from_millis(4000);
 /// Time for which a tenant that was limited is still assumed to exceed its quota, so that a node which decides without
 /// the owner gives it no credit.
-const LIMITED_MEMORY: Duration = Duration::from_secs(10);
+const LIMITED_RETENTION: Duration = Duration::from_secs(10);
 /// Time for which a former owner may still regard itself as the owner. Longer than the nodes take to agree on the
 /// membership, some 3 s.
-const FORMER_LIFE: Duration = Duration::from_secs(4);
+const FORMER_OWNER_LIFETIME: Duration = Duration::from_secs(4);
 
 /// The node that substitutes for an owner that doesn't answer.
 #[derive(Clone, Copy, Debug)]
 struct Substitute {
     node: NodeId,
     pass: f64,
-    pass_until: BootTime,
+    grant_valid_until: BootTime,
     confirmed: Counts,
     /// Whether the substitute has answered a report of this node, and therefore counts this node among those that
     /// receive its grants.
@@ -40,18 +40,18 @@
 }
 
 impl Substitute {
-    fn has_all(&self, counts: Counts) -> bool {
+    fn has_confirmed_all(&self, counts: Counts) -> bool {
         self.has_answered && self.confirmed == counts
     }
 
-    fn is_heard(&self, now: BootTime) -> bool {
-        now < self.pass_until && self.unanswered_since.is_none_or(|since| now.since(since) < PATIENCE)
+    fn is_answering(&self, now: BootTime) -> bool {
+        now < self.grant_valid_until && self.unanswered_since.is_none_or(|since| now.since(since) < OWNER_TIMEOUT)
     }
 }
 
 /// The state of a tenant that another node owns.
 #[derive(Debug)]
-pub(crate) struct Spender {
+pub(crate) struct Follower {
     pub owner: NodeId,
     epoch: u32,
     counts: Counts,
@@ -59,36 +59,36 @@
     /// Time of the first transmission of the oldest report that the owner hasn't answered.
     unanswered_since: Option<BootTime>,
     /// Time of the next report.
-    due: Option<BootTime>,
-    repeat: Duration,
+    next_report_at: Option<BootTime>,
+    retry_interval: Duration,
     pass: f64,
     granted_at: u64,
-    pass_until: BootTime,
+    grant_valid_until: BootTime,
     /// Time at which the tenant was last known to be limited.
     limited_at: Option<BootTime>,
     /// The owner before this one, and the time until which it may still regard itself as the owner.
     former: Option<(NodeId, BootTime)>,
     /// Time of the owner's last answer to a report.
-    answered_at: Option<BootTime>,
+    last_answer_at: Option<BootTime>,
     substitute: Option<Substitute>,
 }
 
-impl Spender {
+impl Follower {
     pub fn new(owner: NodeId, epoch: u32) -> Self {
-        Spender {
+        Follower {
             owner,
             epoch,
             counts: Counts::default(),
             confirmed: Counts::default(),
             unanswered_since: None,
-            due: None,
-            repeat: REPEAT,
+            next_report_at: None,
+            retry_interval: REPORT_RETRY_INTERVAL,
             pass: 1.0,
             granted_at: 0,
-            pass_until: BootTime(0),
+            grant_valid_until: BootTime(0),
             limited_at: None,
             former: None,
-            answered_at: None,
+            last_answer_at: None,
             substitute: None,
         }
     }
@@ -97,125 +97,131 @@
     /// granted fraction remains valid until the new owner grants one.
     pub fn set_owner(&mut self, now: BootTime, owner: NodeId, epoch: u32) {
         let counts = self.counts.since(self.confirmed);
-        let is_open = counts != Counts::default();
-        let former = (self.granted_at > 0).then_some((self.owner, now + FORMER_LIFE));
-        *self = Spender {
+        let has_unconfirmed = counts != Counts::default();
+        let former = (self.granted_at > 0).then_some((self.owner, now + FORMER_OWNER_LIFETIME));
+        *self = Follower {
             counts,
-            due: is_open.then_some(now),
+            next_report_at: has_unconfirmed.then_some(now),
             pass: self.pass,
-            pass_until: self.pass_until,
+            grant_valid_until: self.grant_valid_until,
             limited_at: self.limited_at,
             former: former.or(self.former),
-            ..Spender::new(owner, epoch)
+            ..Follower::new(owner, epoch)
         };
     }
 
     /// Fraction of requests to admit, 0 to 1.
     pub fn pass(&self, now: BootTime) -> f64 {
-        let granted = if now < self.pass_until { self.pass } else { 1.0 };
-        self.heard_substitute(now).map_or(granted, |substitute| substitute.pass.min(granted))
+        let granted = if now < self.grant_valid_until { self.pass } else { 1.0 };
+        self.answering_substitute(now).map_or(granted, |substitute| substitute.pass.min(granted))
     }
 
     /// The node that substitutes for the owner, if it answers.
     pub fn substitute(&self, now: BootTime) -> Option<NodeId> {
-        self.heard_substitute(now).map(|substitute| substitute.node)
+        self.answering_substitute(now).map(|substitute| substitute.node)
     }
 
-    fn heard_substitute(&self, now: BootTime) -> Option<&Substitute> {
-        self.substitute.as_ref().filter(|substitute| substitute.is_heard(now))
+    fn answering_substitute(&self, now: BootTime) -> Option<&Substitute> {
+        self.substitute.as_ref().filter(|substitute| substitute.is_answering(now))
     }
 
     /// Returns whether the owner has answered a report within `time`.
-    pub fn was_answered(&self, now: BootTime, time: Duration) -> bool {
-        self.answered_at.is_some_and(|at| now.since(at) < time)
+    pub fn answered_within(&self, now: BootTime, time: Duration) -> bool {
+        self.last_answer_at.is_some_and(|at| now.since(at) < time)
     }
 
     /// Requests that the owner hasn't confirmed.
-    pub fn open(&self) -> Counts {
+    pub fn unconfirmed_counts(&self) -> Counts {
         self.counts.since(self.confirmed)
     }
 
-    /// Returns whether the tenant was limited within [`LIMITED_MEMORY`].
+    /// Returns whether the tenant was limited within [`LIMITED_RETENTION`].
     pub fn was_limited(&self, now: BootTime) -> bool {
-        self.limited_at.is_some_and(|at| now.since(at) < LIMITED_MEMORY)
+        self.limited_at.is_some_and(|at| now.since(at) < LIMITED_RETENTION)
     }
 
     /// Returns whether the owner has left a report unanswered for at least `time`.
-    pub fn is_silent(&self, now: BootTime, time: Duration) -> bool {
+    pub fn is_unanswered_for(&self, now: BootTime, time: Duration) -> bool {
         self.unanswered_since.is_some_and(|since| now.since(since) >= time)
     }
 
     /// Counts a request and schedules the report of it.
-    pub fn count(&mut self, now: BootTime, is_admitted: bool, limits: &Limits) {
+    pub fn count(&mut self, now: BootTime, is_admitted: bool, limits: &TenantLimits) {
         self.counts.count(is_admitted);
         let is_limited = self.pass(now) < 1.0;
-        let delay = if is_limited { limits.report_delay().min(REPEAT) } else { limits.report_delay() };
-        self.due = Some(self.due.map_or(now + delay, |due| due.min(now + delay)));
+        let delay = if is_limited { limits.report_delay().min(REPORT_RETRY_INTERVAL) } else { limits.report_delay() };
+        self.next_report_at = Some(self.next_report_at.map_or(now + delay, |due| due.min(now + delay)));
     }
 
     /// Returns the admitted requests that the substitute (or without one the owner) hasn't confirmed, and how much of
     /// the tenant's burst they may use. That part shrinks while a report remains unanswered.
-    pub fn unconfirmed(&self, now: BootTime) -> Unconfirmed {
-        let (confirmed, since) = match self.heard_substitute(now) {
+    pub fn unconfirmed_admissions(&self, now: BootTime) -> UnconfirmedAdmissions {
+        let (confirmed, since) = match self.answering_substitute(now) {
             Some(substitute) => (substitute.confirmed, substitute.unanswered_since),
             None => (self.confirmed, self.unanswered_since),
         };
-        let silence = since.map_or(Duration::ZERO, |since| now.since(since));
-        let trust = 1.0 - silence.min(DOUBT).div_duration_f64(DOUBT);
-        Unconfirmed { admitted: self.counts.since(confirmed).admitted, trust }
+        let unanswered_for = since.map_or(Duration::ZERO, |since| now.since(since));
+        let burst_fraction =
+            1.0 - unanswered_for.min(OVERSPENT_OWNER_TIMEOUT).div_duration_f64(OVERSPENT_OWNER_TIMEOUT);
+        UnconfirmedAdmissions { admitted: self.counts.since(confirmed).admitted, burst_fraction }
     }
 
     /// Time of the next report.
-    pub fn due(&self) -> Option<BootTime> {
-        self.due
+    pub fn next_report_at(&self) -> Option<BootTime> {
+        self.next_report_at
     }
 
     /// Returns the report that is due now, if there is one, and schedules its repetition.
-    pub fn report(&mut self, now: BootTime, tenant: TenantHash) -> Option<DueReport> {
-        if self.due.is_none_or(|due| due > now) {
+    pub fn take_due_report(&mut self, now: BootTime, tenant: TenantHash) -> Option<DueReport> {
+        if self.next_report_at.is_none_or(|due| due > now) {
             return None;
         }
         let counts = self.counts;
         // While there is a substitute, only nodes with counts that the owner hasn't confirmed report to the owner.
         // Otherwise all nodes would send reports to a node that may be gone.
-        let asks_owner = self.heard_substitute(now).is_none() || counts != self.confirmed;
-        if asks_owner {
+        let reports_to_owner = self.answering_substitute(now).is_none() || counts != self.confirmed;
+        if reports_to_owner {
             self.unanswered_since.get_or_insert(now);
         }
-        let substitute = self.substitute.as_mut().filter(|substitute| !substitute.has_all(counts));
+        let substitute = self.substitute.as_mut().filter(|substitute| !substitute.has_confirmed_all(counts));
         let substitute = substitute.map(|substitute| {
             substitute.unanswered_since.get_or_insert(now);
             substitute.node
         });
-        if !asks_owner && substitute.is_none() {
-            self.due = None;
+        if !reports_to_owner && substitute.is_none() {
+            self.next_report_at = None;
             return None;
         }
-        self.repeat = if self.is_silent(now, PATIENCE) { (self.repeat * 2).min(SLOW_REPEAT) } else { REPEAT };
-        self.due = Some(now + self.repeat);
+        self.retry_interval = if self.is_unanswered_for(now, OWNER_TIMEOUT) {
+            (self.retry_interval * 2).min(MAX_REPORT_RETRY_INTERVAL)
+        } else {
+            REPORT_RETRY_INTERVAL
+        };
+        self.next_report_at = Some(now + self.retry_interval);
         let former = self.former.filter(|(_, until)| *until > now).map(|(former, _)| former);
         let report = QuotaReport { tenant, epoch: self.epoch, counts, confirmed: self.confirmed, former };
-        Some(DueReport { report, owner: asks_owner.then_some(self.owner), substitute })
+        Some(DueReport { report, owner: reports_to_owner.then_some(self.owner), substitute })
     }
 
     /// Applies a grant of the owner.
-    pub fn take_grant(&mut self, now: BootTime, grant: &QuotaGrant) {
+    pub fn apply_grant(&mut self, now: BootTime, grant: &QuotaGrant) {
         if let Some(confirmation) = grant.confirmation.filter(|confirmation| confirmation.epoch == self.epoch) {
             self.confirmed.offered = self.confirmed.offered.max(confirmation.counts.offered.min(self.counts.offered));
             self.confirmed.admitted =
                 self.confirmed.admitted.max(confirmation.counts.admitted.min(self.counts.admitted));
             self.unanswered_since = None;
-            self.answered_at = Some(now);
+            self.last_answer_at = Some(now);
             self.substitute = None;
             let is_confirmed = self.confirmed == self.counts;
-            self.due = self.due.filter(|_| !is_confirmed).map(|due| due.min(now + REPEAT));
+            self.next_report_at =
+                self.next_report_at.filter(|_| !is_confirmed).map(|due| due.min(now + REPORT_RETRY_INTERVAL));
         }
         if grant.granted_at < self.granted_at {
             return;
         }
         self.granted_at = grant.granted_at;
         self.pass = f64::from(grant.pass).clamp(0.0, 1.0);
-        self.pass_until = now + GRANT_LIFE;
+        self.grant_valid_until = now + GRANT_VALIDITY;
         if self.pass < 1.0 {
             self.limited_at = Some(now);
         }
@@ -225,14 +231,14 @@
     /// because the substitute must know how many nodes it grants to. Once the substitute has confirmed all counts,
     /// only those that the owner hasn't confirmed are reported again, and at long intervals: the substitute itself
     /// keeps asking the owner.
-    pub fn take_substitutes_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant) {
-        if self.substitute.is_none_or(|known| known.node != from) {
-            self.due = Some(now);
+    pub fn apply_substitute_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant) {
+        if self.substitute.is_none_or(|current| current.node != from) {
+            self.next_report_at = Some(now);
             let confirmed = self.confirmed;
             self.substitute = Some(Substitute {
                 node: from,
                 pass: 1.0,
-                pass_until: now,
+                grant_valid_until: now,
                 confirmed,
                 has_answered: false,
                 unanswered_since: None,
@@ -243,13 +249,13 @@
             return;
         };
         substitute.pass = f64::from(grant.pass).clamp(0.0, 1.0);
-        substitute.pass_until = now + GRANT_LIFE;
+        substitute.grant_valid_until = now + GRANT_VALIDITY;
         if let Some(confirmation) = grant.confirmation.filter(|confirmation| confirmation.epoch == epoch) {
             substitute.confirmed = confirmation.counts.at_most(counts);
             substitute.has_answered = true;
             substitute.unanswered_since = None;
-            if substitute.has_all(counts) {
-                self.due = (counts != self.confirmed).then_some(now + SLOW_REPEAT);
+            if substitute.has_confirmed_all(counts) {
+                self.next_report_at = (counts != self.confirmed).then_some(now + MAX_REPORT_RETRY_INTERVAL);
             }
         }
         if substitute.pass < 1.0 {
@@ -270,8 +276,8 @@
 
 /// Requests that this node has admitted and that haven't been confirmed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unconfirmed {
+pub(crate) struct UnconfirmedAdmissions {
     pub admitted: u32,
     /// Fraction of the tenant's burst that these requests may use, 0 to 1.
-    pub trust: f64,
+    pub burst_fraction: f64,
 }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -5,7 +5,7 @@
 //! than the headroom. Otherwise it is the ratio of the available rate (the refill rate, corrected by the bucket's
 //! level) to the demand, so that admissions settle at the rate whichever nodes the requests reach.
 
-use crate::bound::Limits;
+use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
 use crate::message::{Confirmation, Counts, QuotaReport};
 use staircross_types::{BootTime, NodeId};
@@ -14,40 +14,41 @@
 
 /// Time within which the bucket's level is to be brought back to 0, in seconds. Three times the round trip of a report
 /// and its answer, so that the fraction doesn't oscillate.
-const CORRECTION_S: f64 = 0.6;
-/// Time constant of the average of demand, in seconds. Below [`CORRECTION_S`], so that a rise of demand shows within
-/// that time.
-const DEMAND_S: f64 = 0.4;
+const LEVEL_CORRECTION_S: f64 = 0.6;
+/// Time constant of the average of demand, in seconds. Below [`LEVEL_CORRECTION_S`], so that a rise of demand shows
+/// within that time.
+const DEMAND_AVERAGING_S: f64 = 0.4;
 /// Fraction of the headroom that a new owner starts with, because it doesn't know what was admitted before.
-const NEW_OWNER_FRACTION: f64 = 0.5;
-/// Time for which a grant of another owner halves this owner's rate. Longer than [`REPEAT`], after which the other
-/// owner grants again.
-const RIVAL_LIFE: Duration = Duration::from_millis(1500);
-/// Time between two grants to a former owner that may still regard itself as the owner. Well below [`RIVAL_LIFE`].
-const ASK_FORMER: Duration = Duration::from_millis(500);
+const NEW_OWNER_HEADROOM_FRACTION: f64 = 0.5;
+/// Time for which a grant of another owner halves this owner's rate. Longer than [`REGRANT_INTERVAL`], after which the
+/// other owner grants again.
+const RIVAL_OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time between two grants to a former owner that may still regard itself as the owner. Well below
+/// [`RIVAL_OWNER_TIMEOUT`].
+const FORMER_OWNER_GRANT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time since a node's last report after which its counts are dropped. Bounds memory.
-const FORGET_NODE: Duration = Duration::from_secs(60);
+const REPORTED_COUNTS_RETENTION: Duration = Duration::from_secs(60);
 /// Shortest time between two grants to all nodes that lower the fraction. Equal to the time after which a report is
 /// sent again.
-const SHORTEST_GAP: Duration = Duration::from_millis(100);
-/// Like [`SHORTEST_GAP`], for each node that receives the grant. Limits grants to 500 datagrams per second.
-const GAP_PER_NODE: Duration = Duration::from_millis(2);
+const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(100);
+/// Like [`MIN_GRANT_INTERVAL`], for each node that receives the grant. Limits grants to 500 datagrams per second.
+const GRANT_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
 /// Factor of the time between two grants for those that raise the fraction. A late raise costs some refusals, but no
 /// excess.
-const EASING_FACTOR: u32 = 3;
+const RAISE_INTERVAL_FACTOR: u32 = 3;
 /// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A fraction of the time for
 /// which a grant is valid.
-const REPEAT: Duration = Duration::from_millis(1000);
+const REGRANT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Change of the fraction, relative to the last one granted, from which all nodes are sent a new grant.
-const ANNOUNCED_CHANGE: f64 = 0.2;
+const MIN_GRANTED_CHANGE: f64 = 0.2;
 /// Smallest base for relative changes of the fraction, so that changes of tiny fractions cause no grants.
-const MIN_FRACTION: f64 = 0.05;
+const MIN_CHANGE_BASE: f64 = 0.05;
 
 /// What one node has reported.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct ReportedCounts {
     confirmation: Confirmation,
-    at: BootTime,
+    reported_at: BootTime,
 }
 
 /// The owner's state of one tenant.
@@ -56,26 +57,26 @@
     bucket: Bucket,
     /// Requests per second that reach all nodes together (a decaying average), and the time of its last update.
     demand: f64,
-    demand_at: BootTime,
-    reported: HashMap<NodeId, Reported>,
+    demand_updated_at: BootTime,
+    reported: HashMap<NodeId, ReportedCounts>,
     /// Other nodes that have acted as the owner, each with the time until which that counts.
-    rivals: Vec<(NodeId, BootTime)>,
+    rival_owners: Vec<(NodeId, BootTime)>,
     /// The former owner that was last sent a grant of this node, and when.
-    asked_former: Option<(NodeId, BootTime)>,
+    former_owner_granted: Option<(NodeId, BootTime)>,
     /// The fraction that all nodes were last granted, and when.
-    announced: f64,
-    announced_at: BootTime,
+    last_granted: f64,
+    last_granted_at: BootTime,
     /// Time at which this node ceased to be the owner.
-    pub lost_at: Option<BootTime>,
+    pub ownership_lost_at: Option<BootTime>,
 }
 
 impl Ledger {
-    /// Creates the ledger of a node that has been the owner for `owned_for` without a request. `is_first` says that
-    /// the fleet has just started for the first time, so that nothing of the burst is used.
-    pub fn new(now: BootTime, limits: &Limits, owned_for: Duration, is_first: bool) -> Self {
-        let full = limits.burst + limits.headroom();
-        let start = limits.headroom() * NEW_OWNER_FRACTION + limits.rate * owned_for.as_secs_f64();
-        Self::with_level(now, if is_first { full } else { start.min(full) })
+    /// Creates the ledger of a node that has been the owner for `owned_for` without a request. `is_first_start` says
+    /// that the fleet has just started for the first time, so that nothing of the burst is used.
+    pub fn new(now: BootTime, limits: &TenantLimits, owned_for: Duration, is_first_start: bool) -> Self {
+        let capacity = limits.burst + limits.headroom();
+        let start = limits.headroom() * NEW_OWNER_HEADROOM_FRACTION + limits.rate * owned_for.as_secs_f64();
+        Self::with_level(now, if is_first_start { capacity } else { start.min(capacity) })
     }
 
     /// Creates a ledger with `level` tokens.
@@ -83,123 +84,127 @@
         Ledger {
             bucket: Bucket::new(now, level),
             demand: 0.0,
-            demand_at: now,
+            demand_updated_at: now,
             reported: HashMap::new(),
-            rivals: Vec::new(),
-            asked_former: None,
-            announced: 1.0,
-            announced_at: now,
-            lost_at: None,
+            rival_owners: Vec::new(),
+            former_owner_granted: None,
+            last_granted: 1.0,
+            last_granted_at: now,
+            ownership_lost_at: None,
         }
     }
 
-    /// Updates the bucket and the demand to the present; `fleet_fraction` is the fraction of the quota that this owner
+    /// Updates the bucket and the demand to the present; `quota_fraction` is the fraction of the quota that this owner
     /// may grant.
-    pub fn refill(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
-        self.refill_to(now, limits, fleet_fraction, (limits.burst + limits.headroom()) * fleet_fraction);
+    pub fn refill(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64) {
+        self.refill_to(now, limits, quota_fraction, (limits.burst + limits.headroom()) * quota_fraction);
     }
 
     /// Like [`Ledger::refill`], but keeps tokens beyond the bucket's capacity.
-    pub fn refill_keeping(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
-        let full = (limits.burst + limits.headroom()) * fleet_fraction;
-        self.refill_to(now, limits, fleet_fraction, full.max(self.bucket.level()));
+    pub fn refill_keeping_surplus(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64) {
+        let capacity = (limits.burst + limits.headroom()) * quota_fraction;
+        self.refill_to(now, limits, quota_fraction, capacity.max(self.bucket.level()));
     }
 
-    fn refill_to(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64, full: f64) {
-        self.rivals.retain(|(_, until)| *until > now);
-        self.bucket.refill(now, self.rate(limits, fleet_fraction), full);
-        self.demand *= (-now.since(self.demand_at).as_secs_f64() / DEMAND_S).exp();
-        self.demand_at = now;
+    fn refill_to(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64, capacity: f64) {
+        self.rival_owners.retain(|(_, until)| *until > now);
+        self.bucket.refill(now, self.rate(limits, quota_fraction), capacity);
+        self.demand *= (-now.since(self.demand_updated_at).as_secs_f64() / DEMAND_AVERAGING_S).exp();
+        self.demand_updated_at = now;
     }
 
-    fn rate(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
-        limits.rate * fleet_fraction / (1 + self.rivals.len()) as f64
+    fn rate(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
+        limits.rate * quota_fraction / (1 + self.rival_owners.len()) as f64
     }
 
     /// Counts requests as demand, and takes tokens for those that were admitted.
     pub fn count(&mut self, counts: Counts) {
-        self.demand += f64::from(counts.offered) / DEMAND_S;
-        self.bucket.spend(f64::from(counts.admitted));
+        self.demand += f64::from(counts.offered) / DEMAND_AVERAGING_S;
+        self.bucket.debit(f64::from(counts.admitted));
     }
 
     /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
-    pub fn pass(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
-        if self.bucket.level() >= limits.headroom() * fleet_fraction && self.bucket.level() > 0.0 {
+    pub fn pass(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
+        if self.bucket.level() >= limits.headroom() * quota_fraction && self.bucket.level() > 0.0 {
             return 1.0;
         }
-        let rate = self.rate(limits, fleet_fraction) + self.bucket.level() / CORRECTION_S;
+        let rate = self.rate(limits, quota_fraction) + self.bucket.level() / LEVEL_CORRECTION_S;
         if rate >= self.demand { 1.0 } else { (rate / self.demand).max(0.0) }
     }
 
     /// Counts what a node reports, and returns the total counted for it so far as the confirmation. A report that
     /// arrives late or twice counts nothing.
-    pub fn take_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
-        let fresh = Confirmation { epoch: report.epoch, counts: report.confirmed };
-        let known = self.reported.get(&from).map_or(fresh, |known| known.confirmation);
+    pub fn apply_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
+        let initial = Confirmation { epoch: report.epoch, counts: report.confirmed };
+        let known = self.reported.get(&from).map_or(initial, |known| known.confirmation);
         if known.epoch > report.epoch {
             return known;
         }
-        let known = if known.epoch < report.epoch { fresh } else { known };
+        let known = if known.epoch < report.epoch { initial } else { known };
         self.count(report.counts.since(known.counts));
         let counts = Counts {
             offered: known.counts.offered.max(report.counts.offered),
             admitted: known.counts.admitted.max(report.counts.admitted),
         };
         let confirmation = Confirmation { epoch: report.epoch, counts };
-        self.reported.insert(from, Reported { confirmation, at: now });
+        self.reported.insert(from, ReportedCounts { confirmation, reported_at: now });
         confirmation
     }
 
     /// Records that another node has acted as the owner, which halves the rate that each of the two grants. Returns
     /// whether that is new.
-    pub fn note_rival(&mut self, now: BootTime, rival: NodeId) -> bool {
-        let is_new = self.rivals.iter().all(|(node, until)| *node != rival || *until <= now);
-        self.rivals.retain(|(node, _)| *node != rival);
-        self.rivals.push((rival, now + RIVAL_LIFE));
+    pub fn record_rival_owner(&mut self, now: BootTime, rival: NodeId) -> bool {
+        let is_new = self.rival_owners.iter().all(|(node, until)| *node != rival || *until <= now);
+        self.rival_owners.retain(|(node, _)| *node != rival);
+        self.rival_owners.push((rival, now + RIVAL_OWNER_TIMEOUT));
         is_new
     }
 
     /// Returns whether a former owner should be sent a grant of this node now, and if so records that it is sent.
-    pub fn ask_former(&mut self, now: BootTime, former: NodeId) -> bool {
-        let is_due = self.asked_former.is_none_or(|(node, at)| node != former || now.since(at) >= ASK_FORMER);
+    pub fn should_notify_former_owner(&mut self, now: BootTime, former: NodeId) -> bool {
+        let is_due = self
+            .former_owner_granted
+            .is_none_or(|(node, at)| node != former || now.since(at) >= FORMER_OWNER_GRANT_INTERVAL);
         if is_due {
-            self.asked_former = Some((former, now));
+            self.former_owner_granted = Some((former, now));
         }
         is_due
     }
 
     /// Returns whether all `nodes` nodes should be sent the fraction `pass` now.
-    pub fn is_announcement_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
-        if pass >= 1.0 && self.announced >= 1.0 {
+    pub fn is_grant_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
+        if pass >= 1.0 && self.last_granted >= 1.0 {
             return false;
         }
-        let (age, gap) = (now.since(self.announced_at), gap(nodes));
-        let change = (pass - self.announced) / self.announced.max(MIN_FRACTION);
-        let is_tighter = self.announced >= 1.0 || change < -ANNOUNCED_CHANGE;
-        let is_easier = pass >= 1.0 || change > ANNOUNCED_CHANGE;
-        (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
+        let (age, interval) = (now.since(self.last_granted_at), min_grant_interval(nodes));
+        let change = (pass - self.last_granted) / self.last_granted.max(MIN_CHANGE_BASE);
+        let is_lower = self.last_granted >= 1.0 || change < -MIN_GRANTED_CHANGE;
+        let is_higher = pass >= 1.0 || change > MIN_GRANTED_CHANGE;
+        (is_lower && age >= interval)
+            || (is_higher && age >= interval * RAISE_INTERVAL_FACTOR)
+            || age >= REGRANT_INTERVAL.max(interval)
     }
 
     /// Time since all nodes were last granted a fraction.
-    pub fn announced_for(&self, now: BootTime) -> Duration {
-        now.since(self.announced_at)
+    pub fn time_since_grant(&self, now: BootTime) -> Duration {
+        now.since(self.last_granted_at)
     }
 
     /// Number of nodes that have reported within `time`.
-    pub fn heard_since(&self, now: BootTime, time: Duration) -> usize {
-        self.reported.values().filter(|reported| now.since(reported.at) < time).count()
+    pub fn reporters_within(&self, now: BootTime, time: Duration) -> usize {
+        self.reported.values().filter(|reported| now.since(reported.reported_at) < time).count()
     }
 
     /// Records that all nodes are sent the fraction `pass`, and drops the counts of nodes that have long been silent.
-    pub fn note_announced(&mut self, now: BootTime, pass: f64) {
-        self.announced = pass;
-        self.announced_at = now;
-        self.reported.retain(|_, reported| now.since(reported.at) < FORGET_NODE);
+    pub fn record_grant(&mut self, now: BootTime, pass: f64) {
+        self.last_granted = pass;
+        self.last_granted_at = now;
+        self.reported.retain(|_, reported| now.since(reported.reported_at) < REPORTED_COUNTS_RETENTION);
     }
 
     /// Returns whether nodes were granted a fraction below 1, which must be granted again.
     pub fn is_limiting(&self) -> bool {
-        self.announced < 1.0
+        self.last_granted < 1.0
     }
 
     /// Tokens in the bucket; negative if more was admitted than it held.
@@ -208,6 +213,6 @@
     }
 }
 
-fn gap(nodes: usize) -> Duration {
-    SHORTEST_GAP.max(GAP_PER_NODE * nodes as u32)
+fn min_grant_interval(nodes: usize) -> Duration {
+    MIN_GRANT_INTERVAL.max(GRANT_INTERVAL_PER_NODE * nodes as u32)
 }
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -10,23 +10,23 @@
 //! | [`fleet`] | the nodes of the fleet, and which of them owns a tenant |
 //! | [`bucket`] | a token bucket |
 //! | [`ledger`] | the owner's state of a tenant: the token bucket, and what all nodes have reported |
-//! | [`spender`] | the state of a tenant at a node that doesn't own it: counts, reports, and whether the owner answers |
+//! | [`follower`] | the state of a tenant at a node that does not own it: counts, reports, the owner's grants |
 //! | [`refusal`] | the refusal of a request that exceeds a quota |
-//! | [`acting`] | the state of a node that substitutes for an owner that doesn't answer |
+//! | [`substitution`] | the state of a node that substitutes for an owner that doesn't answer |
 //! | [`tenant`] | one tenant at one node |
 //! | [`allowance`] | [`FleetAllowance`], the entry point, which combines the other modules |
 //!
 //! The design and its measurements are in `docs/design/fleet-allowance.md`.
 
-mod acting;
 pub mod allowance;
 pub mod bound;
 mod bucket;
 pub mod fleet;
+mod follower;
 mod ledger;
 pub mod message;
 pub mod refusal;
-mod spender;
+mod substitution;
 mod tenant;
 
 pub use allowance::{FleetAllowance, QuotaChange, QuotaView};
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -99,18 +99,18 @@
     pub confirmation: Option<Confirmation>,
     /// The owner that doesn't answer and that the sender substitutes for; `None` if the sender is the owner.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
-    pub instead_of: Option<NodeId>,
+    pub substituted_owner: Option<NodeId>,
 }
 
 impl QuotaGrant {
     /// Creates a grant that answers no report.
     pub fn unsolicited(now: BootTime, tenant: TenantHash, pass: f64) -> Self {
-        QuotaGrant { tenant, granted_at: now.0, pass: pass as f32, confirmation: None, instead_of: None }
+        QuotaGrant { tenant, granted_at: now.0, pass: pass as f32, confirmation: None, substituted_owner: None }
     }
 
     /// Marks the grant as sent in place of `owner`.
-    pub fn with_instead_of(self, owner: NodeId) -> Self {
-        QuotaGrant { instead_of: Some(owner), ..self }
+    pub fn with_substituted_owner(self, owner: NodeId) -> Self {
+        QuotaGrant { substituted_owner: Some(owner), ..self }
     }
 
     /// Makes the grant the answer to a report.
--- a/crates/staircross-quota/src/acting.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -7,7 +7,7 @@
 //! substitute at once, the one with the highest owner score for the tenant remains. Substitution ends with the owner's
 //! next answer, or when the membership names another owner.
 
-use crate::bound::Limits;
+use crate::bound::TenantLimits;
 use crate::fleet::Fleet;
 use crate::ledger::Ledger;
 use crate::message::{Confirmation, Counts, QuotaGrant, QuotaReport, TenantHash};
@@ -15,55 +15,55 @@
 use std::time::Duration;
 
 /// Time without an answer from the owner after which a node substitutes for it. A report is sent twice in that time.
-pub(crate) const ACT_AFTER: Duration = Duration::from_millis(200);
+pub(crate) const SUBSTITUTE_AFTER: Duration = Duration::from_millis(200);
 /// Time since a node's last report during which it still counts as one that receives this node's grants. Longer than
 /// the membership takes to detect that the owner is gone, because a node without requests reports only once.
-const FOLLOWER_LIFE: Duration = Duration::from_secs(5);
+const REPORTER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after which an unchanged fraction is granted again. Half the time for which a grant is valid.
-const REPEAT: Duration = Duration::from_secs(2);
+const REGRANT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two checks of whether a new fraction must be granted.
-const LOOK: Duration = Duration::from_millis(100);
+const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a node that substitutes for an owner keeps for one tenant.
 #[derive(Debug)]
-pub(crate) struct Acting {
+pub(crate) struct Substitution {
     /// The owner that doesn't answer.
     owner: NodeId,
     ledger: Ledger,
     /// Time of the next check of whether a new fraction must be granted.
-    pub due: BootTime,
-    is_announced: bool,
+    pub next_check_at: BootTime,
+    has_granted: bool,
 }
 
-impl Acting {
-    /// Starts a substitution; `open` are the requests of this node that the owner hasn't confirmed.
-    pub fn new(now: BootTime, owner: NodeId, limits: &Limits, open: Counts) -> Self {
+impl Substitution {
+    /// Starts a substitution; `unconfirmed` are the requests of this node that the owner hasn't confirmed.
+    pub fn new(now: BootTime, owner: NodeId, limits: &TenantLimits, unconfirmed: Counts) -> Self {
         let mut ledger = Ledger::with_level(now, limits.substitute_credit());
-        ledger.count(open);
-        Acting { owner, ledger, due: now, is_announced: false }
+        ledger.count(unconfirmed);
+        Substitution { owner, ledger, next_check_at: now, has_granted: false }
     }
 
     /// Returns whether any other node reports to this one. A substitute without reports decides like a node that
     /// reaches neither the owner nor a substitute.
-    pub fn is_followed(&self, now: BootTime) -> bool {
-        self.followers(now) > 0
+    pub fn has_reporters(&self, now: BootTime) -> bool {
+        self.reporters(now) > 0
     }
 
-    fn followers(&self, now: BootTime) -> usize {
-        self.ledger.heard_since(now, FOLLOWER_LIFE)
+    fn reporters(&self, now: BootTime) -> usize {
+        self.ledger.reporters_within(now, REPORTER_TIMEOUT)
     }
 
     /// Returns the fraction of requests that this node and the nodes that report to it should admit now. Together they
     /// may spend only a part of the quota, because the owner may be alive and grant the rest.
-    pub fn pass(&mut self, now: BootTime, limits: &Limits, fleet: &Fleet) -> f64 {
-        let fraction = fleet.stranded_fraction(now, self.followers(now) + 1);
-        self.ledger.refill_keeping(now, limits, fraction);
+    pub fn pass(&mut self, now: BootTime, limits: &TenantLimits, fleet: &Fleet) -> f64 {
+        let fraction = fleet.ownerless_fraction(now, self.reporters(now) + 1);
+        self.ledger.refill_keeping_surplus(now, limits, fraction);
         self.ledger.pass(limits, fraction)
     }
 
     /// Returns a grant of the fraction `pass` in the owner's place.
     pub fn grant(&self, now: BootTime, tenant: TenantHash, pass: f64) -> QuotaGrant {
-        QuotaGrant::unsolicited(now, tenant, pass).with_instead_of(self.owner)
+        QuotaGrant::unsolicited(now, tenant, pass).with_substituted_owner(self.owner)
     }
 
     /// Counts requests of this node.
@@ -72,26 +72,26 @@
     }
 
     /// Counts what another node reports, and returns the confirmation for it.
-    pub fn take_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
-        self.ledger.take_report(now, from, report)
+    pub fn apply_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
+        self.ledger.apply_report(now, from, report)
     }
 
     /// Returns the fraction to grant to all nodes, if a grant is due now. The first grant limits nobody, because only
     /// the reports that it causes show the demand.
-    pub fn due_grant(&mut self, now: BootTime, limits: &Limits, fleet: &Fleet) -> Option<f64> {
-        if now < self.due {
+    pub fn take_due_grant(&mut self, now: BootTime, limits: &TenantLimits, fleet: &Fleet) -> Option<f64> {
+        if now < self.next_check_at {
             return None;
         }
-        self.due = now + LOOK;
-        let granted = self.pass(now, limits, fleet);
-        let is_limiting = self.is_announced && self.is_followed(now);
-        let pass = if is_limiting { granted } else { 1.0 };
-        let is_due = !self.is_announced
-            || self.ledger.is_announcement_due(now, pass, fleet.serving().len())
-            || self.ledger.announced_for(now) >= REPEAT;
-        self.is_announced = true;
+        self.next_check_at = now + GRANT_CHECK_INTERVAL;
+        let fraction = self.pass(now, limits, fleet);
+        let limits_requests = self.has_granted && self.has_reporters(now);
+        let pass = if limits_requests { fraction } else { 1.0 };
+        let is_due = !self.has_granted
+            || self.ledger.is_grant_due(now, pass, fleet.serving().len())
+            || self.ledger.time_since_grant(now) >= REGRANT_INTERVAL;
+        self.has_granted = true;
         if is_due {
-            self.ledger.note_announced(now, pass);
+            self.ledger.record_grant(now, pass);
         }
         is_due.then_some(pass)
     }
--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -57,7 +57,7 @@
 
     fn deliver(&mut self, from: NodeId, envelopes: Vec<QuotaEnvelope>) {
         for QuotaEnvelope { to, message } in envelopes {
-            let is_unasked = matches!(message, QuotaMessage::Grant(grant) if grant.instead_of.is_some() && grant.confirmation.is_none());
+            let is_unasked = matches!(message, QuotaMessage::Grant(grant) if grant.substituted_owner.is_some() && grant.confirmation.is_none());
             self.told += usize::from(is_unasked);
             if self.silent.contains(&from) || self.silent.contains(&to) {
                 continue;
