--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -27,7 +27,7 @@
     /// Whether the tenant is limited now.
     pub is_limited: bool,
     /// Fraction of the tenant's requests that is admitted, 0 to 1.
-    pub pass: f64,
+    pub admit_fraction: f64,
     /// Whether this node decides without owner and substitute, because it reaches neither.
     pub is_stranded: bool,
     /// The node that substitutes for an owner that doesn't answer; may be this node.
@@ -44,7 +44,7 @@
     /// Tokens in the bucket; known to the owner only.
     pub level: Option<f64>,
     /// Fraction of the tenant's requests that is admitted, 0 to 1.
-    pub pass: f64,
+    pub admit_fraction: f64,
     /// Whether this node decides without owner and substitute, because it reaches neither.
     pub is_stranded: bool,
     /// The node that substitutes for an owner that doesn't answer; may be this node.
@@ -153,7 +153,7 @@
         self.changes.extend(tenant.record_decision(now, is_admitted).map(|is_limited| QuotaChange {
             tenant: tenant.name.clone(),
             is_limited,
-            pass: tenant.pass(now, quota_fraction),
+            admit_fraction: tenant.admit_fraction(now, quota_fraction),
             is_stranded,
             substitute: tenant.current_substitute(now, self.own),
         }));
@@ -196,10 +196,10 @@
             // The sender has a version of the configuration that this node doesn't have yet, or no longer has.
             None => Some((1.0, Confirmation { epoch: report.epoch, counts: report.counts })),
         };
-        let Some((pass, confirmation)) = answer else {
+        let Some((admit_fraction, confirmation)) = answer else {
             return;
         };
-        let grant = QuotaGrant::unsolicited(now, report.tenant, pass).with_confirmation(confirmation);
+        let grant = QuotaGrant::unsolicited(now, report.tenant, admit_fraction).with_confirmation(confirmation);
         envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
         self.schedule(report.tenant);
     }
@@ -249,7 +249,7 @@
                 tenant.start_substitution_if_needed(now);
             }
             let due_grant = tenant.take_due_grant(now, quota_fraction, self.fleet.serving().len());
-            let owner_grant = due_grant.map(|pass| QuotaGrant::unsolicited(now, hash, pass));
+            let owner_grant = due_grant.map(|admit_fraction| QuotaGrant::unsolicited(now, hash, admit_fraction));
             let substitute_grant = tenant.take_due_substitute_grant(now, &self.fleet);
             if tenant.next_due().is_none() {
                 self.scheduled.remove(&hash);
@@ -281,7 +281,7 @@
             owner: tenant.owner,
             is_owned: tenant.owner == self.own,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
-            pass: tenant.pass(now, self.quota_fraction(now)),
+            admit_fraction: tenant.admit_fraction(now, self.quota_fraction(now)),
             is_stranded,
             substitute: tenant.current_substitute(now, self.own),
         })
--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Substitute {
     node: NodeId,
-    pass: f64,
+    admit_fraction: f64,
     grant_valid_until: BootTime,
     confirmed: Counts,
     /// Whether the substitute has answered a report of this node, and therefore counts this node among those that
@@ -61,7 +61,7 @@
     /// Time of the next report.
     next_report_at: Option<BootTime>,
     retry_interval: Duration,
-    pass: f64,
+    admit_fraction: f64,
     granted_at: u64,
     grant_valid_until: BootTime,
     /// Time at which the tenant was last known to be limited.
@@ -83,7 +83,7 @@
             unanswered_since: None,
             next_report_at: None,
             retry_interval: REPORT_RETRY_INTERVAL,
-            pass: 1.0,
+            admit_fraction: 1.0,
             granted_at: 0,
             grant_valid_until: BootTime(0),
             limited_at: None,
@@ -102,7 +102,7 @@
         *self = Follower {
             counts,
             next_report_at: has_unconfirmed.then_some(now),
-            pass: self.pass,
+            admit_fraction: self.admit_fraction,
             grant_valid_until: self.grant_valid_until,
             limited_at: self.limited_at,
             former: former.or(self.former),
@@ -111,9 +111,9 @@
     }
 
     /// Fraction of requests to admit, 0 to 1.
-    pub fn pass(&self, now: BootTime) -> f64 {
-        let granted = if now < self.grant_valid_until { self.pass } else { 1.0 };
-        self.answering_substitute(now).map_or(granted, |substitute| substitute.pass.min(granted))
+    pub fn admit_fraction(&self, now: BootTime) -> f64 {
+        let granted = if now < self.grant_valid_until { self.admit_fraction } else { 1.0 };
+        self.answering_substitute(now).map_or(granted, |substitute| substitute.admit_fraction.min(granted))
     }
 
     /// The node that substitutes for the owner, if it answers.
@@ -148,7 +148,7 @@
     /// Counts a request and schedules the report of it.
     pub fn count(&mut self, now: BootTime, is_admitted: bool, limits: &TenantLimits) {
         self.counts.count(is_admitted);
-        let is_limited = self.pass(now) < 1.0;
+        let is_limited = self.admit_fraction(now) < 1.0;
         let delay = if is_limited { limits.report_delay().min(REPORT_RETRY_INTERVAL) } else { limits.report_delay() };
         self.next_report_at = Some(self.next_report_at.map_or(now + delay, |due| due.min(now + delay)));
     }
@@ -220,9 +220,9 @@
             return;
         }
         self.granted_at = grant.granted_at;
-        self.pass = f64::from(grant.pass).clamp(0.0, 1.0);
+        self.admit_fraction = f64::from(grant.admit_fraction).clamp(0.0, 1.0);
         self.grant_valid_until = now + GRANT_VALIDITY;
-        if self.pass < 1.0 {
+        if self.admit_fraction < 1.0 {
             self.limited_at = Some(now);
         }
     }
@@ -237,7 +237,7 @@
             let confirmed = self.confirmed;
             self.substitute = Some(Substitute {
                 node: from,
-                pass: 1.0,
+                admit_fraction: 1.0,
                 grant_valid_until: now,
                 confirmed,
                 has_answered: false,
@@ -248,7 +248,7 @@
         let Some(substitute) = &mut self.substitute else {
             return;
         };
-        substitute.pass = f64::from(grant.pass).clamp(0.0, 1.0);
+        substitute.admit_fraction = f64::from(grant.admit_fraction).clamp(0.0, 1.0);
         substitute.grant_valid_until = now + GRANT_VALIDITY;
         if let Some(confirmation) = grant.confirmation.filter(|confirmation| confirmation.epoch == epoch) {
             substitute.confirmed = confirmation.counts.at_most(counts);
@@ -258,7 +258,7 @@
                 self.next_report_at = (counts != self.confirmed).then_some(now + MAX_REPORT_RETRY_INTERVAL);
             }
         }
-        if substitute.pass < 1.0 {
+        if substitute.admit_fraction < 1.0 {
             self.limited_at = Some(now);
         }
     }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -124,7 +124,7 @@
     }
 
     /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
-    pub fn pass(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
+    pub fn admit_fraction(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
         if self.bucket.level() >= limits.headroom() * quota_fraction && self.bucket.level() > 0.0 {
             return 1.0;
         }
@@ -171,15 +171,15 @@
         is_due
     }
 
-    /// Returns whether all `nodes` nodes should be sent the fraction `pass` now.
-    pub fn is_grant_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
-        if pass >= 1.0 && self.last_granted >= 1.0 {
+    /// Returns whether all `nodes` nodes should be sent the fraction `admit_fraction` now.
+    pub fn is_grant_due(&self, now: BootTime, admit_fraction: f64, nodes: usize) -> bool {
+        if admit_fraction >= 1.0 && self.last_granted >= 1.0 {
             return false;
         }
         let (age, interval) = (now.since(self.last_granted_at), min_grant_interval(nodes));
-        let change = (pass - self.last_granted) / self.last_granted.max(MIN_CHANGE_BASE);
+        let change = (admit_fraction - self.last_granted) / self.last_granted.max(MIN_CHANGE_BASE);
         let is_lower = self.last_granted >= 1.0 || change < -MIN_GRANTED_CHANGE;
-        let is_higher = pass >= 1.0 || change > MIN_GRANTED_CHANGE;
+        let is_higher = admit_fraction >= 1.0 || change > MIN_GRANTED_CHANGE;
         (is_lower && age >= interval)
             || (is_higher && age >= interval * RAISE_INTERVAL_FACTOR)
             || age >= REGRANT_INTERVAL.max(interval)
@@ -195,9 +195,10 @@
         self.reported.values().filter(|reported| now.since(reported.reported_at) < time).count()
     }
 
-    /// Records that all nodes are sent the fraction `pass`, and drops the counts of nodes that have long been silent.
-    pub fn record_grant(&mut self, now: BootTime, pass: f64) {
-        self.last_granted = pass;
+    /// Records that all nodes are sent the fraction `admit_fraction`, and drops the counts of nodes that have long been
+    /// silent.
+    pub fn record_grant(&mut self, now: BootTime, admit_fraction: f64) {
+        self.last_granted = admit_fraction;
         self.last_granted_at = now;
         self.reported.retain(|_, reported| now.since(reported.reported_at) < REPORTED_COUNTS_RETENTION);
     }
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -93,7 +93,7 @@
     pub granted_at: u64,
     /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
     #[serde(rename = "p")]
-    pub pass: f32,
+    pub admit_fraction: f32,
     /// Confirmation of the report that this grant answers; `None` if it answers none.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub confirmation: Option<Confirmation>,
@@ -104,8 +104,14 @@
 
 impl QuotaGrant {
     /// Creates a grant that answers no report.
-    pub fn unsolicited(now: BootTime, tenant: TenantHash, pass: f64) -> Self {
-        QuotaGrant { tenant, granted_at: now.0, pass: pass as f32, confirmation: None, substituted_owner: None }
+    pub fn unsolicited(now: BootTime, tenant: TenantHash, admit_fraction: f64) -> Self {
+        QuotaGrant {
+            tenant,
+            granted_at: now.0,
+            admit_fraction: admit_fraction as f32,
+            confirmation: None,
+            substituted_owner: None,
+        }
     }
 
     /// Marks the grant as sent in place of `owner`.
--- a/crates/staircross-quota/src/substitution.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -55,15 +55,15 @@
 
     /// Returns the fraction of requests that this node and the nodes that report to it should admit now. Together they
     /// may spend only a part of the quota, because the owner may be alive and grant the rest.
-    pub fn pass(&mut self, now: BootTime, limits: &TenantLimits, fleet: &Fleet) -> f64 {
+    pub fn admit_fraction(&mut self, now: BootTime, limits: &TenantLimits, fleet: &Fleet) -> f64 {
         let fraction = fleet.ownerless_fraction(now, self.reporters(now) + 1);
         self.ledger.refill_keeping_surplus(now, limits, fraction);
-        self.ledger.pass(limits, fraction)
+        self.ledger.admit_fraction(limits, fraction)
     }
 
-    /// Returns a grant of the fraction `pass` in the owner's place.
-    pub fn grant(&self, now: BootTime, tenant: TenantHash, pass: f64) -> QuotaGrant {
-        QuotaGrant::unsolicited(now, tenant, pass).with_substituted_owner(self.owner)
+    /// Returns a grant of the fraction `admit_fraction` in the owner's place.
+    pub fn grant(&self, now: BootTime, tenant: TenantHash, admit_fraction: f64) -> QuotaGrant {
+        QuotaGrant::unsolicited(now, tenant, admit_fraction).with_substituted_owner(self.owner)
     }
 
     /// Counts requests of this node.
@@ -83,16 +83,16 @@
             return None;
         }
         self.next_check_at = now + GRANT_CHECK_INTERVAL;
-        let fraction = self.pass(now, limits, fleet);
+        let fraction = self.admit_fraction(now, limits, fleet);
         let limits_requests = self.has_granted && self.has_reporters(now);
-        let pass = if limits_requests { fraction } else { 1.0 };
+        let admit_fraction = if limits_requests { fraction } else { 1.0 };
         let is_due = !self.has_granted
-            || self.ledger.is_grant_due(now, pass, fleet.serving().len())
+            || self.ledger.is_grant_due(now, admit_fraction, fleet.serving().len())
             || self.ledger.time_since_grant(now) >= REGRANT_INTERVAL;
         self.has_granted = true;
         if is_due {
-            self.ledger.record_grant(now, pass);
+            self.ledger.record_grant(now, admit_fraction);
         }
-        is_due.then_some(pass)
+        is_due.then_some(admit_fraction)
     }
 }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -141,14 +141,14 @@
             return Ok(());
         };
         ledger.refill(now, &self.limits, quota_fraction);
-        let pass = ledger.pass(&self.limits, quota_fraction);
-        let is_admitted = should_admit(&mut self.carry, pass);
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        let is_admitted = should_admit(&mut self.carry, admit_fraction);
         ledger.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
-        if ledger.is_limiting() || ledger.pass(&self.limits, quota_fraction) < 1.0 {
+        if ledger.is_limiting() || ledger.admit_fraction(&self.limits, quota_fraction) < 1.0 {
             self.next_grant_check_at = Some(now);
         }
         self.local_bucket = None;
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
     /// Admits or refuses a request as a node whose owner or substitute answers.
@@ -157,13 +157,13 @@
             return Ok(());
         };
         self.local_bucket = None;
-        let pass = follower.pass(now);
+        let admit_fraction = follower.admit_fraction(now);
         let unconfirmed = follower.unconfirmed_admissions(now);
         let credit = (self.limits.burst + self.limits.headroom()) * unconfirmed.burst_fraction;
         let has_credit = f64::from(unconfirmed.admitted) <= credit.max(1.0);
-        let is_admitted = has_credit && should_admit(&mut self.carry, pass);
+        let is_admitted = has_credit && should_admit(&mut self.carry, admit_fraction);
         self.count_unowned(now, is_admitted);
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
     /// Returns whether this node substitutes for the owner and other nodes report to it.
@@ -194,10 +194,10 @@
             return Ok(());
         };
         self.local_bucket = None;
-        let pass = substitution.pass(now, &self.limits, fleet);
-        let is_admitted = should_admit(&mut self.carry, pass);
+        let admit_fraction = substitution.admit_fraction(now, &self.limits, fleet);
+        let is_admitted = should_admit(&mut self.carry, admit_fraction);
         self.count_unowned(now, is_admitted);
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
     /// Handles a report in the owner's place; `None` if this node doesn't substitute for the owner.
@@ -210,15 +210,15 @@
     ) -> Option<QuotaGrant> {
         let substitution = self.substitution.as_mut()?;
         let confirmation = substitution.apply_report(now, from, report);
-        let pass = substitution.pass(now, &self.limits, fleet);
-        Some(substitution.grant(now, self.hash, pass).with_confirmation(confirmation))
+        let admit_fraction = substitution.admit_fraction(now, &self.limits, fleet);
+        Some(substitution.grant(now, self.hash, admit_fraction).with_confirmation(confirmation))
     }
 
     /// The grant to send to all nodes now in the owner's place, if one is due.
     pub fn take_due_substitute_grant(&mut self, now: BootTime, fleet: &Fleet) -> Option<QuotaGrant> {
         let substitution = self.substitution.as_mut()?;
-        let pass = substitution.take_due_grant(now, &self.limits, fleet)?;
-        Some(substitution.grant(now, self.hash, pass))
+        let admit_fraction = substitution.take_due_grant(now, &self.limits, fleet)?;
+        Some(substitution.grant(now, self.hash, admit_fraction))
     }
 
     /// Handles a grant of a node that substitutes for an owner. Returns a grant as an objection if this node
@@ -302,11 +302,11 @@
         let ledger = self.ledger.as_mut()?;
         ledger.refill(now, &self.limits, quota_fraction);
         let confirmation = ledger.apply_report(now, from, report);
-        let pass = ledger.pass(&self.limits, quota_fraction);
-        if pass < 1.0 || ledger.is_limiting() {
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        if admit_fraction < 1.0 || ledger.is_limiting() {
             self.next_grant_check_at = Some(now);
         }
-        Some((pass, confirmation))
+        Some((admit_fraction, confirmation))
     }
 
     /// Records that another node has acted as the owner. Returns whether this node is an owner too and didn't know of
@@ -317,7 +317,7 @@
 
     /// Returns the grant that the owner sends to another node which acts as the owner.
     pub fn ownership_claim(&self, now: BootTime, quota_fraction: f64) -> QuotaMessage {
-        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, quota_fraction)))
+        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.admit_fraction(now, quota_fraction)))
     }
 
     /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
@@ -335,15 +335,15 @@
         self.next_grant_check_at = None;
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.ownership_lost_at.is_none())?;
         ledger.refill(now, &self.limits, quota_fraction);
-        let pass = ledger.pass(&self.limits, quota_fraction);
-        let is_grant_due = ledger.is_grant_due(now, pass, nodes);
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        let is_grant_due = ledger.is_grant_due(now, admit_fraction, nodes);
         if is_grant_due {
-            ledger.record_grant(now, pass);
+            ledger.record_grant(now, admit_fraction);
         }
-        if pass < 1.0 || ledger.is_limiting() {
+        if admit_fraction < 1.0 || ledger.is_limiting() {
             self.next_grant_check_at = Some(now + LIMITED_CHECK_INTERVAL);
         }
-        is_grant_due.then_some(pass)
+        is_grant_due.then_some(admit_fraction)
     }
 
     /// Returns the report that is due now, if there is one.
@@ -371,22 +371,22 @@
     }
 
     /// Fraction of requests to admit, as far as this node knows.
-    pub fn pass(&self, now: BootTime, quota_fraction: f64) -> f64 {
+    pub fn admit_fraction(&self, now: BootTime, quota_fraction: f64) -> f64 {
         match (&self.ledger, &self.follower) {
-            (_, Some(follower)) => follower.pass(now),
-            (Some(ledger), None) => ledger.pass(&self.limits, quota_fraction),
+            (_, Some(follower)) => follower.admit_fraction(now),
+            (Some(ledger), None) => ledger.admit_fraction(&self.limits, quota_fraction),
             (None, None) => 1.0,
         }
     }
 }
 
-/// Decides whether to admit a request when the fraction `pass` is to be admitted. `carry` accumulates the fractions,
-/// so that admissions are spread evenly.
-fn should_admit(carry: &mut f64, pass: f64) -> bool {
-    if pass >= 1.0 {
+/// Decides whether to admit a request when the fraction `admit_fraction` is to be admitted. `carry` accumulates the
+/// fractions, so that admissions are spread evenly.
+fn should_admit(carry: &mut f64, admit_fraction: f64) -> bool {
+    if admit_fraction >= 1.0 {
         return true;
     }
-    *carry += pass;
+    *carry += admit_fraction;
     if *carry < 1.0 {
         return false;
     }
@@ -395,7 +395,7 @@
 }
 
 /// Creates a refusal. Retries are spread over the time in which as many requests are admitted as were refused.
-fn refusal(pass: f64, random: f64) -> QuotaRefusal {
-    let spread = (1.0 / pass.max(f64::MIN_POSITIVE)).min(MAX_RETRY_SPREAD_S);
+fn refusal(admit_fraction: f64, random: f64) -> QuotaRefusal {
+    let spread = (1.0 / admit_fraction.max(f64::MIN_POSITIVE)).min(MAX_RETRY_SPREAD_S);
     QuotaRefusal { retry_after: Duration::from_secs_f64(MIN_RETRY_AFTER_S + random * spread) }
 }
--- a/crates/staircross-quota/tests/model/judge.rs
+++ b/crates/staircross-quota/tests/model/judge.rs
@@ -12,7 +12,7 @@
             return Admission::Unlimited;
         };
         // A node that takes its first request for the tenant hasn't looked for the owner before.
-        let pass = before.filter(|before| before.owner == view.owner).map_or(1.0, |before| before.pass);
+        let pass = before.filter(|before| before.owner == view.owner).map_or(1.0, |before| before.admit_fraction);
         let is_reached = |other: &Node| other.id == view.owner && other.is_up && other.group == state.group;
         match () {
             () if view.is_stranded => Admission::Alone,
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -77,7 +77,8 @@
             }
         }
         for change in self.nodes[node].take_changes() {
-            let text = format!("{} {} {} {}", change.tenant, change.is_limited, change.pass, change.is_stranded);
+            let text =
+                format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_stranded);
             self.note("changed", node, &text);
         }
     }
@@ -145,7 +146,13 @@
                 grant.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
             (
                 "word",
-                format!("{:x} {} {} {}", grant.tenant.0, grant.granted_at, grant.pass, confirmed.unwrap_or_default()),
+                format!(
+                    "{:x} {} {} {}",
+                    grant.tenant.0,
+                    grant.granted_at,
+                    grant.admit_fraction,
+                    confirmed.unwrap_or_default()
+                ),
             )
         }
     }
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -136,7 +136,7 @@
 }
 
 pub fn quota_change(change: &QuotaChange) -> String {
-    format!("{} {} {} {}", change.tenant, change.is_limited, change.pass, change.is_stranded)
+    format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_stranded)
 }
 
 pub fn quota_message(message: &QuotaMessage) -> String {
@@ -150,7 +150,13 @@
         QuotaMessage::Grant(word) => {
             let confirmed =
                 word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
-            format!("w {:x} {} {} {}", word.tenant.0, word.granted_at, word.pass, confirmed.unwrap_or_default())
+            format!(
+                "w {:x} {} {} {}",
+                word.tenant.0,
+                word.granted_at,
+                word.admit_fraction,
+                confirmed.unwrap_or_default()
+            )
         }
     }
 }
