--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -109,10 +109,10 @@
 
     /// A tenant has become limited at this node, or is free again.
     pub(super) fn log_quota(&mut self, change: &QuotaChange) {
-        let QuotaChange { tenant, is_limited, admit_fraction, is_stranded, substitute } = change;
+        let QuotaChange { tenant, is_limited, admit_fraction, is_deciding_locally, substitute } = change;
         let substitute = substitute.map_or_else(|| "-".to_owned(), |node| node.to_string());
         let line = format_args!(
-            "event=quota tenant={tenant} limited={is_limited} pass={admit_fraction:.2} owner_silent={is_stranded} substitute={substitute}"
+            "event=quota tenant={tenant} limited={is_limited} pass={admit_fraction:.2} owner_silent={is_deciding_locally} substitute={substitute}"
         );
         self.log.line(self.now, LineKind::Belief, line);
     }
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/allowance.rs
@@ -29,7 +29,7 @@
     /// Fraction of the tenant's requests that is admitted, 0 to 1.
     pub admit_fraction: f64,
     /// Whether this node decides without owner and substitute, because it reaches neither.
-    pub is_stranded: bool,
+    pub is_deciding_locally: bool,
     /// The node that substitutes for an owner that doesn't answer; may be this node.
     pub substitute: Option<NodeId>,
 }
@@ -46,7 +46,7 @@
     /// Fraction of the tenant's requests that is admitted, 0 to 1.
     pub admit_fraction: f64,
     /// Whether this node decides without owner and substitute, because it reaches neither.
-    pub is_stranded: bool,
+    pub is_deciding_locally: bool,
     /// The node that substitutes for an owner that doesn't answer; may be this node.
     pub substitute: Option<NodeId>,
 }
@@ -141,8 +141,8 @@
             return Ok(());
         };
         tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
-        let is_stranded = is_cut_off || tenant.is_stranded(now, &self.fleet);
-        let decision = match (is_stranded, tenant.owner == self.own) {
+        let is_deciding_locally = is_cut_off || tenant.is_deciding_locally(now, &self.fleet);
+        let decision = match (is_deciding_locally, tenant.owner == self.own) {
             _ if self.fleet.is_starting(now) => tenant.decide_while_starting(now, random),
             (true, _) => tenant.decide_locally(now, &self.fleet, random),
             _ if tenant.is_substitute(now) => tenant.decide_as_substitute(now, &self.fleet, random),
@@ -154,7 +154,7 @@
             tenant: tenant.name.clone(),
             is_limited,
             admit_fraction: tenant.admit_fraction(now, quota_fraction),
-            is_stranded,
+            is_deciding_locally,
             substitute: tenant.current_substitute(now, self.own),
         }));
         self.schedule(hash);
@@ -276,13 +276,13 @@
     /// Returns the state of a tenant's quota as this node sees it; `None` if the tenant has no quota.
     pub fn view(&self, now: BootTime, tenant: &str) -> Option<QuotaView> {
         let tenant = self.tenants.get(&TenantHash::of(tenant))?;
-        let is_stranded = self.is_cut_off(now) || tenant.is_stranded(now, &self.fleet);
+        let is_deciding_locally = self.is_cut_off(now) || tenant.is_deciding_locally(now, &self.fleet);
         Some(QuotaView {
             owner: tenant.owner,
             is_owned: tenant.owner == self.own,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
             admit_fraction: tenant.admit_fraction(now, self.quota_fraction(now)),
-            is_stranded,
+            is_deciding_locally,
             substitute: tenant.current_substitute(now, self.own),
         })
     }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -122,7 +122,7 @@
 
     /// Returns whether this node has to decide without owner and substitute: the owner has been silent for
     /// [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted more than its share.
-    pub fn is_stranded(&self, now: BootTime, fleet: &Fleet) -> bool {
+    pub fn is_deciding_locally(&self, now: BootTime, fleet: &Fleet) -> bool {
         let Some(follower) = &self.follower else {
             return false;
         };
--- a/crates/staircross-quota/tests/model/judge.rs
+++ b/crates/staircross-quota/tests/model/judge.rs
@@ -15,7 +15,7 @@
         let pass = before.filter(|before| before.owner == view.owner).map_or(1.0, |before| before.admit_fraction);
         let is_reached = |other: &Node| other.id == view.owner && other.is_up && other.group == state.group;
         match () {
-            () if view.is_stranded => Admission::Alone,
+            () if view.is_deciding_locally => Admission::Alone,
             () if view.is_owned => Admission::Owner,
             () if view.substitute.is_some() => Admission::Substitute,
             () if !self.nodes.iter().any(is_reached) => Admission::Unheard,
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -77,8 +77,10 @@
             }
         }
         for change in self.nodes[node].take_changes() {
-            let text =
-                format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_stranded);
+            let text = format!(
+                "{} {} {} {}",
+                change.tenant, change.is_limited, change.admit_fraction, change.is_deciding_locally
+            );
             self.note("changed", node, &text);
         }
     }
--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -156,9 +156,9 @@
     let admitted = (0..20).filter(|_| fleet.at(cut).try_take(now, TENANT).is_ok()).count();
     // A fifth of the permitted excess of 35 is for the third of the nodes that may be cut off.
     assert!(admitted <= 4, "{admitted} of 20 at once");
-    assert!(fleet.at(cut).view(now, TENANT).expect("a quota").is_stranded);
+    assert!(fleet.at(cut).view(now, TENANT).expect("a quota").is_deciding_locally);
     fleet.at(cut).set_isolated(false);
-    assert!(!fleet.at(cut).view(now, TENANT).expect("a quota").is_stranded);
+    assert!(!fleet.at(cut).view(now, TENANT).expect("a quota").is_deciding_locally);
 }
 
 /// Nodes that come and go while an owner is silent don't end that another stands in for it. Seen: at 307 nodes of which half came back from a loss of power, it began anew with each change; one node told all others
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -136,7 +136,7 @@
 }
 
 pub fn quota_change(change: &QuotaChange) -> String {
-    format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_stranded)
+    format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_deciding_locally)
 }
 
 pub fn quota_message(message: &QuotaMessage) -> String {
