--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -14,23 +14,23 @@
 //! | [`refusal`] | the refusal of a request that exceeds a quota |
 //! | [`substitution`] | the state of a node that substitutes for an owner that doesn't answer |
 //! | [`tenant`] | one tenant at one node |
-//! | [`allowance`] | [`FleetAllowance`], the entry point, which combines the other modules |
+//! | [`rate_limiter`] | [`FleetRateLimiter`], the entry point, which combines the other modules |
 //!
 //! The design and its measurements are in `docs/design/fleet-allowance.md`.
 
-pub mod allowance;
 pub mod bound;
 mod bucket;
 pub mod fleet;
 mod follower;
 mod ledger;
 pub mod message;
+pub mod rate_limiter;
 pub mod refusal;
 mod substitution;
 mod tenant;
 
-pub use allowance::{FleetAllowance, QuotaChange, QuotaView};
 pub use bound::QuotaBound;
 pub use fleet::FleetView;
 pub use message::{QuotaEnvelope, QuotaGrant, QuotaMessage, QuotaReport};
+pub use rate_limiter::{FleetRateLimiter, QuotaChange, QuotaView};
 pub use refusal::QuotaRefusal;
--- a/crates/staircross-quota/src/allowance.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -53,7 +53,7 @@
 
 /// Decides at one node which requests are admitted under quotas that all nodes share.
 #[derive(Debug)]
-pub struct FleetAllowance {
+pub struct FleetRateLimiter {
     bound: QuotaBound,
     own: NodeId,
     started: BootTime,
@@ -72,11 +72,11 @@
     changes: Vec<QuotaChange>,
 }
 
-impl FleetAllowance {
+impl FleetRateLimiter {
     /// Creates an instance without quotas, which admits everything. `is_first_start` says that no process of the fleet
     /// has run before.
     pub fn new(bound: QuotaBound, own: NodeId, now: BootTime, is_first_start: bool) -> Self {
-        FleetAllowance {
+        FleetRateLimiter {
             bound,
             own,
             started: now,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sets the bound. Tenants' limits are computed from it when [`FleetAllowance::set_quotas`] is called next.
+    /// Sets the bound. Tenants' limits are computed from it when [`FleetRateLimiter::set_quotas`] is called next.
     pub fn set_bound(&mut self, bound: QuotaBound) {
         self.bound = bound;
     }
@@ -268,7 +268,7 @@
         self.next_wake = self.scheduled.iter().filter_map(|hash| self.tenants.get(hash)?.next_due()).min();
     }
 
-    /// Time at which [`FleetAllowance::on_tick`] is due next.
+    /// Time at which [`FleetRateLimiter::on_tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.next_wake
     }
--- a/crates/staircross-quota/tests/model/judge.rs
+++ b/crates/staircross-quota/tests/model/judge.rs
@@ -8,7 +8,7 @@
     /// How a node has admitted a request, by what it believed right before.
     pub(super) fn way(&self, node: usize, before: Option<QuotaView>) -> Admission {
         let state = &self.nodes[node];
-        let Some(view) = state.allowance.view(time(self.now), TENANT) else {
+        let Some(view) = state.rate_limiter.view(time(self.now), TENANT) else {
             return Admission::Unlimited;
         };
         // A node that takes its first request for the tenant hasn't looked for the owner before.
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
+use staircross_quota::{FleetRateLimiter, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
 
 struct Node {
     id: NodeId,
-    allowance: FleetAllowance,
+    rate_limiter: FleetRateLimiter,
     view: Vec<NodeId>,
     peak: (usize, f64),
     share: Share,
@@ -130,14 +130,14 @@
         // Identities of restarted nodes are unlike those before, as in a fleet.
         self.next_id += 1;
         let id = NodeId(u128::from(self.random.random::<u64>()) << 64 | self.next_id);
-        let mut allowance = FleetAllowance::new(BOUND, id, time(self.now), is_first);
-        allowance.set_quotas(time(self.now), [(Arc::from(TENANT), quota)].into_iter());
+        let mut rate_limiter = FleetRateLimiter::new(BOUND, id, time(self.now), is_first);
+        rate_limiter.set_quotas(time(self.now), [(Arc::from(TENANT), quota)].into_iter());
         let level = if is_first { self.random.random::<f64>() } else { 0.0 };
         let share = Share { level, at: self.now };
         let peak = (8, self.now);
         Node {
             id,
-            allowance,
+            rate_limiter,
             view: vec![id],
             peak,
             share,
@@ -185,7 +185,7 @@
                     return;
                 };
                 let mut envelopes = Vec::new();
-                self.nodes[node].allowance.on_message(time(self.now), from, message, &mut envelopes);
+                self.nodes[node].rate_limiter.on_message(time(self.now), from, message, &mut envelopes);
                 self.send(node, envelopes);
             }
             Event::Tick(node) => {
@@ -194,13 +194,13 @@
                     return;
                 }
                 let mut envelopes = Vec::new();
-                self.nodes[node].allowance.on_tick(time(self.now), &mut envelopes);
+                self.nodes[node].rate_limiter.on_tick(time(self.now), &mut envelopes);
                 self.send(node, envelopes);
             }
             Event::Probe(node) => self.probe(node),
             Event::Contact(node) => {
                 self.nodes[node].contact_at = self.now;
-                self.nodes[node].allowance.set_isolated(false);
+                self.nodes[node].rate_limiter.set_isolated(false);
             }
             Event::View(node) => self.see(node),
             Event::Fault => self.begin_fault(),
@@ -227,7 +227,7 @@
                 let quota = scaled(self.schedule.quota, factor);
                 self.nodes[node].quota = quota;
                 let quotas = [(Arc::from(TENANT), quota)].into_iter();
-                self.nodes[node].allowance.set_quotas(time(self.now), quotas);
+                self.nodes[node].rate_limiter.set_quotas(time(self.now), quotas);
             }
             Event::Wrong(node) => {
                 let own = self.nodes[node].id;
@@ -245,7 +245,7 @@
             return;
         }
         if self.now - state.contact_at >= ISOLATED_S {
-            state.allowance.set_isolated(true);
+            state.rate_limiter.set_isolated(true);
         }
         let (group, count) = (state.group, state.view.len());
         let asked = state.view[self.probe_random.random_range(0..count)];
@@ -284,7 +284,7 @@
             }
             Fault::KillFifth => {
                 (0..count / 5).for_each(|node| self.handle(Event::Kill(node)));
-                let owner = self.nodes[count - 1].allowance.view(time(self.now), TENANT).map(|view| view.owner);
+                let owner = self.nodes[count - 1].rate_limiter.view(time(self.now), TENANT).map(|view| view.owner);
                 let owner = self.nodes.iter().position(|node| Some(node.id) == owner).unwrap_or(0);
                 self.handle(Event::Kill(owner));
             }
@@ -318,7 +318,7 @@
             state.peak = (view.len(), now);
         }
         let fleet = FleetView { serving: view.clone() };
-        state.allowance.set_fleet(time(now), fleet);
+        state.rate_limiter.set_fleet(time(now), fleet);
         state.view = view;
         self.send(node, Vec::new());
     }
@@ -337,7 +337,7 @@
                 self.after(0.001, 0.200, Event::Message { to, from, message });
             }
         }
-        if let Some(wake) = self.nodes[node].allowance.next_wake() {
+        if let Some(wake) = self.nodes[node].rate_limiter.next_wake() {
             let due = (wake.0 - 1_000_000_000) as f64 / 1e6;
             let due = due.max(self.now) + self.random.random_range(0.0..0.01);
             if due < self.nodes[node].tick {
@@ -373,9 +373,9 @@
         }
         self.outcome.requests += 1;
         let is_owed = self.is_owed(node);
-        let before = self.nodes[node].allowance.view(time(self.now), TENANT);
+        let before = self.nodes[node].rate_limiter.view(time(self.now), TENANT);
         let is_admitted = match self.scheme {
-            Scheme::Owner => self.nodes[node].allowance.try_take(time(self.now), TENANT).is_ok(),
+            Scheme::Owner => self.nodes[node].rate_limiter.try_take(time(self.now), TENANT).is_ok(),
             Scheme::FixedShares => self.take_share(node, 0.0),
             Scheme::FixedSharesAndOne => self.take_share(node, 1.0),
         };
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
+use staircross_quota::{FleetRateLimiter, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -16,7 +16,7 @@
 const STEP_MS: u64 = 5;
 
 struct Fleet {
-    nodes: Vec<FleetAllowance>,
+    nodes: Vec<FleetRateLimiter>,
     /// Messages on their way, by the step of their arrival.
     sent: BTreeMap<(u64, u64), (usize, NodeId, QuotaMessage)>,
     random: ChaCha8Rng,
@@ -34,7 +34,7 @@
 impl Fleet {
     fn new() -> Self {
         let node = |own| {
-            let mut node = FleetAllowance::new(BOUND, own, BootTime::from_millis(1000), own != NODES[4]);
+            let mut node = FleetRateLimiter::new(BOUND, own, BootTime::from_millis(1000), own != NODES[4]);
             node.set_quotas(BootTime::from_millis(1000), quotas(1.0));
             node.set_fleet(BootTime::from_millis(1000), FleetView { serving: NODES.to_vec() });
             node
--- a/crates/staircross-quota/tests/restart.rs
+++ b/crates/staircross-quota/tests/restart.rs
@@ -1,6 +1,6 @@
 //! A node that was restarted and knows of nobody else yet: all nodes may have been, and all callers come back at once.
 
-use staircross_quota::{FleetAllowance, QuotaBound};
+use staircross_quota::{FleetRateLimiter, QuotaBound};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 fn admitted_at_once(rate_per_s: f64) -> usize {
     let bound = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let now = BootTime::from_millis(1000);
-    let mut node = FleetAllowance::new(bound, NodeId(7), now, false);
+    let mut node = FleetRateLimiter::new(bound, NodeId(7), now, false);
     let name = |number: usize| Arc::from(format!("tenant-{number}"));
     let quota = Quota { rate_per_s, burst: rate_per_s };
     node.set_quotas(now, (0..TENANTS).map(|number| (name(number), quota)));
--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -1,6 +1,6 @@
 //! A tenant's owner that doesn't answer, and the node that stands in for it until the membership names another.
 
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
+use staircross_quota::{FleetRateLimiter, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Nodes that reach each other at once, but for the silent ones.
 struct Fleet {
-    nodes: Vec<FleetAllowance>,
+    nodes: Vec<FleetRateLimiter>,
     silent: Vec<NodeId>,
     now: BootTime,
     /// Unasked grants in an owner's place.
@@ -28,7 +28,7 @@
         let ids: Vec<NodeId> = (1..=NODES).map(NodeId).collect();
         let node = |own: &NodeId| {
             let bound = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
-            let mut node = FleetAllowance::new(bound, *own, formed, true);
+            let mut node = FleetRateLimiter::new(bound, *own, formed, true);
             let quota = Quota { rate_per_s: RATE, burst: RATE };
             node.set_quotas(formed, [(Arc::from(TENANT), quota)].into_iter());
             node.set_fleet(formed, FleetView { serving: ids.clone() });
@@ -39,7 +39,7 @@
         Fleet { nodes: ids.iter().map(node).collect(), silent: Vec::new(), now, told: 0 }
     }
 
-    fn at(&mut self, node: NodeId) -> &mut FleetAllowance {
+    fn at(&mut self, node: NodeId) -> &mut FleetRateLimiter {
         &mut self.nodes[node.0 as usize - 1]
     }
 
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -42,7 +42,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_latency::LatencyTracker;
-use staircross_quota::{FleetAllowance, QuotaBound};
+use staircross_quota::{FleetRateLimiter, QuotaBound};
 use staircross_types::{BootTime, NodeId};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -145,7 +145,7 @@
     /// Requests that end the searchers that run them.
     pub(crate) quarantine: Quarantine,
     /// What this node may admit of tenants' quotas.
-    quotas: FleetAllowance,
+    quotas: FleetRateLimiter,
     /// Which alarms were logged.
     alarms: first_probe::AlarmLog,
     /// Counters for metrics.
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -2,7 +2,7 @@
 
 use super::{RoutingAction, RoutingEngine, RoutingSettings};
 use crate::configuration::table::RouteTable;
-use staircross_quota::{FleetAllowance, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage, QuotaView};
+use staircross_quota::{FleetRateLimiter, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage, QuotaView};
 use staircross_types::{BootTime, NodeId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 const MESSAGES_AT_ONCE: usize = 10;
 
 /// The allowance of a node that has just started.
-pub(super) fn allowance(settings: &RoutingSettings) -> FleetAllowance {
-    FleetAllowance::new(settings.quota, settings.node, settings.started_at, settings.restarted_at.is_none())
+pub(super) fn allowance(settings: &RoutingSettings) -> FleetRateLimiter {
+    FleetRateLimiter::new(settings.quota, settings.node, settings.started_at, settings.restarted_at.is_none())
 }
 
 impl RoutingEngine {
