--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -67,7 +67,7 @@
     /// Time at which the tenant was last known to be limited.
     limited_at: Option<BootTime>,
     /// The owner before this one, and the time until which it may still regard itself as the owner.
-    former: Option<(NodeId, BootTime)>,
+    former_owner: Option<(NodeId, BootTime)>,
     /// Time of the owner's last answer to a report.
     last_answer_at: Option<BootTime>,
     substitute: Option<Substitute>,
@@ -87,7 +87,7 @@
             granted_at: 0,
             grant_valid_until: BootTime(0),
             limited_at: None,
-            former: None,
+            former_owner: None,
             last_answer_at: None,
             substitute: None,
         }
@@ -98,14 +98,14 @@
     pub fn set_owner(&mut self, now: BootTime, owner: NodeId, epoch: u32) {
         let counts = self.counts.since(self.confirmed);
         let has_unconfirmed = counts != Counts::default();
-        let former = (self.granted_at > 0).then_some((self.owner, now + FORMER_OWNER_LIFETIME));
+        let former_owner = (self.granted_at > 0).then_some((self.owner, now + FORMER_OWNER_LIFETIME));
         *self = Follower {
             counts,
             next_report_at: has_unconfirmed.then_some(now),
             admit_fraction: self.admit_fraction,
             grant_valid_until: self.grant_valid_until,
             limited_at: self.limited_at,
-            former: former.or(self.former),
+            former_owner: former_owner.or(self.former_owner),
             ..Follower::new(owner, epoch)
         };
     }
@@ -198,8 +198,8 @@
             REPORT_RETRY_INTERVAL
         };
         self.next_report_at = Some(now + self.retry_interval);
-        let former = self.former.filter(|(_, until)| *until > now).map(|(former, _)| former);
-        let report = QuotaReport { tenant, epoch: self.epoch, counts, confirmed: self.confirmed, former };
+        let former_owner = self.former_owner.filter(|(_, until)| *until > now).map(|(former_owner, _)| former_owner);
+        let report = QuotaReport { tenant, epoch: self.epoch, counts, confirmed: self.confirmed, former_owner };
         Some(DueReport { report, owner: reports_to_owner.then_some(self.owner), substitute })
     }
 
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -161,12 +161,12 @@
     }
 
     /// Returns whether a former owner should be sent a grant of this node now, and if so records that it is sent.
-    pub fn should_notify_former_owner(&mut self, now: BootTime, former: NodeId) -> bool {
+    pub fn should_notify_former_owner(&mut self, now: BootTime, former_owner: NodeId) -> bool {
         let is_due = self
             .former_owner_granted
-            .is_none_or(|(node, at)| node != former || now.since(at) >= FORMER_OWNER_GRANT_INTERVAL);
+            .is_none_or(|(node, at)| node != former_owner || now.since(at) >= FORMER_OWNER_GRANT_INTERVAL);
         if is_due {
-            self.former_owner_granted = Some((former, now));
+            self.former_owner_granted = Some((former_owner, now));
         }
         is_due
     }
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -68,7 +68,7 @@
     pub confirmed: Counts,
     /// The owner before this one, if it granted to the sender a moment ago: it may be alive, and still grant.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub former: Option<NodeId>,
+    pub former_owner: Option<NodeId>,
 }
 
 /// Total that an owner has counted for a node.
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -185,11 +185,11 @@
                     envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
                     return self.schedule(report.tenant);
                 }
-                let former = report
-                    .former
-                    .filter(|former| *former != self.own && tenant.should_notify_former_owner(now, *former));
+                let former_owner = report.former_owner.filter(|former_owner| {
+                    *former_owner != self.own && tenant.should_notify_former_owner(now, *former_owner)
+                });
                 envelopes.extend(
-                    former.map(|to| QuotaEnvelope { to, message: tenant.ownership_claim(now, quota_fraction) }),
+                    former_owner.map(|to| QuotaEnvelope { to, message: tenant.ownership_claim(now, quota_fraction) }),
                 );
                 tenant.handle_report_as_owner(now, from, report, quota_fraction)
             }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -322,9 +322,9 @@
 
     /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
     /// still acts as one.
-    pub fn should_notify_former_owner(&mut self, now: BootTime, former: NodeId) -> bool {
+    pub fn should_notify_former_owner(&mut self, now: BootTime, former_owner: NodeId) -> bool {
         let ledger = self.ledger.as_mut().filter(|ledger| ledger.ownership_lost_at.is_none());
-        ledger.is_some_and(|ledger| ledger.should_notify_former_owner(now, former))
+        ledger.is_some_and(|ledger| ledger.should_notify_former_owner(now, former_owner))
     }
 
     /// Returns the fraction to grant to all `nodes` nodes, if a grant is due now.
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -140,8 +140,8 @@
             let (counts, confirmed) = (report.counts, report.confirmed);
             let numbers = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted, report.epoch];
             let numbers: Vec<String> = numbers.iter().map(u32::to_string).collect();
-            let former = report.former.map_or(0, |former| former.0);
-            ("report", format!("{:x} {} {former}", report.tenant.0, numbers.join(" ")))
+            let former_owner = report.former_owner.map_or(0, |former_owner| former_owner.0);
+            ("report", format!("{:x} {} {former_owner}", report.tenant.0, numbers.join(" ")))
         }
         QuotaMessage::Grant(grant) => {
             let confirmed =
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -143,7 +143,7 @@
     match message {
         QuotaMessage::Report(report) => {
             let (counts, confirmed) = (report.counts, report.confirmed);
-            let former = report.former.map_or(0, |former| former.0);
+            let former = report.former_owner.map_or(0, |former| former.0);
             let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
             format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
         }
