--- a/crates/staircross-quota/tests/bound.rs
+++ b/crates/staircross-quota/tests/bound.rs
@@ -1,4 +1,5 @@
-//! What all nodes together admit of a tenant stays within the bound in every window, whatever goes wrong.
+//! Checks that the requests of a tenant that all nodes together admit stay within the bound in every window, under
+//! every fault.
 
 mod model;
 
@@ -8,11 +9,14 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use staircross_types::Quota;
 
-/// Parts of its rate and burst to which a tenant that is never refused in quiet times keeps, and the least burst that it needs.
+/// Fraction of its rate to which a tenant keeps that must never be refused while there is no fault.
 const SAFE_FRACTION: f64 = 0.9;
+/// Fraction of its burst to which such a tenant keeps.
 const SAFE_BURST_FRACTION: f64 = 0.5;
+/// Smallest burst of such a tenant.
 const MIN_BURST: f64 = 2.0;
-/// Datagrams lost in quiet times, in times those of other schedules: 2 in 1,000 at most. Three losses in a row make a node doubt its owner.
+/// Factor of the loss of datagrams in schedules without a fault: at most 2 in 1,000 are lost. A node doubts its owner
+/// after three losses in a row.
 const QUIET_LOSS_FRACTION: f64 = 0.02;
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -43,14 +47,15 @@
     }
 }
 
-/// Demand rises within a second of the fault, before it or after it.
+/// Demand rises within one second before or after the fault.
 fn schedule_about_the_fault() -> impl Strategy<Value = Schedule> {
     (schedule(), FAULT_S - 1.0..FAULT_S + 1.0).prop_map(|(schedule, hot_s)| Schedule { hot_s, ..schedule })
 }
 
-/// The property tests play the same schedules each time; others are looked for by `figures_of_the_worst_schedules`.
+/// Seed of the property tests, which play the same schedules in each run. `figures_of_the_worst_schedules` searches
+/// other schedules.
 const SCHEDULES: u64 = 1;
-/// Most that a tenant asks, in times its rate: nine times a usual demand of 1 / 1.6.
+/// Largest demand of a tenant, as a multiple of its rate: nine times a usual demand of 1 / 1.6.
 const HOTTEST: f64 = 9.0 / 1.6;
 
 proptest! {
@@ -70,7 +75,7 @@
 
     #[test]
     fn tenants_below_their_rate_are_not_refused_in_quiet_times(schedule in schedule()) {
-        // It asks for more than it sends, so that it sends as much as it may, and unevenly.
+        // The tenant wants to send more than it may, so that it uses up its self-imposed limit, and unevenly.
         let burst = schedule.quota.burst.max(MIN_BURST);
         let quota = Quota { burst, ..schedule.quota };
         let keeps_to = Some((SAFE_FRACTION, SAFE_BURST_FRACTION));
@@ -81,10 +86,12 @@
     }
 }
 
-/// Demand rises as nodes are cut off or end. Seen: 1.40 and 1.08 of the permitted excess, on later code 1.26 and 0.59. Why: when a tenant's owner
-/// can't be reached, each node finds that out by itself, by a request that it admits and by half a second without an answer; the nodes of a large
-/// fleet admit one request and more each before they know. Shown by the worst windows' admissions by kind (`WorstWindow`): of the first schedule's 70, 58
-/// are of nodes whose owner is unreachable and that don't know it, 10 of the time before the fault, one of the owner.
+/// Demand rises at the moment at which nodes are cut off or killed. The worst windows held 1.40 and 1.08 times the
+/// permitted excess, and 1.26 and 0.59 in a later version. If a tenant's owner is unreachable, each node detects that
+/// separately, by a request that it admits and by half a second without an answer, so in a large fleet each node
+/// admits one or more requests before it knows. The admissions of the worst window by kind (`WorstWindow`) show this:
+/// of 70 in the first schedule, 58 are of nodes that don't know yet that their owner is unreachable, 10 are from
+/// before the fault, and one is of the owner.
 #[test]
 fn a_rise_of_demand_at_the_moment_of_a_cut_stays_within_the_bound() {
     let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, fault, lost, doubled| {
@@ -123,8 +130,9 @@
     }
 }
 
-/// Other schedules in which demand rises within a second of a fault, from seven searches of 10,000 schedules each (`figures_of_the_worst_schedules`, seeds
-/// 101 to 107); on the code that was searched they reached 1.62 to 1.16 of the permitted excess.
+/// Further schedules in which demand rises within one second of a fault. They come from seven searches of 10,000
+/// schedules each (`figures_of_the_worst_schedules`, seeds 101 to 107) and reached 1.62 to 1.16 times the permitted
+/// excess in the version that was searched.
 #[test]
 fn a_rise_of_demand_within_a_second_of_a_fault_stays_within_the_bound() {
     let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, fault, lost, doubled| {
@@ -282,7 +290,7 @@
     assert!(beyond.is_empty(), "{} of {}: {beyond:#?}", beyond.len(), played.len());
 }
 
-/// Schedules of searches in which an earlier state of this code exceeded the bound, each by another weakness.
+/// Schedules in which an earlier version exceeded the bound, each for a different cause.
 #[test]
 fn schedules_that_exceeded_the_bound_once_stay_within_it() {
     let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, callers, fault, lost, doubled| {
@@ -290,7 +298,8 @@
         Schedule { seed, nodes, quota, usual, hot, hot_s, callers, fault, lost, doubled, keeps_to: None }
     };
     let schedules = [
-        // Callers move to nodes that were cut off before the tenant was limited; each admitted a whole burst unconfirmed.
+        // Callers move to nodes that were cut off before the tenant was limited; each of these nodes admitted a whole
+        // burst unconfirmed.
         schedule(
             5285770589910842087,
             71,
@@ -317,7 +326,7 @@
             0.06114733760450458,
             0.06111037720613607,
         ),
-        // Both halves of a cut granted more than their parts.
+        // The two halves of a partitioned fleet each granted more than their fraction of the quota.
         schedule(
             7229924254924871606,
             56,
@@ -338,7 +347,7 @@
     }
 }
 
-/// `SEARCH_SEED=7 cargo test --release -p staircross-quota --test bound -- --ignored --nocapture`
+/// Run with `SEARCH_SEED=7 cargo test --release -p staircross-quota --test bound -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints figures for the design note"]
 fn figures_of_the_worst_schedules() {
@@ -346,7 +355,8 @@
     print_the_worst(schedule_about_the_fault());
 }
 
-/// Plays schedules drawn from a seed of the environment, or from the fixed one, and prints the worst.
+/// Plays schedules drawn from the seed in the environment variable `SEARCH_SEED`, or from the fixed seed, and prints
+/// the worst.
 fn print_the_worst(strategy: impl Strategy<Value = Schedule>) {
     let seed = std::env::var("SEARCH_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES);
     let config = ProptestConfig { rng_seed: RngSeed::Fixed(seed), ..ProptestConfig::default() };
@@ -367,5 +377,5 @@
     }
 }
 
-/// Schedules of the printed figures.
+/// Number of schedules that `print_the_worst` plays.
 const CENSUS: usize = 5000;
--- a/crates/staircross-quota/tests/comparison.rs
+++ b/crates/staircross-quota/tests/comparison.rs
@@ -1,4 +1,5 @@
-//! The ways to share a quota, side by side: `cargo test --release -p staircross-quota --test comparison -- --ignored --nocapture`.
+//! Prints figures for different ways to share a quota among nodes. Run with `cargo test --release -p staircross-quota
+//! --test comparison -- --ignored --nocapture`.
 
 mod model;
 
@@ -61,8 +62,8 @@
     format!("worst={worst:.2} lost={:.3} datagrams={per_request:.1}", lost / owed)
 }
 
-/// Datagrams about one tenant in a second by the size of the fleet, below its rate and at nine times its usual, in quiet times and while an owner is dead
-/// and not yet known to be.
+/// Prints the datagrams per second that one tenant causes, by fleet size, with demand below its rate and at nine times
+/// that demand, without a fault and while a dead owner isn't yet known to be dead.
 #[test]
 #[ignore = "prints figures for the design note"]
 fn datagrams_by_fleet() {
--- a/crates/staircross-quota/tests/model/judge.rs
+++ b/crates/staircross-quota/tests/model/judge.rs
@@ -1,17 +1,17 @@
-//! How each request came to be admitted, and the window that holds most beyond the quota.
+//! Classifies each admission, and finds the window with the most admissions beyond the quota.
 
 use super::{Admission, Admitted, BOUND, FAULT_S, Fault, Node, TENANT, World, WorstWindow, scaled, time};
 use staircross_quota::QuotaView;
 use std::collections::BTreeSet;
 
 impl World {
-    /// How a node has admitted a request, by what it believed right before.
+    /// Returns how a node decided to admit a request; `before` is its view of the quota right before that.
     pub(super) fn way(&self, node: usize, before: Option<QuotaView>) -> Admission {
         let state = &self.nodes[node];
         let Some(view) = state.rate_limiter.view(time(self.now), TENANT) else {
             return Admission::Unlimited;
         };
-        // A node that takes its first request for the tenant hasn't looked for the owner before.
+        // A node that receives its first request of the tenant hasn't determined the owner before.
         let pass = before.filter(|before| before.owner == view.owner).map_or(1.0, |before| before.admit_fraction);
         let is_reached = |other: &Node| other.id == view.owner && other.is_up && other.group == state.group;
         match () {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// The window with most admissions beyond the quota, by what is permitted, and the first and last of them.
+    /// Returns the largest excess of a window as a multiple of the permitted excess, and the first and last admission
+    /// of that window.
     pub(super) fn worst_window(&self) -> (f64, usize, usize) {
         let window = BOUND.window.as_secs_f64();
         let base = self.schedule.quota;
@@ -36,7 +37,7 @@
             }
             let begin = self.admitted[first].at;
             let quota = match self.schedule.fault {
-                // A lower limit binds a window after every node has it.
+                // A lower quota applies to a window after every node knows it.
                 Fault::QuotaDown if begin >= FAULT_S + 1.0 + window => scaled(base, 1.0 / 3.0),
                 Fault::QuotaUp if *end >= FAULT_S => scaled(base, 2.0),
                 _ => base,
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of allowances over a network that loses, delays, doubles and cuts, and what all of them admit of one tenant.
+//! Simulates a fleet of rate limiters on a network that loses, delays, duplicates and partitions, and records what all
+//! of them admit of one tenant.
 
 mod judge;
 mod schedule;
@@ -16,12 +17,14 @@
 
 pub const TENANT: &str = "tenant";
 pub const BOUND: QuotaBound = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
-/// Length of a schedule, and when its fault begins.
+/// Length of a schedule.
 pub const END_S: f64 = 26.0;
+/// Time at which the fault of a schedule begins.
 pub const FAULT_S: f64 = 10.0;
 const PEAK_LIFE_S: f64 = 30.0;
-/// Time between a node's probes of others, and without any datagram of the membership after which it counts as isolated.
+/// Time between two membership probes of a node.
 const PROBE_EVERY_S: f64 = 0.2;
+/// Time without a datagram of the membership after which a node regards itself as isolated.
 const ISOLATED_S: f64 = 0.8;
 
 enum Event {
@@ -40,7 +43,7 @@
     Start(usize),
     Quota(usize),
     Wrong(usize),
-    /// A node probes another, as the membership has it do.
+    /// The node probes another node, as the membership does.
     Probe(usize),
     Contact(usize),
 }
@@ -59,7 +62,7 @@
     quota: Quota,
     is_up: bool,
     is_serving: bool,
-    /// When a datagram of the membership came last.
+    /// Time at which the last datagram of the membership arrived.
     contact_at: f64,
     group: usize,
     tick: f64,
@@ -76,7 +79,7 @@
     schedule: Schedule,
     scheme: Scheme,
     random: ChaCha8Rng,
-    /// Apart from the rest, so that the membership's probes change no draw of a schedule.
+    /// Separate from `random`, so that the membership's probes don't change what else is drawn in a schedule.
     probe_random: ChaCha8Rng,
     nodes: Vec<Node>,
     events: BTreeMap<(u64, u64), Event>,
@@ -84,9 +87,9 @@
     now: f64,
     next_id: u128,
     admitted: Vec<Admitted>,
-    /// Tokens of a bucket that sees everything, and its time.
+    /// Bucket with the whole quota that sees every request.
     reference: Share,
-    /// Tokens of a tenant that keeps to a part of its quota.
+    /// Bucket of a tenant that limits itself to a part of its quota.
     caller: Share,
     outcome: Outcome,
 }
@@ -127,7 +130,7 @@
     }
 
     fn new_node(&mut self, is_first: bool, quota: Quota) -> Node {
-        // Identities of restarted nodes are unlike those before, as in a fleet.
+        // A restarted node has a new identity, as in a real fleet.
         self.next_id += 1;
         let id = NodeId(u128::from(self.random.random::<u64>()) << 64 | self.next_id);
         let mut rate_limiter = FleetRateLimiter::new(BOUND, id, time(self.now), is_first);
@@ -352,7 +355,7 @@
         let factor = if is_hot { self.schedule.hot } else { 1.0 };
         let demand = self.schedule.quota.rate_per_s * self.schedule.usual * factor;
         let gap = -(1.0 - self.random.random::<f64>()).ln() / demand;
-        // So that a change of demand isn't overslept.
+        // A change of demand must not be skipped by a long gap.
         let at = self.now + gap;
         let change = self.schedule.hot_s;
         self.at(if self.now + 1e-3 < change && at > change { change } else { at }, Event::Request);
@@ -390,7 +393,7 @@
         self.send(node, Vec::new());
     }
 
-    /// Whether the tenant sends a request that it has, or keeps to its quota.
+    /// Returns whether the tenant sends a request that it has; a tenant that limits itself may not.
     fn is_sent(&mut self) -> bool {
         let Some((rate_fraction, burst_fraction)) = self.schedule.keeps_to else {
             return true;
--- a/crates/staircross-quota/tests/model/schedule.rs
+++ b/crates/staircross-quota/tests/model/schedule.rs
@@ -1,36 +1,37 @@
-//! What is played, and what came of it.
+//! Inputs and outcomes of a simulation.
 
 use staircross_types::Quota;
 
-/// How nodes decide.
+/// Scheme by which the nodes decide about requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code, reason = "each test file plays other ways")]
 pub enum Scheme {
-    /// As built.
+    /// The rate limiter of this package, in which each tenant has an owner.
     Owner,
-    /// Each node has its part of rate and burst, by the largest fleet it saw lately.
+    /// Each node has a fixed share of rate and burst, divided by the size of the largest fleet that it has seen
+    /// lately.
     FixedShares,
-    /// The same, and one request more at once: few requests come to each node.
+    /// Like `FixedShares`, with one more request at once, because each node receives few requests.
     FixedSharesAndOne,
 }
 
-/// What goes wrong, from [`FAULT_S`] on.
+/// Fault that begins at [`FAULT_S`](super::FAULT_S).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// A third of the nodes is cut off, each on its own, for 8 s.
+    /// A third of the nodes is cut off for 8 s, each of them separately.
     ThirdCut,
-    /// The fleet is two halves for 8 s.
+    /// The fleet is partitioned into two halves for 8 s.
     Halves,
-    /// All nodes are killed and start again within 0.5 to 1.5 s.
+    /// All nodes are killed, and each starts again after 0.5 to 1.5 s.
     KillAll,
-    /// Each node is stopped and started in turn, one each 0.4 s.
+    /// The nodes are stopped and started in turn, one every 0.4 s.
     Roll,
-    /// The owner and as many others as make a fifth are killed for good.
+    /// A fifth of the nodes and the owner are killed for good.
     KillFifth,
-    /// Each node misses a random fifth of the others for 3 s.
+    /// Each node misses a random fifth of the other nodes for 3 s.
     WrongMembership,
-    /// The quota falls to a third.
+    /// The quota is reduced to a third.
     QuotaDown,
     /// The quota is doubled.
     QuotaUp,
@@ -50,12 +51,12 @@
     ];
 }
 
-/// Which nodes the tenant's callers ask.
+/// Nodes that receive the tenant's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Callers {
     Spread,
     OneNode,
-    /// One node, another each second.
+    /// One node at a time, a different one each second.
     Moving,
 }
 
@@ -64,43 +65,43 @@
     pub seed: u64,
     pub nodes: usize,
     pub quota: Quota,
-    /// Demand, in times the rate.
+    /// Demand before `hot_s`, as a multiple of the rate.
     pub usual: f64,
-    /// Demand from `hot_s` on, in times the usual.
+    /// Demand from `hot_s` on, as a multiple of the usual demand.
     pub hot: f64,
     pub hot_s: f64,
     pub callers: Callers,
     pub fault: Fault,
     pub lost: f64,
     pub doubled: f64,
-    /// Whether the tenant keeps to these parts of its rate and burst.
+    /// Fractions of its rate and burst to which the tenant limits itself.
     pub keeps_to: Option<(f64, f64)>,
 }
 
-/// How a node came to admit a request.
+/// How a node decided to admit a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// As the tenant's owner.
+    /// The node is the tenant's owner.
     Owner,
-    /// By the fraction that an owner granted, where that was below 1.
+    /// The node admits a fraction below 1 that an owner granted.
     Granted,
-    /// With no limit granted.
+    /// No fraction below 1 has been granted to the node.
     Unlimited,
-    /// By what was granted last, of an owner that it can't reach; the node doesn't know that yet.
+    /// The node uses the last grant of an owner that it can't reach, and doesn't know that yet.
     Unheard,
-    /// By a node that stands in for an owner that doesn't answer, or as it grants.
+    /// The node substitutes for an owner that doesn't answer, or follows a grant of a substitute.
     Substitute,
-    /// On its own, since the owner is silent.
+    /// The node decides on its own, because the owner is silent.
     Alone,
 }
 
-/// Admissions of the worst window by how they came about.
+/// Number of admissions in the worst window, by kind.
 #[derive(Clone, Copy, Debug, Default)]
 #[allow(dead_code, reason = "printed")]
 pub struct WorstWindow {
-    /// Seconds.
+    /// Time of the first admission, in seconds.
     pub begin: f64,
-    /// Seconds.
+    /// Time of the last admission, in seconds.
     pub end: f64,
     pub owner: usize,
     pub granted: usize,
@@ -108,20 +109,20 @@
     pub unheard: usize,
     pub substitute: usize,
     pub alone: usize,
-    /// Nodes that admitted any as the owner.
+    /// Number of nodes that admitted requests as the owner.
     pub owners: usize,
 }
 
-/// What came of a schedule.
+/// Outcome of a schedule.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Requests beyond quota in the worst window, in times what is permitted; 1 is the bound.
+    /// Requests beyond the quota in the worst window, as a multiple of the permitted excess; the bound is 1.
     pub worst: f64,
-    /// That window.
+    /// The worst window.
     pub window: WorstWindow,
-    /// Requests that a bucket of the quota's rate and burst would have admitted.
+    /// Requests that one bucket with the quota's rate and burst would have admitted.
     pub owed: f64,
-    /// By how much admissions fell behind that bucket's since the start, at most.
+    /// Largest number of admissions by which the nodes fell behind that bucket since the start.
     pub lost: f64,
     pub refused: usize,
     pub requests: usize,
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -1,4 +1,5 @@
-//! What five allowances admit, refuse and send each other over a network that delays and cuts, pinned as a digest by kind.
+//! Pins, as one digest for each kind, what five rate limiters admit, refuse and send each other over a network with
+//! delays and a partition.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +18,7 @@
 
 struct Fleet {
     nodes: Vec<FleetRateLimiter>,
-    /// Messages on their way, by the step of their arrival.
+    /// Messages in transit, by the step of their arrival.
     sent: BTreeMap<(u64, u64), (usize, NodeId, QuotaMessage)>,
     random: ChaCha8Rng,
     sequence: u64,
@@ -60,7 +61,7 @@
         digest.update(line.as_bytes());
     }
 
-    /// Whether the second node is cut off at the moment.
+    /// Whether the second node is cut off now.
     fn is_cut(&self) -> bool {
         (1600..2400).contains(&self.step)
     }
@@ -100,7 +101,7 @@
                 self.send(node, envelopes);
             }
         }
-        // Usual demand is below the rates; between four and twelve seconds it is six times as much.
+        // Demand is below the rates at first; from four to twelve seconds it is six times as high.
         let is_hot = (800..2400).contains(&self.step);
         for (tenant, per_step) in [("small", 0.01), ("usual", 0.07), ("large", 0.3)] {
             let asked = per_step * if is_hot { 6.0 } else { 1.0 } + self.random.random::<f64>();
@@ -165,7 +166,7 @@
     let mut fleet = Fleet::new();
     for step in 0..4000 {
         match step {
-            // The cut is seen half a second after it began, and its end half a second after it ended.
+            // The nodes' views change half a second after the partition begins, and half a second after it ends.
             1700 => {
                 let others = [NODES[0], NODES[2], NODES[3], NODES[4]];
                 [0, 2, 3, 4].into_iter().for_each(|node| fleet.see(node, &others));
--- a/crates/staircross-quota/tests/restart.rs
+++ b/crates/staircross-quota/tests/restart.rs
@@ -1,4 +1,5 @@
-//! A node that was restarted and knows of nobody else yet: all nodes may have been, and all callers come back at once.
+//! A restarted node that knows no other node yet. All nodes may have been restarted, so that all callers come back at
+//! once.
 
 use staircross_quota::{FleetRateLimiter, QuotaBound};
 use staircross_types::{BootTime, NodeId, Quota};
@@ -7,7 +8,7 @@
 
 const TENANTS: usize = 100;
 
-/// Tenants of 100 whose first request a restarted node admits before it has heard of any other.
+/// Returns for how many of 100 tenants a restarted node admits the first request before it knows any other node.
 fn admitted_at_once(rate_per_s: f64) -> usize {
     let bound = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let now = BootTime::from_millis(1000);
--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -1,4 +1,5 @@
-//! A tenant's owner that doesn't answer, and the node that stands in for it until the membership names another.
+//! A tenant's owner that doesn't answer, and the node that substitutes for it until the membership names another
+//! owner.
 
 use staircross_quota::{FleetRateLimiter, FleetView, QuotaBound, QuotaEnvelope, QuotaMessage};
 use staircross_types::{BootTime, NodeId, Quota};
@@ -8,17 +9,17 @@
 const TENANT: &str = "tenant";
 const NODES: u128 = 6;
 const STEP: Duration = Duration::from_millis(10);
-/// Time in which a fleet has found out that an owner is silent, and who stands in for it.
+/// Time within which a fleet detects that an owner is silent and agrees on its substitute.
 const FOUND_OUT: Duration = Duration::from_millis(600);
-/// Requests a second and at once.
+/// Requests per second, and burst in requests.
 const RATE: f64 = 10.0;
 
-/// Nodes that reach each other at once, but for the silent ones.
+/// Nodes whose messages arrive at once, except those from and to silent nodes.
 struct Fleet {
     nodes: Vec<FleetRateLimiter>,
     silent: Vec<NodeId>,
     now: BootTime,
-    /// Unasked grants in an owner's place.
+    /// Number of grants sent in an owner's place that answer no report.
     told: usize,
 }
 
@@ -34,7 +35,7 @@
             node.set_fleet(formed, FleetView { serving: ids.clone() });
             node
         };
-        // All have seen the same nodes for a while.
+        // All nodes have had the same view for some time.
         let now = formed + Duration::from_secs(2);
         Fleet { nodes: ids.iter().map(node).collect(), silent: Vec::new(), now, told: 0 }
     }
@@ -43,7 +44,7 @@
         &mut self.nodes[node.0 as usize - 1]
     }
 
-    /// The owner, once any request has come.
+    /// The tenant's owner, which a node determines with the first request.
     fn owner(&mut self) -> NodeId {
         let now = self.now;
         let _admitted = self.at(NodeId(1)).try_take(now, TENANT);
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Lets time pass; each of these nodes takes a request every 50 ms. Returns how many were admitted.
+    /// Lets `span` elapse while each node in `asked` receives a request every 50 ms. Returns the number of admitted
+    /// requests.
     fn pass(&mut self, span: Duration, asked: &[NodeId]) -> usize {
         let (until, mut step, mut admitted) = (self.now + span, 0, 0);
         while self.now < until {
@@ -98,7 +100,7 @@
     let mut fleet = Fleet::new();
     let (owner, others) = (fleet.owner(), fleet.others());
     fleet.silent = vec![owner];
-    // One of them is asked; the others learn from it before any request comes to them.
+    // Only one node receives requests; the others learn of the substitute from it.
     fleet.pass(FOUND_OUT, &others[..1]);
     let substitutes = fleet.substitutes(&others);
     assert!(substitutes[0].is_some() && substitutes.iter().all(|node| *node == substitutes[0]), "{substitutes:?}");
@@ -109,10 +111,11 @@
     let mut fleet = Fleet::new();
     let (owner, others) = (fleet.owner(), fleet.others());
     fleet.silent = vec![owner];
-    // What was admitted before anybody knew is taken back first.
+    // The requests admitted before the silence was detected are compensated first.
     fleet.pass(Duration::from_secs(10), &others);
     let admitted = fleet.pass(Duration::from_secs(10), &others) as f64;
-    // Ten times the rate is asked. Five of six nodes may spend half of their part of the rate, and of what is granted evenly besides.
+    // Ten times the rate is requested. Five of six nodes may spend half of their fraction of the rate and of the parts
+    // of burst and excess that are granted evenly.
     let (least, most) = (10.0 * RATE * 5.0 / 6.0 * 0.5, 10.0 * RATE * 5.0 / 6.0);
     assert!((least..=most).contains(&admitted), "{admitted} of {least} to {most}");
 }
@@ -154,15 +157,16 @@
     let (cut, now) = (others[0], fleet.now);
     fleet.at(cut).set_isolated(true);
     let admitted = (0..20).filter(|_| fleet.at(cut).try_take(now, TENANT).is_ok()).count();
-    // A fifth of the permitted excess of 35 is for the third of the nodes that may be cut off.
+    // A fifth of the permitted excess of 35 requests is for the third of the nodes that may be cut off.
     assert!(admitted <= 4, "{admitted} of 20 at once");
     assert!(fleet.at(cut).view(now, TENANT).expect("a quota").is_deciding_locally);
     fleet.at(cut).set_isolated(false);
     assert!(!fleet.at(cut).view(now, TENANT).expect("a quota").is_deciding_locally);
 }
 
-/// Nodes that come and go while an owner is silent don't end that another stands in for it. Seen: at 307 nodes of which half came back from a loss of power, it began anew with each change; one node told all others
-/// so often that it sent 28 MB within five seconds, as its traffic line showed (`quotas_other_region`).
+/// Nodes that join and leave while an owner is silent don't end the substitution for it. When half of 307 nodes came
+/// back after a power failure, the substitution started again with each change; one node sent grants to all others so
+/// often that it sent 28 MB within five seconds, as its traffic line showed (`quotas_other_region`).
 #[test]
 fn the_substitute_stays_while_nodes_come_and_go() {
     let mut fleet = Fleet::new();
@@ -183,8 +187,9 @@
     assert!(fleet.told <= 2 * NODES as usize, "{} grants in the owner's place", fleet.told);
 }
 
-/// While nodes come and go, one that is taken for an owner may not know that it is, and not answer. Seen: as half of 307 nodes came back from a loss of power, those that stood in for such owners sent
-/// 33 of the 41 MB of that day's quotas.
+/// While nodes join and leave, a node that others regard as an owner may not know that it is one, and not answer. When
+/// half of 307 nodes came back after a power failure, the substitutes for such owners sent 33 of the 41 MB of all
+/// quota messages.
 #[test]
 fn nobody_stands_in_while_nodes_come_and_go() {
     let mut fleet = Fleet::new();
