--- a/crates/staircross-quota/tests/bound.rs
+++ b/crates/staircross-quota/tests/bound.rs
@@ -3,14 +3,14 @@
 
 mod model;
 
-use model::{Callers, FAULT_S, Fault, Outcome, Schedule, Scheme, World};
+use model::{Callers, FAULT_S, Fault, Outcome, Schedule, Scheme, Simulation};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
 use staircross_types::Quota;
 
 /// Fraction of its rate to which a tenant keeps that must never be refused while there is no fault.
-const SAFE_FRACTION: f64 = 0.9;
+const SAFE_RATE_FRACTION: f64 = 0.9;
 /// Fraction of its burst to which such a tenant keeps.
 const SAFE_BURST_FRACTION: f64 = 0.5;
 /// Smallest burst of such a tenant.
@@ -33,43 +33,61 @@
         nodes in 6_usize..80,
         rate_per_s in prop::sample::select(vec![0.5, 1.0, 2.4, 6.0, 12.0, 25.0, 50.0]),
         burst in 0.5_f64..2.0,
-        usual in 0.3_f64..0.9,
-        hot in 1.0_f64..9.0,
-        hot_s in 8.5_f64..13.0,
+        base_demand in 0.3_f64..0.9,
+        hot_factor in 1.0_f64..9.0,
+        hot_start_s in 8.5_f64..13.0,
         callers in callers(),
         fault in fault(),
-        lost in 0.0_f64..0.1,
-        doubled in 0.0_f64..0.1,
+        loss_rate in 0.0_f64..0.1,
+        duplication_rate in 0.0_f64..0.1,
     ) -> Schedule {
         let quota = Quota { rate_per_s, burst: (rate_per_s * burst).max(1.0) };
-        let hot = hot.min(HOTTEST / usual);
-        Schedule { seed, nodes, quota, usual, hot, hot_s, callers, fault, lost, doubled, keeps_to: None }
+        let hot_factor = hot_factor.min(MAX_DEMAND / base_demand);
+        Schedule {
+            seed,
+            nodes,
+            quota,
+            base_demand,
+            hot_factor,
+            hot_start_s,
+            callers,
+            fault,
+            loss_rate,
+            duplication_rate,
+            self_limit: None,
+        }
     }
 }
 
 /// Demand rises within one second before or after the fault.
-fn schedule_about_the_fault() -> impl Strategy<Value = Schedule> {
-    (schedule(), FAULT_S - 1.0..FAULT_S + 1.0).prop_map(|(schedule, hot_s)| Schedule { hot_s, ..schedule })
+fn schedule_with_rise_near_fault() -> impl Strategy<Value = Schedule> {
+    (schedule(), FAULT_S - 1.0..FAULT_S + 1.0).prop_map(|(schedule, hot_start_s)| Schedule { hot_start_s, ..schedule })
 }
 
 /// Seed of the property tests, which play the same schedules in each run. `figures_of_the_worst_schedules` searches
 /// other schedules.
-const SCHEDULES: u64 = 1;
+const SCHEDULE_SEED: u64 = 1;
 /// Largest demand of a tenant, as a multiple of its rate: nine times a usual demand of 1 / 1.6.
-const HOTTEST: f64 = 9.0 / 1.6;
+const MAX_DEMAND: f64 = 9.0 / 1.6;
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, max_shrink_iters: 0, rng_seed: RngSeed::Fixed(SCHEDULES), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        max_shrink_iters: 0,
+        rng_seed: RngSeed::Fixed(SCHEDULE_SEED),
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn admissions_stay_within_the_bound_in_every_window(schedule in schedule()) {
-        let outcome = World::new(schedule, Scheme::Owner).run();
+        let outcome = Simulation::new(schedule, Scheme::Owner).run();
         prop_assert!(outcome.worst <= 1.0, "{outcome:?}");
     }
 
     #[test]
-    fn admissions_stay_within_the_bound_where_demand_rises_about_a_fault(schedule in schedule_about_the_fault()) {
-        let outcome = World::new(schedule, Scheme::Owner).run();
+    fn admissions_stay_within_the_bound_where_demand_rises_about_a_fault(schedule in schedule_with_rise_near_fault()) {
+        let outcome = Simulation::new(schedule, Scheme::Owner).run();
         prop_assert!(outcome.worst <= 1.0, "{outcome:?}");
     }
 
@@ -78,10 +96,18 @@
         // The tenant wants to send more than it may, so that it uses up its self-imposed limit, and unevenly.
         let burst = schedule.quota.burst.max(MIN_BURST);
         let quota = Quota { burst, ..schedule.quota };
-        let keeps_to = Some((SAFE_FRACTION, SAFE_BURST_FRACTION));
-        let lost = schedule.lost * QUIET_LOSS_FRACTION;
-        let quiet = Schedule { quota, keeps_to, lost, hot: 1.0, usual: 1.2, fault: Fault::None, ..schedule };
-        let outcome = World::new(quiet, Scheme::Owner).run();
+        let self_limit = Some((SAFE_RATE_FRACTION, SAFE_BURST_FRACTION));
+        let loss_rate = schedule.loss_rate * QUIET_LOSS_FRACTION;
+        let quiet = Schedule {
+            quota,
+            self_limit,
+            loss_rate,
+            hot_factor: 1.0,
+            base_demand: 1.2,
+            fault: Fault::None,
+            ..schedule
+        };
+        let outcome = Simulation::new(quiet, Scheme::Owner).run();
         prop_assert_eq!(outcome.refused, 0, "{:?}", outcome);
     }
 }
@@ -94,10 +120,23 @@
 /// before the fault, and one is of the owner.
 #[test]
 fn a_rise_of_demand_at_the_moment_of_a_cut_stays_within_the_bound() {
-    let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, fault, lost, doubled| {
-        let (quota, callers) = (Quota { rate_per_s, burst }, Callers::Spread);
-        Schedule { seed, nodes, quota, usual, hot, hot_s, callers, fault, lost, doubled, keeps_to: None }
-    };
+    let schedule =
+        |seed, nodes, rate_per_s, burst, base_demand, hot_factor, hot_start_s, fault, loss_rate, duplication_rate| {
+            let (quota, callers) = (Quota { rate_per_s, burst }, Callers::Spread);
+            Schedule {
+                seed,
+                nodes,
+                quota,
+                base_demand,
+                hot_factor,
+                hot_start_s,
+                callers,
+                fault,
+                loss_rate,
+                duplication_rate,
+                self_limit: None,
+            }
+        };
     let schedules = [
         schedule(
             376644262033305620,
@@ -125,7 +164,7 @@
         ),
     ];
     for schedule in schedules {
-        let outcome = World::new(schedule.clone(), Scheme::Owner).run();
+        let outcome = Simulation::new(schedule.clone(), Scheme::Owner).run();
         assert!(outcome.worst <= 1.0, "{schedule:?}: {outcome:?}");
     }
 }
@@ -135,10 +174,23 @@
 /// excess in the version that was searched.
 #[test]
 fn a_rise_of_demand_within_a_second_of_a_fault_stays_within_the_bound() {
-    let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, fault, lost, doubled| {
-        let (quota, callers) = (Quota { rate_per_s, burst }, Callers::Spread);
-        Schedule { seed, nodes, quota, usual, hot, hot_s, callers, fault, lost, doubled, keeps_to: None }
-    };
+    let schedule =
+        |seed, nodes, rate_per_s, burst, base_demand, hot_factor, hot_start_s, fault, loss_rate, duplication_rate| {
+            let (quota, callers) = (Quota { rate_per_s, burst }, Callers::Spread);
+            Schedule {
+                seed,
+                nodes,
+                quota,
+                base_demand,
+                hot_factor,
+                hot_start_s,
+                callers,
+                fault,
+                loss_rate,
+                duplication_rate,
+                self_limit: None,
+            }
+        };
     let schedules = [
         schedule(
             13786871040143935473,
@@ -285,7 +337,7 @@
             0.05922001296370863,
         ),
     ];
-    let played = schedules.map(|schedule| (World::new(schedule.clone(), Scheme::Owner).run(), schedule));
+    let played = schedules.map(|schedule| (Simulation::new(schedule.clone(), Scheme::Owner).run(), schedule));
     let beyond: Vec<_> = played.iter().filter(|(outcome, _)| outcome.worst > 1.0).collect();
     assert!(beyond.is_empty(), "{} of {}: {beyond:#?}", beyond.len(), played.len());
 }
@@ -293,9 +345,31 @@
 /// Schedules in which an earlier version exceeded the bound, each for a different cause.
 #[test]
 fn schedules_that_exceeded_the_bound_once_stay_within_it() {
-    let schedule = |seed, nodes, rate_per_s, burst, usual, hot, hot_s, callers, fault, lost, doubled| {
+    let schedule = |seed,
+                    nodes,
+                    rate_per_s,
+                    burst,
+                    base_demand,
+                    hot_factor,
+                    hot_start_s,
+                    callers,
+                    fault,
+                    loss_rate,
+                    duplication_rate| {
         let quota = Quota { rate_per_s, burst };
-        Schedule { seed, nodes, quota, usual, hot, hot_s, callers, fault, lost, doubled, keeps_to: None }
+        Schedule {
+            seed,
+            nodes,
+            quota,
+            base_demand,
+            hot_factor,
+            hot_start_s,
+            callers,
+            fault,
+            loss_rate,
+            duplication_rate,
+            self_limit: None,
+        }
     };
     let schedules = [
         // Callers move to nodes that were cut off before the tenant was limited; each of these nodes admitted a whole
@@ -342,7 +416,7 @@
         ),
     ];
     for schedule in schedules {
-        let outcome = World::new(schedule.clone(), Scheme::Owner).run();
+        let outcome = Simulation::new(schedule.clone(), Scheme::Owner).run();
         assert!(outcome.worst <= 1.0, "{schedule:?}: {outcome:?}");
     }
 }
@@ -351,31 +425,31 @@
 #[test]
 #[ignore = "prints figures for the design note"]
 fn figures_of_the_worst_schedules() {
-    print_the_worst(schedule());
-    print_the_worst(schedule_about_the_fault());
+    print_worst_schedules(schedule());
+    print_worst_schedules(schedule_with_rise_near_fault());
 }
 
 /// Plays schedules drawn from the seed in the environment variable `SEARCH_SEED`, or from the fixed seed, and prints
 /// the worst.
-fn print_the_worst(strategy: impl Strategy<Value = Schedule>) {
-    let seed = std::env::var("SEARCH_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES);
+fn print_worst_schedules(strategy: impl Strategy<Value = Schedule>) {
+    let seed = std::env::var("SEARCH_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(SCHEDULE_SEED);
     let config = ProptestConfig { rng_seed: RngSeed::Fixed(seed), ..ProptestConfig::default() };
     let mut runner = TestRunner::new(config);
-    let mut played: Vec<(Schedule, Outcome)> = (0..CENSUS)
+    let mut played: Vec<(Schedule, Outcome)> = (0..SEARCHED_SCHEDULES)
         .map(|_| {
             let tree = strategy.new_tree(&mut runner).expect("schedules have no filter");
             let schedule = tree.current();
-            (schedule.clone(), World::new(schedule, Scheme::Owner).run())
+            (schedule.clone(), Simulation::new(schedule, Scheme::Owner).run())
         })
         .collect();
     played.sort_by(|(_, a), (_, b)| b.worst.total_cmp(&a.worst));
     let beyond = played.iter().filter(|(_, outcome)| outcome.worst > 1.0).count();
-    println!("{beyond} of {CENSUS} schedules beyond the bound");
+    println!("{beyond} of {SEARCHED_SCHEDULES} schedules beyond the bound");
     for (schedule, outcome) in played.iter().take(12) {
-        let lost = outcome.lost / outcome.owed.max(1.0);
-        println!("{:.2} lost {lost:.3} {schedule:?} {:?}", outcome.worst, outcome.window);
+        let shortfall = outcome.shortfall / outcome.reference_admissions.max(1.0);
+        println!("{:.2} lost {shortfall:.3} {schedule:?} {:?}", outcome.worst, outcome.window);
     }
 }
 
-/// Number of schedules that `print_the_worst` plays.
-const CENSUS: usize = 5000;
+/// Number of schedules that `print_worst_schedules` plays.
+const SEARCHED_SCHEDULES: usize = 5000;
--- a/crates/staircross-quota/tests/model/schedule.rs
+++ b/crates/staircross-quota/tests/model/schedule.rs
@@ -65,22 +65,22 @@
     pub seed: u64,
     pub nodes: usize,
     pub quota: Quota,
-    /// Demand before `hot_s`, as a multiple of the rate.
-    pub usual: f64,
-    /// Demand from `hot_s` on, as a multiple of the usual demand.
-    pub hot: f64,
-    pub hot_s: f64,
+    /// Demand before `hot_start_s`, as a multiple of the rate.
+    pub base_demand: f64,
+    /// Demand from `hot_start_s` on, as a multiple of `base_demand`.
+    pub hot_factor: f64,
+    pub hot_start_s: f64,
     pub callers: Callers,
     pub fault: Fault,
-    pub lost: f64,
-    pub doubled: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// Fractions of its rate and burst to which the tenant limits itself.
-    pub keeps_to: Option<(f64, f64)>,
+    pub self_limit: Option<(f64, f64)>,
 }
 
 /// How a node decided to admit a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionKind {
     /// The node is the tenant's owner.
     Owner,
     /// The node admits a fraction below 1 that an owner granted.
@@ -88,11 +88,11 @@
     /// No fraction below 1 has been granted to the node.
     Unlimited,
     /// The node uses the last grant of an owner that it can't reach, and doesn't know that yet.
-    Unheard,
+    UnreachableOwner,
     /// The node substitutes for an owner that doesn't answer, or follows a grant of a substitute.
     Substitute,
     /// The node decides on its own, because the owner is silent.
-    Alone,
+    Local,
 }
 
 /// Number of admissions in the worst window, by kind.
@@ -106,9 +106,9 @@
     pub owner: usize,
     pub granted: usize,
     pub unlimited: usize,
-    pub unheard: usize,
+    pub unreachable_owner: usize,
     pub substitute: usize,
-    pub alone: usize,
+    pub local: usize,
     /// Number of nodes that admitted requests as the owner.
     pub owners: usize,
 }
@@ -121,9 +121,9 @@
     /// The worst window.
     pub window: WorstWindow,
     /// Requests that one bucket with the quota's rate and burst would have admitted.
-    pub owed: f64,
+    pub reference_admissions: f64,
     /// Largest number of admissions by which the nodes fell behind that bucket since the start.
-    pub lost: f64,
+    pub shortfall: f64,
     pub refused: usize,
     pub requests: usize,
     pub datagrams: usize,
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -19,11 +19,11 @@
 struct Fleet {
     nodes: Vec<FleetRateLimiter>,
     /// Messages in transit, by the step of their arrival.
-    sent: BTreeMap<(u64, u64), (usize, NodeId, QuotaMessage)>,
+    in_transit: BTreeMap<(u64, u64), (usize, NodeId, QuotaMessage)>,
     random: ChaCha8Rng,
     sequence: u64,
     step: u64,
-    kinds: BTreeMap<&'static str, (usize, Xxh3)>,
+    digests: BTreeMap<&'static str, (usize, Xxh3)>,
 }
 
 fn quotas(factor: f64) -> impl Iterator<Item = (Arc<str>, Quota)> {
@@ -42,11 +42,11 @@
         };
         Fleet {
             nodes: NODES.map(node).into_iter().collect(),
-            sent: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(3),
             sequence: 0,
             step: 0,
-            kinds: BTreeMap::new(),
+            digests: BTreeMap::new(),
         }
     }
 
@@ -54,27 +54,27 @@
         BootTime::from_millis(1000 + self.step * STEP_MS)
     }
 
-    fn note(&mut self, kind: &'static str, node: usize, text: &str) {
+    fn record(&mut self, kind: &'static str, node: usize, text: &str) {
         let line = format!("{} {kind} {node} {text}\n", self.now().0);
-        let (count, digest) = self.kinds.entry(kind).or_default();
+        let (count, digest) = self.digests.entry(kind).or_default();
         *count += 1;
         digest.update(line.as_bytes());
     }
 
     /// Whether the second node is cut off now.
-    fn is_cut(&self) -> bool {
+    fn is_second_node_cut_off(&self) -> bool {
         (1600..2400).contains(&self.step)
     }
 
     fn send(&mut self, node: usize, envelopes: Vec<QuotaEnvelope>) {
         for QuotaEnvelope { to, message } in envelopes {
-            let (kind, text) = shown(&message);
-            self.note(kind, node, &format!("{} {text}", to.0));
+            let (kind, text) = describe(&message);
+            self.record(kind, node, &format!("{} {text}", to.0));
             let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
             let delay = self.random.random_range(1..6);
-            if !(self.is_cut() && (node == 1 || receiver == 1)) {
+            if !(self.is_second_node_cut_off() && (node == 1 || receiver == 1)) {
                 self.sequence += 1;
-                self.sent.insert((self.step + delay, self.sequence), (receiver, NODES[node], message));
+                self.in_transit.insert((self.step + delay, self.sequence), (receiver, NODES[node], message));
             }
         }
         for change in self.nodes[node].take_changes() {
@@ -82,14 +82,14 @@
                 "{} {} {} {}",
                 change.tenant, change.is_limited, change.admit_fraction, change.is_deciding_locally
             );
-            self.note("changed", node, &text);
+            self.record("changed", node, &text);
         }
     }
 
     fn play_step(&mut self) {
         self.step += 1;
         let now = self.now();
-        while let Some(((_, _), (node, from, message))) = self.sent.pop_first_if(self.step) {
+        while let Some(((_, _), (node, from, message))) = self.in_transit.pop_due(self.step) {
             let mut envelopes = Vec::new();
             self.nodes[node].on_message(now, from, message, &mut envelopes);
             self.send(node, envelopes);
@@ -104,38 +104,38 @@
         // Demand is below the rates at first; from four to twelve seconds it is six times as high.
         let is_hot = (800..2400).contains(&self.step);
         for (tenant, per_step) in [("small", 0.01), ("usual", 0.07), ("large", 0.3)] {
-            let asked = per_step * if is_hot { 6.0 } else { 1.0 } + self.random.random::<f64>();
-            (0..asked as usize).for_each(|_| self.ask(tenant));
+            let request_count = per_step * if is_hot { 6.0 } else { 1.0 } + self.random.random::<f64>();
+            (0..request_count as usize).for_each(|_| self.send_request(tenant));
         }
     }
 
-    fn ask(&mut self, tenant: &str) {
+    fn send_request(&mut self, tenant: &str) {
         let node = self.random.random_range(0..NODES.len());
         let now = self.now();
         let taken = self.nodes[node].try_take(now, tenant);
         match taken {
-            Ok(()) => self.note("admitted", node, tenant),
-            Err(refusal) => self.note("refused", node, &format!("{tenant} {}", refusal.retry_after.as_nanos())),
+            Ok(()) => self.record("admitted", node, tenant),
+            Err(refusal) => self.record("refused", node, &format!("{tenant} {}", refusal.retry_after.as_nanos())),
         }
     }
 
-    fn see(&mut self, node: usize, serving: &[NodeId]) {
+    fn set_view(&mut self, node: usize, serving: &[NodeId]) {
         let now = self.now();
         self.nodes[node].set_fleet(now, FleetView { serving: serving.to_vec() });
     }
 }
 
-trait PopFirstIf<V> {
-    fn pop_first_if(&mut self, step: u64) -> Option<((u64, u64), V)>;
+trait PopDue<V> {
+    fn pop_due(&mut self, step: u64) -> Option<((u64, u64), V)>;
 }
 
-impl<V> PopFirstIf<V> for BTreeMap<(u64, u64), V> {
-    fn pop_first_if(&mut self, step: u64) -> Option<((u64, u64), V)> {
+impl<V> PopDue<V> for BTreeMap<(u64, u64), V> {
+    fn pop_due(&mut self, step: u64) -> Option<((u64, u64), V)> {
         self.first_key_value().is_some_and(|((due, _), _)| *due <= step).then(|| self.pop_first()).flatten()
     }
 }
 
-fn shown(message: &QuotaMessage) -> (&'static str, String) {
+fn describe(message: &QuotaMessage) -> (&'static str, String) {
     match message {
         QuotaMessage::Report(report) => {
             let (counts, confirmed) = (report.counts, report.confirmed);
@@ -169,10 +169,10 @@
             // The nodes' views change half a second after the partition begins, and half a second after it ends.
             1700 => {
                 let others = [NODES[0], NODES[2], NODES[3], NODES[4]];
-                [0, 2, 3, 4].into_iter().for_each(|node| fleet.see(node, &others));
-                fleet.see(1, &NODES[1..2]);
+                [0, 2, 3, 4].into_iter().for_each(|node| fleet.set_view(node, &others));
+                fleet.set_view(1, &NODES[1..2]);
             }
-            2500 => (0..NODES.len()).for_each(|node| fleet.see(node, &NODES)),
+            2500 => (0..NODES.len()).for_each(|node| fleet.set_view(node, &NODES)),
             3000 => {
                 let now = fleet.now();
                 fleet.nodes.iter_mut().for_each(|node| node.set_quotas(now, quotas(0.5)));
@@ -182,7 +182,7 @@
         fleet.play_step();
     }
     let mut table = String::new();
-    for (kind, (count, digest)) in &fleet.kinds {
+    for (kind, (count, digest)) in &fleet.digests {
         writeln!(table, "{kind:<12} {count:>6} {:016x}", digest.digest()).expect("a string takes it");
     }
     insta::assert_snapshot!("five_nodes", table);
