--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -35,16 +35,20 @@
         message: QuotaMessage,
     },
     Tick(usize),
+    /// The node's view becomes the nodes that it reaches.
     RefreshView(usize),
     Fault,
+    /// The fault ends: all nodes reach each other again.
     Heal,
     Stop(usize),
     Kill(usize),
     Start(usize),
     ChangeQuota(usize),
+    /// The node's view misses a random part of the other nodes.
     IncompleteView(usize),
     /// The node probes another node, as the membership does.
     Probe(usize),
+    /// A datagram of the membership arrives at the node.
     MembershipDatagram(usize),
 }
 
@@ -57,13 +61,16 @@
     id: NodeId,
     rate_limiter: FleetRateLimiter,
     view: Vec<NodeId>,
+    /// Largest number of nodes seen lately, and when.
     peak: (usize, f64),
+    /// Bucket with the node's fixed share of the quota.
     share_bucket: Bucket,
     quota: Quota,
     is_up: bool,
     is_serving: bool,
     /// Time at which the last datagram of the membership arrived.
     last_datagram_at: f64,
+    /// Nodes reach each other only if they are in the same group.
     group: usize,
     next_tick: f64,
 }
@@ -83,6 +90,7 @@
     probe_random: ChaCha8Rng,
     nodes: Vec<Node>,
     events: BTreeMap<(u64, u64), Event>,
+    /// Orders events of the same time.
     sequence: u64,
     now: f64,
     next_id: u128,
@@ -409,6 +417,7 @@
         may_send
     }
 
+    /// Returns whether one bucket with the node's whole quota admits the request.
     fn is_admitted_by_reference(&mut self, node: usize) -> bool {
         let quota = self.nodes[node].quota;
         let level = self.reference_bucket.level + (self.now - self.reference_bucket.refilled_at) * quota.rate_per_s;
@@ -418,6 +427,7 @@
         is_admitted_by_reference
     }
 
+    /// Decides by a bucket with the node's fixed share of the quota.
     fn take_fixed_share(&mut self, node: usize, extra_burst: f64) -> bool {
         let node = &mut self.nodes[node];
         let fleet = node.peak.0.max(node.view.len()) as f64;
--- a/crates/staircross-quota/tests/model/schedule.rs
+++ b/crates/staircross-quota/tests/model/schedule.rs
@@ -69,10 +69,13 @@
     pub base_demand: f64,
     /// Demand from `hot_start_s` on, as a multiple of `base_demand`.
     pub hot_factor: f64,
+    /// Time at which demand rises.
     pub hot_start_s: f64,
     pub callers: Callers,
     pub fault: Fault,
+    /// Fraction of datagrams that are lost.
     pub loss_rate: f64,
+    /// Fraction of datagrams that arrive twice.
     pub duplication_rate: f64,
     /// Fractions of its rate and burst to which the tenant limits itself.
     pub self_limit: Option<(f64, f64)>,
