--- a/crates/staircross-latency/src/lib.rs
+++ b/crates/staircross-latency/src/lib.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 /// Number of samples after which the quantiles are computed again.
-const REFRESH_EVERY: u64 = 64;
+const SAMPLES_PER_UPDATE: u64 = 64;
 /// Number of samples in a window. A full window replaces the previous one.
-const WINDOW: u64 = 4096;
+const SAMPLES_PER_WINDOW: u64 = 4096;
 /// Upper bound of the hedge delay, as a multiple of the median.
-const MAX_MEDIANS: u32 = 4;
+const MAX_HEDGE_DELAY_IN_MEDIANS: u32 = 4;
 /// Number of samples from which the quantiles of the current window are used.
-const ENOUGH_SAMPLES: u64 = 512;
+const MIN_WINDOW_SAMPLES: u64 = 512;
 /// Largest latency that is recorded, in microseconds; longer ones are recorded as this one.
 const MAX_MICROS: u64 = 60_000_000;
 /// Quantile of latencies that is used as the hedge delay.
@@ -29,32 +29,32 @@
 }
 
 impl LatencyTracker {
-    /// Creates a tracker that returns `guess` for every quantile until there are samples.
-    pub fn new(guess: Duration) -> Self {
-        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: guess, hedge_delay: guess }
+    /// Creates a tracker that returns `initial` for every quantile until there are samples.
+    pub fn new(initial: Duration) -> Self {
+        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: initial, hedge_delay: initial }
     }
 
     /// Adds one sample.
     pub fn record(&mut self, latency: Duration) {
         self.current.saturating_record((latency.as_micros() as u64).clamp(1, MAX_MICROS));
-        if self.current.len().is_multiple_of(REFRESH_EVERY) {
-            self.refresh();
+        if self.current.len().is_multiple_of(SAMPLES_PER_UPDATE) {
+            self.update_quantiles();
         }
-        if self.current.len() >= WINDOW {
+        if self.current.len() >= SAMPLES_PER_WINDOW {
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reset();
         }
     }
 
-    fn refresh(&mut self) {
+    fn update_quantiles(&mut self) {
         // A new window has too few samples for a tail quantile; the previous window is full.
-        let current_is_enough = self.current.len() >= ENOUGH_SAMPLES || self.previous.is_empty();
-        let source = if current_is_enough { &self.current } else { &self.previous };
-        self.median = Duration::from_micros(source.value_at_quantile(0.5));
-        let tail = Duration::from_micros(source.value_at_quantile(HEDGE_QUANTILE));
+        let has_enough_samples = self.current.len() >= MIN_WINDOW_SAMPLES || self.previous.is_empty();
+        let histogram = if has_enough_samples { &self.current } else { &self.previous };
+        self.median = Duration::from_micros(histogram.value_at_quantile(0.5));
+        let tail = Duration::from_micros(histogram.value_at_quantile(HEDGE_QUANTILE));
         // If more than a few percent of sub-requests are slow, they make up the tail, and without the bound none of
         // them would count as late.
-        self.hedge_delay = tail.min(self.median * MAX_MEDIANS);
+        self.hedge_delay = tail.min(self.median * MAX_HEDGE_DELAY_IN_MEDIANS);
     }
 
     /// Median latency of sub-requests.
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -204,7 +204,7 @@
     }
 
     /// Returns whether nodes were granted a fraction below 1, which must be granted again.
-    pub fn is_limiting(&self) -> bool {
+    pub fn has_granted_limit(&self) -> bool {
         self.last_granted < 1.0
     }
 
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -119,7 +119,7 @@
         let is_in_first_start = self.is_in_first_start(now);
         for hash in scheduled {
             if let Some(tenant) = self.tenants.get_mut(&hash) {
-                tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
             }
             self.schedule(hash);
         }
@@ -140,7 +140,7 @@
         let Some(tenant) = self.tenants.get_mut(&hash) else {
             return Ok(());
         };
-        tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
         let is_deciding_locally = is_cut_off || tenant.is_deciding_locally(now, &self.fleet);
         let decision = match (is_deciding_locally, tenant.owner == self.own) {
             _ if self.fleet.is_starting(now) => tenant.decide_while_starting(now, random),
@@ -180,7 +180,7 @@
         let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
-                tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
                 if let Some(grant) = tenant.handle_report_as_substitute(now, from, report, &self.fleet) {
                     envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
                     return self.schedule(report.tenant);
@@ -210,7 +210,7 @@
             return;
         };
         // The tenant may become limited before this node receives its first request.
-        tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
         if grant.substituted_owner.is_some() {
             let objection = tenant.handle_substitute_grant(now, from, self.own, grant).map(QuotaMessage::Grant);
             let is_owner = grant.substituted_owner == Some(self.own) && tenant.owner == self.own;
@@ -243,7 +243,7 @@
                 self.scheduled.remove(&hash);
                 continue;
             };
-            tenant.refresh(now, self.own, &self.fleet, is_in_first_start);
+            tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
             let report = tenant.take_due_report(now);
             if report.is_some() && may_substitute {
                 tenant.start_substitution_if_needed(now);
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -73,7 +73,7 @@
 
     /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after
     /// [`FORMER_OWNER_LINGER`].
-    pub fn refresh(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
+    pub fn refresh_owner(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
             let owner = fleet.owner_of(self.hash);
@@ -144,7 +144,7 @@
         let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
         let is_admitted = should_admit(&mut self.carry, admit_fraction);
         ledger.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
-        if ledger.is_limiting() || ledger.admit_fraction(&self.limits, quota_fraction) < 1.0 {
+        if ledger.has_granted_limit() || ledger.admit_fraction(&self.limits, quota_fraction) < 1.0 {
             self.next_grant_check_at = Some(now);
         }
         self.local_bucket = None;
@@ -162,7 +162,7 @@
         let credit = (self.limits.burst + self.limits.headroom()) * unconfirmed.burst_fraction;
         let has_credit = f64::from(unconfirmed.admitted) <= credit.max(1.0);
         let is_admitted = has_credit && should_admit(&mut self.carry, admit_fraction);
-        self.count_unowned(now, is_admitted);
+        self.count_as_non_owner(now, is_admitted);
         if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
@@ -196,7 +196,7 @@
         self.local_bucket = None;
         let admit_fraction = substitution.admit_fraction(now, &self.limits, fleet);
         let is_admitted = should_admit(&mut self.carry, admit_fraction);
-        self.count_unowned(now, is_admitted);
+        self.count_as_non_owner(now, is_admitted);
         if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
@@ -264,7 +264,7 @@
             self.local_bucket.get_or_insert_with(|| Bucket::new(now, credit + random - f64::from(unconfirmed)));
         bucket.refill(now, rate, capacity.max(credit));
         let decision = bucket.try_take(rate);
-        self.count_unowned(now, decision.is_ok());
+        self.count_as_non_owner(now, decision.is_ok());
         decision.map_err(|wait| QuotaRefusal { retry_after: wait + Duration::from_secs_f64(random) })
     }
 
@@ -275,12 +275,12 @@
         let fraction = self.limits.startup_fraction(!self.has_requested_while_starting);
         self.has_requested_while_starting = true;
         let is_admitted = should_admit(&mut self.carry, fraction);
-        self.count_unowned(now, is_admitted);
+        self.count_as_non_owner(now, is_admitted);
         if is_admitted { Ok(()) } else { Err(refusal(fraction, random)) }
     }
 
     /// Counts a request that this node has not decided as the owner.
-    fn count_unowned(&mut self, now: BootTime, is_admitted: bool) {
+    fn count_as_non_owner(&mut self, now: BootTime, is_admitted: bool) {
         if let Some(substitution) = &mut self.substitution {
             substitution.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
         }
@@ -303,7 +303,7 @@
         ledger.refill(now, &self.limits, quota_fraction);
         let confirmation = ledger.apply_report(now, from, report);
         let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
-        if admit_fraction < 1.0 || ledger.is_limiting() {
+        if admit_fraction < 1.0 || ledger.has_granted_limit() {
             self.next_grant_check_at = Some(now);
         }
         Some((admit_fraction, confirmation))
@@ -340,7 +340,7 @@
         if is_grant_due {
             ledger.record_grant(now, admit_fraction);
         }
-        if admit_fraction < 1.0 || ledger.is_limiting() {
+        if admit_fraction < 1.0 || ledger.has_granted_limit() {
             self.next_grant_check_at = Some(now + LIMITED_CHECK_INTERVAL);
         }
         is_grant_due.then_some(admit_fraction)
