--- a/crates/staircross-latency/src/lib.rs
+++ b/crates/staircross-latency/src/lib.rs
@@ -20,7 +20,7 @@
 /// Quantile of latencies that is used as the hedge delay.
 const HEDGE_QUANTILE: f64 = 0.98;
 
-/// Quantiles over the latest one or two windows of samples.
+/// Median and tail quantile of latency, computed from the current window of samples or the previous one.
 pub struct LatencyTracker {
     current: Histogram<u32>,
     previous: Histogram<u32>,
@@ -29,7 +29,7 @@
 }
 
 impl LatencyTracker {
-    /// Creates a tracker that returns `initial` for every quantile until there are samples.
+    /// Creates a tracker that returns `initial` as the median and the hedge delay until enough samples are recorded.
     pub fn new(initial: Duration) -> Self {
         LatencyTracker { current: new_histogram(), previous: new_histogram(), median: initial, hedge_delay: initial }
     }
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -43,8 +43,8 @@
 /// Fraction of the permitted excess for each starting node's first request of a tenant; later requests share the rest.
 const STARTUP_FIRST_REQUEST_FRACTION: f64 = 0.8;
 
-/// Bound on the requests of a tenant that all nodes together admit in each sliding window: `(rate * window + burst) *
-/// (1 + over) + slack`.
+/// Bound on the requests of a tenant that all nodes together admit in each sliding window:
+/// `(rate * window + burst) * (1 + over) + slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaBound {
     /// Length of the sliding window.
@@ -75,6 +75,7 @@
 }
 
 impl TenantLimits {
+    /// Computes the limits from the operator's bound and the tenant's quota.
     pub fn new(bound: &QuotaBound, quota: Quota) -> Self {
         let window = bound.window.as_secs_f64();
         let excess = bound.over * (quota.rate_per_s * window + quota.burst) + bound.slack;
@@ -107,7 +108,7 @@
     /// requests of a hot tenant to all starting nodes within the permitted excess, until the nodes know each other;
     /// nothing was admitted while they were down. A tenant with its usual demand seldom sends one node two requests in
     /// that time and a hot tenant does, so most of the excess is reserved for the first request at each node
-    /// (`is_first`).
+    /// (`is_first_request`).
     pub fn startup_fraction(&self, is_first_request: bool) -> f64 {
         let demand = STARTUP_HOT_DEMAND_FACTOR * self.rate * STARTUP_S;
         let fraction =
--- a/crates/staircross-quota/src/bucket.rs
+++ b/crates/staircross-quota/src/bucket.rs
@@ -12,16 +12,18 @@
 }
 
 impl Bucket {
+    /// Creates a bucket with `level` tokens.
     pub fn new(now: BootTime, level: f64) -> Self {
         Bucket { level, refilled_at: now }
     }
 
-    /// Adds the tokens that accrued since the last refill at `rate`, and caps the level at `most`.
+    /// Adds the tokens that accrued since the last refill at `rate`, and caps the level at `capacity`.
     pub fn refill(&mut self, now: BootTime, rate: f64, capacity: f64) {
         self.level = (self.level + rate * now.since(self.refilled_at).as_secs_f64()).min(capacity);
         self.refilled_at = now.max(self.refilled_at);
     }
 
+    /// Tokens in the bucket at the last refill, minus those taken since.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -42,6 +42,7 @@
     peak: (usize, BootTime),
     /// Largest number of nodes that this process has seen, and when it was first seen.
     largest_seen: (usize, BootTime),
+    /// Whether a process of the fleet has run before.
     is_restarted: bool,
     /// Time of the last change of the nodes.
     pub changed_at: BootTime,
@@ -50,6 +51,7 @@
 }
 
 impl Fleet {
+    /// Creates the view of a node that knows only itself.
     pub fn new(own: NodeId, now: BootTime, is_restarted: bool) -> Self {
         let view = FleetView { serving: vec![own] };
         Fleet { own, view, peak: (1, now), largest_seen: (1, now), is_restarted, changed_at: now, generation: 1 }
@@ -125,6 +127,7 @@
     owner_score(node, tenant) > owner_score(other, tenant)
 }
 
+/// Score by which nodes compete for the ownership of a tenant.
 fn owner_score(node: NodeId, tenant: TenantHash) -> u64 {
     xxh3_64_with_seed(&node.0.to_le_bytes(), tenant.0)
 }
--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -31,6 +31,7 @@
     node: NodeId,
     admit_fraction: f64,
     grant_valid_until: BootTime,
+    /// Part of this node's counts that the substitute has confirmed.
     confirmed: Counts,
     /// Whether the substitute has answered a report of this node, and therefore counts this node among those that
     /// receive its grants.
@@ -40,10 +41,13 @@
 }
 
 impl Substitute {
+    /// Returns whether the substitute has confirmed all of `counts`.
     fn has_confirmed_all(&self, counts: Counts) -> bool {
         self.has_answered && self.confirmed == counts
     }
 
+    /// Returns whether the substitute's last grant is valid and no report to it has been unanswered for
+    /// [`OWNER_TIMEOUT`].
     fn is_answering(&self, now: BootTime) -> bool {
         now < self.grant_valid_until && self.unanswered_since.is_none_or(|since| now.since(since) < OWNER_TIMEOUT)
     }
@@ -53,15 +57,21 @@
 #[derive(Debug)]
 pub(crate) struct Follower {
     pub owner: NodeId,
+    /// Rises with each change of owner; `counts` and `confirmed` start anew then.
     epoch: u32,
+    /// Requests of this epoch, and those that the former owner left unconfirmed.
     counts: Counts,
+    /// Part of `counts` that the owner has confirmed.
     confirmed: Counts,
     /// Time of the first transmission of the oldest report that the owner hasn't answered.
     unanswered_since: Option<BootTime>,
     /// Time of the next report.
     next_report_at: Option<BootTime>,
+    /// Time until an unanswered report is sent again.
     retry_interval: Duration,
+    /// The fraction that the owner granted last.
     admit_fraction: f64,
+    /// The owner's time of that grant, in microseconds; 0 before the first grant.
     granted_at: u64,
     grant_valid_until: BootTime,
     /// Time at which the tenant was last known to be limited.
@@ -74,6 +84,7 @@
 }
 
 impl Follower {
+    /// Creates the state for a tenant without requests.
     pub fn new(owner: NodeId, epoch: u32) -> Self {
         Follower {
             owner,
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -20,16 +20,16 @@
 const DEMAND_AVERAGING_S: f64 = 0.4;
 /// Fraction of the headroom that a new owner starts with, because it doesn't know what was admitted before.
 const NEW_OWNER_HEADROOM_FRACTION: f64 = 0.5;
-/// Time for which a grant of another owner halves this owner's rate. Longer than [`REGRANT_INTERVAL`], after which the
-/// other owner grants again.
+/// Time for which a grant of another owner reduces this owner's rate; one such owner halves it. Longer than
+/// [`REGRANT_INTERVAL`], after which the other owner grants again.
 const RIVAL_OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time between two grants to a former owner that may still regard itself as the owner. Well below
 /// [`RIVAL_OWNER_TIMEOUT`].
 const FORMER_OWNER_GRANT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time since a node's last report after which its counts are dropped. Bounds memory.
 const REPORTED_COUNTS_RETENTION: Duration = Duration::from_secs(60);
-/// Shortest time between two grants to all nodes that lower the fraction. Equal to the time after which a report is
-/// sent again.
+/// Shortest time between two grants to all nodes that lower the fraction, in a small fleet. Equal to the time after
+/// which a report is sent again.
 const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(100);
 /// Like [`MIN_GRANT_INTERVAL`], for each node that receives the grant. Limits grants to 500 datagrams per second.
 const GRANT_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
@@ -47,6 +47,7 @@
 /// What one node has reported.
 #[derive(Clone, Copy, Debug)]
 struct ReportedCounts {
+    /// Total counted for the node.
     confirmation: Confirmation,
     reported_at: BootTime,
 }
@@ -58,6 +59,7 @@
     /// Requests per second that reach all nodes together (a decaying average), and the time of its last update.
     demand: f64,
     demand_updated_at: BootTime,
+    /// Latest report of each node.
     reported: HashMap<NodeId, ReportedCounts>,
     /// Other nodes that have acted as the owner, each with the time until which that counts.
     rival_owners: Vec<(NodeId, BootTime)>,
@@ -113,6 +115,7 @@
         self.demand_updated_at = now;
     }
 
+    /// Rate at which this owner may grant requests, divided evenly among all nodes that act as the owner.
     fn rate(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
         limits.rate * quota_fraction / (1 + self.rival_owners.len()) as f64
     }
@@ -151,8 +154,8 @@
         confirmation
     }
 
-    /// Records that another node has acted as the owner, which halves the rate that each of the two grants. Returns
-    /// whether that is new.
+    /// Records that another node has acted as the owner. All owners divide the rate evenly, so that two grant half of
+    /// it each. Returns whether the other owner is new.
     pub fn record_rival_owner(&mut self, now: BootTime, rival: NodeId) -> bool {
         let is_new = self.rival_owners.iter().all(|(node, until)| *node != rival || *until <= now);
         self.rival_owners.retain(|(node, _)| *node != rival);
@@ -214,6 +217,7 @@
     }
 }
 
+/// Shortest time between two grants to all nodes that lower the fraction, in a fleet of `nodes` nodes.
 fn min_grant_interval(nodes: usize) -> Duration {
     MIN_GRANT_INTERVAL.max(GRANT_INTERVAL_PER_NODE * nodes as u32)
 }
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -60,8 +60,9 @@
     is_first_start: bool,
     fleet: Fleet,
     tenants: HashMap<TenantHash, Tenant>,
-    /// Tenants that have something to send at some time.
+    /// Tenants for which a report or a check of the grant is scheduled.
     scheduled: BTreeSet<TenantHash>,
+    /// Earliest time at which anything is scheduled for a tenant.
     next_wake: Option<BootTime>,
     /// Time of the first report since any node last sent a message, and the nodes that were sent reports since.
     unanswered_reports: Option<(BootTime, Vec<NodeId>)>,
@@ -69,6 +70,7 @@
     is_isolated: bool,
     /// Number of random numbers drawn so far, from which the next one is computed.
     random_draws: u64,
+    /// Changes since the last call of [`FleetRateLimiter::take_changes`].
     changes: Vec<QuotaChange>,
 }
 
@@ -293,6 +295,7 @@
         std::mem::take(&mut self.changes)
     }
 
+    /// Schedules the next wake for a tenant that has something to send.
     fn schedule(&mut self, hash: TenantHash) {
         let Some(due) = self.tenants.get(&hash).and_then(Tenant::next_due) else {
             return;
@@ -301,6 +304,7 @@
         self.next_wake = Some(self.next_wake.map_or(due, |next_wake| next_wake.min(due)));
     }
 
+    /// Records that a report was sent, up to [`MIN_SILENT_NODES`] receivers.
     fn record_report_sent(&mut self, now: BootTime, to: NodeId) {
         let (_, receivers) = self.unanswered_reports.get_or_insert_with(|| (now, Vec::new()));
         if receivers.len() < MIN_SILENT_NODES && !receivers.contains(&to) {
@@ -318,10 +322,12 @@
             || self.unanswered_reports.as_ref().is_some_and(is_silent)
     }
 
+    /// Returns whether the fleet is starting for the first time, so that tenants' bursts are unused.
     fn is_in_first_start(&self, now: BootTime) -> bool {
         self.is_first_start && now.since(self.started) < FIRST_START_PERIOD
     }
 
+    /// Fraction of quotas that this node may grant as an owner, 0 to 1.
     fn quota_fraction(&self, now: BootTime) -> f64 {
         self.fleet.owner_fraction(now)
     }
--- a/crates/staircross-quota/src/substitution.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -1,11 +1,11 @@
 //! State of a node that substitutes for a tenant's owner that doesn't answer.
 //!
-//! The membership takes some seconds to detect that a node is gone. Until then each node would detect it separately,
-//! by a request that it admits and a report that isn't answered; in a large fleet these requests alone exceed a quota.
-//! So the first node that detects it substitutes for the owner: it sends the other nodes a grant, each of them reports
-//! to it once and again with what it admits, and all of them admit the fraction that it grants. If several nodes
-//! substitute at once, the one with the highest owner score for the tenant remains. Substitution ends with the owner's
-//! next answer, or when the membership names another owner.
+//! The membership takes some seconds to detect that a node is gone. Until then each node would detect it separately, by
+//! a request that it admits and a report that isn't answered; in a large fleet these requests alone exceed a quota. So
+//! the first node that detects it substitutes for the owner: it sends the other nodes a grant, each of them reports to
+//! it once and again whenever it has admitted requests, and all of them admit the fraction that it grants. If several
+//! nodes substitute at once, the one with the highest owner score for the tenant remains. Substitution ends with the
+//! owner's next answer, or when the membership names another owner.
 
 use crate::bound::TenantLimits;
 use crate::fleet::Fleet;
@@ -29,9 +29,11 @@
 pub(crate) struct Substitution {
     /// The owner that doesn't answer.
     owner: NodeId,
+    /// Counts of this node and of the nodes that report to it.
     ledger: Ledger,
     /// Time of the next check of whether a new fraction must be granted.
     pub next_check_at: BootTime,
+    /// Whether the first grant, which limits nobody, has been sent.
     has_granted: bool,
 }
 
@@ -49,6 +51,7 @@
         self.reporters(now) > 0
     }
 
+    /// Number of nodes that receive this node's grants, because they have reported within [`REPORTER_TIMEOUT`].
     fn reporters(&self, now: BootTime) -> usize {
         self.ledger.reporters_within(now, REPORTER_TIMEOUT)
     }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -33,8 +33,11 @@
     pub hash: TenantHash,
     pub limits: TenantLimits,
     pub owner: NodeId,
+    /// Generation of the fleet's view from which `owner` was determined.
     generation: u32,
+    /// Present while this node is the owner, and for [`FORMER_OWNER_LINGER`] afterwards.
     pub ledger: Option<Ledger>,
+    /// Present while another node is the owner.
     pub follower: Option<Follower>,
     /// Present while this node substitutes for the owner.
     substitution: Option<Substitution>,
@@ -43,6 +46,7 @@
     /// Sum of the fractions of earlier requests that hasn't led to an admission yet; a request is admitted when it
     /// reaches 1.
     carry: f64,
+    /// Time of the owner's next check of whether a grant must be sent to all nodes.
     next_grant_check_at: Option<BootTime>,
     /// Whether the tenant has sent a request here while this node was starting and didn't know the other nodes.
     has_requested_while_starting: bool,
@@ -99,6 +103,7 @@
         }
     }
 
+    /// Starts or resumes ownership. Requests of this node that the former owner hasn't confirmed count at once.
     fn become_owner(&mut self, now: BootTime, fleet: &Fleet, is_first_start: bool) {
         let owned_for = now.since(fleet.changed_at);
         let limits = &self.limits;
@@ -109,6 +114,7 @@
         }
     }
 
+    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LINGER`].
     fn become_follower(&mut self, now: BootTime, fleet: &Fleet) {
         if let Some(ledger) = &mut self.ledger {
             ledger.ownership_lost_at.get_or_insert(now);
@@ -200,7 +206,8 @@
         if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
-    /// Handles a report in the owner's place; `None` if this node doesn't substitute for the owner.
+    /// Handles a report in the owner's place, and returns the grant that answers it. Returns `None` if this node
+    /// doesn't substitute for the owner.
     pub fn handle_report_as_substitute(
         &mut self,
         now: BootTime,
@@ -214,7 +221,7 @@
         Some(substitution.grant(now, self.hash, admit_fraction).with_confirmation(confirmation))
     }
 
-    /// The grant to send to all nodes now in the owner's place, if one is due.
+    /// Returns the grant to send to all nodes now in the owner's place, if one is due.
     pub fn take_due_substitute_grant(&mut self, now: BootTime, fleet: &Fleet) -> Option<QuotaGrant> {
         let substitution = self.substitution.as_mut()?;
         let admit_fraction = substitution.take_due_grant(now, &self.limits, fleet)?;
@@ -291,7 +298,8 @@
         }
     }
 
-    /// Handles a report as the owner; `None` if this node isn't the owner.
+    /// Handles a report as the owner, and returns the fraction to admit and the confirmation. Returns `None` if this
+    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LINGER`].
     pub fn handle_report_as_owner(
         &mut self,
         now: BootTime,
--- a/crates/staircross-quota/tests/bound.rs
+++ b/crates/staircross-quota/tests/bound.rs
@@ -9,11 +9,11 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use staircross_types::Quota;
 
-/// Fraction of its rate to which a tenant keeps that must never be refused while there is no fault.
+/// A tenant that keeps to this fraction of its rate must never be refused while there is no fault.
 const SAFE_RATE_FRACTION: f64 = 0.9;
-/// Fraction of its burst to which such a tenant keeps.
+/// Fraction of its burst to which that tenant keeps.
 const SAFE_BURST_FRACTION: f64 = 0.5;
-/// Smallest burst of such a tenant.
+/// Smallest burst of that tenant.
 const MIN_BURST: f64 = 2.0;
 /// Factor of the loss of datagrams in schedules without a fault: at most 2 in 1,000 are lost. A node doubts its owner
 /// after three losses in a row.
