--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -58,7 +58,10 @@
 
     fn deliver(&mut self, from: NodeId, envelopes: Vec<QuotaEnvelope>) {
         for QuotaEnvelope { to, message } in envelopes {
-            let is_unsolicited = matches!(message, QuotaMessage::Grant(grant) if grant.substituted_owner.is_some() && grant.confirmation.is_none());
+            let is_unsolicited = matches!(
+                message,
+                QuotaMessage::Grant(grant) if grant.substituted_owner.is_some() && grant.confirmation.is_none()
+            );
             self.unsolicited_grants += usize::from(is_unsolicited);
             if self.silent.contains(&from) || self.silent.contains(&to) {
                 continue;
@@ -188,8 +191,8 @@
 }
 
 /// While nodes join and leave, a node that others regard as an owner may not know that it is one, and not answer. When
-/// half of 307 nodes came back after a power failure, the substitutes for such owners sent 33 of the 41 MB of all
-/// quota messages.
+/// half of 307 nodes came back after a power failure, the substitutes for such owners sent 33 of the 41 MB of
+/// quota messages of that day.
 #[test]
 fn nobody_stands_in_while_nodes_come_and_go() {
     let mut fleet = Fleet::new();
