--- a/crates/staircross-latency/src/lib.rs
+++ b/crates/staircross-latency/src/lib.rs
@@ -1,25 +1,26 @@
-//! Live latency of sub-requests: the usual time, and the time from which one counts as late.
+//! Latency of recent sub-requests: the median, and the delay after which a sub-request counts as late and may be
+//! hedged.
 //!
-//! Owns two windows of samples, in microseconds; relies on nothing but what it is given. The gateway's engine and the session tier's root
-//! hold one for each kind of work.
+//! A [`LatencyTracker`] keeps two windows of samples, in microseconds, and depends only on the samples that it is
+//! given. The gateway's engine and the session tier's root keep one tracker for each kind of work.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Samples after which the quantiles are computed anew.
-const REFRESH_EVERY: u64 = 64;
-/// Samples after which an old window is dropped.
-const WINDOW: u64 = 4096;
-/// The late point is never more than this many medians.
-const MAX_MEDIANS: u32 = 4;
-/// Samples from which a window's tail quantile is used.
-const ENOUGH_SAMPLES: u64 = 512;
-/// Largest latency told apart, in microseconds.
+/// Number of samples after which the quantiles are computed again.
+const SAMPLES_PER_UPDATE: u64 = 64;
+/// Number of samples in a window. A full window replaces the previous one.
+const SAMPLES_PER_WINDOW: u64 = 4096;
+/// Upper bound of the hedge delay, as a multiple of the median.
+const MAX_HEDGE_DELAY_IN_MEDIANS: u32 = 4;
+/// Number of samples from which the quantiles of the current window are used.
+const MIN_WINDOW_SAMPLES: u64 = 512;
+/// Largest latency that is recorded, in microseconds; longer ones are recorded as this one.
 const MAX_MICROS: u64 = 60_000_000;
-/// Quantile after which a sub-request is late enough for a hedge.
+/// Quantile of latencies that is used as the hedge delay.
 const HEDGE_QUANTILE: f64 = 0.98;
 
-/// Quantiles over the last one to two windows of samples.
+/// Median and tail quantile of latency, computed from the current window of samples or the previous one.
 pub struct LatencyTracker {
     current: Histogram<u32>,
     previous: Histogram<u32>,
@@ -28,34 +29,35 @@
 }
 
 impl LatencyTracker {
-    /// Starts with `guess` as every quantile until there are samples.
-    pub fn new(guess: Duration) -> Self {
-        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: guess, hedge_delay: guess }
+    /// Creates a tracker that returns `initial` as the median and the hedge delay until enough samples are recorded.
+    pub fn new(initial: Duration) -> Self {
+        LatencyTracker { current: new_histogram(), previous: new_histogram(), median: initial, hedge_delay: initial }
     }
 
     /// Adds one sample.
     pub fn record(&mut self, latency: Duration) {
         self.current.saturating_record((latency.as_micros() as u64).clamp(1, MAX_MICROS));
-        if self.current.len().is_multiple_of(REFRESH_EVERY) {
-            self.refresh();
+        if self.current.len().is_multiple_of(SAMPLES_PER_UPDATE) {
+            self.update_quantiles();
         }
-        if self.current.len() >= WINDOW {
+        if self.current.len() >= SAMPLES_PER_WINDOW {
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reset();
         }
     }
 
-    fn refresh(&mut self) {
-        // A window just begun has too few samples for a tail quantile; the one before is full.
-        let current_is_enough = self.current.len() >= ENOUGH_SAMPLES || self.previous.is_empty();
-        let source = if current_is_enough { &self.current } else { &self.previous };
-        self.median = Duration::from_micros(source.value_at_quantile(0.5));
-        let tail = Duration::from_micros(source.value_at_quantile(HEDGE_QUANTILE));
-        // Once more than a few in a hundred are slow, the tail is theirs and would excuse them all.
-        self.hedge_delay = tail.min(self.median * MAX_MEDIANS);
+    fn update_quantiles(&mut self) {
+        // A new window has too few samples for a tail quantile; the previous window is full.
+        let has_enough_samples = self.current.len() >= MIN_WINDOW_SAMPLES || self.previous.is_empty();
+        let histogram = if has_enough_samples { &self.current } else { &self.previous };
+        self.median = Duration::from_micros(histogram.value_at_quantile(0.5));
+        let tail = Duration::from_micros(histogram.value_at_quantile(HEDGE_QUANTILE));
+        // If more than a few percent of sub-requests are slow, they make up the tail, and without the bound none of
+        // them would count as late.
+        self.hedge_delay = tail.min(self.median * MAX_HEDGE_DELAY_IN_MEDIANS);
     }
 
-    /// Latency that half of the sub-requests stay under.
+    /// Median latency of sub-requests.
     pub fn median(&self) -> Duration {
         self.median
     }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -1,203 +1,223 @@
-//! The owner's side: what all nodes admit of one tenant.
+//! The owner's state of one tenant: the token bucket, and what all nodes have reported.
 //!
-//! The owner keeps the tenant's token bucket. Nodes take tokens first and report them, and the owner answers with the part of the
-//! tenant's requests that nodes are to admit. The part is 1 while the bucket holds more than its headroom, and otherwise what the
-//! rate and the bucket's level leave of the demand, so that admissions settle at the rate wherever requests come.
+//! The owner keeps the tenant's token bucket. The other nodes admit requests first and report them afterwards, and the
+//! owner answers with the fraction of the tenant's requests to admit. The fraction is 1 while the bucket holds more
+//! than the headroom. Otherwise it is the ratio of the available rate (the refill rate, corrected by the bucket's
+//! level) to the demand, so that admissions settle at the rate whichever nodes the requests reach.
 
-use crate::bound::Limits;
+use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
 use crate::message::{Confirmation, Counts, QuotaReport};
 use staircross_types::{BootTime, NodeId};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time within which the bucket's level is brought back to 0, in seconds. Three times the round trip of a report and its answer, so that the fraction
-/// doesn't swing.
-const CORRECTION_S: f64 = 0.6;
-/// Time over which demand is averaged, in seconds. Below [`CORRECTION_S`], so that a rise shows within it.
-const DEMAND_S: f64 = 0.4;
-/// Fraction of the headroom that a new owner starts with: what was admitted before it is unknown.
-const NEW_OWNER_FRACTION: f64 = 0.5;
-/// Time for which another owner's grant halves this owner's rate. Longer than [`REPEAT`], by which it is heard of again.
-const RIVAL_LIFE: Duration = Duration::from_millis(1500);
-/// Time between two grants to a former owner that may still grant. Well below [`RIVAL_LIFE`].
-const ASK_FORMER: Duration = Duration::from_millis(500);
-/// Silence after which a node's counts are forgotten. A bound on memory.
-const FORGET_NODE: Duration = Duration::from_secs(60);
-/// Shortest time between two grants to all nodes that less passes. The time after which a report is sent again.
-const SHORTEST_GAP: Duration = Duration::from_millis(100);
-/// The same for each node that must get one. At most 500 datagrams a second.
-const GAP_PER_NODE: Duration = Duration::from_millis(2);
-/// Factor of the gaps where more passes: a grant that comes late costs some refusals then, and no excess.
-const EASING_FACTOR: u32 = 3;
-/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A few times below the life of a grant.
-const REPEAT: Duration = Duration::from_millis(1000);
-/// Change of the fraction, relative to itself, that is announced to all nodes.
-const ANNOUNCED_CHANGE: f64 = 0.2;
-/// Least fraction that changes are measured against. So that changes of tiny fractions aren't announced.
-const MIN_FRACTION: f64 = 0.05;
+/// Time within which the bucket's level is to be brought back to 0, in seconds. Three times the round trip of a report
+/// and its answer, so that the fraction doesn't oscillate.
+const LEVEL_CORRECTION_S: f64 = 0.6;
+/// Time constant of the average of demand, in seconds. Below [`LEVEL_CORRECTION_S`], so that a rise of demand shows
+/// within that time.
+const DEMAND_AVERAGING_S: f64 = 0.4;
+/// Fraction of the headroom that a new owner starts with, because it doesn't know what was admitted before.
+const NEW_OWNER_HEADROOM_FRACTION: f64 = 0.5;
+/// Time for which a grant of another owner reduces this owner's rate; one such owner halves it. Longer than
+/// [`REGRANT_INTERVAL`], after which the other owner grants again.
+const RIVAL_OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time between two grants to a former owner that may still regard itself as the owner. Well below
+/// [`RIVAL_OWNER_TIMEOUT`].
+const FORMER_OWNER_GRANT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time since a node's last report after which its counts are dropped. Bounds memory.
+const REPORTED_COUNTS_RETENTION: Duration = Duration::from_secs(60);
+/// Shortest time between two grants to all nodes that lower the fraction, in a small fleet. Equal to the time after
+/// which a report is sent again.
+const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(100);
+/// Like [`MIN_GRANT_INTERVAL`], for each node that receives the grant. Limits grants to 500 datagrams per second.
+const GRANT_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
+/// Factor of the time between two grants for those that raise the fraction. A late raise costs some refusals, but no
+/// excess.
+const RAISE_INTERVAL_FACTOR: u32 = 3;
+/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A fraction of the time for
+/// which a grant is valid.
+const REGRANT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Change of the fraction, relative to the last one granted, from which all nodes are sent a new grant.
+const MIN_GRANTED_CHANGE: f64 = 0.2;
+/// Smallest base for relative changes of the fraction, so that changes of tiny fractions cause no grants.
+const MIN_CHANGE_BASE: f64 = 0.05;
 
 /// What one node has reported.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct ReportedCounts {
+    /// Total counted for the node.
     confirmation: Confirmation,
-    at: BootTime,
+    reported_at: BootTime,
 }
 
-/// What the owner keeps of one tenant.
+/// The owner's state of one tenant.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     bucket: Bucket,
-    /// Requests a second that come to all nodes, and when that was last brought up to date.
+    /// Requests per second that reach all nodes together (a decaying average), and the time of its last update.
     demand: f64,
-    demand_at: BootTime,
-    reported: HashMap<NodeId, Reported>,
-    /// Other nodes that spoke as owner, and until when that counts.
-    rivals: Vec<(NodeId, BootTime)>,
+    demand_updated_at: BootTime,
+    /// Latest report of each node.
+    reported: HashMap<NodeId, ReportedCounts>,
+    /// Other nodes that have acted as the owner, each with the time until which that counts.
+    rival_owners: Vec<(NodeId, BootTime)>,
     /// The former owner that was last sent a grant of this node, and when.
-    asked_former: Option<(NodeId, BootTime)>,
-    /// Fraction that all nodes were granted last, and when.
-    announced: f64,
-    announced_at: BootTime,
-    /// When this node ceased to be the owner.
-    pub lost_at: Option<BootTime>,
+    former_owner_granted: Option<(NodeId, BootTime)>,
+    /// The fraction that all nodes were last granted, and when.
+    last_granted: f64,
+    last_granted_at: BootTime,
+    /// Time at which this node ceased to be the owner.
+    pub ownership_lost_at: Option<BootTime>,
 }
 
 impl Ledger {
-    /// A ledger of a node that has been the owner for `owned_for` without a request, or is the first owner ever.
-    pub fn new(now: BootTime, limits: &Limits, owned_for: Duration, is_first: bool) -> Self {
-        let full = limits.burst + limits.headroom();
-        let start = limits.headroom() * NEW_OWNER_FRACTION + limits.rate * owned_for.as_secs_f64();
-        Self::with_level(now, if is_first { full } else { start.min(full) })
+    /// Creates the ledger of a node that has been the owner for `owned_for` without a request. `is_first_start` says
+    /// that the fleet has just started for the first time, so that nothing of the burst is used.
+    pub fn new(now: BootTime, limits: &TenantLimits, owned_for: Duration, is_first_start: bool) -> Self {
+        let capacity = limits.burst + limits.headroom();
+        let start = limits.headroom() * NEW_OWNER_HEADROOM_FRACTION + limits.rate * owned_for.as_secs_f64();
+        Self::with_level(now, if is_first_start { capacity } else { start.min(capacity) })
     }
 
-    /// A ledger with so many tokens.
+    /// Creates a ledger with `level` tokens.
     pub fn with_level(now: BootTime, level: f64) -> Self {
         Ledger {
             bucket: Bucket::new(now, level),
             demand: 0.0,
-            demand_at: now,
+            demand_updated_at: now,
             reported: HashMap::new(),
-            rivals: Vec::new(),
-            asked_former: None,
-            announced: 1.0,
-            announced_at: now,
-            lost_at: None,
+            rival_owners: Vec::new(),
+            former_owner_granted: None,
+            last_granted: 1.0,
+            last_granted_at: now,
+            ownership_lost_at: None,
         }
     }
 
-    /// Brings bucket and demand up to date; `fleet_fraction` is what this owner's side of the fleet may spend.
-    pub fn refill(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
-        self.refill_to(now, limits, fleet_fraction, (limits.burst + limits.headroom()) * fleet_fraction);
+    /// Updates the bucket and the demand to the present; `quota_fraction` is the fraction of the quota that this owner
+    /// may grant.
+    pub fn refill(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64) {
+        self.refill_to(now, limits, quota_fraction, (limits.burst + limits.headroom()) * quota_fraction);
     }
 
-    /// The same; tokens above what the bucket fills up to are kept.
-    pub fn refill_keeping(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64) {
-        let full = (limits.burst + limits.headroom()) * fleet_fraction;
-        self.refill_to(now, limits, fleet_fraction, full.max(self.bucket.level()));
+    /// Like [`Ledger::refill`], but keeps tokens beyond the bucket's capacity.
+    pub fn refill_keeping_surplus(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64) {
+        let capacity = (limits.burst + limits.headroom()) * quota_fraction;
+        self.refill_to(now, limits, quota_fraction, capacity.max(self.bucket.level()));
     }
 
-    fn refill_to(&mut self, now: BootTime, limits: &Limits, fleet_fraction: f64, full: f64) {
-        self.rivals.retain(|(_, until)| *until > now);
-        self.bucket.refill(now, self.rate(limits, fleet_fraction), full);
-        self.demand *= (-now.since(self.demand_at).as_secs_f64() / DEMAND_S).exp();
-        self.demand_at = now;
+    fn refill_to(&mut self, now: BootTime, limits: &TenantLimits, quota_fraction: f64, capacity: f64) {
+        self.rival_owners.retain(|(_, until)| *until > now);
+        self.bucket.refill(now, self.rate(limits, quota_fraction), capacity);
+        self.demand *= (-now.since(self.demand_updated_at).as_secs_f64() / DEMAND_AVERAGING_S).exp();
+        self.demand_updated_at = now;
     }
 
-    fn rate(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
-        limits.rate * fleet_fraction / (1 + self.rivals.len()) as f64
+    /// Rate at which this owner may grant requests, divided evenly among all nodes that act as the owner.
+    fn rate(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
+        limits.rate * quota_fraction / (1 + self.rival_owners.len()) as f64
     }
 
-    /// Counts requests.
+    /// Counts requests as demand, and takes tokens for those that were admitted.
     pub fn count(&mut self, counts: Counts) {
-        self.demand += f64::from(counts.offered) / DEMAND_S;
-        self.bucket.spend(f64::from(counts.admitted));
+        self.demand += f64::from(counts.offered) / DEMAND_AVERAGING_S;
+        self.bucket.debit(f64::from(counts.admitted));
     }
 
-    /// Part of the tenant's requests that nodes are to admit, 0 to 1.
-    pub fn pass(&self, limits: &Limits, fleet_fraction: f64) -> f64 {
-        if self.bucket.level() >= limits.headroom() * fleet_fraction && self.bucket.level() > 0.0 {
+    /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
+    pub fn admit_fraction(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
+        if self.bucket.level() >= limits.headroom() * quota_fraction && self.bucket.level() > 0.0 {
             return 1.0;
         }
-        let rate = self.rate(limits, fleet_fraction) + self.bucket.level() / CORRECTION_S;
+        let rate = self.rate(limits, quota_fraction) + self.bucket.level() / LEVEL_CORRECTION_S;
         if rate >= self.demand { 1.0 } else { (rate / self.demand).max(0.0) }
     }
 
-    /// Takes a node's report; what was counted for it so far is the answer. A report that is late or came twice counts nothing.
-    pub fn take_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
-        let fresh = Confirmation { epoch: report.epoch, counts: report.confirmed };
-        let known = self.reported.get(&from).map_or(fresh, |known| known.confirmation);
+    /// Counts what a node reports, and returns the total counted for it so far as the confirmation. A report that
+    /// arrives late or twice counts nothing.
+    pub fn apply_report(&mut self, now: BootTime, from: NodeId, report: &QuotaReport) -> Confirmation {
+        let initial = Confirmation { epoch: report.epoch, counts: report.confirmed };
+        let known = self.reported.get(&from).map_or(initial, |known| known.confirmation);
         if known.epoch > report.epoch {
             return known;
         }
-        let known = if known.epoch < report.epoch { fresh } else { known };
+        let known = if known.epoch < report.epoch { initial } else { known };
         self.count(report.counts.since(known.counts));
         let counts = Counts {
             offered: known.counts.offered.max(report.counts.offered),
             admitted: known.counts.admitted.max(report.counts.admitted),
         };
         let confirmation = Confirmation { epoch: report.epoch, counts };
-        self.reported.insert(from, Reported { confirmation, at: now });
+        self.reported.insert(from, ReportedCounts { confirmation, reported_at: now });
         confirmation
     }
 
-    /// Another node has spoken as owner: both halve their rate. Says whether that is new.
-    pub fn note_rival(&mut self, now: BootTime, rival: NodeId) -> bool {
-        let is_new = self.rivals.iter().all(|(node, until)| *node != rival || *until <= now);
-        self.rivals.retain(|(node, _)| *node != rival);
-        self.rivals.push((rival, now + RIVAL_LIFE));
+    /// Records that another node has acted as the owner. All owners divide the rate evenly, so that two grant half of
+    /// it each. Returns whether the other owner is new.
+    pub fn record_rival_owner(&mut self, now: BootTime, rival: NodeId) -> bool {
+        let is_new = self.rival_owners.iter().all(|(node, until)| *node != rival || *until <= now);
+        self.rival_owners.retain(|(node, _)| *node != rival);
+        self.rival_owners.push((rival, now + RIVAL_OWNER_TIMEOUT));
         is_new
     }
 
-    /// Whether a former owner is to be sent a grant of this node now.
-    pub fn ask_former(&mut self, now: BootTime, former: NodeId) -> bool {
-        let is_due = self.asked_former.is_none_or(|(node, at)| node != former || now.since(at) >= ASK_FORMER);
+    /// Returns whether a former owner should be sent a grant of this node now, and if so records that it is sent.
+    pub fn should_notify_former_owner(&mut self, now: BootTime, former_owner: NodeId) -> bool {
+        let is_due = self
+            .former_owner_granted
+            .is_none_or(|(node, at)| node != former_owner || now.since(at) >= FORMER_OWNER_GRANT_INTERVAL);
         if is_due {
-            self.asked_former = Some((former, now));
+            self.former_owner_granted = Some((former_owner, now));
         }
         is_due
     }
 
-    /// Whether all `nodes` are to be granted the fraction now.
-    pub fn is_announcement_due(&self, now: BootTime, pass: f64, nodes: usize) -> bool {
-        if pass >= 1.0 && self.announced >= 1.0 {
+    /// Returns whether all `nodes` nodes should be sent the fraction `admit_fraction` now.
+    pub fn is_grant_due(&self, now: BootTime, admit_fraction: f64, nodes: usize) -> bool {
+        if admit_fraction >= 1.0 && self.last_granted >= 1.0 {
             return false;
         }
-        let (age, gap) = (now.since(self.announced_at), gap(nodes));
-        let change = (pass - self.announced) / self.announced.max(MIN_FRACTION);
-        let is_tighter = self.announced >= 1.0 || change < -ANNOUNCED_CHANGE;
-        let is_easier = pass >= 1.0 || change > ANNOUNCED_CHANGE;
-        (is_tighter && age >= gap) || (is_easier && age >= gap * EASING_FACTOR) || age >= REPEAT.max(gap)
+        let (age, interval) = (now.since(self.last_granted_at), min_grant_interval(nodes));
+        let change = (admit_fraction - self.last_granted) / self.last_granted.max(MIN_CHANGE_BASE);
+        let is_lower = self.last_granted >= 1.0 || change < -MIN_GRANTED_CHANGE;
+        let is_higher = admit_fraction >= 1.0 || change > MIN_GRANTED_CHANGE;
+        (is_lower && age >= interval)
+            || (is_higher && age >= interval * RAISE_INTERVAL_FACTOR)
+            || age >= REGRANT_INTERVAL.max(interval)
     }
 
-    /// Time since all nodes were granted a fraction last.
-    pub fn announced_for(&self, now: BootTime) -> Duration {
-        now.since(self.announced_at)
+    /// Time since all nodes were last granted a fraction.
+    pub fn time_since_grant(&self, now: BootTime) -> Duration {
+        now.since(self.last_granted_at)
     }
 
-    /// Nodes that have reported within a time.
-    pub fn heard_since(&self, now: BootTime, time: Duration) -> usize {
-        self.reported.values().filter(|reported| now.since(reported.at) < time).count()
+    /// Number of nodes that have reported within `time`.
+    pub fn reporters_within(&self, now: BootTime, time: Duration) -> usize {
+        self.reported.values().filter(|reported| now.since(reported.reported_at) < time).count()
     }
 
-    /// All nodes are granted the fraction.
-    pub fn note_announced(&mut self, now: BootTime, pass: f64) {
-        self.announced = pass;
-        self.announced_at = now;
-        self.reported.retain(|_, reported| now.since(reported.at) < FORGET_NODE);
+    /// Records that all nodes are sent the fraction `admit_fraction`, and drops the counts of nodes that have long been
+    /// silent.
+    pub fn record_grant(&mut self, now: BootTime, admit_fraction: f64) {
+        self.last_granted = admit_fraction;
+        self.last_granted_at = now;
+        self.reported.retain(|_, reported| now.since(reported.reported_at) < REPORTED_COUNTS_RETENTION);
     }
 
-    /// Whether nodes hold a fraction below 1 that must be granted again.
-    pub fn is_limiting(&self) -> bool {
-        self.announced < 1.0
+    /// Returns whether nodes were granted a fraction below 1, which must be granted again.
+    pub fn has_granted_limit(&self) -> bool {
+        self.last_granted < 1.0
     }
 
-    /// Tokens.
+    /// Tokens in the bucket; negative if more was admitted than it held.
     pub fn level(&self) -> f64 {
         self.bucket.level()
     }
 }
 
-fn gap(nodes: usize) -> Duration {
-    SHORTEST_GAP.max(GAP_PER_NODE * nodes as u32)
+/// Shortest time between two grants to all nodes that lower the fraction, in a fleet of `nodes` nodes.
+fn min_grant_interval(nodes: usize) -> Duration {
+    MIN_GRANT_INTERVAL.max(GRANT_INTERVAL_PER_NODE * nodes as u32)
 }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -1,55 +1,63 @@
 //! One tenant at one node.
 
-use crate::acting::{ACT_AFTER, Acting};
-use crate::bound::Limits;
+use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
-use crate::fleet::{Fleet, is_before};
+use crate::fleet::{Fleet, has_higher_score};
+use crate::follower::{DueReport, Follower, OVERSPENT_OWNER_TIMEOUT, OWNER_TIMEOUT};
 use crate::ledger::Ledger;
 use crate::message::{Confirmation, Counts, QuotaGrant, QuotaMessage, QuotaReport, TenantHash};
 use crate::refusal::QuotaRefusal;
-use crate::spender::{DOUBT, DueReport, PATIENCE, Spender};
+use crate::substitution::{SUBSTITUTE_AFTER, Substitution};
 use staircross_types::{BootTime, NodeId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which a node that is no longer the owner answers reports of nodes that don't know that yet. Above the time in which a planned stop is
-/// known everywhere.
-const LINGER: Duration = Duration::from_secs(2);
-/// Time between two checks of a tenant that is limited. The owner's shortest time between two grants.
-const LIMITED_LOOK: Duration = Duration::from_millis(100);
-/// Time without a refusal after which a tenant counts as free again, so that the log doesn't alternate.
-const FREE_AFTER: Duration = Duration::from_secs(3);
-/// Shortest time after which a refused caller is asked to come back, in seconds. Above a round trip.
-const SOONEST_RETURN_S: f64 = 0.25;
-/// Longest time over which refused callers are spread, in seconds, so that as many come back as pass. So that callers still come.
-const LATEST_SPREAD_S: f64 = 8.0;
-
-/// One tenant at one node.
+/// Time for which a former owner still answers reports of nodes that don't know the new owner yet. Longer than a
+/// planned stop takes to become known everywhere.
+const FORMER_OWNER_LINGER: Duration = Duration::from_secs(2);
+/// Time between two checks of a limited tenant. Equal to the shortest time between two grants of the owner.
+const LIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a refusal after which a tenant is no longer logged as limited, so that the log doesn't alternate
+/// between the two states.
+const UNLIMITED_AFTER: Duration = Duration::from_secs(3);
+/// Shortest time after which a refused caller should retry, in seconds. Longer than a round trip.
+const MIN_RETRY_AFTER_S: f64 = 0.25;
+/// Longest time over which the retries of refused callers are spread, in seconds. Bounded so that callers still retry
+/// when hardly any request is admitted.
+const MAX_RETRY_SPREAD_S: f64 = 8.0;
+
+/// One tenant at one node, which is the tenant's owner, follows another owner, or substitutes for one.
 #[derive(Debug)]
 pub(crate) struct Tenant {
     pub name: Arc<str>,
     pub hash: TenantHash,
-    pub limits: Limits,
+    pub limits: TenantLimits,
     pub owner: NodeId,
+    /// Generation of the fleet's view from which `owner` was determined.
     generation: u32,
+    /// Present while this node is the owner, and for [`FORMER_OWNER_LINGER`] afterwards.
     pub ledger: Option<Ledger>,
-    pub spender: Option<Spender>,
-    /// Set while this node stands in for the owner.
-    acting: Option<Acting>,
-    /// Tokens of a node that is on its own.
-    stranded: Option<Bucket>,
-    /// What is left of the parts of earlier requests; a request passes when it reaches 1.
+    /// Present while another node is the owner.
+    pub follower: Option<Follower>,
+    /// Present while this node substitutes for the owner.
+    substitution: Option<Substitution>,
+    /// Token bucket that this node uses while it reaches neither owner nor substitute.
+    local_bucket: Option<Bucket>,
+    /// Sum of the fractions of earlier requests that hasn't led to an admission yet; a request is admitted when it
+    /// reaches 1.
     carry: f64,
-    ledger_due: Option<BootTime>,
-    /// Whether it asked anything here while this node didn't know who else there is.
-    has_asked: bool,
-    /// When a request was last refused, where the log says that the tenant is limited.
-    limited_at: Option<BootTime>,
+    /// Time of the owner's next check of whether a grant must be sent to all nodes.
+    next_grant_check_at: Option<BootTime>,
+    /// Whether the tenant has sent a request here while this node was starting and didn't know the other nodes.
+    has_requested_while_starting: bool,
+    /// Time of the last refusal, while the tenant is logged as limited.
+    last_refusal_at: Option<BootTime>,
 }
 
 impl Tenant {
-    /// A tenant without any requests yet; `carry` is drawn at random, so that few requests at many nodes pass at the fraction granted.
-    pub fn new(name: Arc<str>, limits: Limits, own: NodeId, carry: f64) -> Self {
+    /// Creates a tenant without requests. `carry` is random, so that with few requests at each of many nodes the
+    /// granted fraction is still admitted overall.
+    pub fn new(name: Arc<str>, limits: TenantLimits, own: NodeId, carry: f64) -> Self {
         Tenant {
             hash: TenantHash::of(&name),
             name,
@@ -57,316 +65,336 @@
             owner: own,
             generation: 0,
             ledger: None,
-            spender: None,
-            acting: None,
-            stranded: None,
+            follower: None,
+            substitution: None,
+            local_bucket: None,
             carry,
-            ledger_due: None,
-            has_asked: false,
-            limited_at: None,
+            next_grant_check_at: None,
+            has_requested_while_starting: false,
+            last_refusal_at: None,
         }
     }
 
-    /// Finds the owner anew where nodes have changed.
-    pub fn refresh(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first: bool) {
+    /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after
+    /// [`FORMER_OWNER_LINGER`].
+    pub fn refresh_owner(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
             let owner = fleet.owner_of(self.hash);
-            // While many nodes come and go, a node that stands in for one that stays the owner would begin anew with each, and tell all others each time.
+            // A substitution continues while the owner remains the same. Otherwise, while many nodes join and leave,
+            // the substitute would start again with each change and send a grant to all nodes each time.
             if owner != self.owner {
-                self.acting = None;
+                self.substitution = None;
             }
             self.owner = owner;
             if self.owner == own {
-                self.become_owner(now, fleet, is_first);
+                self.become_owner(now, fleet, is_first_start);
             } else {
-                self.follow(now, fleet);
+                self.become_follower(now, fleet);
             }
         }
-        let is_over = self.ledger.as_ref().and_then(|ledger| ledger.lost_at).is_some_and(|at| now.since(at) >= LINGER);
-        if is_over {
+        let linger_is_over = self
+            .ledger
+            .as_ref()
+            .and_then(|ledger| ledger.ownership_lost_at)
+            .is_some_and(|at| now.since(at) >= FORMER_OWNER_LINGER);
+        if linger_is_over {
             self.ledger = None;
         }
     }
 
-    fn become_owner(&mut self, now: BootTime, fleet: &Fleet, is_first: bool) {
+    /// Starts or resumes ownership. Requests of this node that the former owner hasn't confirmed count at once.
+    fn become_owner(&mut self, now: BootTime, fleet: &Fleet, is_first_start: bool) {
         let owned_for = now.since(fleet.changed_at);
         let limits = &self.limits;
-        let ledger = self.ledger.get_or_insert_with(|| Ledger::new(now, limits, owned_for, is_first));
-        ledger.lost_at = None;
-        if let Some(spender) = self.spender.take() {
-            ledger.count(spender.open());
+        let ledger = self.ledger.get_or_insert_with(|| Ledger::new(now, limits, owned_for, is_first_start));
+        ledger.ownership_lost_at = None;
+        if let Some(follower) = self.follower.take() {
+            ledger.count(follower.unconfirmed_counts());
         }
     }
 
-    fn follow(&mut self, now: BootTime, fleet: &Fleet) {
+    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LINGER`].
+    fn become_follower(&mut self, now: BootTime, fleet: &Fleet) {
         if let Some(ledger) = &mut self.ledger {
-            ledger.lost_at.get_or_insert(now);
+            ledger.ownership_lost_at.get_or_insert(now);
         }
-        match &mut self.spender {
-            Some(spender) if spender.owner == self.owner => {}
-            Some(spender) => spender.set_owner(now, self.owner, fleet.generation),
-            None => self.spender = Some(Spender::new(self.owner, fleet.generation)),
+        match &mut self.follower {
+            Some(follower) if follower.owner == self.owner => {}
+            Some(follower) => follower.set_owner(now, self.owner, fleet.generation),
+            None => self.follower = Some(Follower::new(self.owner, fleet.generation)),
         }
     }
 
-    /// Whether the owner is silent: for long, or for a moment in which this node has admitted more than its part.
-    pub fn is_stranded(&self, now: BootTime, fleet: &Fleet) -> bool {
-        let Some(spender) = &self.spender else {
+    /// Returns whether this node has to decide without owner and substitute: the owner has been silent for
+    /// [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted more than its share.
+    pub fn is_deciding_locally(&self, now: BootTime, fleet: &Fleet) -> bool {
+        let Some(follower) = &self.follower else {
             return false;
         };
-        if spender.substitute(now).is_some() || self.is_acting(now) {
+        if follower.substitute(now).is_some() || self.is_substitute(now) {
             return false;
         }
-        let credit = self.limits.stranded_credit(fleet.peak(now)).max(1.0);
-        let is_over_credit = f64::from(spender.open().admitted) >= credit;
-        spender.is_silent(now, PATIENCE) || (spender.is_silent(now, DOUBT) && is_over_credit)
+        let credit = self.limits.local_credit(fleet.peak(now)).max(1.0);
+        let exceeds_credit = f64::from(follower.unconfirmed_counts().admitted) >= credit;
+        follower.is_unanswered_for(now, OWNER_TIMEOUT)
+            || (follower.is_unanswered_for(now, OVERSPENT_OWNER_TIMEOUT) && exceeds_credit)
     }
 
-    /// Decides about a request as the owner.
-    pub fn take_owned(&mut self, now: BootTime, fleet_fraction: f64, random: f64) -> Result<(), QuotaRefusal> {
+    /// Admits or refuses a request as the owner.
+    pub fn decide_as_owner(&mut self, now: BootTime, quota_fraction: f64, random: f64) -> Result<(), QuotaRefusal> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(());
         };
-        ledger.refill(now, &self.limits, fleet_fraction);
-        let pass = ledger.pass(&self.limits, fleet_fraction);
-        let is_admitted = draw(&mut self.carry, pass);
+        ledger.refill(now, &self.limits, quota_fraction);
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        let is_admitted = should_admit(&mut self.carry, admit_fraction);
         ledger.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
-        if ledger.is_limiting() || ledger.pass(&self.limits, fleet_fraction) < 1.0 {
-            self.ledger_due = Some(now);
+        if ledger.has_granted_limit() || ledger.admit_fraction(&self.limits, quota_fraction) < 1.0 {
+            self.next_grant_check_at = Some(now);
         }
-        self.stranded = None;
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        self.local_bucket = None;
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
-    /// Decides about a request of a tenant that another node owns, which answers.
-    pub fn take_followed(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
-        let Some(spender) = &mut self.spender else {
+    /// Admits or refuses a request as a node whose owner or substitute answers.
+    pub fn decide_as_follower(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
+        let Some(follower) = &mut self.follower else {
             return Ok(());
         };
-        self.stranded = None;
-        let pass = spender.pass(now);
-        let unconfirmed = spender.unconfirmed(now);
-        let credit = (self.limits.burst + self.limits.headroom()) * unconfirmed.trust;
+        self.local_bucket = None;
+        let admit_fraction = follower.admit_fraction(now);
+        let unconfirmed = follower.unconfirmed_admissions(now);
+        let credit = (self.limits.burst + self.limits.headroom()) * unconfirmed.burst_fraction;
         let has_credit = f64::from(unconfirmed.admitted) <= credit.max(1.0);
-        let is_admitted = has_credit && draw(&mut self.carry, pass);
-        self.count_unowned(now, is_admitted);
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        let is_admitted = has_credit && should_admit(&mut self.carry, admit_fraction);
+        self.count_as_non_owner(now, is_admitted);
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
-    /// Whether this node stands in for the owner, and others take its word.
-    pub fn is_acting(&self, now: BootTime) -> bool {
-        self.acting.as_ref().is_some_and(|acting| acting.is_followed(now))
+    /// Returns whether this node substitutes for the owner and other nodes report to it.
+    pub fn is_substitute(&self, now: BootTime) -> bool {
+        self.substitution.as_ref().is_some_and(|substitution| substitution.has_reporters(now))
     }
 
-    /// The node that stands in for the owner, `own` where this one does.
-    pub fn substitute_or(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
-        if self.is_acting(now) { Some(own) } else { self.spender.as_ref()?.substitute(now) }
+    /// The node that substitutes for the owner, `own` if it is this one.
+    pub fn current_substitute(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
+        if self.is_substitute(now) { Some(own) } else { self.follower.as_ref()?.substitute(now) }
     }
 
-    /// Begins to stand in for an owner that doesn't answer, where nobody else does.
-    pub fn stand_in(&mut self, now: BootTime) {
-        let Some(spender) = &self.spender else {
+    /// Starts to substitute for an owner that doesn't answer, if no other node does.
+    pub fn start_substitution_if_needed(&mut self, now: BootTime) {
+        let Some(follower) = &self.follower else {
             return;
         };
-        let is_needed = spender.is_silent(now, ACT_AFTER) && spender.substitute(now).is_none();
-        if self.acting.is_none() && is_needed {
-            self.acting = Some(Acting::new(now, spender.owner, &self.limits, spender.open()));
+        let is_needed = follower.is_unanswered_for(now, SUBSTITUTE_AFTER) && follower.substitute(now).is_none();
+        if self.substitution.is_none() && is_needed {
+            self.substitution =
+                Some(Substitution::new(now, follower.owner, &self.limits, follower.unconfirmed_counts()));
         }
     }
 
-    /// Decides about a request in the owner's place.
-    pub fn take_acting(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
-        let Some(acting) = &mut self.acting else {
+    /// Admits or refuses a request in the owner's place.
+    pub fn decide_as_substitute(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
+        let Some(substitution) = &mut self.substitution else {
             return Ok(());
         };
-        self.stranded = None;
-        let pass = acting.pass(now, &self.limits, fleet);
-        let is_admitted = draw(&mut self.carry, pass);
-        self.count_unowned(now, is_admitted);
-        if is_admitted { Ok(()) } else { Err(refusal(pass, random)) }
+        self.local_bucket = None;
+        let admit_fraction = substitution.admit_fraction(now, &self.limits, fleet);
+        let is_admitted = should_admit(&mut self.carry, admit_fraction);
+        self.count_as_non_owner(now, is_admitted);
+        if is_admitted { Ok(()) } else { Err(refusal(admit_fraction, random)) }
     }
 
-    /// Takes a report in the owner's place; none where this node doesn't stand in for it.
-    pub fn take_report_acting(
+    /// Handles a report in the owner's place, and returns the grant that answers it. Returns `None` if this node
+    /// doesn't substitute for the owner.
+    pub fn handle_report_as_substitute(
         &mut self,
         now: BootTime,
         from: NodeId,
         report: &QuotaReport,
         fleet: &Fleet,
     ) -> Option<QuotaGrant> {
-        let acting = self.acting.as_mut()?;
-        let confirmation = acting.take_report(now, from, report);
-        let pass = acting.pass(now, &self.limits, fleet);
-        Some(acting.grant(now, self.hash, pass).with_confirmation(confirmation))
+        let substitution = self.substitution.as_mut()?;
+        let confirmation = substitution.apply_report(now, from, report);
+        let admit_fraction = substitution.admit_fraction(now, &self.limits, fleet);
+        Some(substitution.grant(now, self.hash, admit_fraction).with_confirmation(confirmation))
     }
 
-    /// What all nodes are to be granted now in the owner's place.
-    pub fn due_grant_acting(&mut self, now: BootTime, fleet: &Fleet) -> Option<QuotaGrant> {
-        let acting = self.acting.as_mut()?;
-        let pass = acting.due_grant(now, &self.limits, fleet)?;
-        Some(acting.grant(now, self.hash, pass))
+    /// Returns the grant to send to all nodes now in the owner's place, if one is due.
+    pub fn take_due_substitute_grant(&mut self, now: BootTime, fleet: &Fleet) -> Option<QuotaGrant> {
+        let substitution = self.substitution.as_mut()?;
+        let admit_fraction = substitution.take_due_grant(now, &self.limits, fleet)?;
+        Some(substitution.grant(now, self.hash, admit_fraction))
     }
 
-    /// Another node stands in for an owner. The answer, where it shouldn't: this node comes before it in that.
-    pub fn take_grant_acting(
+    /// Handles a grant of a node that substitutes for an owner. Returns a grant as an objection if this node
+    /// substitutes too and has the higher owner score.
+    pub fn handle_substitute_grant(
         &mut self,
         now: BootTime,
         from: NodeId,
         own: NodeId,
         grant: &QuotaGrant,
     ) -> Option<QuotaGrant> {
-        let spender = self.spender.as_mut().filter(|spender| Some(spender.owner) == grant.instead_of)?;
-        if spender.was_answered(now, ACT_AFTER) {
+        let follower = self.follower.as_mut().filter(|follower| Some(follower.owner) == grant.substituted_owner)?;
+        if follower.answered_within(now, SUBSTITUTE_AFTER) {
             return None;
         }
-        if let Some(acting) = self.acting.as_ref().filter(|_| is_before(own, from, self.hash)) {
-            return Some(acting.grant(now, self.hash, 1.0));
+        if let Some(substitution) = self.substitution.as_ref().filter(|_| has_higher_score(own, from, self.hash)) {
+            return Some(substitution.grant(now, self.hash, 1.0));
         }
-        let known = spender.substitute(now);
-        if known.is_none_or(|known| known == from || is_before(from, known, self.hash)) {
-            self.acting = None;
-            spender.take_substitutes_grant(now, from, grant);
+        let known = follower.substitute(now);
+        if known.is_none_or(|known| known == from || has_higher_score(from, known, self.hash)) {
+            self.substitution = None;
+            follower.apply_substitute_grant(now, from, grant);
         }
         None
     }
 
-    /// The owner answers: nobody is needed in its place.
-    pub fn end_acting(&mut self) {
-        self.acting = None;
+    /// Stops substituting for the owner, because it answers.
+    pub fn end_substitution(&mut self) {
+        self.substitution = None;
     }
 
-    /// Decides about a request on this node's own: its fixed part of the rate, and seldom one request at once.
-    pub fn take_stranded(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
-        let fraction = fleet.stranded_fraction(now, 1);
+    /// Admits or refuses a request without owner and substitute, by a bucket with this node's fixed share of the rate
+    /// and a small credit.
+    pub fn decide_locally(&mut self, now: BootTime, fleet: &Fleet, random: f64) -> Result<(), QuotaRefusal> {
+        let fraction = fleet.ownerless_fraction(now, 1);
         let rate = self.limits.rate * fraction;
-        let most = (self.limits.burst * fraction).max(1.0);
-        let was_limited = self.spender.as_ref().is_some_and(|spender| spender.was_limited(now));
-        let credit = if was_limited { 0.0 } else { self.limits.stranded_credit(fleet.peak(now)) };
-        let open = self.spender.as_ref().map_or(0, |spender| spender.open().admitted);
-        // The random part lets few requests at many nodes pass at the rate granted.
-        let bucket = self.stranded.get_or_insert_with(|| Bucket::new(now, credit + random - f64::from(open)));
-        bucket.refill(now, rate, most.max(credit));
-        let taken = bucket.try_take(rate);
-        self.count_unowned(now, taken.is_ok());
-        taken.map_err(|wait| QuotaRefusal { retry_after: wait + Duration::from_secs_f64(random) })
+        let capacity = (self.limits.burst * fraction).max(1.0);
+        let was_limited = self.follower.as_ref().is_some_and(|follower| follower.was_limited(now));
+        let credit = if was_limited { 0.0 } else { self.limits.local_credit(fleet.peak(now)) };
+        let unconfirmed = self.follower.as_ref().map_or(0, |follower| follower.unconfirmed_counts().admitted);
+        // The random part makes few requests at each of many nodes pass at the granted rate overall.
+        let bucket =
+            self.local_bucket.get_or_insert_with(|| Bucket::new(now, credit + random - f64::from(unconfirmed)));
+        bucket.refill(now, rate, capacity.max(credit));
+        let decision = bucket.try_take(rate);
+        self.count_as_non_owner(now, decision.is_ok());
+        decision.map_err(|wait| QuotaRefusal { retry_after: wait + Duration::from_secs_f64(random) })
     }
 
-    /// Decides about a request right after a restart, while this node doesn't know who else there is. Nodes that know of different
-    /// peers take different ones for the owner, so nobody's grant counts yet; what is admitted is reported all the same.
-    pub fn take_starting(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
-        let fraction = self.limits.starting_fraction(!self.has_asked);
-        self.has_asked = true;
-        let is_admitted = draw(&mut self.carry, fraction);
-        self.count_unowned(now, is_admitted);
+    /// Admits or refuses a request right after a restart, while this node doesn't know which other nodes exist. Nodes
+    /// that know different peers assume different owners, so no grant is used yet; admissions are reported all the
+    /// same.
+    pub fn decide_while_starting(&mut self, now: BootTime, random: f64) -> Result<(), QuotaRefusal> {
+        let fraction = self.limits.startup_fraction(!self.has_requested_while_starting);
+        self.has_requested_while_starting = true;
+        let is_admitted = should_admit(&mut self.carry, fraction);
+        self.count_as_non_owner(now, is_admitted);
         if is_admitted { Ok(()) } else { Err(refusal(fraction, random)) }
     }
 
-    /// Counts a request of a tenant that another node owns, or will own.
-    fn count_unowned(&mut self, now: BootTime, is_admitted: bool) {
-        if let Some(acting) = &mut self.acting {
-            acting.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
+    /// Counts a request that this node has not decided as the owner.
+    fn count_as_non_owner(&mut self, now: BootTime, is_admitted: bool) {
+        if let Some(substitution) = &mut self.substitution {
+            substitution.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
         }
-        if let Some(spender) = &mut self.spender {
-            spender.count(now, is_admitted, &self.limits);
+        if let Some(follower) = &mut self.follower {
+            follower.count(now, is_admitted, &self.limits);
         } else if let Some(ledger) = &mut self.ledger {
             ledger.count(Counts { offered: 1, admitted: u32::from(is_admitted) });
         }
     }
 
-    /// Takes a report as the owner; none where this node isn't.
-    pub fn take_report(
+    /// Handles a report as the owner, and returns the fraction to admit and the confirmation. Returns `None` if this
+    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LINGER`].
+    pub fn handle_report_as_owner(
         &mut self,
         now: BootTime,
         from: NodeId,
         report: &QuotaReport,
-        fleet_fraction: f64,
+        quota_fraction: f64,
     ) -> Option<(f64, Confirmation)> {
         let ledger = self.ledger.as_mut()?;
-        ledger.refill(now, &self.limits, fleet_fraction);
-        let confirmation = ledger.take_report(now, from, report);
-        let pass = ledger.pass(&self.limits, fleet_fraction);
-        if pass < 1.0 || ledger.is_limiting() {
-            self.ledger_due = Some(now);
+        ledger.refill(now, &self.limits, quota_fraction);
+        let confirmation = ledger.apply_report(now, from, report);
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        if admit_fraction < 1.0 || ledger.has_granted_limit() {
+            self.next_grant_check_at = Some(now);
         }
-        Some((pass, confirmation))
+        Some((admit_fraction, confirmation))
     }
 
-    /// Another node has spoken as owner. Says whether this one is the owner too, and hasn't known of it.
-    pub fn note_rival(&mut self, now: BootTime, rival: NodeId) -> bool {
-        self.ledger.as_mut().is_some_and(|ledger| ledger.note_rival(now, rival))
+    /// Records that another node has acted as the owner. Returns whether this node is an owner too and didn't know of
+    /// the other one.
+    pub fn record_rival_owner(&mut self, now: BootTime, rival: NodeId) -> bool {
+        self.ledger.as_mut().is_some_and(|ledger| ledger.record_rival_owner(now, rival))
     }
 
-    /// What the owner sends another node that acts as owner.
-    pub fn claim(&self, now: BootTime, fleet_fraction: f64) -> QuotaMessage {
-        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.pass(now, fleet_fraction)))
+    /// Returns the grant that the owner sends to another node which acts as the owner.
+    pub fn ownership_claim(&self, now: BootTime, quota_fraction: f64) -> QuotaMessage {
+        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.admit_fraction(now, quota_fraction)))
     }
 
-    /// Whether this node is the owner, and hasn't asked a former one yet whether it still is.
-    pub fn is_new_rival(&mut self, now: BootTime, former: NodeId) -> bool {
-        let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none());
-        ledger.is_some_and(|ledger| ledger.ask_former(now, former))
+    /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
+    /// still acts as one.
+    pub fn should_notify_former_owner(&mut self, now: BootTime, former_owner: NodeId) -> bool {
+        let ledger = self.ledger.as_mut().filter(|ledger| ledger.ownership_lost_at.is_none());
+        ledger.is_some_and(|ledger| ledger.should_notify_former_owner(now, former_owner))
     }
 
-    /// The fraction that all `nodes` are to be granted now, if it must be announced.
-    pub fn due_grant(&mut self, now: BootTime, fleet_fraction: f64, nodes: usize) -> Option<f64> {
-        if self.ledger_due.is_none_or(|due| due > now) {
+    /// Returns the fraction to grant to all `nodes` nodes, if a grant is due now.
+    pub fn take_due_grant(&mut self, now: BootTime, quota_fraction: f64, nodes: usize) -> Option<f64> {
+        if self.next_grant_check_at.is_none_or(|due| due > now) {
             return None;
         }
-        self.ledger_due = None;
-        let ledger = self.ledger.as_mut().filter(|ledger| ledger.lost_at.is_none())?;
-        ledger.refill(now, &self.limits, fleet_fraction);
-        let pass = ledger.pass(&self.limits, fleet_fraction);
-        let is_new = ledger.is_announcement_due(now, pass, nodes);
-        if is_new {
-            ledger.note_announced(now, pass);
+        self.next_grant_check_at = None;
+        let ledger = self.ledger.as_mut().filter(|ledger| ledger.ownership_lost_at.is_none())?;
+        ledger.refill(now, &self.limits, quota_fraction);
+        let admit_fraction = ledger.admit_fraction(&self.limits, quota_fraction);
+        let is_grant_due = ledger.is_grant_due(now, admit_fraction, nodes);
+        if is_grant_due {
+            ledger.record_grant(now, admit_fraction);
         }
-        if pass < 1.0 || ledger.is_limiting() {
-            self.ledger_due = Some(now + LIMITED_LOOK);
+        if admit_fraction < 1.0 || ledger.has_granted_limit() {
+            self.next_grant_check_at = Some(now + LIMITED_CHECK_INTERVAL);
         }
-        is_new.then_some(pass)
+        is_grant_due.then_some(admit_fraction)
     }
 
-    /// The report that is due now, if one is.
-    pub fn report(&mut self, now: BootTime) -> Option<DueReport> {
-        self.spender.as_mut()?.report(now, self.hash)
+    /// Returns the report that is due now, if there is one.
+    pub fn take_due_report(&mut self, now: BootTime) -> Option<DueReport> {
+        self.follower.as_mut()?.take_due_report(now, self.hash)
     }
 
-    /// Notes how a request was decided. Says whether the tenant is limited now, where that has changed.
-    pub fn note_decided(&mut self, now: BootTime, is_admitted: bool) -> Option<bool> {
-        let was_limited = self.limited_at.is_some();
+    /// Records the decision about a request. Returns whether the tenant is limited now, if that has changed.
+    pub fn record_decision(&mut self, now: BootTime, is_admitted: bool) -> Option<bool> {
+        let was_limited = self.last_refusal_at.is_some();
         if !is_admitted {
-            self.limited_at = Some(now);
-        } else if self.limited_at.is_some_and(|at| now.since(at) >= FREE_AFTER) {
-            self.limited_at = None;
+            self.last_refusal_at = Some(now);
+        } else if self.last_refusal_at.is_some_and(|at| now.since(at) >= UNLIMITED_AFTER) {
+            self.last_refusal_at = None;
         }
-        let is_limited = self.limited_at.is_some();
+        let is_limited = self.last_refusal_at.is_some();
         (is_limited != was_limited).then_some(is_limited)
     }
 
-    /// When something is due next.
-    pub fn due(&self) -> Option<BootTime> {
-        let report = self.spender.as_ref().and_then(Spender::due);
-        let acting = self.acting.as_ref().map(|acting| acting.due);
-        [report, self.ledger_due, acting].into_iter().flatten().min()
+    /// Time at which something is to be sent next.
+    pub fn next_due(&self) -> Option<BootTime> {
+        let report = self.follower.as_ref().and_then(Follower::next_report_at);
+        let substitution = self.substitution.as_ref().map(|substitution| substitution.next_check_at);
+        [report, self.next_grant_check_at, substitution].into_iter().flatten().min()
     }
 
-    /// Part of the requests that pass as far as this node knows.
-    pub fn pass(&self, now: BootTime, fleet_fraction: f64) -> f64 {
-        match (&self.ledger, &self.spender) {
-            (_, Some(spender)) => spender.pass(now),
-            (Some(ledger), None) => ledger.pass(&self.limits, fleet_fraction),
+    /// Fraction of requests to admit, as far as this node knows.
+    pub fn admit_fraction(&self, now: BootTime, quota_fraction: f64) -> f64 {
+        match (&self.ledger, &self.follower) {
+            (_, Some(follower)) => follower.admit_fraction(now),
+            (Some(ledger), None) => ledger.admit_fraction(&self.limits, quota_fraction),
             (None, None) => 1.0,
         }
     }
 }
 
-/// Whether a request passes where a part of all does.
-fn draw(carry: &mut f64, pass: f64) -> bool {
-    if pass >= 1.0 {
+/// Decides whether to admit a request when the fraction `admit_fraction` is to be admitted. `carry` accumulates the
+/// fractions, so that admissions are spread evenly.
+fn should_admit(carry: &mut f64, admit_fraction: f64) -> bool {
+    if admit_fraction >= 1.0 {
         return true;
     }
-    *carry += pass;
+    *carry += admit_fraction;
     if *carry < 1.0 {
         return false;
     }
@@ -374,8 +402,8 @@
     true
 }
 
-/// Callers that are refused at the same time come back over a time in which as many pass as were refused.
-fn refusal(pass: f64, random: f64) -> QuotaRefusal {
-    let spread = (1.0 / pass.max(f64::MIN_POSITIVE)).min(LATEST_SPREAD_S);
-    QuotaRefusal { retry_after: Duration::from_secs_f64(SOONEST_RETURN_S + random * spread) }
+/// Creates a refusal. Retries are spread over the time in which as many requests are admitted as were refused.
+fn refusal(admit_fraction: f64, random: f64) -> QuotaRefusal {
+    let spread = (1.0 / admit_fraction.max(f64::MIN_POSITIVE)).min(MAX_RETRY_SPREAD_S);
+    QuotaRefusal { retry_after: Duration::from_secs_f64(MIN_RETRY_AFTER_S + random * spread) }
 }
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -136,21 +136,27 @@
 }
 
 pub fn quota_change(change: &QuotaChange) -> String {
-    format!("{} {} {} {}", change.tenant, change.is_limited, change.pass, change.is_stranded)
+    format!("{} {} {} {}", change.tenant, change.is_limited, change.admit_fraction, change.is_deciding_locally)
 }
 
 pub fn quota_message(message: &QuotaMessage) -> String {
     match message {
         QuotaMessage::Report(report) => {
             let (counts, confirmed) = (report.counts, report.confirmed);
-            let former = report.former.map_or(0, |former| former.0);
+            let former = report.former_owner.map_or(0, |former| former.0);
             let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
             format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
         }
         QuotaMessage::Grant(word) => {
             let confirmed =
                 word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
-            format!("w {:x} {} {} {}", word.tenant.0, word.granted_at, word.pass, confirmed.unwrap_or_default())
+            format!(
+                "w {:x} {} {} {}",
+                word.tenant.0,
+                word.granted_at,
+                word.admit_fraction,
+                confirmed.unwrap_or_default()
+            )
         }
     }
 }
