--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -1,9 +1,16 @@
-//! One request from arrival to its final answer.
+//! The routing engine: carries each request from its arrival to its final result.
 //!
-//! Inputs: configurations, searcher entries, the fleet, arrivals, outcomes of attempts, time.
-//! Invariants: a request keeps the configuration it began with; a request that can't be repeated is
-//! sent again only after "not run"; a refusal of a never-run kind is given only if nothing was sent,
-//! or whatever was sent was answered "not run"; every request ends by its deadline.
+//! The engine is a state machine without I/O. It takes events ([`RoutingEvent`]: configurations, searcher entries,
+//! the state of the fleet, arrivals, outcomes of attempts, ticks) and returns the actions that its owner carries out
+//! ([`RoutingAction`]).
+//!
+//! Invariants:
+//! - A request keeps the configuration that it began with.
+//! - A request of a route that isn't idempotent is sent again only if the attempt before is known not to have
+//!   run.
+//! - A refusal of a kind whose `executed` is "never" is given only if nothing was sent, or if every attempt that was
+//!   sent is known not to have run.
+//! - Every request ends by its deadline.
 
 mod arrival;
 mod counters;
@@ -49,111 +56,116 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of a route's goal that its usual work is taken to be before there are measurements.
+/// A route's usual work is assumed to be its goal divided by this number until it has been measured.
 const WORK_FRACTION_OF_GOAL: u32 = 8;
 
-/// Bounds and place of a node's engine.
+/// Limits, location and identity of the node that an engine decides for.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Bound on extra sends, for all nodes together.
+    /// Bound on hedges and retries, for all nodes together.
     pub extra: ExtraBound,
     /// Zone of this node.
     pub zone: Arc<str>,
-    /// Regions by zone.
+    /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Time after the end of its entry during which a searcher is asked where nobody else can be.
+    /// Time after its entry has gone from the store during which a searcher is still asked if no other can be.
     pub lapse_grace: Duration,
     /// Bound on requests to a cold searcher, for all nodes together.
     pub cold: ColdBound,
-    /// Requests held at once.
+    /// Most requests that the node works on at once, held ones aside; further requests are refused.
     pub max_requests: usize,
-    /// When this process started, if it isn't the first on its machine: searchers may still count the connections
-    /// of the one before.
+    /// When this process started; `None` for the first process on its machine. Searchers may still count the
+    /// connections of the previous process.
     pub restarted_at: Option<BootTime>,
-    /// This incarnation of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// How far all nodes together may exceed tenants' quotas.
     pub quota: QuotaBound,
     /// When the process started.
     pub started_at: BootTime,
-    /// Mechanisms that are on.
+    /// Switches of the optional mechanisms.
     pub policy: RoutingPolicy,
-    /// Feeds random choices.
+    /// Seed of the engine's random number generator.
     pub seed: u64,
 }
 
-/// What is measured per route.
+/// Measurements of one route.
 pub(crate) struct RouteStatistics {
-    /// Time of answered attempts, without the round trip.
+    /// Work of answered attempts: the time that they took, without the round trip.
     pub work: LatencyTracker,
-    /// The same where nothing waits in a queue.
+    /// Estimate of the work of an attempt that doesn't wait in a queue.
     pub usual: UsualWork,
+    /// Weighted round robin over the services of a weighted route.
     pub turns: WeightedTurns,
 }
 
-/// What must be remembered of an attempt until it holds no connection any more.
+/// An attempt that still holds a connection. It may outlive its request.
 pub(crate) struct SentAttempt {
     pub searcher: SearcherKey,
     pub route: Arc<str>,
     pub sent_at: BootTime,
-    /// When it had a connection to be written on.
+    /// When the attempt got its connection; until then, the time of sending.
     pub begun_at: BootTime,
-    /// The group of services that it belongs to.
+    /// The service group that the request belongs to.
     pub group: Arc<str>,
-    /// What was asked for.
+    /// The content that the request asks for.
     pub content: ContentKey,
-    /// Whether its request had been answered by some searcher when it ended.
+    /// Whether a searcher had run the request to its end by the time at which the request was over.
     pub is_request_answered: bool,
 }
 
-/// A shard that waits for a searcher with room.
+/// A shard of a request that waits for a searcher that can be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WaitingShard {
     pub request: RequestKey,
     pub shard: u32,
 }
 
-/// The decisions of one node.
+/// Makes the routing decisions of one node.
 pub struct RoutingEngine {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: ChaCha8Rng,
     pub(crate) place: Place,
-    /// Part of the slack for extra sends that this node may spend.
+    /// Fraction of the fleet's slack for extra sends that this node may spend, 0 to 1.
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) searchers: Vec<Searcher>,
-    /// The incarnation that holds of each id.
+    /// The current incarnation of each searcher id.
     by_instance: HashMap<Arc<str>, SearcherKey>,
     by_incarnation: HashMap<Incarnation, SearcherKey>,
+    /// Searchers of each service that serve, or whose entry has lapsed recently.
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
     services: HashMap<Arc<str>, ServiceEntry>,
     /// Zones whose searchers get no new work.
     evacuated: Vec<Arc<str>>,
+    /// Budgets for extra sends, by service.
     pub(crate) windows: HashMap<Arc<str>, ExtraWindow>,
     pub(crate) routes: HashMap<Arc<str>, RouteStatistics>,
-    /// What is taken of the offered work, by the first service that it asks.
+    /// Admission state of each service group, by the group's first service.
     groups: HashMap<Arc<str>, ServiceGroup>,
-    /// Waits at the searchers of each service.
+    /// Measured wait at the searchers of each service.
     pub(crate) waits: HashMap<Arc<str>, Wait>,
     pub(crate) requests: HashMap<RequestKey, Request>,
-    /// Requests that this node can't begin yet, in the order in which they came.
+    /// Requests that this node can't start yet, in order of arrival.
     held: Vec<HeldRequest>,
+    /// Attempts that hold a connection.
     pub(crate) sent: HashMap<AttemptKey, SentAttempt>,
-    /// Shards that wait for a searcher with room, by service.
+    /// Shards that wait for a searcher that can be asked, by service.
     pub(crate) waiting: HashMap<Arc<str>, VecDeque<WaitingShard>>,
+    /// Times at which requests need attention. Those that an earlier time has superseded stay in the heap.
     pub(crate) wakes: BinaryHeap<Reverse<(BootTime, RequestKey)>>,
-    /// Requests that end the searchers that run them.
+    /// Contents that are suspected of crashing the searchers that run them.
     pub(crate) quarantine: Quarantine,
-    /// What this node may admit of tenants' quotas.
+    /// This node's share of tenants' quotas.
     quotas: FleetAllowance,
-    /// Which alarms were logged.
+    /// Alarms of routes as they were logged last.
     alarms: first_probe::AlarmLog,
     /// Counters for metrics.
     pub counters: RoutingCounters,
 }
 
 impl RoutingEngine {
-    /// An engine that knows no configuration yet.
+    /// Creates an engine without a configuration.
     pub fn new(settings: RoutingSettings) -> Self {
         let place = Place {
             zone: settings.zone.clone(),
@@ -193,7 +205,7 @@
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions that follow from it.
     pub fn on_event(&mut self, now: BootTime, event: RoutingEvent, actions: &mut Vec<RoutingAction>) {
         match event {
             RoutingEvent::Configuration(table) => {
@@ -237,7 +249,7 @@
         }
     }
 
-    /// Changes the bound on extra sends.
+    /// Changes the bound on hedges and retries.
     pub fn set_extra_bound(&mut self, bound: ExtraBound) {
         self.settings.extra = bound;
     }
@@ -248,40 +260,41 @@
         self.place.cold = bound;
     }
 
-    /// When `Tick` is due next.
+    /// Returns when [`RoutingEvent::Tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         let wake = self.wakes.peek().map(|Reverse((time, _))| *time);
         wake.into_iter().chain(self.quotas.next_wake()).min()
     }
 
-    /// Times at which requests are to be looked at again, those that another look has overtaken too.
+    /// Returns the number of scheduled wakes, including those that an earlier wake of the same request has
+    /// superseded.
     pub fn scheduled_wakes(&self) -> usize {
         self.wakes.len()
     }
 
-    /// Requests without a final word.
+    /// Returns the number of requests without a final result, held ones included.
     pub fn in_flight(&self) -> usize {
         self.requests.len() + self.held.len()
     }
 
-    /// The searcher's incarnation that an attempt which still holds a connection was sent to.
+    /// Returns the id of the searcher that an attempt was sent to, while the attempt holds a connection.
     pub fn instance_of(&self, attempt: AttemptKey) -> Option<&Arc<str>> {
         let sent = self.sent.get(&attempt)?;
         Some(&self.searchers[sent.searcher.0 as usize].entry.instance)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// Searchers that may be asked.
+    /// Returns the number of searchers whose entries say that they serve.
     pub fn serving_searchers(&self) -> usize {
         self.searchers.iter().filter(|searcher| searcher.is_serving()).count()
     }
 
-    /// What the searcher of a shard with the lowest bound accepts from all nodes together; `None` when no
-    /// route asks shards.
+    /// Returns the lowest `max_connections` of all services that routes ask as shards; `None` when no route gathers
+    /// shards. Each bound holds for the connections of all nodes together.
     pub fn tightest_connections(&self) -> Option<u32> {
         let routes = &self.table.as_ref()?.definition().routes;
         let shards = routes.iter().filter_map(|route| match &route.target {
@@ -306,7 +319,8 @@
         self.table = Some(table);
     }
 
-    /// Searchers of a service that a request may be sent to, room and trials aside.
+    /// Returns the searchers of a service that a request may be sent to by their state and region. Free capacity and
+    /// avoidance after failures aren't checked.
     pub(crate) fn askable(
         &self,
         now: BootTime,
@@ -326,10 +340,11 @@
         })
     }
 
-    /// Whether a request is to be looked at now that a time scheduled for it has come; an earlier look has overtaken others.
+    /// Returns whether a wake that has come due is still valid. A wake that an earlier one of the same request has
+    /// superseded isn't.
     fn take_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
         let Some(request) = self.requests.get_mut(&key) else {
-            // It is held, or over.
+            // The request is held, or it has ended.
             return true;
         };
         request.wake_at.take_if(|at| *at == due).is_some()
@@ -344,8 +359,9 @@
         }
     }
 
-    /// Takes the looks whose time has come, in order. One that is scheduled while they are made waits for the next tick though its time has come,
-    /// so that a request which asks for one look after the other never keeps its node from sockets, peers and other requests.
+    /// Removes the wakes that are due and returns them in order. A wake that is scheduled while these are handled
+    /// waits for the next tick even if it is due already, so that a request which schedules one wake after another
+    /// can't keep the node from its sockets, its peers and other requests.
     fn take_due_wakes(&mut self, now: BootTime) -> Vec<(BootTime, RequestKey)> {
         let mut taken = Vec::new();
         while let Some(Reverse((due, key))) = self.wakes.peek().copied().filter(|Reverse((due, _))| *due <= now) {
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -1,7 +1,8 @@
-//! A request from its arrival to its first attempts: asks the rules in order whether it is begun, held or refused.
+//! Handles a request from its arrival to its first attempts: checks in order whether to start, hold or refuse it.
 //!
-//! A request that comes before this node knows what it needs (a configuration, or who serves) is held for a moment: the
-//! first read of the store takes tens of milliseconds after a start, and a caller who is refused asks only once more.
+//! A request that arrives before this node has what it needs (a configuration, or the list of searchers) is held for
+//! a short time. After a start, the first read of the store takes tens of milliseconds, and a caller who is refused
+//! asks only once more.
 
 use super::{HoldCause, RoutingAction, RoutingEngine, SendReason};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
@@ -18,19 +19,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that waits until this node knows what it needs.
+/// A request that waits until this node has the configuration or the searchers that the request needs.
 #[derive(Debug)]
 pub(super) struct HeldRequest {
     arrival: Arrival,
     held_at: BootTime,
+    /// When the hold ends at the latest.
     until: BootTime,
 }
 
-/// Why a request isn't begun.
+/// Why a request isn't started.
 enum NotBegun {
-    /// It can't be, or not by this node.
+    /// The request is refused for good.
     Refused(Verdict),
-    /// What it needs may be known in a moment; otherwise the verdict holds.
+    /// The node lacks something that it may learn soon. If the request isn't held, or not for long enough, the
+    /// verdict is its result.
     Unprepared(HoldCause, Verdict),
 }
 
@@ -50,7 +53,7 @@
     }
 }
 
-/// What a request that is begun follows from.
+/// Results of the checks that a request has passed.
 struct Admitted {
     table: Arc<RouteTable>,
     route_index: usize,
@@ -67,7 +70,8 @@
         HeldRequest { arrival, held_at: now, until }
     }
 
-    /// The arrival as if it came now. Once its hold is over, a request is judged by what is known.
+    /// Returns the arrival as of `now`, with the time of the hold added to its wait. Once the hold is over, a
+    /// doubtful view of the configuration counts as current.
     fn arrival(&self, now: BootTime) -> Arrival {
         let view = match self.arrival.view {
             ConfigurationView::Doubtful if now >= self.until => ConfigurationView::Current,
@@ -78,7 +82,7 @@
 }
 
 impl RoutingEngine {
-    /// Takes a request that has just arrived.
+    /// Starts, holds or refuses a request that has just arrived.
     pub(super) fn admit(&mut self, now: BootTime, arrival: Arrival, actions: &mut Vec<RoutingAction>) {
         match self.begin(now, &arrival, actions) {
             Ok(request) => self.send_all(now, arrival.key, request, actions),
@@ -101,14 +105,14 @@
         actions.push(RoutingAction::Held { request: key, cause });
     }
 
-    /// Begins the requests that were held for what is known now.
+    /// Starts the held requests that can be started now, after the node has learned something new.
     pub(super) fn begin_held(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         for held in std::mem::take(&mut self.held) {
             self.begin_or_keep(now, held, actions);
         }
     }
 
-    /// Ends the hold of a request whose time is over.
+    /// Ends the hold of a request if its time is over: the request is started or refused.
     pub(super) fn end_hold(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let due = self.held.iter().position(|held| held.arrival.key == key && held.until <= now);
         if let Some(index) = due {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Drops a held request whose caller has left.
+    /// Drops a held request whose caller has disconnected.
     pub(super) fn forget_held(&mut self, key: RequestKey) {
         self.held.retain(|held| held.arrival.key != key);
     }
@@ -143,7 +147,8 @@
         Ok(self.new_request(now, arrival, admitted))
     }
 
-    /// Whether a request can be begun, by this node and now. The order of the checks is that of their cost and of what they take from whom.
+    /// Checks whether this node can start a request now. Cheap checks come first; checks that use something up, such
+    /// as a token of the tenant's quota, come after those that don't.
     fn check(
         &mut self,
         now: BootTime,
@@ -187,7 +192,7 @@
         }
     }
 
-    /// Counts a request towards the budgets of the services that it asks.
+    /// Counts a request in the extra-send budgets of the services that it asks.
     fn count_request(&mut self, now: BootTime, services: &[Arc<str>]) {
         for service in services {
             let window = self.windows.entry(service.clone()).or_default();
@@ -251,7 +256,7 @@
         }
     }
 
-    /// Refuses at once, and unsent, what a tenant asks beyond its quota.
+    /// Takes a token from the tenant's quota, or refuses the request before anything is sent.
     fn check_quota(&mut self, now: BootTime, tenant: Option<&Arc<str>>) -> Result<(), NotBegun> {
         let taken = tenant.map_or(Ok(()), |tenant| self.take_quota(now, tenant));
         taken.map_err(|wait| {
@@ -260,7 +265,8 @@
         })
     }
 
-    /// Nothing is run where too few shards can have anybody to ask in time.
+    /// Checks that enough shards for an answer have a searcher that can be asked before the deadline. Otherwise the
+    /// request is refused or held, and nothing is sent.
     fn check_reach(
         &self,
         now: BootTime,
@@ -280,14 +286,14 @@
         }
     }
 
-    /// Sends the first attempt of each shard.
+    /// Registers a request and sends the first attempt of each shard.
     fn send_all(&mut self, now: BootTime, key: RequestKey, request: Request, actions: &mut Vec<RoutingAction>) {
         let count = request.shards.len();
         let first = self.first_shard(&request);
         self.requests.insert(key, request);
         self.note_probe_begun(now, key, actions);
         for shard in (first..count).chain(0..first) {
-            // What can't be sent yet waits, or is counted as failed.
+            // A shard that can't be sent now has been queued, or counts as failed.
             let _unsent = self.dispatch(now, key, shard, SendReason::First, actions);
         }
         self.settle(now, key, actions);
@@ -300,7 +306,8 @@
     giving_up::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
 }
 
-/// Whose a request is. A node that is behind judges nobody: the newer configuration may hold the key.
+/// Returns the tenant that a request's credential belongs to. A key that this node's configuration doesn't accept
+/// isn't refused while a newer configuration is known to exist, since that one may hold the key.
 fn judge_credential(
     table: &RouteTable,
     route: &RouteDefinition,
@@ -321,7 +328,9 @@
     })
 }
 
-/// A node that may have missed for too long that a key was revoked lets nobody in, or asks first.
+/// Checks that this node's configuration is recent enough to judge keys by. A node that may have missed the
+/// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
+/// expired.
 fn check_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotBegun> {
     match arrival.view {
         ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
--- a/crates/staircross-routing/src/engine/counters.rs
+++ b/crates/staircross-routing/src/engine/counters.rs
@@ -1,24 +1,24 @@
-//! What the engine counts.
+//! Counters of the engine.
 
-/// Counters, for metrics.
+/// Counters that the node exports as metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoutingCounters {
-    /// First attempts.
+    /// First attempts of shards that were sent.
     pub firsts: u64,
-    /// Hedges.
+    /// Hedges that were sent.
     pub hedges: u64,
-    /// Retries.
+    /// Retries that were sent.
     pub retries: u64,
-    /// Attempts made elsewhere because no connection came up.
+    /// Reroutes that were sent: attempts after one whose connection failed before anything was sent on it.
     pub reroutes: u64,
-    /// Hedges and retries that the budget refused.
+    /// Hedges and retries that the budget for extra sends didn't permit.
     pub over_budget: u64,
-    /// Answers with fewer than all parts.
+    /// Merged answers in which at least one shard is missing.
     pub partial_answers: u64,
-    /// Requests refused because too much waits at the searchers.
+    /// Requests refused because requests wait too long at the searchers.
     pub not_admitted: u64,
-    /// Requests beyond their tenant's quota.
+    /// Requests refused because their tenant's quota was used up.
     pub over_quota: u64,
-    /// Messages to peers of tenants' quotas.
+    /// Messages on tenants' quotas that were sent to peers.
     pub quota_messages: u64,
 }
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -1,7 +1,8 @@
-//! Sending attempts: asks the rules whether, to whom and how late a hedge may follow, and notes what was sent.
+//! Sends attempts: decides whether a shard may be sent, chooses its searcher, schedules the hedge and records the
+//! attempt.
 //!
-//! Owns no state of its own. Relies on [`crate::decision::placement`], [`crate::decision::hedging`] and [`crate::decision::extra_budget`]. What can't be sent
-//! now is left waiting by `waiting`, or given up.
+//! The module owns no state. The rules are in [`crate::decision::placement`], [`crate::decision::hedging`] and
+//! [`crate::decision::extra_budget`]. A shard that can't be sent now is queued by [`super::waiting`] or given up.
 
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
@@ -18,14 +19,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is overdue after the round trip and so many times the usual work of its searcher: later than the earliest hedge.
+/// An attempt is overdue after the round trip plus this many times the usual work of its searcher. That is later than
+/// the earliest hedge.
 const OVERDUE_FACTOR: f64 = 2.2;
-/// Wait for a connection, the round trips besides. For a searcher's process that gets no turn for a while.
+/// Longest wait for a connection, in addition to [`CONNECT_ROUND_TRIPS`]. Leaves time for a searcher process that
+/// isn't scheduled for a while.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
-/// Round trips that a connection may take besides. For one that connects at its second try.
+/// Round trips that are added to [`CONNECT_PATIENCE`]. Leaves time for a connection that comes up at the second try.
 const CONNECT_ROUND_TRIPS: u32 = 4;
 
-/// One attempt that is about to be made.
+/// An attempt that is about to be sent.
 #[derive(Clone, Copy)]
 struct Sending {
     request: RequestKey,
@@ -35,7 +38,7 @@
 }
 
 impl RoutingEngine {
-    /// Sends one more attempt for a shard, or says why not.
+    /// Sends one more attempt for a shard, or returns why none is sent.
     pub(super) fn dispatch(
         &mut self,
         now: BootTime,
@@ -60,7 +63,8 @@
         outcome.map(|_| ())
     }
 
-    /// Whether a request may be sent to anybody at present; a shard that may be later waits.
+    /// Checks whether a shard may be sent to any searcher at present. Queues a shard that must wait for the trial of
+    /// a suspect content or for a first probe.
     fn check_sendable(
         &mut self,
         now: BootTime,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The searcher that a shard is sent to; `None` when none can be asked now.
+    /// Chooses the searcher that a shard is sent to; `None` when none can be asked now.
     fn choose_searcher(
         &mut self,
         now: BootTime,
@@ -107,7 +111,8 @@
         choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random)
     }
 
-    /// Whether an attempt beyond the needed may be made; one that may is paid from the budget.
+    /// Checks whether an attempt may be made as a hedge or retry, and spends the budget for it. First attempts and
+    /// reroutes are free.
     fn check_extra(
         &mut self,
         now: BootTime,
@@ -146,7 +151,7 @@
         actions.extend(self.send_order(now, sending, attempt).map(RoutingAction::Send));
     }
 
-    /// Notes an attempt with its request and its searcher.
+    /// Records an attempt with its request and its searcher.
     fn begin_attempt(&mut self, now: BootTime, sending: Sending) -> Option<AttemptKey> {
         let times = self.hedge_times(now, sending)?;
         let request = self.requests.get_mut(&sending.request)?;
@@ -210,7 +215,8 @@
         Some(HedgeTimes { round_trip, other_round_trip, usual, late, delay_factor })
     }
 
-    /// Fraction of the budget of a searcher's service that isn't spent; `None` where hedges don't go by it.
+    /// Returns the unspent fraction of the extra-send budget of a searcher's service; `None` when hedges don't depend
+    /// on it.
     fn spare_fraction(&mut self, now: BootTime, searcher: SearcherKey) -> Option<f64> {
         if !self.settings.policy.hedge_by_budget {
             return None;
@@ -220,15 +226,16 @@
         Some(self.windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share)))
     }
 
-    /// The round trip to the farthest other searcher that the same shard may be sent to: a hedge may have to go there.
+    /// Returns the longest round trip to another searcher that the same shard may be sent to, since a hedge may have
+    /// to go there.
     fn longest_other_round_trip(&self, now: BootTime, request: &Request, asked: SearcherKey) -> Duration {
         let service = &self.searchers[asked.0 as usize].entry.service;
         let others = self.askable(now, request.allowed_regions(), service).filter(|(peer, _)| *peer != asked);
         others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
-    /// Sets the time at which the request needs attention next. One look is enough, since it schedules the next: a second one would go on beside it
-    /// for as long as the request lives.
+    /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling
+    /// it schedules the next. With two, each would go on scheduling another for as long as the request lives.
     pub(super) fn schedule(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -1,6 +1,7 @@
-//! Carries out first probes: holds the other shards back, sends them when any has answered, and logs alarms.
+//! Carries out first probes: sends one shard of a request, holds the others back until any has answered, and logs
+//! alarms.
 //!
-//! [`crate::decision::first_probe`] says which requests, and why.
+//! [`crate::decision::first_probe`] decides which requests are probed, and says why.
 
 use super::waiting::Postponed;
 use super::{ProbeStep, RoutingAction, RoutingEngine, SendReason, UnsentCause};
@@ -12,25 +13,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between looks for alarms that are over: each goes through all routes. So that a line comes a second late at most.
+/// Time between two checks for alarms that are over. Each check goes through all routes. The log line comes at most
+/// this much late.
 const ALARM_LOOKS: Duration = Duration::from_secs(1);
 
-/// The alarms that were logged last.
+/// Alarms of routes as they were logged last.
 #[derive(Default)]
 pub(super) struct AlarmLog {
-    /// Routes on alarm.
+    /// Routes whose alarm is raised.
     routes: Vec<Arc<str>>,
     logged_at: BootTime,
 }
 
 impl RoutingEngine {
-    /// The probe of a request that is to be tried on one shard first.
+    /// Returns the probe of a request that must be sent to one shard first; `None` for other requests.
     pub(super) fn new_probe(&self, now: BootTime, route: &RouteDefinition, content: ContentKey) -> Option<FirstProbe> {
         let is_needed = first_probe::is_needed(now, &self.settings.policy, &self.quarantine, &route.name, content);
         is_needed.then(|| FirstProbe::new(now))
     }
 
-    /// Tells how a request of several shards begins while its route is on alarm.
+    /// Logs whether a request of several shards starts with a probe, if the alarm of its route is raised.
     pub(super) fn note_probe_begun(&self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key).filter(|request| request.shards.len() > 1) else {
             return;
@@ -46,7 +48,7 @@
         actions.extend(step.map(|step| RoutingAction::Probe { request: key, step }));
     }
 
-    /// The shard that a request is sent to first.
+    /// Returns the shard that a request is sent to first: a random one for a probe.
     pub(super) fn first_shard(&mut self, request: &Request) -> usize {
         match request.probe {
             Some(_) => first_probe::first_of(request.shards.len(), &mut self.random),
@@ -54,15 +56,15 @@
         }
     }
 
-    /// Whether a request may be sent to a shard as far as its first probe goes. Hedges wait: a second searcher of a shard that is silent would be
-    /// one more that may end, and another shard's part is needed anyway.
+    /// Returns whether a request's first probe keeps it from being sent to a further searcher. Hedges are always held
+    /// back: a hedge would risk a second searcher of a silent shard, while another shard's answer is needed anyway.
     pub(super) fn is_held_by_probe(&self, now: BootTime, request: &Request, reason: SendReason) -> bool {
         let is_permitted =
             |probe: FirstProbe| reason != SendReason::Hedge && probe.may_send(now, request.attempts_at_work());
         request.probe.is_some_and(|probe| !is_permitted(probe))
     }
 
-    /// Has a shard wait until any that was asked has answered, or its turn comes.
+    /// Queues a shard until another shard has answered or the probe is widened to it.
     pub(super) fn postpone_for_probe(
         &mut self,
         now: BootTime,
@@ -78,7 +80,8 @@
         cause
     }
 
-    /// Sends one more shard of a request that nobody has answered, if it is time or nobody is at work on it any more.
+    /// Sends one more shard of a probed request that no shard has answered, if the probe's time has come or no
+    /// attempt is open.
     pub(super) fn widen_probe(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -103,7 +106,7 @@
         }
     }
 
-    /// A searcher has run the request and lived on: the other shards are sent now.
+    /// Ends the probe of a request that a searcher has run and survived, and sends the other shards.
     pub(super) fn end_probe(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
@@ -117,14 +120,14 @@
         self.retry_due(now, key, actions);
     }
 
-    /// Logs alarms that are over, a second late at most.
+    /// Logs alarms that are over, at most [`ALARM_LOOKS`] late.
     pub(super) fn log_ended_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         if !self.alarms.routes.is_empty() && now >= self.alarms.logged_at + ALARM_LOOKS {
             self.log_alarms(now, actions);
         }
     }
 
-    /// Logs which routes' alarms were raised or are over since the last time.
+    /// Logs the routes whose alarms were raised or have ended since the last call.
     pub(super) fn log_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         self.alarms.logged_at = now;
         if !self.quarantine.has_alarms() && self.alarms.routes.is_empty() {
@@ -143,13 +146,13 @@
         self.alarms.routes = alarmed;
     }
 
-    /// Routes whose requests have ended searchers lately, as logged last.
+    /// Returns the number of routes whose alarm is raised, as logged last.
     pub fn alarm_count(&self) -> usize {
         self.alarms.routes.len()
     }
 }
 
-/// Shards that wait, from the one after that which was sent first.
+/// Returns the waiting shards, in cyclic order from the one after the shard that was sent first.
 fn shards_after_first(request: &Request) -> Vec<usize> {
     let count = request.shards.len();
     let next = request.attempts.first().map_or(0, |first| first.shard as usize + 1);
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,6 +1,7 @@
-//! The end of an attempt: notes it with its searcher and its request, and carries out what [`crate::decision::retry`] says.
+//! Handles the end of an attempt: updates its searcher and its request, and carries out what
+//! [`crate::decision::retry`] decides.
 //!
-//! Owns how long answers are read out that nobody waits for.
+//! Also owns the time for which the answer of a superseded attempt is still read.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::retry::{self, NextStep, RequestKind};
@@ -9,8 +10,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// How long the answer of an attempt that nobody waits for is read out before its connection is closed. So that a connection whose answer is under
-/// way can be kept.
+/// Time after which the connection of a superseded attempt is closed if its answer hasn't been read completely. A
+/// connection whose answer arrives by then can be kept.
 const READ_OUT_PATIENCE: Duration = Duration::from_millis(1500);
 
 impl RoutingEngine {
@@ -28,7 +29,7 @@
         self.note_wait(now, &sent, &outcome, actions);
         self.note_searcher(now, &sent, &outcome);
         let shard = self.close_attempt(attempt);
-        // Before the outcome is judged as a lost searcher, which may end the request at once.
+        // This must come before `note_suspicion`, which may end the request at once.
         if matches!(outcome, AttemptOutcome::Unknown(_)) {
             self.note_may_have_run(attempt.request);
         }
@@ -43,7 +44,7 @@
         self.serve_waiting(now, &service, actions);
     }
 
-    /// Closes the attempt within its request; `None` when nobody waits for it.
+    /// Closes an attempt within its request and returns its shard; `None` when the attempt was abandoned.
     fn close_attempt(&mut self, key: AttemptKey) -> Option<usize> {
         let request = self.requests.get_mut(&key.request)?;
         let attempt = request.attempts.get_mut(usize::from(key.number))?;
@@ -74,7 +75,7 @@
                 statistics.work.record(worked);
             }
             AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.faltered(now),
-            // A kept connection that has ended says nothing of how the searcher works.
+            // An idle connection that was closed says nothing about the searcher's speed or health.
             AttemptOutcome::Cancelled | AttemptOutcome::NotRun(NotRun::Stale) => {}
             AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
             AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A shard's part is in: nothing more is done for it.
+    /// Stores a shard's answer and abandons the shard's other attempts.
     fn take_part(
         &mut self,
         key: RequestKey,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// What didn't run may leave its searcher free to be asked again by the same request.
+    /// After an attempt that didn't run, allows the request to ask the same searcher again where the rules permit it.
     fn note_unused(&mut self, key: RequestKey, shard: usize, searcher: SearcherKey, outcome: &AttemptOutcome) {
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Asks another searcher; gives the shard up when that can't be and nobody else is at work on it.
+    /// Sends a shard again unless another attempt for it is open. Gives the shard up when it can be neither sent nor
+    /// queued.
     fn try_again(
         &mut self,
         now: BootTime,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// The shard's part is in: other attempts for it are needless.
+    /// Abandons the open attempts of a shard that has been answered.
     fn abandon_shard(&mut self, key: RequestKey, shard: usize, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Ends all open attempts of a request that is over.
+    /// Abandons all open attempts of a request.
     pub(super) fn abandon_all(
         &mut self,
         key: RequestKey,
@@ -252,7 +254,7 @@
         }
     }
 
-    /// How long answers are read out that nobody waits for any more.
+    /// Returns the time for which the answer of a superseded attempt is still read.
     pub(super) fn read_out_patience() -> Duration {
         READ_OUT_PATIENCE
     }
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -1,7 +1,7 @@
-//! Carries waits to admission, and refuses what admission doesn't take.
+//! Admission control: measures how long sub-requests wait at searchers, and refuses requests while that is too long.
 //!
-//! Owns, for each group of services that are asked together, its level, its wait and its tenants' shares; and the wait of each service. The rules
-//! are [`crate::decision::admission`] and [`crate::decision::fair_share`].
+//! Owns the admission level, the wait and the tenants' shares of each service group, and the wait of each service.
+//! The rules are in [`crate::decision::admission`] and [`crate::decision::fair_share`].
 
 use super::{RoutingAction, RoutingEngine, SentAttempt};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
@@ -18,16 +18,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Services that are asked together; named by the first of them.
+/// Admission state of the services that a route asks together. A group has the name of its first service.
 #[derive(Debug)]
 pub(super) struct ServiceGroup {
     admission: Admission,
     wait: Wait,
-    /// Index of the most urgent route that asks them.
+    /// Index of the most urgent route of the group.
     route_index: usize,
-    /// The most and the least urgent priority of the routes that ask them.
+    /// Most and least urgent priority of the group's routes; smaller numbers are more urgent.
     priorities: (u32, u32),
-    /// Tenants' shares of what is taken, by rank.
+    /// Tenants' shares of the admitted requests, by rank.
     shares: BTreeMap<Rank, FairShares>,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl RoutingEngine {
-    /// Follows a configuration: groups and services that it doesn't name are forgotten, new ones begin without limits.
+    /// Adapts the groups and waits to a new configuration: drops those that it doesn't name and adds new groups
+    /// without limits.
     pub(super) fn set_groups(&mut self, table: &RouteTable) {
         let mut known = std::mem::take(&mut self.groups);
         for (route_index, route) in table.definition().routes.iter().enumerate() {
@@ -67,8 +68,9 @@
         self.waits.retain(|service, _| self.services.contains_key(service));
     }
 
-    /// Whether a request is refused because too much waits: then, the fraction of its tenant's requests at its rank that is taken now.
-    /// `tenant` is `None` where no tenant is known.
+    /// Decides by chance whether a request is refused because requests wait too long. Returns `None` if it is
+    /// admitted, and otherwise the fraction of its tenant's requests at its rank that is admitted at present.
+    /// `tenant` is `None` for requests without one.
     pub(super) fn refusing_fraction(
         &mut self,
         now: BootTime,
@@ -93,7 +95,7 @@
         Some(fraction)
     }
 
-    /// Whether so much waits at a service that asking another of its searchers helps nobody.
+    /// Returns whether sub-requests wait so long at a service that a hedge would only add to its load.
     pub(super) fn is_pressed(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
         let Some(request) = self.requests.get(&key).filter(|_| self.settings.policy.hedge_pressure) else {
             return false;
@@ -108,7 +110,7 @@
         tolerable_wait(goal, measured.unwrap_or(goal / super::WORK_FRACTION_OF_GOAL), fan_out)
     }
 
-    /// Learns from an attempt's end how much waits, and judges from time to time.
+    /// Records the wait that an attempt's end shows, and updates the group's admission level when that is due.
     pub(super) fn note_wait(
         &mut self,
         now: BootTime,
@@ -161,7 +163,7 @@
     }
 }
 
-/// Services that one request of a route asks.
+/// Returns the number of services that one request of a route asks.
 fn fan_out(route: &RouteDefinition) -> usize {
     match &route.target {
         RouteTarget::Gather(gather) => gather.shards.len(),
@@ -169,7 +171,7 @@
     }
 }
 
-/// The services that name the groups of a route.
+/// Returns the services that the groups of a route are named by.
 fn first_services(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
     let (one, set) = match &route.target {
         RouteTarget::Service(service) => (Some(service), &[][..]),
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas, which hold for all nodes together.
+//! Enforces tenants' quotas, which limit the requests that all nodes together admit.
 
 use super::{RoutingAction, RoutingEngine, RoutingSettings};
 use crate::configuration::table::RouteTable;
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Messages sent to a peer at once, so that a datagram is never cut on its way.
+/// Most quota messages in one datagram to a peer, so that the datagram is never fragmented.
 const MESSAGES_AT_ONCE: usize = 10;
 
-/// The allowance of a node that has just started.
+/// Creates the allowance of a node that has just started.
 pub(super) fn allowance(settings: &RoutingSettings) -> FleetAllowance {
     FleetAllowance::new(settings.quota, settings.node, settings.started_at, settings.restarted_at.is_none())
 }
 
 impl RoutingEngine {
-    /// Takes a token for one request of a tenant; when there will be room otherwise.
+    /// Takes a token for one request of a tenant; otherwise returns the time until one will be available.
     pub fn take_quota(&mut self, now: BootTime, tenant: &Arc<str>) -> Result<(), Duration> {
         self.quotas.try_take(now, tenant).map_err(|refusal| {
             self.counters.over_quota += 1;
@@ -25,12 +25,12 @@
         })
     }
 
-    /// What this node thinks of a tenant's quota at the moment; none where it has no quota.
+    /// Returns this node's present view of a tenant's quota; `None` when the tenant has no quota.
     pub fn quota_view(&self, now: BootTime, tenant: &str) -> Option<QuotaView> {
         self.quotas.view(now, tenant)
     }
 
-    /// Changes how far all nodes together may exceed quotas.
+    /// Changes the bound on how far all nodes together may exceed quotas.
     pub fn set_quota_bound(&mut self, now: BootTime, bound: QuotaBound) {
         self.quotas.set_bound(bound);
         if let Some(table) = self.table.clone() {
@@ -62,7 +62,7 @@
         self.push_envelopes(envelopes, actions);
     }
 
-    /// Sends peers what is due, and logs which tenants have become limited or free.
+    /// Sends peers the messages that are due, and logs the tenants that have become limited or free.
     pub(super) fn send_due_quotas(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         let mut envelopes = Vec::new();
         self.quotas.on_tick(now, &mut envelopes);
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -1,7 +1,8 @@
-//! Requests in flight whose key a newer configuration holds no more.
+//! Revocation: handles requests in flight whose key is missing from a newer configuration.
 //!
-//! A table changes in one place only, so requests are judged anew there rather than before each send. What is running may finish, and
-//! its answer is delivered; what hasn't been sent isn't. A request of which nothing has run is refused at once.
+//! The configuration changes in one place only, so requests are checked again there rather than before each send.
+//! Attempts that are running may finish, and their answers are delivered. Nothing more is sent. A request of which
+//! nothing has run is refused at once.
 
 use super::{RoutingAction, RoutingEngine, SendReason, UnsentCause};
 use crate::configuration::tenants::KeyRefusal;
@@ -10,7 +11,7 @@
 use staircross_types::BootTime;
 
 impl RoutingEngine {
-    /// Judges the requests of tenants by the configuration that has just come into force.
+    /// Revokes the requests of tenants whose key the new configuration doesn't hold.
     pub(super) fn end_revoked(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         let Some(table) = self.table.clone() else {
             return;
@@ -19,7 +20,7 @@
             |request: &Request| request.tenant.is_some() && !request.is_key_revoked && !table.holds(request.credential);
         let concerned = self.requests.iter().filter(|(_, request)| is_concerned(request));
         let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
-        // The order of a hash map must not decide what is done first.
+        // The result must not depend on the order of the hash map.
         keys.sort_unstable();
         for key in keys {
             self.revoke(key, actions);
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Ends the waiting of a request's shards, and takes back what hasn't been sent yet.
+    /// Marks a request as revoked, gives up its waiting shards and recalls the attempts that aren't sent yet.
     fn revoke(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Says that a send isn't made because the request's key is gone.
+    /// Logs that an attempt isn't sent because the request's key was revoked.
     pub(super) fn note_unsent_revoked(
         key: RequestKey,
         request: &Request,
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -1,4 +1,4 @@
-//! Which searchers the engine knows, and which of them are listed for a service.
+//! Maintains the engine's table of searchers and the list of askable searchers of each service.
 
 use super::{RoutingAction, RoutingEngine};
 use crate::configuration::definition::ColdStart;
@@ -8,7 +8,7 @@
 use staircross_types::BootTime;
 use std::sync::Arc;
 
-/// Connections that a searcher of an unlisted service is taken to accept.
+/// Connections that a searcher is assumed to accept when the configuration doesn't name its service.
 const DEFAULT_MAX_CONNECTIONS: u32 = 32;
 
 impl RoutingEngine {
@@ -25,8 +25,9 @@
         services.iter().for_each(|service| self.serve_waiting(now, service, actions));
     }
 
-    /// An incarnation that isn't known yet is a searcher of its own, and the one before it under the same id is asked no more. Which of two
-    /// holds was decided by the mirror, before the engine gets it.
+    /// Adds or updates a searcher. An unknown incarnation becomes a new searcher, and the previous incarnation with
+    /// the same id is no longer asked. The mirror of the store decides which of two incarnations is the current one;
+    /// the engine takes its entries in order.
     fn set_searcher(&mut self, now: BootTime, entry: SearcherEntry) {
         let service = entry.service.clone();
         let instance = entry.instance.clone();
@@ -34,7 +35,7 @@
         let incarnation = Incarnation { instance: instance.clone(), born_ms: entry.born_ms };
         let key = match self.by_incarnation.get(&incarnation).copied() {
             Some(key) => {
-                // Its entry may name another service than before.
+                // The new entry may name another service than the old one.
                 self.unlist(key);
                 self.searchers[key.0 as usize].update(now, entry);
                 key
@@ -77,7 +78,8 @@
         searcher
     }
 
-    /// Takes which zones' searchers get no new work; a shard that waits for one that may be asked again gets its chance.
+    /// Replaces the set of evacuated zones, whose searchers get no new work, and tries the waiting shards again,
+    /// since a zone may have become available.
     pub(super) fn set_evacuated(&mut self, now: BootTime, zones: Vec<Arc<str>>, actions: &mut Vec<RoutingAction>) {
         self.evacuated = zones;
         for searcher in &mut self.searchers {
@@ -85,11 +87,13 @@
             searcher.set_evacuated(now, is_evacuated);
         }
         let mut services: Vec<Arc<str>> = self.waiting.keys().cloned().collect();
-        // In one order on every run, so that a recording is taken again alike.
+        // A fixed order makes the replay of a recording deterministic.
         services.sort_unstable();
         services.iter().for_each(|service| self.serve_waiting(now, service, actions));
     }
 
+    /// Marks a searcher whose entry has gone from the store. It is asked for `lapse_grace` longer if no other
+    /// can be.
     pub(super) fn set_lapsed(&mut self, now: BootTime, instance: &Arc<str>) {
         let Some(key) = self.by_instance.get(instance).copied() else {
             return;
@@ -103,7 +107,7 @@
         }
     }
 
-    /// The process at its address is no longer the one that was asked for.
+    /// Stops asking a searcher, since another process has its address or a newer incarnation has replaced it.
     pub(crate) fn forget_serving(&mut self, key: SearcherKey) {
         self.searchers[key.0 as usize].mark_gone();
         self.unlist(key);
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,6 +1,7 @@
-//! The end of requests: gathers what [`crate::decision::giving_up`] and [`crate::decision::hedging`] judge by, and carries out their verdicts.
+//! Sends due hedges and ends requests: collects the inputs of [`crate::decision::hedging`] and
+//! [`crate::decision::giving_up`], and carries out their verdicts.
 //!
-//! Owns how long attempts may go on whose caller has left.
+//! Also owns the time for which attempts go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
@@ -11,13 +12,16 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// How long a searcher may go on with work whose caller has left. So that most answers under way still come.
+/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers under way still
+/// arrive by then, so that their connections can be kept.
 const DEPARTED_PATIENCE: Duration = Duration::from_millis(350);
-/// The same for work that may not be repeated. Longer than any such work.
+/// Time after which the connection is closed when the caller has disconnected and the route isn't idempotent. It is
+/// longer than any such work takes.
 const UNREPEATABLE_PATIENCE: Duration = Duration::from_secs(600);
 
 impl RoutingEngine {
-    /// A request needs attention: a hedge is due, its goal is near, or its time is over.
+    /// Handles a wake of a request: a hedge, a retry or a probe may be due, or the goal or the deadline has been
+    /// reached.
     pub(super) fn on_due(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         if !self.requests.contains_key(&key) {
             return self.end_hold(now, key, actions);
@@ -55,12 +59,12 @@
             };
         }
         for shard in late {
-            // A hedge that isn't made is retried after a pause.
+            // `hedge_at` was set above to the time at which a hedge that isn't sent is tried again.
             let _unsent = self.dispatch(now, key, shard, SendReason::Hedge, actions);
         }
     }
 
-    /// Ends the request if nothing more can come, too little can, or it is time.
+    /// Ends a request if all shards are done, if too few can still answer, or if its time is over.
     pub(super) fn settle(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -106,7 +110,7 @@
         let Some(request) = self.requests.get(&key) else {
             return self.forget_held(key);
         };
-        // Work that may not be repeated is left to end; the caller may ask what became of it.
+        // Work of a route that isn't idempotent may finish: the caller may ask later what became of it.
         let is_idempotent = request.route().is_idempotent;
         let patience = if is_idempotent { DEPARTED_PATIENCE } else { UNREPEATABLE_PATIENCE };
         self.abandon_all(key, patience, AbandonCause::CallerGone, actions);
@@ -130,7 +134,7 @@
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
             Some(ShardState::In(answer)) => Verdict::Passed(answer),
-            _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
+            _ => Refusal::new(ErrorKind::Internal, "a request without any shard's answer was taken as answered").into(),
         };
     };
     let parts = request.shards.iter().filter_map(|shard| match &shard.state {
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -1,4 +1,6 @@
-//! What lost searchers mean for the requests that ran there.
+//! Tracks contents that are suspected of crashing searchers, and holds back or ends the requests that ask for them.
+//!
+//! [`crate::decision::quarantine`] decides which contents are suspect or quarantined.
 
 use super::waiting::Postponed;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
@@ -9,11 +11,12 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time until a shard of a suspect request is retried while a searcher is at work on another. A tenth of a short goal.
+/// Time until a shard of a suspect request is tried again while a searcher is at work on the same content. A tenth of
+/// a short goal.
 const TRIAL_PAUSE: Duration = Duration::from_millis(10);
 
 impl RoutingEngine {
-    /// What is believed of a content.
+    /// Returns the suspicion against a content; always [`Suspicion::None`] when quarantine is switched off.
     pub(super) fn suspicion(&self, now: BootTime, content: ContentKey) -> Suspicion {
         match self.settings.policy.quarantine {
             true => self.quarantine.suspicion(now, content),
@@ -21,24 +24,25 @@
         }
     }
 
-    /// Contents that are suspect, and those that are quarantined.
+    /// Returns the numbers of suspect and of quarantined contents.
     pub fn suspicion_counts(&self, now: BootTime) -> (usize, usize) {
         self.quarantine.counts(now)
     }
 
-    /// What to send peers with the next datagrams.
+    /// Returns the records that are due to be sent to peers with the next datagrams.
     pub fn case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.quarantine.records(now)
     }
 
-    /// Whether a request must wait for the end of an attempt in flight, be it another request's: a searcher that is at work on a suspect content
-    /// hasn't outlived it yet, whoever waits for its answer.
+    /// Returns whether a request for a suspect content must wait because an attempt for the same content is in
+    /// flight. The attempt may belong to any request: as long as it runs, it isn't known whether its searcher
+    /// survives the content.
     pub(super) fn waits_for_trial(&self, now: BootTime, request: &Request) -> bool {
         let content = request.content;
         self.suspicion(now, content) == Suspicion::Suspect && self.sent.values().any(|sent| sent.content == content)
     }
 
-    /// Has a shard of a suspect request wait, unless a searcher is at work on it already.
+    /// Queues a shard of a suspect request, unless the shard has an open attempt.
     pub(super) fn postpone_suspect(
         &mut self,
         now: BootTime,
@@ -54,7 +58,7 @@
         let shard = &request.shards[shard_index];
         let service = shard.service.clone();
         if shard.is_open() && shard.outstanding == 0 {
-            // Logged once, not with each look.
+            // The line is logged once, not with each retry.
             if !shard.is_queued {
                 actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
             }
@@ -63,7 +67,8 @@
         cause
     }
 
-    /// Takes what the end of an attempt says of its searcher and of what was asked for.
+    /// Updates the suspicions by the end of an attempt. An answer shows that the searcher is alive, and one after a
+    /// complete run counts in favour of the content; a broken connection counts as a searcher lost under the content.
     pub(super) fn note_suspicion(
         &mut self,
         now: BootTime,
@@ -120,12 +125,12 @@
         }
     }
 
-    /// Ends the requests in flight that ask for a content which is sent to nobody any more. An attempt that may not be repeated is left to its
-    /// end: its searcher may be at work on it, and nobody could do again what is cut off there.
+    /// Ends the requests in flight that ask for a quarantined content. An open attempt of a route that isn't
+    /// idempotent may finish: its searcher may be at work on it, and work that is cut off couldn't be repeated.
     fn end_quarantined(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
         let concerned = self.requests.iter().filter(|(_, request)| request.content == content);
         let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
-        // In the order in which they came, so that a recording is taken again alike.
+        // Order of arrival, which makes the replay of a recording deterministic.
         keys.sort_unstable();
         for key in keys {
             let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -1,6 +1,9 @@
-//! Shards that nobody can be asked for yet: all searchers lack room, or failed or rejected connections a moment ago.
+//! Queues of shards that can't be sent yet.
 //!
-//! A shard is given up only when nobody is left, or when its request's time is over before anybody may be asked.
+//! A shard waits while all its searchers are at capacity or are avoided after failures or rejected connections, while
+//! the budget for retries is spent, or while a first probe or the trial of a suspect content is under way. It is
+//! given up when no searcher is left, when it couldn't be sent before its request's deadline, or when its queue is
+//! full.
 
 use super::{RoutingAction, RoutingEngine, UnsentCause, WaitingShard};
 use crate::decision::allowed_regions::AllowedRegions;
@@ -12,19 +15,21 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Shards of one service that wait at once; those beyond are given up. Bounds memory.
+/// Most shards of one service that wait at once; further ones are given up. Bounds memory.
 const MAX_WAITING: usize = 1024;
 
-/// A sending that can't be made yet.
+/// Why a shard is to be sent, why it can't be sent yet, and when to try again.
 pub(super) struct Postponed {
     pub reason: SendReason,
     pub cause: UnsentCause,
-    /// When to try again; `None` when room is waited for.
+    /// When to try again; `None` when the shard waits for an event, such as the end of another attempt.
     pub retry_at: Option<BootTime>,
 }
 
 impl RoutingEngine {
-    /// When a searcher of a service besides `excluded` may be asked, room aside; `None` when there is nobody.
+    /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked, free
+    /// capacity aside; `None` when there is no such searcher. With
+    /// `routing.waiting` switched off, only a searcher that may be asked at once counts.
     pub(super) fn next_chance(
         &self,
         now: BootTime,
@@ -38,7 +43,8 @@
         chance.filter(|at| self.settings.policy.waiting || *at <= now)
     }
 
-    /// Nobody can be asked now: has the shard wait, or gives it up. A shard that somebody is at work on does neither.
+    /// Queues a shard for which no searcher can be asked now, or gives it up if none is left. A shard with an open
+    /// attempt is left as it is. Returns the cause.
     pub(super) fn note_unplaced(
         &mut self,
         now: BootTime,
@@ -63,7 +69,7 @@
         cause
     }
 
-    /// Searchers of a shard that may not be asked for this request.
+    /// Returns the searchers of a shard that this request may not ask.
     pub(super) fn excluded(&self, key: RequestKey, shard_index: usize) -> Vec<SearcherKey> {
         let Some(request) = self.requests.get(&key) else {
             return Vec::new();
@@ -73,7 +79,7 @@
         peers.iter().copied().filter(|peer| shard.is_excluded(*peer, most)).collect()
     }
 
-    /// A shard that may not be sent again yet, because the budget for extra sends is spent, waits for it.
+    /// Queues a shard that can't be sent again yet because the budget for extra sends is spent.
     pub(super) fn wait_for_budget(&mut self, now: BootTime, key: RequestKey, shard_index: usize, reason: SendReason) {
         let Some(shard) = self.requests.get(&key).map(|request| &request.shards[shard_index]) else {
             return;
@@ -85,7 +91,8 @@
         }
     }
 
-    /// Whether the budget will reach one more repeat for a service by a time, after those that wait already.
+    /// Returns whether the budget of a service is expected to permit one more retry by `deadline`, after the retries
+    /// that already wait.
     fn may_be_permitted_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
         let Some(window) = self.windows.get_mut(service) else {
             return true;
@@ -95,12 +102,13 @@
         permitted > 0 && ahead.nth(permitted - 1).is_none()
     }
 
-    /// Whether a shard that waits needs room in the budget to be sent.
+    /// Returns whether a waiting shard must be paid from the budget for extra sends.
     fn needs_budget(&self, waiting: &WaitingShard) -> bool {
         let shard = self.requests.get(&waiting.request).map(|request| &request.shards[waiting.shard as usize]);
         shard.and_then(|shard| shard.waiting).is_some_and(|waiting| waiting.reason == SendReason::Retry)
     }
 
+    /// Queues a shard, or gives it up if waiting is hopeless or the queue of its service is full.
     pub(super) fn begin_waiting(&mut self, now: BootTime, key: RequestKey, shard_index: usize, wait: Postponed) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -128,7 +136,8 @@
         }
     }
 
-    /// Gives the shards that have waited longest another chance, after a searcher has got room or come back.
+    /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or come back.
+    /// Stops at the first shard that blocks those behind it.
     pub(super) fn serve_waiting(&mut self, now: BootTime, service: &Arc<str>, actions: &mut Vec<RoutingAction>) {
         let waiting = self.waiting.get(service).map_or(0, VecDeque::len);
         for _ in 0..waiting {
@@ -146,7 +155,7 @@
         }
     }
 
-    /// Sends the shards of a request whose time to be asked again has come.
+    /// Sends the waiting shards of a request whose time to be tried again has come.
     pub(super) fn retry_due(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -158,7 +167,8 @@
         }
     }
 
-    /// Sends a shard that has waited, has it wait on, or gives it up. Returns whether those behind it may be sent.
+    /// Sends a waiting shard, queues it again, or gives it up. Returns whether the shards behind it may be tried,
+    /// too.
     pub(super) fn send_waiting(
         &mut self,
         now: BootTime,
@@ -181,7 +191,7 @@
             self.settle(now, key, actions);
         }
         self.schedule(key);
-        // What waits for a trial of its own content is in nobody's way.
+        // A shard that waits for a trial or a probe of its own request doesn't block the shards behind it.
         outcome.is_ok() || matches!(outcome, Err(UnsentCause::Suspect | UnsentCause::Probing))
     }
 
@@ -189,7 +199,8 @@
         self.requests.get(&key).is_some_and(|request| request.shards[shard_index].waiting.is_some())
     }
 
-    /// An attempt has a connection to be written on: its searcher accepts more again.
+    /// Records that an attempt has got its connection, and sends waiting shards, since the searcher accepts
+    /// connections.
     pub(super) fn on_begun(&mut self, now: BootTime, attempt: AttemptKey, actions: &mut Vec<RoutingAction>) {
         let Some(sent) = self.sent.get_mut(&attempt) else {
             return;
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -1,4 +1,4 @@
-//! What the engine takes in, and what it wants done.
+//! Inputs and outputs of the routing engine: the events that it handles and the actions that it asks for.
 
 use crate::configuration::table::RouteTable;
 use crate::configuration::tenants::{KeyRefusal, SentIdentity};
@@ -17,203 +17,206 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the engine takes in.
+/// An event that the engine handles.
 #[derive(Clone, Debug)]
 pub enum RoutingEvent {
     /// A newer configuration is in force.
     Configuration(Arc<RouteTable>),
-    /// New or changed entries.
+    /// Searcher entries are new or have changed.
     Searchers(Vec<SearcherEntry>),
-    /// Incarnations whose entries have gone.
+    /// The entries of these searchers, named by their ids, have gone from the store.
     SearchersGone(Vec<Arc<str>>),
-    /// All zones whose searchers are to get no new work.
+    /// The set of evacuated zones has changed. It lists all zones whose searchers are to get no new work.
     Evacuated(Vec<Arc<str>>),
     /// The live nodes have changed.
     Fleet {
-        /// Nodes that serve callers, by zone; this one counts.
+        /// Number of nodes that serve callers, by zone, this node included.
         nodes_by_zone: HashMap<Arc<str>, usize>,
-        /// Most nodes that served lately.
+        /// Largest number of nodes that served at the same time lately.
         serving: usize,
-        /// This node's number among those that serve, from 0; `None` for a reserve.
+        /// Rank of this node among the nodes that serve, from 0; `None` for a reserve.
         rank: Option<usize>,
-        /// This node's part of the slack for extra sends, 0 to 1.
+        /// Fraction of the slack for extra sends that this node may spend, 0 to 1.
         slack_share: f64,
-        /// Live nodes that take callers' requests, reserves too; `None` where they are those of the last event.
+        /// Live nodes that take callers' requests, including reserves; `None` when they are the same as in the last
+        /// event.
         nodes: Option<Vec<NodeId>>,
     },
     /// A request has arrived.
     Arrived(Arrival),
-    /// Its caller has left.
+    /// The caller of a request has disconnected.
     CallerGone(RequestKey),
-    /// A connection came up.
+    /// A connection to a searcher was established.
     Connected {
-        /// To whom.
+        /// The searcher.
         searcher: SearcherKey,
-        /// How long it took.
+        /// Time that connecting took.
         took: Duration,
     },
-    /// An attempt that had to wait for a connection has one now.
+    /// An attempt that had to wait for a connection has got one.
     Begun {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
     },
-    /// An attempt has ended and holds no connection any more.
+    /// An attempt has ended and no longer holds a connection.
     Ended {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
-        /// How.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// Peers have lost searchers under requests.
+    /// Peers report searchers that they lost while these ran requests.
     PeerCases(Vec<CaseRecord>),
-    /// No peer has been heard for some time, or one is heard again.
+    /// This node has heard from no peer for some time, or hears from one again.
     Isolated {
-        /// Whether none is.
+        /// Whether no peer is heard.
         is_isolated: bool,
     },
-    /// A peer reports what it has admitted, or what this node may admit, of tenants' quotas.
+    /// A peer reports how much of tenants' quotas it has admitted, or how much this node may admit.
     PeerQuota {
         /// The peer.
         from: NodeId,
-        /// What it reports.
+        /// The peer's messages.
         messages: Vec<QuotaMessage>,
     },
-    /// Time has passed.
+    /// Time has passed. The engine handles the wakes that are due and its periodic work.
     Tick,
 }
 
-/// What the engine wants done.
+/// An action that the engine asks its owner to carry out.
 #[derive(Clone, Debug)]
 pub enum RoutingAction {
     /// Send the request to a searcher.
     Send(SendOrder),
-    /// The attempt's answer is no longer wanted: read it out, or close the connection when it takes
-    /// longer than `patience`.
+    /// The attempt's answer is no longer wanted. Read and discard it, or close the connection if it isn't complete
+    /// within `patience`.
     Abandon {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
-        /// How long to wait for its end.
+        /// Time after which the connection is closed.
         patience: Duration,
-        /// Why.
+        /// Why the answer is no longer wanted.
         cause: AbandonCause,
     },
-    /// Take an attempt back if nothing of it was sent; what was sent goes on.
+    /// Cancel an attempt if nothing of it has been sent; otherwise let it go on.
     Recall {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
     },
-    /// An attempt that was wanted isn't made; for the log alone.
+    /// An attempt was due but isn't sent; only for the log.
     Unsent {
-        /// For which request.
+        /// The request.
         request: RequestKey,
-        /// For which service.
+        /// The service of the shard.
         service: Arc<str>,
-        /// Why it was wanted.
+        /// Why the attempt was due.
         reason: SendReason,
-        /// Why it isn't made.
+        /// Why the attempt isn't sent.
         cause: UnsentCause,
     },
-    /// A request ends without a part of this shard; for the log alone.
+    /// A request ends without an answer from a shard; only for the log.
     LeftOut {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// The shard.
+        /// The service of the shard.
         service: Arc<str>,
-        /// Searchers that were asked, in order.
+        /// Ids of the searchers that were asked, in order.
         asked: Vec<Arc<str>>,
-        /// Why there is no part.
+        /// Why there is no answer.
         cause: LeftOutCause,
     },
-    /// A request waits until this node knows what it needs; for the log alone.
+    /// A request is held until this node knows the configuration or the searchers that it needs; only for the log.
     Held {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// What is lacking.
+        /// What this node lacks.
         cause: HoldCause,
     },
-    /// A request's key lets nobody in; for the log alone, which never gets a key.
+    /// A request's key was refused; only for the log, to which the key itself is never written.
     KeyRefused {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// Why.
+        /// Why the key was refused.
         cause: KeyRefusal,
     },
-    /// A request is refused because too much waits at its services; for the log alone.
+    /// A request is refused because requests wait too long at its services; only for the log.
     NotAdmitted {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// The first service of the group.
+        /// First service of the group, which names it.
         group: Arc<str>,
-        /// Part of its route's requests that is taken now, 0 to 1.
+        /// Fraction of the tenant's requests at this rank that is admitted now, 0 to 1.
         fraction: f64,
     },
-    /// What is taken of the work offered to a group of services has changed; for the log alone.
+    /// The admission level of a service group has changed; only for the log.
     Admission {
-        /// The first service of the group.
+        /// First service of the group, which names it.
         group: Arc<str>,
-        /// The change, and what it follows from.
+        /// The new level, and the wait that led to it.
         change: AdmissionChange,
     },
-    /// What is believed of a content has changed: for the log, and for peers.
+    /// The suspicion against a content has changed; for the log and for peers.
     Suspicion {
         /// The change.
         change: SuspicionChange,
-        /// Whether it follows from what peers reported.
+        /// Whether the change follows from peers' reports.
         is_by_peers: bool,
     },
-    /// Send a peer messages on tenants' quotas.
+    /// Send messages on tenants' quotas to a peer.
     SendQuotas {
         /// The peer.
         to: NodeId,
-        /// What.
+        /// The messages.
         messages: Vec<QuotaMessage>,
     },
-    /// A tenant has become limited at this node, or is free again; for the log alone.
+    /// A tenant has become limited by its quota at this node, or is free again; only for the log.
     Quota(QuotaChange),
-    /// Requests of a route have ended searchers lately, or do so no more; for the log alone.
+    /// The alarm of a route is raised, since its requests have crashed searchers lately, or is over; only for the
+    /// log.
     Alarm {
-        /// The route's name.
+        /// Name of the route.
         route: Arc<str>,
-        /// Whether the alarm begins.
+        /// Whether the alarm is raised rather than over.
         is_raised: bool,
     },
-    /// A request came while its route was on alarm, or its first probe has moved on; for the log alone.
+    /// A request has arrived while the alarm of its route is raised, or its first probe has advanced; only for the
+    /// log.
     Probe {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// What happened.
+        /// The step.
         step: ProbeStep,
     },
-    /// The final word on a request.
+    /// A request has its final result.
     Finish {
-        /// Which.
+        /// The request.
         request: RequestKey,
-        /// The word.
+        /// The result.
         verdict: Verdict,
     },
 }
 
-/// A step of a request that came while its route was on alarm.
+/// A step of a request that arrived while the alarm of its route was raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeStep {
-    /// One shard is sent first.
+    /// One shard is sent first, as a probe.
     Begun {
         /// Time since the newest loss that raised the alarm.
         alarm_age: Duration,
     },
-    /// All shards are sent at once, since a searcher has answered the same content lately.
+    /// All shards are sent at once, since a searcher has answered the same content recently.
     Needless {
         /// Time since the newest loss that raised the alarm.
         alarm_age: Duration,
     },
-    /// A shard has answered: the others are sent.
+    /// A shard has answered, so the others are sent.
     Answered,
-    /// Those that were sent have ended, or are silent for longer than usual work takes: one more is sent.
+    /// One more shard is sent, since all attempts have ended or have been silent for longer than work usually takes.
     Widened,
 }
 
 impl ProbeStep {
-    /// Name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             ProbeStep::Begun { .. } => "begun",
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Time since the newest loss that raised the alarm, where a request has just come.
+    /// Returns the time since the newest loss that raised the alarm; `None` for steps after a request's arrival.
     pub fn alarm_age(self) -> Option<Duration> {
         match self {
             ProbeStep::Begun { alarm_age } | ProbeStep::Needless { alarm_age } => Some(alarm_age),
@@ -235,29 +238,29 @@
 /// Why an attempt's answer is no longer wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonCause {
-    /// The request has its answer, or was given up.
+    /// The request or the shard has its answer, or the request was given up.
     Superseded,
-    /// The caller left.
+    /// The caller has disconnected.
     CallerGone,
-    /// Every searcher that ran what is asked for has ended; a searcher that hasn't begun it yet shouldn't.
+    /// The content was quarantined: every searcher that ran it was lost, so one that hasn't begun it should not.
     Quarantined,
 }
 
-/// Why a shard has no part in an answer.
+/// Why a request ended without an answer from a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeftOutCause {
-    /// The searcher that was asked hadn't answered when the request ended.
+    /// An attempt was still open when the request ended.
     Late,
-    /// Nobody had room to be asked.
+    /// The shard still waited for a searcher that could be asked.
     NoRoom,
-    /// The searcher that was asked failed, and no other could be asked.
+    /// Every attempt failed, and no other searcher could be asked.
     Failed,
-    /// There was nobody to ask.
+    /// No searcher could be asked, or none of those asked could be reached.
     Nobody,
 }
 
 impl LeftOutCause {
-    /// Name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             LeftOutCause::Late => "late",
@@ -268,19 +271,19 @@
     }
 }
 
-/// What this node must learn before it can begin a request.
+/// What this node must learn before it can start a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldCause {
     /// No configuration is known yet.
     NoConfiguration,
-    /// A peer knows a newer configuration, which may have the route.
+    /// A peer has a newer configuration, which may hold the route or the key.
     OldConfiguration,
-    /// Not all searchers are known yet, and too few of those that are can be asked.
+    /// The list of searchers isn't complete yet, and too few of the known searchers can be asked.
     NoSearchers,
 }
 
 impl HoldCause {
-    /// Name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             HoldCause::NoConfiguration => "no_configuration",
@@ -290,35 +293,38 @@
     }
 }
 
-/// Why an attempt isn't made.
+/// Why an attempt isn't sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsentCause {
     /// The budget for extra sends is spent.
     OverBudget,
-    /// Every searcher that could be asked holds as many attempts as it may; the shard waits.
+    /// Every eligible searcher has as many attempts as it may have; the shard waits.
     NoRoom,
-    /// Every searcher that could be asked failed or rejected connections a moment ago; the shard waits.
+    /// Every eligible searcher is avoided for a while, after a failure or rejection or because it is cold; the shard
+    /// waits.
     Avoided,
-    /// No searcher is left that could be asked.
+    /// No eligible searcher is left.
     NobodyLeft,
-    /// Too much waits at all searchers of the service: asking a second one would only add to it.
+    /// Sub-requests wait too long at the searchers of the service, and a hedge would only add to their load.
     Pressed,
-    /// Searchers were lost under what is asked for, and another is at work on it: the shard waits for its word.
+    /// The content is suspected of crashing searchers, and one is at work on it; the shard waits for that attempt's
+    /// end.
     Suspect,
-    /// The request may have run, and its route says that it may not run twice.
+    /// The request may have run, and its route isn't idempotent.
     NotRepeatable,
-    /// As many searchers were sent the request as its route allows.
+    /// The shard was sent to as many searchers as its route's `max_attempts` allows.
     MostAttempts,
-    /// The configuration in force holds the request's key no more.
+    /// The configuration in force no longer holds the request's key.
     KeyRevoked,
-    /// What is asked for is sent to nobody any more.
+    /// The content is quarantined and sent to no searcher.
     Quarantined,
-    /// Another shard was asked first, since requests of its route have ended searchers lately: the shard waits for its word.
+    /// The request is probed on another shard first, since requests of its route have crashed searchers lately; the
+    /// shard waits for an answer.
     Probing,
 }
 
 impl UnsentCause {
-    /// Name in logs.
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             UnsentCause::OverBudget => "over_budget",
@@ -336,38 +342,38 @@
     }
 }
 
-/// One sending.
+/// An order to send one attempt to a searcher.
 #[derive(Clone, Debug)]
 pub struct SendOrder {
     /// The attempt.
     pub attempt: AttemptKey,
     /// The searcher.
     pub searcher: SearcherKey,
-    /// Its incarnation.
+    /// Id of the searcher.
     pub instance: Arc<str>,
-    /// Whom the request is for, as it is sent to the searcher.
+    /// Identity of the caller, as it is sent to the searcher.
     pub identity: SentIdentity,
-    /// Where it listens.
+    /// Address of the searcher.
     pub address: SocketAddr,
-    /// How far it is.
+    /// Distance to the searcher's zone.
     pub distance: Distance,
-    /// When the request must have its final answer; what is left is sent to the searcher.
+    /// Deadline of the request; the time left is sent to the searcher.
     pub deadline: BootTime,
-    /// Whether the request may run more than once.
+    /// Whether the route is idempotent, so that the request may run more than once.
     pub is_idempotent: bool,
     /// Longest wait for a connection.
     pub connect_patience: Duration,
-    /// Why.
+    /// Why the attempt is sent.
     pub reason: SendReason,
-    /// What its searcher reported last, if it ever did.
+    /// Last load report of the searcher, if there was one.
     pub reported: Option<ReportedAt>,
 }
 
-/// A searcher's report of its load, and how old it is.
+/// A searcher's last report of its load, and the age of the report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedAt {
     /// The report.
     pub load: ReportedLoad,
-    /// Time since it came.
+    /// Time since the report was received.
     pub age: Duration,
 }
