--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -57,7 +57,7 @@
 use std::time::Duration;
 
 /// A route's usual work is assumed to be its goal divided by this number until it has been measured.
-const WORK_FRACTION_OF_GOAL: u32 = 8;
+const INITIAL_WORK_DIVISOR: u32 = 8;
 
 /// Limits, location and identity of the node that an engine decides for.
 #[derive(Clone, Debug)]
@@ -94,9 +94,9 @@
     /// Work of answered attempts: the time that they took, without the round trip.
     pub work: LatencyTracker,
     /// Estimate of the work of an attempt that doesn't wait in a queue.
-    pub usual: UsualWork,
+    pub usual_work: UsualWork,
     /// Weighted round robin over the services of a weighted route.
-    pub turns: WeightedTurns,
+    pub service_turns: WeightedTurns,
 }
 
 /// An attempt that still holds a connection. It may outlive its request.
@@ -137,21 +137,21 @@
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
     services: HashMap<Arc<str>, ServiceEntry>,
     /// Zones whose searchers get no new work.
-    evacuated: Vec<Arc<str>>,
+    evacuated_zones: Vec<Arc<str>>,
     /// Budgets for extra sends, by service.
-    pub(crate) windows: HashMap<Arc<str>, ExtraWindow>,
+    pub(crate) extra_windows: HashMap<Arc<str>, ExtraWindow>,
     pub(crate) routes: HashMap<Arc<str>, RouteStatistics>,
     /// Admission state of each service group, by the group's first service.
     groups: HashMap<Arc<str>, ServiceGroup>,
     /// Measured wait at the searchers of each service.
-    pub(crate) waits: HashMap<Arc<str>, Wait>,
+    pub(crate) service_waits: HashMap<Arc<str>, Wait>,
     pub(crate) requests: HashMap<RequestKey, Request>,
     /// Requests that this node can't start yet, in order of arrival.
-    held: Vec<HeldRequest>,
+    held_requests: Vec<HeldRequest>,
     /// Attempts that hold a connection.
-    pub(crate) sent: HashMap<AttemptKey, SentAttempt>,
+    pub(crate) sent_attempts: HashMap<AttemptKey, SentAttempt>,
     /// Shards that wait for a searcher that can be asked, by service.
-    pub(crate) waiting: HashMap<Arc<str>, VecDeque<WaitingShard>>,
+    pub(crate) waiting_shards: HashMap<Arc<str>, VecDeque<WaitingShard>>,
     /// Times at which requests need attention. Those that an earlier time has superseded stay in the heap.
     pub(crate) wakes: BinaryHeap<Reverse<(BootTime, RequestKey)>>,
     /// Contents that are suspected of crashing the searchers that run them.
@@ -159,7 +159,7 @@
     /// This node's share of tenants' quotas.
     quotas: FleetAllowance,
     /// Alarms of routes as they were logged last.
-    alarms: first_probe::AlarmLog,
+    logged_alarms: first_probe::LoggedAlarms,
     /// Counters for metrics.
     pub counters: RoutingCounters,
 }
@@ -189,18 +189,18 @@
             by_incarnation: HashMap::new(),
             by_service: HashMap::new(),
             services: HashMap::new(),
-            evacuated: Vec::new(),
-            windows: HashMap::new(),
+            evacuated_zones: Vec::new(),
+            extra_windows: HashMap::new(),
             routes: HashMap::new(),
             groups: HashMap::new(),
-            waits: HashMap::new(),
+            service_waits: HashMap::new(),
             requests: HashMap::new(),
-            held: Vec::new(),
-            sent: HashMap::new(),
-            waiting: HashMap::new(),
+            held_requests: Vec::new(),
+            sent_attempts: HashMap::new(),
+            waiting_shards: HashMap::new(),
             wakes: BinaryHeap::new(),
             quarantine: Quarantine::default(),
-            alarms: Default::default(),
+            logged_alarms: Default::default(),
             counters: RoutingCounters::default(),
         }
     }
@@ -211,15 +211,15 @@
             RoutingEvent::Configuration(table) => {
                 self.set_quotas(now, &table);
                 self.set_table(table);
-                self.end_revoked(now, actions);
-                self.begin_held(now, actions);
+                self.revoke_requests(now, actions);
+                self.start_held(now, actions);
             }
             RoutingEvent::Searchers(entries) => {
                 self.set_searchers(now, entries, actions);
-                self.begin_held(now, actions);
+                self.start_held(now, actions);
             }
             RoutingEvent::SearchersGone(instances) => {
-                instances.iter().for_each(|instance| self.set_lapsed(now, instance))
+                instances.iter().for_each(|instance| self.mark_searcher_lapsed(now, instance))
             }
             RoutingEvent::Evacuated(zones) => self.set_evacuated(now, zones, actions),
             RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
@@ -228,7 +228,7 @@
                 self.slack_share = slack_share;
                 self.set_quota_nodes(now, nodes);
             }
-            RoutingEvent::Arrived(arrival) => self.admit(now, arrival, actions),
+            RoutingEvent::Arrived(arrival) => self.on_arrival(now, arrival, actions),
             RoutingEvent::CallerGone(request) => self.on_caller_gone(request, actions),
             RoutingEvent::Connected { searcher, took } => {
                 let searcher = &mut self.searchers[searcher.0 as usize];
@@ -239,9 +239,9 @@
                 self.on_begun(now, attempt, actions);
             }
             RoutingEvent::Ended { attempt, outcome } => self.on_ended(now, attempt, outcome, actions),
-            RoutingEvent::PeerCases(records) => self.take_peer_cases(now, &records, actions),
+            RoutingEvent::PeerCases(records) => self.merge_peer_cases(now, &records, actions),
             RoutingEvent::Isolated { is_isolated } => self.quotas.set_isolated(is_isolated),
-            RoutingEvent::PeerQuota { from, messages } => self.take_quota_messages(now, from, messages, actions),
+            RoutingEvent::PeerQuota { from, messages } => self.handle_quota_messages(now, from, messages, actions),
             RoutingEvent::Tick => {
                 self.on_tick(now, actions);
                 self.send_due_quotas(now, actions);
@@ -274,12 +274,12 @@
 
     /// Returns the number of requests without a final result, held ones included.
     pub fn in_flight(&self) -> usize {
-        self.requests.len() + self.held.len()
+        self.requests.len() + self.held_requests.len()
     }
 
     /// Returns the id of the searcher that an attempt was sent to, while the attempt holds a connection.
     pub fn instance_of(&self, attempt: AttemptKey) -> Option<&Arc<str>> {
-        let sent = self.sent.get(&attempt)?;
+        let sent = self.sent_attempts.get(&attempt)?;
         Some(&self.searchers[sent.searcher.0 as usize].entry.instance)
     }
 
@@ -321,28 +321,28 @@
 
     /// Returns the searchers of a service that a request may be sent to by their state and region. Free capacity and
     /// avoidance after failures aren't checked.
-    pub(crate) fn askable(
+    pub(crate) fn eligible_searchers(
         &self,
         now: BootTime,
         regions: AllowedRegions<'_>,
         service: &Arc<str>,
     ) -> impl Iterator<Item = (SearcherKey, &Searcher)> {
-        let peers = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let known = peers.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
+        let listed = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
+        let known = listed.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
         known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
     }
 
     pub(crate) fn statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
-            work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL),
-            usual: UsualWork::default(),
-            turns: WeightedTurns::default(),
+            work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
+            usual_work: UsualWork::default(),
+            service_turns: WeightedTurns::default(),
         })
     }
 
     /// Returns whether a wake that has come due is still valid. A wake that an earlier one of the same request has
     /// superseded isn't.
-    fn take_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
+    fn claim_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
         let Some(request) = self.requests.get_mut(&key) else {
             // The request is held, or it has ended.
             return true;
@@ -352,9 +352,9 @@
 
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         self.log_ended_alarms(now, actions);
-        for (due, key) in self.take_due_wakes(now) {
-            if self.take_wake(key, due) {
-                self.on_due(now, key, actions);
+        for (due, key) in self.pop_due_wakes(now) {
+            if self.claim_wake(key, due) {
+                self.on_wake(now, key, actions);
             }
         }
     }
@@ -362,7 +362,7 @@
     /// Removes the wakes that are due and returns them in order. A wake that is scheduled while these are handled
     /// waits for the next tick even if it is due already, so that a request which schedules one wake after another
     /// can't keep the node from its sockets, its peers and other requests.
-    fn take_due_wakes(&mut self, now: BootTime) -> Vec<(BootTime, RequestKey)> {
+    fn pop_due_wakes(&mut self, now: BootTime) -> Vec<(BootTime, RequestKey)> {
         let mut taken = Vec::new();
         while let Some(Reverse((due, key))) = self.wakes.peek().copied().filter(|Reverse((due, _))| *due <= now) {
             self.wakes.pop();
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -29,32 +29,32 @@
 }
 
 /// Why a request isn't started.
-enum NotBegun {
+enum NotStarted {
     /// The request is refused for good.
     Refused(Verdict),
     /// The node lacks something that it may learn soon. If the request isn't held, or not for long enough, the
     /// verdict is its result.
-    Unprepared(HoldCause, Verdict),
+    NodeNotReady(HoldCause, Verdict),
 }
 
-impl NotBegun {
+impl NotStarted {
     fn refused(kind: ErrorKind, detail: &'static str) -> Self {
-        NotBegun::Refused(Refusal::new(kind, detail).into())
+        NotStarted::Refused(Refusal::new(kind, detail).into())
     }
 
-    fn unprepared(cause: HoldCause, kind: ErrorKind, detail: &'static str) -> Self {
-        NotBegun::Unprepared(cause, Refusal::new(kind, detail).into())
+    fn node_not_ready(cause: HoldCause, kind: ErrorKind, detail: &'static str) -> Self {
+        NotStarted::NodeNotReady(cause, Refusal::new(kind, detail).into())
     }
 }
 
-impl From<Refusal> for NotBegun {
+impl From<Refusal> for NotStarted {
     fn from(refusal: Refusal) -> Self {
-        NotBegun::Refused(refusal.into())
+        NotStarted::Refused(refusal.into())
     }
 }
 
 /// Results of the checks that a request has passed.
-struct Admitted {
+struct AdmittedRequest {
     table: Arc<RouteTable>,
     route_index: usize,
     tenant: Option<TenantKey>,
@@ -83,97 +83,99 @@
 
 impl RoutingEngine {
     /// Starts, holds or refuses a request that has just arrived.
-    pub(super) fn admit(&mut self, now: BootTime, arrival: Arrival, actions: &mut Vec<RoutingAction>) {
-        match self.begin(now, &arrival, actions) {
-            Ok(request) => self.send_all(now, arrival.key, request, actions),
-            Err(NotBegun::Unprepared(cause, _)) if self.may_hold() => self.hold(now, arrival, cause, actions),
-            Err(NotBegun::Refused(verdict) | NotBegun::Unprepared(_, verdict)) => {
+    pub(super) fn on_arrival(&mut self, now: BootTime, arrival: Arrival, actions: &mut Vec<RoutingAction>) {
+        match self.start_request(now, &arrival, actions) {
+            Ok(request) => self.send_first_attempts(now, arrival.key, request, actions),
+            Err(NotStarted::NodeNotReady(cause, _)) if self.may_hold() => {
+                self.hold_request(now, arrival, cause, actions)
+            }
+            Err(NotStarted::Refused(verdict) | NotStarted::NodeNotReady(_, verdict)) => {
                 actions.push(RoutingAction::Finish { request: arrival.key, verdict });
             }
         }
     }
 
     fn may_hold(&self) -> bool {
-        giving_up::may_hold(self.held.len(), &self.settings.policy)
+        giving_up::may_hold(self.held_requests.len(), &self.settings.policy)
     }
 
-    fn hold(&mut self, now: BootTime, arrival: Arrival, cause: HoldCause, actions: &mut Vec<RoutingAction>) {
+    fn hold_request(&mut self, now: BootTime, arrival: Arrival, cause: HoldCause, actions: &mut Vec<RoutingAction>) {
         let key = arrival.key;
         let held = HeldRequest::new(now, arrival);
         self.wakes.push(Reverse((held.until, key)));
-        self.held.push(held);
+        self.held_requests.push(held);
         actions.push(RoutingAction::Held { request: key, cause });
     }
 
     /// Starts the held requests that can be started now, after the node has learned something new.
-    pub(super) fn begin_held(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        for held in std::mem::take(&mut self.held) {
-            self.begin_or_keep(now, held, actions);
+    pub(super) fn start_held(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
+        for held in std::mem::take(&mut self.held_requests) {
+            self.start_or_keep_held(now, held, actions);
         }
     }
 
     /// Ends the hold of a request if its time is over: the request is started or refused.
-    pub(super) fn end_hold(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
-        let due = self.held.iter().position(|held| held.arrival.key == key && held.until <= now);
+    pub(super) fn end_expired_hold(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+        let due = self.held_requests.iter().position(|held| held.arrival.key == key && held.until <= now);
         if let Some(index) = due {
-            let held = self.held.remove(index);
-            self.begin_or_keep(now, held, actions);
+            let held = self.held_requests.remove(index);
+            self.start_or_keep_held(now, held, actions);
         }
     }
 
     /// Drops a held request whose caller has disconnected.
-    pub(super) fn forget_held(&mut self, key: RequestKey) {
-        self.held.retain(|held| held.arrival.key != key);
+    pub(super) fn remove_held(&mut self, key: RequestKey) {
+        self.held_requests.retain(|held| held.arrival.key != key);
     }
 
-    fn begin_or_keep(&mut self, now: BootTime, held: HeldRequest, actions: &mut Vec<RoutingAction>) {
+    fn start_or_keep_held(&mut self, now: BootTime, held: HeldRequest, actions: &mut Vec<RoutingAction>) {
         let arrival = held.arrival(now);
-        match self.begin(now, &arrival, actions) {
-            Ok(request) => self.send_all(now, arrival.key, request, actions),
-            Err(NotBegun::Unprepared(..)) if now < held.until => self.held.push(held),
-            Err(NotBegun::Refused(verdict) | NotBegun::Unprepared(_, verdict)) => {
+        match self.start_request(now, &arrival, actions) {
+            Ok(request) => self.send_first_attempts(now, arrival.key, request, actions),
+            Err(NotStarted::NodeNotReady(..)) if now < held.until => self.held_requests.push(held),
+            Err(NotStarted::Refused(verdict) | NotStarted::NodeNotReady(_, verdict)) => {
                 actions.push(RoutingAction::Finish { request: arrival.key, verdict });
             }
         }
     }
 
-    fn begin(
+    fn start_request(
         &mut self,
         now: BootTime,
         arrival: &Arrival,
         actions: &mut Vec<RoutingAction>,
-    ) -> Result<Request, NotBegun> {
-        let admitted = self.check(now, arrival, actions)?;
+    ) -> Result<Request, NotStarted> {
+        let admitted = self.check_admission(now, arrival, actions)?;
         Ok(self.new_request(now, arrival, admitted))
     }
 
     /// Checks whether this node can start a request now. Cheap checks come first; checks that use something up, such
     /// as a token of the tenant's quota, come after those that don't.
-    fn check(
+    fn check_admission(
         &mut self,
         now: BootTime,
         arrival: &Arrival,
         actions: &mut Vec<RoutingAction>,
-    ) -> Result<Admitted, NotBegun> {
+    ) -> Result<AdmittedRequest, NotStarted> {
         let (table, route_index) = self.find_route(arrival)?;
         self.check_load(arrival)?;
         let route = &table.definition().routes[route_index];
-        let tenant = judge_credential(&table, route, arrival, actions)?;
+        let tenant = authenticate(&table, route, arrival, actions)?;
         let definition = tenant.and_then(|key| table.tenant(key));
-        let whose = definition.map(|tenant| &tenant.name);
-        let content = arrival.content.of_tenant(whose.map(|name| &**name));
+        let tenant_name = definition.map(|tenant| &tenant.name);
+        let content = arrival.content.of_tenant(tenant_name.map(|name| &**name));
         self.check_content(now, content)?;
         let deadline = deadline_of(now, route, arrival)?;
-        let services = self.services_of(route);
+        let services = self.choose_services(route);
         self.check_reach(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
-        self.check_quota(now, whose)?;
+        self.check_quota(now, tenant_name)?;
         self.count_request(now, &services);
         let group = services.first().cloned().unwrap_or_default();
-        if let Some(fraction) = self.refusing_fraction(now, &group, table.rank(tenant, route), whose) {
+        if let Some(fraction) = self.draw_refusal(now, &group, table.rank(tenant, route), tenant_name) {
             actions.push(RoutingAction::NotAdmitted { request: arrival.key, group, fraction });
-            return Err(NotBegun::refused(ErrorKind::Overloaded, "too much waits at the back ends already"));
+            return Err(NotStarted::refused(ErrorKind::Overloaded, "too much waits at the back ends already"));
         }
-        Ok(Admitted { route_index, tenant, content, deadline, services, group, table: table.clone() })
+        Ok(AdmittedRequest { route_index, tenant, content, deadline, services, group, table: table.clone() })
     }
 
     fn check_load(&self, arrival: &Arrival) -> Result<(), Refusal> {
@@ -195,12 +197,12 @@
     /// Counts a request in the extra-send budgets of the services that it asks.
     fn count_request(&mut self, now: BootTime, services: &[Arc<str>]) {
         for service in services {
-            let window = self.windows.entry(service.clone()).or_default();
+            let window = self.extra_windows.entry(service.clone()).or_default();
             window.count_request(now, &self.settings.extra);
         }
     }
 
-    fn new_request(&self, now: BootTime, arrival: &Arrival, admitted: Admitted) -> Request {
+    fn new_request(&self, now: BootTime, arrival: &Arrival, admitted: AdmittedRequest) -> Request {
         let route = &admitted.table.definition().routes[admitted.route_index];
         let answer_by = answer_by(now, self.goal_of(route, arrival), arrival.waited, admitted.deadline);
         let has_others = admitted.services.len() > 1;
@@ -225,19 +227,19 @@
         }
     }
 
-    fn find_route(&self, arrival: &Arrival) -> Result<(Arc<RouteTable>, usize), NotBegun> {
+    fn find_route(&self, arrival: &Arrival) -> Result<(Arc<RouteTable>, usize), NotStarted> {
         let Some(table) = self.table.clone() else {
             let (cause, detail) = (HoldCause::NoConfiguration, "no configuration is known yet");
-            return Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail));
+            return Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail));
         };
         if let Some(route_index) = table.find_index(&arrival.host, &arrival.path) {
             return Ok((table, route_index));
         }
         if arrival.is_ahead_of(&table) {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may have this route");
-            return Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail));
+            return Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail));
         }
-        Err(NotBegun::refused(ErrorKind::NoRoute, "no route has this host and path"))
+        Err(NotStarted::refused(ErrorKind::NoRoute, "no route has this host and path"))
     }
 
     fn goal_of(&self, route: &RouteDefinition, arrival: &Arrival) -> Duration {
@@ -245,23 +247,23 @@
         usable_goal(route, &link)
     }
 
-    fn services_of(&mut self, route: &RouteDefinition) -> Vec<Arc<str>> {
+    fn choose_services(&mut self, route: &RouteDefinition) -> Vec<Arc<str>> {
         match &route.target {
             RouteTarget::Service(service) => vec![service.clone()],
             RouteTarget::Gather(gather) => gather.shards.clone(),
             RouteTarget::Weighted(set) => {
                 let goal = Duration::from_millis(route.goal_ms);
-                self.statistics(&route.name, goal).turns.next(set).into_iter().collect()
+                self.statistics(&route.name, goal).service_turns.next(set).into_iter().collect()
             }
         }
     }
 
     /// Takes a token from the tenant's quota, or refuses the request before anything is sent.
-    fn check_quota(&mut self, now: BootTime, tenant: Option<&Arc<str>>) -> Result<(), NotBegun> {
+    fn check_quota(&mut self, now: BootTime, tenant: Option<&Arc<str>>) -> Result<(), NotStarted> {
         let taken = tenant.map_or(Ok(()), |tenant| self.take_quota(now, tenant));
         taken.map_err(|wait| {
             let (kind, detail) = (ErrorKind::OverQuota, "the tenant has sent as many requests as it may");
-            NotBegun::Refused(Verdict::Refused { kind, detail, retry_after: Some(wait) })
+            NotStarted::Refused(Verdict::Refused { kind, detail, retry_after: Some(wait) })
         })
     }
 
@@ -275,29 +277,35 @@
         regions: AllowedRegions<'_>,
         services: &[Arc<str>],
         deadline: BootTime,
-    ) -> Result<(), NotBegun> {
+    ) -> Result<(), NotStarted> {
         let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
         let reachable = chances.filter(|chance| !giving_up::is_too_late(*chance, deadline)).count();
         let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
         match giving_up::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
             ReachVerdict::Begin => Ok(()),
             ReachVerdict::Refuse(refusal) => Err(refusal.into()),
-            ReachVerdict::Hold(refusal) => Err(NotBegun::Unprepared(HoldCause::NoSearchers, refusal.into())),
+            ReachVerdict::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
         }
     }
 
     /// Registers a request and sends the first attempt of each shard.
-    fn send_all(&mut self, now: BootTime, key: RequestKey, request: Request, actions: &mut Vec<RoutingAction>) {
+    fn send_first_attempts(
+        &mut self,
+        now: BootTime,
+        key: RequestKey,
+        request: Request,
+        actions: &mut Vec<RoutingAction>,
+    ) {
         let count = request.shards.len();
         let first = self.first_shard(&request);
         self.requests.insert(key, request);
-        self.note_probe_begun(now, key, actions);
+        self.log_probe_start(now, key, actions);
         for shard in (first..count).chain(0..first) {
             // A shard that can't be sent now has been queued, or counts as failed.
             let _unsent = self.dispatch(now, key, shard, SendReason::First, actions);
         }
-        self.settle(now, key, actions);
-        self.schedule(key);
+        self.finish_if_done(now, key, actions);
+        self.schedule_wake(key);
     }
 }
 
@@ -308,38 +316,38 @@
 
 /// Returns the tenant that a request's credential belongs to. A key that this node's configuration doesn't accept
 /// isn't refused while a newer configuration is known to exist, since that one may hold the key.
-fn judge_credential(
+fn authenticate(
     table: &RouteTable,
     route: &RouteDefinition,
     arrival: &Arrival,
     actions: &mut Vec<RoutingAction>,
-) -> Result<Option<TenantKey>, NotBegun> {
+) -> Result<Option<TenantKey>, NotStarted> {
     let is_judged = arrival.credential != Credential::Missing || !route.is_public;
     if is_judged && !table.definition().tenants.is_empty() {
-        check_view(table, arrival)?;
+        check_configuration_view(table, arrival)?;
     }
     table.judge(route, arrival.credential).map_err(|refusal| {
         if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
-            return NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail);
+            return NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail);
         }
         actions.push(RoutingAction::KeyRefused { request: arrival.key, cause: refusal });
-        NotBegun::refused(ErrorKind::Unauthorized, refusal.detail())
+        NotStarted::refused(ErrorKind::Unauthorized, refusal.detail())
     })
 }
 
 /// Checks that this node's configuration is recent enough to judge keys by. A node that may have missed the
 /// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
 /// expired.
-fn check_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotBegun> {
+fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
     match arrival.view {
         ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration is on its way");
-            Err(NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail))
+            Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail))
         }
         ConfigurationView::Expired => {
             let detail = "the node hasn't heard of the configuration for too long to take keys by it";
-            Err(NotBegun::refused(ErrorKind::Unconfirmed, detail))
+            Err(NotStarted::refused(ErrorKind::Unconfirmed, detail))
         }
         ConfigurationView::Current | ConfigurationView::Doubtful => Ok(()),
     }
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -21,16 +21,17 @@
 
 /// An attempt is overdue after the round trip plus this many times the usual work of its searcher. That is later than
 /// the earliest hedge.
-const OVERDUE_FACTOR: f64 = 2.2;
-/// Longest wait for a connection, in addition to [`CONNECT_ROUND_TRIPS`]. Leaves time for a searcher process that
-/// isn't scheduled for a while.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(100);
-/// Round trips that are added to [`CONNECT_PATIENCE`]. Leaves time for a connection that comes up at the second try.
-const CONNECT_ROUND_TRIPS: u32 = 4;
+const OVERDUE_WORK_FACTOR: f64 = 2.2;
+/// Longest wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. Leaves time for a searcher process
+/// that isn't scheduled for a while.
+const BASE_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Round trips that are added to [`BASE_CONNECT_TIMEOUT`]. Leaves time for a connection that comes up at the second
+/// try.
+const CONNECT_TIMEOUT_ROUND_TRIPS: u32 = 4;
 
 /// An attempt that is about to be sent.
 #[derive(Clone, Copy)]
-struct Sending {
+struct PlannedAttempt {
     request: RequestKey,
     shard_index: usize,
     searcher: SearcherKey,
@@ -53,11 +54,13 @@
         };
         let service = request.shards[shard_index].service.clone();
         let outcome = match self.choose_searcher(now, key, shard_index, &service) {
-            None => Err(self.note_unplaced(now, key, shard_index, reason)),
-            Some(searcher) => self.check_extra(now, key, &service, reason).map(|()| searcher),
+            None => Err(self.wait_for_searcher(now, key, shard_index, reason)),
+            Some(searcher) => self.check_extra_send(now, key, &service, reason).map(|()| searcher),
         };
         match outcome {
-            Ok(searcher) => self.send(now, Sending { request: key, shard_index, searcher, reason }, actions),
+            Ok(searcher) => {
+                self.send_attempt(now, PlannedAttempt { request: key, shard_index, searcher, reason }, actions)
+            }
             Err(cause) => actions.push(RoutingAction::Unsent { request: key, service, reason, cause }),
         }
         outcome.map(|_| ())
@@ -77,15 +80,15 @@
             return Err(UnsentCause::NobodyLeft);
         };
         if request.is_key_revoked {
-            return Err(Self::note_unsent_revoked(key, request, shard_index, reason, actions));
+            return Err(Self::log_unsent_revoked(key, request, shard_index, reason, actions));
         }
         if self.suspicion(now, request.content) == Suspicion::Quarantined {
             return Err(UnsentCause::Quarantined);
         }
-        if self.waits_for_trial(now, request) {
+        if self.must_wait_for_trial(now, request) {
             return Err(self.postpone_suspect(now, key, shard_index, reason, actions));
         }
-        match self.is_held_by_probe(now, request, reason) {
+        match self.is_blocked_by_probe(now, request, reason) {
             true => Err(self.postpone_for_probe(now, key, shard_index, reason)),
             false => Ok(()),
         }
@@ -103,7 +106,7 @@
         let (table, route_index, tenant) = (request.table.clone(), request.route_index, request.tenant);
         let route = &table.definition().routes[route_index];
         let regions = AllowedRegions::new(route, tenant.and_then(|key| table.tenant(key)));
-        let excluded = self.excluded(key, shard_index);
+        let excluded = self.excluded_searchers(key, shard_index);
         let goal = Duration::from_millis(route.goal_ms);
         let usual_work = self.statistics(&route.name, goal).work.median();
         let candidates = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
@@ -113,7 +116,7 @@
 
     /// Checks whether an attempt may be made as a hedge or retry, and spends the budget for it. First attempts and
     /// reroutes are free.
-    fn check_extra(
+    fn check_extra_send(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -123,14 +126,14 @@
         if reason == SendReason::Hedge && self.is_pressed(now, key, service) {
             return Err(UnsentCause::Pressed);
         }
-        match !is_paid(reason) || self.spend(now, service) {
+        match !is_paid(reason) || self.spend_extra(now, service) {
             true => Ok(()),
             false => Err(UnsentCause::OverBudget),
         }
     }
 
-    fn spend(&mut self, now: BootTime, service: &Arc<str>) -> bool {
-        let window = self.windows.entry(service.clone()).or_default();
+    fn spend_extra(&mut self, now: BootTime, service: &Arc<str>) -> bool {
+        let window = self.extra_windows.entry(service.clone()).or_default();
         let is_within_budget = window.try_spend(now, &self.settings.extra, self.slack_share);
         if !is_within_budget {
             self.counters.over_budget += 1;
@@ -138,41 +141,41 @@
         is_within_budget
     }
 
-    fn send(&mut self, now: BootTime, sending: Sending, actions: &mut Vec<RoutingAction>) {
-        let Some(attempt) = self.begin_attempt(now, sending) else {
+    fn send_attempt(&mut self, now: BootTime, planned: PlannedAttempt, actions: &mut Vec<RoutingAction>) {
+        let Some(attempt) = self.record_attempt(now, planned) else {
             return;
         };
-        match sending.reason {
+        match planned.reason {
             SendReason::First => self.counters.firsts += 1,
             SendReason::Hedge => self.counters.hedges += 1,
             SendReason::Retry => self.counters.retries += 1,
             SendReason::Reroute => self.counters.reroutes += 1,
         }
-        actions.extend(self.send_order(now, sending, attempt).map(RoutingAction::Send));
+        actions.extend(self.send_order(now, planned, attempt).map(RoutingAction::Send));
     }
 
     /// Records an attempt with its request and its searcher.
-    fn begin_attempt(&mut self, now: BootTime, sending: Sending) -> Option<AttemptKey> {
-        let times = self.hedge_times(now, sending)?;
-        let request = self.requests.get_mut(&sending.request)?;
-        let searcher = &mut self.searchers[sending.searcher.0 as usize];
-        let attempt = AttemptKey { request: sending.request, number: request.attempts.len() as u16 };
+    fn record_attempt(&mut self, now: BootTime, planned: PlannedAttempt) -> Option<AttemptKey> {
+        let times = self.hedge_times(now, planned)?;
+        let request = self.requests.get_mut(&planned.request)?;
+        let searcher = &mut self.searchers[planned.searcher.0 as usize];
+        let attempt = AttemptKey { request: planned.request, number: request.attempts.len() as u16 };
         let work = times.usual.mul_f64(searcher.slowness(now));
-        let due_at = now + times.round_trip + work.mul_f64(OVERDUE_FACTOR);
+        let due_at = now + times.round_trip + work.mul_f64(OVERDUE_WORK_FACTOR);
         searcher.sent(now, OpenAttempt { attempt, sent_at: now, due_at });
-        let shard = &mut request.shards[sending.shard_index];
-        shard.sent_to.push(sending.searcher);
+        let shard = &mut request.shards[planned.shard_index];
+        shard.sent_to.push(planned.searcher);
         shard.outstanding += 1;
-        shard.tried.push(sending.searcher);
+        shard.tried.push(planned.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
         let at_work = request.attempts_at_work();
         if let Some(probe) = &mut request.probe {
             probe.note_sent(now, times.round_trip, work, at_work);
         }
-        let shard = sending.shard_index as u32;
+        let shard = planned.shard_index as u32;
         request.attempts.push(Attempt { shard, hedge_at, is_open: true, is_resolved: false });
         let sent = SentAttempt {
-            searcher: sending.searcher,
+            searcher: planned.searcher,
             route: request.route().name.clone(),
             sent_at: now,
             begun_at: now,
@@ -180,34 +183,34 @@
             content: request.content,
             is_request_answered: false,
         };
-        self.sent.insert(attempt, sent);
+        self.sent_attempts.insert(attempt, sent);
         Some(attempt)
     }
 
-    fn send_order(&self, now: BootTime, sending: Sending, attempt: AttemptKey) -> Option<SendOrder> {
-        let request = self.requests.get(&sending.request)?;
-        let searcher = &self.searchers[sending.searcher.0 as usize];
+    fn send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
+        let request = self.requests.get(&planned.request)?;
+        let searcher = &self.searchers[planned.searcher.0 as usize];
         let round_trip = self.place.round_trip(&searcher.entry.zone);
         Some(SendOrder {
             attempt,
-            searcher: sending.searcher,
+            searcher: planned.searcher,
             instance: searcher.entry.instance.clone(),
             identity: request.identity(),
             address: searcher.entry.address,
             distance: self.place.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
             is_idempotent: request.route().is_idempotent,
-            connect_patience: CONNECT_PATIENCE + round_trip * CONNECT_ROUND_TRIPS,
-            reason: sending.reason,
+            connect_patience: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
+            reason: planned.reason,
             reported: searcher.reported().map(|(at, load)| ReportedAt { load, age: now.since(at) }),
         })
     }
 
-    fn hedge_times(&mut self, now: BootTime, sending: Sending) -> Option<HedgeTimes> {
-        let delay_factor = hedge_delay_factor(self.spare_fraction(now, sending.searcher));
-        let request = self.requests.get(&sending.request)?;
-        let other_round_trip = self.longest_other_round_trip(now, request, sending.searcher);
-        let round_trip = self.place.round_trip(&self.searchers[sending.searcher.0 as usize].entry.zone);
+    fn hedge_times(&mut self, now: BootTime, planned: PlannedAttempt) -> Option<HedgeTimes> {
+        let delay_factor = hedge_delay_factor(self.spare_fraction(now, planned.searcher));
+        let request = self.requests.get(&planned.request)?;
+        let other_round_trip = self.longest_other_round_trip(now, request, planned.searcher);
+        let round_trip = self.place.round_trip(&self.searchers[planned.searcher.0 as usize].entry.zone);
         let (usual, late) = match self.routes.get(&request.route().name) {
             Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
             None => (Duration::ZERO, Duration::ZERO),
@@ -223,20 +226,22 @@
         }
         let service = &self.searchers[searcher.0 as usize].entry.service;
         let (bound, slack_share) = (&self.settings.extra, self.slack_share);
-        Some(self.windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share)))
+        Some(self.extra_windows.get_mut(service).map_or(1.0, |window| window.spare_fraction(now, bound, slack_share)))
     }
 
     /// Returns the longest round trip to another searcher that the same shard may be sent to, since a hedge may have
     /// to go there.
     fn longest_other_round_trip(&self, now: BootTime, request: &Request, asked: SearcherKey) -> Duration {
         let service = &self.searchers[asked.0 as usize].entry.service;
-        let others = self.askable(now, request.allowed_regions(), service).filter(|(peer, _)| *peer != asked);
+        let others = self
+            .eligible_searchers(now, request.allowed_regions(), service)
+            .filter(|(candidate, _)| *candidate != asked);
         others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
     /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling
     /// it schedules the next. With two, each would go on scheduling another for as long as the request lives.
-    pub(super) fn schedule(&mut self, key: RequestKey) {
+    pub(super) fn schedule_wake(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -3,7 +3,7 @@
 //!
 //! [`crate::decision::first_probe`] decides which requests are probed, and says why.
 
-use super::waiting::Postponed;
+use super::waiting::PostponedSend;
 use super::{ProbeStep, RoutingAction, RoutingEngine, SendReason, UnsentCause};
 use crate::configuration::definition::RouteDefinition;
 use crate::decision::first_probe::{self, FirstProbe};
@@ -15,14 +15,14 @@
 
 /// Time between two checks for alarms that are over. Each check goes through all routes. The log line comes at most
 /// this much late.
-const ALARM_LOOKS: Duration = Duration::from_secs(1);
+const ALARM_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Alarms of routes as they were logged last.
 #[derive(Default)]
-pub(super) struct AlarmLog {
+pub(super) struct LoggedAlarms {
     /// Routes whose alarm is raised.
     routes: Vec<Arc<str>>,
-    logged_at: BootTime,
+    checked_at: BootTime,
 }
 
 impl RoutingEngine {
@@ -33,7 +33,7 @@
     }
 
     /// Logs whether a request of several shards starts with a probe, if the alarm of its route is raised.
-    pub(super) fn note_probe_begun(&self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    pub(super) fn log_probe_start(&self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key).filter(|request| request.shards.len() > 1) else {
             return;
         };
@@ -58,7 +58,7 @@
 
     /// Returns whether a request's first probe keeps it from being sent to a further searcher. Hedges are always held
     /// back: a hedge would risk a second searcher of a silent shard, while another shard's answer is needed anyway.
-    pub(super) fn is_held_by_probe(&self, now: BootTime, request: &Request, reason: SendReason) -> bool {
+    pub(super) fn is_blocked_by_probe(&self, now: BootTime, request: &Request, reason: SendReason) -> bool {
         let is_permitted =
             |probe: FirstProbe| reason != SendReason::Hedge && probe.may_send(now, request.attempts_at_work());
         request.probe.is_some_and(|probe| !is_permitted(probe))
@@ -75,7 +75,7 @@
         let cause = UnsentCause::Probing;
         let shard = self.requests.get(&key).map(|request| &request.shards[shard_index]);
         if shard.is_some_and(|shard| shard.is_open() && shard.outstanding == 0) {
-            self.begin_waiting(now, key, shard_index, Postponed { reason, cause, retry_at: None });
+            self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at: None });
         }
         cause
     }
@@ -92,7 +92,7 @@
         }
         let sent = request.attempts.len();
         for shard_index in shards_after_first(request) {
-            self.send_waiting(now, key, shard_index, actions);
+            self.send_waiting_shard(now, key, shard_index, actions);
             let Some(request) = self.requests.get(&key) else {
                 return;
             };
@@ -117,20 +117,20 @@
         actions.push(RoutingAction::Probe { request: key, step: ProbeStep::Answered });
         let waiting = request.shards.iter_mut().filter_map(|shard| shard.waiting.as_mut());
         waiting.for_each(|waiting| waiting.retry_at = now);
-        self.retry_due(now, key, actions);
+        self.retry_due_shards(now, key, actions);
     }
 
-    /// Logs alarms that are over, at most [`ALARM_LOOKS`] late.
+    /// Logs alarms that are over, at most [`ALARM_CHECK_INTERVAL`] late.
     pub(super) fn log_ended_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        if !self.alarms.routes.is_empty() && now >= self.alarms.logged_at + ALARM_LOOKS {
+        if !self.logged_alarms.routes.is_empty() && now >= self.logged_alarms.checked_at + ALARM_CHECK_INTERVAL {
             self.log_alarms(now, actions);
         }
     }
 
     /// Logs the routes whose alarms were raised or have ended since the last call.
     pub(super) fn log_alarms(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
-        self.alarms.logged_at = now;
-        if !self.quarantine.has_alarms() && self.alarms.routes.is_empty() {
+        self.logged_alarms.checked_at = now;
+        if !self.quarantine.has_alarms() && self.logged_alarms.routes.is_empty() {
             return;
         }
         let Some(table) = self.table.clone() else {
@@ -139,16 +139,18 @@
         let is_alarmed = |route: &&RouteDefinition| self.quarantine.is_alarmed(now, RouteDigest::of(&route.name));
         let routes = table.definition().routes.iter();
         let alarmed: Vec<Arc<str>> = routes.filter(is_alarmed).map(|route| route.name.clone()).collect();
-        let raised = alarmed.iter().filter(|route| !self.alarms.routes.contains(route)).map(|route| (route, true));
-        let over = self.alarms.routes.iter().filter(|route| !alarmed.contains(route)).map(|route| (route, false));
+        let raised =
+            alarmed.iter().filter(|route| !self.logged_alarms.routes.contains(route)).map(|route| (route, true));
+        let over =
+            self.logged_alarms.routes.iter().filter(|route| !alarmed.contains(route)).map(|route| (route, false));
         let changes = raised.chain(over);
         actions.extend(changes.map(|(route, is_raised)| RoutingAction::Alarm { route: route.clone(), is_raised }));
-        self.alarms.routes = alarmed;
+        self.logged_alarms.routes = alarmed;
     }
 
     /// Returns the number of routes whose alarm is raised, as logged last.
     pub fn alarm_count(&self) -> usize {
-        self.alarms.routes.len()
+        self.logged_alarms.routes.len()
     }
 }
 
@@ -156,6 +158,6 @@
 fn shards_after_first(request: &Request) -> Vec<usize> {
     let count = request.shards.len();
     let next = request.attempts.first().map_or(0, |first| first.shard as usize + 1);
-    let in_turn = (next..count).chain(0..next.min(count));
-    in_turn.filter(|index| request.shards[*index].waiting.is_some()).collect()
+    let in_cyclic_order = (next..count).chain(0..next.min(count));
+    in_cyclic_order.filter(|index| request.shards[*index].waiting.is_some()).collect()
 }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -12,7 +12,7 @@
 
 /// Time after which the connection of a superseded attempt is closed if its answer hasn't been read completely. A
 /// connection whose answer arrives by then can be kept.
-const READ_OUT_PATIENCE: Duration = Duration::from_millis(1500);
+const SUPERSEDED_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl RoutingEngine {
     pub(super) fn on_ended(
@@ -22,26 +22,26 @@
         outcome: AttemptOutcome,
         actions: &mut Vec<RoutingAction>,
     ) {
-        let Some(sent) = self.sent.remove(&attempt) else {
+        let Some(sent) = self.sent_attempts.remove(&attempt) else {
             return;
         };
         self.searchers[sent.searcher.0 as usize].released(attempt);
-        self.note_wait(now, &sent, &outcome, actions);
-        self.note_searcher(now, &sent, &outcome);
+        self.record_wait(now, &sent, &outcome, actions);
+        self.update_searcher(now, &sent, &outcome);
         let shard = self.close_attempt(attempt);
-        // This must come before `note_suspicion`, which may end the request at once.
+        // This must come before `update_suspicion`, which may end the request at once.
         if matches!(outcome, AttemptOutcome::Unknown(_)) {
-            self.note_may_have_run(attempt.request);
+            self.mark_may_have_run(attempt.request);
         }
-        self.note_suspicion(now, attempt, &sent, &outcome, actions);
+        self.update_suspicion(now, attempt, &sent, &outcome, actions);
         if let Some(shard) = shard {
-            self.note_unused(attempt.request, shard, sent.searcher, &outcome);
-            self.apply(now, attempt.request, shard, outcome, actions);
-            self.settle(now, attempt.request, actions);
-            self.schedule(attempt.request);
+            self.allow_unused_searcher(attempt.request, shard, sent.searcher, &outcome);
+            self.apply_outcome(now, attempt.request, shard, outcome, actions);
+            self.finish_if_done(now, attempt.request, actions);
+            self.schedule_wake(attempt.request);
         }
         let service = self.searchers[sent.searcher.0 as usize].entry.service.clone();
-        self.serve_waiting(now, &service, actions);
+        self.send_waiting_shards(now, &service, actions);
     }
 
     /// Closes an attempt within its request and returns its shard; `None` when the attempt was abandoned.
@@ -58,7 +58,7 @@
         Some(shard)
     }
 
-    fn note_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
+    fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
         let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
@@ -80,11 +80,11 @@
             AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
             AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
             AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
-            AttemptOutcome::NotRun(NotRun::OtherInstance) => self.forget_serving(sent.searcher),
+            AttemptOutcome::NotRun(NotRun::OtherInstance) => self.mark_searcher_gone(sent.searcher),
         }
     }
 
-    fn apply(
+    fn apply_outcome(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -95,32 +95,32 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let kind = kind_of(request);
+        let kind = request_kind(request);
         let step = retry::next_step(&outcome, kind);
         request.may_have_run |= retry::may_have_run(&outcome);
         let answer = match outcome {
             AttemptOutcome::Answered(answer) => Some(answer),
             AttemptOutcome::NotRun(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::Cancelled => None,
         };
-        let is_outlived = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
-        request.is_answered |= is_outlived;
+        let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
+        request.is_answered |= has_run_to_end;
         match (step, answer) {
-            (NextStep::TakePart, Some(answer)) => self.take_part(key, shard, answer, actions),
-            (NextStep::SendAgain(reason), failure) => self.try_again(now, key, shard, reason, failure, actions),
+            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard, answer, actions),
+            (NextStep::SendAgain(reason), failure) => self.resend_or_give_up(now, key, shard, reason, failure, actions),
             (NextStep::NotRepeatable, failure) => {
-                self.note_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
-                self.give_up(key, shard, failure);
+                self.log_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
+                self.give_up_shard(key, shard, failure);
             }
-            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up(key, shard, failure),
+            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard, failure),
         }
-        match is_outlived {
+        match has_run_to_end {
             true => self.end_probe(now, key, actions),
             false => self.widen_probe(now, key, actions),
         }
     }
 
     /// Stores a shard's answer and abandons the shard's other attempts.
-    fn take_part(
+    fn accept_answer(
         &mut self,
         key: RequestKey,
         shard: usize,
@@ -130,17 +130,23 @@
         if let Some(request) = self.requests.get_mut(&key) {
             request.shards[shard].state = ShardState::In(answer);
         }
-        self.abandon_shard(key, shard, actions);
+        self.abandon_shard_attempts(key, shard, actions);
     }
 
-    fn note_may_have_run(&mut self, key: RequestKey) {
+    fn mark_may_have_run(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(&key) {
             request.may_have_run = true;
         }
     }
 
     /// After an attempt that didn't run, allows the request to ask the same searcher again where the rules permit it.
-    fn note_unused(&mut self, key: RequestKey, shard: usize, searcher: SearcherKey, outcome: &AttemptOutcome) {
+    fn allow_unused_searcher(
+        &mut self,
+        key: RequestKey,
+        shard: usize,
+        searcher: SearcherKey,
+        outcome: &AttemptOutcome,
+    ) {
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
@@ -157,7 +163,7 @@
         }
     }
 
-    fn note_unsent(
+    fn log_unsent(
         &self,
         key: RequestKey,
         shard: usize,
@@ -173,7 +179,7 @@
 
     /// Sends a shard again unless another attempt for it is open. Gives the shard up when it can be neither sent nor
     /// queued.
-    fn try_again(
+    fn resend_or_give_up(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -185,16 +191,16 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let most = request.route().max_attempts;
+        let max_attempts = request.route().max_attempts;
         let state = &request.shards[shard];
         if state.outstanding > 0 {
             return;
         }
-        let may_wait = retry::may_wait(failure.is_some(), kind_of(request));
-        let outcome = match state.may_be_sent(most) {
+        let may_wait = retry::may_wait(failure.is_some(), request_kind(request));
+        let outcome = match state.may_be_sent(max_attempts) {
             true => self.dispatch(now, key, shard, reason, actions),
             false => {
-                self.note_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
+                self.log_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
                 Err(UnsentCause::MostAttempts)
             }
         };
@@ -202,11 +208,11 @@
             self.wait_for_budget(now, key, shard, reason);
         }
         if outcome.is_err() && !self.is_waiting(key, shard) {
-            self.give_up(key, shard, failure);
+            self.give_up_shard(key, shard, failure);
         }
     }
 
-    pub(super) fn give_up(&mut self, key: RequestKey, shard: usize, failure: Option<Box<SearcherAnswer>>) {
+    pub(super) fn give_up_shard(&mut self, key: RequestKey, shard: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
             let state = &mut request.shards[shard];
             if state.outstanding == 0 && matches!(state.state, ShardState::Open | ShardState::Failed(None)) {
@@ -216,7 +222,7 @@
     }
 
     /// Abandons the open attempts of a shard that has been answered.
-    fn abandon_shard(&mut self, key: RequestKey, shard: usize, actions: &mut Vec<RoutingAction>) {
+    fn abandon_shard_attempts(&mut self, key: RequestKey, shard: usize, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
@@ -225,14 +231,14 @@
                 attempt.is_open = false;
                 request.shards[shard].outstanding -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                let (patience, cause) = (READ_OUT_PATIENCE, AbandonCause::Superseded);
+                let (patience, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
                 actions.push(RoutingAction::Abandon { attempt, patience, cause });
             }
         }
     }
 
     /// Abandons all open attempts of a request.
-    pub(super) fn abandon_all(
+    pub(super) fn abandon_attempts(
         &mut self,
         key: RequestKey,
         patience: Duration,
@@ -246,7 +252,7 @@
             if attempt.is_open {
                 attempt.is_open = false;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                if let Some(sent) = self.sent.get_mut(&attempt) {
+                if let Some(sent) = self.sent_attempts.get_mut(&attempt) {
                     sent.is_request_answered = request.is_answered;
                 }
                 actions.push(RoutingAction::Abandon { attempt, patience, cause });
@@ -255,11 +261,11 @@
     }
 
     /// Returns the time for which the answer of a superseded attempt is still read.
-    pub(super) fn read_out_patience() -> Duration {
-        READ_OUT_PATIENCE
+    pub(super) fn superseded_answer_timeout() -> Duration {
+        SUPERSEDED_ANSWER_TIMEOUT
     }
 }
 
-fn kind_of(request: &Request) -> RequestKind {
+fn request_kind(request: &Request) -> RequestKind {
     RequestKind { is_idempotent: request.route().is_idempotent, is_gather: request.gather().is_some() }
 }
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -50,7 +50,7 @@
     pub(super) fn set_groups(&mut self, table: &RouteTable) {
         let mut known = std::mem::take(&mut self.groups);
         for (route_index, route) in table.definition().routes.iter().enumerate() {
-            for service in first_services(route) {
+            for service in group_names(route) {
                 let priorities = (route.priority, route.priority);
                 let group = self.groups.entry(service.clone()).or_insert_with(|| match known.remove(service) {
                     Some(group) => ServiceGroup { route_index, priorities, ..group },
@@ -65,13 +65,13 @@
         }
         let ranks = table.ranks();
         self.groups.values_mut().for_each(|group| group.shares.retain(|rank, _| ranks.contains(rank)));
-        self.waits.retain(|service, _| self.services.contains_key(service));
+        self.service_waits.retain(|service, _| self.services.contains_key(service));
     }
 
     /// Decides by chance whether a request is refused because requests wait too long. Returns `None` if it is
     /// admitted, and otherwise the fraction of its tenant's requests at its rank that is admitted at present.
     /// `tenant` is `None` for requests without one.
-    pub(super) fn refusing_fraction(
+    pub(super) fn draw_refusal(
         &mut self,
         now: BootTime,
         group: &Arc<str>,
@@ -100,18 +100,18 @@
         let Some(request) = self.requests.get(&key).filter(|_| self.settings.policy.hedge_pressure) else {
             return false;
         };
-        let wait = self.waits.get(service).map_or(Duration::ZERO, |wait| wait.get(now));
-        wait > self.tolerable_for(request.route(), request.shards.len())
+        let wait = self.service_waits.get(service).map_or(Duration::ZERO, |wait| wait.get(now));
+        wait > self.tolerable_wait_for(request.route(), request.shards.len())
     }
 
-    fn tolerable_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
+    fn tolerable_wait_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
         let goal = usable_goal(route, &CallerLink::default());
-        let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual.get());
-        tolerable_wait(goal, measured.unwrap_or(goal / super::WORK_FRACTION_OF_GOAL), fan_out)
+        let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual_work.get());
+        tolerable_wait(goal, measured.unwrap_or(goal / super::INITIAL_WORK_DIVISOR), fan_out)
     }
 
     /// Records the wait that an attempt's end shows, and updates the group's admission level when that is due.
-    pub(super) fn note_wait(
+    pub(super) fn record_wait(
         &mut self,
         now: BootTime,
         sent: &SentAttempt,
@@ -122,43 +122,43 @@
         let worked = now.since(sent.begun_at).saturating_sub(self.place.round_trip(&entry.zone));
         let service = entry.service.clone();
         match outcome {
-            AttemptOutcome::Answered(answer) if answer.status < 500 => self.note_worked(now, sent, &service, worked),
+            AttemptOutcome::Answered(answer) if answer.status < 500 => self.record_work(now, sent, &service, worked),
             AttemptOutcome::NotRun(NotRun::Shed) => {
-                self.waits.entry(service).or_insert_with(Wait::at_service).record_shed(now);
+                self.service_waits.entry(service).or_insert_with(Wait::at_service).record_shed(now);
             }
             AttemptOutcome::Answered(_)
             | AttemptOutcome::NotRun(_)
             | AttemptOutcome::Unknown(_)
             | AttemptOutcome::Cancelled => return,
         }
-        if let Some(change) = self.judge(now, &sent.group) {
+        if let Some(change) = self.update_admission(now, &sent.group) {
             actions.push(RoutingAction::Admission { group: sent.group.clone(), change });
         }
     }
 
-    fn note_worked(&mut self, now: BootTime, sent: &SentAttempt, service: &Arc<str>, worked: Duration) {
+    fn record_work(&mut self, now: BootTime, sent: &SentAttempt, service: &Arc<str>, worked: Duration) {
         let Some(statistics) = self.routes.get_mut(&sent.route) else {
             return;
         };
         let group = self.groups.get_mut(&sent.group);
         let level = group.as_ref().map_or(1.0, |group| group.admission.level());
-        statistics.usual.record(now, worked, level);
-        let Some(usual) = statistics.usual.get() else {
+        statistics.usual_work.record(now, worked, level);
+        let Some(usual) = statistics.usual_work.get() else {
             return;
         };
         let waited = worked.saturating_sub(usual);
-        self.waits.entry(service.clone()).or_insert_with(Wait::at_service).record(now, waited);
+        self.service_waits.entry(service.clone()).or_insert_with(Wait::at_service).record(now, waited);
         if let Some(group) = group {
             group.wait.record(now, waited);
         }
     }
 
-    fn judge(&mut self, now: BootTime, name: &Arc<str>) -> Option<AdmissionChange> {
+    fn update_admission(&mut self, now: BootTime, name: &Arc<str>) -> Option<AdmissionChange> {
         let table = self.table.clone()?;
         let group = self.groups.get(name).filter(|group| group.admission.is_due(now))?;
         let route = &table.definition().routes[group.route_index];
         let wait = group.wait.judged(now)?;
-        let tolerable = self.tolerable_for(route, fan_out(route));
+        let tolerable = self.tolerable_wait_for(route, fan_out(route));
         self.groups.get_mut(name)?.admission.judge(now, wait, tolerable)
     }
 }
@@ -172,7 +172,7 @@
 }
 
 /// Returns the services that the groups of a route are named by.
-fn first_services(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
+fn group_names(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
     let (one, set) = match &route.target {
         RouteTarget::Service(service) => (Some(service), &[][..]),
         RouteTarget::Gather(gather) => (gather.shards.first(), &[][..]),
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Most quota messages in one datagram to a peer, so that the datagram is never fragmented.
-const MESSAGES_AT_ONCE: usize = 10;
+const MAX_MESSAGES_PER_DATAGRAM: usize = 10;
 
 /// Creates the allowance of a node that has just started.
 pub(super) fn allowance(settings: &RoutingSettings) -> FleetAllowance {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn take_quota_messages(
+    pub(super) fn handle_quota_messages(
         &mut self,
         now: BootTime,
         from: NodeId,
@@ -59,23 +59,23 @@
     ) {
         let mut envelopes = Vec::new();
         messages.into_iter().for_each(|message| self.quotas.on_message(now, from, message, &mut envelopes));
-        self.push_envelopes(envelopes, actions);
+        self.push_quota_messages(envelopes, actions);
     }
 
     /// Sends peers the messages that are due, and logs the tenants that have become limited or free.
     pub(super) fn send_due_quotas(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         let mut envelopes = Vec::new();
         self.quotas.on_tick(now, &mut envelopes);
-        self.push_envelopes(envelopes, actions);
+        self.push_quota_messages(envelopes, actions);
         actions.extend(self.quotas.take_changes().into_iter().map(RoutingAction::Quota));
     }
 
-    fn push_envelopes(&mut self, envelopes: Vec<QuotaEnvelope>, actions: &mut Vec<RoutingAction>) {
+    fn push_quota_messages(&mut self, envelopes: Vec<QuotaEnvelope>, actions: &mut Vec<RoutingAction>) {
         self.counters.quota_messages += envelopes.len() as u64;
         let mut by_peer: BTreeMap<NodeId, Vec<QuotaMessage>> = BTreeMap::new();
         envelopes.into_iter().for_each(|envelope| by_peer.entry(envelope.to).or_default().push(envelope.message));
         for (to, messages) in by_peer {
-            let batches = messages.chunks(MESSAGES_AT_ONCE);
+            let batches = messages.chunks(MAX_MESSAGES_PER_DATAGRAM);
             actions.extend(batches.map(|messages| RoutingAction::SendQuotas { to, messages: messages.to_vec() }));
         }
     }
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -12,25 +12,25 @@
 
 impl RoutingEngine {
     /// Revokes the requests of tenants whose key the new configuration doesn't hold.
-    pub(super) fn end_revoked(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
+    pub(super) fn revoke_requests(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         let Some(table) = self.table.clone() else {
             return;
         };
-        let is_concerned =
+        let is_affected =
             |request: &Request| request.tenant.is_some() && !request.is_key_revoked && !table.holds(request.credential);
-        let concerned = self.requests.iter().filter(|(_, request)| is_concerned(request));
-        let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
+        let affected = self.requests.iter().filter(|(_, request)| is_affected(request));
+        let mut keys: Vec<RequestKey> = affected.map(|(key, _)| *key).collect();
         // The result must not depend on the order of the hash map.
         keys.sort_unstable();
         for key in keys {
-            self.revoke(key, actions);
-            self.settle(now, key, actions);
-            self.schedule(key);
+            self.revoke_request(key, actions);
+            self.finish_if_done(now, key, actions);
+            self.schedule_wake(key);
         }
     }
 
     /// Marks a request as revoked, gives up its waiting shards and recalls the attempts that aren't sent yet.
-    fn revoke(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    fn revoke_request(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
@@ -47,7 +47,7 @@
     }
 
     /// Logs that an attempt isn't sent because the request's key was revoked.
-    pub(super) fn note_unsent_revoked(
+    pub(super) fn log_unsent_revoked(
         key: RequestKey,
         request: &Request,
         shard_index: usize,
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -22,7 +22,7 @@
         entries.into_iter().for_each(|entry| self.set_searcher(now, entry));
         services.sort_unstable();
         services.dedup();
-        services.iter().for_each(|service| self.serve_waiting(now, service, actions));
+        services.iter().for_each(|service| self.send_waiting_shards(now, service, actions));
     }
 
     /// Adds or updates a searcher. An unknown incarnation becomes a new searcher, and the previous incarnation with
@@ -31,25 +31,25 @@
     fn set_searcher(&mut self, now: BootTime, entry: SearcherEntry) {
         let service = entry.service.clone();
         let instance = entry.instance.clone();
-        let before = self.by_instance.get(&instance).copied();
+        let predecessor = self.by_instance.get(&instance).copied();
         let incarnation = Incarnation { instance: instance.clone(), born_ms: entry.born_ms };
         let key = match self.by_incarnation.get(&incarnation).copied() {
             Some(key) => {
                 // The new entry may name another service than the old one.
-                self.unlist(key);
+                self.remove_from_service(key);
                 self.searchers[key.0 as usize].update(now, entry);
                 key
             }
-            None => self.add_searcher(now, incarnation, entry, before),
+            None => self.add_searcher(now, incarnation, entry, predecessor),
         };
-        if let Some(earlier) = before.filter(|earlier| *earlier != key) {
-            self.forget_serving(earlier);
+        if let Some(predecessor) = predecessor.filter(|predecessor| *predecessor != key) {
+            self.mark_searcher_gone(predecessor);
         }
         self.by_instance.insert(instance, key);
-        let peers = self.by_service.entry(service).or_default();
-        peers.retain(|known| self.searchers[known.0 as usize].is_listed(now));
+        let listed = self.by_service.entry(service).or_default();
+        listed.retain(|known| self.searchers[known.0 as usize].is_listed(now));
         if self.searchers[key.0 as usize].is_serving() {
-            peers.push(key);
+            listed.push(key);
         }
     }
 
@@ -58,11 +58,11 @@
         now: BootTime,
         incarnation: Incarnation,
         entry: SearcherEntry,
-        before: Option<SearcherKey>,
+        predecessor: Option<SearcherKey>,
     ) -> SearcherKey {
         let key = SearcherKey(self.searchers.len() as u32);
-        let sends = before.map(|earlier| self.searchers[earlier.0 as usize].cold_sends().clone());
-        let searcher = self.new_searcher(now, entry).with_cold_sends(sends.unwrap_or_default());
+        let cold_sends = predecessor.map(|predecessor| self.searchers[predecessor.0 as usize].cold_sends().clone());
+        let searcher = self.new_searcher(now, entry).with_cold_sends(cold_sends.unwrap_or_default());
         self.searchers.push(searcher);
         self.by_incarnation.insert(incarnation, key);
         key
@@ -70,9 +70,9 @@
 
     fn new_searcher(&self, now: BootTime, entry: SearcherEntry) -> Searcher {
         let service = self.services.get(&entry.service);
-        let is_evacuated = self.evacuated.contains(&entry.zone);
-        let most = service.map_or(DEFAULT_MAX_CONNECTIONS, |service| service.max_connections);
-        let mut searcher = Searcher::new(now, entry, most);
+        let is_evacuated = self.evacuated_zones.contains(&entry.zone);
+        let max_connections = service.map_or(DEFAULT_MAX_CONNECTIONS, |service| service.max_connections);
+        let mut searcher = Searcher::new(now, entry, max_connections);
         searcher.cold_start = service.map_or(ColdStart::default(), |service| service.cold_start);
         searcher.set_evacuated(now, is_evacuated);
         searcher
@@ -81,20 +81,20 @@
     /// Replaces the set of evacuated zones, whose searchers get no new work, and tries the waiting shards again,
     /// since a zone may have become available.
     pub(super) fn set_evacuated(&mut self, now: BootTime, zones: Vec<Arc<str>>, actions: &mut Vec<RoutingAction>) {
-        self.evacuated = zones;
+        self.evacuated_zones = zones;
         for searcher in &mut self.searchers {
-            let is_evacuated = self.evacuated.contains(&searcher.entry.zone);
+            let is_evacuated = self.evacuated_zones.contains(&searcher.entry.zone);
             searcher.set_evacuated(now, is_evacuated);
         }
-        let mut services: Vec<Arc<str>> = self.waiting.keys().cloned().collect();
+        let mut services: Vec<Arc<str>> = self.waiting_shards.keys().cloned().collect();
         // A fixed order makes the replay of a recording deterministic.
         services.sort_unstable();
-        services.iter().for_each(|service| self.serve_waiting(now, service, actions));
+        services.iter().for_each(|service| self.send_waiting_shards(now, service, actions));
     }
 
     /// Marks a searcher whose entry has gone from the store. It is asked for `lapse_grace` longer if no other
     /// can be.
-    pub(super) fn set_lapsed(&mut self, now: BootTime, instance: &Arc<str>) {
+    pub(super) fn mark_searcher_lapsed(&mut self, now: BootTime, instance: &Arc<str>) {
         let Some(key) = self.by_instance.get(instance).copied() else {
             return;
         };
@@ -102,21 +102,21 @@
         let searcher = &mut self.searchers[key.0 as usize];
         searcher.mark_lapsed(until);
         let service = searcher.entry.service.clone();
-        if let Some(peers) = self.by_service.get_mut(&service) {
-            peers.retain(|known| self.searchers[known.0 as usize].is_listed(now));
+        if let Some(listed) = self.by_service.get_mut(&service) {
+            listed.retain(|known| self.searchers[known.0 as usize].is_listed(now));
         }
     }
 
     /// Stops asking a searcher, since another process has its address or a newer incarnation has replaced it.
-    pub(crate) fn forget_serving(&mut self, key: SearcherKey) {
+    pub(crate) fn mark_searcher_gone(&mut self, key: SearcherKey) {
         self.searchers[key.0 as usize].mark_gone();
-        self.unlist(key);
+        self.remove_from_service(key);
     }
 
-    fn unlist(&mut self, key: SearcherKey) {
+    fn remove_from_service(&mut self, key: SearcherKey) {
         let service = &self.searchers[key.0 as usize].entry.service;
-        if let Some(peers) = self.by_service.get_mut(service) {
-            peers.retain(|known| *known != key);
+        if let Some(listed) = self.by_service.get_mut(service) {
+            listed.retain(|known| *known != key);
         }
     }
 }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -14,40 +14,40 @@
 
 /// Time after which an attempt's connection is closed when its caller has disconnected. Most answers under way still
 /// arrive by then, so that their connections can be kept.
-const DEPARTED_PATIENCE: Duration = Duration::from_millis(350);
+const CALLER_GONE_ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time after which the connection is closed when the caller has disconnected and the route isn't idempotent. It is
 /// longer than any such work takes.
-const UNREPEATABLE_PATIENCE: Duration = Duration::from_secs(600);
+const NON_IDEMPOTENT_ANSWER_TIMEOUT: Duration = Duration::from_secs(600);
 
 impl RoutingEngine {
     /// Handles a wake of a request: a hedge, a retry or a probe may be due, or the goal or the deadline has been
     /// reached.
-    pub(super) fn on_due(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    pub(super) fn on_wake(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         if !self.requests.contains_key(&key) {
-            return self.end_hold(now, key, actions);
+            return self.end_expired_hold(now, key, actions);
         }
-        self.hedge(now, key, actions);
-        self.retry_due(now, key, actions);
+        self.send_due_hedges(now, key, actions);
+        self.retry_due_shards(now, key, actions);
         self.widen_probe(now, key, actions);
         if let Some(request) = self.requests.get_mut(&key) {
             request.is_past_goal |= now >= request.answer_by;
         }
-        self.settle(now, key, actions);
-        self.schedule(key);
+        self.finish_if_done(now, key, actions);
+        self.schedule_wake(key);
     }
 
-    fn hedge(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    fn send_due_hedges(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let policy = &self.settings.policy;
         let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
         let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
-        let (is_idempotent, most) = (route.is_idempotent, route.max_attempts);
+        let (is_idempotent, max_attempts) = (route.is_idempotent, route.max_attempts);
         let mut late = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
-            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(most));
+            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
             attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
                 HedgeVerdict::Hedge { again_at } => {
@@ -65,7 +65,7 @@
     }
 
     /// Ends a request if all shards are done, if too few can still answer, or if its time is over.
-    pub(super) fn settle(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    pub(super) fn finish_if_done(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
@@ -74,8 +74,8 @@
         if standing == Standing::GoOn {
             return;
         }
-        self.note_left_out(key, actions);
-        self.abandon_all(key, Self::read_out_patience(), AbandonCause::Superseded, actions);
+        self.log_left_out(key, actions);
+        self.abandon_attempts(key, Self::superseded_answer_timeout(), AbandonCause::Superseded, actions);
         let Some(mut request) = self.requests.remove(&key) else {
             return;
         };
@@ -83,11 +83,11 @@
         if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
-        let verdict = if is_answered { success(&mut request) } else { failure(now, &request) };
+        let verdict = if is_answered { success_verdict(&mut request) } else { failure_verdict(now, &request) };
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
-    fn note_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    fn log_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
@@ -108,12 +108,12 @@
 
     pub(super) fn on_caller_gone(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
-            return self.forget_held(key);
+            return self.remove_held(key);
         };
         // Work of a route that isn't idempotent may finish: the caller may ask later what became of it.
         let is_idempotent = request.route().is_idempotent;
-        let patience = if is_idempotent { DEPARTED_PATIENCE } else { UNREPEATABLE_PATIENCE };
-        self.abandon_all(key, patience, AbandonCause::CallerGone, actions);
+        let patience = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
+        self.abandon_attempts(key, patience, AbandonCause::CallerGone, actions);
         self.requests.remove(&key);
     }
 }
@@ -130,7 +130,7 @@
     }
 }
 
-fn success(request: &mut Request) -> Verdict {
+fn success_verdict(request: &mut Request) -> Verdict {
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
             Some(ShardState::In(answer)) => Verdict::Passed(answer),
@@ -147,7 +147,7 @@
     Verdict::Merged(MergedAnswer { stamps, missing, body })
 }
 
-fn failure(now: BootTime, request: &Request) -> Verdict {
+fn failure_verdict(now: BootTime, request: &Request) -> Verdict {
     if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
         && giving_up::is_passed_on(answer, request.gather().is_some())
     {
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -2,7 +2,7 @@
 //!
 //! [`crate::decision::quarantine`] decides which contents are suspect or quarantined.
 
-use super::waiting::Postponed;
+use super::waiting::PostponedSend;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
 use crate::decision::retry::is_run_to_its_end;
@@ -13,7 +13,7 @@
 
 /// Time until a shard of a suspect request is tried again while a searcher is at work on the same content. A tenth of
 /// a short goal.
-const TRIAL_PAUSE: Duration = Duration::from_millis(10);
+const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl RoutingEngine {
     /// Returns the suspicion against a content; always [`Suspicion::None`] when quarantine is switched off.
@@ -37,9 +37,10 @@
     /// Returns whether a request for a suspect content must wait because an attempt for the same content is in
     /// flight. The attempt may belong to any request: as long as it runs, it isn't known whether its searcher
     /// survives the content.
-    pub(super) fn waits_for_trial(&self, now: BootTime, request: &Request) -> bool {
+    pub(super) fn must_wait_for_trial(&self, now: BootTime, request: &Request) -> bool {
         let content = request.content;
-        self.suspicion(now, content) == Suspicion::Suspect && self.sent.values().any(|sent| sent.content == content)
+        self.suspicion(now, content) == Suspicion::Suspect
+            && self.sent_attempts.values().any(|sent| sent.content == content)
     }
 
     /// Queues a shard of a suspect request, unless the shard has an open attempt.
@@ -62,14 +63,19 @@
             if !shard.is_queued {
                 actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
             }
-            self.begin_waiting(now, key, shard_index, Postponed { reason, cause, retry_at: Some(now + TRIAL_PAUSE) });
+            self.begin_waiting(
+                now,
+                key,
+                shard_index,
+                PostponedSend { reason, cause, retry_at: Some(now + SUSPECT_RETRY_DELAY) },
+            );
         }
         cause
     }
 
     /// Updates the suspicions by the end of an attempt. An answer shows that the searcher is alive, and one after a
     /// complete run counts in favour of the content; a broken connection counts as a searcher lost under the content.
-    pub(super) fn note_suspicion(
+    pub(super) fn update_suspicion(
         &mut self,
         now: BootTime,
         attempt: AttemptKey,
@@ -89,25 +95,25 @@
             AttemptOutcome::Answered(answer) if is_run_to_its_end(answer) => {
                 self.quarantine.note_answered(now, sent.content)
             }
-            AttemptOutcome::Unknown(Unknown::Broken) if !self.is_answered(attempt.request, sent) => {
+            AttemptOutcome::Unknown(Unknown::Broken) if !self.was_answered(attempt.request, sent) => {
                 let (content, route) = (sent.content, RouteDigest::of(&sent.route));
                 self.quarantine.note_lost(now, LostAttempt { content, route, searcher, sent_at: sent.sent_at })
             }
             _ => None,
         });
-        self.take_suspicions(now, changes, false, actions);
+        self.apply_suspicion_changes(now, changes, false, actions);
     }
 
-    fn is_answered(&self, key: RequestKey, sent: &SentAttempt) -> bool {
+    fn was_answered(&self, key: RequestKey, sent: &SentAttempt) -> bool {
         self.requests.get(&key).map_or(sent.is_request_answered, |request| request.is_answered)
     }
 
-    pub(super) fn take_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
+    pub(super) fn merge_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
         let changes = self.quarantine.merge(now, records);
-        self.take_suspicions(now, changes, true, actions);
+        self.apply_suspicion_changes(now, changes, true, actions);
     }
 
-    fn take_suspicions(
+    fn apply_suspicion_changes(
         &mut self,
         now: BootTime,
         changes: Vec<SuspicionChange>,
@@ -120,22 +126,22 @@
         for change in changes {
             actions.push(RoutingAction::Suspicion { change, is_by_peers });
             if self.suspicion(now, change.content) == Suspicion::Quarantined {
-                self.end_quarantined(now, change.content, actions);
+                self.end_quarantined_requests(now, change.content, actions);
             }
         }
     }
 
     /// Ends the requests in flight that ask for a quarantined content. An open attempt of a route that isn't
     /// idempotent may finish: its searcher may be at work on it, and work that is cut off couldn't be repeated.
-    fn end_quarantined(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
-        let concerned = self.requests.iter().filter(|(_, request)| request.content == content);
-        let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
+    fn end_quarantined_requests(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
+        let affected = self.requests.iter().filter(|(_, request)| request.content == content);
+        let mut keys: Vec<RequestKey> = affected.map(|(key, _)| *key).collect();
         // Order of arrival, which makes the replay of a recording deterministic.
         keys.sort_unstable();
         for key in keys {
             let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
             if is_idempotent {
-                self.abandon_all(key, Duration::ZERO, AbandonCause::Quarantined, actions);
+                self.abandon_attempts(key, Duration::ZERO, AbandonCause::Quarantined, actions);
             }
             let Some(request) = self.requests.get_mut(&key) else {
                 continue;
@@ -146,7 +152,7 @@
                 shard.waiting = None;
                 shard.state = ShardState::Failed(None);
             }
-            self.settle(now, key, actions);
+            self.finish_if_done(now, key, actions);
         }
     }
 }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 
 /// Most shards of one service that wait at once; further ones are given up. Bounds memory.
-const MAX_WAITING: usize = 1024;
+const MAX_WAITING_PER_SERVICE: usize = 1024;
 
 /// Why a shard is to be sent, why it can't be sent yet, and when to try again.
-pub(super) struct Postponed {
+pub(super) struct PostponedSend {
     pub reason: SendReason,
     pub cause: UnsentCause,
     /// When to try again; `None` when the shard waits for an event, such as the end of another attempt.
@@ -37,7 +37,8 @@
         service: &Arc<str>,
         excluded: &[SearcherKey],
     ) -> Option<BootTime> {
-        let others = self.askable(now, regions, service).filter(|(peer, _)| !excluded.contains(peer));
+        let others =
+            self.eligible_searchers(now, regions, service).filter(|(candidate, _)| !excluded.contains(candidate));
         let chances = others.filter_map(|(_, searcher)| self.place.next_chance(now, searcher));
         let chance = chances.map(|at| at.max(now)).min();
         chance.filter(|at| self.settings.policy.waiting || *at <= now)
@@ -45,7 +46,7 @@
 
     /// Queues a shard for which no searcher can be asked now, or gives it up if none is left. A shard with an open
     /// attempt is left as it is. Returns the cause.
-    pub(super) fn note_unplaced(
+    pub(super) fn wait_for_searcher(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -56,7 +57,12 @@
             return UnsentCause::NobodyLeft;
         };
         let shard = &request.shards[shard_index];
-        let chance = self.next_chance(now, request.allowed_regions(), &shard.service, &self.excluded(key, shard_index));
+        let chance = self.next_chance(
+            now,
+            request.allowed_regions(),
+            &shard.service,
+            &self.excluded_searchers(key, shard_index),
+        );
         let cause = match chance {
             Some(at) if at <= now => UnsentCause::NoRoom,
             Some(_) => UnsentCause::Avoided,
@@ -64,19 +70,19 @@
         };
         if shard.is_open() && shard.outstanding == 0 {
             let retry_at = chance.filter(|at| *at > now);
-            self.begin_waiting(now, key, shard_index, Postponed { reason, cause, retry_at });
+            self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at });
         }
         cause
     }
 
     /// Returns the searchers of a shard that this request may not ask.
-    pub(super) fn excluded(&self, key: RequestKey, shard_index: usize) -> Vec<SearcherKey> {
+    pub(super) fn excluded_searchers(&self, key: RequestKey, shard_index: usize) -> Vec<SearcherKey> {
         let Some(request) = self.requests.get(&key) else {
             return Vec::new();
         };
-        let (shard, most) = (&request.shards[shard_index], request.route().max_attempts);
-        let peers = self.by_service.get(&shard.service).map_or(&[][..], Vec::as_slice);
-        peers.iter().copied().filter(|peer| shard.is_excluded(*peer, most)).collect()
+        let (shard, max_attempts) = (&request.shards[shard_index], request.route().max_attempts);
+        let candidates = self.by_service.get(&shard.service).map_or(&[][..], Vec::as_slice);
+        candidates.iter().copied().filter(|candidate| shard.is_excluded(*candidate, max_attempts)).collect()
     }
 
     /// Queues a shard that can't be sent again yet because the budget for extra sends is spent.
@@ -86,20 +92,21 @@
         };
         let retry_at = budget_retry_at(now, &self.settings.policy);
         if retry_at.is_some() && shard.is_open() && shard.outstanding == 0 {
-            let wait = Postponed { reason, cause: UnsentCause::OverBudget, retry_at };
-            self.begin_waiting(now, key, shard_index, wait);
+            let postponed = PostponedSend { reason, cause: UnsentCause::OverBudget, retry_at };
+            self.begin_waiting(now, key, shard_index, postponed);
         }
     }
 
     /// Returns whether the budget of a service is expected to permit one more retry by `deadline`, after the retries
     /// that already wait.
-    fn may_be_permitted_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
-        let Some(window) = self.windows.get_mut(service) else {
+    fn may_budget_permit_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
+        let Some(window) = self.extra_windows.get_mut(service) else {
             return true;
         };
         let permitted = window.permitted_until(now, deadline, &self.settings.extra, self.slack_share);
-        let mut ahead = self.waiting.get(service).into_iter().flatten().filter(|waiting| self.needs_budget(waiting));
-        permitted > 0 && ahead.nth(permitted - 1).is_none()
+        let mut retries_ahead =
+            self.waiting_shards.get(service).into_iter().flatten().filter(|waiting| self.needs_budget(waiting));
+        permitted > 0 && retries_ahead.nth(permitted - 1).is_none()
     }
 
     /// Returns whether a waiting shard must be paid from the budget for extra sends.
@@ -109,27 +116,33 @@
     }
 
     /// Queues a shard, or gives it up if waiting is hopeless or the queue of its service is full.
-    pub(super) fn begin_waiting(&mut self, now: BootTime, key: RequestKey, shard_index: usize, wait: Postponed) {
+    pub(super) fn begin_waiting(
+        &mut self,
+        now: BootTime,
+        key: RequestKey,
+        shard_index: usize,
+        postponed: PostponedSend,
+    ) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
         let (service, deadline) = (request.shards[shard_index].service.clone(), request.deadline);
-        let is_hopeless = wait.cause == UnsentCause::NobodyLeft
-            || wait.retry_at.is_some_and(|at| is_too_late(at, deadline))
-            || (wait.reason == SendReason::Retry && !self.may_be_permitted_by(now, &service, deadline));
+        let is_hopeless = postponed.cause == UnsentCause::NobodyLeft
+            || postponed.retry_at.is_some_and(|at| is_too_late(at, deadline))
+            || (postponed.reason == SendReason::Retry && !self.may_budget_permit_by(now, &service, deadline));
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let shard = &mut request.shards[shard_index];
-        let queue = self.waiting.entry(service).or_default();
-        let has_place = shard.is_queued || queue.len() < MAX_WAITING;
-        if is_hopeless || !has_place {
+        let queue = self.waiting_shards.entry(service).or_default();
+        let has_queue_space = shard.is_queued || queue.len() < MAX_WAITING_PER_SERVICE;
+        if is_hopeless || !has_queue_space {
             shard.waiting = None;
             shard.state = ShardState::Failed(None);
             return;
         }
-        let retry_at = wait.retry_at.unwrap_or(BootTime::FAR_FUTURE);
-        shard.waiting = Some(Waiting { reason: wait.reason, retry_at });
+        let retry_at = postponed.retry_at.unwrap_or(BootTime::FAR_FUTURE);
+        shard.waiting = Some(Waiting { reason: postponed.reason, retry_at });
         if !shard.is_queued {
             shard.is_queued = true;
             queue.push_back(WaitingShard { request: key, shard: shard_index as u32 });
@@ -138,10 +151,10 @@
 
     /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or come back.
     /// Stops at the first shard that blocks those behind it.
-    pub(super) fn serve_waiting(&mut self, now: BootTime, service: &Arc<str>, actions: &mut Vec<RoutingAction>) {
-        let waiting = self.waiting.get(service).map_or(0, VecDeque::len);
+    pub(super) fn send_waiting_shards(&mut self, now: BootTime, service: &Arc<str>, actions: &mut Vec<RoutingAction>) {
+        let waiting = self.waiting_shards.get(service).map_or(0, VecDeque::len);
         for _ in 0..waiting {
-            let Some(next) = self.waiting.get_mut(service).and_then(VecDeque::pop_front) else {
+            let Some(next) = self.waiting_shards.get_mut(service).and_then(VecDeque::pop_front) else {
                 return;
             };
             let (key, shard_index) = (next.request, next.shard as usize);
@@ -149,27 +162,28 @@
                 continue;
             };
             request.shards[shard_index].is_queued = false;
-            if request.shards[shard_index].waiting.is_some() && !self.send_waiting(now, key, shard_index, actions) {
+            if request.shards[shard_index].waiting.is_some() && !self.send_waiting_shard(now, key, shard_index, actions)
+            {
                 return;
             }
         }
     }
 
     /// Sends the waiting shards of a request whose time to be tried again has come.
-    pub(super) fn retry_due(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    pub(super) fn retry_due_shards(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
         let is_due = |index: &usize| request.shards[*index].waiting.is_some_and(|waiting| waiting.retry_at <= now);
         let due: Vec<usize> = (0..request.shards.len()).filter(is_due).collect();
         for shard_index in due {
-            self.send_waiting(now, key, shard_index, actions);
+            self.send_waiting_shard(now, key, shard_index, actions);
         }
     }
 
     /// Sends a waiting shard, queues it again, or gives it up. Returns whether the shards behind it may be tried,
     /// too.
-    pub(super) fn send_waiting(
+    pub(super) fn send_waiting_shard(
         &mut self,
         now: BootTime,
         key: RequestKey,
@@ -186,11 +200,11 @@
         }
         if outcome.is_err() {
             if !self.is_waiting(key, shard_index) {
-                self.give_up(key, shard_index, None);
+                self.give_up_shard(key, shard_index, None);
             }
-            self.settle(now, key, actions);
+            self.finish_if_done(now, key, actions);
         }
-        self.schedule(key);
+        self.schedule_wake(key);
         // A shard that waits for a trial or a probe of its own request doesn't block the shards behind it.
         outcome.is_ok() || matches!(outcome, Err(UnsentCause::Suspect | UnsentCause::Probing))
     }
@@ -202,13 +216,13 @@
     /// Records that an attempt has got its connection, and sends waiting shards, since the searcher accepts
     /// connections.
     pub(super) fn on_begun(&mut self, now: BootTime, attempt: AttemptKey, actions: &mut Vec<RoutingAction>) {
-        let Some(sent) = self.sent.get_mut(&attempt) else {
+        let Some(sent) = self.sent_attempts.get_mut(&attempt) else {
             return;
         };
         sent.begun_at = now;
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         searcher.accepted();
         let service = searcher.entry.service.clone();
-        self.serve_waiting(now, &service, actions);
+        self.send_waiting_shards(now, &service, actions);
     }
 }
