--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -1,4 +1,4 @@
-//! Maintains the engine's table of searchers and the list of askable searchers of each service.
+//! Maintains the engine's table of searchers and the list of searchers of each service.
 
 use super::{RoutingAction, RoutingEngine};
 use crate::configuration::definition::ColdStart;
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -29,7 +29,7 @@
         self.quarantine.counts(now)
     }
 
-    /// Returns the records that are due to be sent to peers with the next datagrams.
+    /// Returns the case records to send to peers with the next datagrams. Contents take turns.
     pub fn case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.quarantine.records(now)
     }
