--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -143,7 +143,7 @@
                     age >= connection.rest.min(most_rest).min(SURPLUS_REST)
                 }
                 State::Idle => age >= connection.rest.min(most_rest),
-                State::Connecting { assignment: Some(assignment) } => age >= assignment.order.connect_patience,
+                State::Connecting { assignment: Some(assignment) } => age >= assignment.order.connect_timeout,
                 State::Connecting { assignment: None } => age >= UNNEEDED_CONNECT,
                 State::Proving { .. } => false,
                 State::Busy(assignment) => assignment.abandoned.is_some_and(|(until, _)| now >= until),
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -111,7 +111,7 @@
         distance: Distance::OwnZone,
         deadline: START + Duration::from_secs(5),
         is_idempotent: false,
-        connect_patience: Duration::from_secs(1),
+        connect_timeout: Duration::from_secs(1),
         reason: SendReason::First,
         reported: None,
         identity: SentIdentity::Unmanaged,
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -200,7 +200,7 @@
             distance: self.place.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
             is_idempotent: request.route().is_idempotent,
-            connect_patience: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
+            connect_timeout: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
             reason: planned.reason,
             reported: searcher.reported().map(|(at, load)| ReportedAt { load, age: now.since(at) }),
         })
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -362,7 +362,7 @@
     /// Whether the route is idempotent, so that the request may run more than once.
     pub is_idempotent: bool,
     /// Longest wait for a connection.
-    pub connect_patience: Duration,
+    pub connect_timeout: Duration,
     /// Why the attempt is sent.
     pub reason: SendReason,
     /// Last load report of the searcher, if there was one.
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -128,7 +128,7 @@
         order.searcher.0,
         order.instance,
         order.deadline.0,
-        order.connect_patience.as_micros(),
+        order.connect_timeout.as_micros(),
         order.is_idempotent,
         order.address,
         reported.unwrap_or_default(),
