--- a/crates/staircross-gateway/src/node/knowledge.rs
+++ b/crates/staircross-gateway/src/node/knowledge.rs
@@ -69,7 +69,7 @@
         );
         self.fleet.set_confirmation_sent(!definition.tenants.is_empty());
         self.engine_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
-        self.fleet.set_connections(self.engine.tightest_connections());
+        self.fleet.set_connections(self.engine.lowest_max_connections());
         self.update_fleet_shape();
     }
 }
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -295,7 +295,7 @@
 
     /// Returns the lowest `max_connections` of all services that routes ask as shards; `None` when no route gathers
     /// shards. Each bound holds for the connections of all nodes together.
-    pub fn tightest_connections(&self) -> Option<u32> {
+    pub fn lowest_max_connections(&self) -> Option<u32> {
         let routes = &self.table.as_ref()?.definition().routes;
         let shards = routes.iter().filter_map(|route| match &route.target {
             RouteTarget::Gather(gather) => Some(&gather.shards),
