--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -50,7 +50,7 @@
     ) -> Result<(), UnsentCause> {
         self.check_sendable(now, key, shard_index, reason, actions)?;
         let Some(request) = self.requests.get(&key) else {
-            return Err(UnsentCause::NobodyLeft);
+            return Err(UnsentCause::NoSearcherLeft);
         };
         let service = request.shards[shard_index].service.clone();
         let outcome = match self.choose_searcher(now, key, shard_index, &service) {
@@ -77,7 +77,7 @@
         actions: &mut Vec<RoutingAction>,
     ) -> Result<(), UnsentCause> {
         let Some(request) = self.requests.get(&key) else {
-            return Err(UnsentCause::NobodyLeft);
+            return Err(UnsentCause::NoSearcherLeft);
         };
         if request.is_key_revoked {
             return Err(Self::log_unsent_revoked(key, request, shard_index, reason, actions));
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -200,8 +200,8 @@
         let outcome = match state.may_be_sent(max_attempts) {
             true => self.dispatch(now, key, shard, reason, actions),
             false => {
-                self.log_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
-                Err(UnsentCause::MostAttempts)
+                self.log_unsent(key, shard, reason, UnsentCause::MaxAttempts, actions);
+                Err(UnsentCause::MaxAttempts)
             }
         };
         if may_wait && outcome == Err(UnsentCause::OverBudget) {
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -54,7 +54,7 @@
         reason: SendReason,
     ) -> UnsentCause {
         let Some(request) = self.requests.get(&key) else {
-            return UnsentCause::NobodyLeft;
+            return UnsentCause::NoSearcherLeft;
         };
         let shard = &request.shards[shard_index];
         let chance = self.next_chance(
@@ -66,7 +66,7 @@
         let cause = match chance {
             Some(at) if at <= now => UnsentCause::NoRoom,
             Some(_) => UnsentCause::Avoided,
-            None => UnsentCause::NobodyLeft,
+            None => UnsentCause::NoSearcherLeft,
         };
         if shard.is_open() && shard.outstanding == 0 {
             let retry_at = chance.filter(|at| *at > now);
@@ -127,7 +127,7 @@
             return;
         };
         let (service, deadline) = (request.shards[shard_index].service.clone(), request.deadline);
-        let is_hopeless = postponed.cause == UnsentCause::NobodyLeft
+        let is_hopeless = postponed.cause == UnsentCause::NoSearcherLeft
             || postponed.retry_at.is_some_and(|at| is_too_late(at, deadline))
             || (postponed.reason == SendReason::Retry && !self.may_budget_permit_by(now, &service, deadline));
         let Some(request) = self.requests.get_mut(&key) else {
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -304,7 +304,7 @@
     /// waits.
     Avoided,
     /// No eligible searcher is left.
-    NobodyLeft,
+    NoSearcherLeft,
     /// Sub-requests wait too long at the searchers of the service, and a hedge would only add to their load.
     Pressed,
     /// The content is suspected of crashing searchers, and one is at work on it; the shard waits for that attempt's
@@ -313,7 +313,7 @@
     /// The request may have run, and its route isn't idempotent.
     NotRepeatable,
     /// The shard was sent to as many searchers as its route's `max_attempts` allows.
-    MostAttempts,
+    MaxAttempts,
     /// The configuration in force no longer holds the request's key.
     KeyRevoked,
     /// The content is quarantined and sent to no searcher.
@@ -330,11 +330,11 @@
             UnsentCause::OverBudget => "over_budget",
             UnsentCause::NoRoom => "no_room",
             UnsentCause::Avoided => "avoided",
-            UnsentCause::NobodyLeft => "nobody_left",
+            UnsentCause::NoSearcherLeft => "nobody_left",
             UnsentCause::Pressed => "pressed",
             UnsentCause::Suspect => "suspect",
             UnsentCause::NotRepeatable => "not_repeatable",
-            UnsentCause::MostAttempts => "most_attempts",
+            UnsentCause::MaxAttempts => "most_attempts",
             UnsentCause::KeyRevoked => "key_withdrawn",
             UnsentCause::Quarantined => "quarantined",
             UnsentCause::Probing => "probing",
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -178,5 +178,5 @@
         driver.end(driver.sends[number].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     }
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "its route allows two");
-    assert_eq!(driver.unsent, [(request, UnsentCause::MostAttempts)]);
+    assert_eq!(driver.unsent, [(request, UnsentCause::MaxAttempts)]);
 }
