--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -10,7 +10,9 @@
 use staircross_quota::QuotaChange;
 use staircross_routing::configuration::tenants::KeyRefusal;
 use staircross_routing::decision::admission::AdmissionChange;
-use staircross_routing::engine::{HoldCause, LeftOutCause, ProbeStep, ReportedAt, SendOrder, SendReason, UnsentCause};
+use staircross_routing::engine::{
+    HoldCause, LastLoadReport, LeftOutCause, ProbeStep, SendOrder, SendReason, UnsentCause,
+};
 use staircross_routing::{AttemptKey, AttemptOutcome, RequestKey, SearcherKey, Verdict};
 use std::fmt;
 use std::sync::Arc;
@@ -179,7 +181,7 @@
 }
 
 /// What a searcher reported last of its load, as the end of a line.
-struct Reported(Option<ReportedAt>);
+struct Reported(Option<LastLoadReport>);
 
 impl fmt::Display for Reported {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -35,8 +35,8 @@
 use crate::decision::quarantine::Quarantine;
 use crate::decision::turns::WeightedTurns;
 pub use crate::engine_message::{
-    AbandonCause, HoldCause, LeftOutCause, ProbeStep, ReportedAt, RoutingAction, RoutingEvent, SendOrder, SendReason,
-    UnsentCause,
+    AbandonCause, HoldCause, LastLoadReport, LeftOutCause, ProbeStep, RoutingAction, RoutingEvent, SendOrder,
+    SendReason, UnsentCause,
 };
 use crate::keys::{AttemptKey, ContentKey, Incarnation, RequestKey, SearcherKey};
 use crate::policy::RoutingPolicy;
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -4,7 +4,7 @@
 //! The module owns no state. The rules are in [`crate::decision::placement`], [`crate::decision::hedging`] and
 //! [`crate::decision::extra_budget`]. A shard that can't be sent now is queued by [`super::waiting`] or given up.
 
-use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
+use super::{LastLoadReport, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::extra_budget::is_paid;
 use crate::decision::giving_up::DEADLINE_GUARD;
@@ -202,7 +202,7 @@
             is_idempotent: request.route().is_idempotent,
             connect_timeout: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
             reason: planned.reason,
-            reported: searcher.reported().map(|(at, load)| ReportedAt { load, age: now.since(at) }),
+            reported: searcher.reported().map(|(at, load)| LastLoadReport { load, age: now.since(at) }),
         })
     }
 
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -366,12 +366,12 @@
     /// Why the attempt is sent.
     pub reason: SendReason,
     /// Last load report of the searcher, if there was one.
-    pub reported: Option<ReportedAt>,
+    pub reported: Option<LastLoadReport>,
 }
 
 /// A searcher's last report of its load, and the age of the report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReportedAt {
+pub struct LastLoadReport {
     /// The report.
     pub load: ReportedLoad,
     /// Time since the report was received.
