--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -260,7 +260,7 @@
 
     /// Takes a token from the tenant's quota, or refuses the request before anything is sent.
     fn check_quota(&mut self, now: BootTime, tenant: Option<&Arc<str>>) -> Result<(), NotStarted> {
-        let taken = tenant.map_or(Ok(()), |tenant| self.take_quota(now, tenant));
+        let taken = tenant.map_or(Ok(()), |tenant| self.take_quota_token(now, tenant));
         taken.map_err(|wait| {
             let (kind, detail) = (ErrorKind::OverQuota, "the tenant has sent as many requests as it may");
             NotStarted::Refused(Verdict::Refused { kind, detail, retry_after: Some(wait) })
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -18,7 +18,7 @@
 
 impl RoutingEngine {
     /// Takes a token for one request of a tenant; otherwise returns the time until one will be available.
-    pub fn take_quota(&mut self, now: BootTime, tenant: &Arc<str>) -> Result<(), Duration> {
+    pub fn take_quota_token(&mut self, now: BootTime, tenant: &Arc<str>) -> Result<(), Duration> {
         self.quotas.try_take(now, tenant).map_err(|refusal| {
             self.counters.over_quota += 1;
             refusal.retry_after
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -60,7 +60,7 @@
     for count in 0..seconds * 100 {
         step(nodes, is_cut);
         let driver = &mut nodes[count % 2];
-        let taken = driver.engine.take_quota(driver.now, &tenant);
+        let taken = driver.engine.take_quota_token(driver.now, &tenant);
         admitted[count / 100] += usize::from(taken.is_ok());
     }
     admitted
@@ -93,7 +93,7 @@
     offer(&mut nodes, 3, false);
     let tenant: Arc<str> = Arc::from("t");
     let driver = &mut nodes[0];
-    let refused = (0..50).filter_map(|_| driver.engine.take_quota(driver.now, &tenant).err());
+    let refused = (0..50).filter_map(|_| driver.engine.take_quota_token(driver.now, &tenant).err());
     let times: StdHashMap<u128, usize> = refused.fold(StdHashMap::new(), |mut times, delay| {
         *times.entry(delay.as_millis() / 100).or_default() += 1;
         times
