--- a/crates/staircross-gateway/src/node/knowledge/fleet.rs
+++ b/crates/staircross-gateway/src/node/knowledge/fleet.rs
@@ -28,7 +28,7 @@
         }
         self.fleet.set_load(self.load.percent(), &mut events);
         // Not the records of a push in the same turn: they take turns, and each tick's datagrams carry the next.
-        self.fleet.set_cases(self.engine.case_records(self.now));
+        self.fleet.set_cases(self.engine.next_case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
         self.take_fleet_events(events);
         self.log_held_members();
@@ -42,7 +42,7 @@
         if !self.case_pushes.take(self.now) {
             return;
         }
-        self.fleet.set_cases(self.engine.case_records(self.now));
+        self.fleet.set_cases(self.engine.next_case_records(self.now));
         let mut events = Vec::new();
         self.fleet.push(&mut events);
         self.take_fleet_events(events);
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the case records to send to peers with the next datagrams. Contents take turns.
-    pub fn case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
+    pub fn next_case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.quarantine.records(now)
     }
 
