--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -119,13 +119,13 @@
     }
 
     /// Logs what is believed of a content now, and has it sent to peers at once where each moment may cost another searcher.
-    pub(super) fn note_suspicion(&mut self, change: SuspicionChange, is_by_peers: bool) {
+    pub(super) fn note_suspicion(&mut self, change: SuspicionChange, is_from_peers: bool) {
         let SuspicionChange { content, suspicion, losses, .. } = change;
-        let source = if is_by_peers { "peer" } else { "own" };
+        let source = if is_from_peers { "peer" } else { "own" };
         let line =
             format_args!("event=suspicion content={content} level={} lost={losses} source={source}", suspicion.name());
         self.log.line(self.now, LineKind::Belief, line);
-        if change.is_urgent(is_by_peers) {
+        if change.is_urgent(is_from_peers) {
             self.case_pushes.note_update();
         }
     }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -209,7 +209,7 @@
             RoutingAction::Recall { attempt } => self.recall(attempt),
             RoutingAction::Finish { request, verdict } => self.finish(request, verdict),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
-            RoutingAction::Suspicion { change, is_by_peers } => self.note_suspicion(change, is_by_peers),
+            RoutingAction::Suspicion { change, is_from_peers } => self.note_suspicion(change, is_from_peers),
             RoutingAction::Unsent { request, service, reason, cause } => {
                 self.note_unsent(request, &service, reason, cause);
             }
--- a/crates/staircross-routing/src/decision/quarantine/suspicion.rs
+++ b/crates/staircross-routing/src/decision/quarantine/suspicion.rs
@@ -41,7 +41,7 @@
 impl SuspicionChange {
     /// Whether it is sent to peers at once, rather than with the next datagrams. What a peer sent is passed on: a push reaches some nodes of its
     /// region, and until a node knows it may send the content to one searcher of each shard.
-    pub fn is_urgent(&self, is_by_peers: bool) -> bool {
-        !is_by_peers || self.is_raised
+    pub fn is_urgent(&self, is_from_peers: bool) -> bool {
+        !is_from_peers || self.is_raised
     }
 }
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -117,14 +117,14 @@
         &mut self,
         now: BootTime,
         changes: Vec<SuspicionChange>,
-        is_by_peers: bool,
+        is_from_peers: bool,
         actions: &mut Vec<RoutingAction>,
     ) {
         if changes.iter().any(|change| change.suspicion != Suspicion::Suspect) {
             self.log_alarms(now, actions);
         }
         for change in changes {
-            actions.push(RoutingAction::Suspicion { change, is_by_peers });
+            actions.push(RoutingAction::Suspicion { change, is_from_peers });
             if self.suspicion(now, change.content) == Suspicion::Quarantined {
                 self.end_quarantined_requests(now, change.content, actions);
             }
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -160,7 +160,7 @@
         /// The change.
         change: SuspicionChange,
         /// Whether the change follows from peers' reports.
-        is_by_peers: bool,
+        is_from_peers: bool,
     },
     /// Send messages on tenants' quotas to a peer.
     SendQuotas {
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -92,8 +92,8 @@
             let (wait, tolerable) = (change.wait.as_nanos(), change.tolerable.as_nanos());
             ("admission".into(), format!("{group} {wait} {tolerable} {}", change.level))
         }
-        RoutingAction::Suspicion { change, is_by_peers } => {
-            let text = format!("{} {} {} {is_by_peers}", change.content, change.losses, change.is_raised);
+        RoutingAction::Suspicion { change, is_from_peers } => {
+            let text = format!("{} {} {} {is_from_peers}", change.content, change.losses, change.is_raised);
             (format!("suspicion {}", change.suspicion.name()), text)
         }
         RoutingAction::SendQuotas { to, messages } => {
