--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -179,7 +179,7 @@
         };
         RoutingEngine {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
-            quotas: quotas::allowance(&settings),
+            quotas: quotas::new_allowance(&settings),
             place,
             slack_share: 1.0,
             settings,
@@ -332,7 +332,7 @@
         known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
     }
 
-    pub(crate) fn statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
+    pub(crate) fn route_statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
             usual_work: UsualWork::default(),
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -253,7 +253,7 @@
             RouteTarget::Gather(gather) => gather.shards.clone(),
             RouteTarget::Weighted(set) => {
                 let goal = Duration::from_millis(route.goal_ms);
-                self.statistics(&route.name, goal).service_turns.next(set).into_iter().collect()
+                self.route_statistics(&route.name, goal).service_turns.next(set).into_iter().collect()
             }
         }
     }
@@ -297,7 +297,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         let count = request.shards.len();
-        let first = self.first_shard(&request);
+        let first = self.choose_first_shard(&request);
         self.requests.insert(key, request);
         self.log_probe_start(now, key, actions);
         for shard in (first..count).chain(0..first) {
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -108,7 +108,7 @@
         let regions = AllowedRegions::new(route, tenant.and_then(|key| table.tenant(key)));
         let excluded = self.excluded_searchers(key, shard_index);
         let goal = Duration::from_millis(route.goal_ms);
-        let usual_work = self.statistics(&route.name, goal).work.median();
+        let usual_work = self.route_statistics(&route.name, goal).work.median();
         let candidates = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let choice = Choice { regions, excluded: &excluded, usual_work, goal };
         choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random)
@@ -151,7 +151,7 @@
             SendReason::Retry => self.counters.retries += 1,
             SendReason::Reroute => self.counters.reroutes += 1,
         }
-        actions.extend(self.send_order(now, planned, attempt).map(RoutingAction::Send));
+        actions.extend(self.new_send_order(now, planned, attempt).map(RoutingAction::Send));
     }
 
     /// Records an attempt with its request and its searcher.
@@ -187,7 +187,7 @@
         Some(attempt)
     }
 
-    fn send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
+    fn new_send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
         let request = self.requests.get(&planned.request)?;
         let searcher = &self.searchers[planned.searcher.0 as usize];
         let round_trip = self.place.round_trip(&searcher.entry.zone);
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the shard that a request is sent to first: a random one for a probe.
-    pub(super) fn first_shard(&mut self, request: &Request) -> usize {
+    pub(super) fn choose_first_shard(&mut self, request: &Request) -> usize {
         match request.probe {
             Some(_) => first_probe::first_of(request.shards.len(), &mut self.random),
             None => 0,
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -28,15 +28,15 @@
         self.searchers[sent.searcher.0 as usize].released(attempt);
         self.record_wait(now, &sent, &outcome, actions);
         self.update_searcher(now, &sent, &outcome);
-        let shard = self.close_attempt(attempt);
+        let shard_index = self.close_attempt(attempt);
         // This must come before `update_suspicion`, which may end the request at once.
         if matches!(outcome, AttemptOutcome::Unknown(_)) {
             self.mark_may_have_run(attempt.request);
         }
         self.update_suspicion(now, attempt, &sent, &outcome, actions);
-        if let Some(shard) = shard {
-            self.allow_unused_searcher(attempt.request, shard, sent.searcher, &outcome);
-            self.apply_outcome(now, attempt.request, shard, outcome, actions);
+        if let Some(shard_index) = shard_index {
+            self.allow_unused_searcher(attempt.request, shard_index, sent.searcher, &outcome);
+            self.apply_outcome(now, attempt.request, shard_index, outcome, actions);
             self.finish_if_done(now, attempt.request, actions);
             self.schedule_wake(attempt.request);
         }
@@ -53,9 +53,9 @@
         }
         attempt.is_open = false;
         attempt.is_resolved = true;
-        let shard = attempt.shard as usize;
-        request.shards[shard].outstanding -= 1;
-        Some(shard)
+        let shard_index = attempt.shard as usize;
+        request.shards[shard_index].outstanding -= 1;
+        Some(shard_index)
     }
 
     fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
@@ -88,7 +88,7 @@
         &mut self,
         now: BootTime,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         outcome: AttemptOutcome,
         actions: &mut Vec<RoutingAction>,
     ) {
@@ -105,13 +105,15 @@
         let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
         request.is_answered |= has_run_to_end;
         match (step, answer) {
-            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard, answer, actions),
-            (NextStep::SendAgain(reason), failure) => self.resend_or_give_up(now, key, shard, reason, failure, actions),
+            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
+            (NextStep::SendAgain(reason), failure) => {
+                self.resend_or_give_up(now, key, shard_index, reason, failure, actions)
+            }
             (NextStep::NotRepeatable, failure) => {
-                self.log_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
-                self.give_up_shard(key, shard, failure);
+                self.log_unsent(key, shard_index, SendReason::Retry, UnsentCause::NotRepeatable, actions);
+                self.give_up_shard(key, shard_index, failure);
             }
-            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard, failure),
+            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard_index, failure),
         }
         match has_run_to_end {
             true => self.end_probe(now, key, actions),
@@ -123,14 +125,14 @@
     fn accept_answer(
         &mut self,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         answer: Box<SearcherAnswer>,
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.shards[shard].state = ShardState::In(answer);
+            request.shards[shard_index].state = ShardState::In(answer);
         }
-        self.abandon_shard_attempts(key, shard, actions);
+        self.abandon_shard_attempts(key, shard_index, actions);
     }
 
     fn mark_may_have_run(&mut self, key: RequestKey) {
@@ -143,7 +145,7 @@
     fn allow_unused_searcher(
         &mut self,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         searcher: SearcherKey,
         outcome: &AttemptOutcome,
     ) {
@@ -154,7 +156,7 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let shard = &mut request.shards[shard];
+        let shard = &mut request.shards[shard_index];
         if !unused.is_counted {
             shard.forget_sending(searcher);
         }
@@ -166,13 +168,13 @@
     fn log_unsent(
         &self,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         reason: SendReason,
         cause: UnsentCause,
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get(&key) {
-            let service = request.shards[shard].service.clone();
+            let service = request.shards[shard_index].service.clone();
             actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
         }
     }
@@ -183,7 +185,7 @@
         &mut self,
         now: BootTime,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         reason: SendReason,
         failure: Option<Box<SearcherAnswer>>,
         actions: &mut Vec<RoutingAction>,
@@ -192,44 +194,44 @@
             return;
         };
         let max_attempts = request.route().max_attempts;
-        let state = &request.shards[shard];
-        if state.outstanding > 0 {
+        let shard = &request.shards[shard_index];
+        if shard.outstanding > 0 {
             return;
         }
         let may_wait = retry::may_wait(failure.is_some(), request_kind(request));
-        let outcome = match state.may_be_sent(max_attempts) {
-            true => self.dispatch(now, key, shard, reason, actions),
+        let outcome = match shard.may_be_sent(max_attempts) {
+            true => self.dispatch(now, key, shard_index, reason, actions),
             false => {
-                self.log_unsent(key, shard, reason, UnsentCause::MaxAttempts, actions);
+                self.log_unsent(key, shard_index, reason, UnsentCause::MaxAttempts, actions);
                 Err(UnsentCause::MaxAttempts)
             }
         };
         if may_wait && outcome == Err(UnsentCause::OverBudget) {
-            self.wait_for_budget(now, key, shard, reason);
+            self.wait_for_budget(now, key, shard_index, reason);
         }
-        if outcome.is_err() && !self.is_waiting(key, shard) {
-            self.give_up_shard(key, shard, failure);
+        if outcome.is_err() && !self.is_waiting(key, shard_index) {
+            self.give_up_shard(key, shard_index, failure);
         }
     }
 
-    pub(super) fn give_up_shard(&mut self, key: RequestKey, shard: usize, failure: Option<Box<SearcherAnswer>>) {
+    pub(super) fn give_up_shard(&mut self, key: RequestKey, shard_index: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
-            let state = &mut request.shards[shard];
-            if state.outstanding == 0 && matches!(state.state, ShardState::Open | ShardState::Failed(None)) {
-                state.state = ShardState::Failed(failure);
+            let shard = &mut request.shards[shard_index];
+            if shard.outstanding == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
+                shard.state = ShardState::Failed(failure);
             }
         }
     }
 
     /// Abandons the open attempts of a shard that has been answered.
-    fn abandon_shard_attempts(&mut self, key: RequestKey, shard: usize, actions: &mut Vec<RoutingAction>) {
+    fn abandon_shard_attempts(&mut self, key: RequestKey, shard_index: usize, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         for (number, attempt) in request.attempts.iter_mut().enumerate() {
-            if attempt.is_open && attempt.shard as usize == shard {
+            if attempt.is_open && attempt.shard as usize == shard_index {
                 attempt.is_open = false;
-                request.shards[shard].outstanding -= 1;
+                request.shards[shard_index].outstanding -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
                 let (patience, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
                 actions.push(RoutingAction::Abandon { attempt, patience, cause });
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -56,11 +56,11 @@
                     Some(group) => ServiceGroup { route_index, priorities, ..group },
                     None => ServiceGroup::new(route_index, route),
                 });
-                let (first, last) = group.priorities;
-                if route.priority < first {
+                let (most_urgent, least_urgent) = group.priorities;
+                if route.priority < most_urgent {
                     group.route_index = route_index;
                 }
-                group.priorities = (first.min(route.priority), last.max(route.priority));
+                group.priorities = (most_urgent.min(route.priority), least_urgent.max(route.priority));
             }
         }
         let ranks = table.ranks();
@@ -78,15 +78,15 @@
         rank: Rank,
         tenant: Option<&Arc<str>>,
     ) -> Option<f64> {
-        let is_on = self.settings.policy.admission;
-        let group = self.groups.get_mut(group).filter(|_| is_on)?;
+        let is_enabled = self.settings.policy.admission;
+        let group = self.groups.get_mut(group).filter(|_| is_enabled)?;
         let shares = group.shares.entry(rank).or_default();
         shares.count(now, tenant);
         if !group.admission.is_limiting() {
             return None;
         }
-        let (first, last) = group.priorities;
-        let level = group.admission.fraction_taken(rank.steps(first..=last));
+        let (most_urgent, least_urgent) = group.priorities;
+        let level = group.admission.fraction_taken(rank.steps(most_urgent..=least_urgent));
         let fraction = shares.fraction_taken(now, tenant, level);
         if self.random.random_bool(fraction) {
             return None;
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -92,8 +92,8 @@
         services.iter().for_each(|service| self.send_waiting_shards(now, service, actions));
     }
 
-    /// Marks a searcher whose entry has gone from the store. It is asked for `lapse_grace` longer if no other
-    /// can be.
+    /// Marks a searcher whose entry has gone from the store. It is asked for `lapse_grace` longer if no other can
+    /// be.
     pub(super) fn mark_searcher_lapsed(&mut self, now: BootTime, instance: &Arc<str>) {
         let Some(key) = self.by_instance.get(instance).copied() else {
             return;
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -44,23 +44,23 @@
         let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
         let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
         let (is_idempotent, max_attempts) = (route.is_idempotent, route.max_attempts);
-        let mut late = Vec::new();
+        let mut late_shards = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
             let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
             attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
                 HedgeVerdict::Hedge { again_at } => {
-                    late.push(attempt.shard as usize);
+                    late_shards.push(attempt.shard as usize);
                     again_at
                 }
                 HedgeVerdict::NotBefore(time) => time,
                 HedgeVerdict::Never => BootTime::FAR_FUTURE,
             };
         }
-        for shard in late {
+        for shard_index in late_shards {
             // `hedge_at` was set above to the time at which a hedge that isn't sent is tried again.
-            let _unsent = self.dispatch(now, key, shard, SendReason::Hedge, actions);
+            let _unsent = self.dispatch(now, key, shard_index, SendReason::Hedge, actions);
         }
     }
 
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -28,8 +28,8 @@
 
 impl RoutingEngine {
     /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked, free
-    /// capacity aside; `None` when there is no such searcher. With
-    /// `routing.waiting` switched off, only a searcher that may be asked at once counts.
+    /// capacity aside; `None` when there is no such searcher. With `routing.waiting` switched off, only a searcher
+    /// that may be asked at once counts.
     pub(super) fn next_chance(
         &self,
         now: BootTime,
@@ -99,7 +99,7 @@
 
     /// Returns whether the budget of a service is expected to permit one more retry by `deadline`, after the retries
     /// that already wait.
-    fn may_budget_permit_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
+    fn budget_permits_retry_by(&mut self, now: BootTime, service: &Arc<str>, deadline: BootTime) -> bool {
         let Some(window) = self.extra_windows.get_mut(service) else {
             return true;
         };
@@ -129,7 +129,7 @@
         let (service, deadline) = (request.shards[shard_index].service.clone(), request.deadline);
         let is_hopeless = postponed.cause == UnsentCause::NoSearcherLeft
             || postponed.retry_at.is_some_and(|at| is_too_late(at, deadline))
-            || (postponed.reason == SendReason::Retry && !self.may_budget_permit_by(now, &service, deadline));
+            || (postponed.reason == SendReason::Retry && !self.budget_permits_retry_by(now, &service, deadline));
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
