--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -108,9 +108,10 @@
     pub begun_at: BootTime,
     /// The service group that the request belongs to.
     pub group: Arc<str>,
-    /// The content that the request asks for.
+    /// Digest of what the request asks for.
     pub content: ContentKey,
-    /// Whether a searcher had run the request to its end by the time at which the request was over.
+    /// Whether a searcher had run the request to its end when the request was over. While the request is in flight, its
+    /// own flag counts.
     pub is_request_answered: bool,
 }
 
@@ -154,7 +155,7 @@
     pub(crate) waiting_shards: HashMap<Arc<str>, VecDeque<WaitingShard>>,
     /// Times at which requests need attention. Those that an earlier time has superseded stay in the heap.
     pub(crate) wakes: BinaryHeap<Reverse<(BootTime, RequestKey)>>,
-    /// Contents that are suspected of crashing the searchers that run them.
+    /// Contents (digests of what requests ask for) that are suspected of crashing the searchers that run them.
     pub(crate) quarantine: Quarantine,
     /// This node's share of tenants' quotas.
     quotas: FleetAllowance,
@@ -304,6 +305,7 @@
         shards.flatten().filter_map(|shard| self.services.get(shard).map(|entry| entry.max_connections)).min()
     }
 
+    /// Puts a configuration into force.
     fn set_table(&mut self, table: Arc<RouteTable>) {
         let services = &table.definition().services;
         self.services = services.iter().map(|entry| (entry.name.clone(), entry.clone())).collect();
@@ -332,6 +334,7 @@
         known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
     }
 
+    /// Returns the measurements of a route, which are created on first use.
     pub(crate) fn route_statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -128,6 +128,7 @@
         self.held_requests.retain(|held| held.arrival.key != key);
     }
 
+    /// Starts a held request, refuses it, or holds it on while its time isn't over and the node still isn't ready.
     fn start_or_keep_held(&mut self, now: BootTime, held: HeldRequest, actions: &mut Vec<RoutingAction>) {
         let arrival = held.arrival(now);
         match self.start_request(now, &arrival, actions) {
@@ -247,6 +248,7 @@
         usable_goal(route, &link)
     }
 
+    /// Returns the services that a request asks. For a weighted route, takes the service whose turn it is.
     fn choose_services(&mut self, route: &RouteDefinition) -> Vec<Arc<str>> {
         match &route.target {
             RouteTarget::Service(service) => vec![service.clone()],
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Spends one extra send from a service's budget; returns `false` when the budget doesn't permit it.
     fn spend_extra(&mut self, now: BootTime, service: &Arc<str>) -> bool {
         let window = self.extra_windows.entry(service.clone()).or_default();
         let is_within_budget = window.try_spend(now, &self.settings.extra, self.slack_share);
@@ -206,6 +207,7 @@
         })
     }
 
+    /// Returns what the time of an attempt's hedge follows from.
     fn hedge_times(&mut self, now: BootTime, planned: PlannedAttempt) -> Option<HedgeTimes> {
         let delay_factor = hedge_delay_factor(self.spare_fraction(now, planned.searcher));
         let request = self.requests.get(&planned.request)?;
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -15,6 +15,7 @@
 const SUPERSEDED_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl RoutingEngine {
+    /// Handles the end of an attempt, whose request may have ended before.
     pub(super) fn on_ended(
         &mut self,
         now: BootTime,
@@ -58,6 +59,7 @@
         Some(shard_index)
     }
 
+    /// Updates what is known of a searcher's load, speed and failures by the outcome of an attempt.
     fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
         let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
@@ -84,6 +86,7 @@
         }
     }
 
+    /// Applies the outcome of an attempt to its shard, as [`retry::next_step`] decides, and moves a first probe on.
     fn apply_outcome(
         &mut self,
         now: BootTime,
@@ -214,6 +217,7 @@
         }
     }
 
+    /// Marks a shard as failed, unless it has an open attempt or an answer.
     pub(super) fn give_up_shard(&mut self, key: RequestKey, shard_index: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
             let shard = &mut request.shards[shard_index];
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -104,6 +104,7 @@
         wait > self.tolerable_wait_for(request.route(), request.shards.len())
     }
 
+    /// Returns the wait with which a request of a route still meets its goal.
     fn tolerable_wait_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
         let goal = usable_goal(route, &CallerLink::default());
         let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual_work.get());
@@ -136,6 +137,7 @@
         }
     }
 
+    /// Records the work of an answered attempt, and counts as wait what exceeds the route's usual work.
     fn record_work(&mut self, now: BootTime, sent: &SentAttempt, service: &Arc<str>, worked: Duration) {
         let Some(statistics) = self.routes.get_mut(&sent.route) else {
             return;
@@ -153,6 +155,7 @@
         }
     }
 
+    /// Updates the admission level of a group by its wait, if that is due. Returns the change of the level.
     fn update_admission(&mut self, now: BootTime, name: &Arc<str>) -> Option<AdmissionChange> {
         let table = self.table.clone()?;
         let group = self.groups.get(name).filter(|group| group.admission.is_due(now))?;
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Sets the quotas of the tenants of a configuration.
     pub(super) fn set_quotas(&mut self, now: BootTime, table: &RouteTable) {
         let tenants = table.definition().tenants.iter();
         let quotas = tenants.filter_map(|tenant| tenant.quota.map(|quota| (tenant.name.clone(), quota)));
@@ -70,6 +71,7 @@
         actions.extend(self.quotas.take_changes().into_iter().map(RoutingAction::Quota));
     }
 
+    /// Groups quota messages by peer, and orders to send them in datagrams of limited size.
     fn push_quota_messages(&mut self, envelopes: Vec<QuotaEnvelope>, actions: &mut Vec<RoutingAction>) {
         self.counters.quota_messages += envelopes.len() as u64;
         let mut by_peer: BTreeMap<NodeId, Vec<QuotaMessage>> = BTreeMap::new();
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -36,6 +36,7 @@
         self.schedule_wake(key);
     }
 
+    /// Sends a hedge for each late attempt that may have one.
     fn send_due_hedges(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
@@ -87,6 +88,7 @@
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
+    /// Logs the shards that a request ends without an answer from.
     fn log_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -106,6 +108,7 @@
         }
     }
 
+    /// Ends a request whose caller has disconnected, and abandons its attempts.
     pub(super) fn on_caller_gone(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return self.remove_held(key);
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -1,6 +1,8 @@
 //! Tracks contents that are suspected of crashing searchers, and holds back or ends the requests that ask for them.
 //!
-//! [`crate::decision::quarantine`] decides which contents are suspect or quarantined.
+//! A content is the digest of what a request asks for ([`ContentKey`]). A suspect content is sent to one searcher at a
+//! time, which is its trial; a quarantined one is sent to none. [`crate::decision::quarantine`] decides which contents
+//! are suspect or quarantined.
 
 use super::waiting::PostponedSend;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
@@ -104,15 +106,18 @@
         self.apply_suspicion_changes(now, changes, false, actions);
     }
 
+    /// Returns whether a searcher has run the request of an attempt to its end.
     fn was_answered(&self, key: RequestKey, sent: &SentAttempt) -> bool {
         self.requests.get(&key).map_or(sent.is_request_answered, |request| request.is_answered)
     }
 
+    /// Merges peers' reports of lost searchers into this node's own.
     pub(super) fn merge_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
         let changes = self.quarantine.merge(now, records);
         self.apply_suspicion_changes(now, changes, true, actions);
     }
 
+    /// Logs changes of suspicion and of alarms, and ends the requests for contents that are quarantined now.
     fn apply_suspicion_changes(
         &mut self,
         now: BootTime,
