--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -142,6 +142,7 @@
         is_within_budget
     }
 
+    /// Records and counts an attempt, and orders to send it.
     fn send_attempt(&mut self, now: BootTime, planned: PlannedAttempt, actions: &mut Vec<RoutingAction>) {
         let Some(attempt) = self.record_attempt(now, planned) else {
             return;
@@ -188,6 +189,7 @@
         Some(attempt)
     }
 
+    /// Creates the order to send an attempt that has been recorded.
     fn new_send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
         let request = self.requests.get(&planned.request)?;
         let searcher = &self.searchers[planned.searcher.0 as usize];
@@ -207,7 +209,7 @@
         })
     }
 
-    /// Returns what the time of an attempt's hedge follows from.
+    /// Returns the round trips and work times from which the time of an attempt's hedge is computed.
     fn hedge_times(&mut self, now: BootTime, planned: PlannedAttempt) -> Option<HedgeTimes> {
         let delay_factor = hedge_delay_factor(self.spare_fraction(now, planned.searcher));
         let request = self.requests.get(&planned.request)?;
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -45,12 +45,14 @@
         self.quotas.set_quotas(now, quotas);
     }
 
+    /// Sets the nodes that share tenants' quotas, if they have changed.
     pub(super) fn set_quota_nodes(&mut self, now: BootTime, nodes: Option<Vec<NodeId>>) {
         if let Some(serving) = nodes {
             self.quotas.set_fleet(now, FleetView { serving });
         }
     }
 
+    /// Handles a peer's messages on quotas, and answers them.
     pub(super) fn handle_quota_messages(
         &mut self,
         now: BootTime,
