--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -124,13 +124,13 @@
 
     /// Logs a change of a content's suspicion. An urgent change is also scheduled for a push to peers, since any
     /// delay may cost another searcher.
-    pub(super) fn on_suspicion_change(&mut self, change: SuspicionChange, is_by_peers: bool) {
+    pub(super) fn on_suspicion_change(&mut self, change: SuspicionChange, is_from_peers: bool) {
         let SuspicionChange { content, suspicion, losses, .. } = change;
-        let source = if is_by_peers { "peer" } else { "own" };
+        let source = if is_from_peers { "peer" } else { "own" };
         let line =
             format_args!("event=suspicion content={content} level={} lost={losses} source={source}", suspicion.name());
         self.log.line(self.now, LineKind::NodeEvent, line);
-        if change.is_urgent(is_by_peers) {
+        if change.is_urgent(is_from_peers) {
             self.case_pushes.note_update();
         }
     }
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -10,7 +10,9 @@
 use staircross_quota::QuotaChange;
 use staircross_routing::configuration::tenants::KeyRefusal;
 use staircross_routing::decision::admission::AdmissionChange;
-use staircross_routing::engine::{HoldCause, LeftOutCause, ProbeStep, ReportedAt, SendOrder, SendReason, UnsentCause};
+use staircross_routing::engine::{
+    HoldCause, LastLoadReport, LeftOutCause, ProbeStep, SendOrder, SendReason, UnsentCause,
+};
 use staircross_routing::{AttemptKey, AttemptOutcome, RequestKey, SearcherKey, Verdict};
 use std::fmt;
 use std::sync::Arc;
@@ -180,7 +182,7 @@
 }
 
 /// Formats the load that a searcher last reported, as the end of a log line.
-struct ReportedLoad(Option<ReportedAt>);
+struct ReportedLoad(Option<LastLoadReport>);
 
 impl fmt::Display for ReportedLoad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -225,7 +225,7 @@
             RoutingAction::Recall { attempt } => self.recall_attempt(attempt),
             RoutingAction::Finish { request, verdict } => self.finish_request(request, verdict),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
-            RoutingAction::Suspicion { change, is_by_peers } => self.on_suspicion_change(change, is_by_peers),
+            RoutingAction::Suspicion { change, is_from_peers } => self.on_suspicion_change(change, is_from_peers),
             RoutingAction::Unsent { request, service, reason, cause } => {
                 self.trace_unsent(request, &service, reason, cause);
             }
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -1,9 +1,16 @@
-//! One request from arrival to its final answer.
+//! The routing engine: carries each request from its arrival to its final result.
 //!
-//! Inputs: configurations, searcher entries, the fleet, arrivals, outcomes of attempts, time.
-//! Invariants: a request keeps the configuration it began with; a request that can't be repeated is
-//! sent again only after "not run"; a refusal of a never-run kind is given only if nothing was sent,
-//! or whatever was sent was answered "not run"; every request ends by its deadline.
+//! The engine is a state machine without I/O. It takes events ([`RoutingEvent`]: configurations, searcher entries,
+//! the state of the fleet, arrivals, outcomes of attempts, ticks) and returns the actions that its owner carries out
+//! ([`RoutingAction`]).
+//!
+//! Invariants:
+//! - A request keeps the configuration that it began with.
+//! - A request of a route that isn't idempotent is sent again only if the attempt before is known not to have
+//!   run.
+//! - A refusal of a kind whose `executed` is "never" is given only if nothing was sent, or if every attempt that was
+//!   sent is known not to have run.
+//! - Every request ends by its deadline.
 
 mod arrival;
 mod counters;
@@ -28,8 +35,8 @@
 use crate::decision::quarantine::Quarantine;
 use crate::decision::turns::WeightedTurns;
 pub use crate::engine_message::{
-    AbandonCause, HoldCause, LeftOutCause, ProbeStep, ReportedAt, RoutingAction, RoutingEvent, SendOrder, SendReason,
-    UnsentCause,
+    AbandonCause, HoldCause, LastLoadReport, LeftOutCause, ProbeStep, RoutingAction, RoutingEvent, SendOrder,
+    SendReason, UnsentCause,
 };
 use crate::keys::{AttemptKey, ContentKey, Incarnation, RequestKey, SearcherKey};
 use crate::policy::RoutingPolicy;
@@ -49,111 +56,117 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of a route's goal that its usual work is taken to be before there are measurements.
-const WORK_FRACTION_OF_GOAL: u32 = 8;
+/// A route's usual work is assumed to be its goal divided by this number until it has been measured.
+const INITIAL_WORK_DIVISOR: u32 = 8;
 
-/// Bounds and place of a node's engine.
+/// Limits, location and identity of the node that an engine decides for.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Bound on extra sends, for all nodes together.
+    /// Bound on hedges and retries, for all nodes together.
     pub extra: ExtraBound,
     /// Zone of this node.
     pub zone: Arc<str>,
-    /// Regions by zone.
+    /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Time after the end of its entry during which a searcher is asked where nobody else can be.
+    /// Time after its entry has gone from the store during which a searcher is still asked if no other can be.
     pub lapse_grace: Duration,
     /// Bound on requests to a cold searcher, for all nodes together.
     pub cold: ColdBound,
-    /// Requests held at once.
+    /// Most requests that the node works on at once, held ones aside; further requests are refused.
     pub max_requests: usize,
-    /// When this process started, if it isn't the first on its machine: searchers may still count the connections
-    /// of the one before.
+    /// When this process started; `None` for the first process on its machine. Searchers may still count the
+    /// connections of the previous process.
     pub restarted_at: Option<BootTime>,
-    /// This incarnation of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// How far all nodes together may exceed tenants' quotas.
     pub quota: QuotaBound,
     /// When the process started.
     pub started_at: BootTime,
-    /// Mechanisms that are on.
+    /// Switches of the optional mechanisms.
     pub policy: RoutingPolicy,
-    /// Feeds random choices.
+    /// Seed of the engine's random number generator.
     pub seed: u64,
 }
 
-/// What is measured per route.
+/// Measurements of one route.
 pub(crate) struct RouteStatistics {
-    /// Time of answered attempts, without the round trip.
+    /// Work of answered attempts: the time that they took, without the round trip.
     pub work: LatencyTracker,
-    /// The same where nothing waits in a queue.
-    pub usual: UsualWork,
-    pub turns: WeightedTurns,
+    /// Estimate of the work of an attempt that doesn't wait in a queue.
+    pub usual_work: UsualWork,
+    /// Weighted round robin over the services of a weighted route.
+    pub service_turns: WeightedTurns,
 }
 
-/// What must be remembered of an attempt until it holds no connection any more.
+/// An attempt that still holds a connection. It may outlive its request.
 pub(crate) struct SentAttempt {
     pub searcher: SearcherKey,
     pub route: Arc<str>,
     pub sent_at: BootTime,
-    /// When it had a connection to be written on.
+    /// When the attempt got its connection; until then, the time of sending.
     pub begun_at: BootTime,
-    /// The group of services that it belongs to.
+    /// The service group that the request belongs to.
     pub group: Arc<str>,
-    /// What was asked for.
+    /// Digest of what the request asks for.
     pub content: ContentKey,
-    /// Whether its request had been answered by some searcher when it ended.
+    /// Whether a searcher had run the request to its end when the request was over. While the request is in flight, its
+    /// own flag counts.
     pub is_request_answered: bool,
 }
 
-/// A shard that waits for a searcher with room.
+/// A shard of a request that waits for a searcher that can be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WaitingShard {
     pub request: RequestKey,
     pub shard: u32,
 }
 
-/// The decisions of one node.
+/// Makes the routing decisions of one node.
 pub struct RoutingEngine {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: ChaCha8Rng,
     pub(crate) place: Place,
-    /// Part of the slack for extra sends that this node may spend.
+    /// Fraction of the fleet's slack for extra sends that this node may spend, 0 to 1.
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) searchers: Vec<Searcher>,
-    /// The incarnation that holds of each id.
+    /// The current incarnation of each searcher id.
     by_instance: HashMap<Arc<str>, SearcherKey>,
     by_incarnation: HashMap<Incarnation, SearcherKey>,
+    /// Searchers of each service that serve, or whose entry has lapsed recently.
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
     services: HashMap<Arc<str>, ServiceEntry>,
     /// Zones whose searchers get no new work.
-    evacuated: Vec<Arc<str>>,
-    pub(crate) windows: HashMap<Arc<str>, ExtraWindow>,
+    evacuated_zones: Vec<Arc<str>>,
+    /// Budgets for extra sends, by service.
+    pub(crate) extra_windows: HashMap<Arc<str>, ExtraWindow>,
     pub(crate) routes: HashMap<Arc<str>, RouteStatistics>,
-    /// What is taken of the offered work, by the first service that it asks.
+    /// Admission state of each service group, by the group's first service.
     groups: HashMap<Arc<str>, ServiceGroup>,
-    /// Waits at the searchers of each service.
-    pub(crate) waits: HashMap<Arc<str>, Wait>,
+    /// Measured wait at the searchers of each service.
+    pub(crate) service_waits: HashMap<Arc<str>, Wait>,
     pub(crate) requests: HashMap<RequestKey, Request>,
-    /// Requests that this node can't begin yet, in the order in which they came.
-    held: Vec<HeldRequest>,
-    pub(crate) sent: HashMap<AttemptKey, SentAttempt>,
-    /// Shards that wait for a searcher with room, by service.
-    pub(crate) waiting: HashMap<Arc<str>, VecDeque<WaitingShard>>,
+    /// Requests that this node can't start yet, in order of arrival.
+    held_requests: Vec<HeldRequest>,
+    /// Attempts that hold a connection.
+    pub(crate) sent_attempts: HashMap<AttemptKey, SentAttempt>,
+    /// Shards that wait for a searcher that can be asked, by service.
+    pub(crate) waiting_shards: HashMap<Arc<str>, VecDeque<WaitingShard>>,
+    /// Times at which requests need attention. Those that an earlier time has superseded stay in the heap.
     pub(crate) wakes: BinaryHeap<Reverse<(BootTime, RequestKey)>>,
-    /// Requests that end the searchers that run them.
+    /// Contents (digests of what requests ask for) that are suspected of crashing the searchers that run them.
     pub(crate) quarantine: Quarantine,
-    /// What this node may admit of tenants' quotas.
+    /// This node's share of tenants' quotas.
     quotas: FleetRateLimiter,
-    /// Which alarms were logged.
-    alarms: first_probe::AlarmLog,
+    /// Alarms of routes as they were logged last.
+    logged_alarms: first_probe::LoggedAlarms,
     /// Counters for metrics.
     pub counters: RoutingCounters,
 }
 
 impl RoutingEngine {
-    /// An engine that knows no configuration yet.
+    /// Creates an engine without a configuration.
     pub fn new(settings: RoutingSettings) -> Self {
         let place = Place {
             zone: settings.zone.clone(),
@@ -167,7 +180,7 @@
         };
         RoutingEngine {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
-            quotas: quotas::allowance(&settings),
+            quotas: quotas::new_allowance(&settings),
             place,
             slack_share: 1.0,
             settings,
@@ -177,37 +190,37 @@
             by_incarnation: HashMap::new(),
             by_service: HashMap::new(),
             services: HashMap::new(),
-            evacuated: Vec::new(),
-            windows: HashMap::new(),
+            evacuated_zones: Vec::new(),
+            extra_windows: HashMap::new(),
             routes: HashMap::new(),
             groups: HashMap::new(),
-            waits: HashMap::new(),
+            service_waits: HashMap::new(),
             requests: HashMap::new(),
-            held: Vec::new(),
-            sent: HashMap::new(),
-            waiting: HashMap::new(),
+            held_requests: Vec::new(),
+            sent_attempts: HashMap::new(),
+            waiting_shards: HashMap::new(),
             wakes: BinaryHeap::new(),
             quarantine: Quarantine::default(),
-            alarms: Default::default(),
+            logged_alarms: Default::default(),
             counters: RoutingCounters::default(),
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions that follow from it.
     pub fn on_event(&mut self, now: BootTime, event: RoutingEvent, actions: &mut Vec<RoutingAction>) {
         match event {
             RoutingEvent::Configuration(table) => {
                 self.set_quotas(now, &table);
                 self.set_table(table);
-                self.end_revoked(now, actions);
-                self.begin_held(now, actions);
+                self.revoke_requests(now, actions);
+                self.start_held(now, actions);
             }
             RoutingEvent::Searchers(entries) => {
                 self.set_searchers(now, entries, actions);
-                self.begin_held(now, actions);
+                self.start_held(now, actions);
             }
             RoutingEvent::SearchersGone(instances) => {
-                instances.iter().for_each(|instance| self.set_lapsed(now, instance))
+                instances.iter().for_each(|instance| self.mark_searcher_lapsed(now, instance))
             }
             RoutingEvent::Evacuated(zones) => self.set_evacuated(now, zones, actions),
             RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
@@ -216,7 +229,7 @@
                 self.slack_share = slack_share;
                 self.set_quota_nodes(now, nodes);
             }
-            RoutingEvent::Arrived(arrival) => self.admit(now, arrival, actions),
+            RoutingEvent::Arrived(arrival) => self.on_arrival(now, arrival, actions),
             RoutingEvent::CallerGone(request) => self.on_caller_gone(request, actions),
             RoutingEvent::Connected { searcher, took } => {
                 let searcher = &mut self.searchers[searcher.0 as usize];
@@ -227,9 +240,9 @@
                 self.on_begun(now, attempt, actions);
             }
             RoutingEvent::Ended { attempt, outcome } => self.on_ended(now, attempt, outcome, actions),
-            RoutingEvent::PeerCases(records) => self.take_peer_cases(now, &records, actions),
+            RoutingEvent::PeerCases(records) => self.merge_peer_cases(now, &records, actions),
             RoutingEvent::Isolated { is_isolated } => self.quotas.set_isolated(is_isolated),
-            RoutingEvent::PeerQuota { from, messages } => self.take_quota_messages(now, from, messages, actions),
+            RoutingEvent::PeerQuota { from, messages } => self.handle_quota_messages(now, from, messages, actions),
             RoutingEvent::Tick => {
                 self.on_tick(now, actions);
                 self.send_due_quotas(now, actions);
@@ -237,7 +250,7 @@
         }
     }
 
-    /// Changes the bound on extra sends.
+    /// Changes the bound on hedges and retries.
     pub fn set_extra_bound(&mut self, bound: ExtraBound) {
         self.settings.extra = bound;
     }
@@ -248,41 +261,42 @@
         self.place.cold = bound;
     }
 
-    /// When `Tick` is due next.
+    /// Returns when [`RoutingEvent::Tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         let wake = self.wakes.peek().map(|Reverse((time, _))| *time);
         wake.into_iter().chain(self.quotas.next_wake()).min()
     }
 
-    /// Times at which requests are to be looked at again, those that another look has overtaken too.
+    /// Returns the number of scheduled wakes, including those that an earlier wake of the same request has
+    /// superseded.
     pub fn scheduled_wakes(&self) -> usize {
         self.wakes.len()
     }
 
-    /// Requests without a final word.
+    /// Returns the number of requests without a final result, held ones included.
     pub fn in_flight(&self) -> usize {
-        self.requests.len() + self.held.len()
+        self.requests.len() + self.held_requests.len()
     }
 
-    /// The searcher's incarnation that an attempt which still holds a connection was sent to.
+    /// Returns the id of the searcher that an attempt was sent to, while the attempt holds a connection.
     pub fn instance_of(&self, attempt: AttemptKey) -> Option<&Arc<str>> {
-        let sent = self.sent.get(&attempt)?;
+        let sent = self.sent_attempts.get(&attempt)?;
         Some(&self.searchers[sent.searcher.0 as usize].entry.instance)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// Searchers that may be asked.
+    /// Returns the number of searchers whose entries say that they serve.
     pub fn serving_searchers(&self) -> usize {
         self.searchers.iter().filter(|searcher| searcher.is_serving()).count()
     }
 
-    /// What the searcher of a shard with the lowest bound accepts from all nodes together; `None` when no
-    /// route asks shards.
-    pub fn tightest_connections(&self) -> Option<u32> {
+    /// Returns the lowest `max_connections` of all services that routes ask as shards; `None` when no route gathers
+    /// shards. Each bound holds for the connections of all nodes together.
+    pub fn lowest_max_connections(&self) -> Option<u32> {
         let routes = &self.table.as_ref()?.definition().routes;
         let shards = routes.iter().filter_map(|route| match &route.target {
             RouteTarget::Gather(gather) => Some(&gather.shards),
@@ -291,6 +305,7 @@
         shards.flatten().filter_map(|shard| self.services.get(shard).map(|entry| entry.max_connections)).min()
     }
 
+    /// Puts a configuration into force.
     fn set_table(&mut self, table: Arc<RouteTable>) {
         let services = &table.definition().services;
         self.services = services.iter().map(|entry| (entry.name.clone(), entry.clone())).collect();
@@ -306,30 +321,33 @@
         self.table = Some(table);
     }
 
-    /// Searchers of a service that a request may be sent to, room and trials aside.
-    pub(crate) fn askable(
+    /// Returns the searchers of a service that a request may be sent to by their state and region. Free capacity and
+    /// avoidance after failures aren't checked.
+    pub(crate) fn eligible_searchers(
         &self,
         now: BootTime,
         regions: AllowedRegions<'_>,
         service: &Arc<str>,
     ) -> impl Iterator<Item = (SearcherKey, &Searcher)> {
-        let peers = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let known = peers.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
+        let listed = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
+        let known = listed.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
         known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
     }
 
-    pub(crate) fn statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
+    /// Returns the measurements of a route, which are created on first use.
+    pub(crate) fn route_statistics(&mut self, route: &Arc<str>, goal: Duration) -> &mut RouteStatistics {
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
-            work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL),
-            usual: UsualWork::default(),
-            turns: WeightedTurns::default(),
+            work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
+            usual_work: UsualWork::default(),
+            service_turns: WeightedTurns::default(),
         })
     }
 
-    /// Whether a request is to be looked at now that a time scheduled for it has come; an earlier look has overtaken others.
-    fn take_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
+    /// Returns whether a wake that has come due is still valid. A wake that an earlier one of the same request has
+    /// superseded isn't.
+    fn claim_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
         let Some(request) = self.requests.get_mut(&key) else {
-            // It is held, or over.
+            // The request is held, or it has ended.
             return true;
         };
         request.wake_at.take_if(|at| *at == due).is_some()
@@ -337,16 +355,17 @@
 
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<RoutingAction>) {
         self.log_ended_alarms(now, actions);
-        for (due, key) in self.take_due_wakes(now) {
-            if self.take_wake(key, due) {
-                self.on_due(now, key, actions);
+        for (due, key) in self.pop_due_wakes(now) {
+            if self.claim_wake(key, due) {
+                self.on_wake(now, key, actions);
             }
         }
     }
 
-    /// Takes the looks whose time has come, in order. One that is scheduled while they are made waits for the next tick though its time has come,
-    /// so that a request which asks for one look after the other never keeps its node from sockets, peers and other requests.
-    fn take_due_wakes(&mut self, now: BootTime) -> Vec<(BootTime, RequestKey)> {
+    /// Removes the wakes that are due and returns them in order. A wake that is scheduled while these are handled
+    /// waits for the next tick even if it is due already, so that a request which schedules one wake after another
+    /// can't keep the node from its sockets, its peers and other requests.
+    fn pop_due_wakes(&mut self, now: BootTime) -> Vec<(BootTime, RequestKey)> {
         let mut taken = Vec::new();
         while let Some(Reverse((due, key))) = self.wakes.peek().copied().filter(|Reverse((due, _))| *due <= now) {
             self.wakes.pop();
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,6 +1,7 @@
-//! The end of an attempt: notes it with its searcher and its request, and carries out what [`crate::decision::retry`] says.
+//! Handles the end of an attempt: updates its searcher and its request, and carries out what
+//! [`crate::decision::retry`] decides.
 //!
-//! Owns how long answers are read out that nobody waits for.
+//! Also owns the time for which the answer of a superseded attempt is still read.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::retry::{self, NextStep, RequestKind};
@@ -9,11 +10,12 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// How long the answer of an attempt that nobody waits for is read out before its connection is closed. So that a connection whose answer is under
-/// way can be kept.
-const READ_OUT_PATIENCE: Duration = Duration::from_millis(1500);
+/// Time after which the connection of a superseded attempt is closed if its answer hasn't been read completely. A
+/// connection whose answer arrives by then can be kept.
+const SUPERSEDED_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl RoutingEngine {
+    /// Handles the end of an attempt, whose request may have ended before.
     pub(super) fn on_ended(
         &mut self,
         now: BootTime,
@@ -21,29 +23,29 @@
         outcome: AttemptOutcome,
         actions: &mut Vec<RoutingAction>,
     ) {
-        let Some(sent) = self.sent.remove(&attempt) else {
+        let Some(sent) = self.sent_attempts.remove(&attempt) else {
             return;
         };
         self.searchers[sent.searcher.0 as usize].released(attempt);
-        self.note_wait(now, &sent, &outcome, actions);
-        self.note_searcher(now, &sent, &outcome);
-        let shard = self.close_attempt(attempt);
-        // Before the outcome is judged as a lost searcher, which may end the request at once.
+        self.record_wait(now, &sent, &outcome, actions);
+        self.update_searcher(now, &sent, &outcome);
+        let shard_index = self.close_attempt(attempt);
+        // This must come before `update_suspicion`, which may end the request at once.
         if matches!(outcome, AttemptOutcome::Unknown(_)) {
-            self.note_may_have_run(attempt.request);
+            self.mark_may_have_run(attempt.request);
         }
-        self.note_suspicion(now, attempt, &sent, &outcome, actions);
-        if let Some(shard) = shard {
-            self.note_unused(attempt.request, shard, sent.searcher, &outcome);
-            self.apply(now, attempt.request, shard, outcome, actions);
-            self.settle(now, attempt.request, actions);
-            self.schedule(attempt.request);
+        self.update_suspicion(now, attempt, &sent, &outcome, actions);
+        if let Some(shard_index) = shard_index {
+            self.allow_unused_searcher(attempt.request, shard_index, sent.searcher, &outcome);
+            self.apply_outcome(now, attempt.request, shard_index, outcome, actions);
+            self.finish_if_done(now, attempt.request, actions);
+            self.schedule_wake(attempt.request);
         }
         let service = self.searchers[sent.searcher.0 as usize].entry.service.clone();
-        self.serve_waiting(now, &service, actions);
+        self.send_waiting_shards(now, &service, actions);
     }
 
-    /// Closes the attempt within its request; `None` when nobody waits for it.
+    /// Closes an attempt within its request and returns its shard; `None` when the attempt was abandoned.
     fn close_attempt(&mut self, key: AttemptKey) -> Option<usize> {
         let request = self.requests.get_mut(&key.request)?;
         let attempt = request.attempts.get_mut(usize::from(key.number))?;
@@ -52,12 +54,13 @@
         }
         attempt.is_open = false;
         attempt.is_resolved = true;
-        let shard = attempt.shard as usize;
-        request.shards[shard].outstanding -= 1;
-        Some(shard)
+        let shard_index = attempt.shard as usize;
+        request.shards[shard_index].outstanding -= 1;
+        Some(shard_index)
     }
 
-    fn note_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
+    /// Updates what is known of a searcher's load, speed and failures by the outcome of an attempt.
+    fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
         let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
@@ -74,72 +77,81 @@
                 statistics.work.record(worked);
             }
             AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.faltered(now),
-            // A kept connection that has ended says nothing of how the searcher works.
+            // An idle connection that was closed says nothing about the searcher's speed or health.
             AttemptOutcome::Cancelled | AttemptOutcome::NotRun(NotRun::Stale) => {}
             AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
             AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
             AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
-            AttemptOutcome::NotRun(NotRun::OtherInstance) => self.forget_serving(sent.searcher),
+            AttemptOutcome::NotRun(NotRun::OtherInstance) => self.mark_searcher_gone(sent.searcher),
         }
     }
 
-    fn apply(
+    /// Applies the outcome of an attempt to its shard, as [`retry::next_step`] decides, and moves a first probe on.
+    fn apply_outcome(
         &mut self,
         now: BootTime,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         outcome: AttemptOutcome,
         actions: &mut Vec<RoutingAction>,
     ) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let kind = kind_of(request);
+        let kind = request_kind(request);
         let step = retry::next_step(&outcome, kind);
         request.may_have_run |= retry::may_have_run(&outcome);
         let answer = match outcome {
             AttemptOutcome::Answered(answer) => Some(answer),
             AttemptOutcome::NotRun(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::Cancelled => None,
         };
-        let is_outlived = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
-        request.is_answered |= is_outlived;
+        let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
+        request.is_answered |= has_run_to_end;
         match (step, answer) {
-            (NextStep::TakePart, Some(answer)) => self.take_part(key, shard, answer, actions),
-            (NextStep::SendAgain(reason), failure) => self.try_again(now, key, shard, reason, failure, actions),
+            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
+            (NextStep::SendAgain(reason), failure) => {
+                self.resend_or_give_up(now, key, shard_index, reason, failure, actions)
+            }
             (NextStep::NotRepeatable, failure) => {
-                self.note_unsent(key, shard, SendReason::Retry, UnsentCause::NotRepeatable, actions);
-                self.give_up(key, shard, failure);
+                self.log_unsent(key, shard_index, SendReason::Retry, UnsentCause::NotRepeatable, actions);
+                self.give_up_shard(key, shard_index, failure);
             }
-            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up(key, shard, failure),
+            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard_index, failure),
         }
-        match is_outlived {
+        match has_run_to_end {
             true => self.end_probe(now, key, actions),
             false => self.widen_probe(now, key, actions),
         }
     }
 
-    /// A shard's part is in: nothing more is done for it.
-    fn take_part(
+    /// Stores a shard's answer and abandons the shard's other attempts.
+    fn accept_answer(
         &mut self,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         answer: Box<SearcherAnswer>,
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.shards[shard].state = ShardState::In(answer);
+            request.shards[shard_index].state = ShardState::In(answer);
         }
-        self.abandon_shard(key, shard, actions);
+        self.abandon_shard_attempts(key, shard_index, actions);
     }
 
-    fn note_may_have_run(&mut self, key: RequestKey) {
+    fn mark_may_have_run(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(&key) {
             request.may_have_run = true;
         }
     }
 
-    /// What didn't run may leave its searcher free to be asked again by the same request.
-    fn note_unused(&mut self, key: RequestKey, shard: usize, searcher: SearcherKey, outcome: &AttemptOutcome) {
+    /// After an attempt that didn't run, allows the request to ask the same searcher again where the rules permit it.
+    fn allow_unused_searcher(
+        &mut self,
+        key: RequestKey,
+        shard_index: usize,
+        searcher: SearcherKey,
+        outcome: &AttemptOutcome,
+    ) {
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
@@ -147,7 +159,7 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        let shard = &mut request.shards[shard];
+        let shard = &mut request.shards[shard_index];
         if !unused.is_counted {
             shard.forget_sending(searcher);
         }
@@ -156,26 +168,27 @@
         }
     }
 
-    fn note_unsent(
+    fn log_unsent(
         &self,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         reason: SendReason,
         cause: UnsentCause,
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get(&key) {
-            let service = request.shards[shard].service.clone();
+            let service = request.shards[shard_index].service.clone();
             actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
         }
     }
 
-    /// Asks another searcher; gives the shard up when that can't be and nobody else is at work on it.
-    fn try_again(
+    /// Sends a shard again unless another attempt for it is open. Gives the shard up when it can be neither sent nor
+    /// queued.
+    fn resend_or_give_up(
         &mut self,
         now: BootTime,
         key: RequestKey,
-        shard: usize,
+        shard_index: usize,
         reason: SendReason,
         failure: Option<Box<SearcherAnswer>>,
         actions: &mut Vec<RoutingAction>,
@@ -183,54 +196,55 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let most = request.route().max_attempts;
-        let state = &request.shards[shard];
-        if state.outstanding > 0 {
+        let max_attempts = request.route().max_attempts;
+        let shard = &request.shards[shard_index];
+        if shard.outstanding > 0 {
             return;
         }
-        let may_wait = retry::may_wait(failure.is_some(), kind_of(request));
-        let outcome = match state.may_be_sent(most) {
-            true => self.dispatch(now, key, shard, reason, actions),
+        let may_wait = retry::may_wait(failure.is_some(), request_kind(request));
+        let outcome = match shard.may_be_sent(max_attempts) {
+            true => self.dispatch(now, key, shard_index, reason, actions),
             false => {
-                self.note_unsent(key, shard, reason, UnsentCause::MostAttempts, actions);
-                Err(UnsentCause::MostAttempts)
+                self.log_unsent(key, shard_index, reason, UnsentCause::MaxAttempts, actions);
+                Err(UnsentCause::MaxAttempts)
             }
         };
         if may_wait && outcome == Err(UnsentCause::OverBudget) {
-            self.wait_for_budget(now, key, shard, reason);
+            self.wait_for_budget(now, key, shard_index, reason);
         }
-        if outcome.is_err() && !self.is_waiting(key, shard) {
-            self.give_up(key, shard, failure);
+        if outcome.is_err() && !self.is_waiting(key, shard_index) {
+            self.give_up_shard(key, shard_index, failure);
         }
     }
 
-    pub(super) fn give_up(&mut self, key: RequestKey, shard: usize, failure: Option<Box<SearcherAnswer>>) {
+    /// Marks a shard as failed, unless it has an open attempt or an answer.
+    pub(super) fn give_up_shard(&mut self, key: RequestKey, shard_index: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
-            let state = &mut request.shards[shard];
-            if state.outstanding == 0 && matches!(state.state, ShardState::Open | ShardState::Failed(None)) {
-                state.state = ShardState::Failed(failure);
+            let shard = &mut request.shards[shard_index];
+            if shard.outstanding == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
+                shard.state = ShardState::Failed(failure);
             }
         }
     }
 
-    /// The shard's part is in: other attempts for it are needless.
-    fn abandon_shard(&mut self, key: RequestKey, shard: usize, actions: &mut Vec<RoutingAction>) {
+    /// Abandons the open attempts of a shard that has been answered.
+    fn abandon_shard_attempts(&mut self, key: RequestKey, shard_index: usize, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         for (number, attempt) in request.attempts.iter_mut().enumerate() {
-            if attempt.is_open && attempt.shard as usize == shard {
+            if attempt.is_open && attempt.shard as usize == shard_index {
                 attempt.is_open = false;
-                request.shards[shard].outstanding -= 1;
+                request.shards[shard_index].outstanding -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                let (patience, cause) = (READ_OUT_PATIENCE, AbandonCause::Superseded);
+                let (patience, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
                 actions.push(RoutingAction::Abandon { attempt, patience, cause });
             }
         }
     }
 
-    /// Ends all open attempts of a request that is over.
-    pub(super) fn abandon_all(
+    /// Abandons all open attempts of a request.
+    pub(super) fn abandon_attempts(
         &mut self,
         key: RequestKey,
         patience: Duration,
@@ -244,7 +258,7 @@
             if attempt.is_open {
                 attempt.is_open = false;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                if let Some(sent) = self.sent.get_mut(&attempt) {
+                if let Some(sent) = self.sent_attempts.get_mut(&attempt) {
                     sent.is_request_answered = request.is_answered;
                 }
                 actions.push(RoutingAction::Abandon { attempt, patience, cause });
@@ -252,12 +266,12 @@
         }
     }
 
-    /// How long answers are read out that nobody waits for any more.
-    pub(super) fn read_out_patience() -> Duration {
-        READ_OUT_PATIENCE
+    /// Returns the time for which the answer of a superseded attempt is still read.
+    pub(super) fn superseded_answer_timeout() -> Duration {
+        SUPERSEDED_ANSWER_TIMEOUT
     }
 }
 
-fn kind_of(request: &Request) -> RequestKind {
+fn request_kind(request: &Request) -> RequestKind {
     RequestKind { is_idempotent: request.route().is_idempotent, is_gather: request.gather().is_some() }
 }
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -1,7 +1,7 @@
-//! Carries waits to admission, and refuses what admission doesn't take.
+//! Admission control: measures how long sub-requests wait at searchers, and refuses requests while that is too long.
 //!
-//! Owns, for each group of services that are asked together, its level, its wait and its tenants' shares; and the wait of each service. The rules
-//! are [`crate::decision::admission`] and [`crate::decision::fair_share`].
+//! Owns the admission level, the wait and the tenants' shares of each service group, and the wait of each service.
+//! The rules are in [`crate::decision::admission`] and [`crate::decision::fair_share`].
 
 use super::{RoutingAction, RoutingEngine, SentAttempt};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
@@ -18,16 +18,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Services that are asked together; named by the first of them.
+/// Admission state of the services that a route asks together. A group has the name of its first service.
 #[derive(Debug)]
 pub(super) struct ServiceGroup {
     admission: Admission,
     wait: Wait,
-    /// Index of the most urgent route that asks them.
+    /// Index of the most urgent route of the group.
     route_index: usize,
-    /// The most and the least urgent priority of the routes that ask them.
+    /// Most and least urgent priority of the group's routes; smaller numbers are more urgent.
     priorities: (u32, u32),
-    /// Tenants' shares of what is taken, by rank.
+    /// Tenants' shares of the admitted requests, by rank.
     shares: BTreeMap<Rank, FairShares>,
 }
 
@@ -45,46 +45,48 @@
 }
 
 impl RoutingEngine {
-    /// Follows a configuration: groups and services that it doesn't name are forgotten, new ones begin without limits.
+    /// Adapts the groups and waits to a new configuration: drops those that it doesn't name and adds new groups
+    /// without limits.
     pub(super) fn set_groups(&mut self, table: &RouteTable) {
         let mut known = std::mem::take(&mut self.groups);
         for (route_index, route) in table.definition().routes.iter().enumerate() {
-            for service in first_services(route) {
+            for service in group_names(route) {
                 let priorities = (route.priority, route.priority);
                 let group = self.groups.entry(service.clone()).or_insert_with(|| match known.remove(service) {
                     Some(group) => ServiceGroup { route_index, priorities, ..group },
                     None => ServiceGroup::new(route_index, route),
                 });
-                let (first, last) = group.priorities;
-                if route.priority < first {
+                let (most_urgent, least_urgent) = group.priorities;
+                if route.priority < most_urgent {
                     group.route_index = route_index;
                 }
-                group.priorities = (first.min(route.priority), last.max(route.priority));
+                group.priorities = (most_urgent.min(route.priority), least_urgent.max(route.priority));
             }
         }
         let ranks = table.ranks();
         self.groups.values_mut().for_each(|group| group.shares.retain(|rank, _| ranks.contains(rank)));
-        self.waits.retain(|service, _| self.services.contains_key(service));
+        self.service_waits.retain(|service, _| self.services.contains_key(service));
     }
 
-    /// Whether a request is refused because too much waits: then, the fraction of its tenant's requests at its rank that is taken now.
-    /// `tenant` is `None` where no tenant is known.
-    pub(super) fn refusing_fraction(
+    /// Decides by chance whether a request is refused because requests wait too long. Returns `None` if it is
+    /// admitted, and otherwise the fraction of its tenant's requests at its rank that is admitted at present.
+    /// `tenant` is `None` for requests without one.
+    pub(super) fn draw_refusal(
         &mut self,
         now: BootTime,
         group: &Arc<str>,
         rank: Rank,
         tenant: Option<&Arc<str>>,
     ) -> Option<f64> {
-        let is_on = self.settings.policy.admission;
-        let group = self.groups.get_mut(group).filter(|_| is_on)?;
+        let is_enabled = self.settings.policy.admission;
+        let group = self.groups.get_mut(group).filter(|_| is_enabled)?;
         let shares = group.shares.entry(rank).or_default();
         shares.count(now, tenant);
         if !group.admission.is_limiting() {
             return None;
         }
-        let (first, last) = group.priorities;
-        let level = group.admission.fraction_taken(rank.steps(first..=last));
+        let (most_urgent, least_urgent) = group.priorities;
+        let level = group.admission.fraction_taken(rank.steps(most_urgent..=least_urgent));
         let fraction = shares.fraction_taken(now, tenant, level);
         if self.random.random_bool(fraction) {
             return None;
@@ -93,23 +95,24 @@
         Some(fraction)
     }
 
-    /// Whether so much waits at a service that asking another of its searchers helps nobody.
+    /// Returns whether sub-requests wait so long at a service that a hedge would only add to its load.
     pub(super) fn is_pressed(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
         let Some(request) = self.requests.get(&key).filter(|_| self.settings.policy.hedge_pressure) else {
             return false;
         };
-        let wait = self.waits.get(service).map_or(Duration::ZERO, |wait| wait.get(now));
-        wait > self.tolerable_for(request.route(), request.shards.len())
+        let wait = self.service_waits.get(service).map_or(Duration::ZERO, |wait| wait.get(now));
+        wait > self.tolerable_wait_for(request.route(), request.shards.len())
     }
 
-    fn tolerable_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
+    /// Returns the wait with which a request of a route still meets its goal.
+    fn tolerable_wait_for(&self, route: &RouteDefinition, fan_out: usize) -> Duration {
         let goal = usable_goal(route, &CallerLink::default());
-        let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual.get());
-        tolerable_wait(goal, measured.unwrap_or(goal / super::WORK_FRACTION_OF_GOAL), fan_out)
+        let measured = self.routes.get(&route.name).and_then(|statistics| statistics.usual_work.get());
+        tolerable_wait(goal, measured.unwrap_or(goal / super::INITIAL_WORK_DIVISOR), fan_out)
     }
 
-    /// Learns from an attempt's end how much waits, and judges from time to time.
-    pub(super) fn note_wait(
+    /// Records the wait that an attempt's end shows, and updates the group's admission level when that is due.
+    pub(super) fn record_wait(
         &mut self,
         now: BootTime,
         sent: &SentAttempt,
@@ -120,48 +123,50 @@
         let worked = now.since(sent.begun_at).saturating_sub(self.place.round_trip(&entry.zone));
         let service = entry.service.clone();
         match outcome {
-            AttemptOutcome::Answered(answer) if answer.status < 500 => self.note_worked(now, sent, &service, worked),
+            AttemptOutcome::Answered(answer) if answer.status < 500 => self.record_work(now, sent, &service, worked),
             AttemptOutcome::NotRun(NotRun::Shed) => {
-                self.waits.entry(service).or_insert_with(Wait::at_service).record_shed(now);
+                self.service_waits.entry(service).or_insert_with(Wait::at_service).record_shed(now);
             }
             AttemptOutcome::Answered(_)
             | AttemptOutcome::NotRun(_)
             | AttemptOutcome::Unknown(_)
             | AttemptOutcome::Cancelled => return,
         }
-        if let Some(change) = self.judge(now, &sent.group) {
+        if let Some(change) = self.update_admission(now, &sent.group) {
             actions.push(RoutingAction::Admission { group: sent.group.clone(), change });
         }
     }
 
-    fn note_worked(&mut self, now: BootTime, sent: &SentAttempt, service: &Arc<str>, worked: Duration) {
+    /// Records the work of an answered attempt, and counts as wait what exceeds the route's usual work.
+    fn record_work(&mut self, now: BootTime, sent: &SentAttempt, service: &Arc<str>, worked: Duration) {
         let Some(statistics) = self.routes.get_mut(&sent.route) else {
             return;
         };
         let group = self.groups.get_mut(&sent.group);
         let level = group.as_ref().map_or(1.0, |group| group.admission.level());
-        statistics.usual.record(now, worked, level);
-        let Some(usual) = statistics.usual.get() else {
+        statistics.usual_work.record(now, worked, level);
+        let Some(usual) = statistics.usual_work.get() else {
             return;
         };
         let waited = worked.saturating_sub(usual);
-        self.waits.entry(service.clone()).or_insert_with(Wait::at_service).record(now, waited);
+        self.service_waits.entry(service.clone()).or_insert_with(Wait::at_service).record(now, waited);
         if let Some(group) = group {
             group.wait.record(now, waited);
         }
     }
 
-    fn judge(&mut self, now: BootTime, name: &Arc<str>) -> Option<AdmissionChange> {
+    /// Updates the admission level of a group by its wait, if that is due. Returns the change of the level.
+    fn update_admission(&mut self, now: BootTime, name: &Arc<str>) -> Option<AdmissionChange> {
         let table = self.table.clone()?;
         let group = self.groups.get(name).filter(|group| group.admission.is_due(now))?;
         let route = &table.definition().routes[group.route_index];
         let wait = group.wait.judged(now)?;
-        let tolerable = self.tolerable_for(route, fan_out(route));
+        let tolerable = self.tolerable_wait_for(route, fan_out(route));
         self.groups.get_mut(name)?.admission.judge(now, wait, tolerable)
     }
 }
 
-/// Services that one request of a route asks.
+/// Returns the number of services that one request of a route asks.
 fn fan_out(route: &RouteDefinition) -> usize {
     match &route.target {
         RouteTarget::Gather(gather) => gather.shards.len(),
@@ -169,8 +174,8 @@
     }
 }
 
-/// The services that name the groups of a route.
-fn first_services(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
+/// Returns the services that the groups of a route are named by.
+fn group_names(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
     let (one, set) = match &route.target {
         RouteTarget::Service(service) => (Some(service), &[][..]),
         RouteTarget::Gather(gather) => (gather.shards.first(), &[][..]),
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,6 +1,7 @@
-//! The end of requests: gathers what [`crate::decision::giving_up`] and [`crate::decision::hedging`] judge by, and carries out their verdicts.
+//! Sends due hedges and ends requests: collects the inputs of [`crate::decision::hedging`] and
+//! [`crate::decision::giving_up`], and carries out their verdicts.
 //!
-//! Owns how long attempts may go on whose caller has left.
+//! Also owns the time for which attempts go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
@@ -11,57 +12,61 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// How long a searcher may go on with work whose caller has left. So that most answers under way still come.
-const DEPARTED_PATIENCE: Duration = Duration::from_millis(350);
-/// The same for work that may not be repeated. Longer than any such work.
-const UNREPEATABLE_PATIENCE: Duration = Duration::from_secs(600);
+/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers under way still
+/// arrive by then, so that their connections can be kept.
+const CALLER_GONE_ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
+/// Time after which the connection is closed when the caller has disconnected and the route isn't idempotent. It is
+/// longer than any such work takes.
+const NON_IDEMPOTENT_ANSWER_TIMEOUT: Duration = Duration::from_secs(600);
 
 impl RoutingEngine {
-    /// A request needs attention: a hedge is due, its goal is near, or its time is over.
-    pub(super) fn on_due(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    /// Handles a wake of a request: a hedge, a retry or a probe may be due, or the goal or the deadline has been
+    /// reached.
+    pub(super) fn on_wake(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         if !self.requests.contains_key(&key) {
-            return self.end_hold(now, key, actions);
+            return self.end_expired_hold(now, key, actions);
         }
-        self.hedge(now, key, actions);
-        self.retry_due(now, key, actions);
+        self.send_due_hedges(now, key, actions);
+        self.retry_due_shards(now, key, actions);
         self.widen_probe(now, key, actions);
         if let Some(request) = self.requests.get_mut(&key) {
             request.is_past_goal |= now >= request.answer_by;
         }
-        self.settle(now, key, actions);
-        self.schedule(key);
+        self.finish_if_done(now, key, actions);
+        self.schedule_wake(key);
     }
 
-    fn hedge(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    /// Sends a hedge for each late attempt that may have one.
+    fn send_due_hedges(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let policy = &self.settings.policy;
         let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
         let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
-        let (is_idempotent, most) = (route.is_idempotent, route.max_attempts);
-        let mut late = Vec::new();
+        let (is_idempotent, max_attempts) = (route.is_idempotent, route.max_attempts);
+        let mut late_shards = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
-            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(most));
+            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
             attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
                 HedgeVerdict::Hedge { again_at } => {
-                    late.push(attempt.shard as usize);
+                    late_shards.push(attempt.shard as usize);
                     again_at
                 }
                 HedgeVerdict::NotBefore(time) => time,
                 HedgeVerdict::Never => BootTime::FAR_FUTURE,
             };
         }
-        for shard in late {
-            // A hedge that isn't made is retried after a pause.
-            let _unsent = self.dispatch(now, key, shard, SendReason::Hedge, actions);
+        for shard_index in late_shards {
+            // `hedge_at` was set above to the time at which a hedge that isn't sent is tried again.
+            let _unsent = self.dispatch(now, key, shard_index, SendReason::Hedge, actions);
         }
     }
 
-    /// Ends the request if nothing more can come, too little can, or it is time.
-    pub(super) fn settle(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    /// Ends a request if all shards are done, if too few can still answer, or if its time is over.
+    pub(super) fn finish_if_done(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
@@ -70,8 +75,8 @@
         if standing == Standing::GoOn {
             return;
         }
-        self.note_left_out(key, actions);
-        self.abandon_all(key, Self::read_out_patience(), AbandonCause::Superseded, actions);
+        self.log_left_out(key, actions);
+        self.abandon_attempts(key, Self::superseded_answer_timeout(), AbandonCause::Superseded, actions);
         let Some(mut request) = self.requests.remove(&key) else {
             return;
         };
@@ -79,11 +84,12 @@
         if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
-        let verdict = if is_answered { success(&mut request) } else { failure(now, &request) };
+        let verdict = if is_answered { success_verdict(&mut request) } else { failure_verdict(now, &request) };
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
-    fn note_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
+    /// Logs the shards that a request ends without an answer from.
+    fn log_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
@@ -102,14 +108,15 @@
         }
     }
 
+    /// Ends a request whose caller has disconnected, and abandons its attempts.
     pub(super) fn on_caller_gone(&mut self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
-            return self.forget_held(key);
+            return self.remove_held(key);
         };
-        // Work that may not be repeated is left to end; the caller may ask what became of it.
+        // Work of a route that isn't idempotent may finish: the caller may ask later what became of it.
         let is_idempotent = request.route().is_idempotent;
-        let patience = if is_idempotent { DEPARTED_PATIENCE } else { UNREPEATABLE_PATIENCE };
-        self.abandon_all(key, patience, AbandonCause::CallerGone, actions);
+        let patience = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
+        self.abandon_attempts(key, patience, AbandonCause::CallerGone, actions);
         self.requests.remove(&key);
     }
 }
@@ -126,11 +133,11 @@
     }
 }
 
-fn success(request: &mut Request) -> Verdict {
+fn success_verdict(request: &mut Request) -> Verdict {
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
             Some(ShardState::In(answer)) => Verdict::Passed(answer),
-            _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
+            _ => Refusal::new(ErrorKind::Internal, "a request without any shard's answer was taken as answered").into(),
         };
     };
     let parts = request.shards.iter().filter_map(|shard| match &shard.state {
@@ -143,7 +150,7 @@
     Verdict::Merged(MergedAnswer { stamps, missing, body })
 }
 
-fn failure(now: BootTime, request: &Request) -> Verdict {
+fn failure_verdict(now: BootTime, request: &Request) -> Verdict {
     if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
         && giving_up::is_passed_on(answer, request.gather().is_some())
     {
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -1,6 +1,10 @@
-//! What lost searchers mean for the requests that ran there.
+//! Tracks contents that are suspected of crashing searchers, and holds back or ends the requests that ask for them.
+//!
+//! A content is the digest of what a request asks for ([`ContentKey`]). A suspect content is sent to one searcher at a
+//! time, which is its trial; a quarantined one is sent to none. [`crate::decision::quarantine`] decides which contents
+//! are suspect or quarantined.
 
-use super::waiting::Postponed;
+use super::waiting::PostponedSend;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
 use crate::decision::retry::is_run_to_its_end;
@@ -9,11 +13,12 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time until a shard of a suspect request is retried while a searcher is at work on another. A tenth of a short goal.
-const TRIAL_PAUSE: Duration = Duration::from_millis(10);
+/// Time until a shard of a suspect request is tried again while a searcher is at work on the same content. A tenth of
+/// a short goal.
+const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl RoutingEngine {
-    /// What is believed of a content.
+    /// Returns the suspicion against a content; always [`Suspicion::None`] when quarantine is switched off.
     pub(super) fn suspicion(&self, now: BootTime, content: ContentKey) -> Suspicion {
         match self.settings.policy.quarantine {
             true => self.quarantine.suspicion(now, content),
@@ -21,24 +26,26 @@
         }
     }
 
-    /// Contents that are suspect, and those that are quarantined.
+    /// Returns the numbers of suspect and of quarantined contents.
     pub fn suspicion_counts(&self, now: BootTime) -> (usize, usize) {
         self.quarantine.counts(now)
     }
 
-    /// What to send peers with the next datagrams.
-    pub fn case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
+    /// Returns the case records to send to peers with the next datagrams. Contents take turns.
+    pub fn next_case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.quarantine.records(now)
     }
 
-    /// Whether a request must wait for the end of an attempt in flight, be it another request's: a searcher that is at work on a suspect content
-    /// hasn't outlived it yet, whoever waits for its answer.
-    pub(super) fn waits_for_trial(&self, now: BootTime, request: &Request) -> bool {
+    /// Returns whether a request for a suspect content must wait because an attempt for the same content is in
+    /// flight. The attempt may belong to any request: as long as it runs, it isn't known whether its searcher
+    /// survives the content.
+    pub(super) fn must_wait_for_trial(&self, now: BootTime, request: &Request) -> bool {
         let content = request.content;
-        self.suspicion(now, content) == Suspicion::Suspect && self.sent.values().any(|sent| sent.content == content)
+        self.suspicion(now, content) == Suspicion::Suspect
+            && self.sent_attempts.values().any(|sent| sent.content == content)
     }
 
-    /// Has a shard of a suspect request wait, unless a searcher is at work on it already.
+    /// Queues a shard of a suspect request, unless the shard has an open attempt.
     pub(super) fn postpone_suspect(
         &mut self,
         now: BootTime,
@@ -54,17 +61,23 @@
         let shard = &request.shards[shard_index];
         let service = shard.service.clone();
         if shard.is_open() && shard.outstanding == 0 {
-            // Logged once, not with each look.
+            // The line is logged once, not with each retry.
             if !shard.is_queued {
                 actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
             }
-            self.begin_waiting(now, key, shard_index, Postponed { reason, cause, retry_at: Some(now + TRIAL_PAUSE) });
+            self.begin_waiting(
+                now,
+                key,
+                shard_index,
+                PostponedSend { reason, cause, retry_at: Some(now + SUSPECT_RETRY_DELAY) },
+            );
         }
         cause
     }
 
-    /// Takes what the end of an attempt says of its searcher and of what was asked for.
-    pub(super) fn note_suspicion(
+    /// Updates the suspicions by the end of an attempt. An answer shows that the searcher is alive, and one after a
+    /// complete run counts in favour of the content; a broken connection counts as a searcher lost under the content.
+    pub(super) fn update_suspicion(
         &mut self,
         now: BootTime,
         attempt: AttemptKey,
@@ -84,53 +97,56 @@
             AttemptOutcome::Answered(answer) if is_run_to_its_end(answer) => {
                 self.quarantine.note_answered(now, sent.content)
             }
-            AttemptOutcome::Unknown(Unknown::Broken) if !self.is_answered(attempt.request, sent) => {
+            AttemptOutcome::Unknown(Unknown::Broken) if !self.was_answered(attempt.request, sent) => {
                 let (content, route) = (sent.content, RouteDigest::of(&sent.route));
                 self.quarantine.note_lost(now, LostAttempt { content, route, searcher, sent_at: sent.sent_at })
             }
             _ => None,
         });
-        self.take_suspicions(now, changes, false, actions);
+        self.apply_suspicion_changes(now, changes, false, actions);
     }
 
-    fn is_answered(&self, key: RequestKey, sent: &SentAttempt) -> bool {
+    /// Returns whether a searcher has run the request of an attempt to its end.
+    fn was_answered(&self, key: RequestKey, sent: &SentAttempt) -> bool {
         self.requests.get(&key).map_or(sent.is_request_answered, |request| request.is_answered)
     }
 
-    pub(super) fn take_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
+    /// Merges peers' reports of lost searchers into this node's own.
+    pub(super) fn merge_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
         let changes = self.quarantine.merge(now, records);
-        self.take_suspicions(now, changes, true, actions);
+        self.apply_suspicion_changes(now, changes, true, actions);
     }
 
-    fn take_suspicions(
+    /// Logs changes of suspicion and of alarms, and ends the requests for contents that are quarantined now.
+    fn apply_suspicion_changes(
         &mut self,
         now: BootTime,
         changes: Vec<SuspicionChange>,
-        is_by_peers: bool,
+        is_from_peers: bool,
         actions: &mut Vec<RoutingAction>,
     ) {
         if changes.iter().any(|change| change.suspicion != Suspicion::Suspect) {
             self.log_alarms(now, actions);
         }
         for change in changes {
-            actions.push(RoutingAction::Suspicion { change, is_by_peers });
+            actions.push(RoutingAction::Suspicion { change, is_from_peers });
             if self.suspicion(now, change.content) == Suspicion::Quarantined {
-                self.end_quarantined(now, change.content, actions);
+                self.end_quarantined_requests(now, change.content, actions);
             }
         }
     }
 
-    /// Ends the requests in flight that ask for a content which is sent to nobody any more. An attempt that may not be repeated is left to its
-    /// end: its searcher may be at work on it, and nobody could do again what is cut off there.
-    fn end_quarantined(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
-        let concerned = self.requests.iter().filter(|(_, request)| request.content == content);
-        let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
-        // In the order in which they came, so that a recording is taken again alike.
+    /// Ends the requests in flight that ask for a quarantined content. An open attempt of a route that isn't
+    /// idempotent may finish: its searcher may be at work on it, and work that is cut off couldn't be repeated.
+    fn end_quarantined_requests(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
+        let affected = self.requests.iter().filter(|(_, request)| request.content == content);
+        let mut keys: Vec<RequestKey> = affected.map(|(key, _)| *key).collect();
+        // Order of arrival, which makes the replay of a recording deterministic.
         keys.sort_unstable();
         for key in keys {
             let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
             if is_idempotent {
-                self.abandon_all(key, Duration::ZERO, AbandonCause::Quarantined, actions);
+                self.abandon_attempts(key, Duration::ZERO, AbandonCause::Quarantined, actions);
             }
             let Some(request) = self.requests.get_mut(&key) else {
                 continue;
@@ -141,7 +157,7 @@
                 shard.waiting = None;
                 shard.state = ShardState::Failed(None);
             }
-            self.settle(now, key, actions);
+            self.finish_if_done(now, key, actions);
         }
     }
 }
