--- a/crates/staircross-routing/src/decision/giving_up.rs
+++ b/crates/staircross-routing/src/decision/giving_up.rs
@@ -1,23 +1,30 @@
-//! When a request ends: when its answer is complete enough, when it is refused, with which kind, and whether it may have run.
+//! Decides when a request ends: when its answer is complete enough, when it is refused and with which error kind, and
+//! whether it may have run.
 //!
-//! Decides for each request, at its arrival ([`refuse_by_load`], [`deadline`], [`judge_reach`], [`hold_until`]) and whenever anything of it changes
-//! ([`judge`], [`refuse`]). [`crate::engine`] asks it and ends the request by its verdict. Five refusals belong to other rules: no route and no key
-//! ([`crate::configuration`]), a quarantined content ([`super::quarantine`]), a tenant's quota (`staircross-quota`), too much waiting at the searchers
-//! ([`super::admission`], [`super::fair_share`]).
+//! The rule is applied to each request when it arrives ([`refuse_by_load`], [`deadline`], [`judge_reach`],
+//! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and ends the
+//! request accordingly. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a
+//! quarantined content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at
+//! the searchers ([`super::admission`], [`super::fair_share`]).
 //!
-//! **Inputs.** Durations, and times of this machine's boot clock; counts of shards: those whose part is in, those still open, the least that make an
-//! answer; whether any attempt ran or may have run ([`super::retry::may_have_run`]; an attempt whose end isn't known counts as such).
+//! The inputs are durations; times of this machine's boot clock; numbers of shards (those whose part has been received,
+//! those still open, and the fewest that make an answer); and whether any attempt ran or may have run
+//! ([`super::retry::may_have_run`]; an attempt whose outcome is unknown counts as such).
 //!
-//! **What it protects.** A caller that reads a kind whose `executed` is "never" (`docs/ERRORS.md`) may send the request again: such a kind is given only if
-//! nothing was sent, or all that was sent is known not to have run. **What it buys.** Answers in time instead of whole ones late, and refusals early
-//! enough to ask another node. Holds: mean worth of a day (0 to 1) +0.0028 ± 0.0017 on a fleet of nine nodes, within 0.0002 of nothing on two others
-//! (`docs/studies/switches.md`). What the other choices are worth against refusing or waiting is in `docs/design/rejections.md`.
+//! The rule protects callers against running a request twice: a caller that receives an error kind whose `executed` is
+//! "never" (`docs/ERRORS.md`) may send the request again. Such a kind is used only if nothing was sent, or if
+//! everything that was sent is known not to have run. In return, callers get answers in time instead of complete
+//! answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a day (0 to
+//! 1) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than 0.0002 on two others (`docs/studies/switches.md`).
+//! For the other choices, `docs/design/rejections.md` compares them with refusing and with waiting.
 //!
-//! **What it doesn't know.** What a missing shard would have held; whether a caller still wants a late answer; whether another node could answer.
-//! Retry-After follows from the kind (`staircross_types::ErrorKind`); only a tenant's quota gives its own.
+//! The rule doesn't know what a missing shard would have contributed, whether a caller still wants a late answer, or
+//! whether another node could answer. The Retry-After header follows from the error kind
+//! (`staircross_types::ErrorKind`); only a tenant's quota sets a value of its own.
 //!
-//! **At work.** Log: `finish outcome=…`, `left_out cause=…` for each missing shard, `held cause=…`. Metrics: `answers_partial_total`, `refusals_total`.
-//! **Switches of `[policy]`.** `routing.holds` (refused at once rather than held). The rest is promised to callers and has no switch.
+//! The log shows the rule as `finish outcome=…`, `left_out cause=…` for each missing shard, and `held cause=…`; the
+//! metrics are `answers_partial_total` and `refusals_total`. The setting `routing.holds = false` refuses requests at
+//! once instead of holding them. Everything else is promised to callers and can't be turned off.
 
 use crate::configuration::tenants::KeyRefusal;
 use crate::decision::allowed_regions::AllowedRegions;
@@ -27,29 +34,31 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// The final answer goes out so long before the deadline. For writing an answer and its way to the caller.
+/// Time before the deadline at which the final answer is sent. It covers writing the answer and sending it to the
+/// caller.
 pub const DEADLINE_GUARD: Duration = Duration::from_millis(10);
 
-/// Longest hold. For a few reads of a store that answers slowly (the first after a start takes tens of milliseconds).
+/// Maximum time for which a request is held. It covers a few reads from a store that answers slowly (the first read
+/// after a start takes tens of milliseconds).
 const LONGEST_HOLD: Duration = Duration::from_millis(500);
 
-/// A hold takes at most the caller's patience divided by this. So that a caller who is refused has time to ask another node.
+/// Divisor of the caller's patience that bounds a hold, so that a caller who is refused has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
 
-/// Requests held at once; those beyond are refused. Bounds memory.
+/// Maximum number of requests held at once; further ones are refused. This bounds memory.
 const MAX_HELD: usize = 512;
 
-/// Why a request isn't answered.
+/// Reason for which a request isn't answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Says whether the request may have run, and when asking again may help.
+    /// Error kind, which says whether the request may have run and when asking again may help.
     pub kind: ErrorKind,
-    /// What exactly, for people.
+    /// Human-readable explanation.
     pub detail: &'static str,
 }
 
 impl Refusal {
-    /// A refusal of a kind.
+    /// Creates a refusal of a kind.
     pub const fn new(kind: ErrorKind, detail: &'static str) -> Self {
         Refusal { kind, detail }
     }
@@ -61,18 +70,18 @@
     }
 }
 
-/// How much a node has to do when a request arrives.
+/// Load of a node when a request arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeLoad {
-    /// Whether it comes too late to its work.
+    /// Whether the deadline has passed.
     pub is_overloaded: bool,
-    /// Requests that it holds.
+    /// Requests that the node is processing.
     pub requests: usize,
-    /// The most that it may hold.
+    /// Maximum number of requests that the node may process at once.
     pub max_requests: usize,
 }
 
-/// Refuses what a node has no room for; another one may have.
+/// Refuses a request for which this node has no capacity. Another node may have some.
 pub fn refuse_by_load(load: NodeLoad) -> Option<Refusal> {
     if load.is_overloaded {
         return Some(Refusal::new(ErrorKind::Overloaded, "the node comes too late to its work"));
@@ -81,18 +90,19 @@
     is_full.then_some(Refusal::new(ErrorKind::Overloaded, "the node holds as many requests as it may"))
 }
 
-/// What bounds the time of a request.
+/// Limits on the time of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeBounds {
-    /// By its route.
+    /// Timeout of the route.
     pub timeout: Duration,
-    /// By its caller, if it says so.
+    /// Time for which the caller waits, if it says so.
     pub patience: Option<Duration>,
-    /// What it may have waited to be read.
+    /// Time for which the request may have waited to be read.
     pub waited: Duration,
 }
 
-/// When a request that has arrived must have its final answer; a refusal if that time is over. What was read late has less time than it says.
+/// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. The
+/// time that the request waited to be read is deducted.
 pub fn deadline(now: BootTime, bounds: TimeBounds) -> Result<BootTime, Refusal> {
     let patience = bounds.patience.map_or(bounds.timeout, |patience| patience.min(bounds.timeout));
     let left = patience.saturating_sub(bounds.waited);
@@ -102,31 +112,32 @@
     Ok(now + (left - DEADLINE_GUARD))
 }
 
-/// Which of a request's shards have a searcher that may be asked before its deadline.
+/// Number of a request's shards that have a searcher which may be asked before the deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Reach<'a> {
-    /// Shards that have one.
+    /// Number of shards that have such a searcher.
     pub reachable: usize,
-    /// Least shards that make an answer.
+    /// Fewest shards that make an answer.
     pub least: usize,
-    /// Whether the node knows all searchers that live.
+    /// Whether the node knows all running searchers.
     pub knows_searchers: bool,
-    /// Where the request may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions<'a>,
 }
 
-/// What follows from a request's reach.
+/// What is done with an arriving request, by the number of its reachable shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReachVerdict {
-    /// It is begun.
+    /// The request is processed.
     Begin,
-    /// It is refused, and nothing is sent: too few shards can be answered.
+    /// The request is refused and nothing is sent, because too few shards can be answered.
     Refuse(Refusal),
-    /// It is held until more searchers are known; if it can't be, or for too long, it is refused so.
+    /// The request is held until more searchers are known. It is refused with this refusal if it can't be held, or has
+    /// been held for too long.
     Hold(Refusal),
 }
 
-/// Whether enough shards can be answered for a request to be begun.
+/// Decides whether enough shards can be answered for a request to be processed.
 pub fn judge_reach(reach: Reach<'_>) -> ReachVerdict {
     if reach.reachable >= reach.least {
         return ReachVerdict::Begin;
@@ -144,53 +155,54 @@
     })
 }
 
-/// Whether one more request may be held, besides those that are.
+/// Whether one more request may be held, in addition to `held` others.
 pub fn may_hold(held: usize, policy: &RoutingPolicy) -> bool {
     policy.holds && held < MAX_HELD
 }
 
-/// Until when a request that arrives now is held at the longest.
+/// Returns the time until which a request that arrives now may be held.
 pub fn hold_until(now: BootTime, patience: Option<Duration>) -> BootTime {
     let fraction = patience.map_or(LONGEST_HOLD, |patience| patience / HOLD_DIVISOR);
     now + fraction.min(LONGEST_HOLD)
 }
 
-/// Whether a shard that nobody can be asked for before a time is given up rather than kept waiting.
+/// Whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
 pub fn is_too_late(retry_at: BootTime, deadline: BootTime) -> bool {
     retry_at >= deadline
 }
 
-/// How far a request is.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Shards whose part is in.
+    /// Number of shards whose part has been received.
     pub parts: usize,
-    /// Shards that are neither in nor given up.
+    /// Number of shards that are neither received nor given up.
     pub open: usize,
-    /// Least shards that make an answer.
+    /// Fewest shards that make an answer.
     pub least: usize,
-    /// Whether any open shard may be in before the goal.
+    /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
-    /// Whether the time is over by which an answer is worth most.
+    /// Whether the goal has passed, the time by which an answer is worth most.
     pub is_past_goal: bool,
-    /// Whether its deadline has come.
+    /// Whether the deadline has passed.
     pub is_over: bool,
-    /// Whether its key was revoked while it isn't known yet if anything of it ran: the next end of an attempt shows.
+    /// Whether the request's key was revoked while it is unknown whether any of its attempts ran. The end of the next
+    /// attempt will tell.
     pub is_unclear: bool,
 }
 
-/// What becomes of a request now.
+/// Whether and how a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It goes on.
+    /// The request continues.
     GoOn,
-    /// It is answered with the parts that are in.
+    /// The request is answered with the parts received.
     Answer,
-    /// It fails, by [`refuse`] or with a searcher's own failure.
+    /// The request fails, with the refusal from [`refuse`] or with a searcher's own failure.
     Fail,
 }
 
-/// Whether a request ends now: nothing more can come, too little can, or it is time.
+/// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
 pub fn judge(progress: Progress) -> Standing {
     let is_enough = progress.parts >= progress.least;
     let is_hopeless = progress.parts + progress.open < progress.least && !progress.is_unclear;
@@ -204,8 +216,8 @@
     }
 }
 
-/// Whether a searcher's own failure is the answer to a request that fails. One by which it promises not to have run the request isn't: whether that
-/// holds for all attempts, [`refuse`] says.
+/// Whether a searcher's own failure is passed on as the answer to a request that fails. A failure which promises that
+/// the request didn't run isn't passed on: [`refuse`] determines whether that holds for all attempts.
 pub fn is_passed_on(failure: &SearcherAnswer, is_gather: bool) -> bool {
     !is_gather && !promises_not_run(failure.status)
 }
@@ -213,15 +225,15 @@
 /// What is known of a request that fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedRequest {
-    /// Whether any attempt ran or may have run, or has an end that isn't known.
+    /// Whether any attempt ran or may have run, or has an unknown outcome.
     pub may_have_run: bool,
     /// Whether its deadline has come.
     pub is_over: bool,
-    /// Whether its key was revoked.
+    /// Whether the request's key was revoked.
     pub is_key_revoked: bool,
 }
 
-/// With which kind a request that fails is refused.
+/// Returns the refusal for a request that fails.
 pub fn refuse(failed: FailedRequest) -> Refusal {
     if failed.is_key_revoked && !failed.may_have_run {
         return Refusal::new(ErrorKind::Unauthorized, KeyRefusal::Revoked.detail());
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -1,87 +1,95 @@
-//! When a second searcher is asked besides one that is late (a hedge), and when not.
+//! Decides when a second searcher is asked because the first is late (a hedge).
 //!
-//! Decides for each attempt: from when on it counts as late ([`HedgeTimes::hedge_at`]), and, once that time has come, whether a hedge is
-//! made, put off or not made at all ([`judge`]). [`crate::engine`] asks it with each send and at each hedge's time.
+//! The rule decides for each attempt from when on it counts as late ([`HedgeTimes::hedge_at`]) and, at that time,
+//! whether a hedge is sent, postponed, or not sent at all ([`judge`]). [`crate::engine`] calls it at each send and when
+//! each hedge is due.
 //!
-//! **Inputs.** Round trips and the route's work, as durations; times of this machine's boot clock; the fraction of the service's budget that isn't
-//! spent (0 to 1, [`super::extra_budget`]); what the request may do. Two more rules must agree before a hedge is sent: too much may not wait at the
-//! service (`is_pressed` in `engine/overload`, by [`super::admission`]'s tolerable wait), and the budget must permit it ([`super::extra_budget`]).
+//! The inputs are round trips and the work of the route, as durations; times of this machine's boot clock; the unspent
+//! fraction of the service's budget for extra sends (0 to 1, [`super::extra_budget`]); and whether the request may be
+//! sent twice. Two more checks must pass before a hedge is sent: the queue at the service may not be too long
+//! (`is_pressed` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must permit it
+//! ([`super::extra_budget`]).
 //!
-//! **What it buys.** Answers in time where one searcher is slow or gone, for extra sends at searchers. With hedges off, the mean worth of a
-//! day (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets (`docs/studies/switches.md`); choosing the
-//! time by the budget, with reported hosts, brought 0.0061 ± 0.0014, of which 0.0022 are reported hosts' (`docs/design/extra-sends.md`).
-//! **What it protects.** A route that isn't idempotent is never hedged: at most one searcher runs it.
+//! The rule buys answers in time when one searcher is slow or has ended, at the price of extra sends. Without hedges,
+//! the mean score of a day (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets
+//! (`docs/studies/switches.md`). Choosing the time by the budget and using the slowness that hosts report raised it by
+//! 0.0061 ± 0.0014, of which 0.0022 come from the reported slowness (`docs/design/extra-sends.md`). Requests of a route
+//! that isn't idempotent are never hedged: at most one searcher runs each.
 //!
-//! **What it doesn't know.** Why an attempt is late; whether the other searcher will be faster (placement chooses it); what other nodes hedge
-//! at the same time (each has its share of the budget).
+//! The rule doesn't know why an attempt is late, whether the other searcher (which placement chooses) will be faster,
+//! or what other nodes hedge at the same time; each node has its own share of the budget.
 //!
-//! **At work.** Log: `send reason=hedge`, `unsent reason=hedge cause=…`. Metrics: `attempts_hedge_total`, `attempts_over_budget_total`.
-//! **Switches of `[policy]`.** `routing.hedges` (all of it), `routing.hedge_by_budget` (the time is the same whatever is left),
-//! `routing.start_rest` (no rest after a restart), `routing.hedge_pressure` (hedges whatever waits at the service).
+//! The log shows the rule as `send reason=hedge` and `unsent reason=hedge cause=…`; the metrics are
+//! `attempts_hedge_total` and `attempts_over_budget_total`. The setting `routing.hedges = false` turns hedging off.
+//! `routing.hedge_by_budget = false` makes the time independent of the budget, `routing.start_rest = false` permits
+//! hedges right after a restart, and `routing.hedge_pressure = false` permits them whatever the queue at the service.
 
 use crate::policy::RoutingPolicy;
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Times the route's median work that a hedge isn't sent before, the round trip besides. So that an attempt of usual length isn't doubled where the
-/// goal is near.
+/// Minimum time before a hedge is sent, as a multiple of the route's median work, plus the round trip. An attempt of
+/// usual length isn't doubled when the goal is near.
 const MIN_HEDGE_FACTOR: f64 = 1.5;
 
-/// Times the route's median work that the second searcher is taken to need, the round trip besides. For a searcher that is slower than usual, but not
-/// late itself.
+/// Time that the second searcher is assumed to need, as a multiple of the route's median work, plus the round trip. It
+/// covers a searcher that is slower than usual but not late itself.
 const HEDGE_WORK_FACTOR: f64 = 2.0;
 
-/// How long a restarted process makes no hedges. It has measured nothing yet that would tell late from usual, and where many restart together
-/// everything is late (`docs/studies/policy-rounds.md`).
+/// Time after a restart during which a process sends no hedges. It has no measurements yet by which to tell a late
+/// attempt from a usual one, and when many nodes restart together, every attempt is late
+/// (`docs/studies/policy-rounds.md`).
 const START_REST: Duration = Duration::from_secs(2);
 
-/// Time until a hedge that wasn't made (no budget, no room, too much waits) is tried again. So that a request with a goal of 200 ms gets a few more
-/// chances.
+/// Time until a hedge that wasn't sent (no budget, no searcher with capacity, too long a queue) is tried again. A
+/// request with a goal of 200 ms thus gets a few more chances.
 const HEDGE_PAUSE: Duration = Duration::from_millis(25);
 
-/// Fractions of the unusually long time after which a hedge is sent.
+/// Delay of a hedge as a fraction of an unusually long work time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct HedgeDelayFactors {
-    /// While all of the budget is left.
+    /// Fraction while the whole budget is left.
     full_budget: f64,
-    /// While none is.
+    /// Fraction while none of the budget is left.
     spent_budget: f64,
 }
 
-/// What isn't spent in a window is lost, so a full budget buys earlier hedges; a scarce one is kept for attempts that are surely late, and
-/// for repeats of those that failed. Measured as the mean worth of four days: 0.5 to 1.3 +0.0061 ± 0.0014, 0.4 to 1.0 +0.0042 ± 0.0023, and without
-/// regard to the budget 0.65 +0.0050, 0.8 +0.0034, 1.3 -0.0112, against 1.0; each with reported hosts, whose 0.0022 are in the figures
-/// (`docs/design/extra-sends.md`).
+/// Delay factors in use. Budget that isn't spent within its window is lost, so a full budget pays for earlier hedges. A
+/// scarce budget is kept for attempts that are surely late, and for retries of failed ones. Measured as the mean score
+/// of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave +0.0061 ± 0.0014 and 0.4 to 1.0
+/// gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave +0.0034 and 1.3 gave -0.0112. All
+/// figures include the use of reported host slowness, which accounts for 0.0022 of them (`docs/design/extra-sends.md`).
 const HEDGE_DELAY_FACTORS: HedgeDelayFactors = HedgeDelayFactors { full_budget: 0.5, spent_budget: 1.3 };
 
-/// Factor of the unusually long time where the budget isn't looked at.
+/// Delay factor if hedges disregard the budget.
 const FIXED_DELAY_FACTOR: f64 = 1.0;
 
-/// Fraction of the unusually long time that a hedge waits, by the fraction of the service's budget that isn't spent (0 to 1); `None` where the
-/// budget isn't looked at.
+/// Returns the delay of a hedge as a fraction of an unusually long work time. `spare_fraction` is the unspent fraction
+/// of the service's budget (0 to 1), or `None` if hedges disregard the budget.
 pub fn hedge_delay_factor(spare_fraction: Option<f64>) -> f64 {
     let HedgeDelayFactors { full_budget, spent_budget } = HEDGE_DELAY_FACTORS;
     spare_fraction.map_or(FIXED_DELAY_FACTOR, |spare| spent_budget - (spent_budget - full_budget) * spare)
 }
 
-/// What the time of an attempt's hedge follows from.
+/// Inputs to the time at which an attempt is hedged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgeTimes {
-    /// To the searcher asked, and back.
+    /// Round trip to the searcher that is asked.
     pub round_trip: Duration,
-    /// To the farthest other searcher that the hedge may go to, and back.
+    /// Round trip to the farthest other searcher that the hedge may be sent to.
     pub other_round_trip: Duration,
-    /// Median of the route's work, the round trip not counted.
+    /// Median work of the route, without the round trip.
     pub usual: Duration,
-    /// Work that is unusually long for the route.
+    /// Unusually long work of the route.
     pub late: Duration,
-    /// Fraction of `late` that is waited for, by [`hedge_delay_factor`].
+    /// Fraction of `late` after which the hedge is sent, from [`hedge_delay_factor`].
     pub delay_factor: f64,
 }
 
 impl HedgeTimes {
-    /// From when on an attempt that is sent now is late: as late as still leaves another searcher time to answer by `answer_by`, but not
-    /// later than is unusual, and never before the work could usually be done.
+    /// Returns the time from which an attempt that is sent now counts as late. This is the last moment at which another
+    /// searcher could still answer by `answer_by`, but no later than an unusually long time, and never before the work
+    /// is usually done.
     pub fn hedge_at(&self, now: BootTime, answer_by: BootTime) -> BootTime {
         let needed = self.other_round_trip + self.usual.mul_f64(HEDGE_WORK_FACTOR);
         let last_moment = answer_by - needed;
@@ -94,37 +102,37 @@
 /// An attempt whose hedge is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LateAttempt {
-    /// Whether its route says that a request may run twice.
+    /// Whether the route permits a request to run twice.
     pub is_idempotent: bool,
-    /// Whether its request's key was revoked.
+    /// Whether the key of the request was revoked.
     pub is_key_revoked: bool,
-    /// Whether it is the only one at work on its shard.
+    /// Whether no other attempt for the same shard is in progress.
     pub is_alone: bool,
-    /// Whether the route's `max_attempts` lets any searcher still be sent the shard.
+    /// Whether the route's `max_attempts` permits the shard to be sent to another searcher.
     pub may_be_sent: bool,
 }
 
 /// What is done about a late attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeVerdict {
-    /// A second searcher is asked now; if none can be, the attempt is looked at again at this time.
+    /// A second searcher is asked now. If none can be, the attempt is checked again at `again_at`.
     Hedge {
-        /// When to look again.
+        /// Time of the next check.
         again_at: BootTime,
     },
-    /// It is looked at again at this time.
+    /// The attempt is checked again at this time.
     NotBefore(BootTime),
-    /// It isn't hedged.
+    /// The attempt isn't hedged.
     Never,
 }
 
-/// Until when no hedges are made; `restarted_at` is `None` for the first process on its machine.
+/// Returns the time before which no hedges are sent. `restarted_at` is `None` for the first process on its machine.
 pub fn rests_until(restarted_at: Option<BootTime>, policy: &RoutingPolicy) -> BootTime {
     let restarted_at = restarted_at.filter(|_| policy.start_rest);
     restarted_at.map_or(BootTime::default(), |started| started + START_REST)
 }
 
-/// Whether an attempt whose hedge is due is hedged. `rests_until` is by [`rests_until`].
+/// Decides whether an attempt whose hedge is due is hedged. `rests_until` comes from [`rests_until`].
 pub fn judge(now: BootTime, late: LateAttempt, rests_until: BootTime, policy: &RoutingPolicy) -> HedgeVerdict {
     if !policy.hedges || !late.is_idempotent || late.is_key_revoked {
         return HedgeVerdict::Never;
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -1,21 +1,25 @@
-//! Which requests end the searchers that run them, known by what they ask for.
+//! Detects requests that crash the searchers that run them, and stops sending them.
 //!
-//! **Decides** for each content (a digest of host, method, target, body and tenant) whether it may be sent: like any other, to one searcher at a time
-//! (suspect), or to nobody (quarantined). `quarantine/case.rs` holds the levels: losses since the content's last answer count, at all nodes together.
+//! A request is identified by its content: a digest of host, method, target, body and tenant. The rule decides for each
+//! content whether it may be sent like any other, to one searcher at a time (suspect), or to no searcher (quarantined).
+//! `quarantine/case.rs` defines these levels: they depend on the searchers lost since the content was last answered,
+//! counted over all nodes.
 //!
-//! **Inputs**: connections that ended without an answer (content, route, searcher's incarnation, times), answers, and what peers report
-//! ([`CaseRecord`]: the same, times as ages in milliseconds).
+//! The inputs are connections that ended without an answer (content, route, incarnation of the searcher, times),
+//! answers, and reports from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
 //!
-//! **Protects** searchers. A connection that ends without an answer says that its searcher may have ended, and any request that ran there may be
-//! to blame; the one that is has no answer from anybody, ever. Measured in an incident's day: 0.572 of all requests served without, 0.985 with.
-//! Harmless contents taken for such ones, on five standard days and 128 with searchers that crash: none quarantined, 47 suspect for a
-//! moment (docs/design/quarantine.md).
+//! The rule protects searchers. A connection that ends without an answer suggests that its searcher has ended, and any
+//! request that ran there may be the cause. The request that is the cause is never answered by any searcher. On a
+//! measured day with such an incident, 0.572 of all requests were served without the rule and 0.985 with it. On five
+//! standard days and 128 days with crashing searchers, no harmless content was quarantined and 47 harmless contents
+//! were suspect for a moment (docs/design/quarantine.md).
 //!
-//! **Doesn't know** why a connection ended, or what ran beside at other nodes; remembers nothing after a loss of all nodes. Copies of a first such
-//! request that come before anything has ended go to all shards; the contents that follow are tried on one first (`decision/first_probe`).
+//! The rule doesn't know why a connection ended, nor what the searcher ran for other nodes at that time. Its state is
+//! lost when all nodes are lost. Copies of the first such request that arrive before any searcher has ended are sent to
+//! all shards; contents that follow on the same route are tried on one shard first (`decision/first_probe`).
 //!
-//! **Shown by** the log's `event=suspicion` (content, level, searchers lost, source) and `event=alarm`, and refusals `quarantined`.
-//! **Turned off by** `routing.quarantine = false`.
+//! The log shows the rule as `event=suspicion` (content, level, number of searchers lost, source) and `event=alarm`;
+//! callers see refusals of kind `quarantined`. The setting `routing.quarantine = false` turns the rule off.
 
 mod alarm;
 mod case;
@@ -36,23 +40,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Contents remembered; those with the lowest level and the oldest report go first. A bound on memory, some 100 KB.
+/// Maximum number of contents remembered. Beyond it, the content with the lowest level and the oldest report is dropped first. This
+/// bounds memory to some 100 KB.
 const MAX_CASES: usize = 256;
 
 /// An attempt whose connection ended without an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct LostAttempt {
-    /// What was asked for.
+    /// Content of the request.
     pub content: ContentKey,
-    /// The route that it was asked by.
+    /// Route of the request.
     pub route: RouteDigest,
-    /// Who was asked.
+    /// Incarnation of the searcher that the attempt was sent to.
     pub searcher: InstanceKey,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: BootTime,
 }
 
-/// All contents under which searchers were lost.
+/// All contents whose requests were running on searchers that were lost.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: BTreeMap<ContentKey, Case>,
@@ -62,38 +67,39 @@
 }
 
 impl Quarantine {
-    /// What is believed of a content.
+    /// Returns the suspicion level of a content.
     pub fn suspicion(&self, now: BootTime, content: ContentKey) -> Suspicion {
         self.cases.get(&content).map_or(Suspicion::None, |case| case.suspicion(now))
     }
 
-    /// Contents that are suspect, and those that are quarantined.
+    /// Returns the number of suspect contents and the number of quarantined contents.
     pub fn counts(&self, now: BootTime) -> (usize, usize) {
         let count = |wanted| self.cases.values().filter(|case| case.suspicion(now) == wanted).count();
         (count(Suspicion::Suspect), count(Suspicion::Quarantined))
     }
 
-    /// Whether any route was on alarm lately.
+    /// Whether the alarm of any route is stored. It may have expired: expired alarms are removed with
+    /// [`Self::records`].
     pub fn has_alarms(&self) -> bool {
         !self.alarms.is_empty()
     }
 
-    /// Whether requests of a route have ended searchers lately.
+    /// Whether the alarm of a route is raised: its requests have crashed searchers lately.
     pub fn is_alarmed(&self, now: BootTime, route: RouteDigest) -> bool {
         self.alarm_age(now, route).is_some()
     }
 
-    /// Time since the newest loss of a route's alarm; `None` where it is on none.
+    /// Returns the time since the newest loss behind a route's alarm, or `None` if the alarm isn't raised.
     pub fn alarm_age(&self, now: BootTime, route: RouteDigest) -> Option<Duration> {
         self.alarms.age(now, route)
     }
 
-    /// Whether some searcher has answered a content lately, and none was lost under it since.
+    /// Whether a searcher has answered a content lately and none has been lost while running it since.
     pub fn is_harmless(&self, content: ContentKey) -> bool {
         self.answers.contains(content)
     }
 
-    /// A searcher's connection ended while it ran a content.
+    /// Records that a searcher's connection ended while the searcher ran a content.
     pub fn note_lost(&mut self, now: BootTime, lost: LostAttempt) -> Option<SuspicionChange> {
         let LostAttempt { content, route, searcher, sent_at } = lost;
         self.answers.forget(content);
@@ -104,7 +110,7 @@
         })
     }
 
-    /// A searcher ran a content to its end.
+    /// Records that a searcher ran a content to completion.
     pub fn note_answered(&mut self, now: BootTime, content: ContentKey) -> Option<SuspicionChange> {
         self.answers.note(now, content);
         let case = self.cases.get(&content)?;
@@ -118,8 +124,9 @@
         self.change(now, content, |case| case.answered(now))
     }
 
-    /// A searcher answered something that was sent to it at `sent_at`: whatever broke before, it is alive. Where a connection to it may
-    /// have come up since the loss, the last one at `connected_at`, the answer may be from a later incarnation under its id and proves nothing.
+    /// Records that a searcher answered a request sent at `sent_at`, which shows that it outlived all losses before
+    /// that time. If a connection to the searcher may have been established since a loss (the last one was at
+    /// `connected_at`), the answer may come from a later incarnation under the same id, so the loss still counts.
     pub fn note_alive(
         &mut self,
         now: BootTime,
@@ -139,7 +146,7 @@
         contents.into_iter().filter_map(|content| self.change(now, content, clear)).collect()
     }
 
-    /// Takes what a peer reported.
+    /// Merges the reports of a peer.
     pub fn merge(&mut self, now: BootTime, records: &[CaseRecord]) -> Vec<SuspicionChange> {
         records.iter().filter_map(|record| self.merge_one(now, record)).collect()
     }
@@ -161,7 +168,7 @@
         })
     }
 
-    /// What to send peers with the next datagrams; contents take turns.
+    /// Returns the reports to send to peers with the next datagram. Contents take turns.
     pub fn records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.forget_old(now);
         let to_send = self.sending.next(now, &self.cases);
@@ -190,7 +197,7 @@
         (suspicion != before).then_some(SuspicionChange { content, suspicion, losses, is_raised: suspicion > before })
     }
 
-    /// Raises or ends the alarm of a route by what is quarantined there now.
+    /// Raises or clears the alarm of a route, depending on which of its contents are quarantined now.
     fn set_alarm(&mut self, now: BootTime, route: Option<RouteDigest>) {
         let Some(route) = route else {
             return;
@@ -205,7 +212,7 @@
         self.alarms.forget_old(now);
     }
 
-    /// Makes room for a content that isn't known yet.
+    /// Drops a content if necessary, so that one that isn't known yet can be stored.
     fn make_room(&mut self, now: BootTime, content: ContentKey) {
         if self.cases.len() < MAX_CASES || self.cases.contains_key(&content) {
             return;
--- a/crates/staircross-routing/src/decision/quarantine/alarm.rs
+++ b/crates/staircross-routing/src/decision/quarantine/alarm.rs
@@ -1,17 +1,20 @@
-//! Routes whose requests have ended searchers lately.
+//! Alarms of routes whose requests have crashed searchers lately.
 //!
-//! Where one request of a route ends what runs it, others of that route may do the same: a fault that a kind of query meets, or a caller who varies
-//! one. While a route is on alarm, what it asks for that nobody has answered lately is tried on one shard first.
+//! If one request of a route crashes the searchers that run it, other requests of that route may do so too: the cause
+//! may be a fault that a kind of query triggers, or a caller that varies one query. While a route's alarm is raised,
+//! contents of the route that no searcher has answered lately are tried on one shard first.
 
 use crate::keys::RouteDigest;
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time from the newest loss until an alarm is over, where one content of the route is quarantined: harmless requests are held up no longer.
+/// Time from the newest loss until an alarm ends, if one content of the route is quarantined. It is short because
+/// harmless requests are delayed while the alarm is raised.
 const AFTER_ONE: Duration = Duration::from_secs(15);
-/// The same where several are quarantined: more will come. A searcher is back some four seconds after it ended, so a content that comes whenever the
-/// alarm is over takes a shard's searchers away for less than 4 in 100 of the time.
+/// Time from the newest loss until an alarm ends, if several contents of the route are quarantined: more are expected.
+/// A searcher is back some four seconds after it ended, so a crashing content that arrives each time the alarm ends
+/// makes the searchers of a shard unavailable for less than 4 in 100 of the time.
 const AFTER_SEVERAL: Duration = Duration::from_secs(120);
 
 /// The alarm of one route.
@@ -21,14 +24,15 @@
     until: BootTime,
 }
 
-/// Alarms by route; no more of them than there are cases.
+/// Alarms by route. There are at most as many as contents that the quarantine stores.
 #[derive(Debug, Default)]
 pub(super) struct RouteAlarms {
     alarms: BTreeMap<RouteDigest, RouteAlarm>,
 }
 
 impl RouteAlarms {
-    /// Sets a route's alarm by the newest loss under each of its quarantined contents.
+    /// Sets a route's alarm from the newest loss of each of its quarantined contents. Without any, the alarm is
+    /// cleared.
     pub fn set(&mut self, route: RouteDigest, newest_losses: impl Iterator<Item = BootTime>) {
         let (count, newest) = newest_losses.fold((0, None), |(count, newest), at| (count + 1, newest.max(Some(at))));
         let time = if count > 1 { AFTER_SEVERAL } else { AFTER_ONE };
@@ -38,7 +42,7 @@
         };
     }
 
-    /// Time since the newest loss of a route's alarm; `None` where it isn't raised.
+    /// Returns the time since the newest loss behind a route's alarm, or `None` if the alarm isn't raised.
     pub fn age(&self, now: BootTime, route: RouteDigest) -> Option<Duration> {
         let alarm = self.alarms.get(&route).filter(|alarm| now < alarm.until)?;
         Some(now.since(alarm.newest_loss))
@@ -48,7 +52,7 @@
         self.alarms.is_empty()
     }
 
-    /// Drops the alarms that are over.
+    /// Removes the alarms that have ended.
     pub fn forget_old(&mut self, now: BootTime) {
         self.alarms.retain(|_, alarm| now < alarm.until);
     }
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -1,7 +1,9 @@
-//! What is known of one content: which searchers were lost under it, when it was answered last, and what follows.
+//! What is known of one content: the searchers lost while running it, its last answer, and the suspicion level that
+//! follows.
 //!
-//! Two losses that count make it suspect; three, one of them sent after another had been seen, make it quarantined. A loss counts
-//! no more once its searcher has answered something sent later, and an answer of the content drops all losses before it.
+//! Two losses that count make a content suspect. Three, one of which was sent after another had been observed, make it
+//! quarantined. A loss stops counting once its searcher has answered a request that was sent later. An answer to the
+//! content removes all earlier losses.
 
 use super::record::LossRecord;
 use super::suspicion::Suspicion;
@@ -9,26 +11,31 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Losses from which a content is sent to one searcher at a time. Above one, since one broken connection is common and its repeat shouldn't wait.
+/// Number of losses from which a content is sent to one searcher at a time. It is above one because a single broken
+/// connection is common and its retry shouldn't wait.
 const SUSPECT_LOSSES: usize = 2;
-/// Losses from which a content is sent to nobody, if two of them are in sequence. One more than makes it suspect. With both, none of the harmless
-/// contents of 133 days was quarantined (docs/design/quarantine.md).
+/// Number of losses from which a content is sent to no searcher, if two of them are in sequence. It is one more than
+/// makes a content suspect. With both conditions, no harmless content was quarantined in 133 days
+/// (docs/design/quarantine.md).
 const QUARANTINE_LOSSES: usize = 3;
-/// Time from the newest loss until a quarantined content is tried at one searcher again: it may have been mended. So that one that wasn't costs one
-/// searcher an hour.
+/// Time from the newest loss until a quarantined content is tried on one searcher again, since the fault may have been
+/// mended. If it wasn't, this costs one searcher an hour.
 const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
-/// Time from the newest loss until a content is forgotten. Twice [`QUARANTINE_TIME`], so that it is still suspect when it is tried again.
+/// Time from the newest loss until a content is forgotten. It is twice [`QUARANTINE_TIME`], so that the content is
+/// still suspect when it is tried again.
 const MEMORY: Duration = Duration::from_secs(2 * 3600);
-/// Time for which a content that was sent to peers is remembered as answered, so that they learn it too. For many datagrams.
+/// Time for which the answer to a content that was reported to peers is remembered, so that peers learn of it too. The
+/// time covers many datagrams.
 pub(super) const ANSWER_MEMORY: Duration = Duration::from_secs(60);
-/// Losses remembered of one content. A bound on memory, twice what decides.
+/// Maximum number of losses remembered of one content. This bounds memory; it is twice the number that decides.
 const MAX_LOSSES: usize = 6;
-/// Losses of one content sent to peers. Those that prove a sequence and the newest, one more than what decides.
+/// Maximum number of losses of one content that are reported to peers: those that prove a sequence and the newest ones. It is one
+/// more than the number that decides.
 const SENT_LOSSES: usize = 4;
-/// Longest time that a datagram is taken to be on its way: what peers report seems later by so much, and without a tolerance two nodes that report
-/// one event to each other would move it on for ever.
+/// Longest time that a peer's report is assumed to be in transit. A reported event seems later than it was by the time
+/// in transit. Without this tolerance, two nodes that report one event to each other would move it later for ever.
 const TELLING_TIME: Duration = Duration::from_secs(1);
-/// Age from which a single loss is sent to peers. So that a repeat has mostly been answered by then.
+/// Age from which a single loss is reported to peers. By then a retry has mostly been answered.
 const SINGLE_SENT_AFTER: Duration = Duration::from_millis(200);
 
 /// A searcher whose connection ended while it ran a content.
@@ -37,38 +44,42 @@
     pub searcher: InstanceKey,
     pub sent_at: BootTime,
     pub lost_at: BootTime,
-    /// Whether it has answered something that was sent later.
+    /// Whether the searcher has answered a request that was sent later, so that the loss doesn't count.
     pub is_alive: bool,
-    /// Whether a peer saw it; then it seems later than it was, by the time for which its report was on its way.
+    /// Whether a peer reported the loss. It then seems later than it was, by the time that the report was in transit.
     pub is_by_peer: bool,
 }
 
 /// What is known of one content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Case {
-    /// By the time of the loss.
+    /// Losses in order of time.
     pub losses: Vec<Loss>,
+    /// Time of the last answer.
     pub answered_at: Option<BootTime>,
-    /// The route that it was asked by, where that is known.
+    /// Route of the requests with this content, if known.
     pub route: Option<RouteDigest>,
-    /// Whether any peer knows of it.
+    /// Whether any peer knows of the content.
     pub is_known_to_peers: bool,
 }
 
 impl Case {
+    /// Returns the losses that count: their searchers haven't answered anything sent later.
     pub fn counted(&self) -> impl Iterator<Item = &Loss> {
         self.losses.iter().filter(|loss| !loss.is_alive)
     }
 
+    /// Returns the time of the newest loss or answer.
     pub fn newest(&self) -> BootTime {
         self.losses.iter().map(|loss| loss.lost_at).chain(self.answered_at).max().unwrap_or_default()
     }
 
-    /// Time of the newest loss that counts.
+    /// Returns the time of the newest loss that counts.
     pub fn newest_loss(&self) -> Option<BootTime> {
         self.counted().map(|loss| loss.lost_at).max()
     }
 
+    /// Returns the suspicion level of the content.
     pub fn suspicion(&self, now: BootTime) -> Suspicion {
         let count = self.counted().count();
         if count < SUSPECT_LOSSES {
@@ -79,20 +90,23 @@
         if is_proven && now.since(newest) < QUARANTINE_TIME { Suspicion::Quarantined } else { Suspicion::Suspect }
     }
 
-    /// The first loss that counts, and one that was sent after it had been seen. When many searchers end at once, whatever ran there loses several
-    /// at the same moment; only what is to blame loses the next one too.
+    /// Returns the searchers of two losses in sequence: the first loss that counts, and one whose attempt was sent
+    /// after the first had been observed. When many searchers end at once, every content running there loses several at
+    /// the same moment; only the content that causes it loses the next searcher too.
     fn sequence(&self) -> Option<(InstanceKey, InstanceKey)> {
         let first = self.counted().min_by_key(|loss| loss.lost_at)?;
         let next = self.counted().find(|loss| loss.sent_at >= first.lost_at)?;
         Some((first.searcher, next.searcher))
     }
 
-    /// Whether a loss is one of the two that prove a sequence, or the first of all, after which one may come yet.
+    /// Whether a loss is one of the two that prove a sequence, or the first of all losses, which a later one may follow
+    /// in sequence.
     fn is_proof(&self, loss: &Loss) -> bool {
         let is_first = self.losses.first().is_some_and(|first| first.searcher == loss.searcher);
         is_first || self.sequence().is_some_and(|(first, next)| [first, next].contains(&loss.searcher))
     }
 
+    /// Adds a loss, unless a later answer is known. Beyond the limit, a loss is dropped that proves nothing.
     pub fn add(&mut self, loss: Loss) {
         if self.answered_at.is_some_and(|answered| loss.is_before(answered)) {
             return;
@@ -110,13 +124,13 @@
         }
     }
 
-    /// It was answered here.
+    /// Records an answer received by this node.
     pub fn answered(&mut self, at: BootTime) {
         self.answered_at = self.answered_at.max(Some(at));
         self.losses.retain(|loss| !loss.is_before(at));
     }
 
-    /// A peer reports that it was answered.
+    /// Records an answer reported by a peer.
     pub fn answered_by_peer(&mut self, at: BootTime) {
         if self.answered_at.is_none_or(|known| is_later(at, known)) {
             self.answered_at = Some(at);
@@ -124,17 +138,20 @@
         self.losses.retain(|loss| !loss.is_before(at));
     }
 
-    /// What proves a sequence, and the newest: enough to decide by.
+    /// Returns the losses to report to peers: those that prove a sequence, and the newest. They suffice to determine
+    /// the suspicion level.
     pub fn losses_to_send(&self) -> impl Iterator<Item = &Loss> {
         let (proof, others): (Vec<&Loss>, Vec<&Loss>) = self.losses.iter().partition(|loss| self.is_proof(loss));
         let newest = others.into_iter().rev().take(SENT_LOSSES - proof.len().min(SENT_LOSSES));
         proof.into_iter().chain(newest)
     }
 
+    /// Whether the content is to be reported to peers.
     pub fn is_worth_sending(&self, now: BootTime) -> bool {
         self.is_known_to_peers || self.losses.len() >= SUSPECT_LOSSES || now.since(self.newest()) >= SINGLE_SENT_AFTER
     }
 
+    /// Whether the content is still remembered.
     pub fn is_remembered(&self, now: BootTime) -> bool {
         let memory = if self.losses.is_empty() { ANSWER_MEMORY } else { MEMORY };
         now.since(self.newest()) < memory
@@ -142,13 +159,15 @@
 }
 
 impl Loss {
-    /// Whether it was lost before an answer came. A report of a loss that comes after the answer, or by another way, is believed only if it is later
-    /// for sure: what ends its searchers has no answer at all, and a harmless content that loses its answer is refused.
+    /// Whether the searcher was lost before an answer at `answered`. A loss reported by a peer counts as later only if
+    /// it surely is: a content that crashes its searchers has no answer at all, whereas a harmless content whose answer
+    /// is discarded may be refused.
     fn is_before(&self, answered: BootTime) -> bool {
         let tolerance = if self.is_by_peer { TELLING_TIME } else { Duration::ZERO };
         self.lost_at <= answered + tolerance
     }
 
+    /// Converts the loss to the form sent to peers.
     pub fn record(&self, now: BootTime) -> LossRecord {
         LossRecord {
             searcher: self.searcher,
@@ -158,6 +177,7 @@
         }
     }
 
+    /// Converts a loss reported by a peer.
     pub fn from_record(now: BootTime, record: &LossRecord) -> Self {
         Loss {
             searcher: record.searcher,
@@ -169,15 +189,18 @@
     }
 }
 
-/// Whether two times that peers may have reported are surely of two events, this one of the later.
+/// Whether an event at `time` is surely another and later one than the event at `than`, though peers may have reported
+/// the times.
 pub(super) fn is_later(time: BootTime, than: BootTime) -> bool {
     time > than + TELLING_TIME
 }
 
+/// Returns the age of `at` in milliseconds, capped at `u32::MAX`.
 pub(super) fn age_ms(now: BootTime, at: BootTime) -> u32 {
     u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX)
 }
 
+/// Returns the time that lies `age_ms` milliseconds before `now`.
 pub(super) fn before(now: BootTime, age_ms: u32) -> BootTime {
     now - Duration::from_millis(age_ms.into())
 }
--- a/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
+++ b/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
@@ -1,17 +1,17 @@
-//! Contents that some searcher has answered lately, and so runs without harm.
+//! Contents that a searcher has answered lately, and which are therefore known to be harmless.
 
 use crate::keys::ContentKey;
 use hashbrown::HashSet;
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Contents of one generation at most; two are kept. A bound on memory, some 80 KB.
+/// Maximum number of contents in one generation; two generations are kept. This bounds memory to some 80 KB.
 const MAX_CONTENTS: usize = 2048;
-/// Time after which a generation ends though few contents were answered: searchers may be of another version by then. So that an answer counts for
-/// ten to twenty minutes.
+/// Time after which a generation ends even if few contents were answered, because searchers may run another version by
+/// then. An answer thus counts for ten to twenty minutes.
 const GENERATION_TIME: Duration = Duration::from_secs(600);
 
-/// The contents answered last, in two generations: when the recent one is full, it takes the place of the old.
+/// The contents answered last, in two generations. When the recent generation is full, it replaces the older one.
 #[derive(Debug, Default)]
 pub(super) struct RecentAnswers {
     recent: HashSet<ContentKey>,
@@ -20,7 +20,7 @@
 }
 
 impl RecentAnswers {
-    /// A searcher has answered a content.
+    /// Records that a searcher has answered a content.
     pub fn note(&mut self, now: BootTime, content: ContentKey) {
         if self.recent.len() >= MAX_CONTENTS || now.since(self.begun_at) >= GENERATION_TIME {
             self.older = std::mem::take(&mut self.recent);
@@ -29,7 +29,7 @@
         self.recent.insert(content);
     }
 
-    /// A searcher was lost under a content.
+    /// Removes a content because a searcher was lost while running it.
     pub fn forget(&mut self, content: ContentKey) {
         self.recent.remove(&content);
         self.older.remove(&content);
--- a/crates/staircross-routing/src/decision/quarantine/record.rs
+++ b/crates/staircross-routing/src/decision/quarantine/record.rs
@@ -1,40 +1,41 @@
-//! Contents and their losses as nodes send them to each other.
+//! Wire format in which nodes report contents and their losses to each other.
 //!
-//! Times go as ages in milliseconds, since nodes' clocks differ. Records are merged by union, so that order and loss of datagrams don't matter.
+//! Times are sent as ages in milliseconds, since the clocks of nodes differ. Reports are merged by union, so that the
+//! order and loss of datagrams don't matter.
 
 use crate::keys::{ContentKey, InstanceKey, RouteDigest};
 use serde::{Deserialize, Serialize};
 
-/// A content as it is sent to peers.
+/// Report of one content to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseRecord {
     /// The content.
     #[serde(rename = "c")]
     pub content: ContentKey,
-    /// Searchers lost.
+    /// Searchers lost while running the content.
     #[serde(rename = "l")]
     pub losses: Vec<LossRecord>,
-    /// Milliseconds since it was answered last, if it was.
+    /// Milliseconds since the content was last answered, if it was.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub answered_ms: Option<u32>,
-    /// The route that it was asked by, if the sender knows it.
+    /// Route of the requests with this content, if the sender knows it.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub route: Option<RouteDigest>,
 }
 
-/// A searcher lost under a content, as it is sent to peers.
+/// Report of one searcher that was lost while running a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossRecord {
-    /// Its incarnation.
+    /// Incarnation of the searcher.
     #[serde(rename = "s")]
     pub searcher: InstanceKey,
-    /// Milliseconds since it was sent the request.
+    /// Milliseconds since the request was sent to the searcher.
     #[serde(rename = "b")]
     pub sent_ms: u32,
-    /// Milliseconds since its connection ended.
+    /// Milliseconds since the searcher's connection ended.
     #[serde(rename = "e")]
     pub lost_ms: u32,
-    /// Whether it has answered something that was sent later.
+    /// Whether the searcher has answered a request that was sent later.
     #[serde(rename = "v")]
     pub is_alive: bool,
 }
--- a/crates/staircross-routing/src/decision/quarantine/sending.rs
+++ b/crates/staircross-routing/src/decision/quarantine/sending.rs
@@ -1,7 +1,8 @@
-//! Which contents go with the next datagram to peers.
+//! Selects the contents that are reported to peers with the next datagram.
 //!
-//! Contents that have become more suspect come first: each moment until peers know may cost one searcher a shard. The others take turns, by key,
-//! quarantined ones apart from the rest, so that each comes around however many there are.
+//! Contents whose suspicion level has risen come first: until peers know of it, each may send the content to one
+//! searcher of each shard. The other contents take turns by key. Quarantined contents take turns apart from the rest,
+//! so that each is sent eventually however many there are.
 
 use super::case::Case;
 use super::suspicion::Suspicion;
@@ -10,35 +11,41 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
 
-/// Quarantined contents that take their turn with one datagram. With [`SENT_OTHERS`], for some 500 bytes a datagram.
+/// Quarantined contents that take their turn with one datagram. Together with [`SENT_OTHERS`], a datagram carries some
+/// 500 bytes of them.
 const SENT_QUARANTINED: usize = 3;
-/// Other contents that take their turn with one datagram. Below [`SENT_QUARANTINED`], which protect more.
+/// Other contents that take their turn with one datagram. The number is below [`SENT_QUARANTINED`], since reports of
+/// quarantined contents protect more.
 const SENT_OTHERS: usize = 2;
-/// Contents that one datagram holds at most, some 100 bytes each. One turn of both kinds.
+/// Maximum number of contents in one datagram, some 100 bytes each. It is the sum of one turn of both kinds.
 const MAX_SENT: usize = SENT_QUARANTINED + SENT_OTHERS;
-/// Newly raised contents that go with one datagram, ahead of the others. To leave two places to the turns.
+/// Contents with a newly raised level that one datagram carries ahead of the others. This leaves two places for
+/// contents that take turns.
 const SENT_RAISED: usize = 3;
-/// Newly raised contents that wait to be sent; older ones are left to their turns. For some five datagrams.
+/// Maximum number of contents with a newly raised level that wait to be sent, enough for some five datagrams. Older ones are sent
+/// when their turn comes.
 const MAX_RAISED: usize = 16;
 
-/// Whose turn it is.
+/// Position of each round-robin turn, and the contents to send ahead of it.
 #[derive(Debug, Default)]
 pub(super) struct SendingTurns {
+    /// Quarantined content that was sent last by its turn.
     last_quarantined: Option<ContentKey>,
+    /// Other content that was sent last by its turn.
     last_other: Option<ContentKey>,
-    /// Contents that have become more suspect since they were sent last, newest first.
+    /// Contents whose level has risen since they were last sent, newest first.
     raised: VecDeque<ContentKey>,
 }
 
 impl SendingTurns {
-    /// Has a content that has become more suspect sent ahead of the others.
+    /// Marks a content whose suspicion level has risen to be sent ahead of the others.
     pub fn raise(&mut self, content: ContentKey) {
         self.raised.retain(|known| *known != content);
         self.raised.push_front(content);
         self.raised.truncate(MAX_RAISED);
     }
 
-    /// The contents that go with the next datagram; some may not be among `cases` any more.
+    /// Returns the contents to report with the next datagram. Some may no longer be among `cases`.
     pub fn next(&mut self, now: BootTime, cases: &BTreeMap<ContentKey, Case>) -> Vec<ContentKey> {
         let is_quarantined = |case: &Case| case.suspicion(now) == Suspicion::Quarantined;
         let is_other = |case: &Case| !is_quarantined(case) && case.is_worth_sending(now);
@@ -57,7 +64,7 @@
     }
 }
 
-/// The contents that come after the one sent last, and then from the beginning.
+/// Returns up to `most` wanted contents that follow `last` by key, continuing from the beginning at the end.
 fn next_turns(
     cases: &BTreeMap<ContentKey, Case>,
     last: Option<ContentKey>,
--- a/crates/staircross-routing/src/decision/quarantine/suspicion.rs
+++ b/crates/staircross-routing/src/decision/quarantine/suspicion.rs
@@ -1,21 +1,21 @@
-//! What is believed of a content, and changes of it.
+//! Suspicion level of a content, and changes of it.
 
 use crate::keys::ContentKey;
 
-/// What is believed of a content, in rising order.
+/// Suspicion level of a content, in rising order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suspicion {
-    /// It may be sent like any other.
+    /// The content may be sent like any other.
     #[default]
     None,
-    /// It is sent to one searcher at a time.
+    /// The content is sent to one searcher at a time.
     Suspect,
-    /// It is sent to nobody.
+    /// The content is sent to no searcher.
     Quarantined,
 }
 
 impl Suspicion {
-    /// Name in logs.
+    /// Name of the level in logs.
     pub fn name(self) -> &'static str {
         match self {
             Suspicion::None => "none",
@@ -25,22 +25,23 @@
     }
 }
 
-/// A change of what is believed of a content, for the log and for peers.
+/// Change of a content's suspicion level, for the log and for peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionChange {
     /// The content.
     pub content: ContentKey,
-    /// What is believed of it now.
+    /// New level of the content.
     pub suspicion: Suspicion,
-    /// Searchers lost under it that count.
+    /// Number of losses that count.
     pub losses: usize,
-    /// Whether it is more suspect than before.
+    /// Whether the level has risen.
     pub is_raised: bool,
 }
 
 impl SuspicionChange {
-    /// Whether it is sent to peers at once, rather than with the next datagrams. What a peer sent is passed on: a push reaches some nodes of its
-    /// region, and until a node knows it may send the content to one searcher of each shard.
+    /// Whether the change is sent to peers at once, rather than with the next datagrams. A raised level reported by a
+    /// peer is passed on too: one push reaches only some nodes of a region, and a node that doesn't know of it may send
+    /// the content to one searcher of each shard.
     pub fn is_urgent(&self, is_by_peers: bool) -> bool {
         !is_by_peers || self.is_raised
     }
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -1,56 +1,62 @@
-//! What the end of an attempt means for its shard: whether its part is in, whether it is sent again, to whom, and when.
+//! Decides what follows for a shard when an attempt ends: whether its part is complete, and whether, to whom and when
+//! the shard is sent again.
 //!
-//! Decides for each shard of a request ([`next_step`]), for the searcher that an attempt which didn't run was sent to ([`after_not_run`]),
-//! and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]). [`crate::engine`] asks it at each end of an attempt.
+//! The rule decides for each shard of a request ([`next_step`]), for the searcher of an attempt that didn't run
+//! ([`after_not_run`]), and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]). [`crate::engine`]
+//! calls it whenever an attempt ends.
 //!
-//! **Inputs.** How the attempt ended, as the connection showed it ([`AttemptOutcome`]); whether the request's route is idempotent and gathers shards.
-//! Statuses are HTTP's. Besides, the route's `max_attempts` bounds the searchers that are sent a shard (`Shard::is_excluded`), and a retry is paid from
-//! the budget ([`super::extra_budget`]); a reroute isn't, since nothing was sent.
+//! The inputs are the outcome of the attempt as seen on the connection ([`AttemptOutcome`]), and whether the route is
+//! idempotent and gathers shards. Status codes are HTTP's. In addition, the route's `max_attempts` limits the searchers
+//! that a shard is sent to (`Shard::is_excluded`). A retry is paid from the budget ([`super::extra_budget`]); a reroute
+//! isn't, since nothing was sent.
 //!
-//! **What it protects.** What isn't idempotent is sent again only if it surely didn't run: nothing was sent, or the searcher says that it
-//! didn't run it. **What it buys.** Requests that are answered although a searcher failed. Letting shards wait after a
-//! searcher without room, and for the budget: of 10,000 requests 63 unserved became 40 and 164 became 63 on two fleets of 195 nodes, mean worth of a
-//! day (0 to 1) -0.0006 ± 0.0017 and +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). Waiting as a whole: +0.0225 ± 0.0080 on a fleet of 67
-//! nodes, +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
+//! The rule ensures that a request that isn't idempotent is sent again only if it surely didn't run: nothing was sent,
+//! or the searcher says that it didn't run it. It buys answers to requests although a searcher failed. Letting shards
+//! wait for a searcher without capacity and for the budget reduced the unserved requests of 10,000 from 63 to 40 and
+//! from 164 to 63 on two fleets of 195 nodes; the mean score of a day (0 to 1) changed by -0.0006 ± 0.0017 and +0.0073
+//! ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave +0.0225 ± 0.0080 on a fleet of 67 nodes, and
+//! +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
 //!
-//! **What it doesn't know.** Whether a searcher that broke its connection ran the request: that counts as "may have run". Whether a searcher
-//! that answers with a failure would answer otherwise a moment later.
+//! The rule doesn't know whether a searcher that broke its connection ran the request, which counts as "may have run",
+//! nor whether a searcher that answers with a failure would succeed a moment later.
 //!
-//! **At work.** Log: `attempt_ended outcome=…`, `send reason=retry` or `reason=reroute`, `unsent cause=not_repeatable`, `most_attempts`, `over_budget`
-//! or `avoided`. Metrics: `attempts_retry_total`, `attempts_reroute_total`, `attempts_over_budget_total`.
-//! **Switch of `[policy]`.** `routing.waiting`: shards don't wait, neither for a searcher nor for the budget. What is promised to callers has no switch.
+//! The log shows the rule as `attempt_ended outcome=…`, `send reason=retry` or `reason=reroute`, and `unsent
+//! cause=not_repeatable`, `most_attempts`, `over_budget` or `avoided`; the metrics are `attempts_retry_total`,
+//! `attempts_reroute_total` and `attempts_over_budget_total`. With `routing.waiting = false`, shards wait neither for a
+//! searcher nor for the budget. What is promised to callers can't be turned off.
 
 use crate::policy::RoutingPolicy;
 use crate::state::request::{AttemptOutcome, NotRun, SearcherAnswer, SendReason};
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time until a shard that the budget kept from being sent again is retried. A fifth of the step by which a budget's window of 10 s moves on.
+/// Time until a shard whose retry the budget refused is tried again. It is a fifth of the step by which a budget window
+/// of 10 s advances.
 const BUDGET_PAUSE: Duration = Duration::from_millis(100);
 
-/// What decides about sending a request again.
+/// Properties of a request that decide whether it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKind {
-    /// Whether its route says that it may run twice.
+    /// Whether the route permits a request to run twice.
     pub is_idempotent: bool,
-    /// Whether it asks several shards, whose parts are merged.
+    /// Whether the request is sent to several shards, whose parts are merged.
     pub is_gather: bool,
 }
 
-/// What follows for a shard from the end of one of its attempts.
+/// What follows for a shard when one of its attempts ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// The answer is its part, and final.
+    /// The answer is final and becomes the shard's part.
     TakePart,
-    /// It is sent again, if nobody else is at work on it.
+    /// The shard is sent again, unless another attempt for it is in progress.
     SendAgain(SendReason),
-    /// It may have run and may not run twice: it is given up.
+    /// The shard is given up, because it may have run and may not run twice.
     NotRepeatable,
-    /// The attempt was cancelled: its request isn't sent again.
+    /// The attempt was cancelled, and the shard isn't sent again.
     GiveUp,
 }
 
-/// What follows for a shard from the end of one of its attempts.
+/// Returns what follows for a shard when one of its attempts ends.
 pub fn next_step(outcome: &AttemptOutcome, kind: RequestKind) -> NextStep {
     match outcome {
         AttemptOutcome::Answered(answer) if is_final(answer, kind) => NextStep::TakePart,
@@ -67,26 +73,28 @@
     }
 }
 
-/// Whether no other searcher is asked after an answer. A searcher's own refusal of a request as such is final, where it isn't one part of
-/// several: another searcher would say the same.
+/// Whether an answer is final, so that no other searcher is asked. A searcher's refusal of the request itself is final
+/// unless the request is a gather: another searcher would refuse it too.
 fn is_final(answer: &SearcherAnswer, kind: RequestKind) -> bool {
     let is_success = (200..300).contains(&answer.status) && answer.stamp.is_some();
     is_success || (!kind.is_gather && is_run_to_its_end(answer))
 }
 
-/// Whether the searcher ran the request and lived on. A failure of its own may be reported before the work that ends it.
+/// Whether the searcher ran the request to completion and survived. A searcher may report a failure of its own before
+/// the work that crashes it.
 pub fn is_run_to_its_end(answer: &SearcherAnswer) -> bool {
     answer.status < 500 && !promises_not_run(answer.status)
 }
 
-/// Statuses by which a searcher that answered says that it didn't take the request, as HTTP defines them: 408 Request Timeout, 421 Misdirected Request,
-/// 429 Too Many Requests, 503 Service Unavailable.
+/// Whether a status says that the searcher didn't process the request. HTTP defines these: 408 Request Timeout, 421
+/// Misdirected Request, 429 Too Many Requests and 503 Service Unavailable.
 pub fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Whether a request may have run by what the end of one attempt shows. An answer counts whatever its status: the outcome is
-/// [`AttemptOutcome::NotRun`] where the searcher is believed that it didn't run it.
+/// Whether a request may have run, judging by the outcome of one attempt. An answer counts as a run whatever its
+/// status: where the searcher is believed when it says that it didn't run the request, the outcome is
+/// [`AttemptOutcome::NotRun`].
 pub fn may_have_run(outcome: &AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => true,
@@ -94,17 +102,18 @@
     }
 }
 
-/// What follows for a searcher, within one request, from an attempt that it didn't run.
+/// What follows within a request for a searcher that didn't run its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnusedSearcher {
-    /// Whether it counts against the most searchers that the request may be sent to: it got something.
+    /// Whether the searcher counts towards the route's `max_attempts`, because the request reached it.
     pub is_counted: bool,
-    /// Whether the same request may ask it again.
+    /// Whether the same request may be sent to the searcher again.
     pub may_be_asked_again: bool,
 }
 
-/// What follows for a searcher from an attempt that it didn't run. Asking it again is paced: an ended connection is used up by
-/// being found, and a searcher that can't be reached or rejects something is avoided for a while.
+/// Returns what follows within a request for a searcher that didn't run its attempt. Repeats are limited in rate: each
+/// ended connection is found only once, and a searcher that can't be reached or rejects a request is avoided for a
+/// while.
 pub fn after_not_run(reason: NotRun, policy: &RoutingPolicy) -> UnusedSearcher {
     let may_wait = policy.waiting;
     match reason {
@@ -117,13 +126,13 @@
     }
 }
 
-/// Whether a shard that the budget keeps from being sent again waits for it. A failure that is at hand is passed on at once rather than kept, unless
-/// it is one part of several, which can't be passed on.
+/// Whether a shard whose retry the budget refuses waits for the budget. If a searcher's own failure was received, it is
+/// passed on at once instead, unless the request is a gather, where it can't be passed on.
 pub fn may_wait(has_failure_at_hand: bool, kind: RequestKind) -> bool {
     !has_failure_at_hand || kind.is_gather
 }
 
-/// When a shard that waits for the budget is retried; `None` where shards don't wait.
+/// Returns the time at which a shard that waits for the budget is tried again, or `None` if shards don't wait.
 pub fn budget_retry_at(now: BootTime, policy: &RoutingPolicy) -> Option<BootTime> {
     policy.waiting.then(|| now + BUDGET_PAUSE)
 }
