--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -1,24 +1,26 @@
-//! The rules: which searcher gets a request, how much is taken, when a second attempt is made, when a request is given up.
+//! The routing rules: which searcher gets a request, how much work is admitted, when a second attempt is made, and when
+//! a request ends.
 //!
-//! One file a rule. A rule takes typed inputs and gives a verdict; it holds no engine, socket or clock. It relies on [`crate::state`] (what this
-//! node believes) and [`crate::configuration`] (what operators ask for). [`crate::engine`] carries events to the rules and their
-//! verdicts to actions. `docs/DECISIONS.md` lists the rules with the log lines and metrics that show them at work.
+//! Each rule has a file of its own. A rule takes typed inputs and returns a decision; it uses no engine, socket or
+//! clock. It depends on [`crate::state`] (what this node knows) and [`crate::configuration`] (what operators ask for).
+//! [`crate::engine`] passes events to the rules and carries out their decisions. `docs/DECISIONS.md` lists the rules
+//! with their log lines and metrics.
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | [`placement`] | which searcher of a service is asked |
-//! | [`allowed_regions`] | where a request may be served |
+//! | [`allowed_regions`] | in which regions a request may be served |
 //! | [`cold`] | how much a node may send to a searcher that has just started |
-//! | [`turns`] | whose turn it is in a weighted set |
-//! | [`admission`] | how much of the offered work is taken while back ends are overloaded |
-//! | [`fair_share`] | whose requests are taken while only a fraction of them is |
-//! | [`extra_budget`] | how much work beyond the strictly needed may be sent |
-//! | [`hedging`] | when a second searcher is asked besides one that is late |
-//! | [`retry`] | which end of an attempt lets a request be sent again, to whom, and when |
-//! | [`giving_up`] | when an answer is complete enough, when a request is refused, and with which kind |
-//! | [`goal`] | time that this node has to answer in time |
-//! | [`quarantine`] | which requests end the searchers that run them |
-//! | [`first_probe`] | which requests are sent to one shard first while such ones come |
+//! | [`turns`] | which service of a weighted route serves a request |
+//! | [`admission`] | which fraction of the offered requests is admitted while back ends are overloaded |
+//! | [`fair_share`] | which tenants' requests are admitted while only a fraction is |
+//! | [`extra_budget`] | how many requests beyond the strictly needed ones may be sent |
+//! | [`hedging`] | when a second searcher is asked because the first is late |
+//! | [`retry`] | whether a request is sent again after an attempt ends, to whom, and when |
+//! | [`giving_up`] | when an answer is complete enough, when a request is refused, and with which error kind |
+//! | [`goal`] | by when this node must send an answer |
+//! | [`quarantine`] | which requests crash the searchers that run them |
+//! | [`first_probe`] | which requests are sent to one shard first while a route's requests crash searchers |
 
 pub mod admission;
 pub mod allowed_regions;
--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -1,21 +1,26 @@
-//! How much of the offered work is taken while searchers are overloaded.
+//! Decides which fraction of the offered requests is admitted while searchers are overloaded.
 //!
-//! **Decides** for each group of services that are asked together, and each rank of its routes, which fraction of the requests
-//! is taken (the level). The rest is refused at once as `overloaded`, not run, drawn by chance; [`crate::decision::fair_share`] says whose.
+//! For each group of services that are asked together, and each priority rank of their routes, the rule sets the
+//! fraction of requests that is admitted (the level). The rest is chosen at random and refused at once as `overloaded`,
+//! without being run; [`crate::decision::fair_share`] divides the level among tenants.
 //!
-//! **Inputs**: the group's median wait beyond usual work ([`wait`], [`usual_work`]: time), the wait that the goal bears
-//! ([`tolerable_wait`]: time), the time since the node started, and ranks below the group's most urgent (count). Each node judges by its own requests.
+//! The inputs are the group's median wait beyond the usual work ([`wait`], [`usual_work`]: time), the wait that the
+//! goal tolerates ([`tolerable_wait`]: time), the time since the group was first judged, and the number of ranks below
+//! the group's most urgent one. Each node uses only its own requests.
 //!
-//! **Protects** callers and back ends: when more is offered than searchers can do, every request waits until its goal has passed, and all work
-//! is done in vain. Measured with two slots a searcher instead of five, worth in time of two days of overload: 0.532 and 0.310
-//! without, 0.665 and 0.513 with (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots it does nothing
+//! The rule protects callers and back ends. When more is offered than searchers can process, every request waits until
+//! its goal has passed, and all work is wasted. Measured on two days of overload with two slots a searcher instead of
+//! five, the score for answers in time was 0.532 and 0.310 without the rule and 0.665 and 0.513 with it
+//! (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots, the rule has no effect
 //! (docs/studies/switches.md).
 //!
-//! **Doesn't know** what other nodes measure, how many slots are free, or why things wait: a link that can't keep up looks like a queue. One or
-//! two services that have lost replicas don't show in the median. At a level of a tenth a node sees few requests and recovers over seconds.
+//! The rule doesn't know what other nodes measure, how many slots are free, or why requests wait: a saturated link
+//! looks like a queue. One or two services that have lost replicas don't show in the median. At a level of a tenth, a
+//! node sees few requests and takes seconds to recover.
 //!
-//! **Shown by** the log's `event=admission` (group, level, wait, tolerable wait) and `event=not_admitted`, and the metric
-//! `staircross_requests_not_admitted_total`. **Turned off by** `routing.admission = false`. Alternatives: docs/design/admission.md.
+//! The log shows the rule as `event=admission` (group, level, wait, tolerable wait) and `event=not_admitted`; the
+//! metric is `staircross_requests_not_admitted_total`. The setting `routing.admission = false` turns it off.
+//! docs/design/admission.md compares alternatives.
 
 mod quantile_window;
 pub mod usual_work;
@@ -27,51 +32,54 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Least time between two judgements. So that each rests on a new window of waits.
+/// Minimum time between two judgements, so that each is based on a new window of waits.
 const JUDGEMENT_SPACING: Duration = Duration::from_millis(250);
-/// Longest time that is waited for the effect of a decrease, beside the spacing. A bound on how long a level that is too high stands while waits are
-/// longest.
+/// Maximum time to wait for a decrease to take effect, in addition to the spacing. It bounds how long too high a level
+/// stays in force while waits are longest.
 const MAX_DELAY: Duration = Duration::from_millis(1000);
-/// Wait, in tolerable waits, above which a limit begins. By definition: a longer wait lets the last sub-request come too late.
+/// Ratio of the wait to the tolerable wait above which limiting begins. By definition of the tolerable wait, the last
+/// sub-request comes too late beyond it.
 const TOO_LONG: f64 = 1.0;
-/// Wait, in tolerable waits, at which a limit is kept. Below [`TOO_LONG`], so that waits spread around it without missing the goal.
+/// Ratio of the wait to the tolerable wait that limiting aims at. It is below [`TOO_LONG`], so that waits that vary
+/// around it still meet the goal.
 const TARGET: f64 = 0.6;
-/// Time for which the wait must have been too long at each judgement; shorter, it is the end of a burst, which passes by itself. Where
-/// searchers are overloaded in waves a longer time costs callers.
+/// Time for which the wait must have been too long at each judgement before limiting begins. A shorter excess is the
+/// end of a burst, which passes by itself. Where searchers are overloaded in waves, a longer time costs callers.
 const STANDING: Duration = Duration::from_millis(600);
-/// Time from a group's first judgement during which nothing is refused: connections come up, searchers are cold, and after a restart callers
-/// come back all at once. As long as searchers usually are cold.
+/// Time from a group's first judgement during which nothing is refused: connections are being established, searchers
+/// are cold, and after a restart callers return all at once. It is as long as searchers usually are cold.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Change of the level, as a fraction of it, for each tolerable wait that the wait is off [`TARGET`]. Steps in
-/// proportion, because fixed factors swing (docs/design/admission.md).
+/// Relative change of the level for each tolerable wait by which the wait differs from [`TARGET`]. Steps are
+/// proportional because fixed factors make the level oscillate (docs/design/admission.md).
 const GAIN: f64 = 0.25;
-/// Largest decrease at one judgement, as a fraction of the level. So that one wrong wait costs a quarter at most.
+/// Maximum relative decrease in one judgement, so that one wrong wait costs a quarter of the level at most.
 const MAX_DECREASE: f64 = 0.25;
-/// Largest increase for one spacing while something queues, as a fraction of the level. A faster one leaves too much late
-/// in an overload that lasts (docs/studies/policy-rounds.md).
+/// Maximum relative increase in one spacing while requests queue. A faster one leaves too many answers late in a
+/// sustained overload (docs/studies/policy-rounds.md).
 const MAX_INCREASE: f64 = 0.05;
-/// Wait, in tolerable waits, below which nothing is taken to queue. Well below [`TARGET`].
+/// Ratio of the wait to the tolerable wait below which no queue is assumed. It is well below [`TARGET`].
 const NO_QUEUE: f64 = 0.25;
-/// Increase for one spacing while nothing queues, as a fraction of the level.
+/// Relative increase in one spacing while no queue is assumed.
 const FAST_INCREASE: f64 = 0.12;
-/// Spacings that one increase makes up for, at most: a node with few requests judges seldom.
+/// Maximum number of spacings for which one increase compensates, since a node with few requests judges rarely.
 const MAX_SPACINGS: f64 = 8.0;
-/// The least level. So that some requests remain to measure waits by. Below some 0.3 refusing costs callers more than late answers would, but the
-/// links stay free for configuration and drains (docs/design/admission.md).
+/// Minimum level, so that some requests remain to measure waits by. Below some 0.3, refusals cost callers more than
+/// late answers would, but links stay free for configuration and drains (docs/design/admission.md).
 const MIN_LEVEL: f64 = 0.05;
-/// Rise of the level's exponent for each rank below the most urgent. For a small lead: at a level of 0.5 one rank less is taken at 0.435.
+/// Increase of the level's exponent for each rank below the most urgent. It gives urgent routes a small lead: at a
+/// level of 0.5, one rank lower is admitted at 0.435.
 const RANK_STEP: f64 = 0.2;
 
-/// The level of one group of services.
+/// Admission level of one group of services.
 #[derive(Debug)]
 pub struct Admission {
     level: f64,
     next_judgement: BootTime,
-    /// When the group was judged first.
+    /// Time of the first judgement.
     first_judged: Option<BootTime>,
-    /// When the group was judged last.
+    /// Time of the last judgement.
     last_judged: Option<BootTime>,
-    /// Since when the wait has been too long at each judgement.
+    /// Time since which the wait has been too long at each judgement.
     too_long_since: Option<BootTime>,
 }
 
@@ -87,24 +95,24 @@
     }
 }
 
-/// A change of the level, for the log.
+/// Change of the level, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionChange {
-    /// The wait that was judged.
+    /// The wait that led to the change.
     pub wait: Duration,
-    /// What would be tolerable.
+    /// The tolerable wait.
     pub tolerable: Duration,
-    /// Fraction of the most urgent requests that is taken from now on, 0 to 1.
+    /// Fraction of the most urgent requests that is admitted from now on, 0 to 1.
     pub level: f64,
 }
 
 impl Admission {
-    /// Whether it is time to judge again.
+    /// Whether the next judgement is due.
     pub fn is_due(&self, now: BootTime) -> bool {
         now >= self.next_judgement
     }
 
-    /// Judges the group's wait; returns the change, if the level has changed.
+    /// Adjusts the level to the group's wait. Returns the change if the level has changed.
     pub fn judge(&mut self, now: BootTime, wait: Duration, tolerable: Duration) -> Option<AdmissionChange> {
         self.next_judgement = now + JUDGEMENT_SPACING;
         let since_last = now.since(self.last_judged.replace(now).unwrap_or(now));
@@ -115,7 +123,7 @@
         }
         let step = step_for(ratio, since_last);
         if step < 0.0 {
-            // What was sent before waited in the queue before: the effect shows once that has gone through.
+            // Requests already sent have waited in the existing queue. The decrease shows once that queue has drained.
             self.next_judgement = self.next_judgement + (wait * 2).min(MAX_DELAY);
         }
         let before = self.level;
@@ -123,7 +131,7 @@
         (self.level != before).then_some(AdmissionChange { wait, tolerable, level: self.level })
     }
 
-    /// Whether the wait has been too long for so long that it isn't what a burst left behind.
+    /// Whether the wait has been too long for longer than the end of a burst would last.
     fn stands(&mut self, now: BootTime, ratio: f64) -> bool {
         if ratio <= TOO_LONG {
             self.too_long_since = None;
@@ -133,23 +141,24 @@
         now.since(since) >= STANDING
     }
 
-    /// Fraction of the requests that is taken, `ranks` below the most urgent of the group.
+    /// Returns the fraction of requests that is admitted at a rank that is `ranks` below the group's most urgent one.
     pub fn fraction_taken(&self, ranks: u32) -> f64 {
         self.level.powf(1.0 + RANK_STEP * f64::from(ranks))
     }
 
-    /// Fraction of the most urgent requests that is taken.
+    /// Returns the fraction of the most urgent requests that is admitted.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Whether anything is refused now.
+    /// Whether any requests are refused now.
     pub fn is_limiting(&self) -> bool {
         self.level < 1.0
     }
 }
 
-/// Change of the level, as a fraction of it, at a wait of `ratio` tolerable ones. Only an increase makes up for the time since the last judgement.
+/// Returns the relative change of the level at a wait of `ratio` tolerable waits. Only an increase compensates for the
+/// time since the last judgement.
 fn step_for(ratio: f64, since_last: Duration) -> f64 {
     let step =
         if ratio < NO_QUEUE { FAST_INCREASE } else { (GAIN * (TARGET - ratio)).clamp(-MAX_DECREASE, MAX_INCREASE) };
--- a/crates/staircross-routing/src/decision/admission/quantile_window.rs
+++ b/crates/staircross-routing/src/decision/admission/quantile_window.rs
@@ -1,15 +1,16 @@
-//! A quantile of the durations that come within one window of time.
+//! A quantile of the durations sampled within one window of time.
 //!
-//! Owns the samples of the present window; a window ends when both its length and its least number of samples are reached, and the
-//! next begins with the sample after. Samples are kept as `f32` seconds: a seventh digit says nothing here.
+//! A window ends when both its length and its minimum number of samples are reached; the next one begins with the next
+//! sample. Samples are stored as `f32` seconds, since a seventh digit carries no information here.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Samples that a window keeps at most; later ones of the same window are dropped. A bound on memory: 512 `f32` are 2 KiB a window.
+/// Maximum number of samples in a window; further ones of the same window are dropped. This bounds memory: 512 `f32`
+/// take 2 KiB a window.
 pub(super) const MAX_SAMPLES: usize = 512;
 
-/// Gathers samples, window by window.
+/// Collects samples window by window.
 #[derive(Debug)]
 pub(super) struct QuantileWindow {
     quantile: f64,
@@ -20,17 +21,18 @@
 }
 
 impl QuantileWindow {
-    /// `quantile` from 0 to below 1; a window lasts `length` and holds `least_samples` at least, however long that takes.
+    /// Creates a window for `quantile`, from 0 to below 1. Each window lasts for at least `length` and until it has
+    /// `least_samples`, however long that takes.
     pub(super) fn new(quantile: f64, length: Duration, least_samples: usize) -> Self {
         QuantileWindow { quantile, length, least_samples, began: None, samples: Vec::new() }
     }
 
-    /// When the present window began; `None` between a window's end and the next sample.
+    /// Returns the time at which the current window began, or `None` between the end of a window and the next sample.
     pub(super) fn began(&self) -> Option<BootTime> {
         self.began
     }
 
-    /// Adds a sample; returns the quantile when the window is over, and begins the next.
+    /// Adds a sample. At the end of a window, returns its quantile and starts the next.
     pub(super) fn add(&mut self, now: BootTime, sample: Duration) -> Option<Duration> {
         let began = *self.began.get_or_insert(now);
         if self.samples.len() < MAX_SAMPLES {
--- a/crates/staircross-routing/src/decision/admission/usual_work.rs
+++ b/crates/staircross-routing/src/decision/admission/usual_work.rs
@@ -1,27 +1,30 @@
-//! The usual work of a route: how long its sub-requests take where nothing queues.
+//! The usual work of a route: the time that its sub-requests take when nothing queues.
 //!
-//! Estimated as the least median of any window so far, with a slow rise, since work may have grown since that median was seen. A
-//! queue that has stood since this node started looks like work. [`super::wait`] counts as waiting what exceeds the estimate.
+//! The estimate is the least median of all windows so far. It rises slowly, since the work may have grown after that
+//! median was measured. A queue that has existed since this node started is mistaken for work. [`super::wait`] counts
+//! time beyond the estimate as waiting.
 
 use super::quantile_window::QuantileWindow;
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Samples of a route's work that one median needs. For a median that a few odd answers don't move.
+/// Number of samples of a route's work needed for one median, so that a few outliers don't move it.
 const WORK_SAMPLES: usize = 40;
-/// Time over which the samples of one median are gathered, at least. As long as the time between two judgements of the level, which rest on it.
+/// Minimum time over which the samples of one median are collected. It equals the time between two judgements of the
+/// level, which use the estimate.
 const WORK_WINDOW: Duration = Duration::from_millis(250);
-/// Rise of the estimate, as a fraction a second. So that grown work is found within minutes while a queue that stands for one minute adds some 13 in
-/// 100 only.
+/// Rise of the estimate a second, as a fraction of it. Grown work is detected within minutes, while a queue that lasts
+/// for one minute adds only some 13 in 100.
 const USUAL_RISE: f64 = 0.002;
-/// Further rise, as a fraction a second, times the square of the fraction that is refused: where little is taken and the time is still long, it is
-/// work rather than a queue. So that at the least level the estimate doubles in some 15 s.
+/// Additional rise a second, as a fraction of the estimate, times the square of the fraction of requests that is
+/// refused: if few requests are admitted and they still take long, the cause is work rather than a queue. At the
+/// minimum level, the estimate doubles in some 15 s.
 const USUAL_RISE_REFUSING: f64 = 0.05;
-/// Longest time between two samples that counts for the rise. So that one quiet spell raises the estimate by 1 in 100 at most while nothing is
-/// refused.
+/// Maximum time between two samples that counts towards the rise. One quiet period thus raises the estimate by at most
+/// 1 in 100 while nothing is refused.
 const MAX_RISE_SPAN: Duration = Duration::from_secs(5);
 
-/// The usual time of a route's sub-requests.
+/// Estimate of the usual work time of a route's sub-requests.
 #[derive(Debug)]
 pub struct UsualWork {
     window: QuantileWindow,
@@ -37,7 +40,8 @@
 }
 
 impl UsualWork {
-    /// Adds the time of an answered sub-request, without the round trip. `level` is the fraction of the offered requests that is taken, 0 to 1.
+    /// Adds the time of an answered sub-request, without the round trip. `level` is the fraction of the offered
+    /// requests that is admitted, 0 to 1.
     pub fn record(&mut self, now: BootTime, worked: Duration, level: f64) {
         let span = now.since(self.recorded_at).min(MAX_RISE_SPAN).as_secs_f64();
         self.recorded_at = now;
@@ -49,7 +53,7 @@
         }
     }
 
-    /// The usual time; `None` until one window is complete.
+    /// Returns the usual time, or `None` until one window is complete.
     pub fn get(&self) -> Option<Duration> {
         self.seconds.map(Duration::from_secs_f64)
     }
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -1,70 +1,77 @@
-//! How long sub-requests wait beyond their usual work, and how long a wait a goal bears.
+//! The time for which sub-requests wait beyond their usual work, and the wait that a goal tolerates.
 //!
-//! Two waits are kept: one for each group of services that are asked together, by which the level of [`super`] is judged, and one for each
-//! service, by which hedges are left out ("pressed"). Both are quantiles over windows; a wait that is too old counts as none.
+//! Two waits are measured: one for each group of services that are asked together, which determines the level of
+//! [`super`], and one for each service, which suppresses hedges when it is too long ("pressed" in the log). Both are
+//! quantiles over windows; a wait that is too old counts as none.
 //!
-//! The group's wait is a median on purpose: a paused, slow or lost searcher raises the tail and leaves the median, while a queue at all
-//! searchers raises it, and so does a link or a process that can't keep up.
+//! The group's wait is a median on purpose. A paused, slow or lost searcher raises the tail but not the median, while a
+//! queue at all searchers raises the median, as does a link or a process that is saturated.
 
 use super::quantile_window::{MAX_SAMPLES, QuantileWindow};
 use staircross_types::BootTime;
 use std::f64::consts::LN_2;
 use std::time::Duration;
 
-/// Quantile of the waits at one service, by which hedges are decided.
+/// Quantile of the waits at one service, which decides about hedges.
 const SERVICE_QUANTILE: f64 = 0.25;
-/// Samples that the wait at one service needs. For an early signal from few requests. Too few for admission, where the noisiest of 36 to 54 shards
-/// then looked overloaded (docs/FINDINGS.md).
+/// Number of samples needed for the wait at one service. It gives an early signal from few requests. It is too low for
+/// admission, where the noisiest of 36 to 54 shards then looked overloaded (docs/FINDINGS.md).
 const SERVICE_SAMPLES: usize = 5;
-/// Time over which waits at one service are gathered, at least. For an early signal.
+/// Minimum time over which waits at one service are collected, for an early signal.
 const SERVICE_WINDOW: Duration = Duration::from_millis(200);
-/// Quantile of the waits of a group of services: a lower one of single services is too noisy (docs/MEASUREMENTS.md, "Overload").
+/// Quantile of the waits of a group of services. A lower quantile of single services is too noisy
+/// (docs/MEASUREMENTS.md, "Overload").
 const GROUP_QUANTILE: f64 = 0.5;
-/// Samples that the wait of a group needs, whatever its fan-out. For groups of few services, whose six requests give few samples.
+/// Minimum number of samples for the wait of a group, whatever its fan-out. It matters for groups of few services,
+/// where six requests give few samples.
 const GROUP_SAMPLES: usize = 24;
-/// Requests that the samples of a group come from, at least, since the sub-requests of one are late together.
+/// Minimum number of requests that the samples of a group come from, since the sub-requests of one request are late
+/// together.
 const GROUP_REQUESTS: usize = 6;
-/// Time over which the waits of a group are gathered, at least. Below the time between two judgements, so that a node with enough requests judges by
-/// a new wait each time.
+/// Minimum time over which the waits of a group are collected. It is below the time between two judgements, so that a
+/// node with enough requests uses a new wait each time.
 const GROUP_WINDOW: Duration = Duration::from_millis(200);
-/// Age above which a wait counts as none. For several windows of a node with enough requests.
+/// Age above which a wait counts as none. It covers several windows of a node with enough requests.
 const WAIT_LIFE: Duration = Duration::from_millis(1500);
-/// Age, in times of what gathering the last wait took, up to which a wait that is too old isn't taken for none either: a node with few
-/// requests gathers for seconds and has no newer one by then.
+/// Age up to which an outdated wait doesn't count as none for admission, as a multiple of the time in which its samples
+/// were collected. A node with few requests collects for seconds and has no newer wait by then.
 const UNSURE_WINDOWS: f64 = 1.5;
-/// Wait that a rejection for lack of room counts as. Well above tolerable waits, which are tens of milliseconds.
+/// Wait that a rejection for lack of capacity counts as. It is well above tolerable waits, which are tens of
+/// milliseconds.
 const SHED_WAIT: Duration = Duration::from_millis(500);
-/// Euler's constant, rounded: the mean of the longest of `n` exponential waits of mean 1 is about `ln n` plus this.
+/// Euler's constant, rounded. The mean of the longest of `n` exponential waits of mean 1 is about `ln n` plus this
+/// constant.
 const EULER: f64 = 0.58;
 
-/// The median wait of a request's sub-requests with which the last of them still comes in time.
+/// Returns the median wait of a request's sub-requests at which the last of them still arrives in time.
 ///
-/// `goal` is the time for the whole answer, `usual` the work of one sub-request, `fan_out` the number of sub-requests. Waits in a queue are
-/// spread roughly exponentially: the longest of `fan_out` is about `ln(fan_out) + 0.58` times their mean, the median `ln 2` times.
+/// `goal` is the time for the complete answer, `usual` the work of one sub-request, and `fan_out` the number of
+/// sub-requests. Waits in a queue are distributed roughly exponentially: the longest of `fan_out` is about `ln(fan_out)
+/// + 0.58` times their mean, and the median is `ln 2` times their mean.
 pub fn tolerable_wait(goal: Duration, usual: Duration, fan_out: usize) -> Duration {
     let spare = goal.saturating_sub(usual * 2);
     let longest = (fan_out.max(1) as f64).ln() + EULER;
-    // Where the goal leaves no room at all, a wait as long as the work is borne.
+    // If the goal leaves no spare time, a wait as long as the work is tolerated.
     spare.mul_f64((LN_2 / longest).min(1.0)).max(usual)
 }
 
-/// How long sub-requests wait at one place.
+/// Measured wait of sub-requests at a service or at a group of services.
 #[derive(Debug)]
 pub struct Wait {
     window: QuantileWindow,
     value: Duration,
     measured_at: BootTime,
-    /// How long the samples of `value` were gathered.
+    /// Time in which the samples of `value` were collected.
     gathered_for: Duration,
 }
 
 impl Wait {
-    /// The wait at the searchers of one service.
+    /// Creates the wait at the searchers of one service.
     pub fn at_service() -> Self {
         Wait::new(QuantileWindow::new(SERVICE_QUANTILE, SERVICE_WINDOW, SERVICE_SAMPLES))
     }
 
-    /// The wait at the searchers of a group of services, of which a request asks `fan_out`.
+    /// Creates the wait at the searchers of a group of services, of which a request asks `fan_out`.
     pub fn at_group(fan_out: usize) -> Self {
         let samples = (fan_out * GROUP_REQUESTS).clamp(GROUP_SAMPLES, MAX_SAMPLES);
         Wait::new(QuantileWindow::new(GROUP_QUANTILE, GROUP_WINDOW, samples))
@@ -84,17 +91,17 @@
         }
     }
 
-    /// Adds a sub-request that was rejected for lack of room.
+    /// Adds a sub-request that was rejected for lack of capacity.
     pub fn record_shed(&mut self, now: BootTime) {
         self.record(now, SHED_WAIT);
     }
 
-    /// The wait; zero where nothing was measured lately.
+    /// Returns the wait, or zero if nothing was measured lately.
     pub fn get(&self, now: BootTime) -> Duration {
         if now.since(self.measured_at) <= WAIT_LIFE { self.value } else { Duration::ZERO }
     }
 
-    /// The wait to judge by; `None` while the last is too old and the next is still being gathered.
+    /// Returns the wait for admission, or `None` while the last one is outdated and the next is still being collected.
     pub fn judged(&self, now: BootTime) -> Option<Duration> {
         let age = now.since(self.measured_at);
         let is_unsure = age > WAIT_LIFE && age <= self.gathered_for.mul_f64(UNSURE_WINDOWS);
--- a/crates/staircross-routing/src/decision/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -1,46 +1,49 @@
-//! In which regions a request may be served.
+//! Decides in which regions a request may be served.
 //!
-//! **Decides** for a request and a searcher's region whether it may be sent there. Both the route's regions and the tenant's bind; an empty list allows
-//! all. A zone whose region isn't known serves only what may be served anywhere.
+//! For a request and a searcher's region, the rule returns whether the request may be sent there. The route's regions
+//! and the tenant's regions both apply; an empty list allows all regions. A zone whose region isn't known serves only
+//! requests that may be served anywhere.
 //!
-//! **Inputs**: the route's and the tenant's allowed regions, by the configuration that the request was begun with, and the region's name.
+//! The inputs are the allowed regions of the route and of the tenant, from the configuration with which the request
+//! began, and the name of the region.
 //!
-//! **Protects** a promise to tenants and routes about where their requests run, so it has no switch. It costs requests that nobody there can serve:
-//! they are refused at once, never moved.
+//! The rule keeps a promise to tenants and routes about where their requests run, so it can't be turned off. Requests
+//! that no searcher in these regions can serve are refused at once; they are never moved elsewhere.
 //!
-//! **Shown by** refusals `no_allowed_replica`. docs/DESIGN.md names the page that has the rest.
+//! Callers see the rule as refusals of kind `no_allowed_replica`. docs/DESIGN.md names the page with the details.
 
 use crate::configuration::definition::RouteDefinition;
 use crate::configuration::tenants::TenantDefinition;
 use std::sync::Arc;
 
-/// The regions that a request's route allows, and those that its tenant does; both bind.
+/// Regions allowed by a request's route and by its tenant. Both restrictions apply.
 #[derive(Clone, Copy, Debug)]
 pub struct AllowedRegions<'a> {
-    /// Empty where any is allowed.
+    /// Regions that the route allows, or empty if it allows any.
     route: &'a [Arc<str>],
+    /// Regions that the tenant allows, or empty if it allows any.
     tenant: &'a [Arc<str>],
 }
 
 impl<'a> AllowedRegions<'a> {
-    /// What binds requests of a tenant, if there is one, to a route.
+    /// Combines the restrictions of a route and of the tenant, if there is one.
     pub fn new(route: &'a RouteDefinition, tenant: Option<&'a TenantDefinition>) -> Self {
         let tenant = tenant.map_or(&[][..], |tenant| &tenant.allowed_regions);
         AllowedRegions { route: &route.allowed_regions, tenant }
     }
 
-    /// Whether searchers of a region may serve the request. `None` is a zone whose region isn't known.
+    /// Whether searchers of a region may serve the request. `None` stands for a zone whose region isn't known.
     pub fn allow(&self, region: Option<&Arc<str>>) -> bool {
         let is_in = |set: &[Arc<str>]| set.is_empty() || region.is_some_and(|region| set.contains(region));
         is_in(self.route) && is_in(self.tenant)
     }
 
-    /// Whether any region will do.
+    /// Whether any region is allowed, including unknown ones.
     pub fn are_all(&self) -> bool {
         self.route.is_empty() && self.tenant.is_empty()
     }
 
-    /// Whether no region will ever do, whichever searchers serve there.
+    /// Whether no region is allowed, so that no searcher can ever serve the request.
     pub fn are_none(&self) -> bool {
         let is_disjoint = || !self.route.iter().any(|region| self.tenant.contains(region));
         !self.route.is_empty() && !self.tenant.is_empty() && is_disjoint()
--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -1,18 +1,22 @@
-//! How much a node may send to a searcher that has just started.
+//! Limits the requests that a node sends to a searcher that has just started (a cold searcher).
 //!
-//! **Decides** for a cold searcher how many requests this node may have sent it within 1.25 s, and when the next may go. Other nodes compute their own
-//! shares; nothing is agreed. Where the bound is less than a request for each node, as many nodes as it allows send one, others for each searcher.
+//! The rule decides how many requests this node may have sent to a cold searcher within 1.25 s, and when the next may
+//! follow. Other nodes compute their own shares; nothing is coordinated. If the limit is less than one request for each
+//! node, as many nodes as it allows send one request each; which nodes these are differs by searcher.
 //!
-//! **Inputs**: what the searcher bears while it is cold ([`ColdStart`], requests a second), the operator's bound on it ([`ColdBound`]), its id, and
-//! how many nodes serve and which of them this one is ([`FleetRank`]). When it is cold, [`crate::state::searcher`] knows.
+//! The inputs are the rate that the searcher can take while it is cold ([`ColdStart`], requests a second), the
+//! operator's limit ([`ColdBound`]), the searcher's id, the number of serving nodes, and this node's rank among them
+//! ([`FleetRank`]). [`crate::state::searcher`] knows when a searcher is cold.
 //!
-//! **Protects** searchers: a cold one bears a few requests a second from all nodes together and falls over at well above that. A promise to back
-//! ends, so it has no switch; where the service names no such rate, nothing is limited. What it costs wasn't measured by itself.
+//! The rule protects searchers: a cold one can take a few requests a second from all nodes together, and crashes well
+//! above that rate. This is promised to back ends, so it can't be turned off. Without a configured rate for the
+//! service, nothing is limited. The cost of the rule wasn't measured separately.
 //!
-//! **Doesn't know** what other nodes have sent. A node that is cut off divides by the largest fleet lately seen, so the sum stays below the bound.
+//! The rule doesn't know what other nodes have sent. A node that is cut off divides by the largest fleet that it has
+//! seen lately, so the sum stays below the limit.
 //!
-//! **Shown by** the log's `event=unsent cause=avoided` and `event=left_out cause=no_room` of a shard whose searchers have all just started.
-//! Alternatives: docs/design/cold-searchers.md.
+//! The log shows the rule as `event=unsent cause=avoided` and `event=left_out cause=no_room` for a shard whose
+//! searchers have all just started. docs/design/cold-searchers.md compares alternatives.
 
 use crate::configuration::definition::ColdStart;
 use serde::{Deserialize, Serialize};
@@ -20,38 +24,40 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Fraction of the bound that nodes plan to use. To leave 0.4 of it for nodes that see the fleet differently for a moment.
+/// Fraction of the limit that nodes plan to use. The remaining 0.4 covers nodes whose views of the fleet differ for a
+/// moment.
 const PLANNED_FRACTION: f64 = 0.6;
-/// Time over which sends are counted. The bound holds for one second at the searcher; connecting may delay a request on its way there by a quarter
-/// more.
+/// Time over which sent requests are counted. The limit applies to one second at the searcher, and connecting may delay
+/// a request on its way there by a quarter of a second.
 const COUNTED: Duration = Duration::from_millis(1250);
 
-/// The bound on requests to a cold searcher in one second: what it bears times `factor`, plus `slack`.
+/// Limit on requests to a cold searcher in one second: the rate that it can take times `factor`, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdBound {
-    /// Times what it bears.
+    /// Multiple of the rate that the searcher can take.
     pub factor: f64,
-    /// Requests besides.
+    /// Number of additional requests.
     pub slack: f64,
 }
 
 impl Default for ColdBound {
-    /// Just what the searcher bears.
+    /// Limits requests to the rate that the searcher can take.
     fn default() -> Self {
         ColdBound { factor: 1.0, slack: 0.0 }
     }
 }
 
-/// Where a node stands among those that serve.
+/// Rank of a node among those that serve callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetRank {
-    /// Its number among them, from 0; `None` for a reserve.
+    /// Number of the node among them, from 0, or `None` for a reserve node.
     pub rank: Option<usize>,
-    /// Most nodes that served lately.
+    /// Largest number of nodes that served lately.
     pub serving: usize,
 }
 
-/// Requests that a node may have sent to a cold searcher within 1.25 s; `None` where there is no limit. A reserve may send none.
+/// Returns the number of requests that a node may have sent to a cold searcher within 1.25 s, or `None` if it isn't
+/// limited. A reserve node may send none.
 pub fn cold_share(cold: ColdStart, bound: ColdBound, instance: &str, fleet: FleetRank) -> Option<usize> {
     let per_s = cold.requests_per_s?;
     let total = ((per_s * bound.factor + bound.slack) * PLANNED_FRACTION) as usize;
@@ -66,14 +72,14 @@
     Some(usize::from((rank + offset) % nodes < total))
 }
 
-/// Sends to one searcher while it was cold.
+/// Times at which requests were sent to one searcher while it was cold.
 #[derive(Clone, Debug, Default)]
 pub struct ColdSends {
     times: VecDeque<BootTime>,
 }
 
 impl ColdSends {
-    /// Notes a send.
+    /// Records that a request was sent.
     pub fn note(&mut self, now: BootTime) {
         while self.times.front().is_some_and(|sent| now.since(*sent) >= COUNTED) {
             self.times.pop_front();
@@ -81,7 +87,7 @@
         self.times.push_back(now);
     }
 
-    /// When one more may be sent with a share; `None` when never.
+    /// Returns the time from which one more request may be sent with a share of `share`, or `None` if none ever may.
     pub fn next(&self, now: BootTime, share: usize) -> Option<BootTime> {
         if share == 0 {
             return None;
--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -1,22 +1,27 @@
-//! How much work beyond the strictly needed may be sent to one service.
+//! Limits the requests beyond the strictly needed ones that may be sent to one service.
 //!
-//! Decides for each hedge and each retry of this node whether it may be sent ([`ExtraWindow::try_spend`]), and for [`super::hedging`] how much is left
-//! ([`ExtraWindow::spare_fraction`]). First attempts and reroutes (of which nothing was sent before) are free ([`is_paid`]).
+//! The rule decides for each hedge and each retry of this node whether it may be sent ([`ExtraWindow::try_spend`]), and
+//! tells [`super::hedging`] how much of the budget is left ([`ExtraWindow::spare_fraction`]). First attempts are free,
+//! and so are reroutes, for which nothing was sent before ([`is_paid`]).
 //!
-//! **Inputs.** The bound for all nodes together, from the settings: extra sends for each request, and a number of extra sends besides (the slack), in every
-//! sliding window of a given length; this node's own requests and extra sends of a service, counted by steps of a twentieth of the window; the
-//! fraction of the slack that is this node's (0 to 1, by the nodes that live).
+//! The inputs are the limit for all nodes together, from the settings: a number of extra sends for each request, plus a
+//! fixed number of extra sends (the slack) in every sliding window of a given length; this node's own requests and
+//! extra sends for a service, counted in steps of a twentieth of the window; and the fraction of the slack that belongs
+//! to this node (0 to 1, from the number of live nodes).
 //!
-//! **What it protects.** Back ends, from callers' requests being multiplied while they are slow: each node spends a fraction of its own requests and
-//! its share of the slack, so that the sum stays below the bound whichever nodes are cut off from each other. **What it costs.** Answers in time, hardly answers: on one
-//! day with slow searchers 2,277 hedges and 266 retries were refused, nearly all within nine seconds, and of seven requests that ended as `back_ends_failed`
-//! one was over budget (`docs/design/extra-sends.md`).
+//! The rule protects back ends from amplified load while they are slow. Each node spends a fraction of its own requests
+//! and its share of the slack, so that the sum stays below the limit whichever nodes are cut off from each other. It
+//! costs timely answers, but hardly any answers: on one day with slow searchers, 2,277 hedges and 266 retries were
+//! refused, nearly all within nine seconds, and of seven requests that ended as `back_ends_failed` one was over budget
+//! (`docs/design/extra-sends.md`).
 //!
-//! **What it doesn't know.** What other nodes spend: most of their budget may lie unused. Which retry matters most: first come, first served (a reserve
-//! for retries cost 0.003 of the mean worth of a day). What this machine's process before the present one spent.
+//! The rule doesn't know what other nodes spend, so most of their budget may be unused; which retry matters most, so
+//! they are served in order of arrival (a reserve for retries lowered the mean score of a day by 0.003); or what the
+//! previous process on this machine spent.
 //!
-//! **At work.** Log: `unsent reason=… cause=over_budget`. Metrics: `attempts_over_budget_total`, `attempts_hedge_total`, `attempts_retry_total`.
-//! **Switches of `[policy]`.** None: it keeps a promise to back ends. `routing.hedge_by_budget` decides only whether hedges go by what is left.
+//! The log shows the rule as `unsent reason=… cause=over_budget`; the metrics are `attempts_over_budget_total`,
+//! `attempts_hedge_total` and `attempts_retry_total`. The rule is promised to back ends and can't be turned off. The
+//! setting `routing.hedge_by_budget` only decides whether the delay of hedges depends on the budget that is left.
 
 use crate::state::request::SendReason;
 use serde::{Deserialize, Serialize};
@@ -24,20 +29,21 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Steps that a window is cut into. What is counted is forgotten a step at a time, and only when the whole step has left the window, so the sum
-/// covers the window and up to a twentieth more. For a few counters a service.
+/// Number of steps that a window is divided into, so that a service needs only a few counters. Counts are dropped one
+/// step at a time, once the whole step has left the window, so the sum covers the window and up to a twentieth more.
 const STEPS: u64 = 20;
 
-/// Fraction of the allowed ratio that is used; the rest is for what others see differently. For requests whose extra sends are counted in another
-/// window elsewhere.
+/// Fraction of the allowed ratio that is used. The rest covers requests whose extra sends another node counts in a
+/// different window.
 const RATIO_USED: f64 = 0.85;
 
-/// Fraction of the slack that is used. A process that starts has no memory of what the one before it spent, so up to twice as much may be
-/// spent in one window: anything above 0.5 breaks the bound when all nodes are restarted at once. Against 0.7, mean worth of a day: +0.001
-/// for 0.7, within the differences between seeds (`docs/design/extra-sends.md`).
+/// Fraction of the slack that is used. A process that starts doesn't know what the previous one spent, so up to twice
+/// as much may be spent in one window: any fraction above 0.5 exceeds the limit when all nodes are restarted at once.
+/// With 0.7, the mean score of a day was higher by 0.001, which is within the differences between seeds
+/// (`docs/design/extra-sends.md`).
 const SLACK_USED: f64 = 0.4;
 
-/// Whether an attempt made for a reason is paid from the budget.
+/// Whether an attempt made for this reason is paid from the budget.
 pub fn is_paid(reason: SendReason) -> bool {
     match reason {
         SendReason::Hedge | SendReason::Retry => true,
@@ -45,17 +51,18 @@
     }
 }
 
-/// The bound for all nodes together.
+/// Limit on extra sends for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExtraBound {
-    /// Extra sends per request.
+    /// Extra sends allowed for each request.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Duration,
-    /// Extra sends per window besides.
+    /// Additional extra sends allowed in each window.
     pub slack: f64,
 }
 
+/// Counts of one step.
 #[derive(Clone, Copy, Debug, Default)]
 struct Step {
     number: u64,
@@ -63,7 +70,7 @@
     extras: u32,
 }
 
-/// Counts of one service in the current window.
+/// Requests and extra sends of one service in the current window.
 #[derive(Debug, Default)]
 pub struct ExtraWindow {
     steps: VecDeque<Step>,
@@ -75,7 +82,8 @@
         self.current(now, bound).requests += 1;
     }
 
-    /// Takes a token for one extra send, if there is any. `slack_share` of the slack is this node's, 0 to 1.
+    /// Spends one extra send if the budget permits it, and returns whether it does. `slack_share` is this node's
+    /// fraction of the slack, 0 to 1.
     pub fn try_spend(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> bool {
         self.current(now, bound);
         if self.spare(bound, slack_share) < 1.0 {
@@ -85,7 +93,7 @@
         true
     }
 
-    /// Fraction of the present window's budget that isn't spent, 0 to 1.
+    /// Returns the unspent fraction of the current window's budget, 0 to 1.
     pub fn spare_fraction(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> f64 {
         self.current(now, bound);
         let spare = self.spare(bound, slack_share);
@@ -93,7 +101,8 @@
         if allowed > 0.0 { (spare / allowed).clamp(0.0, 1.0) } else { 0.0 }
     }
 
-    /// Extra sends that the budget will permit until a time, if requests go on coming at their present rate.
+    /// Returns the number of extra sends that the budget will permit until a time if requests continue to arrive at
+    /// their current rate.
     pub fn permitted_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_share: f64) -> usize {
         let present = self.current(now, bound).number;
         let last = step_number(until, bound).max(present);
@@ -106,13 +115,14 @@
         (allowed - f64::from(extras)).max(0.0) as usize
     }
 
-    /// Extra sends that the budget permits now; below 0 where more were sent than is allowed by now.
+    /// Returns the number of extra sends that the budget permits now. It is negative if more were sent than are allowed
+    /// by now.
     fn spare(&self, bound: &ExtraBound, slack_share: f64) -> f64 {
         let extras: u32 = self.steps.iter().map(|step| step.extras).sum();
         self.allowed(bound, slack_share) - f64::from(extras)
     }
 
-    /// Extra sends that the requests of the window allow.
+    /// Returns the number of extra sends that the requests in the window and the slack allow.
     fn allowed(&self, bound: &ExtraBound, slack_share: f64) -> f64 {
         f64::from(self.requests()) * bound.ratio * RATIO_USED + own_slack(bound, slack_share)
     }
@@ -121,7 +131,7 @@
         self.steps.iter().map(|step| step.requests).sum()
     }
 
-    /// The present step; steps that have left the window are dropped.
+    /// Returns the current step, and drops the steps that have left the window.
     fn current(&mut self, now: BootTime, bound: &ExtraBound) -> &mut Step {
         let number = step_number(now, bound);
         while self.steps.front().is_some_and(|step| step.number + STEPS < number) {
@@ -135,12 +145,12 @@
     }
 }
 
-/// What a node may spend of the slack.
+/// Returns the part of the slack that this node may spend.
 fn own_slack(bound: &ExtraBound, slack_share: f64) -> f64 {
     bound.slack * SLACK_USED * slack_share
 }
 
-/// Number of the step that a time lies in.
+/// Returns the number of the step that contains a time.
 fn step_number(time: BootTime, bound: &ExtraBound) -> u64 {
     let step_length = (bound.window.as_micros() as u64 / STEPS).max(1);
     time.0 / step_length
--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -1,72 +1,85 @@
-//! Whose requests are taken while only a fraction of them is: max-min fairness among tenants, with a floor.
+//! Divides the admitted requests among tenants while only a fraction is admitted: max-min fairness with a floor.
 //!
-//! **Decides** for each request, while [`crate::decision::admission`] limits its group of services at its rank, the fraction of its tenant's requests that
-//! is taken. What is taken is filled up like water: a tenant that asks for less than the share is taken whole, those that ask for more get
-//! the share, and nobody gets less than [`FLOOR`] of the level. All tenants weigh the same.
+//! While [`crate::decision::admission`] limits a request's group of services at the request's rank, the rule decides
+//! which fraction of the tenant's requests is admitted. Capacity is filled from the bottom up: all requests of a tenant
+//! that asks for less than the share are admitted, tenants that ask for more are cut to the share, and no tenant gets
+//! less than [`FLOOR`] times the level. All tenants have the same weight.
 //!
-//! **Inputs**: the level (fraction, 0 to 1) and each tenant's recent requests at this node, counted here (requests, halved in 7 s).
+//! The inputs are the level (a fraction, 0 to 1) and each tenant's recent requests at this node, which are counted here
+//! with a half-life of 7 s.
 //!
-//! **Protects** tenants that ask for little from one that asks for much, which refusing by chance doesn't. Measured as the fraction served
-//! in time with one tenant of 78 at 7.5 times the others, 71 nodes, twice the capacity offered: the others 0.486, by chance 0.476; the
-//! one 0.366, by chance 0.475 (docs/design/fair-shares.md, with weights by quota and other floors).
+//! The rule protects tenants that send few requests from one that sends many, which random refusal doesn't do. Measured
+//! as the fraction served in time, with one tenant of 78 sending 7.5 times as much as each other one, 71 nodes, and
+//! offered load of twice the capacity: the other tenants got 0.486, against 0.476 with random refusal; the one tenant
+//! got 0.366, against 0.475 (docs/design/fair-shares.md, which also covers weights by quota and other floors).
 //!
-//! **Doesn't know** other nodes' counts; nothing is sent for it. A node sees a few requests of a tenant in the time that counts, so shares are
-//! wrong at one node for a moment, and right over nodes and seconds. The sum holds at each node: what was taken too much or too little is made
-//! good with the next requests, so that the sum of all fractions stays within [`MAX_OWED`] requests of what the level asks for.
+//! The rule doesn't know other nodes' counts, and sends nothing to learn them. A node sees only a few requests of a
+//! tenant within the half-life, so the shares at one node are wrong for a moment, but right over all nodes and over
+//! seconds. The sum is kept at each node: an excess or a shortfall is made up for with the next requests, so that the
+//! sum of all fractions stays within [`MAX_OWED`] requests of the sum at the level.
 //!
-//! **Shown by** the log's `event=not_admitted` (the fraction) and the metric `staircross_tenant_refused_total{tenant}`. **Turned off by**
-//! `routing.admission = false` together with the level; it has no switch of its own. With one tenant, or none, the fraction is the level to the last bit.
+//! The log shows the rule as `event=not_admitted` (with the fraction); the metric is
+//! `staircross_tenant_refused_total{tenant}`. The setting `routing.admission = false` turns the rule off together with
+//! the level. With one tenant, or none, the fraction is the level, bit for bit.
 
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time in which a count halves, so that requests count for 10 s on average. So that a node that sees two requests a second counts some twenty.
+/// Half-life of a count. Requests count for 10 s on average, so that a node that receives two requests a second counts
+/// some twenty.
 const HALF_LIFE: Duration = Duration::from_secs(7);
-/// Tenants that are counted one by one; the least active make way and are counted together. A bound on memory, some 20 KB by calculation, above the
-/// number of tenants that a node hears from in the time that counts.
+/// Maximum number of tenants that are counted separately. The least active ones beyond it are counted together. This
+/// bounds memory to some 20 KB by calculation, and exceeds the number of tenants that a node hears from within the
+/// half-life.
 const MAX_TENANTS: usize = 256;
-/// Least fraction of the level that every tenant's requests are taken with. Measured for 0, 0.5, 0.75 and 1 (chance alone): the greatest at which others
-/// are still served better than by chance, and the only one of the first three at which the worst tenth of tenants gets within 0.05 of all
-/// in each case tried (docs/design/fair-shares.md).
+/// Smallest fraction of the level at which a tenant's requests are admitted. Measured for 0, 0.5, 0.75 and 1 (random
+/// refusal alone): 0.75 is the greatest at which other tenants are still served better than by random refusal, and the
+/// only one of the first three at which the worst tenth of tenants gets within 0.05 of all tenants in each tried case
+/// (docs/design/fair-shares.md).
 pub const FLOOR: f64 = 0.75;
-/// Change of the aimed-at fraction for each request that is owed. So that what is owed is made good within some ten requests.
+/// Change of the target fraction for each owed request. What is owed is thus made up for within some ten requests.
 const OWED_GAIN: f64 = 0.1;
-/// Requests that may be owed either way. Derived: at `1 / OWED_GAIN` the aim is all or nothing, which adds no more than one request.
+/// Maximum number of requests owed in either direction. Derivation: at `1 / OWED_GAIN` the target is all or nothing,
+/// which adds at most one request.
 pub const MAX_OWED: f64 = 1.0 / OWED_GAIN + 1.0;
-/// Size of a request's unit, in first units, at which all counts are brought back to the first. Units grow by half-lives, so that only the tenant
-/// that asks is touched. So that an `f64` still resolves a millionth of a request: it is reached in 210 s.
+/// Weight of a request, relative to the first, at which all counts are rescaled. New requests weigh more by each
+/// half-life instead of old counts being reduced, so that only the tenant that asks is updated. At this limit, which is
+/// reached in 210 s, an `f64` still resolves a millionth of a request.
 const MAX_SCALE: f64 = 1e9;
-/// Requests below which a count is dropped when units are brought back. A hundredth of one request.
+/// Number of requests below which a count is dropped when counts are rescaled: a hundredth of one request.
 const NO_DEMAND: f64 = 0.01;
-/// Steps in which the share is sought at most. Derived: halving alone narrows the interval to some 1e-12 of it in forty.
+/// Maximum number of steps in the search for the share. Derivation: bisection alone narrows the interval to some 1e-12
+/// of it in forty steps.
 const MAX_STEPS: usize = 40;
-/// Difference between what a share takes and what is wanted at which the search ends, as a fraction of all. Far below one request of any count that
-/// occurs.
+/// Difference between the admitted and the wanted requests at which the search ends, as a fraction of all requests. It
+/// is far below one request for any count that occurs.
 const PRECISION: f64 = 1e-9;
 
-/// Fraction that is taken of `count` requests at a share.
+/// Returns the fraction of `count` requests that is admitted at a share.
 fn fraction_at(share: f64, count: f64, floor: f64) -> f64 {
     (share / count).clamp(floor, 1.0)
 }
 
-/// What a share takes of all requests, and how many tenants are cut down to it: by so much what it takes rises with it.
+/// Requests admitted at a share, and the number of tenants that are cut to it. That number is the slope at which the
+/// admitted requests rise with the share.
 struct TakenAt {
     taken: f64,
     cut: f64,
 }
 
-/// Recent demand of tenants for the same services at the same rank, and what is owed.
+/// Recent demand of tenants for the same services at the same rank, and the requests that are owed.
 #[derive(Clone, Debug, Default)]
 pub struct FairShares {
-    /// Requests by tenant, in an order that replays alike; the empty name stands for all requests without a known tenant.
+    /// Requests by tenant, in an order that a replay repeats. The empty name stands for all requests without a known
+    /// tenant.
     counts: BTreeMap<Arc<str>, f64>,
-    /// Requests of tenants that aren't counted one by one.
+    /// Requests of tenants that aren't counted separately.
     rest: f64,
-    /// When a request counted as one unit.
+    /// Time at which one request counted as one unit.
     unit_at: Option<BootTime>,
-    /// Requests that were taken too little by now; below 0 where too many were.
+    /// Requests by which too few have been admitted so far; negative if too many were.
     owed: f64,
 }
 
@@ -84,7 +97,8 @@
         self.counts.insert(tenant.cloned().unwrap_or_default(), unit);
     }
 
-    /// Fraction of a tenant's requests that is taken while `level` is taken of all, 0 to 1 both. The tenant's request must be counted before.
+    /// Returns the fraction of a tenant's requests that is admitted while `level` is admitted of all requests, both 0
+    /// to 1. The tenant's request must be counted first.
     pub fn fraction_taken(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
         let unit = self.unit(now);
         let is_alone = self.counts.len() <= 1 && self.rest == 0.0;
@@ -98,10 +112,12 @@
         fraction
     }
 
-    /// The share at which `aim` of all is taken. Tenants that aren't counted one by one are each taken to ask for one request.
+    /// Returns the share at which the fraction `aim` of all requests is admitted. Tenants that aren't counted
+    /// separately are assumed to have one request each.
     ///
-    /// What is taken rises with the share in straight pieces, by one for each tenant that is cut down to it. So a step along the
-    /// present piece mostly hits; where it leads out of the interval that is left, that is halved.
+    /// The number of admitted requests is piecewise linear in the share, with a slope of one for each tenant that is
+    /// cut to the share. A step along the current piece mostly hits the target. If the step leads out of the remaining
+    /// interval, the interval is bisected.
     fn share(&self, aim: f64, floor: f64, unit: f64) -> f64 {
         let all = self.total();
         let wanted = aim * all;
@@ -127,7 +143,8 @@
         share
     }
 
-    /// What a share takes. Tenants that aren't counted one by one count as one request each.
+    /// Returns what is admitted at a share. Tenants that aren't counted separately are assumed to have one request
+    /// each.
     fn taken_at(&self, share: f64, floor: f64, unit: f64) -> TakenAt {
         let is_cut = |count: f64| floor * count < share && share < count;
         let mut at = TakenAt {
@@ -141,12 +158,12 @@
         at
     }
 
-    /// All requests that count.
+    /// Returns the sum of all counts.
     fn total(&self) -> f64 {
         self.counts.values().sum::<f64>() + self.rest
     }
 
-    /// What a request counts now.
+    /// Returns the weight of one request now, and rescales all counts when it has grown too large.
     fn unit(&mut self, now: BootTime) -> f64 {
         let unit_at = *self.unit_at.get_or_insert(now);
         let unit = (now.since(unit_at).as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
@@ -160,13 +177,14 @@
         1.0
     }
 
-    /// Counts the least active tenant among those that are counted together.
+    /// Moves the count of the least active tenant to the tenants that are counted together.
     fn merge_least(&mut self) {
         let least = self.counts.iter().min_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(name, _)| name.clone());
         self.rest += least.and_then(|name| self.counts.remove(&name)).unwrap_or(0.0);
     }
 }
 
+/// Returns the name under which a tenant's requests are counted.
 fn key_of(tenant: Option<&Arc<str>>) -> &str {
     tenant.map_or("", |name| name)
 }
--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -1,21 +1,25 @@
-//! Whether a gathered request is sent to one shard first, to which, and when the others follow.
+//! Decides whether a gather request is sent to one shard first, to which one, and when the other shards follow.
 //!
-//! **Decides** for a request of several services: while its route is on alarm ([`crate::decision::quarantine`]), a content that nobody has answered
-//! lately goes to one shard. The others follow when any that was asked has answered. Until then one more is asked each time that all are
-//! silent for longer than work usually takes, later and later ([`FirstProbe`]).
+//! The rule applies to requests for several services. While the alarm of the route is raised
+//! ([`crate::decision::quarantine`]), a content that no searcher has answered lately is sent to one shard. The other
+//! shards follow as soon as any searcher asked has answered. Until then, one more shard is asked each time that all
+//! those asked are silent for longer than the work usually takes, at growing intervals ([`FirstProbe`]).
 //!
-//! **Inputs**: the switches, the alarms and recent answers that quarantine knows, the route's name and the content; the number of shards; times
-//! of this machine's boot clock, the usual work and the round trip as durations.
+//! The inputs are the settings; the alarms and recent answers that quarantine knows; the route's name and the content;
+//! the number of shards; times of this machine's boot clock; and the usual work and the round trip as durations.
 //!
-//! **Protects** searchers: a gathered request that ends what runs it ends one searcher of each shard before anybody has seen the first end.
-//! Silence is no sign of health: what ends a searcher by its memory or by a loop takes long before it does. Its price on alarm is that
-//! harmless requests wait for one shard's work (docs/design/quarantine.md). Without an alarm it does nothing.
+//! The rule protects searchers: a gather request that crashes its searchers would crash one searcher of each shard
+//! before the first crash is observed. Silence doesn't show that a searcher is healthy, since a request that exhausts
+//! memory or loops takes long to crash it. While an alarm is raised, harmless requests wait for the work of one shard
+//! (docs/design/quarantine.md). Without an alarm, the rule has no effect.
 //!
-//! **Doesn't know** whether the first such content of a route is one: no alarm is raised before it is quarantined. Nor what becomes of a
-//! searcher whose connection this node closes, since the caller left or its time is over.
+//! The rule doesn't recognise the first crashing content of a route, since no alarm is raised before a content is
+//! quarantined. It also doesn't learn what becomes of a searcher whose connection this node closes because the caller
+//! has left or the request's time is over.
 //!
-//! **Shown by** the log's `event=alarm`, `event=probe` in the traces of requests, and the gauge `staircross_routes_alarmed`. **Turned off by**
-//! `routing.first_probes = false`, and with `routing.quarantine = false`.
+//! The log shows the rule as `event=alarm`, and as `event=probe` in the traces of requests; the gauge is
+//! `staircross_routes_alarmed`. The settings `routing.first_probes = false` and `routing.quarantine = false` turn it
+//! off.
 
 use crate::decision::quarantine::Quarantine;
 use crate::keys::{ContentKey, RouteDigest};
@@ -24,13 +28,13 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Times the usual work after which a searcher counts as silent. A searcher that stands still for a moment should leave time for the other shards
-/// within the request's goal.
+/// Multiple of the usual work after which a searcher counts as silent. A searcher that pauses for a moment should leave
+/// time for the other shards within the request's goal.
 const SILENT_WORK_FACTOR: f64 = 3.0;
-/// Factor by which the time until one more shard is asked grows each time that all were silent, so that what lives long before its end meets few
-/// searchers.
+/// Factor by which the time until one more shard is asked grows each time that all searchers asked are silent. A
+/// request that runs long before it crashes its searcher thus reaches few searchers.
 const PATIENCE_GROWTH: u32 = 2;
-/// Least time between two looks for a shard that can be sent.
+/// Minimum time between two checks for a shard that can be sent.
 const MIN_PATIENCE: Duration = Duration::from_millis(10);
 
 /// Whether a request is sent to one shard first.
@@ -48,36 +52,39 @@
         && !quarantine.is_harmless(content)
 }
 
-/// The shard that is sent first: any, so that no shard's searchers have to take all probes. Draws one random number.
+/// Returns the shard that is sent first. It is chosen at random, so that no shard's searchers receive all probes. Draws
+/// one random number.
 pub fn first_of(shards: usize, random: &mut impl RngCore) -> usize {
     random.next_u32() as usize % shards.max(1)
 }
 
-/// A request none of whose shards has answered yet.
+/// State of a request that is sent to one shard first, until a shard has answered.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstProbe {
-    /// When one more shard is sent though others are at work.
+    /// Time from which one more shard is sent though others are in progress.
     next_at: BootTime,
-    /// Time from the last sending until then. It grows by silence alone, so it is never much longer than the request has waited.
+    /// Time from the last send until `next_at`. Only silence lengthens it, so it is never much longer than the request
+    /// has waited.
     patience: Duration,
 }
 
 impl FirstProbe {
-    /// A request that nothing was sent of.
+    /// Creates the state of a request for which nothing has been sent.
     pub fn new(now: BootTime) -> Self {
         FirstProbe { next_at: now, patience: Duration::ZERO }
     }
 
-    /// Whether one more shard may be sent, where searchers are `at_work` on so many.
+    /// Whether one more shard may be sent while `at_work` attempts are in progress.
     pub fn may_send(&self, now: BootTime, at_work: usize) -> bool {
         at_work == 0 || now >= self.next_at
     }
 
-    /// A shard was sent to a searcher that is `round_trip` away and usually works on such a request for `work`, while others were `at_work` on
-    /// so many.
+    /// Records that a shard was sent to a searcher at a distance of `round_trip` that usually takes `work` for such a
+    /// request, while `at_work` other attempts were in progress.
     ///
-    /// Only silence has the next shard wait longer. Where nobody is at work the last one asked has ended, rejected the request or couldn't be
-    /// reached, and wasn't waited for: a request may be rejected dozens of times within a second.
+    /// The time until the next shard is lengthened only after silence. If no attempt is in progress, the last searcher
+    /// asked has ended, rejected the request or couldn't be reached, and there was nothing to wait for: a request may
+    /// be rejected dozens of times within a second.
     pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, at_work: usize) {
         let growth = if at_work > 0 { PATIENCE_GROWTH } else { 1 };
         let usual = round_trip + work.mul_f64(SILENT_WORK_FACTOR);
@@ -85,12 +92,12 @@
         self.next_at = now + self.patience;
     }
 
-    /// No shard could be sent: looks again later.
+    /// Postpones the next check after no shard could be sent.
     pub fn put_off(&mut self, now: BootTime) {
         self.next_at = now + self.patience.max(MIN_PATIENCE);
     }
 
-    /// When one more shard may be sent, if nobody answers.
+    /// Returns the time from which one more shard may be sent if no searcher answers.
     pub fn next_at(&self) -> BootTime {
         self.next_at
     }
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -1,22 +1,27 @@
-//! Which searcher of a service is asked.
+//! Decides which searcher of a service is asked.
 //!
-//! **Decides** for each sub-request that is to be sent: the searcher that should answer first, or none. Searchers that are excluded for this
-//! request, outside the allowed regions, evacuated, gone or draining, avoided after failures, without room for this node, or cold with this
-//! node's share used up are left out whatever their time. Near-equal ones share the work by chance.
+//! For each sub-request, the rule returns the searcher that is expected to answer first, or none. It excludes searchers
+//! that the request may not ask again, that lie outside the allowed regions, that are evacuated, gone or draining, that
+//! are avoided after failures, that have no capacity left for this node, or that are cold while this node's share is
+//! used up. Searchers with nearly equal expected times share the work by random choice.
 //!
-//! **Inputs**: [`Choice`] (allowed regions, excluded searchers, the route's usual work and goal: times), the searchers' beliefs ([`Searcher`]:
-//! slowness and rejections as ratios, open attempts, reported load), and [`Place`] (zones, round trips: times, nodes: counts).
+//! The inputs are the [`Choice`] (allowed regions, excluded searchers, usual work and goal of the route: times), the
+//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the [`Place`]
+//! (zones, round trips: times, nodes: counts).
 //!
-//! **Buys** time and bytes. By switch, worth of a day with and without it on four deployments (docs/studies/switches.md):
-//! `routing.near_first` 0.003 to 0.009, `routing.avoid_slow` 0.002 to 0.028, `routing.avoid_overdue` 0.004 to 0.008,
-//! `routing.connection_ramp` 0.000 to 0.007. `routing.reported_host` +0.0022 ± 0.0016, `routing.avoid_rejecting` +0.198 ± 0.009 where most
-//! searchers reject much (docs/design/searcher-choice.md).
+//! The rule buys time and bytes. Each of its settings changes the score of a day, measured on four deployments
+//! (docs/studies/switches.md): `routing.near_first` by 0.003 to 0.009, `routing.avoid_slow` by 0.002 to 0.028,
+//! `routing.avoid_overdue` by 0.004 to 0.008 and `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host`
+//! gives +0.0022 ± 0.0016, and `routing.avoid_rejecting` gives +0.198 ± 0.009 where most searchers reject many requests
+//! (docs/design/searcher-choice.md).
 //!
-//! **Doesn't know** what other nodes have sent and measured: a searcher's queue is this node's own attempts, times the nodes of its zone.
+//! The rule doesn't know what other nodes have sent or measured. It estimates a searcher's queue as this node's own
+//! attempts times the number of nodes in its zone.
 //!
-//! **Shown by** the log's `event=send` (searcher, reason, its last report), `unsent` and `left_out` with a cause, and the metrics
-//! `staircross_bytes_total{purpose,reach}` and `staircross_searcher_connections_turned_away_total`. **Turned off by** the switches above, term by
-//! term; the rest has none. Alternatives: docs/design/searcher-choice.md.
+//! The log shows the rule as `event=send` (searcher, reason, last report of the searcher), and as `unsent` and
+//! `left_out` with a cause; the metrics are `staircross_bytes_total{purpose,reach}` and
+//! `staircross_searcher_connections_turned_away_total`. The settings above turn its terms off one by one; the rest
+//! can't be turned off. docs/design/searcher-choice.md compares alternatives.
 
 pub mod connections;
 pub mod expected_time;
@@ -34,22 +39,23 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Factor of the least expected time within which searchers are as good as the best and share the work. For the precision of the estimates.
+/// Ratio to the least expected time within which searchers count as equally good and share the work. It allows for the
+/// precision of the estimates.
 const AS_GOOD: f64 = 1.1;
 
-/// What a searcher is chosen for.
+/// Inputs to the choice of a searcher for one shard of a request.
 pub struct Choice<'a> {
-    /// Where the request may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions<'a>,
-    /// Searchers that aren't to be asked.
+    /// Searchers that must not be asked.
     pub excluded: &'a [SearcherKey],
     /// Usual time of the route's work.
     pub usual_work: Duration,
-    /// Time within which the whole answer is worth most.
+    /// Time within which the complete answer is worth most.
     pub goal: Duration,
 }
 
-/// Chooses among `candidates`, whose beliefs are in `table`; `None` where nobody may be asked now.
+/// Chooses one of `candidates`, whose state is in `table`. Returns `None` if none may be asked now.
 ///
 /// One random number is drawn for each candidate that is as good as the best so far, in the order of `candidates`.
 pub fn choose(
@@ -85,7 +91,7 @@
     best.map(|(key, _)| key)
 }
 
-/// Whether a searcher may get one more attempt of this node now.
+/// Whether a searcher may be sent one more attempt by this node now.
 fn may_take(now: BootTime, searcher: &Searcher, place: &Place) -> bool {
     let has_room = searcher.open.len() < usable_connections(now, searcher, place) && !searcher.is_full(now);
     let is_time = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -1,7 +1,7 @@
-//! When a searcher should answer, as a sum of times; the searcher with the least is asked.
+//! Time after which a searcher is expected to answer, as a sum of terms. The searcher with the least sum is asked.
 //!
-//! Some terms are prices rather than times: distance, because bytes between zones cost; a rejection, because the budget may not pay for
-//! the repeat; an entry that has gone, so that such a searcher comes last.
+//! Some terms are penalties rather than times: for distance, because traffic between zones is charged; for rejections,
+//! because the budget may not pay for the retry; and for a lapsed entry, so that such a searcher comes last.
 
 use super::Choice;
 use super::place::{Distance, Place};
@@ -9,16 +9,18 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Price of another zone of the region.
+/// Penalty of a searcher in another zone of the region.
 const ZONE_BIAS: Duration = Duration::from_millis(4);
-/// Price of another region. A higher one saves bytes between regions and serves callers a little worse.
+/// Penalty of a searcher in another region. A higher one saves traffic between regions and serves callers slightly
+/// worse.
 const REGION_BIAS: Duration = Duration::from_millis(25);
-/// Price of a searcher whose entry has gone. Above any other sum, so that it is asked after all others.
+/// Penalty of a searcher whose entry has gone. It exceeds any other sum, so that the searcher is asked after all
+/// others.
 const LAPSE_BIAS: Duration = Duration::from_secs(60);
-/// Pause that an overdue attempt is taken to show, in times that it is overdue.
+/// Length of the pause that an overdue attempt is taken to show, as a multiple of the time for which it is overdue.
 const PAUSE_FACTOR: u32 = 2;
 
-/// Time after which a searcher is expected to answer, prices included.
+/// Returns the time after which a searcher is expected to answer, including penalties.
 pub fn expected_time(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
     let work = choice.usual_work.mul_f64(slowness(now, searcher, place));
     place.round_trip(&searcher.entry.zone)
@@ -30,21 +32,23 @@
         + rejection_price(now, searcher, place, choice)
 }
 
-/// How many times slower than usual: by its answers, or by what its host reported last, whichever is more.
+/// Returns how many times slower than usual a searcher is, by its answers or by the last report of its host, whichever
+/// is more.
 fn slowness(now: BootTime, searcher: &Searcher, place: &Place) -> f64 {
     let measured = if place.policy.avoid_slow { searcher.slowness(now) } else { 1.0 };
     let reported = if place.policy.reported_host { searcher.host_slowness(now) } else { 1.0 };
     measured.max(reported)
 }
 
-/// Time in the searcher's queue, by this node's open attempts and as many of each other node of its zone.
+/// Returns the time in the searcher's queue. Each other node of the zone is assumed to have as many open attempts as
+/// this node.
 fn queue(searcher: &Searcher, place: &Place, work: Duration) -> Duration {
     let slots = f64::from(searcher.entry.slots.max(1));
     let at_work = searcher.open.len() as f64 * sharers(searcher, place);
     work.mul_f64(((at_work + 1.0 - slots) / slots).max(0.0))
 }
 
-/// Nodes that probably send as much to the searcher as this one does, this one included.
+/// Returns the number of nodes that probably send as much to the searcher as this node does, including this node.
 fn sharers(searcher: &Searcher, place: &Place) -> f64 {
     if *searcher.entry.zone == *place.zone {
         return place.nodes_by_zone.get(&place.zone).copied().unwrap_or(1).max(1) as f64;
@@ -52,7 +56,7 @@
     1.0
 }
 
-/// Time that a searcher with an overdue attempt is expected to stay silent.
+/// Returns the time for which a searcher with an overdue attempt is expected to stay silent.
 fn pause(now: BootTime, searcher: &Searcher, place: &Place) -> Duration {
     if place.policy.avoid_overdue { searcher.overdue(now) * PAUSE_FACTOR } else { Duration::ZERO }
 }
@@ -69,8 +73,9 @@
     if searcher.is_serving() { Duration::ZERO } else { LAPSE_BIAS }
 }
 
-/// The route's goal times the probability of a rejection: the budget may not pay for a repeat, and then the part is missing. Measured where most
-/// searchers reject much: +0.198 ± 0.009 of the worth, against +0.083 ± 0.004 for the time of a repeat alone (docs/design/searcher-choice.md).
+/// Returns the route's goal times the probability of a rejection: the budget may not pay for a retry, and then the part
+/// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the score, against +0.083 ± 0.004
+/// if only the time of a retry is added (docs/design/searcher-choice.md).
 fn rejection_price(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
     if !place.policy.avoid_rejecting {
         return Duration::ZERO;
--- a/crates/staircross-routing/src/decision/placement/place.rs
+++ b/crates/staircross-routing/src/decision/placement/place.rs
@@ -1,7 +1,7 @@
-//! What this node knows of zones, regions and the other nodes: the input of every placement.
+//! This node's view of zones, regions and other nodes, which placement uses for every choice.
 //!
-//! Owns the round trips to zones, estimated by the least time that a connection took to come up. Everything else is set by the engine from
-//! settings and from what membership reports.
+//! It maintains the round trips to zones, each estimated as the least time in which a connection was established. The
+//! engine sets all other fields from the settings and from membership.
 
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::cold::{ColdBound, FleetRank, cold_share};
@@ -12,47 +12,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Round trip assumed within the zone until one has been measured. For the order of near, nearer and far.
+/// Round trip assumed within the zone until one has been measured. The assumed round trips keep nearer zones ahead of
+/// farther ones.
 const OWN_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
-/// Round trip assumed to another zone of the region, in the same way.
+/// Round trip assumed to another zone of the region until one has been measured.
 const OTHER_ZONE_ROUND_TRIP: Duration = Duration::from_millis(2);
-/// Round trip assumed to another region, in the same way.
+/// Round trip assumed to another region until one has been measured.
 const OTHER_REGION_ROUND_TRIP: Duration = Duration::from_millis(24);
 
-/// Where this node stands among zones and nodes.
+/// This node's view of zones, regions and other nodes.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// Zone of this node.
     pub zone: Arc<str>,
-    /// Regions by zone.
+    /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Nodes that serve callers, by zone; this one counts.
+    /// Number of nodes that serve callers in each zone, including this node.
     pub nodes_by_zone: HashMap<Arc<str>, usize>,
-    /// Where this node stands among those that serve.
+    /// Rank of this node among the nodes that serve callers.
     pub fleet: FleetRank,
-    /// Bound on requests to a cold searcher.
+    /// Limit on requests to a cold searcher.
     pub cold: ColdBound,
-    /// Least times to connect, by zone.
+    /// Least time to establish a connection to each zone.
     pub round_trips: HashMap<Arc<str>, Duration>,
-    /// When this process started, if it isn't the first on its machine.
+    /// Time at which this process started, unless it is the first on its machine.
     pub restarted_at: Option<BootTime>,
-    /// Mechanisms that are on.
+    /// Mechanisms that are turned on.
     pub policy: RoutingPolicy,
 }
 
-/// How far a zone is.
+/// Distance of a zone from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// The same zone.
+    /// The zone of this node.
     OwnZone,
-    /// Another zone of the region.
+    /// Another zone of the same region.
     OwnRegion,
     /// Another region.
     Far,
 }
 
 impl Place {
-    /// How far `zone` is. A zone whose region isn't known is far.
+    /// Returns the distance of `zone`. A zone whose region isn't known counts as another region.
     pub fn distance(&self, zone: &str) -> Distance {
         if zone == &*self.zone {
             return Distance::OwnZone;
@@ -64,13 +65,14 @@
         if is_same_region { Distance::OwnRegion } else { Distance::Far }
     }
 
-    /// Whether a request may be sent to a searcher, by where it is.
+    /// Whether a request may be sent to a searcher, by the region of the searcher.
     pub fn allows(&self, regions: AllowedRegions<'_>, searcher: &Searcher) -> bool {
         regions.allow(self.regions.get(&searcher.entry.zone))
     }
 
-    /// When a searcher may be asked, room aside: in the past where it isn't avoided, `None` where this node has no share of what it
-    /// bears while it is cold.
+    /// Returns the time from which a searcher may be asked, regardless of its capacity. The time is in the past if the
+    /// searcher isn't avoided. `None` means that the searcher is cold and this node has no share of the requests that
+    /// it can take.
     pub fn next_chance(&self, now: BootTime, searcher: &Searcher) -> Option<BootTime> {
         let avoided_until = searcher.avoided_until();
         if !searcher.is_cold(now) {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Round trip to a zone: the least measured, or what is assumed for its distance.
+    /// Returns the round trip to a zone: the least measured one, or the one assumed for its distance.
     pub fn round_trip(&self, zone: &str) -> Duration {
         let assumed = match self.distance(zone) {
             Distance::OwnZone => OWN_ZONE_ROUND_TRIP,
@@ -92,7 +94,7 @@
         self.round_trips.get(zone).copied().unwrap_or(assumed)
     }
 
-    /// Records how long a connection to a zone took to come up.
+    /// Records the time in which a connection to a zone was established.
     pub fn note_connected(&mut self, zone: &Arc<str>, took: Duration) {
         let known = self.round_trips.entry(zone.clone()).or_insert(took);
         *known = took.min(*known);
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -1,4 +1,4 @@
-//! Detects requests that crash the searchers that run them, and stops sending them.
+//! Detects requests that crash the searchers that run them ("queries of death"), and stops sending them.
 //!
 //! A request is identified by its content: a digest of host, method, target, body and tenant. The rule decides for each
 //! content whether it may be sent like any other, to one searcher at a time (suspect), or to no searcher (quarantined).
@@ -78,8 +78,7 @@
         (count(Suspicion::Suspect), count(Suspicion::Quarantined))
     }
 
-    /// Whether the alarm of any route is stored. It may have expired: expired alarms are removed with
-    /// [`Self::records`].
+    /// Whether the alarm of any route is stored. Alarms that have ended may still be included.
     pub fn has_alarms(&self) -> bool {
         !self.alarms.is_empty()
     }
@@ -152,7 +151,8 @@
     }
 
     fn merge_one(&mut self, now: BootTime, record: &CaseRecord) -> Option<SuspicionChange> {
-        // An answer is remembered though its losses aren't known here yet: a report of them may be on its way.
+        // An answer is stored even if no losses of its content are known here, since a report of them may be in
+        // transit.
         let is_old = record.answered_ms.is_none_or(|age| u128::from(age) >= ANSWER_MEMORY.as_millis());
         if record.losses.is_empty() && is_old && !self.cases.contains_key(&record.content) {
             return None;
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -68,7 +68,7 @@
             NextStep::SendAgain(SendReason::Reroute)
         }
         AttemptOutcome::NotRun(NotRun::Shed | NotRun::OtherInstance) => NextStep::SendAgain(SendReason::Retry),
-        // Only attempts of requests whose key is revoked are cancelled while their request goes on.
+        // An attempt is cancelled during its request only if the request's key was revoked.
         AttemptOutcome::Cancelled => NextStep::GiveUp,
     }
 }
--- a/crates/staircross-routing/src/decision/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -1,24 +1,28 @@
-//! Whose turn it is in a weighted set.
+//! Smooth weighted round robin over the services of a weighted route.
 //!
-//! **Decides** for each request of a route with weighted services which of them serves it: smooth weighted turns, without chance.
+//! For each request of a route with weighted services, the rule decides which of them serves it, without random choice.
 //!
-//! **Inputs**: the services and their weights (whole numbers; 0 takes none), as the configuration lists them. A changed set starts over.
+//! The inputs are the services and their weights (whole numbers; a service of weight 0 gets no requests), as the
+//! configuration lists them. A changed set starts over.
 //!
-//! **Buys** exact shares over any stretch of a node's requests, give or take one; by chance they would differ by the root of their number. It has
-//! no switch. Each node counts its own requests and knows nothing of others'.
+//! Over any stretch of a node's requests, each service gets its exact share, give or take one request; with random
+//! choice, shares would differ by the square root of the number of requests. The rule can't be turned off. Each node
+//! counts its own requests and knows nothing of those of other nodes.
 //!
-//! **Shown by** the searcher in the log's `event=send`, whose `event=searcher` line names the service, for requests that were logged whole.
+//! The log shows the rule by the searcher in `event=send`, whose `event=searcher` line names the service, for requests
+//! that were logged in full.
 
 use crate::configuration::definition::WeightedService;
 use std::sync::Arc;
 
-/// Smooth weighted turns: over any stretch each service is picked as often as its weight says,
-/// give or take one.
+/// Smooth weighted round robin: over any stretch of requests, each service is picked as often as its weight says, give
+/// or take one.
 #[derive(Debug, Default)]
 pub struct WeightedTurns {
     credits: Vec<Credit>,
 }
 
+/// Weight and accumulated credit of one service.
 #[derive(Debug)]
 struct Credit {
     service: Arc<str>,
@@ -27,7 +31,7 @@
 }
 
 impl WeightedTurns {
-    /// The next service; `None` when no weight is above zero.
+    /// Returns the service for the next request, or `None` if no weight is above zero.
     pub fn next(&mut self, set: &[WeightedService]) -> Option<Arc<str>> {
         self.follow(set);
         let total: i64 = self.credits.iter().map(|entry| i64::from(entry.weight)).sum();
@@ -39,7 +43,7 @@
         Some(chosen.service.clone())
     }
 
-    /// Starts over when the set has changed.
+    /// Resets all credits if the set has changed.
     fn follow(&mut self, set: &[WeightedService]) {
         let is_same = self.credits.len() == set.len()
             && self
--- a/crates/staircross-routing/src/policy.rs
+++ b/crates/staircross-routing/src/policy.rs
@@ -1,44 +1,46 @@
-//! An operator's switches: each turns one mechanism off, to measure what it is worth or to rule it out in an incident.
+//! Operator settings that turn single mechanisms off, to measure their effect or to rule them out in an incident.
 //!
-//! All are on unless settings say otherwise. What keeps a promise to callers or back ends has no switch.
+//! All mechanisms are on by default. Mechanisms that keep a promise to callers or back ends can't be turned off.
 
 use serde::{Deserialize, Serialize};
 
-/// Which mechanisms decide about requests.
+/// Mechanisms that decide about requests; `true` turns one on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingPolicy {
-    /// A second searcher is asked besides one that is late.
+    /// A second searcher is asked when the first is late.
     pub hedges: bool,
-    /// No hedges to a service where too much waits.
+    /// No hedges are sent to a service whose queue is too long.
     pub hedge_pressure: bool,
     /// Searchers that were slow lately are asked less.
     pub avoid_slow: bool,
     /// Searchers with an overdue attempt are asked less.
     pub avoid_overdue: bool,
-    /// A searcher whose host is slow at the moment, as it says itself, is asked less.
+    /// Searchers whose host reports that it is slow at the moment are asked less.
     pub reported_host: bool,
-    /// Hedges go out the earlier, the less of the budget for extra sends is spent.
+    /// Hedges are sent earlier the more of the budget for extra sends is left.
     pub hedge_by_budget: bool,
-    /// Searchers that rejected work lately are asked less.
+    /// Searchers that rejected requests lately are asked less.
     pub avoid_rejecting: bool,
-    /// Near searchers are preferred by more than the round trip.
+    /// Near searchers are preferred by more than the difference in round trips.
     pub near_first: bool,
-    /// Part of the requests is refused while too much waits at the back ends.
+    /// A fraction of the requests is refused while the queues at the back ends are too long.
     pub admission: bool,
-    /// Shards wait for searchers that reject connections or can't be reached at the moment.
+    /// Shards wait for searchers that reject connections or can't be reached at the moment, and for the budget for
+    /// extra sends.
     pub waiting: bool,
-    /// A restarted process takes its share of connections in steps.
+    /// A restarted process comes to use its share of connections in steps.
     pub connection_ramp: bool,
-    /// A restarted process makes no hedges in its first seconds.
+    /// A restarted process sends no hedges in its first seconds.
     pub start_rest: bool,
-    /// Requests are held until configuration and searchers are known.
+    /// Requests are held until the configuration and the searchers are known.
     pub holds: bool,
-    /// Requests that end the searchers that run them are sent to one at a time, and then to nobody.
+    /// Requests that crash their searchers are sent to one searcher at a time, and later to none.
     pub quarantine: bool,
-    /// While requests of a route have ended searchers lately, what nobody has answered is tried on one shard first.
+    /// While requests of a route have crashed searchers lately, contents that no searcher has answered are tried on one
+    /// shard first.
     pub first_probes: bool,
-    /// The time to answer follows from how far the caller is.
+    /// The time for an answer depends on the distance of the caller.
     pub caller_distance: bool,
 }
 
