--- a/crates/staircross-routing/src/decision/admission/quantile_window.rs
+++ b/crates/staircross-routing/src/decision/admission/quantile_window.rs
@@ -15,37 +15,37 @@
 pub(super) struct QuantileWindow {
     quantile: f64,
     length: Duration,
-    least_samples: usize,
-    began: Option<BootTime>,
+    min_samples: usize,
+    began_at: Option<BootTime>,
     samples: Vec<f32>,
 }
 
 impl QuantileWindow {
     /// Creates a window for `quantile`, from 0 to below 1. Each window lasts for at least `length` and until it has
-    /// `least_samples`, however long that takes.
-    pub(super) fn new(quantile: f64, length: Duration, least_samples: usize) -> Self {
-        QuantileWindow { quantile, length, least_samples, began: None, samples: Vec::new() }
+    /// `min_samples`, however long that takes.
+    pub(super) fn new(quantile: f64, length: Duration, min_samples: usize) -> Self {
+        QuantileWindow { quantile, length, min_samples, began_at: None, samples: Vec::new() }
     }
 
     /// Returns the time at which the current window began, or `None` between the end of a window and the next sample.
-    pub(super) fn began(&self) -> Option<BootTime> {
-        self.began
+    pub(super) fn began_at(&self) -> Option<BootTime> {
+        self.began_at
     }
 
     /// Adds a sample. At the end of a window, returns its quantile and starts the next.
     pub(super) fn add(&mut self, now: BootTime, sample: Duration) -> Option<Duration> {
-        let began = *self.began.get_or_insert(now);
+        let began_at = *self.began_at.get_or_insert(now);
         if self.samples.len() < MAX_SAMPLES {
             self.samples.push(sample.as_secs_f32());
         }
-        if now.since(began) < self.length || self.samples.len() < self.least_samples {
+        if now.since(began_at) < self.length || self.samples.len() < self.min_samples {
             return None;
         }
         let index = (self.samples.len() as f64 * self.quantile) as usize;
         let (_, value, _) = self.samples.select_nth_unstable_by(index, f32::total_cmp);
         let value = Duration::from_secs_f32(*value);
         self.samples.clear();
-        self.began = None;
+        self.began_at = None;
         Some(value)
     }
 }
--- a/crates/staircross-routing/src/decision/admission/usual_work.rs
+++ b/crates/staircross-routing/src/decision/admission/usual_work.rs
@@ -10,16 +10,16 @@
 
 /// Number of samples of a route's work needed for one median, so that a few outliers don't move it.
 const WORK_SAMPLES: usize = 40;
-/// Minimum time over which the samples of one median are collected. It equals the time between two judgements of the
+/// Minimum time over which the samples of one median are collected. It equals the time between two evaluations of the
 /// level, which use the estimate.
 const WORK_WINDOW: Duration = Duration::from_millis(250);
 /// Rise of the estimate a second, as a fraction of it. Grown work is detected within minutes, while a queue that lasts
 /// for one minute adds only some 13 in 100.
-const USUAL_RISE: f64 = 0.002;
+const RISE_PER_SECOND: f64 = 0.002;
 /// Additional rise a second, as a fraction of the estimate, times the square of the fraction of requests that is
 /// refused: if few requests are admitted and they still take long, the cause is work rather than a queue. At the
 /// minimum level, the estimate doubles in some 15 s.
-const USUAL_RISE_REFUSING: f64 = 0.05;
+const REFUSING_RISE_PER_SECOND: f64 = 0.05;
 /// Maximum time between two samples that counts towards the rise. One quiet period thus raises the estimate by at most
 /// 1 in 100 while nothing is refused.
 const MAX_RISE_SPAN: Duration = Duration::from_secs(5);
@@ -45,7 +45,7 @@
     pub fn record(&mut self, now: BootTime, worked: Duration, level: f64) {
         let span = now.since(self.recorded_at).min(MAX_RISE_SPAN).as_secs_f64();
         self.recorded_at = now;
-        let rise = USUAL_RISE + USUAL_RISE_REFUSING * (1.0 - level).powi(2);
+        let rise = RISE_PER_SECOND + REFUSING_RISE_PER_SECOND * (1.0 - level).powi(2);
         self.seconds = self.seconds.map(|known| known * (1.0 + rise * span));
         if let Some(median) = self.window.add(now, worked) {
             let median = median.as_secs_f64();
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -28,20 +28,20 @@
 /// Minimum number of requests that the samples of a group come from, since the sub-requests of one request are late
 /// together.
 const GROUP_REQUESTS: usize = 6;
-/// Minimum time over which the waits of a group are collected. It is below the time between two judgements, so that a
+/// Minimum time over which the waits of a group are collected. It is below the time between two evaluations, so that a
 /// node with enough requests uses a new wait each time.
 const GROUP_WINDOW: Duration = Duration::from_millis(200);
 /// Age above which a wait counts as none. It covers several windows of a node with enough requests.
-const WAIT_LIFE: Duration = Duration::from_millis(1500);
+const MAX_WAIT_AGE: Duration = Duration::from_millis(1500);
 /// Age up to which an outdated wait doesn't count as none for admission, as a multiple of the time in which its samples
 /// were collected. A node with few requests collects for seconds and has no newer wait by then.
-const UNSURE_WINDOWS: f64 = 1.5;
+const OUTDATED_WAIT_FACTOR: f64 = 1.5;
 /// Wait that a rejection for lack of capacity counts as. It is well above tolerable waits, which are tens of
 /// milliseconds.
 const SHED_WAIT: Duration = Duration::from_millis(500);
 /// Euler's constant, rounded. The mean of the longest of `n` exponential waits of mean 1 is about `ln n` plus this
 /// constant.
-const EULER: f64 = 0.58;
+const EULER_MASCHERONI: f64 = 0.58;
 
 /// Returns the median wait of a request's sub-requests at which the last of them still arrives in time.
 ///
@@ -50,7 +50,7 @@
 /// + 0.58` times their mean, and the median is `ln 2` times their mean.
 pub fn tolerable_wait(goal: Duration, usual: Duration, fan_out: usize) -> Duration {
     let spare = goal.saturating_sub(usual * 2);
-    let longest = (fan_out.max(1) as f64).ln() + EULER;
+    let longest = (fan_out.max(1) as f64).ln() + EULER_MASCHERONI;
     // If the goal leaves no spare time, a wait as long as the work is tolerated.
     spare.mul_f64((LN_2 / longest).min(1.0)).max(usual)
 }
@@ -62,7 +62,7 @@
     value: Duration,
     measured_at: BootTime,
     /// Time in which the samples of `value` were collected.
-    gathered_for: Duration,
+    collected_in: Duration,
 }
 
 impl Wait {
@@ -78,16 +78,16 @@
     }
 
     fn new(window: QuantileWindow) -> Self {
-        Wait { window, value: Duration::ZERO, measured_at: BootTime::default(), gathered_for: Duration::ZERO }
+        Wait { window, value: Duration::ZERO, measured_at: BootTime::default(), collected_in: Duration::ZERO }
     }
 
     /// Adds an answered sub-request that waited for `waited` beyond its usual work.
     pub fn record(&mut self, now: BootTime, waited: Duration) {
-        let began = self.window.began().unwrap_or(now);
+        let began_at = self.window.began_at().unwrap_or(now);
         if let Some(value) = self.window.add(now, waited) {
             self.value = value;
             self.measured_at = now;
-            self.gathered_for = now.since(began);
+            self.collected_in = now.since(began_at);
         }
     }
 
@@ -98,13 +98,13 @@
 
     /// Returns the wait, or zero if nothing was measured lately.
     pub fn get(&self, now: BootTime) -> Duration {
-        if now.since(self.measured_at) <= WAIT_LIFE { self.value } else { Duration::ZERO }
+        if now.since(self.measured_at) <= MAX_WAIT_AGE { self.value } else { Duration::ZERO }
     }
 
     /// Returns the wait for admission, or `None` while the last one is outdated and the next is still being collected.
     pub fn judged(&self, now: BootTime) -> Option<Duration> {
         let age = now.since(self.measured_at);
-        let is_unsure = age > WAIT_LIFE && age <= self.gathered_for.mul_f64(UNSURE_WINDOWS);
-        (!is_unsure).then(|| self.get(now))
+        let is_being_renewed = age > MAX_WAIT_AGE && age <= self.collected_in.mul_f64(OUTDATED_WAIT_FACTOR);
+        (!is_being_renewed).then(|| self.get(now))
     }
 }
--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -29,7 +29,7 @@
 const PLANNED_FRACTION: f64 = 0.6;
 /// Time over which sent requests are counted. The limit applies to one second at the searcher, and connecting may delay
 /// a request on its way there by a quarter of a second.
-const COUNTED: Duration = Duration::from_millis(1250);
+const COUNTING_WINDOW: Duration = Duration::from_millis(1250);
 
 /// Limit on requests to a cold searcher in one second: the rate that it can take times `factor`, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 impl ColdSends {
     /// Records that a request was sent.
     pub fn note(&mut self, now: BootTime) {
-        while self.times.front().is_some_and(|sent| now.since(*sent) >= COUNTED) {
+        while self.times.front().is_some_and(|sent| now.since(*sent) >= COUNTING_WINDOW) {
             self.times.pop_front();
         }
         self.times.push_back(now);
@@ -93,6 +93,6 @@
             return None;
         }
         let oldest_of_share = self.times.len().checked_sub(share).map(|index| self.times[index]);
-        Some(oldest_of_share.map_or(now, |sent| (sent + COUNTED).max(now)))
+        Some(oldest_of_share.map_or(now, |sent| (sent + COUNTING_WINDOW).max(now)))
     }
 }
--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -31,17 +31,17 @@
 
 /// Number of steps that a window is divided into, so that a service needs only a few counters. Counts are dropped one
 /// step at a time, once the whole step has left the window, so the sum covers the window and up to a twentieth more.
-const STEPS: u64 = 20;
+const STEPS_PER_WINDOW: u64 = 20;
 
 /// Fraction of the allowed ratio that is used. The rest covers requests whose extra sends another node counts in a
 /// different window.
-const RATIO_USED: f64 = 0.85;
+const USABLE_RATIO_FRACTION: f64 = 0.85;
 
 /// Fraction of the slack that is used. A process that starts doesn't know what the previous one spent, so up to twice
 /// as much may be spent in one window: any fraction above 0.5 exceeds the limit when all nodes are restarted at once.
 /// With 0.7, the mean score of a day was higher by 0.001, which is within the differences between seeds
 /// (`docs/design/extra-sends.md`).
-const SLACK_USED: f64 = 0.4;
+const USABLE_SLACK_FRACTION: f64 = 0.4;
 
 /// Whether an attempt made for this reason is paid from the budget.
 pub fn is_paid(reason: SendReason) -> bool {
@@ -79,23 +79,23 @@
 impl ExtraWindow {
     /// Counts one request.
     pub fn count_request(&mut self, now: BootTime, bound: &ExtraBound) {
-        self.current(now, bound).requests += 1;
+        self.current_step(now, bound).requests += 1;
     }
 
     /// Spends one extra send if the budget permits it, and returns whether it does. `slack_share` is this node's
     /// fraction of the slack, 0 to 1.
     pub fn try_spend(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> bool {
-        self.current(now, bound);
+        self.current_step(now, bound);
         if self.spare(bound, slack_share) < 1.0 {
             return false;
         }
-        self.current(now, bound).extras += 1;
+        self.current_step(now, bound).extras += 1;
         true
     }
 
     /// Returns the unspent fraction of the current window's budget, 0 to 1.
     pub fn spare_fraction(&mut self, now: BootTime, bound: &ExtraBound, slack_share: f64) -> f64 {
-        self.current(now, bound);
+        self.current_step(now, bound);
         let spare = self.spare(bound, slack_share);
         let allowed = self.allowed(bound, slack_share);
         if allowed > 0.0 { (spare / allowed).clamp(0.0, 1.0) } else { 0.0 }
@@ -104,14 +104,15 @@
     /// Returns the number of extra sends that the budget will permit until a time if requests continue to arrive at
     /// their current rate.
     pub fn permitted_until(&mut self, now: BootTime, until: BootTime, bound: &ExtraBound, slack_share: f64) -> usize {
-        let present = self.current(now, bound).number;
+        let present = self.current_step(now, bound).number;
         let last = step_number(until, bound).max(present);
         let first = self.steps.front().map_or(present, |step| step.number);
         let seen = present + 1 - first;
-        let growth = (seen + last - present).min(STEPS).max(seen) as f64 / seen as f64;
-        let remaining = self.steps.iter().filter(|step| step.number + STEPS >= last);
+        let growth = (seen + last - present).min(STEPS_PER_WINDOW).max(seen) as f64 / seen as f64;
+        let remaining = self.steps.iter().filter(|step| step.number + STEPS_PER_WINDOW >= last);
         let extras: u32 = remaining.map(|step| step.extras).sum();
-        let allowed = f64::from(self.requests()) * growth * bound.ratio * RATIO_USED + own_slack(bound, slack_share);
+        let allowed =
+            f64::from(self.requests()) * growth * bound.ratio * USABLE_RATIO_FRACTION + own_slack(bound, slack_share);
         (allowed - f64::from(extras)).max(0.0) as usize
     }
 
@@ -124,7 +125,7 @@
 
     /// Returns the number of extra sends that the requests in the window and the slack allow.
     fn allowed(&self, bound: &ExtraBound, slack_share: f64) -> f64 {
-        f64::from(self.requests()) * bound.ratio * RATIO_USED + own_slack(bound, slack_share)
+        f64::from(self.requests()) * bound.ratio * USABLE_RATIO_FRACTION + own_slack(bound, slack_share)
     }
 
     fn requests(&self) -> u32 {
@@ -132,9 +133,9 @@
     }
 
     /// Returns the current step, and drops the steps that have left the window.
-    fn current(&mut self, now: BootTime, bound: &ExtraBound) -> &mut Step {
+    fn current_step(&mut self, now: BootTime, bound: &ExtraBound) -> &mut Step {
         let number = step_number(now, bound);
-        while self.steps.front().is_some_and(|step| step.number + STEPS < number) {
+        while self.steps.front().is_some_and(|step| step.number + STEPS_PER_WINDOW < number) {
             self.steps.pop_front();
         }
         if self.steps.back().is_none_or(|step| step.number != number) {
@@ -147,11 +148,11 @@
 
 /// Returns the part of the slack that this node may spend.
 fn own_slack(bound: &ExtraBound, slack_share: f64) -> f64 {
-    bound.slack * SLACK_USED * slack_share
+    bound.slack * USABLE_SLACK_FRACTION * slack_share
 }
 
 /// Returns the number of the step that contains a time.
 fn step_number(time: BootTime, bound: &ExtraBound) -> u64 {
-    let step_length = (bound.window.as_micros() as u64 / STEPS).max(1);
+    let step_length = (bound.window.as_micros() as u64 / STEPS_PER_WINDOW).max(1);
     time.0 / step_length
 }
--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -47,26 +47,26 @@
 /// Weight of a request, relative to the first, at which all counts are rescaled. New requests weigh more by each
 /// half-life instead of old counts being reduced, so that only the tenant that asks is updated. At this limit, which is
 /// reached in 210 s, an `f64` still resolves a millionth of a request.
-const MAX_SCALE: f64 = 1e9;
+const MAX_REQUEST_WEIGHT: f64 = 1e9;
 /// Number of requests below which a count is dropped when counts are rescaled: a hundredth of one request.
-const NO_DEMAND: f64 = 0.01;
+const MIN_COUNT: f64 = 0.01;
 /// Maximum number of steps in the search for the share. Derivation: bisection alone narrows the interval to some 1e-12
 /// of it in forty steps.
-const MAX_STEPS: usize = 40;
+const MAX_SEARCH_STEPS: usize = 40;
 /// Difference between the admitted and the wanted requests at which the search ends, as a fraction of all requests. It
 /// is far below one request for any count that occurs.
-const PRECISION: f64 = 1e-9;
+const SEARCH_PRECISION: f64 = 1e-9;
 
 /// Returns the fraction of `count` requests that is admitted at a share.
-fn fraction_at(share: f64, count: f64, floor: f64) -> f64 {
+fn admitted_fraction_at(share: f64, count: f64, floor: f64) -> f64 {
     (share / count).clamp(floor, 1.0)
 }
 
 /// Requests admitted at a share, and the number of tenants that are cut to it. That number is the slope at which the
 /// admitted requests rise with the share.
-struct TakenAt {
-    taken: f64,
-    cut: f64,
+struct AdmittedAtShare {
+    admitted: f64,
+    capped: f64,
 }
 
 /// Recent demand of tenants for the same services at the same rank, and the requests that are owed.
@@ -76,9 +76,9 @@
     /// tenant.
     counts: BTreeMap<Arc<str>, f64>,
     /// Requests of tenants that aren't counted separately.
-    rest: f64,
-    /// Time at which one request counted as one unit.
-    unit_at: Option<BootTime>,
+    pooled: f64,
+    /// Time at which one request had a weight of one.
+    weight_one_at: Option<BootTime>,
     /// Requests by which too few have been admitted so far; negative if too many were.
     owed: f64,
 }
@@ -86,50 +86,50 @@
 impl FairShares {
     /// Counts a request of a tenant.
     pub fn count(&mut self, now: BootTime, tenant: Option<&Arc<str>>) {
-        let unit = self.unit(now);
+        let weight = self.current_weight(now);
         if let Some(count) = self.counts.get_mut(key_of(tenant)) {
-            *count += unit;
+            *count += weight;
             return;
         }
         if self.counts.len() >= MAX_TENANTS {
-            self.merge_least();
+            self.pool_least_active();
         }
-        self.counts.insert(tenant.cloned().unwrap_or_default(), unit);
+        self.counts.insert(tenant.cloned().unwrap_or_default(), weight);
     }
 
     /// Returns the fraction of a tenant's requests that is admitted while `level` is admitted of all requests, both 0
     /// to 1. The tenant's request must be counted first.
     pub fn fraction_taken(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
-        let unit = self.unit(now);
-        let is_alone = self.counts.len() <= 1 && self.rest == 0.0;
+        let weight = self.current_weight(now);
+        let is_alone = self.counts.len() <= 1 && self.pooled == 0.0;
         let Some(count) = self.counts.get(key_of(tenant)).copied().filter(|_| !is_alone) else {
             return level;
         };
         let floor = FLOOR * level;
-        let aim = (level + OWED_GAIN * self.owed).clamp(0.0, 1.0);
-        let fraction = fraction_at(self.share(aim, floor, unit), count, floor);
+        let target = (level + OWED_GAIN * self.owed).clamp(0.0, 1.0);
+        let fraction = admitted_fraction_at(self.share(target, floor, weight), count, floor);
         self.owed += level - fraction;
         fraction
     }
 
-    /// Returns the share at which the fraction `aim` of all requests is admitted. Tenants that aren't counted
+    /// Returns the share at which the fraction `target` of all requests is admitted. Tenants that aren't counted
     /// separately are assumed to have one request each.
     ///
     /// The number of admitted requests is piecewise linear in the share, with a slope of one for each tenant that is
     /// cut to the share. A step along the current piece mostly hits the target. If the step leads out of the remaining
     /// interval, the interval is bisected.
-    fn share(&self, aim: f64, floor: f64, unit: f64) -> f64 {
+    fn share(&self, target: f64, floor: f64, weight: f64) -> f64 {
         let all = self.total();
-        let wanted = aim * all;
+        let wanted = target * all;
         if wanted <= floor * all {
             return 0.0;
         }
-        let (mut low, mut high) = (0.0, self.counts.values().copied().fold(unit, f64::max));
+        let (mut low, mut high) = (0.0, self.counts.values().copied().fold(weight, f64::max));
         let mut share = (low + high) / 2.0;
-        for _ in 0..MAX_STEPS {
-            let at = self.taken_at(share, floor, unit);
-            let lacking = wanted - at.taken;
-            if lacking.abs() <= PRECISION * all {
+        for _ in 0..MAX_SEARCH_STEPS {
+            let at = self.admitted_at(share, floor, weight);
+            let lacking = wanted - at.admitted;
+            if lacking.abs() <= SEARCH_PRECISION * all {
                 break;
             }
             if lacking > 0.0 {
@@ -137,7 +137,7 @@
             } else {
                 high = share;
             }
-            let step = share + lacking / at.cut;
+            let step = share + lacking / at.capped;
             share = if low < step && step < high { step } else { (low + high) / 2.0 };
         }
         share
@@ -145,42 +145,42 @@
 
     /// Returns what is admitted at a share. Tenants that aren't counted separately are assumed to have one request
     /// each.
-    fn taken_at(&self, share: f64, floor: f64, unit: f64) -> TakenAt {
-        let is_cut = |count: f64| floor * count < share && share < count;
-        let mut at = TakenAt {
-            taken: self.rest * fraction_at(share, unit, floor),
-            cut: if is_cut(unit) { self.rest / unit } else { 0.0 },
+    fn admitted_at(&self, share: f64, floor: f64, weight: f64) -> AdmittedAtShare {
+        let is_capped = |count: f64| floor * count < share && share < count;
+        let mut at = AdmittedAtShare {
+            admitted: self.pooled * admitted_fraction_at(share, weight, floor),
+            capped: if is_capped(weight) { self.pooled / weight } else { 0.0 },
         };
         for count in self.counts.values() {
-            at.taken += (share.min(*count)).max(floor * count);
-            at.cut += f64::from(u8::from(is_cut(*count)));
+            at.admitted += (share.min(*count)).max(floor * count);
+            at.capped += f64::from(u8::from(is_capped(*count)));
         }
         at
     }
 
     /// Returns the sum of all counts.
     fn total(&self) -> f64 {
-        self.counts.values().sum::<f64>() + self.rest
+        self.counts.values().sum::<f64>() + self.pooled
     }
 
     /// Returns the weight of one request now, and rescales all counts when it has grown too large.
-    fn unit(&mut self, now: BootTime) -> f64 {
-        let unit_at = *self.unit_at.get_or_insert(now);
-        let unit = (now.since(unit_at).as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        if unit < MAX_SCALE {
-            return unit;
+    fn current_weight(&mut self, now: BootTime) -> f64 {
+        let weight_one_at = *self.weight_one_at.get_or_insert(now);
+        let weight = (now.since(weight_one_at).as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+        if weight < MAX_REQUEST_WEIGHT {
+            return weight;
         }
-        self.unit_at = Some(now);
-        self.counts.values_mut().for_each(|count| *count /= unit);
-        self.counts.retain(|_, count| *count >= NO_DEMAND);
-        self.rest = if self.rest / unit < NO_DEMAND { 0.0 } else { self.rest / unit };
+        self.weight_one_at = Some(now);
+        self.counts.values_mut().for_each(|count| *count /= weight);
+        self.counts.retain(|_, count| *count >= MIN_COUNT);
+        self.pooled = if self.pooled / weight < MIN_COUNT { 0.0 } else { self.pooled / weight };
         1.0
     }
 
     /// Moves the count of the least active tenant to the tenants that are counted together.
-    fn merge_least(&mut self) {
+    fn pool_least_active(&mut self) {
         let least = self.counts.iter().min_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(name, _)| name.clone());
-        self.rest += least.and_then(|name| self.counts.remove(&name)).unwrap_or(0.0);
+        self.pooled += least.and_then(|name| self.counts.remove(&name)).unwrap_or(0.0);
     }
 }
 
--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -35,7 +35,7 @@
 /// request that runs long before it crashes its searcher thus reaches few searchers.
 const PATIENCE_GROWTH: u32 = 2;
 /// Minimum time between two checks for a shard that can be sent.
-const MIN_PATIENCE: Duration = Duration::from_millis(10);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Whether a request is sent to one shard first.
 pub fn is_needed(
@@ -94,7 +94,7 @@
 
     /// Postpones the next check after no shard could be sent.
     pub fn put_off(&mut self, now: BootTime) {
-        self.next_at = now + self.patience.max(MIN_PATIENCE);
+        self.next_at = now + self.patience.max(MIN_CHECK_INTERVAL);
     }
 
     /// Returns the time from which one more shard may be sent if no searcher answers.
--- a/crates/staircross-routing/src/decision/giving_up.rs
+++ b/crates/staircross-routing/src/decision/giving_up.rs
@@ -40,7 +40,7 @@
 
 /// Maximum time for which a request is held. It covers a few reads from a store that answers slowly (the first read
 /// after a start takes tens of milliseconds).
-const LONGEST_HOLD: Duration = Duration::from_millis(500);
+const MAX_HOLD: Duration = Duration::from_millis(500);
 
 /// Divisor of the caller's patience that bounds a hold, so that a caller who is refused has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
@@ -162,8 +162,8 @@
 
 /// Returns the time until which a request that arrives now may be held.
 pub fn hold_until(now: BootTime, patience: Option<Duration>) -> BootTime {
-    let fraction = patience.map_or(LONGEST_HOLD, |patience| patience / HOLD_DIVISOR);
-    now + fraction.min(LONGEST_HOLD)
+    let by_patience = patience.map_or(MAX_HOLD, |patience| patience / HOLD_DIVISOR);
+    now + by_patience.min(MAX_HOLD)
 }
 
 /// Whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
@@ -204,12 +204,12 @@
 
 /// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
 pub fn judge(progress: Progress) -> Standing {
-    let is_enough = progress.parts >= progress.least;
+    let has_enough = progress.parts >= progress.least;
     let is_hopeless = progress.parts + progress.open < progress.least && !progress.is_unclear;
-    let is_best = progress.is_past_goal || !progress.may_grow_in_time;
-    let is_time = progress.is_over || (is_best && is_enough);
-    let goes_on = progress.open > 0 && !is_hopeless && !is_time;
-    match (goes_on, is_enough) {
+    let cannot_improve = progress.is_past_goal || !progress.may_grow_in_time;
+    let must_end = progress.is_over || (cannot_improve && has_enough);
+    let continues = progress.open > 0 && !is_hopeless && !must_end;
+    match (continues, has_enough) {
         (true, _) => Standing::GoOn,
         (false, true) => Standing::Answer,
         (false, false) => Standing::Fail,
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -27,30 +27,30 @@
 
 /// Round trips that a request on a new connection takes before and after its time at this node: to connect to the
 /// directory and ask it, and to connect to this node and ask it.
-const FRESH_TRIPS: f64 = 4.0;
+const NEW_CONNECTION_ROUND_TRIPS: f64 = 4.0;
 
 /// Round trips that a request on a kept connection takes. Callers cache an answer of the directory for about a second,
 /// so most have asked it anew. With 1, 3 and 4 round trips plus 10 ms, the mean score of a day on a fleet whose callers
 /// are 3 ms away changed by +0.0007, +0.0184 and +0.0159.
-const KEPT_TRIPS: f64 = 3.0;
+const KEPT_CONNECTION_ROUND_TRIPS: f64 = 3.0;
 
 /// Additional time for the scheduling of the processes on both sides. With 6 and 10 ms plus four round trips, the mean
 /// score of a day on a fleet whose callers are 1 ms away changed by -0.0009 and +0.0004.
-const TURNS: Duration = Duration::from_millis(10);
+const SCHEDULING_TIME: Duration = Duration::from_millis(10);
 
 /// Time that callers are assumed to spend if the system doesn't report their distance. Compared with 22 ms for all
 /// callers, the mean score of a day changed with 16 ms by -0.0072, and with 30 ms by -0.0019 ± 0.0014 where callers are
 /// 1 ms away and by +0.0146 ± 0.0019 where they are 3 ms away.
-const USUAL_SPENT: Duration = Duration::from_millis(22);
+const DEFAULT_CALLER_TIME: Duration = Duration::from_millis(22);
 
 /// Largest fraction of the goal that is reserved for the caller's side. Distant callers thus leave this node at least
 /// half of the goal.
-const MAX_FRACTION: f64 = 0.5;
+const MAX_CALLER_FRACTION: f64 = 0.5;
 
 /// Returns the time from a request's arrival until its answer must be sent to be worth most.
 pub fn usable_goal(route: &RouteDefinition, link: &CallerLink) -> Duration {
     let goal = Duration::from_millis(route.goal_ms);
-    goal - spent_by_caller(link).min(goal.mul_f64(MAX_FRACTION))
+    goal - caller_time(link).min(goal.mul_f64(MAX_CALLER_FRACTION))
 }
 
 /// Returns the time by which the answer to a request that arrives now must be sent to be worth most, which is never
@@ -60,7 +60,7 @@
 }
 
 /// Returns the part of the goal that is spent outside this node.
-fn spent_by_caller(link: &CallerLink) -> Duration {
-    let trips = if link.is_fresh { FRESH_TRIPS } else { KEPT_TRIPS };
-    link.round_trip.map_or(USUAL_SPENT, |round_trip| round_trip.mul_f64(trips) + TURNS)
+fn caller_time(link: &CallerLink) -> Duration {
+    let round_trips = if link.is_fresh { NEW_CONNECTION_ROUND_TRIPS } else { KEPT_CONNECTION_ROUND_TRIPS };
+    link.round_trip.map_or(DEFAULT_CALLER_TIME, |round_trip| round_trip.mul_f64(round_trips) + SCHEDULING_TIME)
 }
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -30,20 +30,20 @@
 
 /// Minimum time before a hedge is sent, as a multiple of the route's median work, plus the round trip. An attempt of
 /// usual length isn't doubled when the goal is near.
-const MIN_HEDGE_FACTOR: f64 = 1.5;
+const MIN_HEDGE_WORK_FACTOR: f64 = 1.5;
 
 /// Time that the second searcher is assumed to need, as a multiple of the route's median work, plus the round trip. It
 /// covers a searcher that is slower than usual but not late itself.
-const HEDGE_WORK_FACTOR: f64 = 2.0;
+const SECOND_SEARCHER_WORK_FACTOR: f64 = 2.0;
 
 /// Time after a restart during which a process sends no hedges. It has no measurements yet by which to tell a late
 /// attempt from a usual one, and when many nodes restart together, every attempt is late
 /// (`docs/studies/policy-rounds.md`).
-const START_REST: Duration = Duration::from_secs(2);
+const HEDGE_REST_AFTER_RESTART: Duration = Duration::from_secs(2);
 
 /// Time until a hedge that wasn't sent (no budget, no searcher with capacity, too long a queue) is tried again. A
 /// request with a goal of 200 ms thus gets a few more chances.
-const HEDGE_PAUSE: Duration = Duration::from_millis(25);
+const HEDGE_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Delay of a hedge as a fraction of an unusually long work time.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,11 +91,11 @@
     /// searcher could still answer by `answer_by`, but no later than an unusually long time, and never before the work
     /// is usually done.
     pub fn hedge_at(&self, now: BootTime, answer_by: BootTime) -> BootTime {
-        let needed = self.other_round_trip + self.usual.mul_f64(HEDGE_WORK_FACTOR);
-        let last_moment = answer_by - needed;
+        let needed = self.other_round_trip + self.usual.mul_f64(SECOND_SEARCHER_WORK_FACTOR);
+        let latest = answer_by - needed;
         let unusual = now + self.round_trip + self.late.mul_f64(self.delay_factor);
-        let least = now + self.round_trip + self.usual.mul_f64(MIN_HEDGE_FACTOR);
-        unusual.min(last_moment).max(least)
+        let earliest = now + self.round_trip + self.usual.mul_f64(MIN_HEDGE_WORK_FACTOR);
+        unusual.min(latest).max(earliest)
     }
 }
 
@@ -129,7 +129,7 @@
 /// Returns the time before which no hedges are sent. `restarted_at` is `None` for the first process on its machine.
 pub fn rests_until(restarted_at: Option<BootTime>, policy: &RoutingPolicy) -> BootTime {
     let restarted_at = restarted_at.filter(|_| policy.start_rest);
-    restarted_at.map_or(BootTime::default(), |started| started + START_REST)
+    restarted_at.map_or(BootTime::default(), |started| started + HEDGE_REST_AFTER_RESTART)
 }
 
 /// Decides whether an attempt whose hedge is due is hedged. `rests_until` comes from [`rests_until`].
@@ -141,7 +141,7 @@
         return HedgeVerdict::NotBefore(rests_until);
     }
     match late.is_alone && late.may_be_sent {
-        true => HedgeVerdict::Hedge { again_at: now + HEDGE_PAUSE },
+        true => HedgeVerdict::Hedge { again_at: now + HEDGE_RETRY_DELAY },
         false => HedgeVerdict::Never,
     }
 }
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -41,7 +41,7 @@
 
 /// Ratio to the least expected time within which searchers count as equally good and share the work. It allows for the
 /// precision of the estimates.
-const AS_GOOD: f64 = 1.1;
+const TIE_RATIO: f64 = 1.1;
 
 /// Inputs to the choice of a searcher for one shard of a request.
 pub struct Choice<'a> {
@@ -67,24 +67,27 @@
     random: &mut ChaCha8Rng,
 ) -> Option<SearcherKey> {
     let mut best: Option<(SearcherKey, Duration)> = None;
-    let mut as_good = 0_u32;
+    let mut ties = 0_u32;
     for key in candidates {
         let searcher = &table[key.0 as usize];
-        if choice.excluded.contains(key) || !place.allows(choice.regions, searcher) || !may_take(now, searcher, place) {
+        if choice.excluded.contains(key)
+            || !place.allows(choice.regions, searcher)
+            || !may_be_sent_attempt(now, searcher, place)
+        {
             continue;
         }
         let expected = expected_time(now, searcher, place, choice);
         match best {
-            Some((_, least)) if expected > least.mul_f64(AS_GOOD) => {}
-            Some((_, least)) if expected.mul_f64(AS_GOOD) >= least => {
-                as_good += 1;
-                if random.random_range(0..as_good) == 0 {
+            Some((_, least)) if expected > least.mul_f64(TIE_RATIO) => {}
+            Some((_, least)) if expected.mul_f64(TIE_RATIO) >= least => {
+                ties += 1;
+                if random.random_range(0..ties) == 0 {
                     best = Some((*key, expected.min(least)));
                 }
             }
             _ => {
                 best = Some((*key, expected));
-                as_good = 1;
+                ties = 1;
             }
         }
     }
@@ -92,8 +95,8 @@
 }
 
 /// Whether a searcher may be sent one more attempt by this node now.
-fn may_take(now: BootTime, searcher: &Searcher, place: &Place) -> bool {
+fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, place: &Place) -> bool {
     let has_room = searcher.open.len() < usable_connections(now, searcher, place) && !searcher.is_full(now);
-    let is_time = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
-    searcher.may_be_asked(now) && is_time && has_room
+    let is_not_avoided = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
+    searcher.may_be_asked(now) && is_not_avoided && has_room
 }
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -28,29 +28,29 @@
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
 pub fn usable_connections(now: BootTime, searcher: &Searcher, place: &Place) -> usize {
-    after_restart(now, place, connection_share(searcher, place))
+    ramped_share(now, place, connection_share(searcher, place))
 }
 
 /// Returns this node's share of a searcher's connections, at least one.
 fn connection_share(searcher: &Searcher, place: &Place) -> usize {
-    let most = f64::from(searcher.max_connections);
-    let fleet = place.fleet.serving.max(1);
-    let near = place.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(fleet);
-    let share = if near == 0 {
-        most * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / fleet as f64
-    } else if near == fleet {
-        most * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / near as f64
+    let limit = f64::from(searcher.max_connections);
+    let all_nodes = place.fleet.serving.max(1);
+    let zone_nodes = place.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
+    let share = if zone_nodes == 0 {
+        limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / all_nodes as f64
+    } else if zone_nodes == all_nodes {
+        limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / zone_nodes as f64
     } else if *searcher.entry.zone == *place.zone {
-        most * OWN_ZONE_SHARE / near as f64
+        limit * OWN_ZONE_SHARE / zone_nodes as f64
     } else {
-        most * OTHER_ZONE_SHARE / (fleet - near) as f64
+        limit * OTHER_ZONE_SHARE / (all_nodes - zone_nodes) as f64
     };
     (share as usize).max(1)
 }
 
 /// Returns the part of its share that a restarted node uses while searchers may still count the connections of earlier
 /// incarnations: one step at first, and one more after each step's length.
-fn after_restart(now: BootTime, place: &Place, share: usize) -> usize {
+fn ramped_share(now: BootTime, place: &Place, share: usize) -> usize {
     let Some(restarted_at) = place.restarted_at.filter(|_| place.policy.connection_ramp) else {
         return share;
     };
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Penalty of a searcher in another zone of the region.
-const ZONE_BIAS: Duration = Duration::from_millis(4);
+const OTHER_ZONE_PENALTY: Duration = Duration::from_millis(4);
 /// Penalty of a searcher in another region. A higher one saves traffic between regions and serves callers slightly
 /// worse.
-const REGION_BIAS: Duration = Duration::from_millis(25);
+const OTHER_REGION_PENALTY: Duration = Duration::from_millis(25);
 /// Penalty of a searcher whose entry has gone. It exceeds any other sum, so that the searcher is asked after all
 /// others.
-const LAPSE_BIAS: Duration = Duration::from_secs(60);
+const LAPSED_ENTRY_PENALTY: Duration = Duration::from_secs(60);
 /// Length of the pause that an overdue attempt is taken to show, as a multiple of the time for which it is overdue.
 const PAUSE_FACTOR: u32 = 2;
 
@@ -24,12 +24,12 @@
 pub fn expected_time(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
     let work = choice.usual_work.mul_f64(slowness(now, searcher, place));
     place.round_trip(&searcher.entry.zone)
-        + distance_price(searcher, place)
+        + distance_penalty(searcher, place)
         + work
-        + queue(searcher, place, work)
-        + pause(now, searcher, place)
-        + lapse_price(searcher)
-        + rejection_price(now, searcher, place, choice)
+        + queue_time(searcher, place, work)
+        + expected_pause(now, searcher, place)
+        + lapsed_entry_penalty(searcher)
+        + rejection_penalty(now, searcher, place, choice)
 }
 
 /// Returns how many times slower than usual a searcher is, by its answers or by the last report of its host, whichever
@@ -42,14 +42,14 @@
 
 /// Returns the time in the searcher's queue. Each other node of the zone is assumed to have as many open attempts as
 /// this node.
-fn queue(searcher: &Searcher, place: &Place, work: Duration) -> Duration {
+fn queue_time(searcher: &Searcher, place: &Place, work: Duration) -> Duration {
     let slots = f64::from(searcher.entry.slots.max(1));
-    let at_work = searcher.open.len() as f64 * sharers(searcher, place);
-    work.mul_f64(((at_work + 1.0 - slots) / slots).max(0.0))
+    let open_attempts = searcher.open.len() as f64 * nodes_sending_alike(searcher, place);
+    work.mul_f64(((open_attempts + 1.0 - slots) / slots).max(0.0))
 }
 
 /// Returns the number of nodes that probably send as much to the searcher as this node does, including this node.
-fn sharers(searcher: &Searcher, place: &Place) -> f64 {
+fn nodes_sending_alike(searcher: &Searcher, place: &Place) -> f64 {
     if *searcher.entry.zone == *place.zone {
         return place.nodes_by_zone.get(&place.zone).copied().unwrap_or(1).max(1) as f64;
     }
@@ -57,26 +57,26 @@
 }
 
 /// Returns the time for which a searcher with an overdue attempt is expected to stay silent.
-fn pause(now: BootTime, searcher: &Searcher, place: &Place) -> Duration {
+fn expected_pause(now: BootTime, searcher: &Searcher, place: &Place) -> Duration {
     if place.policy.avoid_overdue { searcher.overdue(now) * PAUSE_FACTOR } else { Duration::ZERO }
 }
 
-fn distance_price(searcher: &Searcher, place: &Place) -> Duration {
+fn distance_penalty(searcher: &Searcher, place: &Place) -> Duration {
     match place.distance(&searcher.entry.zone) {
-        Distance::OwnRegion if place.policy.near_first => ZONE_BIAS,
-        Distance::Far if place.policy.near_first => REGION_BIAS,
+        Distance::OwnRegion if place.policy.near_first => OTHER_ZONE_PENALTY,
+        Distance::Far if place.policy.near_first => OTHER_REGION_PENALTY,
         Distance::OwnZone | Distance::OwnRegion | Distance::Far => Duration::ZERO,
     }
 }
 
-fn lapse_price(searcher: &Searcher) -> Duration {
-    if searcher.is_serving() { Duration::ZERO } else { LAPSE_BIAS }
+fn lapsed_entry_penalty(searcher: &Searcher) -> Duration {
+    if searcher.is_serving() { Duration::ZERO } else { LAPSED_ENTRY_PENALTY }
 }
 
 /// Returns the route's goal times the probability of a rejection: the budget may not pay for a retry, and then the part
 /// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the score, against +0.083 ± 0.004
 /// if only the time of a retry is added (docs/design/searcher-choice.md).
-fn rejection_price(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
+fn rejection_penalty(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
     if !place.policy.avoid_rejecting {
         return Duration::ZERO;
     }
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -33,15 +33,15 @@
 
 use crate::keys::{ContentKey, InstanceKey, RouteDigest};
 use alarm::RouteAlarms;
-use case::{ANSWER_MEMORY, Case, Loss, age_ms, before, is_later};
+use case::{ANSWER_RETENTION, Case, Loss, age_ms, is_surely_later, time_before};
 use recent_answers::RecentAnswers;
-use sending::SendingTurns;
+use sending::ReportSchedule;
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Maximum number of contents remembered. Beyond it, the content with the lowest level and the oldest report is dropped first. This
-/// bounds memory to some 100 KB.
+/// Maximum number of contents remembered. Beyond it, the content with the lowest level and the oldest report is dropped
+/// first. This bounds memory to some 100 KB.
 const MAX_CASES: usize = 256;
 
 /// An attempt whose connection ended without an answer.
@@ -63,7 +63,7 @@
     cases: BTreeMap<ContentKey, Case>,
     alarms: RouteAlarms,
     answers: RecentAnswers,
-    sending: SendingTurns,
+    schedule: ReportSchedule,
 }
 
 impl Quarantine {
@@ -101,26 +101,26 @@
     /// Records that a searcher's connection ended while the searcher ran a content.
     pub fn note_lost(&mut self, now: BootTime, lost: LostAttempt) -> Option<SuspicionChange> {
         let LostAttempt { content, route, searcher, sent_at } = lost;
-        self.answers.forget(content);
-        self.make_room(now, content);
-        self.change(now, content, |case| {
+        self.answers.remove(content);
+        self.evict_if_full(now, content);
+        self.update_case(now, content, |case| {
             case.route = Some(route);
-            case.add(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_by_peer: false });
+            case.add(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_reported_by_peer: false });
         })
     }
 
     /// Records that a searcher ran a content to completion.
     pub fn note_answered(&mut self, now: BootTime, content: ContentKey) -> Option<SuspicionChange> {
-        self.answers.note(now, content);
+        self.answers.record(now, content);
         let case = self.cases.get(&content)?;
         if !case.is_known_to_peers {
             let (before, route) = (case.suspicion(now), case.route);
             self.cases.remove(&content);
-            self.set_alarm(now, route);
+            self.update_alarm(now, route);
             let change = SuspicionChange { content, suspicion: Suspicion::None, losses: 0, is_raised: false };
             return (before != Suspicion::None).then_some(change);
         }
-        self.change(now, content, |case| case.answered(now))
+        self.update_case(now, content, |case| case.answered(now))
     }
 
     /// Records that a searcher answered a request sent at `sent_at`, which shows that it outlived all losses before
@@ -133,7 +133,8 @@
         sent_at: BootTime,
         connected_at: Option<BootTime>,
     ) -> Vec<SuspicionChange> {
-        let is_kept = |lost_at: BootTime| connected_at.is_none_or(|connected_at| is_later(lost_at, connected_at));
+        let is_kept =
+            |lost_at: BootTime| connected_at.is_none_or(|connected_at| is_surely_later(lost_at, connected_at));
         let is_outlived = |loss: &&Loss| loss.lost_at <= sent_at && is_kept(loss.lost_at);
         let is_cleared = |loss: &&Loss| loss.searcher == searcher && is_outlived(loss) && !loss.is_alive;
         let concerned = self.cases.iter().filter(|(_, case)| case.losses.iter().any(|loss| is_cleared(&loss)));
@@ -142,63 +143,68 @@
             let cleared = case.losses.iter_mut().filter(|loss| is_cleared(&&**loss));
             cleared.for_each(|loss| loss.is_alive = true);
         };
-        contents.into_iter().filter_map(|content| self.change(now, content, clear)).collect()
+        contents.into_iter().filter_map(|content| self.update_case(now, content, clear)).collect()
     }
 
     /// Merges the reports of a peer.
     pub fn merge(&mut self, now: BootTime, records: &[CaseRecord]) -> Vec<SuspicionChange> {
-        records.iter().filter_map(|record| self.merge_one(now, record)).collect()
+        records.iter().filter_map(|record| self.merge_record(now, record)).collect()
     }
 
-    fn merge_one(&mut self, now: BootTime, record: &CaseRecord) -> Option<SuspicionChange> {
+    fn merge_record(&mut self, now: BootTime, record: &CaseRecord) -> Option<SuspicionChange> {
         // An answer is stored even if no losses of its content are known here, since a report of them may be in
         // transit.
-        let is_old = record.answered_ms.is_none_or(|age| u128::from(age) >= ANSWER_MEMORY.as_millis());
+        let is_old = record.answered_ms.is_none_or(|age| u128::from(age) >= ANSWER_RETENTION.as_millis());
         if record.losses.is_empty() && is_old && !self.cases.contains_key(&record.content) {
             return None;
         }
-        self.make_room(now, record.content);
-        self.change(now, record.content, |case| {
+        self.evict_if_full(now, record.content);
+        self.update_case(now, record.content, |case| {
             case.is_known_to_peers = true;
             case.route = case.route.or(record.route);
             record.losses.iter().for_each(|loss| case.add(Loss::from_record(now, loss)));
             if let Some(age) = record.answered_ms {
-                case.answered_by_peer(before(now, age));
+                case.answered_by_peer(time_before(now, age));
             }
         })
     }
 
     /// Returns the reports to send to peers with the next datagram. Contents take turns.
     pub fn records(&mut self, now: BootTime) -> Vec<CaseRecord> {
-        self.forget_old(now);
-        let to_send = self.sending.next(now, &self.cases);
-        to_send.into_iter().filter_map(|content| self.record_to_send(now, content)).collect()
+        self.remove_expired(now);
+        let to_send = self.schedule.next_contents(now, &self.cases);
+        to_send.into_iter().filter_map(|content| self.record_for_peers(now, content)).collect()
     }
 
-    fn record_to_send(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
+    fn record_for_peers(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
         let case = self.cases.get_mut(&content)?;
         case.is_known_to_peers = true;
         let losses = case.losses_to_send().map(|loss| loss.record(now)).collect();
         Some(CaseRecord { content, losses, answered_ms: case.answered_at.map(|at| age_ms(now, at)), route: case.route })
     }
 
-    fn change(&mut self, now: BootTime, content: ContentKey, apply: impl FnOnce(&mut Case)) -> Option<SuspicionChange> {
+    fn update_case(
+        &mut self,
+        now: BootTime,
+        content: ContentKey,
+        apply: impl FnOnce(&mut Case),
+    ) -> Option<SuspicionChange> {
         let case = self.cases.entry(content).or_default();
         let before = case.suspicion(now);
         apply(case);
         let suspicion = case.suspicion(now);
-        let (losses, route) = (case.counted().count(), case.route);
+        let (losses, route) = (case.counted_losses().count(), case.route);
         if before.max(suspicion) == Suspicion::Quarantined {
-            self.set_alarm(now, route);
+            self.update_alarm(now, route);
         }
         if suspicion > before {
-            self.sending.raise(content);
+            self.schedule.send_first(content);
         }
         (suspicion != before).then_some(SuspicionChange { content, suspicion, losses, is_raised: suspicion > before })
     }
 
     /// Raises or clears the alarm of a route, depending on which of its contents are quarantined now.
-    fn set_alarm(&mut self, now: BootTime, route: Option<RouteDigest>) {
+    fn update_alarm(&mut self, now: BootTime, route: Option<RouteDigest>) {
         let Some(route) = route else {
             return;
         };
@@ -207,19 +213,19 @@
         self.alarms.set(route, quarantined.filter_map(Case::newest_loss));
     }
 
-    fn forget_old(&mut self, now: BootTime) {
+    fn remove_expired(&mut self, now: BootTime) {
         self.cases.retain(|_, case| case.is_remembered(now));
-        self.alarms.forget_old(now);
+        self.alarms.remove_expired(now);
     }
 
     /// Drops a content if necessary, so that one that isn't known yet can be stored.
-    fn make_room(&mut self, now: BootTime, content: ContentKey) {
+    fn evict_if_full(&mut self, now: BootTime, content: ContentKey) {
         if self.cases.len() < MAX_CASES || self.cases.contains_key(&content) {
             return;
         }
-        self.forget_old(now);
+        self.remove_expired(now);
         if self.cases.len() >= MAX_CASES {
-            let least = self.cases.iter().min_by_key(|(_, case)| (case.suspicion(now), case.newest()));
+            let least = self.cases.iter().min_by_key(|(_, case)| (case.suspicion(now), case.newest_event()));
             let least = least.map(|(content, _)| *content);
             least.map(|content| self.cases.remove(&content));
         }
--- a/crates/staircross-routing/src/decision/quarantine/alarm.rs
+++ b/crates/staircross-routing/src/decision/quarantine/alarm.rs
@@ -11,11 +11,11 @@
 
 /// Time from the newest loss until an alarm ends, if one content of the route is quarantined. It is short because
 /// harmless requests are delayed while the alarm is raised.
-const AFTER_ONE: Duration = Duration::from_secs(15);
+const ONE_CONTENT_ALARM_TIME: Duration = Duration::from_secs(15);
 /// Time from the newest loss until an alarm ends, if several contents of the route are quarantined: more are expected.
 /// A searcher is back some four seconds after it ended, so a crashing content that arrives each time the alarm ends
 /// makes the searchers of a shard unavailable for less than 4 in 100 of the time.
-const AFTER_SEVERAL: Duration = Duration::from_secs(120);
+const SEVERAL_CONTENTS_ALARM_TIME: Duration = Duration::from_secs(120);
 
 /// The alarm of one route.
 #[derive(Clone, Copy, Debug)]
@@ -35,9 +35,9 @@
     /// cleared.
     pub fn set(&mut self, route: RouteDigest, newest_losses: impl Iterator<Item = BootTime>) {
         let (count, newest) = newest_losses.fold((0, None), |(count, newest), at| (count + 1, newest.max(Some(at))));
-        let time = if count > 1 { AFTER_SEVERAL } else { AFTER_ONE };
+        let duration = if count > 1 { SEVERAL_CONTENTS_ALARM_TIME } else { ONE_CONTENT_ALARM_TIME };
         match newest {
-            Some(newest_loss) => self.alarms.insert(route, RouteAlarm { newest_loss, until: newest_loss + time }),
+            Some(newest_loss) => self.alarms.insert(route, RouteAlarm { newest_loss, until: newest_loss + duration }),
             None => self.alarms.remove(&route),
         };
     }
@@ -53,7 +53,7 @@
     }
 
     /// Removes the alarms that have ended.
-    pub fn forget_old(&mut self, now: BootTime) {
+    pub fn remove_expired(&mut self, now: BootTime) {
         self.alarms.retain(|_, alarm| now < alarm.until);
     }
 }
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -13,30 +13,30 @@
 
 /// Number of losses from which a content is sent to one searcher at a time. It is above one because a single broken
 /// connection is common and its retry shouldn't wait.
-const SUSPECT_LOSSES: usize = 2;
+const MIN_SUSPECT_LOSSES: usize = 2;
 /// Number of losses from which a content is sent to no searcher, if two of them are in sequence. It is one more than
 /// makes a content suspect. With both conditions, no harmless content was quarantined in 133 days
 /// (docs/design/quarantine.md).
-const QUARANTINE_LOSSES: usize = 3;
+const MIN_QUARANTINE_LOSSES: usize = 3;
 /// Time from the newest loss until a quarantined content is tried on one searcher again, since the fault may have been
 /// mended. If it wasn't, this costs one searcher an hour.
 const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 /// Time from the newest loss until a content is forgotten. It is twice [`QUARANTINE_TIME`], so that the content is
 /// still suspect when it is tried again.
-const MEMORY: Duration = Duration::from_secs(2 * 3600);
+const LOSS_RETENTION: Duration = Duration::from_secs(2 * 3600);
 /// Time for which the answer to a content that was reported to peers is remembered, so that peers learn of it too. The
 /// time covers many datagrams.
-pub(super) const ANSWER_MEMORY: Duration = Duration::from_secs(60);
+pub(super) const ANSWER_RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of losses remembered of one content. This bounds memory; it is twice the number that decides.
 const MAX_LOSSES: usize = 6;
-/// Maximum number of losses of one content that are reported to peers: those that prove a sequence and the newest ones. It is one
-/// more than the number that decides.
-const SENT_LOSSES: usize = 4;
+/// Maximum number of losses of one content that are reported to peers: those that prove a sequence and the newest ones.
+/// It is one more than the number that decides.
+const MAX_REPORTED_LOSSES: usize = 4;
 /// Longest time that a peer's report is assumed to be in transit. A reported event seems later than it was by the time
 /// in transit. Without this tolerance, two nodes that report one event to each other would move it later for ever.
-const TELLING_TIME: Duration = Duration::from_secs(1);
+const MAX_REPORT_TRANSIT: Duration = Duration::from_secs(1);
 /// Age from which a single loss is reported to peers. By then a retry has mostly been answered.
-const SINGLE_SENT_AFTER: Duration = Duration::from_millis(200);
+const SINGLE_LOSS_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// A searcher whose connection ended while it ran a content.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     /// Whether the searcher has answered a request that was sent later, so that the loss doesn't count.
     pub is_alive: bool,
     /// Whether a peer reported the loss. It then seems later than it was, by the time that the report was in transit.
-    pub is_by_peer: bool,
+    pub is_reported_by_peer: bool,
 }
 
 /// What is known of one content.
@@ -65,28 +65,28 @@
 
 impl Case {
     /// Returns the losses that count: their searchers haven't answered anything sent later.
-    pub fn counted(&self) -> impl Iterator<Item = &Loss> {
+    pub fn counted_losses(&self) -> impl Iterator<Item = &Loss> {
         self.losses.iter().filter(|loss| !loss.is_alive)
     }
 
     /// Returns the time of the newest loss or answer.
-    pub fn newest(&self) -> BootTime {
+    pub fn newest_event(&self) -> BootTime {
         self.losses.iter().map(|loss| loss.lost_at).chain(self.answered_at).max().unwrap_or_default()
     }
 
     /// Returns the time of the newest loss that counts.
     pub fn newest_loss(&self) -> Option<BootTime> {
-        self.counted().map(|loss| loss.lost_at).max()
+        self.counted_losses().map(|loss| loss.lost_at).max()
     }
 
     /// Returns the suspicion level of the content.
     pub fn suspicion(&self, now: BootTime) -> Suspicion {
-        let count = self.counted().count();
-        if count < SUSPECT_LOSSES {
+        let count = self.counted_losses().count();
+        if count < MIN_SUSPECT_LOSSES {
             return Suspicion::None;
         }
         let newest = self.newest_loss().unwrap_or_default();
-        let is_proven = count >= QUARANTINE_LOSSES && self.sequence().is_some();
+        let is_proven = count >= MIN_QUARANTINE_LOSSES && self.sequence().is_some();
         if is_proven && now.since(newest) < QUARANTINE_TIME { Suspicion::Quarantined } else { Suspicion::Suspect }
     }
 
@@ -94,14 +94,14 @@
     /// after the first had been observed. When many searchers end at once, every content running there loses several at
     /// the same moment; only the content that causes it loses the next searcher too.
     fn sequence(&self) -> Option<(InstanceKey, InstanceKey)> {
-        let first = self.counted().min_by_key(|loss| loss.lost_at)?;
-        let next = self.counted().find(|loss| loss.sent_at >= first.lost_at)?;
+        let first = self.counted_losses().min_by_key(|loss| loss.lost_at)?;
+        let next = self.counted_losses().find(|loss| loss.sent_at >= first.lost_at)?;
         Some((first.searcher, next.searcher))
     }
 
     /// Whether a loss is one of the two that prove a sequence, or the first of all losses, which a later one may follow
     /// in sequence.
-    fn is_proof(&self, loss: &Loss) -> bool {
+    fn may_prove_sequence(&self, loss: &Loss) -> bool {
         let is_first = self.losses.first().is_some_and(|first| first.searcher == loss.searcher);
         is_first || self.sequence().is_some_and(|(first, next)| [first, next].contains(&loss.searcher))
     }
@@ -112,15 +112,15 @@
             return;
         }
         match self.losses.iter_mut().find(|known| known.searcher == loss.searcher) {
-            Some(known) if is_later(loss.lost_at, known.lost_at) => *known = loss,
+            Some(known) if is_surely_later(loss.lost_at, known.lost_at) => *known = loss,
             Some(known) => known.is_alive |= loss.is_alive,
             None => self.losses.push(loss),
         }
         self.losses.sort_by_key(|loss| loss.lost_at);
         if self.losses.len() > MAX_LOSSES {
             let is_alive = self.losses.iter().position(|loss| loss.is_alive);
-            let needless = is_alive.or_else(|| self.losses.iter().position(|loss| !self.is_proof(loss)));
-            needless.map(|index| self.losses.remove(index));
+            let dropped = is_alive.or_else(|| self.losses.iter().position(|loss| !self.may_prove_sequence(loss)));
+            dropped.map(|index| self.losses.remove(index));
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// Records an answer reported by a peer.
     pub fn answered_by_peer(&mut self, at: BootTime) {
-        if self.answered_at.is_none_or(|known| is_later(at, known)) {
+        if self.answered_at.is_none_or(|known| is_surely_later(at, known)) {
             self.answered_at = Some(at);
         }
         self.losses.retain(|loss| !loss.is_before(at));
@@ -141,20 +141,23 @@
     /// Returns the losses to report to peers: those that prove a sequence, and the newest. They suffice to determine
     /// the suspicion level.
     pub fn losses_to_send(&self) -> impl Iterator<Item = &Loss> {
-        let (proof, others): (Vec<&Loss>, Vec<&Loss>) = self.losses.iter().partition(|loss| self.is_proof(loss));
-        let newest = others.into_iter().rev().take(SENT_LOSSES - proof.len().min(SENT_LOSSES));
+        let (proof, others): (Vec<&Loss>, Vec<&Loss>) =
+            self.losses.iter().partition(|loss| self.may_prove_sequence(loss));
+        let newest = others.into_iter().rev().take(MAX_REPORTED_LOSSES - proof.len().min(MAX_REPORTED_LOSSES));
         proof.into_iter().chain(newest)
     }
 
     /// Whether the content is to be reported to peers.
     pub fn is_worth_sending(&self, now: BootTime) -> bool {
-        self.is_known_to_peers || self.losses.len() >= SUSPECT_LOSSES || now.since(self.newest()) >= SINGLE_SENT_AFTER
+        self.is_known_to_peers
+            || self.losses.len() >= MIN_SUSPECT_LOSSES
+            || now.since(self.newest_event()) >= SINGLE_LOSS_REPORT_DELAY
     }
 
     /// Whether the content is still remembered.
     pub fn is_remembered(&self, now: BootTime) -> bool {
-        let memory = if self.losses.is_empty() { ANSWER_MEMORY } else { MEMORY };
-        now.since(self.newest()) < memory
+        let memory = if self.losses.is_empty() { ANSWER_RETENTION } else { LOSS_RETENTION };
+        now.since(self.newest_event()) < memory
     }
 }
 
@@ -163,7 +166,7 @@
     /// it surely is: a content that crashes its searchers has no answer at all, whereas a harmless content whose answer
     /// is discarded may be refused.
     fn is_before(&self, answered: BootTime) -> bool {
-        let tolerance = if self.is_by_peer { TELLING_TIME } else { Duration::ZERO };
+        let tolerance = if self.is_reported_by_peer { MAX_REPORT_TRANSIT } else { Duration::ZERO };
         self.lost_at <= answered + tolerance
     }
 
@@ -181,18 +184,18 @@
     pub fn from_record(now: BootTime, record: &LossRecord) -> Self {
         Loss {
             searcher: record.searcher,
-            sent_at: before(now, record.sent_ms),
-            lost_at: before(now, record.lost_ms),
+            sent_at: time_before(now, record.sent_ms),
+            lost_at: time_before(now, record.lost_ms),
             is_alive: record.is_alive,
-            is_by_peer: true,
+            is_reported_by_peer: true,
         }
     }
 }
 
 /// Whether an event at `time` is surely another and later one than the event at `than`, though peers may have reported
 /// the times.
-pub(super) fn is_later(time: BootTime, than: BootTime) -> bool {
-    time > than + TELLING_TIME
+pub(super) fn is_surely_later(time: BootTime, than: BootTime) -> bool {
+    time > than + MAX_REPORT_TRANSIT
 }
 
 /// Returns the age of `at` in milliseconds, capped at `u32::MAX`.
@@ -201,6 +204,6 @@
 }
 
 /// Returns the time that lies `age_ms` milliseconds before `now`.
-pub(super) fn before(now: BootTime, age_ms: u32) -> BootTime {
+pub(super) fn time_before(now: BootTime, age_ms: u32) -> BootTime {
     now - Duration::from_millis(age_ms.into())
 }
--- a/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
+++ b/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Maximum number of contents in one generation; two generations are kept. This bounds memory to some 80 KB.
-const MAX_CONTENTS: usize = 2048;
+const MAX_GENERATION_CONTENTS: usize = 2048;
 /// Time after which a generation ends even if few contents were answered, because searchers may run another version by
 /// then. An answer thus counts for ten to twenty minutes.
 const GENERATION_TIME: Duration = Duration::from_secs(600);
@@ -21,8 +21,8 @@
 
 impl RecentAnswers {
     /// Records that a searcher has answered a content.
-    pub fn note(&mut self, now: BootTime, content: ContentKey) {
-        if self.recent.len() >= MAX_CONTENTS || now.since(self.begun_at) >= GENERATION_TIME {
+    pub fn record(&mut self, now: BootTime, content: ContentKey) {
+        if self.recent.len() >= MAX_GENERATION_CONTENTS || now.since(self.begun_at) >= GENERATION_TIME {
             self.older = std::mem::take(&mut self.recent);
             self.begun_at = now;
         }
@@ -30,7 +30,7 @@
     }
 
     /// Removes a content because a searcher was lost while running it.
-    pub fn forget(&mut self, content: ContentKey) {
+    pub fn remove(&mut self, content: ContentKey) {
         self.recent.remove(&content);
         self.older.remove(&content);
     }
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -32,7 +32,7 @@
 
 /// Time until a shard whose retry the budget refused is tried again. It is a fifth of the step by which a budget window
 /// of 10 s advances.
-const BUDGET_PAUSE: Duration = Duration::from_millis(100);
+const BUDGET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Properties of a request that decide whether it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,5 +134,5 @@
 
 /// Returns the time at which a shard that waits for the budget is tried again, or `None` if shards don't wait.
 pub fn budget_retry_at(now: BootTime, policy: &RoutingPolicy) -> Option<BootTime> {
-    policy.waiting.then(|| now + BUDGET_PAUSE)
+    policy.waiting.then(|| now + BUDGET_RETRY_DELAY)
 }
--- a/crates/staircross-routing/src/decision/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -33,7 +33,7 @@
 impl WeightedTurns {
     /// Returns the service for the next request, or `None` if no weight is above zero.
     pub fn next(&mut self, set: &[WeightedService]) -> Option<Arc<str>> {
-        self.follow(set);
+        self.reset_if_changed(set);
         let total: i64 = self.credits.iter().map(|entry| i64::from(entry.weight)).sum();
         for entry in &mut self.credits {
             entry.credit += i64::from(entry.weight);
@@ -44,7 +44,7 @@
     }
 
     /// Resets all credits if the set has changed.
-    fn follow(&mut self, set: &[WeightedService]) {
+    fn reset_if_changed(&mut self, set: &[WeightedService]) {
         let is_same = self.credits.len() == set.len()
             && self
                 .credits
