--- a/crates/staircross-routing/src/decision/turns.rs
+++ b/crates/staircross-routing/src/decision/turns.rs
@@ -18,7 +18,7 @@
 /// Smooth weighted round robin: over any stretch of requests, each service is picked as often as its weight says, give
 /// or take one.
 #[derive(Debug, Default)]
-pub struct WeightedTurns {
+pub struct WeightedRoundRobin {
     credits: Vec<Credit>,
 }
 
@@ -30,7 +30,7 @@
     credit: i64,
 }
 
-impl WeightedTurns {
+impl WeightedRoundRobin {
     /// Returns the service for the next request, or `None` if no weight is above zero.
     pub fn next(&mut self, set: &[WeightedService]) -> Option<Arc<str>> {
         self.reset_if_changed(set);
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -26,7 +26,7 @@
 use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
 use crate::decision::placement::Place;
 use crate::decision::quarantine::Quarantine;
-use crate::decision::turns::WeightedTurns;
+use crate::decision::turns::WeightedRoundRobin;
 pub use crate::engine_message::{
     AbandonCause, HoldCause, LeftOutCause, ProbeStep, ReportedAt, RoutingAction, RoutingEvent, SendOrder, SendReason,
     UnsentCause,
@@ -88,7 +88,7 @@
     pub work: LatencyTracker,
     /// The same where nothing waits in a queue.
     pub usual: UsualWork,
-    pub turns: WeightedTurns,
+    pub turns: WeightedRoundRobin,
 }
 
 /// What must be remembered of an attempt until it holds no connection any more.
@@ -322,7 +322,7 @@
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / WORK_FRACTION_OF_GOAL),
             usual: UsualWork::default(),
-            turns: WeightedTurns::default(),
+            turns: WeightedRoundRobin::default(),
         })
     }
 
