--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -77,12 +77,12 @@
 /// unless the request is a gather: another searcher would refuse it too.
 fn is_final(answer: &SearcherAnswer, kind: RequestKind) -> bool {
     let is_success = (200..300).contains(&answer.status) && answer.stamp.is_some();
-    is_success || (!kind.is_gather && is_run_to_its_end(answer))
+    is_success || (!kind.is_gather && ran_to_completion(answer))
 }
 
 /// Whether the searcher ran the request to completion and survived. A searcher may report a failure of its own before
 /// the work that crashes it.
-pub fn is_run_to_its_end(answer: &SearcherAnswer) -> bool {
+pub fn ran_to_completion(answer: &SearcherAnswer) -> bool {
     answer.status < 500 && !promises_not_run(answer.status)
 }
 
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -101,7 +101,7 @@
             AttemptOutcome::Answered(answer) => Some(answer),
             AttemptOutcome::NotRun(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::Cancelled => None,
         };
-        let is_outlived = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
+        let is_outlived = answer.as_ref().is_some_and(|answer| retry::ran_to_completion(answer));
         request.is_answered |= is_outlived;
         match (step, answer) {
             (NextStep::TakePart, Some(answer)) => self.take_part(key, shard, answer, actions),
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -3,7 +3,7 @@
 use super::waiting::Postponed;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::quarantine::{CaseRecord, LostAttempt, Suspicion, SuspicionChange};
-use crate::decision::retry::is_run_to_its_end;
+use crate::decision::retry::ran_to_completion;
 use crate::keys::{AttemptKey, ContentKey, RequestKey, RouteDigest};
 use crate::state::request::{AttemptOutcome, NotRun, Request, Shard, ShardState, Unknown};
 use staircross_types::BootTime;
@@ -81,7 +81,7 @@
             _ => Vec::new(),
         };
         changes.extend(match outcome {
-            AttemptOutcome::Answered(answer) if is_run_to_its_end(answer) => {
+            AttemptOutcome::Answered(answer) if ran_to_completion(answer) => {
                 self.quarantine.note_answered(now, sent.content)
             }
             AttemptOutcome::Unknown(Unknown::Broken) if !self.is_answered(attempt.request, sent) => {
