--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -2,7 +2,7 @@
 //! the shard is sent again.
 //!
 //! The rule decides for each shard of a request ([`next_step`]), for the searcher of an attempt that didn't run
-//! ([`after_not_run`]), and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]). [`crate::engine`]
+//! ([`reuse_after_not_run`]), and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]). [`crate::engine`]
 //! calls it whenever an attempt ends.
 //!
 //! The inputs are the outcome of the attempt as seen on the connection ([`AttemptOutcome`]), and whether the route is
@@ -104,7 +104,7 @@
 
 /// What follows within a request for a searcher that didn't run its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnusedSearcher {
+pub struct SearcherReuse {
     /// Whether the searcher counts towards the route's `max_attempts`, because the request reached it.
     pub is_counted: bool,
     /// Whether the same request may be sent to the searcher again.
@@ -114,15 +114,15 @@
 /// Returns what follows within a request for a searcher that didn't run its attempt. Repeats are limited in rate: each
 /// ended connection is found only once, and a searcher that can't be reached or rejects a request is avoided for a
 /// while.
-pub fn after_not_run(reason: NotRun, policy: &RoutingPolicy) -> UnusedSearcher {
+pub fn reuse_after_not_run(reason: NotRun, policy: &RoutingPolicy) -> SearcherReuse {
     let may_wait = policy.waiting;
     match reason {
-        NotRun::Stale => UnusedSearcher { is_counted: false, may_be_asked_again: true },
+        NotRun::Stale => SearcherReuse { is_counted: false, may_be_asked_again: true },
         NotRun::Unconnected | NotRun::ConnectionRejected => {
-            UnusedSearcher { is_counted: false, may_be_asked_again: may_wait }
+            SearcherReuse { is_counted: false, may_be_asked_again: may_wait }
         }
-        NotRun::Shed => UnusedSearcher { is_counted: true, may_be_asked_again: may_wait },
-        NotRun::OtherInstance => UnusedSearcher { is_counted: true, may_be_asked_again: false },
+        NotRun::Shed => SearcherReuse { is_counted: true, may_be_asked_again: may_wait },
+        NotRun::OtherInstance => SearcherReuse { is_counted: true, may_be_asked_again: false },
     }
 }
 
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -143,7 +143,7 @@
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
-        let unused = retry::after_not_run(*reason, &self.settings.policy);
+        let unused = retry::reuse_after_not_run(*reason, &self.settings.policy);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -4,8 +4,8 @@
 
 use common::answer;
 use staircross_routing::decision::retry::{
-    NextStep, RequestKind, UnusedSearcher, after_not_run, budget_retry_at, may_have_run, may_wait, next_step,
-    promises_not_run,
+    NextStep, RequestKind, SearcherReuse, budget_retry_at, may_have_run, may_wait, next_step, promises_not_run,
+    reuse_after_not_run,
 };
 use staircross_routing::state::request::{SendReason, Unknown};
 use staircross_routing::{AttemptOutcome, NotRun, RoutingPolicy};
@@ -77,8 +77,8 @@
     ];
     for (reason, is_counted, with_waiting, without) in rows {
         for (policy, may_be_asked_again) in [(on, with_waiting), (off, without)] {
-            let verdict = UnusedSearcher { is_counted, may_be_asked_again };
-            assert_eq!(after_not_run(reason, &policy), verdict, "{reason:?}");
+            let verdict = SearcherReuse { is_counted, may_be_asked_again };
+            assert_eq!(reuse_after_not_run(reason, &policy), verdict, "{reason:?}");
         }
     }
 }
