--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -54,7 +54,7 @@
 
 /// Returns the shard that is sent first. It is chosen at random, so that no shard's searchers receive all probes. Draws
 /// one random number.
-pub fn first_of(shards: usize, random: &mut impl RngCore) -> usize {
+pub fn choose_first_shard(shards: usize, random: &mut impl RngCore) -> usize {
     random.next_u32() as usize % shards.max(1)
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// Postpones the next check after no shard could be sent.
-    pub fn put_off(&mut self, now: BootTime) {
+    pub fn postpone(&mut self, now: BootTime) {
         self.next_at = now + self.patience.max(MIN_CHECK_INTERVAL);
     }
 
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -49,7 +49,7 @@
     /// The shard that a request is sent to first.
     pub(super) fn first_shard(&mut self, request: &Request) -> usize {
         match request.probe {
-            Some(_) => first_probe::first_of(request.shards.len(), &mut self.random),
+            Some(_) => first_probe::choose_first_shard(request.shards.len(), &mut self.random),
             None => 0,
         }
     }
@@ -99,7 +99,7 @@
             }
         }
         if let Some(probe) = self.requests.get_mut(&key).and_then(|request| request.probe.as_mut()) {
-            probe.put_off(now);
+            probe.postpone(now);
         }
     }
 
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -2,7 +2,7 @@
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use staircross_routing::decision::first_probe::{first_of, is_needed};
+use staircross_routing::decision::first_probe::{choose_first_shard, is_needed};
 use staircross_routing::decision::quarantine::{LostAttempt, Quarantine};
 use staircross_routing::{ContentKey, InstanceKey, RouteDigest, RoutingPolicy};
 use staircross_types::BootTime;
@@ -52,6 +52,6 @@
 fn any_shard_may_be_the_first() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut counts = [0; 4];
-    (0..1000).for_each(|_| counts[first_of(4, &mut random)] += 1);
+    (0..1000).for_each(|_| counts[choose_first_shard(4, &mut random)] += 1);
     assert!(counts.iter().all(|count| (200..300).contains(count)), "{counts:?}");
 }
