--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -39,7 +39,7 @@
 /// Time after a restart during which a process sends no hedges. It has no measurements yet by which to tell a late
 /// attempt from a usual one, and when many nodes restart together, every attempt is late
 /// (`docs/studies/policy-rounds.md`).
-const HEDGE_REST_AFTER_RESTART: Duration = Duration::from_secs(2);
+const HEDGE_PAUSE_AFTER_RESTART: Duration = Duration::from_secs(2);
 
 /// Time until a hedge that wasn't sent (no budget, no searcher with capacity, too long a queue) is tried again. A
 /// request with a goal of 200 ms thus gets a few more chances.
@@ -127,18 +127,18 @@
 }
 
 /// Returns the time before which no hedges are sent. `restarted_at` is `None` for the first process on its machine.
-pub fn rests_until(restarted_at: Option<BootTime>, policy: &RoutingPolicy) -> BootTime {
+pub fn hedges_paused_until(restarted_at: Option<BootTime>, policy: &RoutingPolicy) -> BootTime {
     let restarted_at = restarted_at.filter(|_| policy.start_rest);
-    restarted_at.map_or(BootTime::default(), |started| started + HEDGE_REST_AFTER_RESTART)
+    restarted_at.map_or(BootTime::default(), |started| started + HEDGE_PAUSE_AFTER_RESTART)
 }
 
-/// Decides whether an attempt whose hedge is due is hedged. `rests_until` comes from [`rests_until`].
-pub fn judge(now: BootTime, late: LateAttempt, rests_until: BootTime, policy: &RoutingPolicy) -> HedgeVerdict {
+/// Decides whether an attempt whose hedge is due is hedged. `hedges_paused_until` comes from [`hedges_paused_until`].
+pub fn judge(now: BootTime, late: LateAttempt, hedges_paused_until: BootTime, policy: &RoutingPolicy) -> HedgeVerdict {
     if !policy.hedges || !late.is_idempotent || late.is_key_revoked {
         return HedgeVerdict::Never;
     }
-    if now < rests_until {
-        return HedgeVerdict::NotBefore(rests_until);
+    if now < hedges_paused_until {
+        return HedgeVerdict::NotBefore(hedges_paused_until);
     }
     match late.is_alone && late.may_be_sent {
         true => HedgeVerdict::Hedge { again_at: now + HEDGE_RETRY_DELAY },
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -37,7 +37,7 @@
             return;
         };
         let policy = &self.settings.policy;
-        let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
+        let hedges_paused_until = hedging::hedges_paused_until(self.settings.restarted_at, policy);
         let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
         let (is_idempotent, most) = (route.is_idempotent, route.max_attempts);
         let mut late = Vec::new();
@@ -45,7 +45,7 @@
             let shard = &request.shards[attempt.shard as usize];
             let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(most));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
-            attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
+            attempt.hedge_at = match hedging::judge(now, state, hedges_paused_until, policy) {
                 HedgeVerdict::Hedge { again_at } => {
                     late.push(attempt.shard as usize);
                     again_at
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -2,7 +2,7 @@
 
 use staircross_routing::RoutingPolicy;
 use staircross_routing::decision::hedging::{
-    HedgeTimes, HedgeVerdict, LateAttempt, hedge_delay_factor, judge, rests_until,
+    HedgeTimes, HedgeVerdict, LateAttempt, hedge_delay_factor, hedges_paused_until, judge,
 };
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     let rows =
         [(None, on, BootTime::default()), (Some(NOW), on, NOW + ms(2000)), (Some(NOW), off, BootTime::default())];
     for (restarted_at, policy, until) in rows {
-        assert_eq!(rests_until(restarted_at, &policy), until);
+        assert_eq!(hedges_paused_until(restarted_at, &policy), until);
     }
 }
 
