--- a/crates/staircross-routing/src/decision/giving_up.rs
+++ b/crates/staircross-routing/src/decision/giving_up.rs
@@ -1,7 +1,7 @@
 //! Decides when a request ends: when its answer is complete enough, when it is refused and with which error kind, and
 //! whether it may have run.
 //!
-//! The rule is applied to each request when it arrives ([`refuse_by_load`], [`deadline`], [`judge_reach`],
+//! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`judge_reach`],
 //! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and ends the
 //! request accordingly. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a
 //! quarantined content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at
@@ -82,7 +82,7 @@
 }
 
 /// Refuses a request for which this node has no capacity. Another node may have some.
-pub fn refuse_by_load(load: NodeLoad) -> Option<Refusal> {
+pub fn refuse_if_overloaded(load: NodeLoad) -> Option<Refusal> {
     if load.is_overloaded {
         return Some(Refusal::new(ErrorKind::Overloaded, "the node comes too late to its work"));
     }
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -174,7 +174,7 @@
     fn check_load(&self, arrival: &Arrival) -> Result<(), Refusal> {
         let (requests, max_requests) = (self.requests.len(), self.settings.max_requests);
         let load = NodeLoad { is_overloaded: arrival.is_overloaded, requests, max_requests };
-        giving_up::refuse_by_load(load).map_or(Ok(()), Err)
+        giving_up::refuse_if_overloaded(load).map_or(Ok(()), Err)
     }
 
     fn check_content(&self, now: BootTime, content: ContentKey) -> Result<(), Refusal> {
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -6,7 +6,7 @@
 use staircross_routing::decision::allowed_regions::AllowedRegions;
 use staircross_routing::decision::giving_up::{
     FailedRequest, NodeLoad, Progress, Reach, ReachVerdict, Standing, TimeBounds, deadline, hold_until, is_passed_on,
-    is_too_late, judge, judge_reach, may_hold, refuse, refuse_by_load,
+    is_too_late, judge, judge_reach, may_hold, refuse, refuse_if_overloaded,
 };
 use staircross_routing::{AttemptOutcome, RouteDefinition, RouteTarget, RoutingPolicy, TenantDefinition};
 use staircross_types::{BootTime, ErrorKind, Executed};
@@ -29,7 +29,7 @@
     ];
     for (is_overloaded, requests, kind) in rows {
         let load = NodeLoad { is_overloaded, requests, max_requests: 100 };
-        assert_eq!(refuse_by_load(load).map(|refusal| refusal.kind), kind, "{load:?}");
+        assert_eq!(refuse_if_overloaded(load).map(|refusal| refusal.kind), kind, "{load:?}");
     }
 }
 
