--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns the fraction of requests that is admitted at a rank that is `ranks` below the group's most urgent one.
-    pub fn fraction_taken(&self, ranks: u32) -> f64 {
+    pub fn admitted_fraction(&self, ranks: u32) -> f64 {
         self.level.powf(1.0 + RANK_EXPONENT_STEP * f64::from(ranks))
     }
 
--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -99,7 +99,7 @@
 
     /// Returns the fraction of a tenant's requests that is admitted while `level` is admitted of all requests, both 0
     /// to 1. The tenant's request must be counted first.
-    pub fn fraction_taken(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
+    pub fn admitted_fraction(&mut self, now: BootTime, tenant: Option<&Arc<str>>, level: f64) -> f64 {
         let weight = self.current_weight(now);
         let is_alone = self.counts.len() <= 1 && self.pooled == 0.0;
         let Some(count) = self.counts.get(key_of(tenant)).copied().filter(|_| !is_alone) else {
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -84,8 +84,8 @@
             return None;
         }
         let (first, last) = group.priorities;
-        let level = group.admission.fraction_taken(rank.steps(first..=last));
-        let fraction = shares.fraction_taken(now, tenant, level);
+        let level = group.admission.admitted_fraction(rank.steps(first..=last));
+        let fraction = shares.admitted_fraction(now, tenant, level);
         if self.random.random_bool(fraction) {
             return None;
         }
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -26,7 +26,7 @@
         for (index, count) in counts.iter().enumerate() {
             (0..*count).for_each(|_| shares.count(now, Some(&name(index))));
         }
-        let fraction = |index| shares.clone().fraction_taken(now, Some(&name(index)), level);
+        let fraction = |index| shares.clone().admitted_fraction(now, Some(&name(index)), level);
         let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), fraction(i))).collect();
         let all: f64 = tenants.iter().map(|(count, _)| count).sum();
         let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
@@ -62,7 +62,7 @@
             let level = levels[request * levels.len() / 600];
             now = now + Duration::from_millis(random.random_range(0..=gap_ms * 2));
             shares.count(now, Some(&tenant));
-            owed += level - shares.fraction_taken(now, Some(&tenant), level);
+            owed += level - shares.admitted_fraction(now, Some(&tenant), level);
             prop_assert!(owed.abs() <= MAX_OWED, "{owed} requests too few after {request}");
         }
     }
@@ -75,7 +75,7 @@
         let now = BootTime::from_millis(step * 37);
         let level = 0.05 + 0.9 * (step as f64 / 2000.0);
         shares.count(now, None);
-        assert_eq!(shares.fraction_taken(now, None, level), level, "to the last bit");
+        assert_eq!(shares.admitted_fraction(now, None, level), level, "to the last bit");
     }
 }
 
@@ -89,7 +89,7 @@
         let is_greedy = step % 2 == 0;
         let tenant = if is_greedy { greedy.clone() } else { name(step % 10_000) };
         shares.count(now, Some(&tenant));
-        let fraction = shares.fraction_taken(now, Some(&tenant), 0.7);
+        let fraction = shares.admitted_fraction(now, Some(&tenant), 0.7);
         if is_greedy { of_greedy.push(fraction) } else { of_others.push(fraction) }
     }
     let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
@@ -195,7 +195,7 @@
         node.shares.count(now, Some(tenant));
         let level = self.level.unwrap_or(node.admission.level());
         let fraction = match refusing {
-            Refusing::ByShares if level < 1.0 => node.shares.fraction_taken(now, Some(tenant), level),
+            Refusing::ByShares if level < 1.0 => node.shares.admitted_fraction(now, Some(tenant), level),
             _ => level,
         };
         if !self.random.random_bool(fraction) {
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -95,7 +95,7 @@
 fn less_urgent_routes_are_taken_a_little_less() {
     let admission = judged(4.0, 3750);
     for (ranks, expected) in [(0, 0.75), (1, 0.708_06), (2, 0.668_46)] {
-        assert_close(admission.fraction_taken(ranks), expected, &format!("{ranks}"));
+        assert_close(admission.admitted_fraction(ranks), expected, &format!("{ranks}"));
     }
 }
 
--- a/crates/staircross-routing/tests/rule_fair_share.rs
+++ b/crates/staircross-routing/tests/rule_fair_share.rs
@@ -18,7 +18,7 @@
 }
 
 fn fraction(shares: &mut FairShares, seconds: u64, tenant: &str, level: f64) -> f64 {
-    shares.fraction_taken(at(seconds), Some(&Arc::from(tenant)), level)
+    shares.admitted_fraction(at(seconds), Some(&Arc::from(tenant)), level)
 }
 
 fn assert_close(found: f64, expected: f64, row: &str) {
@@ -67,5 +67,5 @@
 fn requests_without_a_tenant_count_as_one_tenant() {
     let mut shares = counted(&[("a", 2)]);
     (0..18).for_each(|_| shares.count(at(0), None));
-    assert_close(shares.fraction_taken(at(0), None, 0.5), 0.4444, "without a tenant");
+    assert_close(shares.admitted_fraction(at(0), None, 0.5), 0.4444, "without a tenant");
 }
