--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -113,7 +113,7 @@
     }
 
     /// Adjusts the level to the group's wait. Returns the change if the level has changed.
-    pub fn judge(&mut self, now: BootTime, wait: Duration, tolerable: Duration) -> Option<AdmissionChange> {
+    pub fn evaluate(&mut self, now: BootTime, wait: Duration, tolerable: Duration) -> Option<AdmissionChange> {
         self.next_evaluation = now + EVALUATION_INTERVAL;
         let since_last = now.since(self.last_evaluated.replace(now).unwrap_or(now));
         let first_evaluated = *self.first_evaluated.get_or_insert(now);
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the wait for admission, or `None` while the last one is outdated and the next is still being collected.
-    pub fn judged(&self, now: BootTime) -> Option<Duration> {
+    pub fn for_admission(&self, now: BootTime) -> Option<Duration> {
         let age = now.since(self.measured_at);
         let is_being_renewed = age > MAX_WAIT_AGE && age <= self.collected_in.mul_f64(OUTDATED_WAIT_FACTOR);
         (!is_being_renewed).then(|| self.get(now))
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -155,9 +155,9 @@
         let table = self.table.clone()?;
         let group = self.groups.get(name).filter(|group| group.admission.is_due(now))?;
         let route = &table.definition().routes[group.route_index];
-        let wait = group.wait.judged(now)?;
+        let wait = group.wait.for_admission(now)?;
         let tolerable = self.tolerable_for(route, fan_out(route));
-        self.groups.get_mut(name)?.admission.judge(now, wait, tolerable)
+        self.groups.get_mut(name)?.admission.evaluate(now, wait, tolerable)
     }
 }
 
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -188,8 +188,8 @@
         let wait = node.wait.get_or_insert_with(|| Wait::at_group(FAN_OUT));
         while let Some((at, waited)) = node.ends.pop_front_if(|(at, _)| *at <= now) {
             (0..FAN_OUT).for_each(|_| wait.record(at, waited));
-            if let Some(waited) = wait.judged(at).filter(|_| node.admission.is_due(at)) {
-                node.admission.judge(at, waited, tolerable_wait(GOAL, WORK, FAN_OUT));
+            if let Some(waited) = wait.for_admission(at).filter(|_| node.admission.is_due(at)) {
+                node.admission.evaluate(at, waited, tolerable_wait(GOAL, WORK, FAN_OUT));
             }
         }
         node.shares.count(now, Some(tenant));
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -218,7 +218,7 @@
         let mut admission = Admission::default();
         let mut now = BootTime::from_millis(1000);
         let mut judge = |now: BootTime, wait: Duration| {
-            admission.judge(now, wait, tolerable);
+            admission.evaluate(now, wait, tolerable);
             admission.level()
         };
         // Past the warm-up of a group, too long a wait limits what is taken.
@@ -245,8 +245,8 @@
     for request in 0..100 {
         let now = began + Duration::from_millis(600) * request;
         (0..FAN_OUT).for_each(|_| wait.record(now, Duration::from_millis(900)));
-        if let Some(waited) = wait.judged(now).filter(|_| admission.is_due(now)) {
-            admission.judge(now, waited, Duration::from_millis(57));
+        if let Some(waited) = wait.for_admission(now).filter(|_| admission.is_due(now)) {
+            admission.evaluate(now, waited, Duration::from_millis(57));
         }
         let level = admission.level();
         assert!(now.since(began) < Duration::from_secs(15) || level < 0.5, "{level} of all after {request} requests");
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -294,7 +294,7 @@
     for step in 0..400_u32 {
         let now = START + Duration::from_millis(250) * step;
         let wait = tolerable.mul_f64([0.1, 9.0, 0.5, 2.0, 0.0][step as usize / 80]);
-        admission.judge(now, wait, tolerable);
+        admission.evaluate(now, wait, tolerable);
         journal.note(now, "level", &admission.level().to_string());
     }
     insta::assert_snapshot!("admission_levels", journal.table("admission_levels"));
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -23,7 +23,7 @@
 fn judged(ratio: f64, until_ms: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..=until_ms / SPACING_MS {
-        admission.judge(at(step * SPACING_MS), TOLERABLE.mul_f64(ratio), TOLERABLE);
+        admission.evaluate(at(step * SPACING_MS), TOLERABLE.mul_f64(ratio), TOLERABLE);
     }
     admission
 }
@@ -75,7 +75,7 @@
     ];
     for (ratio, after_ms, expected) in rows {
         let mut admission = judged(4.0, 3750);
-        admission.judge(at(3750 + after_ms), TOLERABLE.mul_f64(ratio), TOLERABLE);
+        admission.evaluate(at(3750 + after_ms), TOLERABLE.mul_f64(ratio), TOLERABLE);
         assert_close(admission.level(), expected, &format!("{ratio} {after_ms}"));
     }
 }
@@ -85,7 +85,7 @@
     // Wait, ms from the decrease until the next judgement is due.
     for (wait_ms, expected_ms) in [(150, 550), (400, 1050), (900, 1250)] {
         let mut admission = judged(4.0, 3750);
-        admission.judge(at(4000), ms(wait_ms), TOLERABLE);
+        admission.evaluate(at(4000), ms(wait_ms), TOLERABLE);
         assert!(!admission.is_due(at(4000 + expected_ms - 1)), "{wait_ms}: early");
         assert!(admission.is_due(at(4000 + expected_ms)), "{wait_ms}: late");
     }
@@ -124,7 +124,7 @@
     for (apart_ms, age_ms, expected) in rows {
         let mut wait = Wait::at_group(1);
         (0..24).for_each(|step| wait.record(at(step * apart_ms), ms(30)));
-        let found = wait.judged(at(23 * apart_ms + age_ms)).map(|wait| wait.as_secs_f64() * 1000.0);
+        let found = wait.for_admission(at(23 * apart_ms + age_ms)).map(|wait| wait.as_secs_f64() * 1000.0);
         assert_eq!(found.map(|wait| wait.round() as u64), expected, "{apart_ms} {age_ms}");
     }
 }
