--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -3,7 +3,7 @@
 //! While [`crate::decision::admission`] limits a request's group of services at the request's rank, the rule decides
 //! which fraction of the tenant's requests is admitted. Capacity is filled from the bottom up: all requests of a tenant
 //! that asks for less than the share are admitted, tenants that ask for more are cut to the share, and no tenant gets
-//! less than [`FLOOR`] times the level. All tenants have the same weight.
+//! less than [`TENANT_FLOOR`] times the level. All tenants have the same weight.
 //!
 //! The inputs are the level (a fraction, 0 to 1) and each tenant's recent requests at this node, which are counted here
 //! with a half-life of 7 s.
@@ -38,7 +38,7 @@
 /// refusal alone): 0.75 is the greatest at which other tenants are still served better than by random refusal, and the
 /// only one of the first three at which the worst tenth of tenants gets within 0.05 of all tenants in each tried case
 /// (docs/design/fair-shares.md).
-pub const FLOOR: f64 = 0.75;
+pub const TENANT_FLOOR: f64 = 0.75;
 /// Change of the target fraction for each owed request. What is owed is thus made up for within some ten requests.
 const OWED_GAIN: f64 = 0.1;
 /// Maximum number of requests owed in either direction. Derivation: at `1 / OWED_GAIN` the target is all or nothing,
@@ -105,7 +105,7 @@
         let Some(count) = self.counts.get(key_of(tenant)).copied().filter(|_| !is_alone) else {
             return level;
         };
-        let floor = FLOOR * level;
+        let floor = TENANT_FLOOR * level;
         let target = (level + OWED_GAIN * self.owed).clamp(0.0, 1.0);
         let fraction = admitted_fraction_at(self.share(target, floor, weight), count, floor);
         self.owed += level - fraction;
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_routing::decision::admission::{Admission, Wait, tolerable_wait};
-use staircross_routing::decision::fair_share::{FLOOR, FairShares, MAX_OWED};
+use staircross_routing::decision::fair_share::{FairShares, MAX_OWED, TENANT_FLOOR};
 use staircross_types::BootTime;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
         let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
         prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} at {level}");
 
-        let floor = FLOOR * level;
-        let fair_share = (1.0 - FLOOR) * level * all / tenants.len() as f64;
+        let floor = TENANT_FLOOR * level;
+        let fair_share = (1.0 - TENANT_FLOOR) * level * all / tenants.len() as f64;
         for (count, fraction) in &tenants {
             prop_assert!((floor..=1.0).contains(fraction));
             prop_assert!(*count > fair_share || *fraction == 1.0, "asks for {count} of {fair_share} and gets {fraction}");
@@ -94,8 +94,8 @@
     }
     let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
     // The greedy one is held at the floor, and the others get what that leaves of a level of 0.7.
-    assert!((mean(&of_greedy) - 0.7 * FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
-    assert!((mean(&of_others) - (1.4 - 0.7 * FLOOR)).abs() < 0.01, "{}", mean(&of_others));
+    assert!((mean(&of_greedy) - 0.7 * TENANT_FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
+    assert!((mean(&of_others) - (1.4 - 0.7 * TENANT_FLOOR)).abs() < 0.01, "{}", mean(&of_others));
 }
 
 /// Searchers that take requests in turn, in front of which nodes refuse a part.
@@ -257,7 +257,7 @@
             let case = format!("{nodes} nodes, {load} times: {by_chance:.3?}, {by_shares:.3?}");
             assert!(by_shares.worst_tenth > by_shares.all - 0.05, "{case}");
             assert!(by_shares.greedy < by_shares.others - 0.05, "{case}");
-            assert!(by_shares.greedy > FLOOR * by_shares.all - 0.05, "{case}");
+            assert!(by_shares.greedy > TENANT_FLOOR * by_shares.all - 0.05, "{case}");
             assert!(by_shares.all > by_chance.all - 0.02, "as much is taken in sum: {case}");
         }
     }
