--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -11,7 +11,7 @@
 //! | [`placement`] | which searcher of a service is asked |
 //! | [`allowed_regions`] | in which regions a request may be served |
 //! | [`cold`] | how much a node may send to a searcher that has just started |
-//! | [`turns`] | which service of a weighted route serves a request |
+//! | [`weighted_round_robin`] | which service of a weighted route serves a request |
 //! | [`admission`] | which fraction of the offered requests is admitted while back ends are overloaded |
 //! | [`fair_share`] | which tenants' requests are admitted while only a fraction is |
 //! | [`extra_budget`] | how many requests beyond the strictly needed ones may be sent |
@@ -34,4 +34,4 @@
 pub mod placement;
 pub mod quarantine;
 pub mod retry;
-pub mod turns;
+pub mod weighted_round_robin;
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -26,7 +26,7 @@
 use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
 use crate::decision::placement::Place;
 use crate::decision::quarantine::Quarantine;
-use crate::decision::turns::WeightedRoundRobin;
+use crate::decision::weighted_round_robin::WeightedRoundRobin;
 pub use crate::engine_message::{
     AbandonCause, HoldCause, LeftOutCause, ProbeStep, ReportedAt, RoutingAction, RoutingEvent, SendOrder, SendReason,
     UnsentCause,
--- a/crates/staircross-routing/tests/rule_turns.rs
+++ b/crates/staircross-routing/tests/rule_turns.rs
@@ -1,7 +1,7 @@
 //! Weighted turns by themselves, as a table: the set, and who is asked in turn.
 
 use staircross_routing::configuration::definition::WeightedService;
-use staircross_routing::decision::turns::WeightedRoundRobin;
+use staircross_routing::decision::weighted_round_robin::WeightedRoundRobin;
 use std::sync::Arc;
 
 fn set(weights: &[(&str, u32)]) -> Vec<WeightedService> {
