--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -1,7 +1,7 @@
 //! Computes the time that this node has for an answer that reaches its caller in time.
 //!
 //! The rule decides for each request by when its answer must be sent to be worth most ([`usable_goal`], [`answer_by`]).
-//! From then on, the parts received are sent without the missing ones ([`super::giving_up`]), and hedges are timed so
+//! From then on, the parts received are sent without the missing ones ([`super::request_lifecycle`]), and hedges are timed so
 //! that they can be answered before ([`super::hedging`]).
 //!
 //! The inputs are the route's goal (from the deploy file, in milliseconds); the round trip to the caller as the kernel
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -8,9 +8,9 @@
 use crate::configuration::table::RouteTable;
 use crate::configuration::tenants::{Credential, KeyRefusal};
 use crate::decision::allowed_regions::AllowedRegions;
-use crate::decision::giving_up::{self, NodeLoad, Reach, ReachVerdict, Refusal, TimeBounds};
 use crate::decision::goal::{answer_by, usable_goal};
 use crate::decision::quarantine::Suspicion;
+use crate::decision::request_lifecycle::{self, NodeLoad, Reach, ReachVerdict, Refusal, TimeBounds};
 use crate::keys::{ContentKey, RequestKey, TenantKey};
 use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
 use staircross_types::{BootTime, ErrorKind};
@@ -63,7 +63,7 @@
 
 impl HeldRequest {
     fn new(now: BootTime, arrival: Arrival) -> Self {
-        let until = giving_up::hold_until(now, arrival.patience);
+        let until = request_lifecycle::hold_until(now, arrival.patience);
         HeldRequest { arrival, held_at: now, until }
     }
 
@@ -90,7 +90,7 @@
     }
 
     fn may_hold(&self) -> bool {
-        giving_up::may_hold(self.held.len(), &self.settings.policy)
+        request_lifecycle::may_hold(self.held.len(), &self.settings.policy)
     }
 
     fn hold(&mut self, now: BootTime, arrival: Arrival, cause: HoldCause, actions: &mut Vec<RoutingAction>) {
@@ -174,7 +174,7 @@
     fn check_load(&self, arrival: &Arrival) -> Result<(), Refusal> {
         let (requests, max_requests) = (self.requests.len(), self.settings.max_requests);
         let load = NodeLoad { is_overloaded: arrival.is_overloaded, requests, max_requests };
-        giving_up::refuse_if_overloaded(load).map_or(Ok(()), Err)
+        request_lifecycle::refuse_if_overloaded(load).map_or(Ok(()), Err)
     }
 
     fn check_content(&self, now: BootTime, content: ContentKey) -> Result<(), Refusal> {
@@ -271,9 +271,9 @@
         deadline: BootTime,
     ) -> Result<(), NotBegun> {
         let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
-        let reachable = chances.filter(|chance| !giving_up::is_too_late(*chance, deadline)).count();
+        let reachable = chances.filter(|chance| !request_lifecycle::is_too_late(*chance, deadline)).count();
         let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
-        match giving_up::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
+        match request_lifecycle::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
             ReachVerdict::Begin => Ok(()),
             ReachVerdict::Refuse(refusal) => Err(refusal.into()),
             ReachVerdict::Hold(refusal) => Err(NotBegun::Unprepared(HoldCause::NoSearchers, refusal.into())),
@@ -297,7 +297,7 @@
 
 fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
     let timeout = Duration::from_millis(route.timeout_ms);
-    giving_up::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
+    request_lifecycle::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
 }
 
 /// Whose a request is. A node that is behind judges nobody: the newer configuration may hold the key.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -6,10 +6,10 @@
 use super::{ReportedAt, RoutingAction, RoutingEngine, SendOrder, SendReason, SentAttempt, UnsentCause};
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::extra_budget::is_paid;
-use crate::decision::giving_up::DEADLINE_GUARD;
 use crate::decision::hedging::{HedgeTimes, hedge_delay_factor};
 use crate::decision::placement::{Choice, choose};
 use crate::decision::quarantine::Suspicion;
+use crate::decision::request_lifecycle::DEADLINE_GUARD;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{Attempt, Request};
 use crate::state::searcher::OpenAttempt;
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,10 +1,10 @@
-//! The end of requests: gathers what [`crate::decision::giving_up`] and [`crate::decision::hedging`] judge by, and carries out their verdicts.
+//! The end of requests: gathers what [`crate::decision::request_lifecycle`] and [`crate::decision::hedging`] judge by, and carries out their verdicts.
 //!
 //! Owns how long attempts may go on whose caller has left.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
-use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
+use crate::decision::request_lifecycle::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
@@ -66,7 +66,7 @@
             return;
         };
         let progress = progress(now, request);
-        let standing = giving_up::judge(progress);
+        let standing = request_lifecycle::judge(progress);
         if standing == Standing::GoOn {
             return;
         }
@@ -145,11 +145,11 @@
 
 fn failure(now: BootTime, request: &Request) -> Verdict {
     if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
-        && giving_up::is_passed_on(answer, request.gather().is_some())
+        && request_lifecycle::is_passed_on(answer, request.gather().is_some())
     {
         return Verdict::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
     let (is_over, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
-    giving_up::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
+    request_lifecycle::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
 }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -4,7 +4,7 @@
 
 use super::{RoutingAction, RoutingEngine, UnsentCause, WaitingShard};
 use crate::decision::allowed_regions::AllowedRegions;
-use crate::decision::giving_up::is_too_late;
+use crate::decision::request_lifecycle::is_too_late;
 use crate::decision::retry::budget_retry_at;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{SendReason, ShardState, Waiting};
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -4,7 +4,7 @@
 
 use common::{answer, route};
 use staircross_routing::decision::allowed_regions::AllowedRegions;
-use staircross_routing::decision::giving_up::{
+use staircross_routing::decision::request_lifecycle::{
     FailedRequest, NodeLoad, Progress, Reach, ReachVerdict, Standing, TimeBounds, deadline, hold_until, is_passed_on,
     is_too_late, judge, judge_reach, may_hold, refuse, refuse_if_overloaded,
 };
