--- a/crates/staircross-routing/src/decision.rs
+++ b/crates/staircross-routing/src/decision.rs
@@ -17,7 +17,7 @@
 //! | [`extra_budget`] | how many requests beyond the strictly needed ones may be sent |
 //! | [`hedging`] | when a second searcher is asked because the first is late |
 //! | [`retry`] | whether a request is sent again after an attempt ends, to whom, and when |
-//! | [`request_lifecycle`] | when an answer is complete enough, when a request is refused, and with which error kind |
+//! | [`request_lifecycle`] | whether a request is begun, held or refused, and when and how it ends |
 //! | [`goal`] | by when this node must send an answer |
 //! | [`quarantine`] | which requests crash the searchers that run them |
 //! | [`first_probe`] | which requests are sent to one shard first while a route's requests crash searchers |
--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -5,8 +5,8 @@
 //! without being run; [`crate::decision::fair_share`] divides the level among tenants.
 //!
 //! The inputs are the group's median wait beyond the usual work ([`wait`], [`usual_work`]: time), the wait that the
-//! goal tolerates ([`tolerable_wait`]: time), the time since the first evaluation of the group, and the number of ranks below
-//! the group's most urgent one. Each node uses only its own requests.
+//! goal tolerates ([`tolerable_wait`]: time), the time since the first evaluation of the group, and the number of ranks
+//! below the group's most urgent one. Each node uses only its own requests.
 //!
 //! The rule protects callers and back ends. When more is offered than searchers can process, every request waits until
 //! its goal has passed, and all work is wasted. Measured on two days of overload with two slots a searcher instead of
@@ -40,8 +40,8 @@
 /// Ratio of the wait to the tolerable wait above which limiting begins. By definition of the tolerable wait, the last
 /// sub-request comes too late beyond it.
 const TOO_LONG_RATIO: f64 = 1.0;
-/// Ratio of the wait to the tolerable wait that limiting aims at. It is below [`TOO_LONG_RATIO`], so that waits that vary
-/// around it still meet the goal.
+/// Ratio of the wait to the tolerable wait that limiting aims at. It is below [`TOO_LONG_RATIO`], so that waits that
+/// vary around it still meet the goal.
 const TARGET_RATIO: f64 = 0.6;
 /// Time for which the wait must have been too long at each evaluation before limiting begins. A shorter excess is the
 /// end of a burst, which passes by itself. Where searchers are overloaded in waves, a longer time costs callers.
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -33,8 +33,8 @@
 const GROUP_WINDOW: Duration = Duration::from_millis(200);
 /// Age above which a wait counts as none. It covers several windows of a node with enough requests.
 const MAX_WAIT_AGE: Duration = Duration::from_millis(1500);
-/// Age up to which an outdated wait doesn't count as none for admission, as a multiple of the time in which its samples
-/// were collected. A node with few requests collects for seconds and has no newer wait by then.
+/// Age up to which admission treats an outdated wait as unknown rather than as none, as a multiple of the time in which
+/// its samples were collected. A node with few requests collects for seconds and has no newer wait by then.
 const OUTDATED_WAIT_FACTOR: f64 = 1.5;
 /// Wait that a rejection for lack of capacity counts as. It is well above tolerable waits, which are tens of
 /// milliseconds.
@@ -46,8 +46,8 @@
 /// Returns the median wait of a request's sub-requests at which the last of them still arrives in time.
 ///
 /// `goal` is the time for the complete answer, `usual` the work of one sub-request, and `fan_out` the number of
-/// sub-requests. Waits in a queue are distributed roughly exponentially: the longest of `fan_out` is about `ln(fan_out)
-/// + 0.58` times their mean, and the median is `ln 2` times their mean.
+/// sub-requests. Waits in a queue are distributed roughly exponentially: the longest of `fan_out` is about
+/// `ln(fan_out) + 0.58` times their mean, and the median is `ln 2` times their mean.
 pub fn tolerable_wait(goal: Duration, usual: Duration, fan_out: usize) -> Duration {
     let spare = goal.saturating_sub(usual * 2);
     let longest = (fan_out.max(1) as f64).ln() + EULER_MASCHERONI;
--- a/crates/staircross-routing/src/decision/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -7,7 +7,7 @@
 //! The inputs are the allowed regions of the route and of the tenant, from the configuration with which the request
 //! began, and the name of the region.
 //!
-//! The rule keeps a promise to tenants and routes about where their requests run, so it can't be turned off. Requests
+//! The rule guarantees to tenants and routes where their requests run, so it can't be turned off. Requests
 //! that no searcher in these regions can serve are refused at once; they are never moved elsewhere.
 //!
 //! Callers see the rule as refusals of kind `no_allowed_replica`. docs/DESIGN.md names the page with the details.
--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -9,7 +9,7 @@
 //! ([`FleetRank`]). [`crate::state::searcher`] knows when a searcher is cold.
 //!
 //! The rule protects searchers: a cold one can take a few requests a second from all nodes together, and crashes well
-//! above that rate. This is promised to back ends, so it can't be turned off. Without a configured rate for the
+//! above that rate. This is guaranteed to back ends, so it can't be turned off. Without a configured rate for the
 //! service, nothing is limited. The cost of the rule wasn't measured separately.
 //!
 //! The rule doesn't know what other nodes have sent. A node that is cut off divides by the largest fleet that it has
@@ -50,7 +50,7 @@
 /// Rank of a node among those that serve callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetRank {
-    /// Number of the node among them, from 0, or `None` for a reserve node.
+    /// Number of the node among them, from 0, or `None` for a reserve node, which serves no callers.
     pub rank: Option<usize>,
     /// Largest number of nodes that served lately.
     pub serving: usize,
--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -11,7 +11,7 @@
 //!
 //! The rule protects back ends from amplified load while they are slow. Each node spends a fraction of its own requests
 //! and its share of the slack, so that the sum stays below the limit whichever nodes are cut off from each other. It
-//! costs timely answers, but hardly any answers: on one day with slow searchers, 2,277 hedges and 266 retries were
+//! makes some answers late, but costs hardly any: on one day with slow searchers, 2,277 hedges and 266 retries were
 //! refused, nearly all within nine seconds, and of seven requests that ended as `back_ends_failed` one was over budget
 //! (`docs/design/extra-sends.md`).
 //!
@@ -20,7 +20,7 @@
 //! previous process on this machine spent.
 //!
 //! The log shows the rule as `unsent reason=… cause=over_budget`; the metrics are `attempts_over_budget_total`,
-//! `attempts_hedge_total` and `attempts_retry_total`. The rule is promised to back ends and can't be turned off. The
+//! `attempts_hedge_total` and `attempts_retry_total`. The limit is guaranteed to back ends and can't be turned off. The
 //! setting `routing.hedge_by_budget` only decides whether the delay of hedges depends on the budget that is left.
 
 use crate::state::request::SendReason;
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -1,14 +1,14 @@
 //! Computes the time that this node has for an answer that reaches its caller in time.
 //!
 //! The rule decides for each request by when its answer must be sent to be worth most ([`usable_goal`], [`answer_by`]).
-//! From then on, the parts received are sent without the missing ones ([`super::request_lifecycle`]), and hedges are timed so
-//! that they can be answered before ([`super::hedging`]).
+//! From then on, the parts received are sent without the missing ones ([`super::request_lifecycle`]), and hedges are
+//! timed so that they can be answered before ([`super::hedging`]).
 //!
 //! The inputs are the route's goal (from the deploy file, in milliseconds); the round trip to the caller as the kernel
 //! measured it on the connection, if it does; whether the connection was made for this request; and how long the
 //! request waited to be read.
 //!
-//! The rule buys timely answers for distant callers. A caller's clock runs from before it asks the directory until it
+//! The rule gives distant callers answers in time. A caller's clock runs from before it asks the directory until it
 //! has read the answer, so distant callers must be answered earlier. The mean score of a day (0 to 1), compared with 22
 //! ms reserved for every caller, changed by +0.0184 ± 0.0025 on a fleet whose callers are 3 ms away and by +0.0004 ±
 //! 0.0016 where they are 1 ms away (`docs/studies/policy-rounds.md`). Compared with no regard to distance, it changed
@@ -18,7 +18,8 @@
 //! answer, or the round trip if the system doesn't report it.
 //!
 //! The log shows the time that an answer took as `finish`, and the shards missing from it as `left_out cause=late`; the
-//! metric is `answers_partial_total`. With `routing.caller_distance = false`, all callers count as near.
+//! metric is `answers_partial_total`. With `routing.caller_distance = false`, the distance of every caller counts as
+//! not reported.
 
 use crate::configuration::definition::RouteDefinition;
 use crate::state::request::CallerLink;
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -10,7 +10,7 @@
 //! (`is_pressed` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must permit it
 //! ([`super::extra_budget`]).
 //!
-//! The rule buys answers in time when one searcher is slow or has ended, at the price of extra sends. Without hedges,
+//! Hedges give answers in time when one searcher is slow or has ended, at the cost of extra sends. Without hedges,
 //! the mean score of a day (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets
 //! (`docs/studies/switches.md`). Choosing the time by the budget and using the slowness that hosts report raised it by
 //! 0.0061 ± 0.0014, of which 0.0022 come from the reported slowness (`docs/design/extra-sends.md`). Requests of a route
--- a/crates/staircross-routing/src/decision/quarantine/sending.rs
+++ b/crates/staircross-routing/src/decision/quarantine/sending.rs
@@ -11,11 +11,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
 
-/// Quarantined contents that take their turn with one datagram. Together with [`OTHERS_PER_DATAGRAM`], a datagram carries some
-/// 500 bytes of them.
+/// Quarantined contents that take their turn with one datagram. Together with [`OTHERS_PER_DATAGRAM`], a datagram
+/// carries some 500 bytes of them.
 const QUARANTINED_PER_DATAGRAM: usize = 3;
-/// Other contents that take their turn with one datagram. The number is below [`QUARANTINED_PER_DATAGRAM`], since reports of
-/// quarantined contents protect more.
+/// Other contents that take their turn with one datagram. The number is below [`QUARANTINED_PER_DATAGRAM`], since
+/// reports of quarantined contents protect more.
 const OTHERS_PER_DATAGRAM: usize = 2;
 /// Maximum number of contents in one datagram, some 100 bytes each. It is the sum of one turn of both kinds.
 const MAX_CONTENTS_PER_DATAGRAM: usize = QUARANTINED_PER_DATAGRAM + OTHERS_PER_DATAGRAM;
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -1,11 +1,11 @@
-//! Decides when a request ends: when its answer is complete enough, when it is refused and with which error kind, and
-//! whether it may have run.
+//! Decides whether an arriving request is begun, held or refused, and when a request ends: with an answer that is
+//! complete enough, or with a refusal of the error kind that applies.
 //!
 //! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`judge_reach`],
-//! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and ends the
-//! request accordingly. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a
-//! quarantined content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at
-//! the searchers ([`super::admission`], [`super::fair_share`]).
+//! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and carries out
+//! its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a quarantined
+//! content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at the
+//! searchers ([`super::admission`], [`super::fair_share`]).
 //!
 //! The inputs are durations; times of this machine's boot clock; numbers of shards (those whose part has been received,
 //! those still open, and the fewest that make an answer); and whether any attempt ran or may have run
@@ -13,18 +13,18 @@
 //!
 //! The rule protects callers against running a request twice: a caller that receives an error kind whose `executed` is
 //! "never" (`docs/ERRORS.md`) may send the request again. Such a kind is used only if nothing was sent, or if
-//! everything that was sent is known not to have run. In return, callers get answers in time instead of complete
-//! answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a day (0 to
-//! 1) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than 0.0002 on two others (`docs/studies/switches.md`).
-//! For the other choices, `docs/design/rejections.md` compares them with refusing and with waiting.
+//! everything that was sent is known not to have run. The rule also gives callers partial answers in time instead of
+//! complete answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a
+//! day (0 to 1) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than 0.0002 on two others
+//! (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with refusing and with waiting.
 //!
 //! The rule doesn't know what a missing shard would have contributed, whether a caller still wants a late answer, or
 //! whether another node could answer. The Retry-After header follows from the error kind
 //! (`staircross_types::ErrorKind`); only a tenant's quota sets a value of its own.
 //!
 //! The log shows the rule as `finish outcome=…`, `left_out cause=…` for each missing shard, and `held cause=…`; the
-//! metrics are `answers_partial_total` and `refusals_total`. The setting `routing.holds = false` refuses requests at
-//! once instead of holding them. Everything else is promised to callers and can't be turned off.
+//! metrics are `answers_partial_total` and `refusals_total`. With `routing.holds = false`, requests are refused at once
+//! instead of held. Everything else is guaranteed to callers and can't be turned off.
 
 use crate::configuration::tenants::KeyRefusal;
 use crate::decision::allowed_regions::AllowedRegions;
@@ -48,7 +48,7 @@
 /// Maximum number of requests held at once; further ones are refused. This bounds memory.
 const MAX_HELD: usize = 512;
 
-/// Reason for which a request isn't answered.
+/// Reason why a request isn't answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Error kind, which says whether the request may have run and when asking again may help.
@@ -73,15 +73,16 @@
 /// Load of a node when a request arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeLoad {
-    /// Whether the deadline has passed.
+    /// Whether the node is late with its work.
     pub is_overloaded: bool,
-    /// Requests that the node is processing.
+    /// Number of requests that the node is processing.
     pub requests: usize,
     /// Maximum number of requests that the node may process at once.
     pub max_requests: usize,
 }
 
-/// Refuses a request for which this node has no capacity. Another node may have some.
+/// Refuses a request if the node is late with its work or has reached its limit of requests. Another node may have
+/// capacity.
 pub fn refuse_if_overloaded(load: NodeLoad) -> Option<Refusal> {
     if load.is_overloaded {
         return Some(Refusal::new(ErrorKind::Overloaded, "the node comes too late to its work"));
@@ -227,7 +228,7 @@
 pub struct FailedRequest {
     /// Whether any attempt ran or may have run, or has an unknown outcome.
     pub may_have_run: bool,
-    /// Whether its deadline has come.
+    /// Whether the deadline has passed.
     pub is_over: bool,
     /// Whether the request's key was revoked.
     pub is_key_revoked: bool,
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -2,8 +2,8 @@
 //! the shard is sent again.
 //!
 //! The rule decides for each shard of a request ([`next_step`]), for the searcher of an attempt that didn't run
-//! ([`reuse_after_not_run`]), and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]). [`crate::engine`]
-//! calls it whenever an attempt ends.
+//! ([`reuse_after_not_run`]), and for a retry that the budget refuses ([`may_wait`], [`budget_retry_at`]).
+//! [`crate::engine`] calls it whenever an attempt ends.
 //!
 //! The inputs are the outcome of the attempt as seen on the connection ([`AttemptOutcome`]), and whether the route is
 //! idempotent and gathers shards. Status codes are HTTP's. In addition, the route's `max_attempts` limits the searchers
@@ -11,11 +11,11 @@
 //! isn't, since nothing was sent.
 //!
 //! The rule ensures that a request that isn't idempotent is sent again only if it surely didn't run: nothing was sent,
-//! or the searcher says that it didn't run it. It buys answers to requests although a searcher failed. Letting shards
+//! or the searcher says that it didn't run it. Requests are thus answered although a searcher failed. Letting shards
 //! wait for a searcher without capacity and for the budget reduced the unserved requests of 10,000 from 63 to 40 and
-//! from 164 to 63 on two fleets of 195 nodes; the mean score of a day (0 to 1) changed by -0.0006 ± 0.0017 and +0.0073
-//! ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave +0.0225 ± 0.0080 on a fleet of 67 nodes, and
-//! +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
+//! from 164 to 63 on two fleets of 195 nodes; the mean score of a day (0 to 1) changed by -0.0006 ± 0.0017 and
+//! +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave +0.0225 ± 0.0080 on a fleet of 67
+//! nodes, and +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
 //!
 //! The rule doesn't know whether a searcher that broke its connection ran the request, which counts as "may have run",
 //! nor whether a searcher that answers with a failure would succeed a moment later.
@@ -23,7 +23,7 @@
 //! The log shows the rule as `attempt_ended outcome=…`, `send reason=retry` or `reason=reroute`, and `unsent
 //! cause=not_repeatable`, `most_attempts`, `over_budget` or `avoided`; the metrics are `attempts_retry_total`,
 //! `attempts_reroute_total` and `attempts_over_budget_total`. With `routing.waiting = false`, shards wait neither for a
-//! searcher nor for the budget. What is promised to callers can't be turned off.
+//! searcher nor for the budget. What is guaranteed to callers can't be turned off.
 
 use crate::policy::RoutingPolicy;
 use crate::state::request::{AttemptOutcome, NotRun, SearcherAnswer, SendReason};
--- a/crates/staircross-routing/src/policy.rs
+++ b/crates/staircross-routing/src/policy.rs
@@ -1,6 +1,6 @@
 //! Operator settings that turn single mechanisms off, to measure their effect or to rule them out in an incident.
 //!
-//! All mechanisms are on by default. Mechanisms that keep a promise to callers or back ends can't be turned off.
+//! All mechanisms are on by default. Mechanisms that keep a guarantee to callers or back ends can't be turned off.
 
 use serde::{Deserialize, Serialize};
 
