--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -66,7 +66,7 @@
 /// admitted requests rise with the share.
 struct AdmittedAtShare {
     admitted: f64,
-    capped: f64,
+    capped_tenants: f64,
 }
 
 /// Recent demand of tenants for the same services at the same rank, and the requests that are owed.
@@ -137,7 +137,7 @@
             } else {
                 high = share;
             }
-            let step = share + lacking / at.capped;
+            let step = share + lacking / at.capped_tenants;
             share = if low < step && step < high { step } else { (low + high) / 2.0 };
         }
         share
@@ -149,11 +149,11 @@
         let is_capped = |count: f64| floor * count < share && share < count;
         let mut at = AdmittedAtShare {
             admitted: self.pooled * admitted_fraction_at(share, weight, floor),
-            capped: if is_capped(weight) { self.pooled / weight } else { 0.0 },
+            capped_tenants: if is_capped(weight) { self.pooled / weight } else { 0.0 },
         };
         for count in self.counts.values() {
             at.admitted += (share.min(*count)).max(floor * count);
-            at.capped += f64::from(u8::from(is_capped(*count)));
+            at.capped_tenants += f64::from(u8::from(is_capped(*count)));
         }
         at
     }
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -97,6 +97,6 @@
 /// Whether a searcher may be sent one more attempt by this node now.
 fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, place: &Place) -> bool {
     let has_room = searcher.open.len() < usable_connections(now, searcher, place) && !searcher.is_full(now);
-    let is_not_avoided = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
-    searcher.may_be_asked(now) && is_not_avoided && has_room
+    let may_be_asked_now = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
+    searcher.may_be_asked(now) && may_be_asked_now && has_room
 }
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -133,9 +133,9 @@
         sent_at: BootTime,
         connected_at: Option<BootTime>,
     ) -> Vec<SuspicionChange> {
-        let is_kept =
+        let has_not_reconnected =
             |lost_at: BootTime| connected_at.is_none_or(|connected_at| is_surely_later(lost_at, connected_at));
-        let is_outlived = |loss: &&Loss| loss.lost_at <= sent_at && is_kept(loss.lost_at);
+        let is_outlived = |loss: &&Loss| loss.lost_at <= sent_at && has_not_reconnected(loss.lost_at);
         let is_cleared = |loss: &&Loss| loss.searcher == searcher && is_outlived(loss) && !loss.is_alive;
         let concerned = self.cases.iter().filter(|(_, case)| case.losses.iter().any(|loss| is_cleared(&loss)));
         let contents: Vec<ContentKey> = concerned.map(|(content, _)| *content).collect();
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -118,8 +118,8 @@
         }
         self.losses.sort_by_key(|loss| loss.lost_at);
         if self.losses.len() > MAX_LOSSES {
-            let is_alive = self.losses.iter().position(|loss| loss.is_alive);
-            let dropped = is_alive.or_else(|| self.losses.iter().position(|loss| !self.may_prove_sequence(loss)));
+            let outlived = self.losses.iter().position(|loss| loss.is_alive);
+            let dropped = outlived.or_else(|| self.losses.iter().position(|loss| !self.may_prove_sequence(loss)));
             dropped.map(|index| self.losses.remove(index));
         }
     }
@@ -156,8 +156,8 @@
 
     /// Whether the content is still remembered.
     pub fn is_remembered(&self, now: BootTime) -> bool {
-        let memory = if self.losses.is_empty() { ANSWER_RETENTION } else { LOSS_RETENTION };
-        now.since(self.newest_event()) < memory
+        let retention = if self.losses.is_empty() { ANSWER_RETENTION } else { LOSS_RETENTION };
+        now.since(self.newest_event()) < retention
     }
 }
 
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -128,8 +128,8 @@
 
 /// Whether a shard whose retry the budget refuses waits for the budget. If a searcher's own failure was received, it is
 /// passed on at once instead, unless the request is a gather, where it can't be passed on.
-pub fn may_wait(has_failure_at_hand: bool, kind: RequestKind) -> bool {
-    !has_failure_at_hand || kind.is_gather
+pub fn may_wait(has_failure: bool, kind: RequestKind) -> bool {
+    !has_failure || kind.is_gather
 }
 
 /// Returns the time at which a shard that waits for the budget is tried again, or `None` if shards don't wait.
