--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -116,7 +116,7 @@
     /// separately are assumed to have one request each.
     ///
     /// The number of admitted requests is piecewise linear in the share, with a slope of one for each tenant that is
-    /// cut to the share. A step along the current piece mostly hits the target. If the step leads out of the remaining
+    /// cut to the share. A step along the current piece usually hits the target. If the step leads out of the remaining
     /// interval, the interval is bisected.
     fn share(&self, target: f64, floor: f64, weight: f64) -> f64 {
         let all = self.total();
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -1,8 +1,9 @@
 //! Computes the time that this node has for an answer that reaches its caller in time.
 //!
-//! The rule decides for each request by when its answer must be sent to be worth most ([`usable_goal`], [`answer_by`]).
-//! From then on, the parts received are sent without the missing ones ([`super::request_lifecycle`]), and hedges are
-//! timed so that they can be answered before ([`super::hedging`]).
+//! An answer is worth most if it reaches the caller within the route's latency goal. The rule decides for each request
+//! by when its answer must be sent for that ([`usable_goal`], [`answer_by`]). From then on, the parts received are sent
+//! without the missing ones ([`super::request_lifecycle`]), and hedges are timed so that they can be answered before
+//! ([`super::hedging`]).
 //!
 //! The inputs are the route's goal (from the deploy file, in milliseconds); the round trip to the caller as the kernel
 //! measured it on the connection, if it does; whether the connection was made for this request; and how long the
@@ -48,14 +49,14 @@
 /// half of the goal.
 const MAX_CALLER_FRACTION: f64 = 0.5;
 
-/// Returns the time from a request's arrival until its answer must be sent to be worth most.
+/// Returns the time from a request's arrival until its answer must be sent to meet the latency goal.
 pub fn usable_goal(route: &RouteDefinition, link: &CallerLink) -> Duration {
     let goal = Duration::from_millis(route.goal_ms);
     goal - caller_time(link).min(goal.mul_f64(MAX_CALLER_FRACTION))
 }
 
-/// Returns the time by which the answer to a request that arrives now must be sent to be worth most, which is never
-/// after its deadline. `waited` is the time for which the request may have waited to be read.
+/// Returns the time by which the answer to a request that arrives now must be sent to meet the latency goal, which is
+/// never after its deadline. `waited` is the time for which the request may have waited to be read.
 pub fn answer_by(now: BootTime, usable_goal: Duration, waited: Duration, deadline: BootTime) -> BootTime {
     (now + usable_goal.saturating_sub(waited)).min(deadline)
 }
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -9,11 +9,12 @@
 //! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the [`Place`]
 //! (zones, round trips: times, nodes: counts).
 //!
-//! The rule shortens answer times and saves traffic between zones. Each of its settings changes the score of a day,
-//! measured on four deployments (docs/studies/switches.md): `routing.near_first` by 0.003 to 0.009,
-//! `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to 0.008 and `routing.connection_ramp` by
-//! 0.000 to 0.007. `routing.reported_host` gives +0.0022 ± 0.0016, and `routing.avoid_rejecting` gives +0.198 ± 0.009
-//! where most searchers reject many requests (docs/design/searcher-choice.md).
+//! The rule shortens answer times and saves traffic between zones. Each of its settings changes the mean score of a day
+//! (0 to 1, docs/studies/scores.md), measured on four deployments (docs/studies/switches.md): `routing.near_first` by
+//! 0.003 to 0.009, `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to 0.008 and
+//! `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host` gives +0.0022 ± 0.0016, and
+//! `routing.avoid_rejecting` gives +0.198 ± 0.009 where most searchers reject many requests
+//! (docs/design/searcher-choice.md).
 //!
 //! The rule doesn't know what other nodes have sent or measured. It estimates a searcher's queue as this node's own
 //! attempts times the number of nodes in its zone.
@@ -51,7 +52,7 @@
     pub excluded: &'a [SearcherKey],
     /// Usual time of the route's work.
     pub usual_work: Duration,
-    /// Time within which the complete answer is worth most.
+    /// Latency goal of the route for the complete answer.
     pub goal: Duration,
 }
 
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Fraction of a searcher's connections that the nodes of its zone share. Measured together with [`OTHER_ZONE_SHARE`],
-/// as the change of the score against this pair: 0.9 and 0.9 -0.0136, 0.9 and 1.8 -0.0161, 0.3 and 0.3 -0.0057, 0.2 and
-/// 0.2 -0.0067, each ± 0.0022.
+/// as the change of the mean score of a day against this pair: 0.9 and 0.9 -0.0136, 0.9 and 1.8 -0.0161, 0.3 and 0.3
+/// -0.0057, 0.2 and 0.2 -0.0067, each ± 0.0022.
 const OWN_ZONE_SHARE: f64 = 0.45;
 /// Fraction of a searcher's connections that the nodes of all other zones share. Measured together with
 /// [`OWN_ZONE_SHARE`].
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -74,8 +74,8 @@
 }
 
 /// Returns the route's goal times the probability of a rejection: the budget may not pay for a retry, and then the part
-/// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the score, against +0.083 ± 0.004
-/// if only the time of a retry is added (docs/design/searcher-choice.md).
+/// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the mean score of a day, against
+/// +0.083 ± 0.004 if only the time of a retry is added (docs/design/searcher-choice.md).
 fn rejection_penalty(now: BootTime, searcher: &Searcher, place: &Place, choice: &Choice<'_>) -> Duration {
     if !place.policy.avoid_rejecting {
         return Duration::ZERO;
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -33,9 +33,9 @@
 /// It is one more than the number that decides.
 const MAX_REPORTED_LOSSES: usize = 4;
 /// Longest time that a peer's report is assumed to be in transit. A reported event seems later than it was by the time
-/// in transit. Without this tolerance, two nodes that report one event to each other would move it later for ever.
+/// in transit. Without this tolerance, two nodes that report one event to each other would keep moving it later.
 const MAX_REPORT_TRANSIT: Duration = Duration::from_secs(1);
-/// Age from which a single loss is reported to peers. By then a retry has mostly been answered.
+/// Age from which a single loss is reported to peers. By then most retries have been answered.
 const SINGLE_LOSS_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// A searcher whose connection ended while it ran a content.
@@ -163,8 +163,8 @@
 
 impl Loss {
     /// Whether the searcher was lost before an answer at `answered`. A loss reported by a peer counts as later only if
-    /// it surely is: a content that crashes its searchers has no answer at all, whereas a harmless content whose answer
-    /// is discarded may be refused.
+    /// it certainly is: a content that crashes its searchers has no answer at all, whereas a harmless content whose
+    /// answer is discarded may be refused.
     fn is_before(&self, answered: BootTime) -> bool {
         let tolerance = if self.is_reported_by_peer { MAX_REPORT_TRANSIT } else { Duration::ZERO };
         self.lost_at <= answered + tolerance
@@ -192,8 +192,8 @@
     }
 }
 
-/// Whether an event at `time` is surely another and later one than the event at `than`, though peers may have reported
-/// the times.
+/// Whether an event at `time` is certainly another and later one than the event at `than`, though peers may have
+/// reported the times.
 pub(super) fn is_surely_later(time: BootTime, than: BootTime) -> bool {
     time > than + MAX_REPORT_TRANSIT
 }
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -183,7 +183,7 @@
     pub least: usize,
     /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
-    /// Whether the goal has passed, the time by which an answer is worth most.
+    /// Whether the latency goal has passed, after which an answer is worth less.
     pub is_past_goal: bool,
     /// Whether the deadline has passed.
     pub is_over: bool,
