--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -81,7 +81,7 @@
     pub other_round_trip: Duration,
     /// Median work of the route, without the round trip.
     pub usual: Duration,
-    /// Unusually long work of the route.
+    /// Work time that is unusually long for the route, without the round trip.
     pub late: Duration,
     /// Fraction of `late` after which the hedge is sent, from [`hedge_delay_factor`].
     pub delay_factor: f64,
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -93,12 +93,13 @@
         self.alarms.age(now, route)
     }
 
-    /// Whether a searcher has answered a content lately and none has been lost while running it since.
+    /// Whether a searcher has answered a request with this content lately, and none has been lost while running one
+    /// since.
     pub fn is_harmless(&self, content: ContentKey) -> bool {
         self.answers.contains(content)
     }
 
-    /// Records that a searcher's connection ended while the searcher ran a content.
+    /// Records that a searcher's connection ended while the searcher ran a request with this content.
     pub fn note_lost(&mut self, now: BootTime, lost: LostAttempt) -> Option<SuspicionChange> {
         let LostAttempt { content, route, searcher, sent_at } = lost;
         self.answers.remove(content);
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Records that a searcher ran a content to completion.
+    /// Records that a searcher ran a request with this content to completion.
     pub fn note_answered(&mut self, now: BootTime, content: ContentKey) -> Option<SuspicionChange> {
         self.answers.record(now, content);
         let case = self.cases.get(&content)?;
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -8,7 +8,7 @@
 //! searchers ([`super::admission`], [`super::fair_share`]).
 //!
 //! The inputs are durations; times of this machine's boot clock; numbers of shards (those whose part has been received,
-//! those still open, and the fewest that make an answer); and whether any attempt ran or may have run
+//! those still open, and the minimum for an answer); and whether any attempt ran or may have run
 //! ([`super::retry::may_have_run`]; an attempt whose outcome is unknown counts as such).
 //!
 //! The rule protects callers against running a request twice: a caller that receives an error kind whose `executed` is
@@ -118,7 +118,7 @@
 pub struct Reach<'a> {
     /// Number of shards that have such a searcher.
     pub reachable: usize,
-    /// Fewest shards that make an answer.
+    /// Minimum number of shards for an answer.
     pub least: usize,
     /// Whether the node knows all running searchers.
     pub knows_searchers: bool,
@@ -179,7 +179,7 @@
     pub parts: usize,
     /// Number of shards that are neither received nor given up.
     pub open: usize,
-    /// Fewest shards that make an answer.
+    /// Minimum number of shards for an answer.
     pub least: usize,
     /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
