--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -33,7 +33,7 @@
 use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
 use crate::decision::placement::Place;
 use crate::decision::quarantine::Quarantine;
-use crate::decision::turns::WeightedTurns;
+use crate::decision::weighted_round_robin::WeightedRoundRobin;
 pub use crate::engine_message::{
     AbandonCause, HoldCause, LastLoadReport, LeftOutCause, ProbeStep, RoutingAction, RoutingEvent, SendOrder,
     SendReason, UnsentCause,
@@ -96,7 +96,7 @@
     /// Estimate of the work of an attempt that doesn't wait in a queue.
     pub usual_work: UsualWork,
     /// Weighted round robin over the services of a weighted route.
-    pub service_turns: WeightedTurns,
+    pub service_turns: WeightedRoundRobin,
 }
 
 /// An attempt that still holds a connection. It may outlive its request.
@@ -339,7 +339,7 @@
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
             usual_work: UsualWork::default(),
-            service_turns: WeightedTurns::default(),
+            service_turns: WeightedRoundRobin::default(),
         })
     }
 
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -105,7 +105,7 @@
             AttemptOutcome::Answered(answer) => Some(answer),
             AttemptOutcome::NotRun(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::Cancelled => None,
         };
-        let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::is_run_to_its_end(answer));
+        let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::ran_to_completion(answer));
         request.is_answered |= has_run_to_end;
         match (step, answer) {
             (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
@@ -155,7 +155,7 @@
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
-        let unused = retry::after_not_run(*reason, &self.settings.policy);
+        let unused = retry::reuse_after_not_run(*reason, &self.settings.policy);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -86,8 +86,8 @@
             return None;
         }
         let (most_urgent, least_urgent) = group.priorities;
-        let level = group.admission.fraction_taken(rank.steps(most_urgent..=least_urgent));
-        let fraction = shares.fraction_taken(now, tenant, level);
+        let level = group.admission.admitted_fraction(rank.steps(most_urgent..=least_urgent));
+        let fraction = shares.admitted_fraction(now, tenant, level);
         if self.random.random_bool(fraction) {
             return None;
         }
@@ -160,9 +160,9 @@
         let table = self.table.clone()?;
         let group = self.groups.get(name).filter(|group| group.admission.is_due(now))?;
         let route = &table.definition().routes[group.route_index];
-        let wait = group.wait.judged(now)?;
+        let wait = group.wait.for_admission(now)?;
         let tolerable = self.tolerable_wait_for(route, fan_out(route));
-        self.groups.get_mut(name)?.admission.judge(now, wait, tolerable)
+        self.groups.get_mut(name)?.admission.evaluate(now, wait, tolerable)
     }
 }
 
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -1,11 +1,11 @@
 //! Sends due hedges and ends requests: collects the inputs of [`crate::decision::hedging`] and
-//! [`crate::decision::giving_up`], and carries out their verdicts.
+//! [`crate::decision::request_lifecycle`], and carries out their verdicts.
 //!
 //! Also owns the time for which attempts go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
-use crate::decision::giving_up::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
+use crate::decision::request_lifecycle::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
@@ -42,7 +42,7 @@
             return;
         };
         let policy = &self.settings.policy;
-        let rests_until = hedging::rests_until(self.settings.restarted_at, policy);
+        let hedges_paused_until = hedging::hedges_paused_until(self.settings.restarted_at, policy);
         let (route, is_key_revoked) = (request.route(), request.is_key_revoked);
         let (is_idempotent, max_attempts) = (route.is_idempotent, route.max_attempts);
         let mut late_shards = Vec::new();
@@ -50,7 +50,7 @@
             let shard = &request.shards[attempt.shard as usize];
             let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
-            attempt.hedge_at = match hedging::judge(now, state, rests_until, policy) {
+            attempt.hedge_at = match hedging::judge(now, state, hedges_paused_until, policy) {
                 HedgeVerdict::Hedge { again_at } => {
                     late_shards.push(attempt.shard as usize);
                     again_at
@@ -71,7 +71,7 @@
             return;
         };
         let progress = progress(now, request);
-        let standing = giving_up::judge(progress);
+        let standing = request_lifecycle::judge(progress);
         if standing == Standing::GoOn {
             return;
         }
@@ -152,11 +152,11 @@
 
 fn failure_verdict(now: BootTime, request: &Request) -> Verdict {
     if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
-        && giving_up::is_passed_on(answer, request.gather().is_some())
+        && request_lifecycle::is_passed_on(answer, request.gather().is_some())
     {
         return Verdict::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
     let (is_over, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
-    giving_up::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
+    request_lifecycle::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
 }
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_routing::decision::admission::{Admission, Wait, tolerable_wait};
-use staircross_routing::decision::fair_share::{FLOOR, FairShares, MAX_OWED};
+use staircross_routing::decision::fair_share::{FairShares, MAX_OWED, TENANT_FLOOR};
 use staircross_types::BootTime;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -26,14 +26,14 @@
         for (index, count) in counts.iter().enumerate() {
             (0..*count).for_each(|_| shares.count(now, Some(&name(index))));
         }
-        let fraction = |index| shares.clone().fraction_taken(now, Some(&name(index)), level);
+        let fraction = |index| shares.clone().admitted_fraction(now, Some(&name(index)), level);
         let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), fraction(i))).collect();
         let all: f64 = tenants.iter().map(|(count, _)| count).sum();
         let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
         prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} at {level}");
 
-        let floor = FLOOR * level;
-        let fair_share = (1.0 - FLOOR) * level * all / tenants.len() as f64;
+        let floor = TENANT_FLOOR * level;
+        let fair_share = (1.0 - TENANT_FLOOR) * level * all / tenants.len() as f64;
         for (count, fraction) in &tenants {
             prop_assert!((floor..=1.0).contains(fraction));
             prop_assert!(*count > fair_share || *fraction == 1.0, "asks for {count} of {fair_share} and gets {fraction}");
@@ -62,7 +62,7 @@
             let level = levels[request * levels.len() / 600];
             now = now + Duration::from_millis(random.random_range(0..=gap_ms * 2));
             shares.count(now, Some(&tenant));
-            owed += level - shares.fraction_taken(now, Some(&tenant), level);
+            owed += level - shares.admitted_fraction(now, Some(&tenant), level);
             prop_assert!(owed.abs() <= MAX_OWED, "{owed} requests too few after {request}");
         }
     }
@@ -75,7 +75,7 @@
         let now = BootTime::from_millis(step * 37);
         let level = 0.05 + 0.9 * (step as f64 / 2000.0);
         shares.count(now, None);
-        assert_eq!(shares.fraction_taken(now, None, level), level, "to the last bit");
+        assert_eq!(shares.admitted_fraction(now, None, level), level, "to the last bit");
     }
 }
 
@@ -89,13 +89,13 @@
         let is_greedy = step % 2 == 0;
         let tenant = if is_greedy { greedy.clone() } else { name(step % 10_000) };
         shares.count(now, Some(&tenant));
-        let fraction = shares.fraction_taken(now, Some(&tenant), 0.7);
+        let fraction = shares.admitted_fraction(now, Some(&tenant), 0.7);
         if is_greedy { of_greedy.push(fraction) } else { of_others.push(fraction) }
     }
     let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
     // The greedy one is held at the floor, and the others get what that leaves of a level of 0.7.
-    assert!((mean(&of_greedy) - 0.7 * FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
-    assert!((mean(&of_others) - (1.4 - 0.7 * FLOOR)).abs() < 0.01, "{}", mean(&of_others));
+    assert!((mean(&of_greedy) - 0.7 * TENANT_FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
+    assert!((mean(&of_others) - (1.4 - 0.7 * TENANT_FLOOR)).abs() < 0.01, "{}", mean(&of_others));
 }
 
 /// Searchers that take requests in turn, in front of which nodes refuse a part.
@@ -188,14 +188,14 @@
         let wait = node.wait.get_or_insert_with(|| Wait::at_group(FAN_OUT));
         while let Some((at, waited)) = node.ends.pop_front_if(|(at, _)| *at <= now) {
             (0..FAN_OUT).for_each(|_| wait.record(at, waited));
-            if let Some(waited) = wait.judged(at).filter(|_| node.admission.is_due(at)) {
-                node.admission.judge(at, waited, tolerable_wait(GOAL, WORK, FAN_OUT));
+            if let Some(waited) = wait.for_admission(at).filter(|_| node.admission.is_due(at)) {
+                node.admission.evaluate(at, waited, tolerable_wait(GOAL, WORK, FAN_OUT));
             }
         }
         node.shares.count(now, Some(tenant));
         let level = self.level.unwrap_or(node.admission.level());
         let fraction = match refusing {
-            Refusing::ByShares if level < 1.0 => node.shares.fraction_taken(now, Some(tenant), level),
+            Refusing::ByShares if level < 1.0 => node.shares.admitted_fraction(now, Some(tenant), level),
             _ => level,
         };
         if !self.random.random_bool(fraction) {
@@ -257,7 +257,7 @@
             let case = format!("{nodes} nodes, {load} times: {by_chance:.3?}, {by_shares:.3?}");
             assert!(by_shares.worst_tenth > by_shares.all - 0.05, "{case}");
             assert!(by_shares.greedy < by_shares.others - 0.05, "{case}");
-            assert!(by_shares.greedy > FLOOR * by_shares.all - 0.05, "{case}");
+            assert!(by_shares.greedy > TENANT_FLOOR * by_shares.all - 0.05, "{case}");
             assert!(by_shares.all > by_chance.all - 0.02, "as much is taken in sum: {case}");
         }
     }
