--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -1,34 +1,36 @@
-//! When the requests under which searchers were lost are pushed to peers at once.
+//! Limits the rate at which records of requests during which searchers were lost are pushed to peers.
 //!
-//! When many searchers end at once, many requests are suspect for a moment, and each push goes to a dozen peers, so pushes are bounded. But until a
-//! node knows, it may send the request that is to blame to one searcher of each shard, and the one to blame needn't be the first that is
-//! suspected. So a few pushes may follow each other closely, each once per turn of the event loop with all that the turn brought.
+//! When many searchers end at the same time, many requests are suspected for a moment, and each push goes to a dozen
+//! peers, so the rate of pushes is limited. But a node that doesn't know the suspects yet may send the request that
+//! crashes searchers to one searcher of each shard, and that request needn't be the first suspect. So a short burst of
+//! pushes is allowed. There is at most one push per turn of the event loop, with all updates of the turn.
 //!
-//! [`CasePushes`] owns the pace alone; what is pushed comes from the engine, and to whom from the fleet.
+//! [`CasePushes`] owns only the timing. The engine supplies the records, and the fleet chooses the peers.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time between two pushes in the long run. So that ten datagrams a second to each peer are the most.
+/// Average minimum interval between pushes, so that each peer gets at most ten pushed datagrams per second.
 const PUSH_GAP: Duration = Duration::from_millis(100);
-/// Pushes that may be made ahead of that. The searchers of a request's shards end within some 100 ms, and updates on them come in a few turns.
+/// Number of pushes that may be made in a burst. The searchers of a request's shards end within about 100 ms, and the
+/// updates about them arrive in a few turns of the event loop.
 const BURST: u32 = 4;
 
-/// Whether there are updates for peers, and when they may be pushed.
+/// Rate limiter for pushes of updates to peers.
 #[derive(Debug, Default)]
 pub struct CasePushes {
     has_update: bool,
-    /// The pushes made take up time until then.
+    /// Time until which the earlier pushes use up the allowed rate.
     taken_until: BootTime,
 }
 
 impl CasePushes {
-    /// There are updates that peers should know at once.
+    /// Records that there are updates to push.
     pub fn note_update(&mut self) {
         self.has_update = true;
     }
 
-    /// Whether to push now; if so, the push counts as made.
+    /// Returns whether to push now. If so, the push is counted as made.
     pub fn take(&mut self, now: BootTime) -> bool {
         let may_push = self.has_update && self.taken_until <= now + PUSH_GAP * (BURST - 1);
         if may_push {
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -1,19 +1,20 @@
-//! The fleet as one node sees it: members, what they announce, and what follows from both.
+//! The fleet as one node sees it: its members, their announcements, and what the node derives from both.
 //!
-//! Owns membership, the peers' last announcements and this node's own. Relies on the cluster crate for who is alive, and on its parts:
+//! [`Fleet`] owns the membership, the last announcement of each peer and this node's own announcement. It relies on
+//! the cluster crate for which members are alive, and on these modules:
 //!
-//! | part | for |
+//! | module | content |
 //! | --- | --- |
-//! | `announcement` | what each datagram says of its sender |
-//! | `datagrams` | the socket, and datagrams in both directions |
-//! | `readers` | designated readers of the store, heartbeats, the peer that is asked |
-//! | `contact` | whether any peer is heard |
-//! | `incarnation` | ids of incarnations, by which one knows those before it |
-//! | `confirmation` | until when the configuration is known to have been the newest |
-//! | `shape` | which nodes serve callers, and this node's share of what all spend |
+//! | `announcement` | the state that each datagram announces of its sender |
+//! | `datagrams` | the socket, and incoming and outgoing datagrams |
+//! | `readers` | the designated readers of the store, their heartbeats, and the choice of the peer to pull from |
+//! | `contact` | whether the node hears any peer |
+//! | `incarnation` | the ids of incarnations, by which an incarnation recognizes earlier ones of its node |
+//! | `confirmation` | the latest time at which the configuration is known to have been the newest |
+//! | `shape` | the nodes that serve callers, and this node's share of the limits that all nodes share |
 //!
-//! Every datagram carries the sender's configuration version and newest store revision. So a node
-//! that the store doesn't serve sees that it is behind, and asks a peer for what it lacks.
+//! Every datagram carries the sender's configuration version and newest store revision. So a node that can't reach
+//! the store detects that it is behind, and pulls the missing updates from a peer.
 
 mod announcement;
 mod confirmation;
@@ -49,15 +50,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members sent in one datagram, so that it stays below the 1,500 bytes that a link carries whole.
+/// Maximum number of members in one datagram, which keeps it below the 1,500 bytes that a link carries unfragmented.
 const MEMBERS_PER_DATAGRAM: usize = 6;
-/// Nodes assumed to live and serve at the start, until more have been seen: a starting node takes no more than an eighth of what all share. For a
-/// small fleet.
+/// Number of live nodes and of serving nodes that a starting node assumes until it has seen more, so that it takes at
+/// most an eighth of the limits that all nodes share. The number is that of a small fleet.
 const ASSUMED_FLEET: usize = 8;
-/// Peers that are sent updates at once; they pass them on.
+/// Number of peers that a push is sent to; these peers pass the updates on.
 const PUSH_COUNT: usize = 12;
 
-/// What changed in the fleet.
+/// A change in the fleet, or a report from a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEvent {
     /// A member's record changed.
@@ -65,91 +66,91 @@
         /// The member.
         member: Box<Member>,
     },
-    /// A peer has lost searchers under requests.
+    /// A peer sent records of requests during which searchers were lost.
     Cases(Vec<CaseRecord>),
-    /// No peer has been heard for some time, or one is heard again.
+    /// The node has heard no peer for some time, or hears one again.
     Isolated {
-        /// Whether none is.
+        /// Whether the node hears no peer.
         is_isolated: bool,
     },
-    /// A peer reports on tenants' quotas.
+    /// A peer sent messages about tenants' quotas.
     Quotas {
         /// The peer.
         from: NodeId,
-        /// What it reports.
+        /// The peer's messages.
         messages: Vec<QuotaMessage>,
     },
 }
 
-/// Counters, for metrics.
+/// Counters of datagrams, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounters {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes in the datagrams sent.
     pub bytes: u64,
-    /// Datagrams that couldn't be read.
+    /// Number of datagrams that couldn't be decoded, or couldn't be encoded.
     pub unreadable: u64,
 }
 
-/// The fleet as this node sees it.
+/// The state that this node has of the fleet.
 pub struct Fleet {
     node: NodeId,
     membership: Membership,
     socket: PeerSocket,
     random: ChaCha8Rng,
     own: Announcement,
-    /// Sent with each datagram: requests under which searchers were lost.
+    /// Records of requests during which searchers were lost; datagrams of the membership carry them.
     cases: Vec<CaseRecord>,
-    /// What each peer announced last.
+    /// The last announcement of each peer.
     announced: HashMap<NodeId, Announcement>,
-    /// Since when a peer has been ahead in anything, or since the last question to one.
+    /// Time since which some peer has been ahead of this node, or time of the last pull if that is later.
     behind_since: Option<BootTime>,
-    /// Since when a live peer has been known to have a newer configuration.
+    /// Time since which some peer is known to have a newer configuration.
     version_behind_since: Option<BootTime>,
     directory: Directory,
-    /// When the directory was made; `None` when it must be made anew.
+    /// Time at which the directory was built; `None` if it must be rebuilt.
     directory_at: Option<BootTime>,
-    /// The nodes that share tenants' quotas, as the engine last got them.
+    /// The nodes that share tenants' quotas, as last passed to the engine.
     quota_nodes: Vec<NodeId>,
-    /// What the searcher of a shard with the lowest bound accepts from all nodes.
+    /// Smallest number of connections that any searcher accepts from all nodes together, if there is such a limit.
     connections: Option<u32>,
-    /// Most live nodes of late.
+    /// Recent maximum of the number of live nodes.
     live_peak: Peak,
-    /// Most serving nodes of late.
+    /// Recent maximum of the number of serving nodes.
     serving_peak: Peak,
-    /// When the store last answered this node; `None` when it doesn't read.
+    /// Time of the store's last answer to this node; `None` if the node doesn't read the store.
     store_contact: Option<BootTime>,
-    /// When the store last answered a reader of the region, as far as it was heard here.
+    /// Time of the store's last answer to a reader of the region, according to the readers' heartbeats.
     reader_heartbeat: Option<BootTime>,
     confirmation: Confirmation,
     contact: Contact,
-    /// Whether peers are sent until when the configuration is confirmed.
+    /// Whether announcements contain the age of the configuration's confirmation.
     sends_confirmation: bool,
     policy: NodePolicy,
-    /// Counters for metrics.
+    /// Counters of datagrams, for metrics.
     pub counters: FleetCounters,
-    /// Bytes of datagrams sent.
+    /// Bytes of the datagrams sent, by purpose and distance.
     pub traffic: Traffic,
 }
 
-/// Who this node is and where it is reached.
+/// Identity, addresses and location of this node.
 #[derive(Clone, Debug)]
 pub struct FleetIdentity {
-    /// This incarnation.
+    /// Id of this incarnation.
     pub node: NodeId,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peers: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Region.
+    /// Region of the node.
     pub region: String,
-    /// Zone.
+    /// Zone of the node.
     pub zone: String,
 }
 
 impl Fleet {
-    /// A fleet of one that will join through `seeds`.
+    /// Creates a fleet that consists of this node alone and joins others through `seeds`.
     pub fn new(identity: FleetIdentity, seeds: Vec<SocketAddr>, socket: UdpSocket, now: BootTime) -> Self {
         let own = Member {
             node: identity.node,
@@ -189,19 +190,21 @@
         }
     }
 
-    /// The same with mechanisms turned off.
+    /// Sets which optional mechanisms are turned on.
     pub fn with_policy(self, policy: NodePolicy) -> Self {
         Fleet { policy, ..self }
     }
 
-    /// Lets time pass.
+    /// Runs the periodic work: reads the waiting datagrams, then advances the membership, removes the announcements of
+    /// members that are gone, and detects isolation.
     pub fn on_tick(&mut self, now: BootTime, events: &mut Vec<FleetEvent>) {
-        // What came while the process stood still is read before anything is judged by what was known before.
+        // Datagrams that arrived while the process was paused are read first, since decisions from older state might be
+        // wrong.
         self.on_readable(now, events);
         self.refresh_own_heartbeat(now);
         let mut actions = Vec::new();
         self.membership.on_tick(now, &mut self.random, &mut actions);
-        // Each moment that a dead node stays in somebody's directory costs callers.
+        // Changes are pushed at once, since callers lose requests for as long as a dead node stays in any directory.
         if actions.iter().any(|action| matches!(action, MembershipAction::Changed(_))) {
             self.push_and_carry_out(actions, events);
         } else {
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Says whether callers may be sent to this node.
+    /// Sets whether callers may be sent to this node. A change is pushed to peers at once.
     pub fn set_ready(&mut self, is_ready: bool, events: &mut Vec<FleetEvent>) {
         let mut actions = Vec::new();
         self.membership.set_ready(is_ready, &mut actions);
@@ -224,14 +227,15 @@
         }
     }
 
-    /// Announces a planned stop, or its end.
+    /// Sets this node's own state when a planned stop begins or ends, and pushes it to peers at once.
     pub fn leave(&mut self, state: MemberState, events: &mut Vec<FleetEvent>) {
         let mut actions = Vec::new();
         self.membership.leave(state, &mut actions);
         self.push_and_carry_out(actions, events);
     }
 
-    /// Notes how busy this node is, in percent. A change that matters to callers is sent at once.
+    /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, or is no longer, the
+    /// change is pushed to peers at once, since it decides where callers are sent.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
         let matters = is_pressed(percent) != is_pressed(self.own.load);
         self.own.load = percent;
@@ -240,17 +244,17 @@
         }
     }
 
-    /// Sets what is sent to peers of requests under which searchers were lost.
+    /// Sets the records of requests during which searchers were lost that the next datagrams carry.
     pub fn set_cases(&mut self, cases: Vec<CaseRecord>) {
         self.cases = cases;
     }
 
-    /// Pushes what each datagram carries to some peers at once. They pass it on.
+    /// Sends the current announcement, records and membership updates to some peers at once.
     pub fn push(&mut self, events: &mut Vec<FleetEvent>) {
         self.push_and_carry_out(Vec::new(), events);
     }
 
-    /// Pushes the present updates to peers at once, after what `actions` ask for.
+    /// Applies `actions`, then pushes the current state to some peers.
     fn push_and_carry_out(&mut self, mut actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
         self.membership.push_updates(&mut self.random, PUSH_COUNT, &mut actions);
         self.carry_out(actions, events);
@@ -282,18 +286,18 @@
         })
     }
 
-    /// How far the live member with an address for peers is.
+    /// Returns how far away the live member with this address for peers is.
     pub fn reach_of_address(&self, address: SocketAddr) -> Reach {
         let node = self.live().find(|member| member.peer_address == address).map(|member| member.node);
         node.map_or(Reach::Unknown, |node| self.reach_of(node))
     }
 
-    /// Members that aren't gone, this node included.
+    /// Returns the members that aren't gone, this node and suspects included.
     fn live(&self) -> impl Iterator<Item = &Member> {
         self.membership.members().values().filter(|member| !member.is_gone())
     }
 
-    /// Live nodes known, this one included.
+    /// Returns the number of members that aren't gone, this node included.
     pub fn live_count(&self) -> usize {
         self.live().count()
     }
@@ -306,9 +310,12 @@
     }
 }
 
-/// Callers lose a request with each second that a dead node stays in the directory, and only lose a node for a moment when it is suspected wrongly.
-/// So probes are more frequent than the cluster crate's usual ones and fail sooner; a suspect leaves the directory at once, and has as long to
-/// refute. Fewer retransmits and one seed at a time spare the busiest node's link in fleets of hundreds.
+/// Returns the settings of the membership protocol.
+///
+/// Callers lose requests for as long as a dead node stays in the directory, whereas a wrong suspicion only removes a
+/// node for a moment. So probes are more frequent and time out sooner than with the defaults of the cluster crate. A
+/// suspect is left out of the directory at once, but has as long to refute the suspicion as with the defaults. Fewer
+/// retransmits and one seed at a time save bandwidth on the link of the busiest node in fleets of hundreds of nodes.
 fn membership_settings() -> MembershipSettings {
     MembershipSettings {
         probe_every: Duration::from_millis(200),
--- a/crates/staircross-gateway/src/fleet/announcement.rs
+++ b/crates/staircross-gateway/src/fleet/announcement.rs
@@ -1,7 +1,7 @@
-//! What nodes announce of themselves with every datagram, and the datagram's form.
+//! Format of the datagrams between peers, and the announcement that each of them carries.
 //!
-//! Owns the names on the wire: one letter a field, since datagrams go out every few milliseconds. Relies on the messages
-//! of membership and quotas, which it carries.
+//! This module owns the field names on the wire. They have one letter each, since a node sends a datagram every few
+//! milliseconds. The cluster and quota crates define the messages that a datagram carries.
 
 use serde::{Deserialize, Serialize};
 use staircross_cluster::membership::MembershipMessage;
@@ -9,56 +9,59 @@
 use staircross_routing::CaseRecord;
 use staircross_types::NodeId;
 
-/// What one node knows, sent with every datagram.
+/// How recent the sender's state is, and how busy the sender is. Every datagram carries an announcement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Version of its configuration.
+    /// Version of the sender's configuration.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Newest revision of a searcher's entry.
+    /// Newest store revision of a searcher's entry that the sender knows.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Newest revision of the start or end of an evacuation.
+    /// Newest store revision of the start or end of an evacuation that the sender knows.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
     pub evacuations: u64,
-    /// Busy share of the process, in percent.
+    /// Busy fraction of the sender's process, in percent.
     #[serde(rename = "l", default)]
     pub load: u8,
-    /// Time since the store last answered the sender, in milliseconds, if it reads the store.
+    /// Milliseconds since the store last answered the sender; `None` if the sender doesn't read the store.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub store_age_ms: Option<u32>,
-    /// Time since the sender's configuration was known to be the newest, in milliseconds, where there are tenants.
+    /// Milliseconds since the sender's configuration was last known to be the newest; `None` if there are no tenants.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub confirmed_age_ms: Option<u32>,
 }
 
-/// Most fleets never evacuate anything, and a datagram goes out every few milliseconds.
+/// Whether the field is left out of the datagram. Most fleets never evacuate anything, and a datagram is sent every few
+/// milliseconds.
 fn is_zero(revision: &u64) -> bool {
     *revision == 0
 }
 
 impl Announcement {
-    /// Whether `other` knows something that this one doesn't.
+    /// Whether `other` announces a newer version or revision than this announcement.
     pub fn is_behind(&self, other: &Announcement) -> bool {
         other.version > self.version || other.revision > self.revision || other.evacuations > self.evacuations
     }
 }
 
+/// A datagram between peers.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct PeerDatagram {
     #[serde(rename = "f")]
     pub from: NodeId,
+    /// The incarnation that the datagram is for; `None` if the sender knows only its address.
     #[serde(rename = "t")]
     pub to: Option<NodeId>,
     #[serde(rename = "a")]
     pub announcement: Announcement,
-    /// Requests under which searchers were lost, some of them each time.
+    /// Records of requests during which searchers were lost. If there are many, each datagram carries some of them.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub cases: Vec<CaseRecord>,
-    /// Reports on tenants' quotas.
+    /// Messages about tenants' quotas.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub quotas: Vec<QuotaMessage>,
-    /// `None` when only the announcement is sent.
+    /// Message of the membership protocol; `None` in datagrams that carry only the other fields.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub message: Option<MembershipMessage>,
 }
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -1,35 +1,36 @@
-//! Until when this node's configuration is known to have been the newest.
+//! Tracks the latest time at which this node's configuration is known to have been the newest.
 //!
-//! Owns the latest such time, and an announcement on a version that isn't here yet. Relies on the node, which reports when the store was
-//! asked, and on peers' announcements.
+//! [`Confirmation`] owns that time, and a peer's confirmation of a version that this node doesn't have yet. It relies
+//! on the node, which reports when it queried the store, and on peers' announcements.
 //!
-//! A node that the store answers knows that it had heard of everything at the time at which it asked. It announces how long ago that is
-//! with each datagram, and each node that hears it passes it on. An announcement binds a time to a version: it confirms a node's
-//! configuration once the node has that version or a later one.
+//! A node that the store answers knows that it had all updates at the time at which it sent the query. Each datagram
+//! announces the age of this confirmation, and each node that receives it passes it on. An announcement ties a time to
+//! a version: it confirms a node's configuration once the node has that version or a later one.
 
 use super::Fleet;
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// At a time, no version was newer than this one.
+/// A version of the configuration, and a time at which no newer version existed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedVersion {
     /// The version.
     pub version: u64,
-    /// The time, on this node's clock.
+    /// The time, by this node's clock.
     pub at: BootTime,
 }
 
-/// Until when the configuration is confirmed, and what would confirm a later one.
+/// Time of the last confirmation of this node's configuration, and a confirmation of a version still to come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Confirmation {
     at: Option<BootTime>,
-    /// The latest announcement on a version that isn't here yet.
+    /// The latest confirmation of a version that this node doesn't have yet.
     pending: Option<ConfirmedVersion>,
 }
 
 impl Confirmation {
-    /// Takes an announcement at a node that has a version.
+    /// Applies a confirmation on a node whose configuration has `own_version`. A confirmation of a newer version is
+    /// kept until the node has that version.
     pub fn note(&mut self, own_version: u64, confirmed: ConfirmedVersion) {
         if confirmed.version <= own_version {
             self.at = Some(self.at.map_or(confirmed.at, |known| known.max(confirmed.at)));
@@ -38,38 +39,38 @@
         }
     }
 
-    /// Notes which version the node has now.
+    /// Applies the pending confirmation if the node's new version is recent enough for it.
     pub fn set_version(&mut self, own_version: u64) {
         if let Some(pending) = self.pending.take_if(|pending| pending.version <= own_version) {
             self.note(own_version, pending);
         }
     }
 
-    /// The latest time at which no newer version existed; `None` when that was never known.
+    /// Returns the latest time at which no newer version existed; `None` if no such time is known.
     pub fn at(&self) -> Option<BootTime> {
         self.at
     }
 }
 
 impl Fleet {
-    /// Notes that the store, asked at a time, had nothing newer for this node.
+    /// Records that the store, queried at `asked_at`, had nothing newer for this node.
     pub fn confirm(&mut self, asked_at: BootTime) {
         let confirmed = ConfirmedVersion { version: self.own.version, at: asked_at };
         self.confirmation.note(self.own.version, confirmed);
     }
 
-    /// The latest time at which no newer configuration existed than this node's, as far as it knows.
+    /// Returns the latest time at which this node's configuration is known to have been the newest.
     pub fn confirmed_at(&self) -> Option<BootTime> {
         self.confirmation.at()
     }
 
-    /// Sets whether peers are sent until when the configuration is confirmed.
+    /// Sets whether announcements contain the age of the configuration's confirmation.
     pub fn set_confirmation_sent(&mut self, is_sent: bool) {
         self.sends_confirmation = is_sent;
     }
 
-    /// Takes what a datagram announces. It may have waited to be read for as long as this process stood still, so it is taken to have come
-    /// right after the last time at which none waited.
+    /// Applies the confirmation that a peer's last datagram announced. The datagram may have waited in the socket while
+    /// this process was paused. So it is assumed to have arrived right after the last time at which none was waiting.
     pub(super) fn take_confirmation(&mut self, from: NodeId) {
         let announced = self.announced.get(&from);
         let Some((version, age)) = announced.and_then(|known| Some((known.version, known.confirmed_age_ms?))) else {
@@ -82,7 +83,7 @@
     pub(super) fn refresh_own_confirmation(&mut self, now: BootTime) {
         let confirmed_at = self.confirmation.at().filter(|_| self.sends_confirmation);
         let age = confirmed_at.map(|at| now.since(at).as_millis());
-        // An age of more than 49 days is not announced, like one that isn't known.
+        // An age of more than 49 days doesn't fit the field, and isn't announced.
         self.own.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
     }
 }
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -1,8 +1,8 @@
-//! Datagrams between peers: the socket, reading them, and writing them.
+//! Sends datagrams to peers, and receives and dispatches theirs.
 //!
-//! Owns the socket and the count of what passes through it. Relies on `announcement` for a datagram's form; what a datagram says is for
-//! membership, the announcements and the node's events. A datagram may be lost anywhere: nothing here is repeated, since membership and
-//! the tick repeat what matters.
+//! This module owns the socket and counts the datagrams sent. It relies on `announcement` for the format of a datagram.
+//! The content of a datagram goes to the membership, to the peers' announcements, and to the node as events. A datagram
+//! may be lost anywhere. It isn't sent again, since the membership and the tick repeat everything that matters.
 
 use super::announcement::PeerDatagram;
 use super::incarnation::are_of_one_node;
@@ -17,27 +17,28 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Longest datagram that is read, in bytes; a longer one is cut and counts as unreadable. Above the 1,500 bytes that a link carries whole.
+/// Maximum length of a received datagram, in bytes; a longer one is truncated and counts as unreadable. Above the 1,500
+/// bytes that a link carries unfragmented.
 const MAX_DATAGRAM: usize = 2048;
 
-/// The socket for peers.
+/// The UDP socket for datagrams between peers.
 pub(super) struct PeerSocket {
     socket: UdpSocket,
     drained_at: BootTime,
 }
 
 impl PeerSocket {
-    /// A socket on which nothing waits at `now`.
+    /// Wraps a socket on which no datagram is waiting at `now`.
     pub(super) fn new(socket: UdpSocket, now: BootTime) -> Self {
         PeerSocket { socket, drained_at: now }
     }
 
-    /// When last no datagram waited to be read any more.
+    /// Returns the last time at which all waiting datagrams had been read.
     pub(super) fn drained_at(&self) -> BootTime {
         self.drained_at
     }
 
-    /// Reads the next datagram that waits.
+    /// Reads the next waiting datagram.
     fn receive(&mut self, now: BootTime, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.socket.recv_from(buffer) {
@@ -46,20 +47,20 @@
                     self.drained_at = now;
                     return None;
                 }
-                // Interrupted, or a peer refused an earlier datagram; the next may be another's.
+                // The call was interrupted, or a peer refused an earlier datagram. The next one may be of another peer.
                 Err(_) => {}
             }
         }
     }
 
     fn send(&self, bytes: &[u8], address: SocketAddr) {
-        // Datagrams may be lost anywhere; the protocol repeats what matters.
+        // An error is ignored: datagrams may be lost anywhere, and the protocol repeats what matters.
         let _may_be_lost = self.socket.send_to(bytes, address);
     }
 }
 
 impl Fleet {
-    /// Reads all datagrams that wait.
+    /// Reads and handles all waiting datagrams.
     pub fn on_readable(&mut self, now: BootTime, events: &mut Vec<FleetEvent>) {
         let mut buffer = [0_u8; MAX_DATAGRAM];
         while let Some((length, from)) = self.socket.receive(now, &mut buffer) {
@@ -102,8 +103,9 @@
         self.carry_out(actions, events);
     }
 
-    /// What was sent to another incarnation at this address is no message for this one. Its sender may be told of this one: only if it meant one before
-    /// it, since a node of another fleet may have had the address.
+    /// Handles a datagram for another incarnation at this address. Its content isn't used, but its sender is told of
+    /// this incarnation if the datagram was for an earlier incarnation of this node. Otherwise it was for a node of
+    /// another fleet that had the address.
     fn take_for_another(&mut self, to: NodeId, from: NodeId, address: SocketAddr, events: &mut Vec<FleetEvent>) {
         if !are_of_one_node(self.node, to) {
             return;
@@ -134,7 +136,8 @@
         self.write(Purpose::Membership, &datagram, address);
     }
 
-    /// Sends a peer messages on tenants' quotas, also one that is taken for gone: it may think that it owns a tenant.
+    /// Sends messages about tenants' quotas to a peer, even if the peer counts as gone, since it may still act as the
+    /// owner of a tenant.
     pub fn send_quotas(&mut self, to: NodeId, messages: Vec<QuotaMessage>) {
         let Some(address) = self.membership.get(to).map(|member| member.peer_address) else {
             return;
--- a/crates/staircross-gateway/src/fleet/incarnation.rs
+++ b/crates/staircross-gateway/src/fleet/incarnation.rs
@@ -1,16 +1,17 @@
 //! Ids of a node's incarnations.
 //!
-//! An id is random but for its last 32 bits: a fingerprint of the fleet, by its store, and of the node's place in it. So an incarnation can tell what
-//! was sent to one before it from what was sent to a node of another fleet that had its address.
+//! An id is random except for its last 32 bits. These are a fingerprint of the store's address, which identifies the
+//! fleet, and of the node's peer address, region and zone. So an incarnation can distinguish datagrams for an earlier
+//! incarnation of its node from datagrams for a node of another fleet that had the same address.
 
 use crate::settings::GatewaySettings;
 use staircross_types::NodeId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bits of an id that all incarnations of a node share.
+/// Mask of the bits of an id that are equal in all incarnations of a node.
 const FINGERPRINT: u128 = u32::MAX as u128;
 
-/// The id of a new incarnation, out of random bits.
+/// Returns the id of a new incarnation, whose other bits are taken from `random`.
 pub fn new_id(settings: &GatewaySettings, random: u128) -> NodeId {
     let (store, peers) = (settings.store.address, settings.listen.peers);
     let (region, zone) = (&settings.node.region, &settings.node.zone);
@@ -18,7 +19,7 @@
     NodeId(random & !FINGERPRINT | u128::from(fingerprint) & FINGERPRINT)
 }
 
-/// Whether both are incarnations of one node that was set up alike.
+/// Whether both ids are of incarnations of one node with unchanged settings.
 pub(super) fn are_of_one_node(one: NodeId, other: NodeId) -> bool {
     one.0 & FINGERPRINT == other.0 & FINGERPRINT
 }
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -1,7 +1,8 @@
-//! Which nodes of a region are its designated readers, what they announce, and which peer is asked by a node that is behind.
+//! Designated readers of a region, their heartbeats, and the peer from which a node that is behind pulls updates.
 //!
-//! Owns the choice of readers and of the peer that is asked, and since when the node has been behind. Relies on membership for who lives
-//! where and on what peers announced last. Whether a designated node reads already is for `store_role` to say.
+//! This module owns the choice of the readers and of the peer to pull from, and the time since which the node has been
+//! behind. It relies on the membership for the live nodes of each region, and on the last announcements of peers.
+//! `store_role` decides when a designated reader starts to read.
 
 use super::{Announcement, Fleet};
 use crate::store_role::READERS_PER_REGION;
@@ -12,12 +13,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a reader waits for its own watch to bring what a peer knows already. For a watch that the store answers at once and the reader's link,
-/// and well below the bounds on updates.
+/// Time for which a reader waits for an update from its own watch before it pulls the update from a peer that has it.
+/// Long enough for an immediate answer of the store over the reader's link, and well below the bounds on updates.
 const BEHIND_PATIENCE: Duration = Duration::from_millis(400);
 
 impl Fleet {
-    /// Takes a heartbeat: a reader of the region announces when the store last answered it.
+    /// Records the heartbeat in an announcement, that is, the time of the store's last answer to a reader of the
+    /// region. Announcements from other regions, or from nodes that don't read the store, are ignored.
     pub(super) fn take_heartbeat(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
         let own_region = &self.membership.own().region;
         let is_near = self.membership.get(from).is_some_and(|member| member.region == *own_region);
@@ -28,17 +30,19 @@
         self.reader_heartbeat = Some(self.reader_heartbeat.map_or(at, |known| known.max(at)));
     }
 
-    /// When the store last answered a reader of the region, as far as it was heard here.
+    /// Returns the time of the store's last answer to a reader of the region, according to the readers' heartbeats.
     pub fn newest_heartbeat(&self) -> Option<BootTime> {
         self.reader_heartbeat
     }
 
-    /// Whether this node is one of the designated readers of its region; where following is turned off, each node is.
+    /// Whether this node is a designated reader of its region. If the policy has no designated readers, every node
+    /// counts as one.
     pub fn is_designated_reader(&self) -> bool {
         !self.policy.store_readers || self.readers().contains(&self.node)
     }
 
-    /// The designated readers: those with the lowest ids, of different zones if there are some.
+    /// Returns the designated readers: the node with the lowest id of the region, then those with the lowest ids in
+    /// other zones, then those in the same zone.
     fn readers(&self) -> Vec<NodeId> {
         let Some(first) = self.region_mates().next() else {
             return Vec::new();
@@ -49,19 +53,19 @@
         std::iter::once(first).chain(others).map(|member| member.node).collect()
     }
 
-    /// Live members of the region that aren't its designated readers.
+    /// Returns the live members of the region that aren't designated readers; none if the policy has no such readers.
     fn followers(&self) -> impl Iterator<Item = &Member> {
         let readers = if self.policy.store_readers { self.readers() } else { Vec::new() };
         let follows = self.policy.store_readers;
         self.region_mates().filter(move |member| follows && !readers.contains(&member.node))
     }
 
-    /// Whether the region has members that follow its readers.
+    /// Whether the region has followers.
     pub fn has_followers(&self) -> bool {
         self.followers().next().is_some()
     }
 
-    /// Live members of the region in the order of their ids, this node included.
+    /// Returns the members of the region whose state is alive, this node included, in the order of their ids.
     fn region_mates(&self) -> impl Iterator<Item = &Member> {
         let own = self.membership.own();
         self.membership
@@ -70,12 +74,12 @@
             .filter(|member| member.state == MemberState::Alive && member.region == own.region)
     }
 
-    /// Notes when the store last answered this node; `None` when it doesn't read.
+    /// Sets the time of the store's last answer to this node; `None` if the node doesn't read the store.
     pub fn set_store_contact(&mut self, at: Option<BootTime>) {
         self.store_contact = at;
     }
 
-    /// Notifies the region's followers at once what this node, a reader, knows.
+    /// Sends the current announcement of this node, a reader, to the region's followers at once.
     pub fn notify_followers(&mut self, now: BootTime) {
         self.refresh_own_heartbeat(now);
         let followers: Vec<(NodeId, SocketAddr)> =
@@ -85,14 +89,15 @@
         }
     }
 
+    /// Updates the ages in this node's announcement.
     pub(super) fn refresh_own_heartbeat(&mut self, now: BootTime) {
         let age = self.store_contact.map(|at| now.since(at).as_millis());
-        // An age of more than 49 days is not announced, like one that isn't known.
+        // An age of more than 49 days doesn't fit the field, and isn't announced.
         self.own.store_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
         self.refresh_own_confirmation(now);
     }
 
-    /// Notes what this node knows now. Returns whether that is more than before.
+    /// Announces the versions and revisions that the mirror has reached. Returns whether any of them changed.
     pub fn set_knowledge(&mut self, mirror: &Mirror) -> bool {
         let before = self.own;
         self.own.version = mirror.version();
@@ -102,7 +107,8 @@
         before != self.own
     }
 
-    /// A peer that knows more; where the node `is_reading` the store itself, only after it has been behind for `BEHIND_PATIENCE`.
+    /// Returns the address of one of the nearest peers that are ahead of this node. If the node `is_reading` the store
+    /// itself and has a configuration, it returns a peer only after the node has been behind for `BEHIND_PATIENCE`.
     pub fn better_informed(&mut self, now: BootTime, is_reading: bool) -> Option<SocketAddr> {
         let is_version_behind = self.is_version_behind();
         self.version_behind_since =
@@ -113,7 +119,8 @@
             .live()
             .filter(|member| self.announced.get(&member.node).is_some_and(|known| self.own.is_behind(known)))
             .collect();
-        // Any of the nearest: otherwise all that lack the same would ask the same one.
+        // The choice among the nearest is random, since otherwise all nodes that lack an update would ask the same
+        // peer.
         let nearest = ahead.iter().map(|member| distance(member)).min();
         let is_nearest = |member: &&&Member| Some(distance(member)) == nearest;
         let addresses: Vec<SocketAddr> = ahead.iter().filter(is_nearest).map(|member| member.peer_address).collect();
@@ -127,22 +134,23 @@
         (knows_nothing || now.since(since) >= patience).then_some(address)
     }
 
-    /// Newest configuration that a live peer has; 0 where none is known.
+    /// Returns the newest version of the configuration that a peer announced; 0 if there is none.
     pub fn newest_version(&self) -> u64 {
         self.announced.values().map(|known| known.version).max().unwrap_or_default()
     }
 
-    /// Whether a live peer has a newer configuration than this node.
+    /// Whether a peer announced a newer version of the configuration than this node has.
     pub fn is_version_behind(&self) -> bool {
         self.newest_version() > self.own.version
     }
 
-    /// Since when a live peer has been known to have a newer configuration.
+    /// Returns the time since which a peer is known to have a newer configuration, as of the last choice of a peer to
+    /// pull from.
     pub fn version_behind_since(&self) -> Option<BootTime> {
         self.version_behind_since
     }
 
-    /// A question to a peer was answered or failed; wait again before the next.
+    /// Records that a pull starts now; the wait before the next pull is counted from here.
     pub fn note_asked(&mut self, now: BootTime) {
         self.behind_since = Some(now);
     }
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -1,6 +1,7 @@
-//! Which nodes serve callers, and this node's share of what all spend together.
+//! The nodes that serve callers, and this node's share of the limits that all nodes share.
 //!
-//! Owns when the directory is made anew and the largest counts of late. Relies on the directory for the choice itself.
+//! This module owns when the directory is rebuilt, and the recent maxima of the numbers of live and serving nodes. It
+//! relies on the directory for the choice of the serving nodes.
 
 use super::Fleet;
 use crate::dialect::DirectoryQuery;
@@ -12,16 +13,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the largest fleet seen counts: a cut makes two fleets of one, and shares mustn't grow before the other side's are spent. Above the ten
-/// seconds over which extra sends are counted.
+/// Time for which the largest number of nodes seen is used. A network partition splits the fleet into two, and the
+/// shares of one side must not grow before the other side has used its own. Longer than the ten seconds over which
+/// extra sends are counted.
 const PEAK_LIFE: Duration = Duration::from_secs(30);
-/// Age at which the directory is made anew even if no member has changed: loads have.
+/// Age at which the directory is rebuilt even if no member has changed, since the members' loads have.
 const DIRECTORY_LIFE: Duration = Duration::from_secs(1);
-/// Fraction of the slack for extra sends that serving nodes share; reserves share the rest. A reserve gets few requests, and 0.4 of the slack is
-/// used, so a cut that leaves two fleets stays below what is allowed.
+/// Fraction of the slack for extra sends that the serving nodes share; the rest is for reserves, which get few
+/// requests. Only 0.4 of the slack is used, so that the two sides of a partitioned fleet together stay below the limit.
 const SERVING_SLACK: f64 = 0.8;
 
-/// A count's largest value seen lately.
+/// Recent maximum of a count.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Peak {
     count: usize,
@@ -40,22 +42,22 @@
     }
 }
 
-/// How many nodes there are, and what this one may spend of what they share.
+/// Numbers of serving nodes, and this node's share of the limits that all nodes share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetShape {
-    /// Nodes that serve callers, by zone; this node counts.
+    /// Number of nodes that serve callers, by zone. This node is counted even if it is a reserve.
     pub nodes_by_zone: HashMap<Arc<str>, usize>,
-    /// Most nodes that served lately.
+    /// Recent maximum of the number of serving nodes, this node included.
     pub serving: usize,
-    /// This node's number among those that serve, from 0; `None` for a reserve.
+    /// Position of this node among the serving nodes, from 0; `None` for a reserve.
     pub rank: Option<usize>,
-    /// This node's share of the slack for extra sends, 0 to 1.
+    /// This node's share of the slack for extra sends, from 0 to 1.
     pub slack_share: f64,
 }
 
 impl Fleet {
-    /// Addresses for a caller whose requests may be served in the `allowed` regions, or anywhere if there are none. Suspects only
-    /// if there is nobody else.
+    /// Returns node addresses for a caller whose requests may be served in the `allowed` regions, or anywhere if
+    /// `allowed` is empty. Suspect nodes are returned only if no ready node is alive.
     pub fn addresses_for(&mut self, now: BootTime, query: &DirectoryQuery, allowed: &[Arc<str>]) -> Vec<SocketAddr> {
         let own_zone = || self.membership.own().zone.0.clone();
         let query = DirectoryQuery { zone: query.zone.clone().or_else(|| Some(own_zone())), ..query.clone() };
@@ -63,7 +65,7 @@
         self.directory.addresses_for(&query, allowed, &mut self.random)
     }
 
-    /// How many nodes there are, and what this one may spend of what they share.
+    /// Returns the numbers of serving nodes and this node's share of the common limits.
     pub fn shape(&mut self, now: BootTime) -> FleetShape {
         self.refresh_directory(now);
         let counts = self.directory.serving_by_zone();
@@ -84,8 +86,9 @@
         FleetShape { nodes_by_zone, serving: self.serving_peak.count, rank, slack_share }
     }
 
-    /// The nodes that share tenants' quotas, if they have changed: all that are ready, reserves too, so that owners stay the same while the
-    /// serving part follows the load. A suspect may well live.
+    /// Returns the nodes that share tenants' quotas if they have changed since the previous call. These are all ready
+    /// nodes, including reserves, so that the owners of tenants stay the same while the choice of serving nodes follows
+    /// the load. Suspect nodes are included, since they may well be alive.
     pub fn take_quota_nodes(&mut self) -> Option<Vec<NodeId>> {
         let shares =
             |member: &&Member| member.is_ready && matches!(member.state, MemberState::Alive | MemberState::Suspect);
@@ -103,7 +106,7 @@
         self.directory.is_serving(self.node)
     }
 
-    /// Whether members or their loads may have changed since the directory was made.
+    /// Whether members or their loads may have changed since the directory was built.
     pub fn is_directory_stale(&self, now: BootTime) -> bool {
         self.directory_at.is_none_or(|made| now.since(made) >= DIRECTORY_LIFE)
     }
@@ -133,7 +136,8 @@
         ready.map(candidate).collect()
     }
 
-    /// Notes what the searcher of a shard with the lowest bound accepts from all nodes.
+    /// Sets the smallest number of connections that any searcher accepts from all nodes together; `None` if there is no
+    /// such limit.
     pub fn set_connections(&mut self, connections: Option<u32>) {
         if self.connections != connections {
             self.connections = connections;
--- a/crates/staircross-gateway/src/outbound.rs
+++ b/crates/staircross-gateway/src/outbound.rs
@@ -1,7 +1,7 @@
-//! What of a request is sent on, and how answers are written.
+//! Writes requests to searchers and answers to callers.
 //!
-//! [`OutboundRequest`] owns the bytes that all attempts of a request share, [`AnswerContext`] knows what an answer owes to its
-//! connection and request. Both rely on the dialect for the names of header fields and decide nothing else.
+//! [`OutboundRequest`] owns the bytes that all attempts of a request share. [`AnswerContext`] holds the properties of
+//! a connection and request that an answer depends on. Both rely on the dialect for the names of header fields.
 
 use crate::dialect::HeaderNames;
 use staircross_http::{Request, RequestHead, write};
@@ -11,26 +11,27 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A request as searchers get it, but for what differs between attempts.
+/// A request as it is sent to searchers, without the fields that differ between attempts.
 #[derive(Clone, Debug)]
 pub struct OutboundRequest {
-    /// First line and passed fields.
+    /// Request line and the header fields that are passed on.
     prefix: Rc<[u8]>,
-    /// What the caller says of itself, which goes on only where there are no tenants.
+    /// Header fields with the caller's API key and tenant. They are passed on only if there are no tenants.
     claims: Rc<[u8]>,
     body: Rc<[u8]>,
-    /// Method; answers to `HEAD` have no body.
+    /// Request method, which decides whether an answer has a body.
     pub method: Rc<str>,
-    /// Id that answers must repeat.
+    /// Request id, which every answer must repeat.
     pub id: Option<Rc<[u8]>>,
-    /// What it asks for.
+    /// Digest of the request's content.
     pub content: ContentKey,
-    /// What it proves itself with.
+    /// The caller's API key.
     pub credential: Credential,
 }
 
 impl OutboundRequest {
-    /// Copies what is passed on: everything but what concerns one connection and what is set per attempt.
+    /// Copies the parts of a request that are passed on: everything except hop-by-hop fields and fields that are set
+    /// for each attempt.
     pub fn new(request: &Request, names: &HeaderNames) -> Self {
         let head = &request.head;
         let mut prefix = Vec::with_capacity(256);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The bytes of one attempt.
+    /// Returns the bytes of one attempt.
     pub fn attempt(
         &self,
         names: &HeaderNames,
@@ -78,7 +79,8 @@
     }
 }
 
-/// Other fields are left out: ids, deadlines and traces differ between tries of one request.
+/// Returns a digest of host, method, target and body. It leaves out all other header fields, since ids, deadlines and
+/// traces differ when a caller repeats a request.
 fn content_of(request: &Request) -> ContentKey {
     let head = &request.head;
     let mut digest = Xxh3Default::new();
@@ -90,7 +92,7 @@
     ContentKey(digest.digest())
 }
 
-/// One field with one key; anything else is none.
+/// Returns the caller's API key. It must be in a single header field; several fields count as a malformed credential.
 fn credential_of(head: &RequestHead, names: &HeaderNames) -> Credential {
     let mut values = head.headers.values(names.api_key);
     match (values.next(), values.next()) {
@@ -100,10 +102,12 @@
     }
 }
 
+/// Whether a header field states the caller's API key or tenant.
 fn is_claim(name: &str, names: &HeaderNames) -> bool {
     [names.api_key, names.tenant].iter().any(|claim| claim.eq_ignore_ascii_case(name))
 }
 
+/// Whether a header field is passed on to searchers.
 fn is_passed_on(head: &RequestHead, name: &str, names: &HeaderNames) -> bool {
     let is_set_here = [names.deadline_ms, names.expect_instance, "content-length", "expect"]
         .iter()
@@ -111,20 +115,21 @@
     !is_set_here && !head.headers.is_hop_by_hop(name)
 }
 
-/// How an answer relates to its connection and request.
+/// Properties of the connection and the request that an answer to a caller depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerContext<'a> {
-    /// Header names.
+    /// Names of the header fields.
     pub names: &'a HeaderNames,
-    /// Id of the request, repeated where the answer is this node's own.
+    /// Id of the request, which is repeated in answers that this node generates itself.
     pub id: Option<&'a [u8]>,
-    /// Whether the connection ends after the answer.
+    /// Whether the connection is closed after the answer.
     pub closes: bool,
-    /// Whether the request was `HEAD`: no body is written.
+    /// Whether the request method is `HEAD`; if so, no body is written.
     pub is_head: bool,
 }
 
 impl AnswerContext<'_> {
+    /// Appends the framing fields, the end of the head and the body to an answer.
     fn finish(&self, mut bytes: Vec<u8>, body: &[u8]) -> Vec<u8> {
         write::field_display(&mut bytes, "Content-Length", body.len());
         if self.closes {
@@ -137,6 +142,7 @@
         bytes
     }
 
+    /// Returns the status line and request id of an answer that this node generates itself.
     fn begin(&self, status: u16) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512);
         write::status_line(&mut bytes, status);
@@ -146,7 +152,7 @@
         bytes
     }
 
-    /// A merged answer.
+    /// Writes an answer that was merged from the answers of several shards.
     pub fn merged(&self, answer: &MergedAnswer) -> Vec<u8> {
         let mut bytes = self.begin(200);
         write::field(&mut bytes, self.names.part_stamps, &answer.stamps.join(&b", "[..]));
@@ -154,7 +160,7 @@
         self.finish(bytes, &answer.body)
     }
 
-    /// A searcher's answer: status, fields and body as they are, but for what concerns one connection.
+    /// Writes a searcher's answer with unchanged status and body, and with all header fields except hop-by-hop ones.
     pub fn passed(&self, answer: &SearcherAnswer) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + answer.body.len());
         write::status_line(&mut bytes, answer.status);
@@ -178,7 +184,7 @@
         bytes
     }
 
-    /// A refusal of this node's own; `retry_after` where it isn't that of the kind.
+    /// Writes a refusal by this node. `retry_after` replaces the usual delay of the error kind.
     pub fn refused(&self, kind: ErrorKind, detail: &str, retry_after: Option<Duration>) -> Vec<u8> {
         let mut bytes = self.begin(kind.http_status());
         if let Some(delay) = retry_after.or(kind.retry_after_ms().map(Duration::from_millis)) {
@@ -189,7 +195,7 @@
         self.finish(bytes, format!("{kind}: {detail}\n").as_bytes())
     }
 
-    /// A plain body of this node's own.
+    /// Writes an answer with a body that this node generated.
     pub fn plain(&self, status: u16, content_type: &str, body: &[u8]) -> Vec<u8> {
         let mut bytes = self.begin(status);
         if !body.is_empty() {
--- a/crates/staircross-gateway/src/peer_answers.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -1,18 +1,21 @@
-//! Answers that a node has sent to peers within the last second.
+//! Records the answers that a node sent to peers within the last second.
 //!
-//! When a configuration changes, all that follow a reader of the store ask it within a fraction of a second. Their answers go over the
-//! link on which the reader sends callers' requests; 64 answers of 45 KB fill one of 20 Mbit/s for more than a second, and what is
-//! written meanwhile reaches searchers with more time than its callers have left.
+//! When a configuration changes, all followers of a reader of the store pull it within a fraction of a second. The
+//! answers use the same link as callers' requests to searchers: 64 answers of 45 KB fill a link of 20 Mbit/s for more
+//! than a second. A request that is delayed behind them reaches its searcher with a time limit that is longer than the
+//! time that its caller still waits.
 //!
-//! [`RecentPeerAnswers`] owns sizes and times alone; what a node keeps back because of them is decided where it answers its peers.
+//! [`RecentPeerAnswers`] owns only the sizes and times of the answers. The code that answers peers decides what to hold
+//! back because of them.
 
 use staircross_types::BootTime;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which an answer counts. Derived: the bounds on answers to peers are figures a second.
+/// Time for which an answer is counted. One second, since the limits on answers to peers are rates per second.
 const SPAN: Duration = Duration::from_secs(1);
-/// Answers longer than this, in bytes, are large. Derived: the size above which followers read a configuration from the store.
+/// Length in bytes above which an answer counts as large. It is the size above which followers read a configuration
+/// from the store.
 const LARGE: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug)]
@@ -21,28 +24,28 @@
     bytes: usize,
 }
 
-/// Answers of the last second.
+/// Sizes and times of the answers sent within the last second.
 #[derive(Debug, Default)]
 pub struct RecentPeerAnswers {
     answers: VecDeque<PeerAnswer>,
 }
 
-/// Their sum.
+/// Totals of the answers sent within the last second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerAnswerTotals {
-    /// All bytes.
+    /// Number of bytes in all answers.
     pub bytes: usize,
-    /// Answers that were large.
+    /// Number of large answers.
     pub large: usize,
 }
 
 impl RecentPeerAnswers {
-    /// Notes an answer.
+    /// Records an answer of `bytes` bytes.
     pub fn note(&mut self, now: BootTime, bytes: usize) {
         self.answers.push_back(PeerAnswer { at: now, bytes });
     }
 
-    /// What was sent within the last second.
+    /// Drops older answers, and returns the totals of the last second.
     pub fn recent(&mut self, now: BootTime) -> PeerAnswerTotals {
         while self.answers.front().is_some_and(|answer| now.since(answer.at) >= SPAN) {
             self.answers.pop_front();
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -1,10 +1,11 @@
-//! Connections to searchers.
+//! Pool of connections to searchers.
 //!
-//! A connection belongs to one incarnation of a searcher and carries one attempt at a time. It goes back to
-//! rest only when the attempt's whole answer has been read and all bytes were written.
+//! A connection belongs to one incarnation of a searcher and carries one attempt at a time. It becomes idle, and so
+//! available to other attempts, only after the whole answer was read and the whole request was written.
 //!
-//! [`Pool`] owns the connections and says how each attempt ended, above all whether it may have run. Whom to ask, and what an
-//! end means for the request, is the engine's; `establish` has the beginning of connections, `endings` their end.
+//! [`Pool`] owns the connections and reports how each attempt ended, in particular whether the searcher may have run
+//! it. The engine chooses the searcher of each attempt, and decides what the end of an attempt means for its request.
+//! `establish` opens connections, and `endings` ends attempts and connections.
 
 mod endings;
 mod establish;
@@ -25,63 +26,65 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Rest of a connection whose searcher doesn't say how long it keeps it. Below what servers usually keep.
+/// Time after which an idle connection is closed if its searcher doesn't state a keep-alive timeout. Shorter than usual
+/// timeouts of servers.
 const USUAL_REST: Duration = Duration::from_secs(30);
-/// Time before its searcher would close it at which a connection is closed. Above the way of a request and the second to which searchers state what
-/// they keep.
+/// Time by which a connection is closed before its searcher would close it. Longer than the transit time of a request
+/// plus the rounding error of the searcher's keep-alive timeout, which is stated in whole seconds.
 const REST_GUARD: Duration = Duration::from_millis(1200);
-/// Time since its last use within which a connection is good enough for a request that can't be repeated: a searcher that has gone meanwhile leaves
-/// it open whether such a request ran. Below a second, the shortest that a searcher can say it keeps a connection.
+/// Maximum idle time of a connection that is reused for a request that must not run twice. If the searcher ended while
+/// the connection was idle, it would be unknown whether the request ran. Below one second, the shortest keep-alive
+/// timeout that a searcher can state.
 const FRESH_ENOUGH: Duration = Duration::from_millis(800);
-/// Status of a searcher that isn't the incarnation asked for.
+/// HTTP status of an answer from a searcher that isn't the incarnation that the request names.
 const MISDIRECTED: u16 = 421;
 
-/// What happened to an attempt or its connection.
+/// A change of an attempt or its connection.
 #[derive(Debug)]
 pub enum PoolEvent {
-    /// A connection came up.
+    /// A connection was established.
     Connected {
-        /// To whom.
+        /// The searcher.
         searcher: SearcherKey,
-        /// How long it took.
+        /// Time that it took to connect.
         took: Duration,
     },
-    /// An attempt that had to wait for a connection has one now.
+    /// An attempt that waited for a new connection is now sent.
     Begun {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
     },
-    /// An attempt has ended and holds no connection any more.
+    /// An attempt ended and no longer occupies a connection.
     Ended {
-        /// Which.
+        /// The attempt.
         attempt: AttemptKey,
-        /// How.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// An answer to another request was skipped.
+    /// A connection delivered an answer to another request, which was skipped.
     Skipped {
-        /// On whose connection.
+        /// The searcher of the connection.
         searcher: SearcherKey,
     },
 }
 
-/// An attempt on its connection.
+/// An attempt assigned to a connection.
 struct Assignment {
     order: SendOrder,
     request: OutboundRequest,
-    /// Set when nobody waits for the answer any more: until when it is read out, and why.
+    /// Set when the answer is no longer wanted: the time until which the pool still reads the answer, and the cause.
     abandoned: Option<(BootTime, AbandonCause)>,
 }
 
-/// What a connection is doing. Without an assignment, the attempt that it was begun for was taken back.
+/// State of a connection. The assignment is `None` if the attempt that the connection was opened for was recalled.
 enum State {
-    /// Not known to be up.
+    /// The connection isn't known to be established.
     Connecting { assignment: Option<Box<Assignment>> },
-    /// Up, but nothing is sent until it has held for a moment.
+    /// The connection is established, but nothing is sent before it has stayed open for a moment.
     Proving { assignment: Option<Box<Assignment>> },
-    /// An attempt was begun to be written on it, and its answer isn't complete.
+    /// The pool has begun to write an attempt, and the answer isn't complete.
     Busy(Box<Assignment>),
-    /// At rest until an attempt needs it.
+    /// The connection is available to attempts.
     Idle,
 }
 
@@ -90,28 +93,29 @@
     http: ClientConnection,
     searcher: SearcherKey,
     generation: u32,
-    /// Since when it is in its present state.
+    /// Time at which the present state began.
     since: BootTime,
-    /// How long it may rest.
+    /// Time after which the idle connection is closed.
     rest: Duration,
     state: State,
-    /// Whether nothing has been answered on it yet.
+    /// Whether the connection hasn't delivered an answer yet.
     is_fresh: bool,
-    /// What it was used for last, and how far it goes.
+    /// Purpose of the last attempt, for the count of bytes.
     purpose: Purpose,
+    /// Distance of the searcher, for the count of bytes.
     reach: Reach,
 }
 
-/// Counters of the pool, for metrics.
+/// Counters of connections and answers, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolCounters {
-    /// Connections begun.
+    /// Number of connections opened, including those that failed.
     pub connects: u64,
-    /// Answers to other requests that were skipped.
+    /// Number of skipped answers, which belonged to other requests.
     pub skipped: u64,
-    /// Connections closed because of what came on them.
+    /// Number of connections that failed while an attempt on them may have run.
     pub broken: u64,
-    /// Connections that were reset before anything was sent.
+    /// Number of fresh connections that failed before anything was sent on them.
     pub connections_rejected: u64,
 }
 
@@ -121,24 +125,27 @@
     max_answer: usize,
     connections: Slab<Connection>,
     next_generation: u32,
-    /// Connections at rest, the one used last at the end.
+    /// Slots of the idle connections of each searcher, the most recently used one last.
     resting: HashMap<SearcherKey, Vec<usize>>,
+    /// Slot of the connection that each attempt is assigned to.
     by_attempt: HashMap<AttemptKey, usize>,
-    /// When fresh connections that are being proved may be used, by slot and generation.
+    /// Times at which connections in state `Proving` may be used, with their slots and generations.
     proving: BinaryHeap<Reverse<(BootTime, usize, u32)>>,
-    /// Searchers that have reset a fresh connection lately.
+    /// Time of the last reset of a fresh connection, for each searcher that reset one.
     resets: HashMap<SearcherKey, BootTime>,
+    /// Time until which every fresh connection is proved.
     proves_until: BootTime,
     policy: NodePolicy,
-    /// Counters for metrics.
+    /// Counters of connections and answers, for metrics.
     pub counters: PoolCounters,
-    /// Bytes to and from searchers.
+    /// Bytes sent to and received from searchers, by purpose and distance.
     pub traffic: Traffic,
 }
 
 impl Pool {
-    /// A pool without connections; `max_answer` bounds answers, in bytes. Fresh connections are proved
-    /// until `proves_until`, and later where one has been reset.
+    /// Creates a pool without connections. `max_answer` is the maximum length of an answer's body, in bytes. Until
+    /// `proves_until`, all fresh connections are proved, and after that only those to searchers that recently reset
+    /// one.
     pub fn new(names: HeaderNames, max_answer: usize, proves_until: BootTime) -> Self {
         Pool {
             names,
@@ -156,17 +163,17 @@
         }
     }
 
-    /// The same with mechanisms turned off.
+    /// Sets which optional mechanisms are turned on.
     pub fn with_policy(self, policy: NodePolicy) -> Self {
         Pool { policy, ..self }
     }
 
-    /// Open connections.
+    /// Returns the number of connections, including those that aren't established yet.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sends an attempt on a resting connection, or begins a new one for it.
+    /// Sends an attempt on an idle connection, or opens a new connection for it.
     pub fn send(
         &mut self,
         order: SendOrder,
@@ -185,6 +192,7 @@
         self.connect(assignment, io, events);
     }
 
+    /// Takes the most recently used idle connection to a searcher, if it suits the request.
     fn take_resting(&mut self, searcher: SearcherKey, now: BootTime, is_idempotent: bool) -> Option<usize> {
         let resting = self.resting.get_mut(&searcher)?;
         let slot = *resting.last()?;
@@ -195,7 +203,7 @@
         resting.pop()
     }
 
-    /// Writes an attempt on a connection that is up and free.
+    /// Writes an attempt on a connection that is established and free.
     fn start(&mut self, slot: usize, assignment: Box<Assignment>, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         let connection = &mut self.connections[slot];
         let remaining = io.now.until(assignment.order.deadline);
@@ -215,7 +223,8 @@
         }
     }
 
-    /// Nobody waits for an attempt's answer any more.
+    /// Gives up an attempt whose answer is no longer wanted. If nothing was sent, the attempt is recalled; otherwise
+    /// its connection is closed unless the answer is complete within `patience`.
     pub fn abandon(
         &mut self,
         now: BootTime,
@@ -235,7 +244,7 @@
         }
     }
 
-    /// Takes an attempt back of which nothing was sent; once it is up, its connection rests until somebody needs it.
+    /// Cancels an attempt of which nothing was sent. Its connection becomes idle once it is established.
     pub fn recall(&mut self, attempt: AttemptKey, events: &mut Vec<PoolEvent>) {
         let Some(slot) = self.by_attempt.get(&attempt).copied() else {
             return;
@@ -247,7 +256,7 @@
         }
     }
 
-    /// Takes readiness of a connection.
+    /// Handles a readiness event of a connection's socket.
     pub fn on_ready(&mut self, id: SocketId, is_writable: bool, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         let slot = id.slot as usize;
         let is_known = self.connections.get(slot).is_some_and(|connection| connection.generation == id.generation);
@@ -262,6 +271,7 @@
         self.read(slot, id.generation, io, events);
     }
 
+    /// Makes a connection available to other attempts.
     fn rest(&mut self, slot: usize, now: BootTime) {
         let connection = &mut self.connections[slot];
         connection.state = State::Idle;
@@ -269,6 +279,7 @@
         self.resting.entry(connection.searcher).or_default().push(slot);
     }
 
+    /// Reads from a connection until nothing more is available, and handles the answers.
     fn read(&mut self, slot: usize, generation: u32, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         loop {
             let same = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
@@ -303,6 +314,7 @@
         }
     }
 
+    /// Handles all answers in the bytes received so far.
     fn advance(&mut self, slot: usize, generation: u32, now: BootTime, events: &mut Vec<PoolEvent>) {
         loop {
             let same = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -1,7 +1,8 @@
-//! How attempts and connections end.
+//! Ends attempts and connections.
 //!
-//! An attempt ends with its answer, as not run, or in doubt; not run is said only where nothing of it was sent or the
-//! searcher says so. Relies on the client half of HTTP for what came on a connection, and on [`super`] for its state.
+//! An attempt ends with an answer, as not run, as unknown, or as cancelled. It is reported as not run only if nothing
+//! of it was sent or the searcher says so. This module relies on the HTTP client connection for the answers and faults,
+//! and on [`super`] for the states of connections.
 
 use super::{AbandonCause, Assignment, MISDIRECTED, Pool, PoolEvent, REST_GUARD, State};
 use staircross_http::{Answer, ClientFault};
@@ -10,17 +11,20 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Rest of a connection to a searcher that has rejected others lately: they need it more. Measured on days with a loss of
-/// power, with 10, 14 and dear connections a searcher: scores of 0.618, 0.670 and 0.697 before, 0.615, 0.740 and 0.728 with this.
+/// Time after which an idle connection is closed if its searcher recently rejected another, since other connections are
+/// needed more. On days with a power loss and 10, 14 and expensive connections per searcher, the scores were
+/// 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728 with it.
 const CONTESTED_REST: Duration = Duration::from_millis(300);
-/// Rest of a connection besides the one used last. A searcher goes on counting the connections of a machine
-/// that lost power, so that those which nobody needs are in the way of the machines that replace it. Measured with 10, 14
-/// and 20 connections a searcher after a loss of all machines: scores of 0.34, 0.64 and 0.79 with 30 s, 0.48, 0.79 and 0.89 with this.
+/// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
+/// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
+/// machines that replace it. After a loss of all machines, with 10, 14 and 20 connections per searcher, the scores were
+/// 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
 const SURPLUS_REST: Duration = Duration::from_millis(1500);
-/// Longest wait for a connection to come up that no attempt needs any more. Above any round trip.
+/// Time after which connecting is given up if no attempt needs the connection any more. Longer than any round trip.
 const UNNEEDED_CONNECT: Duration = Duration::from_secs(1);
 
 impl Pool {
+    /// Ends the attempt on a connection with its answer, then makes the connection idle or closes it.
     pub(super) fn answered(&mut self, slot: usize, answer: Answer, now: BootTime, events: &mut Vec<PoolEvent>) {
         let connection = &mut self.connections[slot];
         connection.is_fresh = false;
@@ -37,11 +41,13 @@
         if is_reusable {
             self.rest(slot, now);
         } else {
-            // What is left of a long request may not be followed by anything else, so it ends here.
+            // Among others, this closes a connection on which a long request isn't fully written, since no other
+            // request may follow on it.
             self.connections.remove(slot);
         }
     }
 
+    /// Derives the outcome of an attempt from the status and headers of its answer.
     fn outcome_of(&self, answer: Answer) -> AttemptOutcome {
         let headers = &answer.head.headers;
         if answer.head.status == MISDIRECTED {
@@ -61,7 +67,8 @@
         }))
     }
 
-    /// Ends a connection; its attempt, if any, may have run if anything was sent.
+    /// Closes a connection after a fault and ends its attempt, if any. The outcome is unknown if any part of the
+    /// attempt was sent.
     pub(super) fn fail(&mut self, slot: usize, fault: ClientFault, events: &mut Vec<PoolEvent>) {
         let Some(connection) = self.connections.try_remove(slot) else {
             return;
@@ -93,7 +100,7 @@
         }
     }
 
-    /// Ends a connection that came up and was reset before this process could use it.
+    /// Closes a connection that was established and reset before this process could use it.
     pub(super) fn on_reset_at_once(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
         let Some(connection) = self.connections.try_remove(slot) else {
             return;
@@ -103,7 +110,8 @@
         }
     }
 
-    /// A searcher has reset a fresh connection on which nothing was sent: it has as many as it takes.
+    /// Ends an attempt whose fresh connection failed before anything was sent on it, which means that the searcher has
+    /// reached its connection limit.
     fn reject_connection(
         &mut self,
         searcher: SearcherKey,
@@ -116,6 +124,7 @@
         self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::ConnectionRejected), events);
     }
 
+    /// Ends the assigned attempt, if any.
     fn end_attempt(
         &mut self,
         assignment: Option<Box<Assignment>>,
@@ -129,8 +138,9 @@
         }
     }
 
-    /// Ends connections that don't come up, whose answers nobody waits for, or that rest too long: longer than
-    /// their searcher keeps them, or than `most_rest`.
+    /// Closes connections that take too long to connect, that have been idle for too long, or whose abandoned attempt
+    /// isn't answered in time. A connection may be idle for at most `most_rest`, and for less if its searcher would
+    /// close it earlier or needs room for others.
     pub fn sweep(&mut self, now: BootTime, most_rest: Duration, events: &mut Vec<PoolEvent>) {
         let mut over = Vec::new();
         for (slot, connection) in &self.connections {
@@ -157,12 +167,12 @@
         }
     }
 
-    /// Whether another connection to the same searcher has rested for less long.
+    /// Whether the most recently used idle connection to the searcher is another one.
     fn is_surplus(&self, slot: usize, searcher: SearcherKey) -> bool {
         self.resting.get(&searcher).and_then(|resting| resting.last()).is_some_and(|last| *last != slot)
     }
 
-    /// Ends a connection by this node's own decision.
+    /// Closes a connection whose time is over and ends its attempt, if any.
     fn end(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
         let abandoned = match &self.connections[slot].state {
             State::Busy(assignment) => assignment.abandoned.map(|(_, cause)| (assignment.order.attempt, cause)),
@@ -174,7 +184,7 @@
         self.connections.remove(slot);
         self.by_attempt.remove(&attempt);
         let outcome = match cause {
-            // The searcher isn't to blame.
+            // These causes say nothing about the searcher.
             AbandonCause::CallerGone | AbandonCause::Quarantined => AttemptOutcome::Cancelled,
             AbandonCause::Superseded => AttemptOutcome::Unknown(Unknown::Unanswered),
         };
@@ -182,7 +192,7 @@
     }
 }
 
-/// What is known of an attempt that was sent and whose connection ended in a fault.
+/// Returns why it is unknown whether an attempt ran, if its connection ended with `fault` after the attempt was sent.
 fn unknown_after(fault: ClientFault) -> Unknown {
     match fault {
         ClientFault::TooLong => Unknown::TooLong,
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -1,7 +1,8 @@
-//! Connections from their beginning until they carry something, and proving fresh ones.
+//! Opens connections, and proves fresh ones before their first use.
 //!
-//! A searcher that has all the connections it may have accepts one more and resets it at once. What was sent by then may have
-//! run; proving waits for that reset before anything is sent. Relies on the socket for what became of a connection.
+//! A searcher that has reached its connection limit accepts a further connection and resets it at once. A request that
+//! was sent before the reset may have run. To prove a connection means to wait for a possible reset before anything is
+//! sent on it. This module relies on the socket for the result of connecting.
 
 use super::{Assignment, Connection, Pool, PoolEvent, State, USUAL_REST};
 use crate::socket::{ConnectingState, IoContext, Socket, SocketId, SocketKind, WriteOutcome};
@@ -12,16 +13,19 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Time for which a fresh connection is proved, beside the time that it took to come up. Measured: on one day with a loss of
-/// power 119 answers 502 became none; on another, which kept 70, 8 ms instead changed nothing.
+/// Time for which a fresh connection is proved, in addition to the time that it took to connect. Measured on days with a
+/// power loss: on one, it reduced the number of answers with status 502 from 119 to 0; on another, 70 remained, and 8 ms
+/// instead didn't change that.
 const PROVING: Duration = Duration::from_millis(3);
-/// Longest time for which a fresh connection is proved. So that a connection that came up slowly costs its request no more than a slow searcher does.
+/// Maximum time for which a fresh connection is proved, so that after a slow connect the request is delayed no more
+/// than by a slow searcher.
 const MAX_PROVING: Duration = Duration::from_millis(50);
-/// Time after the reset of a fresh connection during which those to its searcher are proved. For the seconds in which searchers notice that machines
-/// are gone.
+/// Time after the reset of a fresh connection during which further connections to the same searcher are proved. It
+/// covers the seconds that a searcher needs to notice that machines are gone, whose connections it still counts.
 const RESET_MEMORY: Duration = Duration::from_secs(5);
 
 impl Pool {
+    /// Opens a connection for an attempt.
     pub(super) fn connect(&mut self, assignment: Box<Assignment>, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         let attempt = assignment.order.attempt;
         let searcher = assignment.order.searcher;
@@ -51,6 +55,7 @@
         }
     }
 
+    /// Handles a readiness event of a connection that wasn't known to be established.
     pub(super) fn on_connecting(&mut self, slot: usize, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         let connection = &mut self.connections[slot];
         match connection.socket.connecting_state() {
@@ -79,18 +84,19 @@
         self.begin_use(slot, assignment, io, events);
     }
 
-    /// A searcher that has all the connections it may have accepts one more and resets it at once. What
-    /// was sent by then may have run, so where that is likely, nothing is sent until it would have come.
+    /// Whether a fresh connection is proved before its first use. This is so where a reset is likely: soon after a
+    /// restart of the node, and for searchers that recently reset a fresh connection.
     fn must_prove(&self, slot: usize, now: BootTime) -> bool {
         let is_starting = now < self.proves_until;
         self.policy.proving && (is_starting || self.is_contested(self.connections[slot].searcher, now))
     }
 
-    /// Whether a searcher has reset a fresh connection lately.
+    /// Whether a searcher recently reset a fresh connection.
     pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
         self.resets.get(&searcher).is_some_and(|at| now.since(*at) < RESET_MEMORY)
     }
 
+    /// Sends the assigned attempt on an established connection, or makes the connection idle if there is none.
     fn begin_use(
         &mut self,
         slot: usize,
@@ -107,12 +113,12 @@
         }
     }
 
-    /// When a connection that is being proved may be used.
+    /// Returns the next time at which a connection in state `Proving` may be used.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.proving.peek().map(|Reverse((due, _, _))| *due)
     }
 
-    /// Uses connections that have held.
+    /// Begins to use the connections that were proved long enough.
     pub fn on_tick(&mut self, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         while let Some(Reverse((due, slot, generation))) = self.proving.peek().copied() {
             if due > io.now {
--- a/crates/staircross-gateway/src/round_trip.rs
+++ b/crates/staircross-gateway/src/round_trip.rs
@@ -1,7 +1,7 @@
-//! How far a peer is, as the kernel has measured it.
+//! Round-trip time of a TCP connection, as measured by the kernel.
 //!
-//! What callers spend on the way to this node counts against their time, and nothing in a request says how long it took. Owns nothing; relies on
-//! Linux's `TCP_INFO`.
+//! The transit time of a request counts against the time that its caller waits, and no field of a request states it.
+//! This module has no state and relies on Linux's `TCP_INFO`.
 
 use mio::net::TcpStream;
 use std::io;
@@ -9,15 +9,15 @@
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// Smoothed round trip of an accepted connection. Right after accepting it is that of the handshake; `None` where the
-/// system doesn't know it.
+/// Returns the smoothed round-trip time of an accepted connection. Right after the connection is accepted, it is the
+/// time of the handshake. Returns `None` if the kernel has no measurement.
 pub fn round_trip(stream: &TcpStream) -> Option<Duration> {
     let info = tcp_info(stream).ok()?;
     let micros = u64::from(info.tcpi_rtt);
     (micros > 0).then(|| Duration::from_micros(micros))
 }
 
-/// `getsockopt(TCP_INFO)`, which neither the standard library nor `rustix` offers.
+/// Calls `getsockopt(TCP_INFO)`, which neither the standard library nor `rustix` offers.
 fn tcp_info(stream: &TcpStream) -> io::Result<libc::tcp_info> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
@@ -34,6 +34,7 @@
     if outcome != 0 {
         return Err(io::Error::last_os_error());
     }
-    // SAFETY: the struct holds integers only, for which zeros are valid where an older kernel wrote less.
+    // SAFETY: the struct contains only integers, and an older kernel that writes fewer bytes leaves zeros, which are
+    // valid values.
     Ok(unsafe { info.assume_init() })
 }
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -1,35 +1,37 @@
-//! Bytes sent and received, by purpose and distance.
+//! Counts the bytes sent and received, by purpose and distance.
 //!
-//! Links between zones and regions are slow and paid for by the byte, so an operator must see what fills them. Only
-//! payloads of sockets are counted, at the side that opens the connection; datagrams where they are sent.
+//! Links between zones and regions are slow and billed by the byte, so an operator must see what fills them. Only
+//! socket payloads are counted: those of connections by the side that opened the connection, those of datagrams by the
+//! sender.
 //!
-//! [`Traffic`] owns the counters of one component; the component that sends or reads bytes counts them, and the node sums them up.
+//! [`Traffic`] owns the counters of one component. The component that sends or reads bytes counts them, and the node
+//! sums the counters of all components.
 
 use staircross_routing::decision::placement::Distance;
 use staircross_routing::engine::SendReason;
 use std::ops::AddAssign;
 
-/// What bytes were sent or received for.
+/// Purpose for which bytes were sent or received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// First attempts at searchers and their answers.
+    /// First attempts to query searchers, and their answers.
     Firsts,
-    /// Hedges.
+    /// Hedged attempts, and their answers.
     Hedges,
-    /// Retries and reroutes.
+    /// Retried and rerouted attempts, and their answers.
     Repeats,
-    /// Datagrams of the membership.
+    /// Datagrams of the membership protocol.
     Membership,
     /// Datagrams about tenants' quotas.
     Quotas,
     /// Configurations and searchers' entries pulled from peers.
     Pulls,
-    /// Calls to the store.
+    /// Calls to the store, and their answers.
     Store,
 }
 
 impl Purpose {
-    /// All purposes.
+    /// All purposes, in the order of their declaration.
     pub const ALL: [Purpose; 7] = [
         Purpose::Firsts,
         Purpose::Hedges,
@@ -40,7 +42,7 @@
         Purpose::Store,
     ];
 
-    /// What an attempt made for `reason` is counted as.
+    /// Returns the purpose of an attempt that was sent for `reason`.
     pub fn of_attempt(reason: SendReason) -> Self {
         match reason {
             SendReason::First => Purpose::Firsts,
@@ -63,17 +65,17 @@
     }
 }
 
-/// How far bytes went, as far as that is known.
+/// Distance over which bytes were sent or received, if it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// To a zone that is known.
+    /// The zone of the other side is known.
     Known(Distance),
-    /// To an address whose zone isn't known.
+    /// The zone of the other side isn't known.
     Unknown,
 }
 
 impl Reach {
-    /// All reaches.
+    /// All values, in the order of their indices.
     pub const ALL: [Reach; 4] = [
         Reach::Known(Distance::OwnZone),
         Reach::Known(Distance::OwnRegion),
@@ -91,6 +93,7 @@
         }
     }
 
+    /// Index of the counters in [`Traffic`].
     fn index(self) -> usize {
         match self {
             Reach::Known(Distance::OwnZone) => 0,
@@ -101,24 +104,24 @@
     }
 }
 
-/// Bytes since the start of the process.
+/// Numbers of bytes since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     bytes: [[u64; Reach::ALL.len()]; Purpose::ALL.len()],
 }
 
 impl Traffic {
-    /// Counts bytes.
+    /// Adds `bytes` to the counter of a purpose and distance.
     pub fn count(&mut self, purpose: Purpose, reach: Reach, bytes: usize) {
         self.bytes[purpose as usize][reach.index()] += bytes as u64;
     }
 
-    /// Bytes of one kind.
+    /// Returns the number of bytes of a purpose and distance.
     pub fn bytes(&self, purpose: Purpose, reach: Reach) -> u64 {
         self.bytes[purpose as usize][reach.index()]
     }
 
-    /// Every kind that has any bytes.
+    /// Returns all counters that aren't zero.
     pub fn counted(&self) -> impl Iterator<Item = (Purpose, Reach, u64)> {
         let all = Purpose::ALL.into_iter().flat_map(|purpose| Reach::ALL.map(|reach| (purpose, reach)));
         all.map(|(purpose, reach)| (purpose, reach, self.bytes(purpose, reach))).filter(|(_, _, bytes)| *bytes > 0)
