--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -11,17 +11,17 @@
 use std::time::Duration;
 
 /// Average minimum interval between pushes, so that each peer gets at most ten pushed datagrams per second.
-const PUSH_GAP: Duration = Duration::from_millis(100);
+const PUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of pushes that may be made in a burst. The searchers of a request's shards end within about 100 ms, and the
 /// updates about them arrive in a few turns of the event loop.
-const BURST: u32 = 4;
+const MAX_BURST: u32 = 4;
 
 /// Rate limiter for pushes of updates to peers.
 #[derive(Debug, Default)]
 pub struct CasePushes {
     has_update: bool,
     /// Time until which the earlier pushes use up the allowed rate.
-    taken_until: BootTime,
+    used_until: BootTime,
 }
 
 impl CasePushes {
@@ -32,10 +32,10 @@
 
     /// Returns whether to push now. If so, the push is counted as made.
     pub fn take(&mut self, now: BootTime) -> bool {
-        let may_push = self.has_update && self.taken_until <= now + PUSH_GAP * (BURST - 1);
+        let may_push = self.has_update && self.used_until <= now + PUSH_INTERVAL * (MAX_BURST - 1);
         if may_push {
             self.has_update = false;
-            self.taken_until = self.taken_until.max(now) + PUSH_GAP;
+            self.used_until = self.used_until.max(now) + PUSH_INTERVAL;
         }
         may_push
     }
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -54,9 +54,9 @@
 const MEMBERS_PER_DATAGRAM: usize = 6;
 /// Number of live nodes and of serving nodes that a starting node assumes until it has seen more, so that it takes at
 /// most an eighth of the limits that all nodes share. The number is that of a small fleet.
-const ASSUMED_FLEET: usize = 8;
+const ASSUMED_FLEET_SIZE: usize = 8;
 /// Number of peers that a push is sent to; these peers pass the updates on.
-const PUSH_COUNT: usize = 12;
+const PUSH_FANOUT: usize = 12;
 
 /// A change in the fleet, or a report from a peer.
 #[derive(Clone, Debug, PartialEq)]
@@ -98,23 +98,23 @@
     node: NodeId,
     membership: Membership,
     socket: PeerSocket,
-    random: ChaCha8Rng,
-    own: Announcement,
+    rng: ChaCha8Rng,
+    own_announcement: Announcement,
     /// Records of requests during which searchers were lost; datagrams of the membership carry them.
-    cases: Vec<CaseRecord>,
+    case_records: Vec<CaseRecord>,
     /// The last announcement of each peer.
-    announced: HashMap<NodeId, Announcement>,
+    peer_announcements: HashMap<NodeId, Announcement>,
     /// Time since which some peer has been ahead of this node, or time of the last pull if that is later.
     behind_since: Option<BootTime>,
     /// Time since which some peer is known to have a newer configuration.
     version_behind_since: Option<BootTime>,
     directory: Directory,
     /// Time at which the directory was built; `None` if it must be rebuilt.
-    directory_at: Option<BootTime>,
+    directory_built_at: Option<BootTime>,
     /// The nodes that share tenants' quotas, as last passed to the engine.
     quota_nodes: Vec<NodeId>,
     /// Smallest number of connections that any searcher accepts from all nodes together, if there is such a limit.
-    connections: Option<u32>,
+    searcher_connections: Option<u32>,
     /// Recent maximum of the number of live nodes.
     live_peak: Peak,
     /// Recent maximum of the number of serving nodes.
@@ -167,18 +167,18 @@
             node: identity.node,
             membership: Membership::new(membership_settings(), own, seeds),
             socket: PeerSocket::new(socket, now),
-            random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
-            own: Announcement::default(),
-            cases: Vec::new(),
-            announced: HashMap::new(),
+            rng: ChaCha8Rng::seed_from_u64(rand::rng().random()),
+            own_announcement: Announcement::default(),
+            case_records: Vec::new(),
+            peer_announcements: HashMap::new(),
             behind_since: None,
             version_behind_since: None,
             directory: Directory::default(),
-            directory_at: None,
+            directory_built_at: None,
             quota_nodes: Vec::new(),
-            connections: None,
-            live_peak: Peak::new(ASSUMED_FLEET, now),
-            serving_peak: Peak::new(ASSUMED_FLEET, now),
+            searcher_connections: None,
+            live_peak: Peak::new(ASSUMED_FLEET_SIZE, now),
+            serving_peak: Peak::new(ASSUMED_FLEET_SIZE, now),
             store_contact: None,
             reader_heartbeat: None,
             confirmation: Confirmation::default(),
@@ -201,19 +201,19 @@
         // Datagrams that arrived while the process was paused are read first, since decisions from older state might be
         // wrong.
         self.on_readable(now, events);
-        self.refresh_own_heartbeat(now);
+        self.refresh_own_ages(now);
         let mut actions = Vec::new();
-        self.membership.on_tick(now, &mut self.random, &mut actions);
+        self.membership.on_tick(now, &mut self.rng, &mut actions);
         // Changes are pushed at once, since callers lose requests for as long as a dead node stays in any directory.
         if actions.iter().any(|action| matches!(action, MembershipAction::Changed(_))) {
-            self.push_and_carry_out(actions, events);
+            self.apply_and_push(actions, events);
         } else {
-            self.carry_out(actions, events);
+            self.apply_actions(actions, events);
         }
-        self.announced.retain(|node, _| !self.membership.is_gone(*node));
-        let live = self.live().count();
-        self.live_peak.note(now, live);
-        if self.contact.look(now, live > 1) {
+        self.peer_announcements.retain(|node, _| !self.membership.is_gone(*node));
+        let live = self.live_members().count();
+        self.live_peak.record(now, live);
+        if self.contact.detect_isolation(now, live > 1) {
             events.push(FleetEvent::Isolated { is_isolated: true });
         }
     }
@@ -223,7 +223,7 @@
         let mut actions = Vec::new();
         self.membership.set_ready(is_ready, &mut actions);
         if !actions.is_empty() {
-            self.push_and_carry_out(actions, events);
+            self.apply_and_push(actions, events);
         }
     }
 
@@ -231,41 +231,41 @@
     pub fn leave(&mut self, state: MemberState, events: &mut Vec<FleetEvent>) {
         let mut actions = Vec::new();
         self.membership.leave(state, &mut actions);
-        self.push_and_carry_out(actions, events);
+        self.apply_and_push(actions, events);
     }
 
     /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, or is no longer, the
     /// change is pushed to peers at once, since it decides where callers are sent.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
-        let matters = is_pressed(percent) != is_pressed(self.own.load);
-        self.own.load = percent;
+        let matters = is_pressed(percent) != is_pressed(self.own_announcement.load);
+        self.own_announcement.load = percent;
         if matters {
-            self.push_and_carry_out(Vec::new(), events);
+            self.apply_and_push(Vec::new(), events);
         }
     }
 
     /// Sets the records of requests during which searchers were lost that the next datagrams carry.
     pub fn set_cases(&mut self, cases: Vec<CaseRecord>) {
-        self.cases = cases;
+        self.case_records = cases;
     }
 
     /// Sends the current announcement, records and membership updates to some peers at once.
     pub fn push(&mut self, events: &mut Vec<FleetEvent>) {
-        self.push_and_carry_out(Vec::new(), events);
+        self.apply_and_push(Vec::new(), events);
     }
 
     /// Applies `actions`, then pushes the current state to some peers.
-    fn push_and_carry_out(&mut self, mut actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
-        self.membership.push_updates(&mut self.random, PUSH_COUNT, &mut actions);
-        self.carry_out(actions, events);
+    fn apply_and_push(&mut self, mut actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
+        self.membership.push_updates(&mut self.rng, PUSH_FANOUT, &mut actions);
+        self.apply_actions(actions, events);
     }
 
-    fn carry_out(&mut self, actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
+    fn apply_actions(&mut self, actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
         for action in actions {
             match action {
-                MembershipAction::Send { to, address, message } => self.send(to, address, message),
+                MembershipAction::Send { to, address, message } => self.send_message(to, address, message),
                 MembershipAction::Changed(node) => {
-                    self.directory_at = None;
+                    self.directory_built_at = None;
                     if let Some(member) = self.membership.get(node) {
                         events.push(FleetEvent::Member { member: Box::new(member.clone()) });
                     }
@@ -288,25 +288,25 @@
 
     /// Returns how far away the live member with this address for peers is.
     pub fn reach_of_address(&self, address: SocketAddr) -> Reach {
-        let node = self.live().find(|member| member.peer_address == address).map(|member| member.node);
+        let node = self.live_members().find(|member| member.peer_address == address).map(|member| member.node);
         node.map_or(Reach::Unknown, |node| self.reach_of(node))
     }
 
     /// Returns the members that aren't gone, this node and suspects included.
-    fn live(&self) -> impl Iterator<Item = &Member> {
+    fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members().values().filter(|member| !member.is_gone())
     }
 
     /// Returns the number of members that aren't gone, this node included.
     pub fn live_count(&self) -> usize {
-        self.live().count()
+        self.live_members().count()
     }
 
     fn load_of(&self, node: NodeId) -> u8 {
         if node == self.node {
-            return self.own.load;
+            return self.own_announcement.load;
         }
-        self.announced.get(&node).map_or(0, |announced| announced.load)
+        self.peer_announcements.get(&node).map_or(0, |announced| announced.load)
     }
 }
 
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -55,8 +55,8 @@
 impl Fleet {
     /// Records that the store, queried at `asked_at`, had nothing newer for this node.
     pub fn confirm(&mut self, asked_at: BootTime) {
-        let confirmed = ConfirmedVersion { version: self.own.version, at: asked_at };
-        self.confirmation.note(self.own.version, confirmed);
+        let confirmed = ConfirmedVersion { version: self.own_announcement.version, at: asked_at };
+        self.confirmation.note(self.own_announcement.version, confirmed);
     }
 
     /// Returns the latest time at which this node's configuration is known to have been the newest.
@@ -71,19 +71,19 @@
 
     /// Applies the confirmation that a peer's last datagram announced. The datagram may have waited in the socket while
     /// this process was paused. So it is assumed to have arrived right after the last time at which none was waiting.
-    pub(super) fn take_confirmation(&mut self, from: NodeId) {
-        let announced = self.announced.get(&from);
+    pub(super) fn record_confirmation(&mut self, from: NodeId) {
+        let announced = self.peer_announcements.get(&from);
         let Some((version, age)) = announced.and_then(|known| Some((known.version, known.confirmed_age_ms?))) else {
             return;
         };
         let at = self.socket.drained_at() - Duration::from_millis(u64::from(age));
-        self.confirmation.note(self.own.version, ConfirmedVersion { version, at });
+        self.confirmation.note(self.own_announcement.version, ConfirmedVersion { version, at });
     }
 
-    pub(super) fn refresh_own_confirmation(&mut self, now: BootTime) {
+    pub(super) fn refresh_own_confirmation_age(&mut self, now: BootTime) {
         let confirmed_at = self.confirmation.at().filter(|_| self.sends_confirmation);
         let age = confirmed_at.map(|at| now.since(at).as_millis());
         // An age of more than 49 days doesn't fit the field, and isn't announced.
-        self.own.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
+        self.own_announcement.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
     }
 }
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -5,7 +5,7 @@
 //! may be lost anywhere. It isn't sent again, since the membership and the tick repeat everything that matters.
 
 use super::announcement::PeerDatagram;
-use super::incarnation::are_of_one_node;
+use super::incarnation::is_same_node;
 use super::{Fleet, FleetEvent};
 use crate::load::is_pressed;
 use crate::traffic::{Purpose, Reach};
@@ -19,7 +19,7 @@
 
 /// Maximum length of a received datagram, in bytes; a longer one is truncated and counts as unreadable. Above the 1,500
 /// bytes that a link carries unfragmented.
-const MAX_DATAGRAM: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// The UDP socket for datagrams between peers.
 pub(super) struct PeerSocket {
@@ -62,13 +62,13 @@
 impl Fleet {
     /// Reads and handles all waiting datagrams.
     pub fn on_readable(&mut self, now: BootTime, events: &mut Vec<FleetEvent>) {
-        let mut buffer = [0_u8; MAX_DATAGRAM];
+        let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
         while let Some((length, from)) = self.socket.receive(now, &mut buffer) {
-            self.take(now, &buffer[..length], from, events);
+            self.handle_datagram(now, &buffer[..length], from, events);
         }
     }
 
-    fn take(&mut self, now: BootTime, bytes: &[u8], from: SocketAddr, events: &mut Vec<FleetEvent>) {
+    fn handle_datagram(&mut self, now: BootTime, bytes: &[u8], from: SocketAddr, events: &mut Vec<FleetEvent>) {
         let Ok(datagram) = decode::<PeerDatagram>(bytes) else {
             self.counters.unreadable += 1;
             return;
@@ -77,18 +77,18 @@
             return;
         }
         if let Some(to) = datagram.to.filter(|to| *to != self.node) {
-            return self.take_for_another(to, datagram.from, from, events);
+            return self.handle_misaddressed(to, datagram.from, from, events);
         }
         if self.contact.note_heard(now) {
             events.push(FleetEvent::Isolated { is_isolated: false });
         }
-        let before = self.announced.insert(datagram.from, datagram.announcement);
+        let before = self.peer_announcements.insert(datagram.from, datagram.announcement);
         let was_pressed = before.is_some_and(|known| is_pressed(known.load));
         if was_pressed != is_pressed(datagram.announcement.load) {
-            self.directory_at = None;
+            self.directory_built_at = None;
         }
-        self.take_heartbeat(now, datagram.from, &datagram.announcement);
-        self.take_confirmation(datagram.from);
+        self.record_heartbeat(now, datagram.from, &datagram.announcement);
+        self.record_confirmation(datagram.from);
         if !datagram.cases.is_empty() {
             events.push(FleetEvent::Cases(datagram.cases));
         }
@@ -100,22 +100,22 @@
         };
         let mut actions = Vec::new();
         self.membership.on_message(now, datagram.from, from, message, &mut actions);
-        self.carry_out(actions, events);
+        self.apply_actions(actions, events);
     }
 
     /// Handles a datagram for another incarnation at this address. Its content isn't used, but its sender is told of
     /// this incarnation if the datagram was for an earlier incarnation of this node. Otherwise it was for a node of
     /// another fleet that had the address.
-    fn take_for_another(&mut self, to: NodeId, from: NodeId, address: SocketAddr, events: &mut Vec<FleetEvent>) {
-        if !are_of_one_node(self.node, to) {
+    fn handle_misaddressed(&mut self, to: NodeId, from: NodeId, address: SocketAddr, events: &mut Vec<FleetEvent>) {
+        if !is_same_node(self.node, to) {
             return;
         }
         let mut actions = Vec::new();
         self.membership.on_misaddressed(from, address, &mut actions);
-        self.carry_out(actions, events);
+        self.apply_actions(actions, events);
     }
 
-    pub(super) fn send(&mut self, to: Option<NodeId>, address: SocketAddr, message: MembershipMessage) {
+    pub(super) fn send_message(&mut self, to: Option<NodeId>, address: SocketAddr, message: MembershipMessage) {
         self.send_datagram(to, address, Some(message));
     }
 
@@ -128,12 +128,12 @@
         let datagram = PeerDatagram {
             from: self.node,
             to,
-            announcement: self.own,
-            cases: self.cases.clone(),
+            announcement: self.own_announcement,
+            cases: self.case_records.clone(),
             quotas: Vec::new(),
             message,
         };
-        self.write(Purpose::Membership, &datagram, address);
+        self.encode_and_send(Purpose::Membership, &datagram, address);
     }
 
     /// Sends messages about tenants' quotas to a peer, even if the peer counts as gone, since it may still act as the
@@ -145,15 +145,15 @@
         let datagram = PeerDatagram {
             from: self.node,
             to: Some(to),
-            announcement: self.own,
+            announcement: self.own_announcement,
             cases: Vec::new(),
             quotas: messages,
             message: None,
         };
-        self.write(Purpose::Quotas, &datagram, address);
+        self.encode_and_send(Purpose::Quotas, &datagram, address);
     }
 
-    fn write(&mut self, purpose: Purpose, datagram: &PeerDatagram, address: SocketAddr) {
+    fn encode_and_send(&mut self, purpose: Purpose, datagram: &PeerDatagram, address: SocketAddr) {
         let Ok(bytes) = encode(datagram) else {
             self.counters.unreadable += 1;
             return;
--- a/crates/staircross-gateway/src/fleet/incarnation.rs
+++ b/crates/staircross-gateway/src/fleet/incarnation.rs
@@ -9,17 +9,17 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Mask of the bits of an id that are equal in all incarnations of a node.
-const FINGERPRINT: u128 = u32::MAX as u128;
+const FINGERPRINT_MASK: u128 = u32::MAX as u128;
 
 /// Returns the id of a new incarnation, whose other bits are taken from `random`.
 pub fn new_id(settings: &GatewaySettings, random: u128) -> NodeId {
     let (store, peers) = (settings.store.address, settings.listen.peers);
     let (region, zone) = (&settings.node.region, &settings.node.zone);
     let fingerprint = xxh3_64(format!("{store} {peers} {region} {zone}").as_bytes());
-    NodeId(random & !FINGERPRINT | u128::from(fingerprint) & FINGERPRINT)
+    NodeId(random & !FINGERPRINT_MASK | u128::from(fingerprint) & FINGERPRINT_MASK)
 }
 
 /// Whether both ids are of incarnations of one node with unchanged settings.
-pub(super) fn are_of_one_node(one: NodeId, other: NodeId) -> bool {
-    one.0 & FINGERPRINT == other.0 & FINGERPRINT
+pub(super) fn is_same_node(one: NodeId, other: NodeId) -> bool {
+    one.0 & FINGERPRINT_MASK == other.0 & FINGERPRINT_MASK
 }
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -15,15 +15,15 @@
 
 /// Time for which a reader waits for an update from its own watch before it pulls the update from a peer that has it.
 /// Long enough for an immediate answer of the store over the reader's link, and well below the bounds on updates.
-const BEHIND_PATIENCE: Duration = Duration::from_millis(400);
+const PULL_DELAY: Duration = Duration::from_millis(400);
 
 impl Fleet {
     /// Records the heartbeat in an announcement, that is, the time of the store's last answer to a reader of the
     /// region. Announcements from other regions, or from nodes that don't read the store, are ignored.
-    pub(super) fn take_heartbeat(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
+    pub(super) fn record_heartbeat(&mut self, now: BootTime, from: NodeId, announcement: &Announcement) {
         let own_region = &self.membership.own().region;
-        let is_near = self.membership.get(from).is_some_and(|member| member.region == *own_region);
-        let Some(age) = announcement.store_age_ms.filter(|_| is_near) else {
+        let is_own_region = self.membership.get(from).is_some_and(|member| member.region == *own_region);
+        let Some(age) = announcement.store_age_ms.filter(|_| is_own_region) else {
             return;
         };
         let at = now - Duration::from_millis(u64::from(age));
@@ -44,11 +44,11 @@
     /// Returns the designated readers: the node with the lowest id of the region, then those with the lowest ids in
     /// other zones, then those in the same zone.
     fn readers(&self) -> Vec<NodeId> {
-        let Some(first) = self.region_mates().next() else {
+        let Some(first) = self.alive_region_members().next() else {
             return Vec::new();
         };
-        let elsewhere = self.region_mates().filter(|member| member.zone != first.zone);
-        let in_zone = self.region_mates().filter(|member| member.zone == first.zone).skip(1);
+        let elsewhere = self.alive_region_members().filter(|member| member.zone != first.zone);
+        let in_zone = self.alive_region_members().filter(|member| member.zone == first.zone).skip(1);
         let others = elsewhere.chain(in_zone).take(READERS_PER_REGION - 1);
         std::iter::once(first).chain(others).map(|member| member.node).collect()
     }
@@ -57,7 +57,7 @@
     fn followers(&self) -> impl Iterator<Item = &Member> {
         let readers = if self.policy.store_readers { self.readers() } else { Vec::new() };
         let follows = self.policy.store_readers;
-        self.region_mates().filter(move |member| follows && !readers.contains(&member.node))
+        self.alive_region_members().filter(move |member| follows && !readers.contains(&member.node))
     }
 
     /// Whether the region has followers.
@@ -66,7 +66,7 @@
     }
 
     /// Returns the members of the region whose state is alive, this node included, in the order of their ids.
-    fn region_mates(&self) -> impl Iterator<Item = &Member> {
+    fn alive_region_members(&self) -> impl Iterator<Item = &Member> {
         let own = self.membership.own();
         self.membership
             .members()
@@ -81,7 +81,7 @@
 
     /// Sends the current announcement of this node, a reader, to the region's followers at once.
     pub fn notify_followers(&mut self, now: BootTime) {
-        self.refresh_own_heartbeat(now);
+        self.refresh_own_ages(now);
         let followers: Vec<(NodeId, SocketAddr)> =
             self.followers().map(|member| (member.node, member.peer_address)).collect();
         for (node, address) in followers {
@@ -90,25 +90,25 @@
     }
 
     /// Updates the ages in this node's announcement.
-    pub(super) fn refresh_own_heartbeat(&mut self, now: BootTime) {
+    pub(super) fn refresh_own_ages(&mut self, now: BootTime) {
         let age = self.store_contact.map(|at| now.since(at).as_millis());
         // An age of more than 49 days doesn't fit the field, and isn't announced.
-        self.own.store_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
-        self.refresh_own_confirmation(now);
+        self.own_announcement.store_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
+        self.refresh_own_confirmation_age(now);
     }
 
     /// Announces the versions and revisions that the mirror has reached. Returns whether any of them changed.
     pub fn set_knowledge(&mut self, mirror: &Mirror) -> bool {
-        let before = self.own;
-        self.own.version = mirror.version();
-        self.own.revision = mirror.newest_revision();
-        self.own.evacuations = mirror.evacuations_revision();
-        self.confirmation.set_version(self.own.version);
-        before != self.own
+        let before = self.own_announcement;
+        self.own_announcement.version = mirror.version();
+        self.own_announcement.revision = mirror.newest_revision();
+        self.own_announcement.evacuations = mirror.evacuations_revision();
+        self.confirmation.set_version(self.own_announcement.version);
+        before != self.own_announcement
     }
 
     /// Returns the address of one of the nearest peers that are ahead of this node. If the node `is_reading` the store
-    /// itself and has a configuration, it returns a peer only after the node has been behind for `BEHIND_PATIENCE`.
+    /// itself and has a configuration, it returns a peer only after the node has been behind for `PULL_DELAY`.
     pub fn better_informed(&mut self, now: BootTime, is_reading: bool) -> Option<SocketAddr> {
         let is_version_behind = self.is_version_behind();
         self.version_behind_since =
@@ -116,32 +116,34 @@
         let own = self.membership.own();
         let distance = |member: &Member| (member.region != own.region, member.zone != own.zone);
         let ahead: Vec<&Member> = self
-            .live()
-            .filter(|member| self.announced.get(&member.node).is_some_and(|known| self.own.is_behind(known)))
+            .live_members()
+            .filter(|member| {
+                self.peer_announcements.get(&member.node).is_some_and(|known| self.own_announcement.is_behind(known))
+            })
             .collect();
         // The choice among the nearest is random, since otherwise all nodes that lack an update would ask the same
         // peer.
         let nearest = ahead.iter().map(|member| distance(member)).min();
         let is_nearest = |member: &&&Member| Some(distance(member)) == nearest;
         let addresses: Vec<SocketAddr> = ahead.iter().filter(is_nearest).map(|member| member.peer_address).collect();
-        let Some(address) = addresses.choose(&mut self.random).copied() else {
+        let Some(address) = addresses.choose(&mut self.rng).copied() else {
             self.behind_since = None;
             return None;
         };
-        let knows_nothing = self.own.version == 0;
+        let knows_nothing = self.own_announcement.version == 0;
         let since = *self.behind_since.get_or_insert(now);
-        let patience = if is_reading { BEHIND_PATIENCE } else { Duration::ZERO };
-        (knows_nothing || now.since(since) >= patience).then_some(address)
+        let delay = if is_reading { PULL_DELAY } else { Duration::ZERO };
+        (knows_nothing || now.since(since) >= delay).then_some(address)
     }
 
     /// Returns the newest version of the configuration that a peer announced; 0 if there is none.
     pub fn newest_version(&self) -> u64 {
-        self.announced.values().map(|known| known.version).max().unwrap_or_default()
+        self.peer_announcements.values().map(|known| known.version).max().unwrap_or_default()
     }
 
     /// Whether a peer announced a newer version of the configuration than this node has.
     pub fn is_version_behind(&self) -> bool {
-        self.newest_version() > self.own.version
+        self.newest_version() > self.own_announcement.version
     }
 
     /// Returns the time since which a peer is known to have a newer configuration, as of the last choice of a peer to
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -16,12 +16,12 @@
 /// Time for which the largest number of nodes seen is used. A network partition splits the fleet into two, and the
 /// shares of one side must not grow before the other side has used its own. Longer than the ten seconds over which
 /// extra sends are counted.
-const PEAK_LIFE: Duration = Duration::from_secs(30);
+const PEAK_LIFETIME: Duration = Duration::from_secs(30);
 /// Age at which the directory is rebuilt even if no member has changed, since the members' loads have.
-const DIRECTORY_LIFE: Duration = Duration::from_secs(1);
+const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(1);
 /// Fraction of the slack for extra sends that the serving nodes share; the rest is for reserves, which get few
 /// requests. Only 0.4 of the slack is used, so that the two sides of a partitioned fleet together stay below the limit.
-const SERVING_SLACK: f64 = 0.8;
+const SERVING_SLACK_FRACTION: f64 = 0.8;
 
 /// Recent maximum of a count.
 #[derive(Clone, Copy, Debug)]
@@ -35,8 +35,8 @@
         Peak { count, at: now }
     }
 
-    pub fn note(&mut self, now: BootTime, count: usize) {
-        if count >= self.count || now.since(self.at) >= PEAK_LIFE {
+    pub fn record(&mut self, now: BootTime, count: usize) {
+        if count >= self.count || now.since(self.at) >= PEAK_LIFETIME {
             *self = Peak::new(count, now);
         }
     }
@@ -62,7 +62,7 @@
         let own_zone = || self.membership.own().zone.0.clone();
         let query = DirectoryQuery { zone: query.zone.clone().or_else(|| Some(own_zone())), ..query.clone() };
         self.refresh_directory(now);
-        self.directory.addresses_for(&query, allowed, &mut self.random)
+        self.directory.addresses_for(&query, allowed, &mut self.rng)
     }
 
     /// Returns the numbers of serving nodes and this node's share of the common limits.
@@ -76,11 +76,11 @@
             let own_zone = self.membership.own().zone.0.as_str();
             *nodes_by_zone.entry(Arc::from(own_zone)).or_default() += 1;
         }
-        self.serving_peak.note(now, nodes_by_zone.values().sum());
+        self.serving_peak.record(now, nodes_by_zone.values().sum());
         let slack_share = match (self.directory.reserve_count() > 0, is_serving) {
             (false, _) => 1.0 / self.live_peak.count.max(1) as f64,
-            (true, true) => SERVING_SLACK / self.serving_peak.count.max(1) as f64,
-            (true, false) => (1.0 - SERVING_SLACK) / self.live_peak.count.max(1) as f64,
+            (true, true) => SERVING_SLACK_FRACTION / self.serving_peak.count.max(1) as f64,
+            (true, false) => (1.0 - SERVING_SLACK_FRACTION) / self.live_peak.count.max(1) as f64,
         };
         let rank = self.directory.serving_rank(self.node);
         FleetShape { nodes_by_zone, serving: self.serving_peak.count, rank, slack_share }
@@ -92,7 +92,7 @@
     pub fn take_quota_nodes(&mut self) -> Option<Vec<NodeId>> {
         let shares =
             |member: &&Member| member.is_ready && matches!(member.state, MemberState::Alive | MemberState::Suspect);
-        let mut nodes: Vec<NodeId> = self.live().filter(shares).map(|member| member.node).collect();
+        let mut nodes: Vec<NodeId> = self.live_members().filter(shares).map(|member| member.node).collect();
         nodes.sort_unstable();
         if nodes == self.quota_nodes {
             return None;
@@ -108,7 +108,7 @@
 
     /// Whether members or their loads may have changed since the directory was built.
     pub fn is_directory_stale(&self, now: BootTime) -> bool {
-        self.directory_at.is_none_or(|made| now.since(made) >= DIRECTORY_LIFE)
+        self.directory_built_at.is_none_or(|made| now.since(made) >= MAX_DIRECTORY_AGE)
     }
 
     fn refresh_directory(&mut self, now: BootTime) {
@@ -119,13 +119,13 @@
         if candidates.is_empty() {
             candidates = self.candidates(MemberState::Suspect);
         }
-        let connections = self.connections.filter(|_| self.policy.serving_part);
+        let connections = self.searcher_connections.filter(|_| self.policy.serving_part);
         self.directory = Directory::new(candidates, connections);
-        self.directory_at = Some(now);
+        self.directory_built_at = Some(now);
     }
 
     fn candidates(&self, state: MemberState) -> Vec<Candidate> {
-        let ready = self.live().filter(|member| member.state == state && member.is_ready);
+        let ready = self.live_members().filter(|member| member.state == state && member.is_ready);
         let candidate = |member: &Member| Candidate {
             node: member.node,
             addr: member.caller_address,
@@ -139,9 +139,9 @@
     /// Sets the smallest number of connections that any searcher accepts from all nodes together; `None` if there is no
     /// such limit.
     pub fn set_connections(&mut self, connections: Option<u32>) {
-        if self.connections != connections {
-            self.connections = connections;
-            self.directory_at = None;
+        if self.searcher_connections != connections {
+            self.searcher_connections = connections;
+            self.directory_built_at = None;
         }
     }
 }
--- a/crates/staircross-gateway/src/peer_answers.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 /// Time for which an answer is counted. One second, since the limits on answers to peers are rates per second.
-const SPAN: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 /// Length in bytes above which an answer counts as large. It is the size above which followers read a configuration
 /// from the store.
-const LARGE: usize = 64 * 1024;
+const LARGE_ANSWER_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug)]
 struct PeerAnswer {
@@ -47,12 +47,12 @@
 
     /// Drops older answers, and returns the totals of the last second.
     pub fn recent(&mut self, now: BootTime) -> PeerAnswerTotals {
-        while self.answers.front().is_some_and(|answer| now.since(answer.at) >= SPAN) {
+        while self.answers.front().is_some_and(|answer| now.since(answer.at) >= WINDOW) {
             self.answers.pop_front();
         }
         PeerAnswerTotals {
             bytes: self.answers.iter().map(|answer| answer.bytes).sum(),
-            large: self.answers.iter().filter(|answer| answer.bytes > LARGE).count(),
+            large: self.answers.iter().filter(|answer| answer.bytes > LARGE_ANSWER_BYTES).count(),
         }
     }
 }
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -28,16 +28,16 @@
 
 /// Time after which an idle connection is closed if its searcher doesn't state a keep-alive timeout. Shorter than usual
 /// timeouts of servers.
-const USUAL_REST: Duration = Duration::from_secs(30);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time by which a connection is closed before its searcher would close it. Longer than the transit time of a request
 /// plus the rounding error of the searcher's keep-alive timeout, which is stated in whole seconds.
-const REST_GUARD: Duration = Duration::from_millis(1200);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 /// Maximum idle time of a connection that is reused for a request that must not run twice. If the searcher ended while
 /// the connection was idle, it would be unknown whether the request ran. Below one second, the shortest keep-alive
 /// timeout that a searcher can state.
-const FRESH_ENOUGH: Duration = Duration::from_millis(800);
+const MAX_IDLE_IF_NOT_IDEMPOTENT: Duration = Duration::from_millis(800);
 /// HTTP status of an answer from a searcher that isn't the incarnation that the request names.
-const MISDIRECTED: u16 = 421;
+const HTTP_MISDIRECTED_REQUEST: u16 = 421;
 
 /// A change of an attempt or its connection.
 #[derive(Debug)]
@@ -77,7 +77,7 @@
 }
 
 /// State of a connection. The assignment is `None` if the attempt that the connection was opened for was recalled.
-enum State {
+enum ConnectionState {
     /// The connection isn't known to be established.
     Connecting { assignment: Option<Box<Assignment>> },
     /// The connection is established, but nothing is sent before it has stayed open for a moment.
@@ -94,10 +94,10 @@
     searcher: SearcherKey,
     generation: u32,
     /// Time at which the present state began.
-    since: BootTime,
+    state_since: BootTime,
     /// Time after which the idle connection is closed.
-    rest: Duration,
-    state: State,
+    idle_timeout: Duration,
+    state: ConnectionState,
     /// Whether the connection hasn't delivered an answer yet.
     is_fresh: bool,
     /// Purpose of the last attempt, for the count of bytes.
@@ -122,17 +122,17 @@
 /// All connections to searchers.
 pub struct Pool {
     names: HeaderNames,
-    max_answer: usize,
+    max_answer_body: usize,
     connections: Slab<Connection>,
     next_generation: u32,
     /// Slots of the idle connections of each searcher, the most recently used one last.
-    resting: HashMap<SearcherKey, Vec<usize>>,
+    idle: HashMap<SearcherKey, Vec<usize>>,
     /// Slot of the connection that each attempt is assigned to.
-    by_attempt: HashMap<AttemptKey, usize>,
+    slot_by_attempt: HashMap<AttemptKey, usize>,
     /// Times at which connections in state `Proving` may be used, with their slots and generations.
-    proving: BinaryHeap<Reverse<(BootTime, usize, u32)>>,
+    proving_queue: BinaryHeap<Reverse<(BootTime, usize, u32)>>,
     /// Time of the last reset of a fresh connection, for each searcher that reset one.
-    resets: HashMap<SearcherKey, BootTime>,
+    last_resets: HashMap<SearcherKey, BootTime>,
     /// Time until which every fresh connection is proved.
     proves_until: BootTime,
     policy: NodePolicy,
@@ -143,19 +143,19 @@
 }
 
 impl Pool {
-    /// Creates a pool without connections. `max_answer` is the maximum length of an answer's body, in bytes. Until
+    /// Creates a pool without connections. `max_answer_body` is the maximum length of an answer's body, in bytes. Until
     /// `proves_until`, all fresh connections are proved, and after that only those to searchers that recently reset
     /// one.
-    pub fn new(names: HeaderNames, max_answer: usize, proves_until: BootTime) -> Self {
+    pub fn new(names: HeaderNames, max_answer_body: usize, proves_until: BootTime) -> Self {
         Pool {
             names,
-            max_answer,
+            max_answer_body,
             connections: Slab::new(),
             next_generation: 1,
-            resting: HashMap::new(),
-            by_attempt: HashMap::new(),
-            proving: BinaryHeap::new(),
-            resets: HashMap::new(),
+            idle: HashMap::new(),
+            slot_by_attempt: HashMap::new(),
+            proving_queue: BinaryHeap::new(),
+            last_resets: HashMap::new(),
             proves_until,
             policy: NodePolicy::default(),
             counters: PoolCounters::default(),
@@ -184,27 +184,33 @@
         let attempt = order.attempt;
         let searcher = order.searcher;
         let assignment = Box::new(Assignment { order, request, abandoned: None });
-        if let Some(slot) = self.take_resting(searcher, io.now, assignment.order.is_idempotent) {
-            self.by_attempt.insert(attempt, slot);
-            self.start(slot, assignment, io, events);
+        if let Some(slot) = self.take_idle(searcher, io.now, assignment.order.is_idempotent) {
+            self.slot_by_attempt.insert(attempt, slot);
+            self.write_attempt(slot, assignment, io, events);
             return;
         }
-        self.connect(assignment, io, events);
+        self.open_connection(assignment, io, events);
     }
 
     /// Takes the most recently used idle connection to a searcher, if it suits the request.
-    fn take_resting(&mut self, searcher: SearcherKey, now: BootTime, is_idempotent: bool) -> Option<usize> {
-        let resting = self.resting.get_mut(&searcher)?;
-        let slot = *resting.last()?;
-        let is_fresh = now.since(self.connections[slot].since) < FRESH_ENOUGH;
-        if !is_idempotent && !is_fresh {
+    fn take_idle(&mut self, searcher: SearcherKey, now: BootTime, is_idempotent: bool) -> Option<usize> {
+        let idle = self.idle.get_mut(&searcher)?;
+        let slot = *idle.last()?;
+        let is_recently_used = now.since(self.connections[slot].state_since) < MAX_IDLE_IF_NOT_IDEMPOTENT;
+        if !is_idempotent && !is_recently_used {
             return None;
         }
-        resting.pop()
+        idle.pop()
     }
 
     /// Writes an attempt on a connection that is established and free.
-    fn start(&mut self, slot: usize, assignment: Box<Assignment>, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
+    fn write_attempt(
+        &mut self,
+        slot: usize,
+        assignment: Box<Assignment>,
+        io: &mut IoContext<'_>,
+        events: &mut Vec<PoolEvent>,
+    ) {
         let connection = &mut self.connections[slot];
         let remaining = io.now.until(assignment.order.deadline);
         let order = &assignment.order;
@@ -216,10 +222,10 @@
             method: assignment.request.method.to_string(),
             id: id.map(|value| ExpectedId { field: self.names.request_id, value: value.to_vec() }),
         });
-        connection.since = io.now;
-        connection.state = State::Busy(assignment);
+        connection.state_since = io.now;
+        connection.state = ConnectionState::Busy(assignment);
         if connection.socket.write(bytes, io.registry) == WriteOutcome::Broken {
-            self.fail(slot, ClientFault::Reset, events);
+            self.fail_connection(slot, ClientFault::Reset, events);
         }
     }
 
@@ -233,25 +239,27 @@
         cause: AbandonCause,
         events: &mut Vec<PoolEvent>,
     ) {
-        let Some(slot) = self.by_attempt.get(&attempt).copied() else {
+        let Some(slot) = self.slot_by_attempt.get(&attempt).copied() else {
             return;
         };
         let connection = &mut self.connections[slot];
         match &mut connection.state {
-            State::Busy(assignment) => assignment.abandoned = Some((now + patience, cause)),
-            State::Connecting { .. } | State::Proving { .. } => self.recall(attempt, events),
-            State::Idle => {}
+            ConnectionState::Busy(assignment) => assignment.abandoned = Some((now + patience, cause)),
+            ConnectionState::Connecting { .. } | ConnectionState::Proving { .. } => self.recall(attempt, events),
+            ConnectionState::Idle => {}
         }
     }
 
     /// Cancels an attempt of which nothing was sent. Its connection becomes idle once it is established.
     pub fn recall(&mut self, attempt: AttemptKey, events: &mut Vec<PoolEvent>) {
-        let Some(slot) = self.by_attempt.get(&attempt).copied() else {
+        let Some(slot) = self.slot_by_attempt.get(&attempt).copied() else {
             return;
         };
-        if let State::Connecting { assignment } | State::Proving { assignment } = &mut self.connections[slot].state {
+        if let ConnectionState::Connecting { assignment } | ConnectionState::Proving { assignment } =
+            &mut self.connections[slot].state
+        {
             *assignment = None;
-            self.by_attempt.remove(&attempt);
+            self.slot_by_attempt.remove(&attempt);
             events.push(PoolEvent::Ended { attempt, outcome: AttemptOutcome::Cancelled });
         }
     }
@@ -263,30 +271,30 @@
         if !is_known {
             return;
         }
-        if matches!(self.connections[slot].state, State::Connecting { .. }) {
+        if matches!(self.connections[slot].state, ConnectionState::Connecting { .. }) {
             self.on_connecting(slot, io, events);
         } else if is_writable && self.connections[slot].socket.flush(io.registry) == WriteOutcome::Broken {
-            self.fail(slot, ClientFault::Reset, events);
+            self.fail_connection(slot, ClientFault::Reset, events);
         }
         self.read(slot, id.generation, io, events);
     }
 
     /// Makes a connection available to other attempts.
-    fn rest(&mut self, slot: usize, now: BootTime) {
+    fn make_idle(&mut self, slot: usize, now: BootTime) {
         let connection = &mut self.connections[slot];
-        connection.state = State::Idle;
-        connection.since = now;
-        self.resting.entry(connection.searcher).or_default().push(slot);
+        connection.state = ConnectionState::Idle;
+        connection.state_since = now;
+        self.idle.entry(connection.searcher).or_default().push(slot);
     }
 
     /// Reads from a connection until nothing more is available, and handles the answers.
     fn read(&mut self, slot: usize, generation: u32, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         loop {
-            let same = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
-            let Some(connection) = same else {
+            let current = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
+            let Some(connection) = current else {
                 return;
             };
-            if matches!(connection.state, State::Connecting { .. }) {
+            if matches!(connection.state, ConnectionState::Connecting { .. }) {
                 return;
             }
             match connection.socket.read(io.buffer) {
@@ -301,15 +309,15 @@
                 ReadOutcome::Nothing => return,
                 ReadOutcome::Closed => {
                     let progress = connection.http.on_close();
-                    self.take_progress(slot, progress, io.now, events);
-                    let is_left =
+                    self.handle_progress(slot, progress, io.now, events);
+                    let is_open =
                         self.connections.get(slot).is_some_and(|connection| connection.generation == generation);
-                    if is_left {
-                        self.fail(slot, ClientFault::ClosedUnanswered, events);
+                    if is_open {
+                        self.fail_connection(slot, ClientFault::ClosedUnanswered, events);
                     }
                     return;
                 }
-                ReadOutcome::Broken => return self.fail(slot, ClientFault::Reset, events),
+                ReadOutcome::Broken => return self.fail_connection(slot, ClientFault::Reset, events),
             }
         }
     }
@@ -317,27 +325,27 @@
     /// Handles all answers in the bytes received so far.
     fn advance(&mut self, slot: usize, generation: u32, now: BootTime, events: &mut Vec<PoolEvent>) {
         loop {
-            let same = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
-            let Some(connection) = same else {
+            let current = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
+            let Some(connection) = current else {
                 return;
             };
             let progress = connection.http.advance();
             if progress == ClientProgress::NeedMore {
                 return;
             }
-            self.take_progress(slot, progress, now, events);
+            self.handle_progress(slot, progress, now, events);
         }
     }
 
-    fn take_progress(&mut self, slot: usize, progress: ClientProgress, now: BootTime, events: &mut Vec<PoolEvent>) {
+    fn handle_progress(&mut self, slot: usize, progress: ClientProgress, now: BootTime, events: &mut Vec<PoolEvent>) {
         match progress {
             ClientProgress::NeedMore => {}
             ClientProgress::Skipped => {
                 self.counters.skipped += 1;
                 events.push(PoolEvent::Skipped { searcher: self.connections[slot].searcher });
             }
-            ClientProgress::Broken(fault) => self.fail(slot, fault, events),
-            ClientProgress::Answered(answer) => self.answered(slot, *answer, now, events),
+            ClientProgress::Broken(fault) => self.fail_connection(slot, fault, events),
+            ClientProgress::Answered(answer) => self.end_with_answer(slot, *answer, now, events),
         }
     }
 }
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -4,7 +4,7 @@
 //! of it was sent or the searcher says so. This module relies on the HTTP client connection for the answers and faults,
 //! and on [`super`] for the states of connections.
 
-use super::{AbandonCause, Assignment, MISDIRECTED, Pool, PoolEvent, REST_GUARD, State};
+use super::{AbandonCause, Assignment, ConnectionState, HTTP_MISDIRECTED_REQUEST, KEEP_ALIVE_MARGIN, Pool, PoolEvent};
 use staircross_http::{Answer, ClientFault};
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{AttemptOutcome, NotRun, SearcherAnswer, SearcherKey};
@@ -14,32 +14,32 @@
 /// Time after which an idle connection is closed if its searcher recently rejected another, since other connections are
 /// needed more. On days with a power loss and 10, 14 and expensive connections per searcher, the scores were
 /// 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728 with it.
-const CONTESTED_REST: Duration = Duration::from_millis(300);
+const CONTESTED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
 /// machines that replace it. After a loss of all machines, with 10, 14 and 20 connections per searcher, the scores were
 /// 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
-const SURPLUS_REST: Duration = Duration::from_millis(1500);
+const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time after which connecting is given up if no attempt needs the connection any more. Longer than any round trip.
-const UNNEEDED_CONNECT: Duration = Duration::from_secs(1);
+const UNNEEDED_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Pool {
     /// Ends the attempt on a connection with its answer, then makes the connection idle or closes it.
-    pub(super) fn answered(&mut self, slot: usize, answer: Answer, now: BootTime, events: &mut Vec<PoolEvent>) {
+    pub(super) fn end_with_answer(&mut self, slot: usize, answer: Answer, now: BootTime, events: &mut Vec<PoolEvent>) {
         let connection = &mut self.connections[slot];
         connection.is_fresh = false;
         if let Some(seconds) = answer.head.headers.keep_alive_seconds() {
-            connection.rest = Duration::from_secs(seconds).saturating_sub(REST_GUARD);
+            connection.idle_timeout = Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN);
         }
-        let state = std::mem::replace(&mut connection.state, State::Idle);
-        let is_reusable = answer.is_reusable && connection.socket.is_flushed() && !connection.rest.is_zero();
-        if let State::Busy(assignment) = state {
+        let state = std::mem::replace(&mut connection.state, ConnectionState::Idle);
+        let is_reusable = answer.is_reusable && connection.socket.is_flushed() && !connection.idle_timeout.is_zero();
+        if let ConnectionState::Busy(assignment) = state {
             let attempt = assignment.order.attempt;
-            self.by_attempt.remove(&attempt);
+            self.slot_by_attempt.remove(&attempt);
             events.push(PoolEvent::Ended { attempt, outcome: self.outcome_of(answer) });
         }
         if is_reusable {
-            self.rest(slot, now);
+            self.make_idle(slot, now);
         } else {
             // Among others, this closes a connection on which a long request isn't fully written, since no other
             // request may follow on it.
@@ -50,7 +50,7 @@
     /// Derives the outcome of an attempt from the status and headers of its answer.
     fn outcome_of(&self, answer: Answer) -> AttemptOutcome {
         let headers = &answer.head.headers;
-        if answer.head.status == MISDIRECTED {
+        if answer.head.status == HTTP_MISDIRECTED_REQUEST {
             return AttemptOutcome::NotRun(NotRun::OtherInstance);
         }
         if headers.first(self.names.not_executed).is_some() {
@@ -69,57 +69,59 @@
 
     /// Closes a connection after a fault and ends its attempt, if any. The outcome is unknown if any part of the
     /// attempt was sent.
-    pub(super) fn fail(&mut self, slot: usize, fault: ClientFault, events: &mut Vec<PoolEvent>) {
+    pub(super) fn fail_connection(&mut self, slot: usize, fault: ClientFault, events: &mut Vec<PoolEvent>) {
         let Some(connection) = self.connections.try_remove(slot) else {
             return;
         };
         let searcher = connection.searcher;
         match connection.state {
-            State::Idle => {
-                if let Some(resting) = self.resting.get_mut(&searcher) {
-                    resting.retain(|known| *known != slot);
+            ConnectionState::Idle => {
+                if let Some(idle) = self.idle.get_mut(&searcher) {
+                    idle.retain(|known| *known != slot);
                 }
             }
-            State::Connecting { assignment } => {
+            ConnectionState::Connecting { assignment } => {
                 self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::Unconnected), events);
             }
-            State::Proving { assignment } => self.reject_connection(searcher, connection.since, assignment, events),
-            State::Busy(assignment) if connection.socket.is_unbegun() && connection.is_fresh => {
-                self.reject_connection(searcher, connection.since, Some(assignment), events);
+            ConnectionState::Proving { assignment } => {
+                self.end_rejected(searcher, connection.state_since, assignment, events)
             }
-            State::Busy(assignment) if connection.socket.is_unbegun() => {
+            ConnectionState::Busy(assignment) if connection.socket.is_unbegun() && connection.is_fresh => {
+                self.end_rejected(searcher, connection.state_since, Some(assignment), events);
+            }
+            ConnectionState::Busy(assignment) if connection.socket.is_unbegun() => {
                 self.end_attempt(Some(assignment), AttemptOutcome::NotRun(NotRun::Stale), events);
             }
-            State::Busy(assignment) => {
+            ConnectionState::Busy(assignment) => {
                 if connection.is_fresh {
-                    self.resets.insert(searcher, connection.since);
+                    self.last_resets.insert(searcher, connection.state_since);
                 }
                 self.counters.broken += 1;
-                self.end_attempt(Some(assignment), AttemptOutcome::Unknown(unknown_after(fault)), events);
+                self.end_attempt(Some(assignment), AttemptOutcome::Unknown(unknown_cause(fault)), events);
             }
         }
     }
 
     /// Closes a connection that was established and reset before this process could use it.
-    pub(super) fn on_reset_at_once(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
+    pub(super) fn on_immediate_reset(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
         let Some(connection) = self.connections.try_remove(slot) else {
             return;
         };
-        if let State::Connecting { assignment } = connection.state {
-            self.reject_connection(connection.searcher, connection.since, assignment, events);
+        if let ConnectionState::Connecting { assignment } = connection.state {
+            self.end_rejected(connection.searcher, connection.state_since, assignment, events);
         }
     }
 
     /// Ends an attempt whose fresh connection failed before anything was sent on it, which means that the searcher has
     /// reached its connection limit.
-    fn reject_connection(
+    fn end_rejected(
         &mut self,
         searcher: SearcherKey,
         at: BootTime,
         assignment: Option<Box<Assignment>>,
         events: &mut Vec<PoolEvent>,
     ) {
-        self.resets.insert(searcher, at);
+        self.last_resets.insert(searcher, at);
         self.counters.connections_rejected += 1;
         self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::ConnectionRejected), events);
     }
@@ -133,56 +135,60 @@
     ) {
         if let Some(assignment) = assignment {
             let attempt = assignment.order.attempt;
-            self.by_attempt.remove(&attempt);
+            self.slot_by_attempt.remove(&attempt);
             events.push(PoolEvent::Ended { attempt, outcome });
         }
     }
 
     /// Closes connections that take too long to connect, that have been idle for too long, or whose abandoned attempt
-    /// isn't answered in time. A connection may be idle for at most `most_rest`, and for less if its searcher would
+    /// isn't answered in time. A connection may be idle for at most `max_idle`, and for less if its searcher would
     /// close it earlier or needs room for others.
-    pub fn sweep(&mut self, now: BootTime, most_rest: Duration, events: &mut Vec<PoolEvent>) {
-        let mut over = Vec::new();
+    pub fn sweep(&mut self, now: BootTime, max_idle: Duration, events: &mut Vec<PoolEvent>) {
+        let mut expired = Vec::new();
         for (slot, connection) in &self.connections {
-            let age = now.since(connection.since);
-            let is_over = match &connection.state {
-                State::Idle if self.policy.contested_rest && self.is_contested(connection.searcher, now) => {
-                    age >= CONTESTED_REST
+            let age = now.since(connection.state_since);
+            let is_expired = match &connection.state {
+                ConnectionState::Idle if self.policy.contested_rest && self.is_contested(connection.searcher, now) => {
+                    age >= CONTESTED_IDLE_TIMEOUT
+                }
+                ConnectionState::Idle if self.is_surplus(slot, connection.searcher) => {
+                    age >= connection.idle_timeout.min(max_idle).min(SURPLUS_IDLE_TIMEOUT)
                 }
-                State::Idle if self.is_surplus(slot, connection.searcher) => {
-                    age >= connection.rest.min(most_rest).min(SURPLUS_REST)
+                ConnectionState::Idle => age >= connection.idle_timeout.min(max_idle),
+                ConnectionState::Connecting { assignment: Some(assignment) } => {
+                    age >= assignment.order.connect_patience
                 }
-                State::Idle => age >= connection.rest.min(most_rest),
-                State::Connecting { assignment: Some(assignment) } => age >= assignment.order.connect_patience,
-                State::Connecting { assignment: None } => age >= UNNEEDED_CONNECT,
-                State::Proving { .. } => false,
-                State::Busy(assignment) => assignment.abandoned.is_some_and(|(until, _)| now >= until),
+                ConnectionState::Connecting { assignment: None } => age >= UNNEEDED_CONNECT_TIMEOUT,
+                ConnectionState::Proving { .. } => false,
+                ConnectionState::Busy(assignment) => assignment.abandoned.is_some_and(|(until, _)| now >= until),
             };
-            if is_over {
-                over.push(slot);
+            if is_expired {
+                expired.push(slot);
             }
         }
-        for slot in over {
-            self.end(slot, events);
+        for slot in expired {
+            self.close_expired(slot, events);
         }
     }
 
     /// Whether the most recently used idle connection to the searcher is another one.
     fn is_surplus(&self, slot: usize, searcher: SearcherKey) -> bool {
-        self.resting.get(&searcher).and_then(|resting| resting.last()).is_some_and(|last| *last != slot)
+        self.idle.get(&searcher).and_then(|idle| idle.last()).is_some_and(|last| *last != slot)
     }
 
     /// Closes a connection whose time is over and ends its attempt, if any.
-    fn end(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
+    fn close_expired(&mut self, slot: usize, events: &mut Vec<PoolEvent>) {
         let abandoned = match &self.connections[slot].state {
-            State::Busy(assignment) => assignment.abandoned.map(|(_, cause)| (assignment.order.attempt, cause)),
-            State::Idle | State::Connecting { .. } | State::Proving { .. } => None,
+            ConnectionState::Busy(assignment) => {
+                assignment.abandoned.map(|(_, cause)| (assignment.order.attempt, cause))
+            }
+            ConnectionState::Idle | ConnectionState::Connecting { .. } | ConnectionState::Proving { .. } => None,
         };
         let Some((attempt, cause)) = abandoned else {
-            return self.fail(slot, ClientFault::Reset, events);
+            return self.fail_connection(slot, ClientFault::Reset, events);
         };
         self.connections.remove(slot);
-        self.by_attempt.remove(&attempt);
+        self.slot_by_attempt.remove(&attempt);
         let outcome = match cause {
             // These causes say nothing about the searcher.
             AbandonCause::CallerGone | AbandonCause::Quarantined => AttemptOutcome::Cancelled,
@@ -193,7 +199,7 @@
 }
 
 /// Returns why it is unknown whether an attempt ran, if its connection ended with `fault` after the attempt was sent.
-fn unknown_after(fault: ClientFault) -> Unknown {
+fn unknown_cause(fault: ClientFault) -> Unknown {
     match fault {
         ClientFault::TooLong => Unknown::TooLong,
         ClientFault::Malformed => Unknown::Malformed,
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -4,7 +4,7 @@
 //! was sent before the reset may have run. To prove a connection means to wait for a possible reset before anything is
 //! sent on it. This module relies on the socket for the result of connecting.
 
-use super::{Assignment, Connection, Pool, PoolEvent, State, USUAL_REST};
+use super::{Assignment, Connection, ConnectionState, DEFAULT_IDLE_TIMEOUT, Pool, PoolEvent};
 use crate::socket::{ConnectingState, IoContext, Socket, SocketId, SocketKind, WriteOutcome};
 use crate::traffic::{Purpose, Reach};
 use staircross_http::{ClientConnection, ClientFault};
@@ -16,17 +16,22 @@
 /// Time for which a fresh connection is proved, in addition to the time that it took to connect. Measured on days with a
 /// power loss: on one, it reduced the number of answers with status 502 from 119 to 0; on another, 70 remained, and 8 ms
 /// instead didn't change that.
-const PROVING: Duration = Duration::from_millis(3);
+const PROVING_MARGIN: Duration = Duration::from_millis(3);
 /// Maximum time for which a fresh connection is proved, so that after a slow connect the request is delayed no more
 /// than by a slow searcher.
-const MAX_PROVING: Duration = Duration::from_millis(50);
+const MAX_PROVING_TIME: Duration = Duration::from_millis(50);
 /// Time after the reset of a fresh connection during which further connections to the same searcher are proved. It
 /// covers the seconds that a searcher needs to notice that machines are gone, whose connections it still counts.
-const RESET_MEMORY: Duration = Duration::from_secs(5);
+const CONTESTED_TIME: Duration = Duration::from_secs(5);
 
 impl Pool {
     /// Opens a connection for an attempt.
-    pub(super) fn connect(&mut self, assignment: Box<Assignment>, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
+    pub(super) fn open_connection(
+        &mut self,
+        assignment: Box<Assignment>,
+        io: &mut IoContext<'_>,
+        events: &mut Vec<PoolEvent>,
+    ) {
         let attempt = assignment.order.attempt;
         let searcher = assignment.order.searcher;
         self.counters.connects += 1;
@@ -39,17 +44,17 @@
             Ok(socket) => {
                 entry.insert(Connection {
                     socket,
-                    http: ClientConnection::new(self.max_answer),
+                    http: ClientConnection::new(self.max_answer_body),
                     searcher,
                     generation,
-                    since: io.now,
-                    rest: USUAL_REST,
+                    state_since: io.now,
+                    idle_timeout: DEFAULT_IDLE_TIMEOUT,
                     is_fresh: true,
                     purpose: Purpose::of_attempt(assignment.order.reason),
                     reach: Reach::Known(assignment.order.distance),
-                    state: State::Connecting { assignment: Some(assignment) },
+                    state: ConnectionState::Connecting { assignment: Some(assignment) },
                 });
-                self.by_attempt.insert(attempt, slot);
+                self.slot_by_attempt.insert(attempt, slot);
             }
             Err(_) => events.push(PoolEvent::Ended { attempt, outcome: AttemptOutcome::NotRun(NotRun::Unconnected) }),
         }
@@ -60,25 +65,25 @@
         let connection = &mut self.connections[slot];
         match connection.socket.connecting_state() {
             ConnectingState::Underway => return,
-            ConnectingState::Failed => return self.fail(slot, ClientFault::Reset, events),
-            ConnectingState::Reset => return self.on_reset_at_once(slot, events),
+            ConnectingState::Failed => return self.fail_connection(slot, ClientFault::Reset, events),
+            ConnectingState::Reset => return self.on_immediate_reset(slot, events),
             ConnectingState::Up => {}
         }
-        let took = io.now.since(connection.since);
+        let took = io.now.since(connection.state_since);
         events.push(PoolEvent::Connected { searcher: connection.searcher, took });
         if connection.socket.flush(io.registry) == WriteOutcome::Broken {
-            return self.fail(slot, ClientFault::Reset, events);
+            return self.fail_connection(slot, ClientFault::Reset, events);
         }
-        let state = std::mem::replace(&mut connection.state, State::Idle);
-        connection.since = io.now;
-        let State::Connecting { assignment } = state else {
+        let state = std::mem::replace(&mut connection.state, ConnectionState::Idle);
+        connection.state_since = io.now;
+        let ConnectionState::Connecting { assignment } = state else {
             return;
         };
         if self.must_prove(slot, io.now) {
-            let until = io.now + (took + PROVING).min(MAX_PROVING);
+            let until = io.now + (took + PROVING_MARGIN).min(MAX_PROVING_TIME);
             let connection = &mut self.connections[slot];
-            connection.state = State::Proving { assignment };
-            self.proving.push(Reverse((until, slot, connection.generation)));
+            connection.state = ConnectionState::Proving { assignment };
+            self.proving_queue.push(Reverse((until, slot, connection.generation)));
             return;
         }
         self.begin_use(slot, assignment, io, events);
@@ -93,7 +98,7 @@
 
     /// Whether a searcher recently reset a fresh connection.
     pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
-        self.resets.get(&searcher).is_some_and(|at| now.since(*at) < RESET_MEMORY)
+        self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < CONTESTED_TIME)
     }
 
     /// Sends the assigned attempt on an established connection, or makes the connection idle if there is none.
@@ -107,30 +112,30 @@
         match assignment {
             Some(assignment) => {
                 events.push(PoolEvent::Begun { attempt: assignment.order.attempt });
-                self.start(slot, assignment, io, events);
+                self.write_attempt(slot, assignment, io, events);
             }
-            None => self.rest(slot, io.now),
+            None => self.make_idle(slot, io.now),
         }
     }
 
     /// Returns the next time at which a connection in state `Proving` may be used.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.proving.peek().map(|Reverse((due, _, _))| *due)
+        self.proving_queue.peek().map(|Reverse((due, _, _))| *due)
     }
 
     /// Begins to use the connections that were proved long enough.
     pub fn on_tick(&mut self, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
-        while let Some(Reverse((due, slot, generation))) = self.proving.peek().copied() {
+        while let Some(Reverse((due, slot, generation))) = self.proving_queue.peek().copied() {
             if due > io.now {
                 return;
             }
-            self.proving.pop();
-            let same = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
-            let Some(connection) = same else {
+            self.proving_queue.pop();
+            let current = self.connections.get_mut(slot).filter(|connection| connection.generation == generation);
+            let Some(connection) = current else {
                 continue;
             };
-            match std::mem::replace(&mut connection.state, State::Idle) {
-                State::Proving { assignment } => self.begin_use(slot, assignment, io, events),
+            match std::mem::replace(&mut connection.state, ConnectionState::Idle) {
+                ConnectionState::Proving { assignment } => self.begin_use(slot, assignment, io, events),
                 other => connection.state = other,
             }
         }
