--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -98,7 +98,7 @@
     }
 
     /// Announces the versions and revisions that the mirror has reached. Returns whether any of them changed.
-    pub fn set_knowledge(&mut self, mirror: &Mirror) -> bool {
+    pub fn set_known_revisions(&mut self, mirror: &Mirror) -> bool {
         let before = self.own_announcement;
         self.own_announcement.version = mirror.version();
         self.own_announcement.revision = mirror.newest_revision();
@@ -109,7 +109,7 @@
 
     /// Returns the address of one of the nearest peers that are ahead of this node. If the node `is_reading` the store
     /// itself and has a configuration, it returns a peer only after the node has been behind for `PULL_DELAY`.
-    pub fn better_informed(&mut self, now: BootTime, is_reading: bool) -> Option<SocketAddr> {
+    pub fn choose_pull_peer(&mut self, now: BootTime, is_reading: bool) -> Option<SocketAddr> {
         let is_version_behind = self.is_version_behind();
         self.version_behind_since =
             is_version_behind.then(|| self.version_behind_since.map_or(now, |since| since.min(now)));
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -55,7 +55,7 @@
         if let Some(definition) = configuration {
             self.apply_configuration(definition, source);
         }
-        let is_new = self.fleet.set_knowledge(&self.mirror);
+        let is_new = self.fleet.set_known_revisions(&self.mirror);
         if is_new && self.fleet.is_designated_reader() {
             self.fleet.notify_followers(self.now);
         }
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -36,7 +36,7 @@
             return;
         }
         let is_reading = self.store_role.role() == StoreRole::Reader || self.store_reader.is_reading_once();
-        let Some(address) = self.fleet.better_informed(self.now, is_reading) else {
+        let Some(address) = self.fleet.choose_pull_peer(self.now, is_reading) else {
             return;
         };
         self.fleet.note_asked(self.now);
