--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -245,7 +245,7 @@
     }
 
     /// Sets the records of requests during which searchers were lost that the next datagrams carry.
-    pub fn set_cases(&mut self, cases: Vec<CaseRecord>) {
+    pub fn set_case_records(&mut self, cases: Vec<CaseRecord>) {
         self.case_records = cases;
     }
 
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -30,7 +30,7 @@
         self.fleet.set_load(self.load.percent(), &mut events);
         // These aren't the records of a push in the same turn: the records take turns, and the datagrams of each tick
         // carry the next ones.
-        self.fleet.set_cases(self.engine.case_records(self.now));
+        self.fleet.set_case_records(self.engine.case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
         self.handle_fleet_events(events);
         self.log_member_totals();
@@ -45,7 +45,7 @@
         if !self.case_pushes.take(self.now) {
             return;
         }
-        self.fleet.set_cases(self.engine.case_records(self.now));
+        self.fleet.set_case_records(self.engine.case_records(self.now));
         let mut events = Vec::new();
         self.fleet.push(&mut events);
         self.handle_fleet_events(events);
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -111,7 +111,7 @@
 fn cases_go_with_each_datagram_and_a_node_that_leaves_says_so() {
     let mut pair = Pair::new();
     pair.introduce();
-    pair.fleet.set_cases(vec![decode::<CaseRecord>(&bytes_of(CASE)).expect("a record")]);
+    pair.fleet.set_case_records(vec![decode::<CaseRecord>(&bytes_of(CASE)).expect("a record")]);
     pair.fleet.set_load(95, &mut Vec::new());
     pair.fleet.leave(MemberState::Leaving, &mut Vec::new());
     let bytes = pair.receive_where(|text| text.contains("leaving") && text.contains("\"q\": [{\"c\""));
