--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -138,7 +138,7 @@
 
     /// Sets the smallest number of connections that any searcher accepts from all nodes together; `None` if there is no
     /// such limit.
-    pub fn set_connections(&mut self, connections: Option<u32>) {
+    pub fn set_searcher_connections(&mut self, connections: Option<u32>) {
         if self.searcher_connections != connections {
             self.searcher_connections = connections;
             self.directory_built_at = None;
