--- a/crates/staircross-gateway/src/fleet/incarnation.rs
+++ b/crates/staircross-gateway/src/fleet/incarnation.rs
@@ -12,7 +12,7 @@
 const FINGERPRINT_MASK: u128 = u32::MAX as u128;
 
 /// Returns the id of a new incarnation, whose other bits are taken from `random`.
-pub fn new_id(settings: &GatewaySettings, random: u128) -> NodeId {
+pub fn new_incarnation_id(settings: &GatewaySettings, random: u128) -> NodeId {
     let (store, peers) = (settings.store.address, settings.listen.peers);
     let (region, zone) = (&settings.node.region, &settings.node.zone);
     let fingerprint = xxh3_64(format!("{store} {peers} {region} {zone}").as_bytes());
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -13,7 +13,7 @@
 use crate::case_pushes::CasePushes;
 use crate::dialect::{Dialect, HeaderNames};
 use crate::event_log::{EventLog, LineKind};
-use crate::fleet::{Fleet, FleetIdentity, new_id};
+use crate::fleet::{Fleet, FleetIdentity, new_incarnation_id};
 use crate::http_call::HttpCaller;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
@@ -192,7 +192,7 @@
 
 /// Returns the engine's settings. They include the random seed and the new node id of this incarnation.
 fn routing_settings(now: BootTime, settings: &GatewaySettings) -> RoutingSettings {
-    let node = new_id(settings, rand::rng().random());
+    let node = new_incarnation_id(settings, rand::rng().random());
     let regions = settings.zones.iter();
     RoutingSettings {
         extra: extra_bound(settings),
