--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -126,7 +126,7 @@
     confirmation: Confirmation,
     contact: Contact,
     /// Whether announcements contain the age of the configuration's confirmation.
-    sends_confirmation: bool,
+    announces_confirmation: bool,
     policy: NodePolicy,
     /// Counters of datagrams, for metrics.
     pub counters: FleetCounters,
@@ -183,7 +183,7 @@
             reader_heartbeat: None,
             confirmation: Confirmation::default(),
             contact: Contact::new(now),
-            sends_confirmation: false,
+            announces_confirmation: false,
             policy: NodePolicy::default(),
             counters: FleetCounters::default(),
             traffic: Traffic::default(),
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -65,8 +65,8 @@
     }
 
     /// Sets whether announcements contain the age of the configuration's confirmation.
-    pub fn set_confirmation_sent(&mut self, is_sent: bool) {
-        self.sends_confirmation = is_sent;
+    pub fn set_announces_confirmation(&mut self, is_sent: bool) {
+        self.announces_confirmation = is_sent;
     }
 
     /// Applies the confirmation that a peer's last datagram announced. The datagram may have waited in the socket while
@@ -81,7 +81,7 @@
     }
 
     pub(super) fn refresh_own_confirmation_age(&mut self, now: BootTime) {
-        let confirmed_at = self.confirmation.at().filter(|_| self.sends_confirmation);
+        let confirmed_at = self.confirmation.at().filter(|_| self.announces_confirmation);
         let age = confirmed_at.map(|at| now.since(at).as_millis());
         // An age of more than 49 days doesn't fit the field, and isn't announced.
         self.own_announcement.confirmed_age_ms = age.and_then(|millis| u32::try_from(millis).ok());
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -74,7 +74,7 @@
                 definition.tenants.len()
             ),
         );
-        self.fleet.set_confirmation_sent(!definition.tenants.is_empty());
+        self.fleet.set_announces_confirmation(!definition.tenants.is_empty());
         self.process_routing_event(RoutingEvent::Configuration(Arc::new(RouteTable::new(definition))));
         self.fleet.set_searcher_connections(self.engine.tightest_connections());
         self.update_fleet_shape();
