--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// First attempts to query searchers, and their answers.
-    Firsts,
+    FirstAttempts,
     /// Hedged attempts, and their answers.
     Hedges,
     /// Retried and rerouted attempts, and their answers.
@@ -33,7 +33,7 @@
 impl Purpose {
     /// All purposes, in the order of their declaration.
     pub const ALL: [Purpose; 7] = [
-        Purpose::Firsts,
+        Purpose::FirstAttempts,
         Purpose::Hedges,
         Purpose::Repeats,
         Purpose::Membership,
@@ -45,7 +45,7 @@
     /// Returns the purpose of an attempt that was sent for `reason`.
     pub fn of_attempt(reason: SendReason) -> Self {
         match reason {
-            SendReason::First => Purpose::Firsts,
+            SendReason::First => Purpose::FirstAttempts,
             SendReason::Hedge => Purpose::Hedges,
             SendReason::Retry | SendReason::Reroute => Purpose::Repeats,
         }
@@ -54,7 +54,7 @@
     /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Purpose::Firsts => "firsts",
+            Purpose::FirstAttempts => "firsts",
             Purpose::Hedges => "hedges",
             Purpose::Repeats => "repeats",
             Purpose::Membership => "membership",
--- a/crates/staircross-gateway/tests/traffic.rs
+++ b/crates/staircross-gateway/tests/traffic.rs
@@ -12,7 +12,7 @@
     pool.count(Purpose::of_attempt(SendReason::Hedge), Reach::Known(Distance::OwnZone), 7);
     let mut all = Traffic::default();
     all.count(Purpose::Membership, Reach::Unknown, 5);
-    all.count(Purpose::Firsts, far, 1);
+    all.count(Purpose::FirstAttempts, far, 1);
     all += pool;
     let counted: Vec<(&str, &str, u64)> =
         all.counted().map(|(purpose, reach, bytes)| (purpose.name(), reach.name(), bytes)).collect();
