--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -89,7 +89,7 @@
     /// Returns the nodes that share tenants' quotas if they have changed since the previous call. These are all ready
     /// nodes, including reserves, so that the owners of tenants stay the same while the choice of serving nodes follows
     /// the load. Suspect nodes are included, since they may well be alive.
-    pub fn take_quota_nodes(&mut self) -> Option<Vec<NodeId>> {
+    pub fn take_changed_quota_nodes(&mut self) -> Option<Vec<NodeId>> {
         let shares =
             |member: &&Member| member.is_ready && matches!(member.state, MemberState::Alive | MemberState::Suspect);
         let mut nodes: Vec<NodeId> = self.live_members().filter(shares).map(|member| member.node).collect();
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -87,7 +87,7 @@
     /// Passes the number of serving nodes and this node's share of the common limits to the engine.
     pub(super) fn update_fleet_shape(&mut self) {
         let FleetShape { nodes_by_zone, serving, rank, slack_share } = self.fleet.shape(self.now);
-        let nodes = self.fleet.take_quota_nodes();
+        let nodes = self.fleet.take_changed_quota_nodes();
         self.process_routing_event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes });
         let is_serving = self.fleet.is_serving();
         if is_serving != self.status.is_serving {
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -50,8 +50,8 @@
     play(&mut fleets, &mut now, |fleets, _| fleets.iter().all(|fleet| fleet.live_count() == 2));
     fleets.iter_mut().for_each(|fleet| fleet.set_ready(true, &mut Vec::new()));
     let both = Some(vec![NodeId(1), NodeId(2)]);
-    play(&mut fleets, &mut now, |fleets, _| fleets[1].take_quota_nodes() == both);
-    assert_eq!(fleets[1].take_quota_nodes(), None, "told once");
+    play(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
+    assert_eq!(fleets[1].take_changed_quota_nodes(), None, "told once");
 
     let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
     fleets[0].send_quotas(NodeId(2), vec![grant]);
