--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -10,7 +10,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Average minimum interval between pushes, so that each peer gets at most ten pushed datagrams per second.
+/// Minimum interval between pushes on average, so that each peer gets at most ten pushed datagrams per second.
 const PUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of pushes that may be made in a burst. The searchers of a request's shards end within about 100 ms, and the
 /// updates about them arrive in a few turns of the event loop.
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -260,6 +260,7 @@
         self.apply_actions(actions, events);
     }
 
+    /// Sends the messages that the membership requests, and reports the members that changed.
     fn apply_actions(&mut self, actions: Vec<MembershipAction>, events: &mut Vec<FleetEvent>) {
         for action in actions {
             match action {
@@ -274,6 +275,7 @@
         }
     }
 
+    /// Returns the distance from this node to a member.
     fn reach_of(&self, node: NodeId) -> Reach {
         let own = self.membership.own();
         let Some(member) = self.membership.get(node) else {
@@ -286,7 +288,7 @@
         })
     }
 
-    /// Returns how far away the live member with this address for peers is.
+    /// Returns the distance from this node to the live member with this peer address.
     pub fn reach_of_address(&self, address: SocketAddr) -> Reach {
         let node = self.live_members().find(|member| member.peer_address == address).map(|member| member.node);
         node.map_or(Reach::Unknown, |node| self.reach_of(node))
@@ -302,6 +304,7 @@
         self.live_members().count()
     }
 
+    /// Returns the announced busy fraction of a node, in percent; 0 if none was announced.
     fn load_of(&self, node: NodeId) -> u8 {
         if node == self.node {
             return self.own_announcement.load;
--- a/crates/staircross-gateway/src/fleet/announcement.rs
+++ b/crates/staircross-gateway/src/fleet/announcement.rs
@@ -1,7 +1,7 @@
 //! Format of the datagrams between peers, and the announcement that each of them carries.
 //!
 //! This module owns the field names on the wire. They have one letter each, since a node sends a datagram every few
-//! milliseconds. The cluster and quota crates define the messages that a datagram carries.
+//! milliseconds. Other crates define the membership messages, quota messages and case records that a datagram carries.
 
 use serde::{Deserialize, Serialize};
 use staircross_cluster::membership::MembershipMessage;
@@ -32,8 +32,8 @@
     pub confirmed_age_ms: Option<u32>,
 }
 
-/// Whether the field is left out of the datagram. Most fleets never evacuate anything, and a datagram is sent every few
-/// milliseconds.
+/// Whether the revision is left out of the datagram. This saves bytes, since most fleets never evacuate anything and a
+/// datagram is sent every few milliseconds.
 fn is_zero(revision: &u64) -> bool {
     *revision == 0
 }
--- a/crates/staircross-gateway/src/fleet/contact.rs
+++ b/crates/staircross-gateway/src/fleet/contact.rs
@@ -1,7 +1,7 @@
 //! Detects that this node hears none of its peers.
 //!
-//! Members probe each other all the time, so a node that hears nobody is cut off. Silence shows this long before the
-//! membership declares the other nodes dead, and before a request of the node itself has timed out.
+//! Members probe each other all the time, so a node that hears nobody is cut off. The node notices the silence long
+//! before the membership declares the other nodes dead, and before one of the node's own requests times out.
 
 use staircross_types::BootTime;
 use std::time::Duration;
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -119,6 +119,7 @@
         self.send_datagram(to, address, Some(message));
     }
 
+    /// Sends a datagram with the current announcement and case records, and with `message` if there is one.
     pub(super) fn send_datagram(
         &mut self,
         to: Option<NodeId>,
--- a/crates/staircross-gateway/src/fleet/incarnation.rs
+++ b/crates/staircross-gateway/src/fleet/incarnation.rs
@@ -11,7 +11,7 @@
 /// Mask of the bits of an id that are equal in all incarnations of a node.
 const FINGERPRINT_MASK: u128 = u32::MAX as u128;
 
-/// Returns the id of a new incarnation, whose other bits are taken from `random`.
+/// Returns the id of a new incarnation: bits of `random`, and the fingerprint of the node's settings.
 pub fn new_incarnation_id(settings: &GatewaySettings, random: u128) -> NodeId {
     let (store, peers) = (settings.store.address, settings.listen.peers);
     let (region, zone) = (&settings.node.region, &settings.node.zone);
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -146,8 +146,8 @@
         self.newest_version() > self.own_announcement.version
     }
 
-    /// Returns the time since which a peer is known to have a newer configuration, as of the last choice of a peer to
-    /// pull from.
+    /// Returns the time since which a peer is known to have a newer configuration, as of the last call of
+    /// [`Fleet::choose_pull_peer`].
     pub fn version_behind_since(&self) -> Option<BootTime> {
         self.version_behind_since
     }
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -13,14 +13,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which the largest number of nodes seen is used. A network partition splits the fleet into two, and the
-/// shares of one side must not grow before the other side has used its own. Longer than the ten seconds over which
-/// extra sends are counted.
+/// Time for which a recent maximum is kept before a smaller count replaces it. After a network partition each side sees
+/// a smaller fleet, but the shares of one side must not grow before the other side has used its own. Longer than the
+/// ten seconds over which extra sends are counted.
 const PEAK_LIFETIME: Duration = Duration::from_secs(30);
-/// Age at which the directory is rebuilt even if no member has changed, since the members' loads have.
+/// Age at which the directory is rebuilt even if no member has changed, since the loads of members change all the time.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(1);
 /// Fraction of the slack for extra sends that the serving nodes share; the rest is for reserves, which get few
-/// requests. Only 0.4 of the slack is used, so that the two sides of a partitioned fleet together stay below the limit.
+/// requests. The extra budget uses only 0.4 of the slack, so the two sides of a partitioned fleet together stay below
+/// the limit.
 const SERVING_SLACK_FRACTION: f64 = 0.8;
 
 /// Recent maximum of a count.
--- a/crates/staircross-gateway/src/outbound.rs
+++ b/crates/staircross-gateway/src/outbound.rs
@@ -152,7 +152,7 @@
         bytes
     }
 
-    /// Writes an answer that was merged from the answers of several shards.
+    /// Returns the bytes of an answer that was merged from the answers of several shards.
     pub fn merged(&self, answer: &MergedAnswer) -> Vec<u8> {
         let mut bytes = self.begin(200);
         write::field(&mut bytes, self.names.part_stamps, &answer.stamps.join(&b", "[..]));
@@ -160,7 +160,8 @@
         self.finish(bytes, &answer.body)
     }
 
-    /// Writes a searcher's answer with unchanged status and body, and with all header fields except hop-by-hop ones.
+    /// Returns the bytes of a searcher's answer that is passed on with unchanged status and body, and with all header
+    /// fields except hop-by-hop ones.
     pub fn passed(&self, answer: &SearcherAnswer) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + answer.body.len());
         write::status_line(&mut bytes, answer.status);
@@ -184,7 +185,7 @@
         bytes
     }
 
-    /// Writes a refusal by this node. `retry_after` replaces the usual delay of the error kind.
+    /// Returns the bytes of a refusal by this node. `retry_after` replaces the usual delay of the error kind.
     pub fn refused(&self, kind: ErrorKind, detail: &str, retry_after: Option<Duration>) -> Vec<u8> {
         let mut bytes = self.begin(kind.http_status());
         if let Some(delay) = retry_after.or(kind.retry_after_ms().map(Duration::from_millis)) {
@@ -195,7 +196,7 @@
         self.finish(bytes, format!("{kind}: {detail}\n").as_bytes())
     }
 
-    /// Writes an answer with a body that this node generated.
+    /// Returns the bytes of an answer whose body this node generated.
     pub fn plain(&self, status: u16, content_type: &str, body: &[u8]) -> Vec<u8> {
         let mut bytes = self.begin(status);
         if !body.is_empty() {
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -5,7 +5,8 @@
 //!
 //! [`Pool`] owns the connections and reports how each attempt ended, in particular whether the searcher may have run
 //! it. The engine chooses the searcher of each attempt, and decides what the end of an attempt means for its request.
-//! `establish` opens connections, and `endings` ends attempts and connections.
+//! `establish` opens connections and proves fresh ones, that is, it waits for a possible reset before anything is sent.
+//! `endings` ends attempts and connections.
 
 mod endings;
 mod establish;
@@ -88,10 +89,12 @@
     Idle,
 }
 
+/// A connection to a searcher, or an attempt to connect.
 struct Connection {
     socket: Socket,
     http: ClientConnection,
     searcher: SearcherKey,
+    /// Number that distinguishes the connection from earlier ones in the same slot.
     generation: u32,
     /// Time at which the present state began.
     state_since: BootTime,
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -11,14 +11,15 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time after which an idle connection is closed if its searcher recently rejected another, since other connections are
-/// needed more. On days with a power loss and 10, 14 and expensive connections per searcher, the scores were
-/// 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728 with it.
+/// Time after which an idle connection is closed if its searcher recently rejected another, since rejected connections
+/// are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per searcher and
+/// with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728
+/// with it.
 const CONTESTED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
-/// machines that replace it. After a loss of all machines, with 10, 14 and 20 connections per searcher, the scores were
-/// 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
+/// machines that replace it. Measured after a loss of all machines, with 10, 14 and 20 connections per searcher: the
+/// scores were 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
 const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time after which connecting is given up if no attempt needs the connection any more. Longer than any round trip.
 const UNNEEDED_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -41,8 +42,8 @@
         if is_reusable {
             self.make_idle(slot, now);
         } else {
-            // Among others, this closes a connection on which a long request isn't fully written, since no other
-            // request may follow on it.
+            // This includes connections on which a long request isn't fully written yet: no other request may follow on
+            // them.
             self.connections.remove(slot);
         }
     }
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Ends an attempt whose fresh connection failed before anything was sent on it, which means that the searcher has
-    /// reached its connection limit.
+    /// Ends an attempt whose fresh connection failed before anything was sent on it, which is taken to mean that the
+    /// searcher has reached its connection limit.
     fn end_rejected(
         &mut self,
         searcher: SearcherKey,
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -14,7 +14,7 @@
 /// Purpose for which bytes were sent or received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// First attempts to query searchers, and their answers.
+    /// First attempts, and their answers.
     FirstAttempts,
     /// Hedged attempts, and their answers.
     Hedges,
