--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -52,7 +52,8 @@
     pub serving: usize,
     /// Position of this node among the serving nodes, from 0; `None` for a reserve.
     pub rank: Option<usize>,
-    /// This node's share of the slack for extra sends, from 0 to 1.
+    /// This node's share of the slack for extra sends, from 0 to 1. The slack is the number of extra sends that all
+    /// nodes together may make in a window besides a fraction of their requests.
     pub slack_share: f64,
 }
 
