--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -33,7 +33,7 @@
 use crate::load::is_pressed;
 use crate::settings::NodePolicy;
 use crate::traffic::{Reach, Traffic};
-use contact::Contact;
+use contact::IsolationDetector;
 use datagrams::PeerSocket;
 use hashbrown::HashMap;
 use mio::net::UdpSocket;
@@ -124,7 +124,7 @@
     /// Time of the store's last answer to a reader of the region, according to the readers' heartbeats.
     reader_heartbeat: Option<BootTime>,
     confirmation: Confirmation,
-    contact: Contact,
+    isolation_detector: IsolationDetector,
     /// Whether announcements contain the age of the configuration's confirmation.
     announces_confirmation: bool,
     policy: NodePolicy,
@@ -182,7 +182,7 @@
             store_contact: None,
             reader_heartbeat: None,
             confirmation: Confirmation::default(),
-            contact: Contact::new(now),
+            isolation_detector: IsolationDetector::new(now),
             announces_confirmation: false,
             policy: NodePolicy::default(),
             counters: FleetCounters::default(),
@@ -213,7 +213,7 @@
         self.peer_announcements.retain(|node, _| !self.membership.is_gone(*node));
         let live = self.live_members().count();
         self.live_peak.record(now, live);
-        if self.contact.detect_isolation(now, live > 1) {
+        if self.isolation_detector.detect_isolation(now, live > 1) {
             events.push(FleetEvent::Isolated { is_isolated: true });
         }
     }
@@ -237,9 +237,9 @@
     /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, or is no longer, the
     /// change is pushed to peers at once, since it decides where callers are sent.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
-        let matters = is_pressed(percent) != is_pressed(self.own_announcement.load);
+        let is_pressed_changed = is_pressed(percent) != is_pressed(self.own_announcement.load);
         self.own_announcement.load = percent;
-        if matters {
+        if is_pressed_changed {
             self.apply_and_push(Vec::new(), events);
         }
     }
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -53,9 +53,9 @@
 }
 
 impl Fleet {
-    /// Records that the store, queried at `asked_at`, had nothing newer for this node.
-    pub fn confirm(&mut self, asked_at: BootTime) {
-        let confirmed = ConfirmedVersion { version: self.own_announcement.version, at: asked_at };
+    /// Records that the store, queried at `queried_at`, had nothing newer for this node.
+    pub fn confirm(&mut self, queried_at: BootTime) {
+        let confirmed = ConfirmedVersion { version: self.own_announcement.version, at: queried_at };
         self.confirmation.note(self.own_announcement.version, confirmed);
     }
 
@@ -65,8 +65,8 @@
     }
 
     /// Sets whether announcements contain the age of the configuration's confirmation.
-    pub fn set_announces_confirmation(&mut self, is_sent: bool) {
-        self.announces_confirmation = is_sent;
+    pub fn set_announces_confirmation(&mut self, announces: bool) {
+        self.announces_confirmation = announces;
     }
 
     /// Applies the confirmation that a peer's last datagram announced. The datagram may have waited in the socket while
--- a/crates/staircross-gateway/src/fleet/contact.rs
+++ b/crates/staircross-gateway/src/fleet/contact.rs
@@ -11,19 +11,19 @@
 
 /// Time of the last datagram from any peer, and whether the node is isolated.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Contact {
+pub(super) struct IsolationDetector {
     last_heard_at: BootTime,
     is_isolated: bool,
 }
 
-impl Contact {
+impl IsolationDetector {
     /// Returns the state of a node that has just started; its silence is counted from `now`.
     pub fn new(now: BootTime) -> Self {
-        Contact { last_heard_at: now, is_isolated: false }
+        IsolationDetector { last_heard_at: now, is_isolated: false }
     }
 
     /// Records that a peer's datagram arrived, and returns whether the node was isolated until now.
-    pub fn note_heard(&mut self, now: BootTime) -> bool {
+    pub fn record_datagram(&mut self, now: BootTime) -> bool {
         self.last_heard_at = now;
         std::mem::take(&mut self.is_isolated)
     }
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -79,7 +79,7 @@
         if let Some(to) = datagram.to.filter(|to| *to != self.node) {
             return self.handle_misaddressed(to, datagram.from, from, events);
         }
-        if self.contact.note_heard(now) {
+        if self.isolation_detector.record_datagram(now) {
             events.push(FleetEvent::Isolated { is_isolated: false });
         }
         let before = self.peer_announcements.insert(datagram.from, datagram.announcement);
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -47,17 +47,17 @@
         let Some(first) = self.alive_region_members().next() else {
             return Vec::new();
         };
-        let elsewhere = self.alive_region_members().filter(|member| member.zone != first.zone);
-        let in_zone = self.alive_region_members().filter(|member| member.zone == first.zone).skip(1);
-        let others = elsewhere.chain(in_zone).take(READERS_PER_REGION - 1);
+        let other_zones = self.alive_region_members().filter(|member| member.zone != first.zone);
+        let same_zone = self.alive_region_members().filter(|member| member.zone == first.zone).skip(1);
+        let others = other_zones.chain(same_zone).take(READERS_PER_REGION - 1);
         std::iter::once(first).chain(others).map(|member| member.node).collect()
     }
 
     /// Returns the live members of the region that aren't designated readers; none if the policy has no such readers.
     fn followers(&self) -> impl Iterator<Item = &Member> {
         let readers = if self.policy.store_readers { self.readers() } else { Vec::new() };
-        let follows = self.policy.store_readers;
-        self.alive_region_members().filter(move |member| follows && !readers.contains(&member.node))
+        let has_readers = self.policy.store_readers;
+        self.alive_region_members().filter(move |member| has_readers && !readers.contains(&member.node))
     }
 
     /// Whether the region has followers.
@@ -130,10 +130,10 @@
             self.behind_since = None;
             return None;
         };
-        let knows_nothing = self.own_announcement.version == 0;
+        let has_no_configuration = self.own_announcement.version == 0;
         let since = *self.behind_since.get_or_insert(now);
         let delay = if is_reading { PULL_DELAY } else { Duration::ZERO };
-        (knows_nothing || now.since(since) >= delay).then_some(address)
+        (has_no_configuration || now.since(since) >= delay).then_some(address)
     }
 
     /// Returns the newest version of the configuration that a peer announced; 0 if there is none.
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -28,16 +28,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Peak {
     count: usize,
-    at: BootTime,
+    recorded_at: BootTime,
 }
 
 impl Peak {
     pub fn new(count: usize, now: BootTime) -> Self {
-        Peak { count, at: now }
+        Peak { count, recorded_at: now }
     }
 
     pub fn record(&mut self, now: BootTime, count: usize) {
-        if count >= self.count || now.since(self.at) >= PEAK_LIFETIME {
+        if count >= self.count || now.since(self.recorded_at) >= PEAK_LIFETIME {
             *self = Peak::new(count, now);
         }
     }
@@ -92,9 +92,9 @@
     /// nodes, including reserves, so that the owners of tenants stay the same while the choice of serving nodes follows
     /// the load. Suspect nodes are included, since they may well be alive.
     pub fn take_changed_quota_nodes(&mut self) -> Option<Vec<NodeId>> {
-        let shares =
+        let shares_quotas =
             |member: &&Member| member.is_ready && matches!(member.state, MemberState::Alive | MemberState::Suspect);
-        let mut nodes: Vec<NodeId> = self.live_members().filter(shares).map(|member| member.node).collect();
+        let mut nodes: Vec<NodeId> = self.live_members().filter(shares_quotas).map(|member| member.node).collect();
         nodes.sort_unstable();
         if nodes == self.quota_nodes {
             return None;
@@ -110,7 +110,7 @@
 
     /// Whether members or their loads may have changed since the directory was built.
     pub fn is_directory_stale(&self, now: BootTime) -> bool {
-        self.directory_built_at.is_none_or(|made| now.since(made) >= MAX_DIRECTORY_AGE)
+        self.directory_built_at.is_none_or(|built_at| now.since(built_at) >= MAX_DIRECTORY_AGE)
     }
 
     fn refresh_directory(&mut self, now: BootTime) {
