--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -5,7 +5,7 @@
 //! crashes searchers to one searcher of each shard, and that request needn't be the first suspect. So a short burst of
 //! pushes is allowed. There is at most one push per turn of the event loop, with all updates of the turn.
 //!
-//! [`CasePushes`] owns only the timing. The engine supplies the records, and the fleet chooses the peers.
+//! [`CasePushLimiter`] owns only the timing. The engine supplies the records, and the fleet chooses the peers.
 
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 
 /// Rate limiter for pushes of updates to peers.
 #[derive(Debug, Default)]
-pub struct CasePushes {
+pub struct CasePushLimiter {
     has_update: bool,
     /// Time until which the earlier pushes use up the allowed rate.
     used_until: BootTime,
 }
 
-impl CasePushes {
+impl CasePushLimiter {
     /// Records that there are updates to push.
     pub fn note_update(&mut self) {
         self.has_update = true;
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -31,7 +31,7 @@
 pub use error::GatewayError;
 pub use operator::Signals;
 
-use crate::case_pushes::CasePushes;
+use crate::case_pushes::CasePushLimiter;
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::Fleet;
@@ -125,7 +125,7 @@
     /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
     /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
-    case_pushes: CasePushes,
+    case_pushes: CasePushLimiter,
 
     log: EventLog,
     log_limits: LogLimits,
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -10,7 +10,7 @@
 use super::status::NodeStatus;
 use super::store_calls::StoreCalls;
 use super::{GatewayNode, recording};
-use crate::case_pushes::CasePushes;
+use crate::case_pushes::CasePushLimiter;
 use crate::dialect::{Dialect, HeaderNames};
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::{Fleet, FleetIdentity, new_incarnation_id};
@@ -84,7 +84,7 @@
             stop: None,
             metrics: Metrics::default(),
             log_limits: LogLimits::new(now),
-            case_pushes: CasePushes::default(),
+            case_pushes: CasePushLimiter::default(),
             peer_answers: RecentPeerAnswers::default(),
             traffic: Traffic::default(),
             random: ChaCha8Rng::seed_from_u64(rand::rng().random()),
--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -1,12 +1,12 @@
 //! How often the requests under which searchers were lost are pushed to peers at once.
 
-use staircross_gateway::case_pushes::CasePushes;
+use staircross_gateway::case_pushes::CasePushLimiter;
 use staircross_types::BootTime;
 use std::time::Duration;
 
 #[test]
 fn news_just_after_other_news_is_pushed_at_once() {
-    let mut pushes = CasePushes::default();
+    let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     assert!(!pushes.take(now), "no news");
     pushes.note_update();
@@ -18,7 +18,7 @@
 
 #[test]
 fn in_the_long_run_ten_pushes_a_second_are_made() {
-    let mut pushes = CasePushes::default();
+    let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
         pushes.note_update();
