--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -24,6 +24,7 @@
 /// The UDP socket for datagrams between peers.
 pub(super) struct PeerSocket {
     socket: UdpSocket,
+    /// Last time at which all waiting datagrams had been read.
     drained_at: BootTime,
 }
 
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -97,7 +97,8 @@
         self.refresh_own_confirmation_age(now);
     }
 
-    /// Announces the versions and revisions that the mirror has reached. Returns whether any of them changed.
+    /// Copies the version and revisions that the mirror has reached to this node's announcement, and applies a pending
+    /// confirmation of that version. Returns whether the announcement changed.
     pub fn set_known_revisions(&mut self, mirror: &Mirror) -> bool {
         let before = self.own_announcement;
         self.own_announcement.version = mirror.version();
