--- a/crates/staircross-gateway/src/dialect.rs
+++ b/crates/staircross-gateway/src/dialect.rs
@@ -1,9 +1,10 @@
-//! The interface to a platform's wire: what the node needs spelled or read, and no spelling.
+//! The interface between the node and the wire format of a platform.
 //!
-//! Owns the types that pass to an adapter and back. Relies on the adapter to be a pure translation: it keeps no state and decides nothing.
+//! The node's decisions use routes, searchers, revisions and answers. An adapter that implements [`Dialect`] translates
+//! these to and from the headers, paths and bodies of one platform.
 //!
-//! The node's decisions know routes, searchers, revisions and answers. How these are spelled on a
-//! given platform is behind this interface, which an adapter implements.
+//! This module owns the types that are passed to an adapter and back. It relies on adapters being pure translations,
+//! without state and without decisions.
 
 use staircross_http::HeaderBlock;
 use staircross_routing::SearcherReport;
@@ -11,41 +12,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names of the header fields that callers and searchers use, and how those are read that hold several values.
+/// Names of the header fields that callers and searchers use, and how the fields that describe a searcher are read.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Id of a request, repeated in answers.
+    /// Id of a request, which is repeated in the answer.
     pub request_id: &'static str,
-    /// Milliseconds that the caller waits, or that a searcher may take, from the message on.
+    /// Time that a caller waits for its answer, or that a searcher has to answer, in milliseconds from the message on.
     pub deadline_ms: &'static str,
-    /// A searcher's signature of an answer.
+    /// A searcher's signature of its answer.
     pub stamp: &'static str,
-    /// Id of the searcher that alone may take the request.
+    /// Id of the only searcher instance that may run the request.
     pub expect_instance: &'static str,
-    /// A caller's key; not passed on while there are tenants.
+    /// A caller's API key. It isn't forwarded to searchers if the configuration has tenants.
     pub api_key: &'static str,
-    /// The tenant that a request is for, sent to searchers; what a caller writes there isn't passed on while there are tenants.
+    /// The tenant of a request, which is sent to searchers. If the configuration has tenants, the value that a caller
+    /// sends isn't forwarded.
     pub tenant: &'static str,
-    /// Set by a searcher that did not run the request.
+    /// Set by a searcher that didn't run the request.
     pub not_executed: &'static str,
     /// Seconds after which the caller may retry.
     pub retry_after: &'static str,
     /// Signatures of the parts of a merged answer.
     pub part_stamps: &'static str,
-    /// Number of shards that a merged answer lacks.
+    /// Number of shards that are missing from a merged answer.
     pub missing_parts: &'static str,
-    /// Reads what a searcher's answer reports of the searcher itself.
+    /// Reads what a searcher's answer reports about the searcher itself.
     pub report: fn(&HeaderBlock) -> SearcherReport,
 }
 
-/// A caller's question to the directory: which nodes to send requests to.
+/// A caller's question to the directory: which nodes should it send requests to?
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryQuery {
-    /// Host that the caller wants, if it says.
+    /// Host that the caller will send requests for, if the caller names one.
     pub host: Option<String>,
-    /// Zone of the caller, if it says.
+    /// Zone of the caller, if the caller names one.
     pub zone: Option<String>,
-    /// Region of the caller, if it says.
+    /// Region of the caller, if the caller names one.
     pub region: Option<String>,
 }
 
@@ -54,27 +56,27 @@
 pub struct RenderedBody {
     /// Media type.
     pub content_type: &'static str,
-    /// The bytes.
+    /// Content.
     pub bytes: Vec<u8>,
 }
 
-/// The spelling of one platform.
+/// Translation to and from the wire format of one platform.
 pub trait Dialect {
-    /// Header names.
+    /// Returns the names of the header fields.
     fn headers(&self) -> &HeaderNames;
 
-    /// Path at which readiness is asked for.
+    /// Returns the path of the readiness check.
     fn readiness_path(&self) -> &'static str;
 
-    /// Reads a question to the directory from a request target; `None` when the target is another.
+    /// Parses a question to the directory. Returns `None` if `target` isn't the directory's.
     fn directory_query(&self, target: &str) -> Option<DirectoryQuery>;
 
-    /// Writes the directory's answer.
+    /// Renders the directory's answer.
     fn directory_answer(&self, addresses: &[SocketAddr], time_to_live: Duration) -> RenderedBody;
 
-    /// Request target of a call to the store (always `GET`).
+    /// Returns the request target of a call to the store, which is always a `GET`.
     fn store_target(&self, call: &StoreCall) -> String;
 
-    /// Reads the store's answer to a call.
+    /// Interprets the store's answer to a call.
     fn store_reply(&self, call: &StoreCall, status: u16, body: &[u8]) -> StoreReply;
 }
--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -1,17 +1,17 @@
-//! One outgoing call at a time, to the store or a peer.
+//! An HTTP client for calls to the store or to a peer, one call at a time.
 //!
-//! Owns one connection and the call that is out on it. Relies on `socket` for bytes and on the HTTP crate for messages; what an answer
-//! means is for the caller.
+//! [`HttpCaller`] owns a connection and the call in flight on it. It relies on `socket` for reading and writing, and on
+//! `staircross_http` for the format of messages. Its user interprets the answers.
 //!
-//! The connection is kept between calls. A call that isn't answered in its time ends the connection,
-//! so that a late answer can never be taken for that of a later call.
+//! The connection is kept between calls. A call that times out closes the connection, so that a late answer is never
+//! taken for the answer to a later call.
 //!
-//! | silence | bounded by |
+//! | what stays silent | timeout |
 //! | --- | --- |
-//! | of a connection that isn't up yet | `CONNECT_PATIENCE` |
-//! | of a server that has been asked | the call's own patience |
-//! | of a server in the middle of an answer | `PROGRESS_PATIENCE`, and `MAX_PATIENCE` for the whole answer |
-//! | of a host that acknowledges nothing | `USER_TIMEOUT_MS`, the keep-alive probes where nothing is sent |
+//! | a connection that isn't established yet | `CONNECT_PATIENCE` |
+//! | a server that has got the request | the timeout that the call was made with |
+//! | a server in the middle of its answer | `PROGRESS_PATIENCE`, and `MAX_PATIENCE` for the whole call |
+//! | a host that acknowledges nothing | `USER_TIMEOUT_MS`, or the keep-alive probes while nothing is sent |
 
 use crate::socket::{ConnectingState, IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
 use rustix::net::sockopt;
@@ -21,31 +21,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest answer, in bytes; a longer one breaks the call. Far above a page of the store, about 1 MB, so that it bounds the memory only.
+/// Maximum size of an answer in bytes; a longer one fails the call. A page of the store has about 1 MB, so this only
+/// bounds the memory.
 const MAX_ANSWER: usize = 32 * 1024 * 1024;
-/// Silence that is borne after each piece of an answer: giving up one that is half there and asking for it again makes a busy server
-/// busier.
+/// Timeout after each part of an answer. Giving up an answer that has partly arrived and asking for it again would add
+/// load to a busy server.
 const PROGRESS_PATIENCE: Duration = Duration::from_millis(1000);
-/// Longest time from a call's start to its answer's end, however steadily that comes in.
+/// Maximum time from a call's start to the end of its answer, however steadily the answer arrives.
 const MAX_PATIENCE: Duration = Duration::from_secs(10);
-/// Longest wait for a connection. Below the patience of every call, so that a host that is gone is noticed before.
+/// Timeout for establishing a connection. Shorter than the timeout of every call, so that a host that is gone is
+/// noticed first.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(700);
-/// Silence of a connection after which the kernel probes it. With the two figures below a host that is cut off is noticed in
-/// four seconds.
+/// Idle time of a connection after which the kernel probes it. Together with `KEEP_ALIVE_INTERVAL` and
+/// `KEEP_ALIVE_COUNT`, an unreachable host is noticed within four seconds.
 const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(2);
-/// Time between these probes.
+/// Time between two keep-alive probes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is broken. So that one may be lost.
+/// Number of unanswered keep-alive probes after which the connection is broken. More than one, so that one probe may be
+/// lost.
 const KEEP_ALIVE_COUNT: u32 = 2;
-/// Longest time that written bytes may stay unacknowledged, in milliseconds. Between a call's patience and the keep-alive probes' four seconds.
+/// Maximum time for which written bytes may stay unacknowledged, in milliseconds. Between the timeout of a call and the
+/// four seconds of the keep-alive probes.
 const USER_TIMEOUT_MS: u32 = 2500;
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Answered.
+    /// The server answered.
     Answered(Box<Answer>),
-    /// No connection, a broken one, or no answer in time.
+    /// No connection could be established, the connection broke, or the call timed out.
     Failed,
 }
 
@@ -56,17 +60,17 @@
 }
 
 struct Pending {
-    /// When the call is over unless more of its answer comes.
+    /// When the call times out unless more of its answer arrives.
     due: BootTime,
-    /// When the call is over however much of its answer has come.
+    /// When the call times out however much of its answer has arrived.
     latest: BootTime,
-    /// When the call is over unless it has been sent.
+    /// When the call times out if it hasn't been sent.
     connect_due: BootTime,
     request: Vec<u8>,
     is_sent: bool,
 }
 
-/// A caller of one HTTP server, one call at a time.
+/// A client of one HTTP server that makes one call at a time.
 pub struct HttpCaller {
     id_kind: SocketKind,
     slot: u32,
@@ -74,22 +78,23 @@
     address: SocketAddr,
     link: Option<Link>,
     pending: Option<Pending>,
-    /// Bytes sent and received that aren't counted as traffic yet.
+    /// Bytes sent and received since [`HttpCaller::take_bytes`] was last called.
     bytes: usize,
 }
 
 impl HttpCaller {
-    /// A caller of `address`; its tokens carry `id_kind` and `slot`.
+    /// Creates a client of the server at `address`. Its socket ids carry `id_kind` and `slot`.
     pub fn new(id_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
         HttpCaller { id_kind, slot, generation: 0, address, link: None, pending: None, bytes: 0 }
     }
 
-    /// The server's address.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Calls another server from now on.
+    /// Changes the server's address. If it differs from the present one, the connection is closed and the call in
+    /// flight is cancelled.
     pub fn set_address(&mut self, address: SocketAddr) {
         if address != self.address {
             self.address = address;
@@ -98,23 +103,23 @@
         }
     }
 
-    /// Bytes sent and received since this was asked last.
+    /// Returns the number of bytes sent and received since the last call of this function, and resets it.
     pub fn take_bytes(&mut self) -> usize {
         std::mem::take(&mut self.bytes)
     }
 
-    /// Whether a call is out.
+    /// Whether a call is in flight.
     pub fn is_calling(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// When the call's time is over.
+    /// Returns when the call in flight times out.
     pub fn next_wake(&self) -> Option<BootTime> {
         let pending = self.pending.as_ref()?;
         Some(if pending.is_sent { pending.due } else { pending.due.min(pending.connect_due) })
     }
 
-    /// Begins a `GET`; any call before it must have ended.
+    /// Starts a `GET` call; any earlier call must have ended. Returns the outcome if the call fails at once.
     pub fn get(&mut self, target: &str, patience: Duration, io: &mut IoContext<'_>) -> Option<CallOutcome> {
         let mut request = Vec::with_capacity(160);
         write::request_line(&mut request, "GET", target);
@@ -154,7 +159,7 @@
         None
     }
 
-    /// Gives up the call and its connection, without an outcome.
+    /// Cancels the call in flight without an outcome, and closes the connection.
     pub fn cancel(&mut self) {
         self.link = None;
         self.pending = None;
@@ -165,7 +170,7 @@
         CallOutcome::Failed
     }
 
-    /// Takes readiness of the connection.
+    /// Handles a readiness event of the connection. Returns the outcome if the call in flight ends.
     pub fn on_ready(&mut self, id: SocketId, is_writable: bool, io: &mut IoContext<'_>) -> Option<CallOutcome> {
         if id.generation != self.generation {
             return None;
@@ -221,22 +226,22 @@
         CallOutcome::Answered(answer)
     }
 
-    /// The connection is over; that matters only to a call that is out.
+    /// Closes a broken connection. Returns an outcome only if a call was in flight.
     fn end_broken(&mut self) -> Option<CallOutcome> {
         let was_calling = self.pending.is_some();
         self.cancel();
         was_calling.then_some(CallOutcome::Failed)
     }
 
-    /// Ends a call whose time is over.
+    /// Fails the call in flight if it has timed out.
     pub fn on_tick(&mut self, now: BootTime) -> Option<CallOutcome> {
         let is_over = self.next_wake().is_some_and(|due| due <= now);
         is_over.then(|| self.fail())
     }
 }
 
-/// A host that sends nothing more, not even a reset, must be noticed. Best effort, so errors are left: without
-/// these options the call's own time-out does it, only later.
+/// Sets the options by which the kernel notices a host that sends nothing more, not even a reset. Errors are ignored:
+/// without these options the call's own timeout notices it, only later.
 fn watch_for_silence(socket: &Socket) {
     let stream = socket.stream();
     let _keep_alive = sockopt::set_socket_keepalive(stream, true);
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -1,23 +1,24 @@
-//! How busy this process is, and how late it comes to its work.
+//! How busy this process is, and with what delay it handles its work.
 //!
-//! A process that gets too little of its processor finds more and more waiting at each turn of its
-//! loop. What it reads then arrived at some time since the turn before; nothing says when.
+//! A process that gets too little CPU time finds more and more events waiting at each turn of its event loop. Such an
+//! event may have arrived at any time since the previous turn; the event itself doesn't tell when.
 //!
-//! [`LoadMeter`] owns the times of the turns and relies on the loop to report both ends of each; what follows from
-//! a busy or late process is decided by the engine and the directory.
+//! [`LoadMeter`] owns the times of the turns and relies on the event loop to report the start and the end of each turn.
+//! The engine and the directory decide what follows from a busy or late process.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time over which the busy share is averaged. To span many turns, and short beside the time for which callers keep an answer of the directory.
+/// Time over which the busy share is averaged. It spans many turns and is short beside the time for which callers keep
+/// an answer of the directory.
 const WINDOW: Duration = Duration::from_millis(500);
-/// Busy share, in percent, from which callers are better sent elsewhere. Above what serving nodes are planned to have, with room for the callers of
-/// one that fails.
+/// Busy share, in percent, from which callers should be sent to other nodes. It is above the load for which serving
+/// nodes are planned, with room for the callers of a node that fails.
 const PRESSED_PERCENT: u8 = 70;
-/// Wait from which new requests are rejected. So that most of a usual caller's time is left for another node.
+/// Delay from which new requests are refused, so that most of a typical caller's timeout is left for another node.
 const OVERLOADED_WAIT: Duration = Duration::from_millis(150);
-/// Longest sleep that isn't taken for a process that stood still. Derived: twice the loop's tick, so that a late wake-up is
-/// none.
+/// Longest sleep of the event loop that isn't taken for a stall of the process: twice the loop's tick, so that a late
+/// wake-up doesn't count as a stall.
 const LONGEST_SLEEP: Duration = Duration::from_millis(100);
 
 /// Measures the turns of the event loop.
@@ -25,8 +26,9 @@
 pub struct LoadMeter {
     turn_began: BootTime,
     turn_ended: BootTime,
-    /// Length of the turn before, and of the sleep after it.
+    /// Duration of the previous turn.
     last_turn: Duration,
+    /// Duration of the sleep after the previous turn.
     last_sleep: Duration,
     window_began: BootTime,
     busy: Duration,
@@ -34,7 +36,7 @@
 }
 
 impl LoadMeter {
-    /// A meter of an idle process.
+    /// Creates the meter of an idle process.
     pub fn new(now: BootTime) -> Self {
         LoadMeter {
             turn_began: now,
@@ -47,14 +49,14 @@
         }
     }
 
-    /// A turn begins.
+    /// Starts a turn.
     pub fn begin_turn(&mut self, now: BootTime) {
         self.last_turn = self.turn_ended.since(self.turn_began);
         self.last_sleep = now.since(self.turn_ended);
         self.turn_began = now;
     }
 
-    /// A turn ends.
+    /// Ends a turn, and updates the busy share once per window.
     pub fn end_turn(&mut self, now: BootTime) {
         self.turn_ended = now;
         self.busy += now.since(self.turn_began);
@@ -67,37 +69,37 @@
         }
     }
 
-    /// Time between the beginnings of this turn and the one before.
+    /// Returns the time between the starts of this turn and of the previous one.
     pub fn gap(&self) -> Duration {
         self.last_turn + self.last_sleep
     }
 
-    /// Longest time that what is read now may have waited since it arrived.
+    /// Returns the longest time for which an event that is handled now may have waited since it arrived.
     ///
-    /// What arrives during a sleep ends it, so only the turn before lets work wait, and a sleep that was
-    /// longer than any that was asked for: the process itself stood still.
+    /// An event that arrives during a sleep ends the sleep. So an event can only have waited during the previous turn,
+    /// during this one, or during a sleep that is too long to be planned, in which the process itself was stalled.
     pub fn longest_wait(&self, now: BootTime) -> Duration {
         let stood_still = if self.last_sleep > LONGEST_SLEEP { self.last_sleep } else { Duration::ZERO };
         self.last_turn + stood_still + now.since(self.turn_began)
     }
 
-    /// Whether new requests are rejected.
+    /// Whether new requests should be refused because events have waited too long.
     pub fn is_overloaded(&self, now: BootTime) -> bool {
         self.longest_wait(now) >= OVERLOADED_WAIT
     }
 
-    /// Busy share of the last window, in percent.
+    /// Returns the busy share of the last complete window, in percent.
     pub fn percent(&self) -> u8 {
         self.percent
     }
 
-    /// Whether callers are better sent elsewhere.
+    /// Whether callers should be sent to other nodes.
     pub fn is_pressed(&self) -> bool {
         is_pressed(self.percent)
     }
 }
 
-/// Whether a busy share, in percent, means that callers are better sent elsewhere.
+/// Whether callers should be sent to other nodes, given a busy share in percent.
 pub fn is_pressed(percent: u8) -> bool {
     percent >= PRESSED_PERCENT
 }
--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -1,7 +1,8 @@
-//! Counters and latency histograms, as Prometheus text.
+//! The node's metrics in the Prometheus text format.
 //!
-//! [`Metrics`] owns what is counted by request; counters of the engine, the pool and the fleet, and all gauges, are handed in
-//! when the text is made.
+//! [`Metrics`] owns what is counted per request, and the counts of store calls, directory questions and unreadable
+//! store items. The counters of the engine, the pool and the fleet, and all gauges, are passed in when the text is
+//! rendered.
 
 use crate::tenant_metrics::TenantMetrics;
 use crate::traffic::Traffic;
@@ -13,11 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Upper bounds of the answer histogram, in milliseconds. To cover answers from some milliseconds to ten seconds.
+/// Upper bounds of the buckets of the answer histograms, in milliseconds. They cover answers from a few milliseconds to
+/// ten seconds.
 const BUCKETS_MS: [u64; 12] = [5, 10, 25, 50, 75, 100, 150, 250, 500, 1000, 2500, 10_000];
-/// Routes that have a histogram of their own; further ones share one. Bounds the text.
+/// Maximum number of routes with a histogram of their own; further routes share one. This bounds the length of the
+/// text.
 const MAX_ROUTES: usize = 64;
-/// Route name of the histogram that further routes share.
+/// Name of the histogram that further routes share.
 const OTHER_ROUTES: &str = "other";
 
 #[derive(Clone, Debug, Default)]
@@ -27,59 +30,59 @@
     sum_ms: f64,
 }
 
-/// Gauges read when the text is made.
+/// Gauges, and the counters of other components, as read when the text is rendered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// Connections of callers and others.
+    /// Number of connections that the node's server has accepted, on all listeners.
     pub server_connections: usize,
-    /// Connections to searchers.
+    /// Number of connections to searchers.
     pub searcher_connections: usize,
     /// Version of the configuration in force.
     pub config_version: u64,
-    /// Revision of the store up to which searchers are known.
+    /// Store revision up to which searchers are known.
     pub store_revision: u64,
     /// Whether the store answers.
     pub store_reachable: bool,
     /// Whether this node reads the store itself.
     pub reads_store: bool,
-    /// Whether callers are sent to this node.
+    /// Whether the directory sends callers to this node.
     pub serving: bool,
-    /// Live nodes known.
+    /// Number of live nodes, as known to this node.
     pub members: usize,
-    /// Searchers that may be asked.
+    /// Number of searchers that may get requests.
     pub searchers: usize,
-    /// Whether the node takes requests.
+    /// Whether the node is ready to serve requests.
     pub ready: bool,
-    /// Connections begun to searchers.
+    /// Number of connection attempts to searchers.
     pub connects: u64,
-    /// Answers to other requests that were skipped.
+    /// Number of skipped answers of searchers that belonged to other requests.
     pub skipped: u64,
-    /// Connections to searchers that broke.
+    /// Number of connections to searchers that broke.
     pub broken: u64,
-    /// Connections that searchers reset before anything was sent.
+    /// Number of connections that searchers reset before anything was sent on them.
     pub connections_rejected: u64,
-    /// Contents sent to one searcher at a time, because searchers were lost under them.
+    /// Number of contents that are sent to one searcher at a time, because searchers were lost while running them.
     pub suspects: usize,
-    /// Contents sent to nobody.
+    /// Number of contents that are sent to no searcher.
     pub quarantined: usize,
-    /// Routes whose requests have ended searchers lately.
+    /// Number of routes whose requests have ended searchers lately.
     pub alarms: usize,
-    /// Datagrams to peers.
+    /// Number of datagrams sent to peers.
     pub datagrams: u64,
-    /// Bytes of datagrams to peers.
+    /// Number of bytes in datagrams sent to peers.
     pub datagram_bytes: u64,
 }
 
-/// Calls made to the store, by kind.
+/// Numbers of calls to the store, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreCallCounters {
-    /// Of what the operator writes: the configuration and evacuations.
+    /// Listings of what the operator writes: the configuration and evacuations.
     pub reads: u64,
-    /// Of pages of searchers' entries.
+    /// Listings of pages of searchers' entries.
     pub lists: u64,
-    /// Watches begun.
+    /// Watches that were started.
     pub watches: u64,
     /// Liveness probes.
     pub probes: u64,
@@ -138,25 +141,25 @@
     }
 }
 
-/// All counters of a node.
+/// The counters of a node.
 #[derive(Debug, Default)]
 pub struct Metrics {
     routes: HashMap<Arc<str>, RouteHistogram>,
     refusals: HashMap<ErrorKind, u64>,
     answers: u64,
     callers_gone: u64,
-    /// By tenant.
+    /// Requests and refusals by tenant.
     pub tenants: TenantMetrics,
-    /// Calls to the store.
+    /// Calls to the store, by kind.
     pub store_calls: StoreCallCounters,
     /// Questions to the directory.
     pub directory_questions: u64,
-    /// Changes of the store's items to something that can't be used.
+    /// Number of times that a store item changed to a content that can't be used.
     pub unreadable_items: u64,
 }
 
 impl Metrics {
-    /// Counts an answer.
+    /// Counts an answer, and adds the time it took to the histogram of its route.
     pub fn answered(&mut self, route: Option<&Arc<str>>, took: Duration) {
         self.answers += 1;
         let is_known = route.is_some_and(|name| self.routes.contains_key(name));
@@ -175,17 +178,17 @@
         histogram.sum_ms += millis;
     }
 
-    /// Counts a refusal.
+    /// Counts a refusal by its kind.
     pub fn refused(&mut self, kind: ErrorKind) {
         *self.refusals.entry(kind).or_default() += 1;
     }
 
-    /// Counts a caller that left.
+    /// Counts a caller that closed its connection before it got its answer.
     pub fn caller_gone(&mut self) {
         self.callers_gone += 1;
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self, counters: RoutingCounters, gauges: Gauges, traffic: Traffic) -> String {
         let mut text = String::with_capacity(4096);
         self.render_counters(counters, gauges, &mut text);
--- a/crates/staircross-gateway/src/recorder.rs
+++ b/crates/staircross-gateway/src/recorder.rs
@@ -1,10 +1,10 @@
-//! Records what the engine takes in and decides, for `staircross replay`.
+//! Records the inputs and decisions of the engine for `staircross replay`.
 //!
-//! Off unless a setting names a file. The file is bounded; when it is full, or can't be written, recording ends and
-//! the node goes on.
+//! Nothing is recorded unless a setting names a file. The file's size is bounded. When the file is full or can't be
+//! written, the recording ends and the node continues.
 //!
-//! [`Recorder`] owns the file and what may still be written to it; the records and their form belong to
-//! `staircross_routing::recording`.
+//! [`Recorder`] owns the file and the number of bytes that may still be written to it. `staircross_routing::recording`
+//! defines the records.
 
 use staircross_routing::recording::Record;
 use staircross_wire::frame::encode;
@@ -12,23 +12,23 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// Writes records to a file, each with its length before it.
+/// Writes records to a file, each after its length.
 pub struct Recorder {
     file: BufWriter<File>,
     left: u64,
 }
 
-/// Why recording has ended.
+/// Why a recording has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordingEnd {
-    /// The file is as long as it may get.
+    /// The file has reached its maximum size.
     Full,
-    /// The file can't be written.
+    /// A record can't be encoded, or the file can't be written.
     Failed,
 }
 
 impl RecordingEnd {
-    /// Name in logs.
+    /// Returns the name that is logged.
     pub fn name(self) -> &'static str {
         match self {
             RecordingEnd::Full => "full",
@@ -38,12 +38,12 @@
 }
 
 impl Recorder {
-    /// A recorder to a new file of at most `bytes` bytes.
+    /// Creates a new file for at most `bytes` bytes of records.
     pub fn create(path: &Path, bytes: u64) -> io::Result<Self> {
         Ok(Recorder { file: BufWriter::new(File::create(path)?), left: bytes })
     }
 
-    /// Writes one record.
+    /// Writes a record, which may stay in the buffer until the next flush.
     pub fn write(&mut self, record: &Record) -> Result<(), RecordingEnd> {
         let body = encode(record).map_err(|_| RecordingEnd::Failed)?;
         let length = u32::try_from(body.len()).map_err(|_| RecordingEnd::Failed)?;
@@ -53,7 +53,7 @@
         self.file.write_all(&prefix).and_then(|()| self.file.write_all(&body)).map_err(|_| RecordingEnd::Failed)
     }
 
-    /// Writes out what is buffered.
+    /// Writes the buffered records to the file.
     pub fn flush(&mut self) -> Result<(), RecordingEnd> {
         self.file.flush().map_err(|_| RecordingEnd::Failed)
     }
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -1,9 +1,9 @@
-//! Connections that requests come in on.
+//! Listeners and accepted connections.
 //!
-//! [`Server`] owns the listeners and the accepted connections, reads whole requests and writes answers, one after the other on each
-//! connection. What a request means and when it is answered is the node's; each [`ServerEvent::Request`],
-//! [`ServerEvent::Fault`] and [`ServerEvent::Late`] must be answered with [`Server::respond`]. Relies on the server half of HTTP
-//! for framing.
+//! [`Server`] owns both. It reads complete requests and writes the answers, one at a time on each connection. The node
+//! decides what a request means and when it is answered; it must answer each [`ServerEvent::Request`],
+//! [`ServerEvent::Fault`] and [`ServerEvent::Late`] with [`Server::respond`]. The framing of messages is done by
+//! [`ServerConnection`].
 
 use crate::round_trip::round_trip;
 use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
@@ -17,69 +17,71 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a peer to close after the last answer, so that an answer that is on its way is read before the connection goes.
+/// Time for which a connection waits for the peer to close it after the last answer. Closing earlier could discard an
+/// answer that is still on its way.
 const CLOSE_PATIENCE: Duration = Duration::from_millis(1500);
-/// Permission to send a body.
+/// Interim response that permits the client to send its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes of further requests that are read at once while one is being answered.
+/// Number of bytes after which a read stops while the connection's previous request is still being answered.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// Who is spoken to on a listener.
+/// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// Callers' requests.
+    /// Requests of callers.
     Callers,
-    /// Questions for readiness.
+    /// Readiness checks.
     Readiness,
-    /// Questions where to go.
+    /// Questions of callers which nodes to send requests to.
     Directory,
-    /// Other nodes.
+    /// Pulls by other nodes.
     Peers,
-    /// The collector of metrics.
+    /// Scrapes of the metrics.
     Metrics,
 }
 
-/// What happened on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// A whole request; it must be answered with [`Server::respond`].
+    /// A complete request, which must be answered with [`Server::respond`].
     Request {
-        /// Where the answer goes.
+        /// The connection that the answer goes to.
         connection: SocketId,
-        /// Which listener it came in by.
+        /// What the connection's listener serves.
         endpoint: Endpoint,
         /// The request.
         request: Box<Request>,
-        /// What is known of the connection.
+        /// The connection's round trip, and whether this is its first request.
         link: CallerLink,
     },
-    /// Bytes that are no acceptable request; to be answered, then closed.
+    /// The peer sent bytes that aren't a valid request. The event must be answered, and the connection closed.
     Fault {
-        /// Where the answer goes.
+        /// The connection that the answer goes to.
         connection: SocketId,
-        /// What was wrong.
+        /// What is wrong with the bytes.
         fault: ServerFault,
     },
-    /// The head didn't arrive in time; to be answered, then closed.
+    /// The peer began a request and then sent nothing for too long. The event must be answered, and the connection
+    /// closed.
     Late {
-        /// Where the answer goes.
+        /// The connection that the answer goes to.
         connection: SocketId,
     },
-    /// The caller left while its request was being worked on.
+    /// The peer closed the connection, or it broke, before its request was answered.
     Gone {
-        /// The connection.
+        /// The connection, which no longer exists.
         connection: SocketId,
     },
 }
 
-/// What a connection is doing.
+/// What a connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Waits for a request.
+    /// It waits for a request.
     Reading,
-    /// A request is being worked on.
+    /// It waits for the node to answer a request, a fault or a timeout.
     Working,
-    /// The last answer is being written, then the connection ends.
+    /// It waits until the last answer is written and the peer has closed the connection.
     Closing,
 }
 
@@ -89,9 +91,9 @@
     endpoint: Endpoint,
     state: State,
     generation: u32,
-    /// Since when it is in its present state without progress.
+    /// When the connection was accepted, last received bytes of a request that it waits for, or last got an answer.
     since: BootTime,
-    /// What the engine will know of the connection that the next request comes on.
+    /// What the engine is told about the connection with the next request.
     link: CallerLink,
 }
 
@@ -100,18 +102,18 @@
     listener: TcpListener,
 }
 
-/// Times that connections are held to.
+/// Timeouts of accepted connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerTimes {
-    /// Time to send a whole head and body.
+    /// Longest silence in the middle of a request.
     pub head: Duration,
-    /// Time that a connection may rest.
+    /// Longest time that a connection may be idle between requests.
     pub idle: Duration,
 }
 
-/// All listeners and their connections.
+/// All listeners and accepted connections.
 pub struct Server {
-    /// By their slots; `None` once one has been closed.
+    /// Listeners by slot; `None` once a listener is closed.
     listeners: Vec<Option<Listening>>,
     connections: Slab<Connection>,
     next_generation: u32,
@@ -119,12 +121,12 @@
 }
 
 impl Server {
-    /// A server without listeners that holds at most `max_connections`.
+    /// Creates a server without listeners that holds at most `max_connections` accepted connections.
     pub fn new(max_connections: usize) -> Self {
         Server { listeners: Vec::new(), connections: Slab::new(), next_generation: 1, max_connections }
     }
 
-    /// Listens on an address; returns it with the port that was taken.
+    /// Listens on an address. Returns the bound address, with the actual port if `address` has port 0.
     pub fn listen(&mut self, endpoint: Endpoint, address: SocketAddr, registry: &Registry) -> io::Result<SocketAddr> {
         let mut listener = TcpListener::bind(address)?;
         let bound = listener.local_addr()?;
@@ -135,7 +137,8 @@
         Ok(bound)
     }
 
-    /// Closes the listeners of an endpoint, so that connecting is refused. What has connected is accepted before.
+    /// Closes the listeners of an endpoint, so that new connections are refused. Connections that already wait are
+    /// accepted first.
     pub fn stop_listening(&mut self, now: BootTime, endpoint: Endpoint, registry: &Registry) {
         let is_of = |listening: &Option<Listening>| listening.as_ref().is_some_and(|one| one.endpoint == endpoint);
         for slot in 0..self.listeners.len() {
@@ -147,7 +150,8 @@
         }
     }
 
-    /// Whether no open connection of callers was made or used within a time. One whose last answer has been written no longer counts.
+    /// Whether all callers' connections that wait for a request have been unused for `rest`. Other connections don't
+    /// count: those whose request isn't answered yet, and those that are about to close.
     pub fn have_callers_rested(&self, now: BootTime, rest: Duration) -> bool {
         let is_in_use =
             |connection: &Connection| connection.state == State::Reading && now.since(connection.since) < rest;
@@ -155,12 +159,12 @@
         !of_callers.any(|(_, connection)| is_in_use(connection))
     }
 
-    /// Open connections.
+    /// Returns the number of accepted connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether a caller's request is being worked on or written.
+    /// Whether a caller's request is partly received, waits for its answer, or has an answer that isn't fully written.
     pub fn is_busy(&self) -> bool {
         self.connections.iter().any(|(_, connection)| {
             connection.endpoint == Endpoint::Callers
@@ -170,7 +174,7 @@
         })
     }
 
-    /// Takes new connections.
+    /// Accepts all connections that wait on a listener.
     pub fn on_acceptable(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
         loop {
             let Some(Some(listening)) = self.listeners.get(id.slot as usize) else {
@@ -180,13 +184,14 @@
                 Ok((stream, _)) => {
                     let endpoint = listening.endpoint;
                     if self.connections.len() >= self.max_connections {
-                        // Dropped at once: the caller sees it and goes elsewhere.
+                        // The stream is dropped, which closes it at once; the caller sees that and can use another
+                        // node.
                         continue;
                     }
                     self.add(now, endpoint, stream, registry);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // Nothing more waits, or no descriptor is free; the next event tries again.
+                // Either no connection waits, or no descriptor is free; the next event tries again.
                 Err(_) => return,
             }
         }
@@ -215,7 +220,7 @@
         self.connections.get_mut(id.slot as usize).filter(|connection| connection.generation == id.generation)
     }
 
-    /// Takes readiness of a connection.
+    /// Handles a readiness event of a connection.
     pub fn on_ready(&mut self, id: SocketId, is_writable: bool, io: &mut IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
@@ -269,7 +274,7 @@
         self.connections.remove(id.slot as usize);
     }
 
-    /// Looks for the next whole request of a connection that waits for one.
+    /// Emits the next request of a connection that waits for one, if it is complete.
     fn advance(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
@@ -294,7 +299,7 @@
         }
     }
 
-    /// Writes the answer to the request that is being worked on. `closes` ends the connection after it.
+    /// Writes the answer to the connection's current request. If `closes` is set, the connection ends after the answer.
     pub fn respond(
         &mut self,
         id: SocketId,
@@ -314,7 +319,7 @@
         }
     }
 
-    /// Returns whether the connection goes on.
+    /// Handles the outcome of a write. Returns whether the connection still exists.
     fn after_write(&mut self, id: SocketId, outcome: WriteOutcome, events: &mut Vec<ServerEvent>) -> bool {
         let Some(connection) = self.get(id) else {
             return false;
@@ -323,7 +328,8 @@
             WriteOutcome::Blocked => true,
             WriteOutcome::Done => {
                 if connection.state == State::Closing {
-                    // The peer closes when it has read all; closing first could reset what it hasn't read.
+                    // The peer closes the connection when it has read everything. If this side closed first, a reset
+                    // could discard what the peer hasn't read.
                     connection.socket.finish_writing();
                 }
                 true
@@ -335,7 +341,8 @@
         }
     }
 
-    /// Ends connections that rest or dawdle too long.
+    /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::Late`]
+    /// instead.
     pub fn sweep(&mut self, now: BootTime, times: ServerTimes, events: &mut Vec<ServerEvent>) {
         let mut over = Vec::new();
         for (slot, connection) in &mut self.connections {
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -1,8 +1,8 @@
-//! A gateway node's settings: the form of the TOML text. Unknown keys are refused.
+//! The settings of a gateway node, which are read from a TOML file.
 //!
-//! These structures own the names, the units and the defaults; `check` says which values are allowed, `derived` which
-//! figures follow from them, and `file` reads the text, again whenever it changes. Nothing here relies on the network or
-//! the clock.
+//! The structs define the keys, units and defaults; unknown keys are refused. `check` validates the values, `derived`
+//! computes what follows from them, and `file` reads the file, again whenever it changes. Nothing here uses the network
+//! or the clock.
 
 mod check;
 mod derived;
@@ -18,54 +18,54 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Longest recording where nothing is said, in megabytes. Small beside a machine's disk.
+/// Default maximum size of a recording, in megabytes. Small beside a machine's disk.
 const DEFAULT_RECORD_MB: u64 = 16;
 
-/// All settings of one node.
+/// All settings of a node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Who and where the node is.
+    /// The node's identity and location.
     pub node: NodeSettings,
-    /// Addresses that it listens on.
+    /// The addresses that the node listens on.
     pub listen: ListenSettings,
-    /// Regions by zone.
+    /// The region of each zone.
     pub zones: BTreeMap<String, String>,
     /// The platform's store.
     pub store: StoreSettings,
-    /// Bounds that all nodes keep together.
+    /// The bounds that all nodes together must keep.
     pub bounds: BoundSettings,
-    /// Room on the machine.
+    /// The machine's resources.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Mechanisms that can be turned off; read at the start.
+    /// Mechanisms that can be turned off. They are read when the node starts.
     #[serde(default)]
     pub policy: PolicySettings,
 }
 
-/// Mechanisms that can be turned off, to measure what they are worth or to rule them out in an incident.
+/// Mechanisms that can be turned off, to measure their effect or to exclude them as the cause of an incident.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
-    /// Those that decide about requests.
+    /// Mechanisms that decide about requests.
     pub routing: RoutingPolicy,
-    /// Those around connections, directory and store.
+    /// Mechanisms of the connections, the directory and the store.
     pub node: NodePolicy,
 }
 
-/// Switches of what stands around the decisions about requests. All are on unless settings say otherwise.
+/// Mechanisms of the connections, the directory and the store. Each is on by default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodePolicy {
-    /// Fresh connections to searchers are proved where searchers may reset them.
+    /// On a fresh connection to a searcher that may reset it, the node waits for that reset before it sends a request.
     pub proving: bool,
-    /// Connections to searchers that reject some rest for a short time only.
+    /// Idle connections to searchers that have reset fresh ones lately are kept for a short time only.
     pub contested_rest: bool,
-    /// In a large fleet callers are sent to some of the nodes only.
+    /// In a large fleet, the directory sends callers to some of the nodes only.
     pub serving_part: bool,
-    /// Two nodes of each region read the store, the others follow them.
+    /// Two nodes of each region read the store, and the others follow them.
     pub store_readers: bool,
-    /// While the store is away only the probe asks.
+    /// While the store is unreachable, only the liveness probe calls it.
     pub probe_first: bool,
 }
 
@@ -75,29 +75,30 @@
     }
 }
 
-/// Who and where the node is.
+/// The node's identity and location.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Name in logs.
+    /// The node's name in logs.
     pub name: String,
-    /// Zone.
+    /// The zone that the node is in.
     pub zone: String,
-    /// Region.
+    /// The region that the node is in.
     pub region: String,
-    /// Peer addresses to join through; any of them may be stale.
+    /// Peer addresses to join the cluster through; any of them may be stale.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole fleet: nobody holds connections of an earlier incarnation.
+    /// Whether the whole fleet starts for the first time, so that searchers hold no connections of an earlier
+    /// incarnation of this node.
     #[serde(default)]
     pub first_start: bool,
-    /// File that decisions are recorded to, for `staircross replay`; none when absent.
+    /// File to which decisions are recorded for `staircross replay`; without it, nothing is recorded.
     #[serde(default)]
     pub record: Option<PathBuf>,
-    /// Longest recording, in megabytes of 2^20 bytes.
+    /// Maximum size of the recording, in megabytes of 2^20 bytes.
     #[serde(default = "default_record_mb")]
     pub record_mb: u64,
-    /// Whether lines are written to standard output.
+    /// Whether log lines are written to standard output.
     #[serde(default = "default_true")]
     pub log: bool,
 }
@@ -110,19 +111,19 @@
     true
 }
 
-/// Addresses that the node listens on.
+/// The addresses that a node listens on, by what they serve.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// Questions for readiness.
+    /// Readiness checks.
     pub readiness: SocketAddr,
-    /// Questions where to go.
+    /// The directory: callers ask here which nodes to send requests to.
     pub directory: SocketAddr,
-    /// Other nodes, TCP and UDP.
+    /// Other nodes, over TCP and UDP.
     pub peers: SocketAddr,
-    /// Metrics; none when absent.
+    /// Metrics; none are served if absent.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
@@ -131,50 +132,53 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Address of its HTTP service.
+    /// Address of the store's HTTP service.
     pub address: SocketAddr,
 }
 
-/// Bounds that all nodes keep together.
+/// The bounds that all nodes together must keep.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Extra sends per request.
+    /// Extra sends per request that are allowed within a window.
     pub extra_ratio: f64,
-    /// Window over which extra sends are counted, in seconds.
+    /// Length of the sliding window over which extra sends are counted, in seconds.
     pub extra_window_s: f64,
-    /// Extra sends per window besides.
+    /// Extra sends per window that are allowed in addition, whatever the number of requests.
     pub extra_slack: f64,
-    /// Time within which a leaving searcher must get no more work, in milliseconds.
+    /// Time after which a leaving searcher must get no more work, in milliseconds.
     pub drain_ms: u64,
-    /// Time within which a configuration must be in force, in milliseconds.
+    /// Time after which a changed configuration must be in force, in milliseconds.
     pub config_ms: u64,
     /// Time from a stop signal until the process is killed, in seconds.
     pub stop_s: f64,
-    /// Longest time that callers keep an answer of the directory, in seconds.
+    /// Maximum time for which callers keep an answer of the directory, in seconds.
     pub directory_ttl_s: f64,
-    /// Bound on requests to a cold searcher in a second: so many times what it bears, and `cold_slack` besides.
+    /// Bound on the requests to a cold searcher in one second: this factor times the rate that the searcher bears, plus
+    /// `cold_slack`.
     #[serde(default = "default_cold_factor")]
     pub cold_factor: f64,
-    /// Requests to a cold searcher in a second besides.
+    /// Requests to a cold searcher in one second that are allowed in addition to `cold_factor` times its rate.
     #[serde(default)]
     pub cold_slack: f64,
-    /// Window over which a tenant's requests are counted against its quota, in seconds.
+    /// Length of the sliding window over which a tenant's requests are counted against its quota, in seconds.
     #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
-    /// Fraction of a tenant's quota that may be admitted beyond it in a window.
+    /// Fraction of a tenant's quota that may be admitted beyond the quota in a window.
     #[serde(default)]
     pub quota_over: f64,
-    /// Requests that may be admitted beyond it in a window besides.
+    /// Requests that may be admitted beyond the quota and `quota_over` in a window.
     #[serde(default)]
     pub quota_slack: f64,
-    /// Time within which searchers of an evacuated zone must get no more work, in milliseconds; `config_ms` when absent.
+    /// Time after which the searchers of an evacuated zone must get no more work, in milliseconds; `config_ms` if
+    /// absent.
     #[serde(default)]
     pub evacuate_ms: Option<u64>,
-    /// Time within which a key that is revoked lets nobody in any more, in milliseconds; no bound when absent.
+    /// Time after which a revoked key must no longer be accepted, in milliseconds; no bound if absent.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// Whether a node that can't be sure to know of all revocations of that age refuses requests that need a key.
+    /// Whether a node refuses requests that need a key when its configuration was last confirmed longer than
+    /// `revoke_ms` ago, since it may not know of a revocation.
     #[serde(default)]
     pub revoke_strict: bool,
 }
@@ -187,15 +191,15 @@
     QuotaBound::default().window.as_secs_f64()
 }
 
-/// Room on the machine.
+/// The machine's resources.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
     /// Memory of the process, in megabytes.
     pub memory_mb: u64,
-    /// Descriptors of the process.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
-    /// What the machine's link carries, in megabits a second.
+    /// Capacity of the machine's network link, in megabits per second.
     pub link_mbps: f64,
 }
 
--- a/crates/staircross-gateway/src/settings/check.rs
+++ b/crates/staircross-gateway/src/settings/check.rs
@@ -1,25 +1,24 @@
-//! Which values of settings are allowed.
+//! Validation of the settings.
 //!
-//! A check names the first setting that is outside its range and what is allowed there. It owns
-//! [`SettingsError`] and the ranges, and relies on nothing but the settings themselves: no address is bound and
-//! no file opened here.
+//! [`GatewaySettings::check`] reports the first setting that is outside its range, and what is allowed there. This
+//! module owns [`SettingsError`] and the ranges. It checks the values alone: it binds no address and opens no file.
 
 use super::derived::RESERVED_DESCRIPTORS;
 use super::{BoundSettings, GatewaySettings, LimitSettings, ListenSettings};
 use quick_error::quick_error;
 
-/// Least memory of a process, in megabytes. So that [`GatewaySettings::max_requests`] allows a hundred and more.
+/// Minimum memory of the process, in megabytes, so that [`GatewaySettings::max_requests`] is above a hundred.
 const MIN_MEMORY_MB: u64 = 16;
 
 quick_error! {
-    /// Why settings can't be accepted.
+    /// Why settings are refused.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsError {
-        /// The text is no settings file.
+        /// The file can't be read, or its text isn't a valid settings file.
         Unreadable { origin: String, reason: String } {
             display("{origin}: {reason}")
         }
-        /// A value is outside what is allowed.
+        /// A value is outside its allowed range.
         Value { key: &'static str, value: String, allowed: &'static str } {
             display("{key}: {value} is not allowed; allowed: {allowed}")
         }
@@ -27,7 +26,7 @@
 }
 
 impl GatewaySettings {
-    /// Checks every value; the error is that of the first that is outside its range.
+    /// Checks all values. The error names the first that isn't allowed.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.bounds.check()?;
         self.listen.check()?;
@@ -106,7 +105,7 @@
     most: f64,
     allowed: &'static str,
 ) -> Result<(), SettingsError> {
-    // Written so that a value that is no number fails too.
+    // Written so that NaN fails, too.
     if value >= least && value <= most {
         return Ok(());
     }
--- a/crates/staircross-gateway/src/settings/file.rs
+++ b/crates/staircross-gateway/src/settings/file.rs
@@ -1,20 +1,20 @@
 //! The settings file, which is read again when it changes.
 //!
-//! It owns the path and what the file looked like when it was read last. Whether it has changed is seen by its time of
-//! change and its length, without reading it; what it says is taken only when it passes the checks.
+//! [`SettingsFile`] owns the path, and the file's modification time and length when it was last read. Comparing these
+//! two shows a change without reading the file. New settings are accepted only if they pass the checks.
 
 use super::{GatewaySettings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// A settings file that is read again when it changes.
+/// The settings file and its state when it was last read.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
     seen: Option<FileMark>,
 }
 
-/// What one content of a file differs from the next by, without reading it.
+/// Modification time and length of a file, by which a change is noticed without reading the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileMark {
     modified: SystemTime,
@@ -22,7 +22,8 @@
 }
 
 impl FileMark {
-    /// Of the file at `path`; none where it can't be looked at, which reading it reports.
+    /// Returns the state of the file at `path`, or `None` if its metadata can't be read. Reading the file then reports
+    /// the error.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileMark { modified: metadata.modified().ok()?, length: metadata.len() })
@@ -30,14 +31,14 @@
 }
 
 impl SettingsFile {
-    /// The file at a path.
+    /// Creates the settings file for a path, without reading it.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         SettingsFile { path: path.into(), seen: None }
     }
 
     /// Reads and checks the file.
     pub fn load(&mut self) -> Result<GatewaySettings, SettingsError> {
-        // Looked at before it is read, so that a change meanwhile is seen the next time.
+        // The metadata is read before the text, so that a change in between is noticed the next time.
         self.seen = FileMark::of(&self.path);
         let origin = self.path.display().to_string();
         let text = std::fs::read_to_string(&self.path)
@@ -45,7 +46,7 @@
         GatewaySettings::from_toml(&origin, &text)
     }
 
-    /// Whether the file has changed since it was read; one that can't be looked at hasn't.
+    /// Whether the file has changed since it was last read. A file whose metadata can't be read counts as unchanged.
     pub fn has_changed(&self) -> bool {
         let present = FileMark::of(&self.path);
         present.is_some() && present != self.seen
@@ -53,7 +54,7 @@
 }
 
 impl GatewaySettings {
-    /// Reads settings from TOML and checks them; `origin` names the source in errors.
+    /// Parses and checks settings from TOML text. Errors name `origin` as the source of the text.
     pub fn from_toml(origin: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: GatewaySettings = toml::from_str(text)
             .map_err(|error| SettingsError::Unreadable { origin: origin.to_owned(), reason: error.to_string() })?;
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -1,8 +1,8 @@
-//! One non-blocking stream with its outgoing bytes, and the tokens that events name it by.
+//! A non-blocking TCP stream with its outgoing bytes, and the poll tokens that identify sockets.
 //!
-//! [`Socket`] owns a registered stream and what is still to be written to it; which bytes these are is its
-//! owner's concern. [`SocketId`] is the one place where tokens are encoded and decoded. Relies on `mio` with
-//! edge-triggered readiness: a component that gets the event of a socket reads until nothing is left.
+//! [`Socket`] owns a registered stream and the bytes that are still to be written to it; its owner decides what these
+//! bytes are. [`SocketId`] alone encodes and decodes tokens. `mio` reports readiness edge-triggered, so a component
+//! that gets an event of a socket must read until nothing is left.
 
 use mio::event::Source;
 use mio::net::TcpStream;
@@ -12,51 +12,51 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
-/// Bytes read at once. So that a usual head or answer comes in one read.
+/// Size of the read buffer in bytes, so that one read usually holds a whole head or answer.
 pub const READ_CHUNK: usize = 16 * 1024;
 
-/// What a component needs to work on its sockets.
+/// What a component needs to work on its sockets during one call.
 pub struct IoContext<'a> {
-    /// Now.
+    /// The current time.
     pub now: BootTime,
-    /// Where sockets are registered.
+    /// The registry of the poll that the sockets belong to.
     pub registry: &'a Registry,
-    /// Room to read into.
+    /// The shared read buffer.
     pub buffer: &'a mut [u8; READ_CHUNK],
-    /// What callers may send.
+    /// Limits on the requests that callers may send.
     pub limits: ServerLimits,
 }
 
-/// What reading brought.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Bytes; more may wait if `is_full`.
+    /// Bytes were read.
     Bytes {
-        /// How many.
+        /// Number of bytes read.
         count: usize,
-        /// Whether the buffer was filled.
+        /// Whether the buffer was filled, so that more bytes may wait.
         is_full: bool,
     },
-    /// Nothing now.
+    /// No bytes wait at the moment.
     Nothing,
-    /// The peer closed its side.
+    /// The peer closed its side of the connection.
     Closed,
     /// The connection is broken.
     Broken,
 }
 
-/// What writing brought.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All is written.
+    /// All bytes have been written.
     Done,
-    /// The peer must read first.
+    /// Some bytes are left, because the send buffer is full until the peer reads.
     Blocked,
     /// The connection is broken.
     Broken,
 }
 
-/// A stream and what is still to be written to it.
+/// A non-blocking stream and the bytes that are still to be written to it.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
@@ -66,29 +66,29 @@
     wants_writable: bool,
 }
 
-/// What has become of a connection that was begun.
+/// The state of a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectingState {
-    /// Not known yet.
+    /// The attempt hasn't ended yet.
     Underway,
-    /// It is up.
+    /// The connection is established.
     Up,
-    /// It came up and was reset at once.
+    /// The connection was established, and the peer reset it before this process looked at it.
     Reset,
-    /// Nobody takes it.
+    /// The connection couldn't be established.
     Failed,
 }
 
 impl Socket {
-    /// Registers an accepted stream.
+    /// Registers a stream that a listener has accepted.
     pub fn accepted(mut stream: TcpStream, token: Token, registry: &Registry) -> io::Result<Self> {
-        // A stream that can't be set up well still works, only slower.
+        // A stream without this option still works, with a higher latency.
         let _best_effort = stream.set_nodelay(true);
         stream.register(registry, token, Interest::READABLE)?;
         Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, wants_writable: false })
     }
 
-    /// Begins to connect; the stream is writable when it is up.
+    /// Starts to connect to `address`. The stream becomes writable when the connection is established.
     pub fn connecting(address: SocketAddr, token: Token, registry: &Registry) -> io::Result<Self> {
         let mut stream = TcpStream::connect(address)?;
         let _best_effort = stream.set_nodelay(true);
@@ -96,16 +96,16 @@
         Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, wants_writable: true })
     }
 
-    /// The stream itself, for socket options.
+    /// Returns the stream, for setting socket options.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// What has become of a connection that was begun.
+    /// Returns the state of a connection attempt.
     pub fn connecting_state(&self) -> ConnectingState {
         match self.stream.take_error() {
             Ok(None) => {}
-            // It came up and was ended before this process looked.
+            // The peer accepted the connection and reset it before this process looked at it.
             Ok(Some(error)) if error.kind() == ErrorKind::ConnectionReset => return ConnectingState::Reset,
             Ok(Some(_)) | Err(_) => return ConnectingState::Failed,
         }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Reads into `buffer`.
+    /// Reads what is available into `buffer`.
     pub fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             match self.stream.read(buffer) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Adds bytes and writes what the peer takes.
+    /// Appends bytes to the outgoing ones and writes as many as the stream accepts.
     pub fn write(&mut self, bytes: Vec<u8>, registry: &Registry) -> WriteOutcome {
         if self.outgoing.is_empty() {
             self.outgoing = bytes;
@@ -139,7 +139,7 @@
         self.flush(registry)
     }
 
-    /// Writes what the peer takes.
+    /// Writes as many of the outgoing bytes as the stream accepts.
     pub fn flush(&mut self, registry: &Registry) -> WriteOutcome {
         while self.written < self.outgoing.len() {
             match self.stream.write(&self.outgoing[self.written..]) {
@@ -157,12 +157,12 @@
         self.watch_writable(false, registry, WriteOutcome::Done)
     }
 
-    /// Whether all bytes have been written.
+    /// Whether all outgoing bytes have been written.
     pub fn is_flushed(&self) -> bool {
         self.outgoing.is_empty()
     }
 
-    /// Whether bytes are waiting to be written and none of them has been.
+    /// Whether bytes wait to be written and none of them has been written yet.
     pub fn is_unbegun(&self) -> bool {
         !self.outgoing.is_empty() && self.written == 0
     }
@@ -179,20 +179,20 @@
         outcome
     }
 
-    /// Says that nothing more will be written.
+    /// Shuts down the sending side of the stream.
     pub fn finish_writing(&self) {
-        // A peer that is gone already needs no end.
+        // The peer may have closed the connection already, and then there is nothing to shut down.
         let _peer_may_be_gone = self.stream.shutdown(Shutdown::Write);
     }
 }
 
-/// What a socket is for, and so which component takes its events.
+/// The purpose of a socket, which determines the component that handles its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum SocketKind {
-    /// A listener of the node's own server.
+    /// A listener of the node's server.
     Listener = 1,
-    /// A connection that the node's own server has accepted.
+    /// A connection that the node's server has accepted.
     Inbound = 2,
     /// A connection to a searcher.
     Searcher = 3,
@@ -200,7 +200,7 @@
     Store = 4,
     /// A connection to another node.
     Peer = 5,
-    /// The socket of the datagrams between nodes.
+    /// The UDP socket for datagrams between nodes.
     Datagrams = 6,
 }
 
@@ -220,33 +220,33 @@
     }
 }
 
-/// Identity of a socket: kind, generation and slot, so that an event for a closed connection is
-/// never taken for one of its successor.
+/// Identifies a socket by kind, slot and generation. Because of the generation, an event of a closed connection is
+/// never taken for one of the connection that reuses its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SocketId {
-    /// Which component takes its events.
+    /// The kind, which determines the component that handles the socket's events.
     pub kind: SocketKind,
-    /// Rises with every connection.
+    /// Generation, which increases with every new connection.
     pub generation: u32,
-    /// Place in the component's table.
+    /// Index in the component's table.
     pub slot: u32,
 }
 
-/// Width of a slot within a token, in bits: what a token of 64 bits has left beside the generation and four
-/// bits for the kind. Far more slots than a process has descriptors.
+/// Width of the slot in a token, in bits: what remains of 64 bits beside the generation and four bits for the kind.
+/// This is enough for far more slots than a process has descriptors.
 const SLOT_BITS: u32 = 28;
-/// Width of a generation within a token, in bits: that of [`SocketId::generation`].
+/// Width of the generation in a token, in bits: that of [`SocketId::generation`].
 const GENERATION_BITS: u32 = u32::BITS;
 
 impl SocketId {
-    /// The token under which the socket is registered.
+    /// Returns the token under which the socket is registered.
     pub fn token(self) -> Token {
         let kind = (self.kind as usize) << (SLOT_BITS + GENERATION_BITS);
         let generation = (self.generation as usize) << SLOT_BITS;
         Token(kind | generation | self.slot as usize)
     }
 
-    /// The socket that a token stands for; none where no kind of socket has such a token.
+    /// Returns the id that a token encodes, or `None` if no kind of socket has this token.
     pub fn from_token(token: Token) -> Option<Self> {
         let kind = SocketKind::from_bits(token.0 >> (SLOT_BITS + GENERATION_BITS))?;
         let generation = (token.0 >> SLOT_BITS) as u32;
--- a/crates/staircross-gateway/src/tenant_metrics.rs
+++ b/crates/staircross-gateway/src/tenant_metrics.rs
@@ -1,20 +1,20 @@
-//! Requests and refusals by tenant, with a bound on what is shown.
+//! Requests and refusals by tenant, with a limit on the number of tenants that are shown.
 //!
-//! A fleet may have ten thousand tenants. The largest are shown one by one; the rest follows from the sums over all tenants and
-//! only ever grow, as counters must.
+//! A fleet may have ten thousand tenants. Only the largest are shown one by one. What the others contribute follows
+//! from the totals over all tenants, and the totals only ever increase, as counters must.
 //!
-//! [`TenantMetrics`] owns the counts and their text; it relies on the names coming from the configuration, so that callers can't
-//! make up tenants.
+//! [`TenantMetrics`] owns the counts and renders them as text. It relies on tenant names coming from the configuration,
+//! so that callers can't invent tenants.
 
 use hashbrown::HashMap;
 use std::cmp::Reverse;
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Tenants that are shown one by one. What fits on a panel.
+/// Maximum number of tenants that are shown one by one: as many as fit on a dashboard panel.
 const SHOWN: usize = 16;
-/// Tenants that are counted one by one, in the order in which they came. Derived: above the ten thousand of a large fleet; bounds
-/// memory.
+/// Maximum number of tenants that are counted one by one; later ones count in the totals only. Above the ten thousand
+/// tenants of a large fleet; bounds the memory.
 const COUNTED: usize = 16_384;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,7 +32,7 @@
 
 type Figure = fn(&Counts) -> u64;
 
-/// Counts by tenant.
+/// Counts by tenant, and their totals.
 #[derive(Debug, Default)]
 pub struct TenantMetrics {
     all: Counts,
@@ -40,7 +40,7 @@
 }
 
 impl TenantMetrics {
-    /// Counts a request of a tenant that has its final word.
+    /// Counts a request of a tenant that was answered or refused.
     pub fn count(&mut self, tenant: &Arc<str>, is_refused: bool) {
         self.all.count(is_refused);
         if let Some(counts) = self.by_tenant.get_mut(tenant) {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Appends the largest and the sums; nothing where no tenant has asked.
+    /// Appends the totals and the counts of the largest tenants to `text`. Appends nothing before the first request of
+    /// a tenant.
     pub fn render(&self, text: &mut String) {
         if self.all.requests == 0 {
             return;
