--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -8,10 +8,10 @@
 //!
 //! | what stays silent | timeout |
 //! | --- | --- |
-//! | a connection that isn't established yet | `CONNECT_PATIENCE` |
+//! | a connection that isn't established yet | `CONNECT_TIMEOUT` |
 //! | a server that has got the request | the timeout that the call was made with |
-//! | a server in the middle of its answer | `PROGRESS_PATIENCE`, and `MAX_PATIENCE` for the whole call |
-//! | a host that acknowledges nothing | `USER_TIMEOUT_MS`, or the keep-alive probes while nothing is sent |
+//! | a server in the middle of its answer | `PROGRESS_TIMEOUT`, and `MAX_CALL_TIME` for the whole call |
+//! | a host that acknowledges nothing | `TCP_USER_TIMEOUT_MS`, or the keep-alive probes while nothing is sent |
 
 use crate::socket::{ConnectingState, IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
 use rustix::net::sockopt;
@@ -23,15 +23,15 @@
 
 /// Maximum size of an answer in bytes; a longer one fails the call. A page of the store has about 1 MB, so this only
 /// bounds the memory.
-const MAX_ANSWER: usize = 32 * 1024 * 1024;
+const MAX_CALL_ANSWER_BYTES: usize = 32 * 1024 * 1024;
 /// Timeout after each part of an answer. Giving up an answer that has partly arrived and asking for it again would add
 /// load to a busy server.
-const PROGRESS_PATIENCE: Duration = Duration::from_millis(1000);
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Maximum time from a call's start to the end of its answer, however steadily the answer arrives.
-const MAX_PATIENCE: Duration = Duration::from_secs(10);
+const MAX_CALL_TIME: Duration = Duration::from_secs(10);
 /// Timeout for establishing a connection. Shorter than the timeout of every call, so that a host that is gone is
 /// noticed first.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Idle time of a connection after which the kernel probes it. Together with `KEEP_ALIVE_INTERVAL` and
 /// `KEEP_ALIVE_COUNT`, an unreachable host is noticed within four seconds.
 const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(2);
@@ -42,7 +42,7 @@
 const KEEP_ALIVE_COUNT: u32 = 2;
 /// Maximum time for which written bytes may stay unacknowledged, in milliseconds. Between the timeout of a call and the
 /// four seconds of the keep-alive probes.
-const USER_TIMEOUT_MS: u32 = 2500;
+const TCP_USER_TIMEOUT_MS: u32 = 2500;
 
 /// The outcome of a call.
 #[derive(Debug, PartialEq, Eq)]
@@ -53,39 +53,39 @@
     Failed,
 }
 
-struct Link {
+struct Connection {
     socket: Socket,
     http: ClientConnection,
-    is_up: bool,
+    is_established: bool,
 }
 
-struct Pending {
+struct PendingCall {
     /// When the call times out unless more of its answer arrives.
-    due: BootTime,
+    deadline: BootTime,
     /// When the call times out however much of its answer has arrived.
-    latest: BootTime,
+    overall_deadline: BootTime,
     /// When the call times out if it hasn't been sent.
-    connect_due: BootTime,
+    connect_deadline: BootTime,
     request: Vec<u8>,
     is_sent: bool,
 }
 
 /// A client of one HTTP server that makes one call at a time.
 pub struct HttpCaller {
-    id_kind: SocketKind,
+    socket_kind: SocketKind,
     slot: u32,
     generation: u32,
     address: SocketAddr,
-    link: Option<Link>,
-    pending: Option<Pending>,
+    connection: Option<Connection>,
+    pending: Option<PendingCall>,
     /// Bytes sent and received since [`HttpCaller::take_bytes`] was last called.
     bytes: usize,
 }
 
 impl HttpCaller {
     /// Creates a client of the server at `address`. Its socket ids carry `id_kind` and `slot`.
-    pub fn new(id_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
-        HttpCaller { id_kind, slot, generation: 0, address, link: None, pending: None, bytes: 0 }
+    pub fn new(socket_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
+        HttpCaller { socket_kind, slot, generation: 0, address, connection: None, pending: None, bytes: 0 }
     }
 
     /// Returns the server's address.
@@ -98,7 +98,7 @@
     pub fn set_address(&mut self, address: SocketAddr) {
         if address != self.address {
             self.address = address;
-            self.link = None;
+            self.connection = None;
             self.pending = None;
         }
     }
@@ -116,56 +116,57 @@
     /// Returns when the call in flight times out.
     pub fn next_wake(&self) -> Option<BootTime> {
         let pending = self.pending.as_ref()?;
-        Some(if pending.is_sent { pending.due } else { pending.due.min(pending.connect_due) })
+        Some(if pending.is_sent { pending.deadline } else { pending.deadline.min(pending.connect_deadline) })
     }
 
     /// Starts a `GET` call; any earlier call must have ended. Returns the outcome if the call fails at once.
-    pub fn get(&mut self, target: &str, patience: Duration, io: &mut IoContext<'_>) -> Option<CallOutcome> {
+    pub fn get(&mut self, target: &str, timeout: Duration, io: &mut IoContext<'_>) -> Option<CallOutcome> {
         let mut request = Vec::with_capacity(160);
         write::request_line(&mut request, "GET", target);
         write::field_display(&mut request, "Host", self.address);
         write::end_head(&mut request);
-        let due = io.now + patience;
-        let connect_due = io.now + CONNECT_PATIENCE;
-        let latest = due.max(io.now + MAX_PATIENCE);
-        self.pending = Some(Pending { due, latest, connect_due, request, is_sent: false });
-        if self.link.is_none() && !self.connect(io) {
-            return Some(self.fail());
+        let deadline = io.now + timeout;
+        let connect_deadline = io.now + CONNECT_TIMEOUT;
+        let overall_deadline = deadline.max(io.now + MAX_CALL_TIME);
+        self.pending = Some(PendingCall { deadline, overall_deadline, connect_deadline, request, is_sent: false });
+        if self.connection.is_none() && !self.start_connecting(io) {
+            return Some(self.fail_call());
         }
-        self.send_if_up(io)
+        self.send_if_established(io)
     }
 
-    fn connect(&mut self, io: &mut IoContext<'_>) -> bool {
+    fn start_connecting(&mut self, io: &mut IoContext<'_>) -> bool {
         self.generation = self.generation.wrapping_add(1);
-        let id = SocketId { kind: self.id_kind, generation: self.generation, slot: self.slot };
+        let id = SocketId { kind: self.socket_kind, generation: self.generation, slot: self.slot };
         let Ok(socket) = Socket::connecting(self.address, id.token(), io.registry) else {
             return false;
         };
-        watch_for_silence(&socket);
-        self.link = Some(Link { socket, http: ClientConnection::new(MAX_ANSWER), is_up: false });
+        enable_dead_host_detection(&socket);
+        self.connection =
+            Some(Connection { socket, http: ClientConnection::new(MAX_CALL_ANSWER_BYTES), is_established: false });
         true
     }
 
-    fn send_if_up(&mut self, io: &mut IoContext<'_>) -> Option<CallOutcome> {
-        let link = self.link.as_mut().filter(|link| link.is_up)?;
+    fn send_if_established(&mut self, io: &mut IoContext<'_>) -> Option<CallOutcome> {
+        let connection = self.connection.as_mut().filter(|connection| connection.is_established)?;
         let pending = self.pending.as_mut().filter(|pending| !pending.is_sent)?;
         pending.is_sent = true;
-        link.http.expect(Expected { method: "GET".to_owned(), id: None });
+        connection.http.expect(Expected { method: "GET".to_owned(), id: None });
         let bytes = std::mem::take(&mut pending.request);
         self.bytes += bytes.len();
-        if link.socket.write(bytes, io.registry) == WriteOutcome::Broken {
-            return Some(self.fail());
+        if connection.socket.write(bytes, io.registry) == WriteOutcome::Broken {
+            return Some(self.fail_call());
         }
         None
     }
 
     /// Cancels the call in flight without an outcome, and closes the connection.
     pub fn cancel(&mut self) {
-        self.link = None;
+        self.connection = None;
         self.pending = None;
     }
 
-    fn fail(&mut self) -> CallOutcome {
+    fn fail_call(&mut self) -> CallOutcome {
         self.cancel();
         CallOutcome::Failed
     }
@@ -175,59 +176,60 @@
         if id.generation != self.generation {
             return None;
         }
-        let link = self.link.as_mut()?;
-        if !link.is_up {
-            match link.socket.connecting_state() {
+        let connection = self.connection.as_mut()?;
+        if !connection.is_established {
+            match connection.socket.connecting_state() {
                 ConnectingState::Underway => return None,
-                ConnectingState::Reset | ConnectingState::Failed => return self.end_broken(),
-                ConnectingState::Up => link.is_up = true,
+                ConnectingState::Reset | ConnectingState::Failed => return self.close_broken(),
+                ConnectingState::Up => connection.is_established = true,
             }
-            if link.socket.flush(io.registry) == WriteOutcome::Broken {
-                return self.end_broken();
+            if connection.socket.flush(io.registry) == WriteOutcome::Broken {
+                return self.close_broken();
             }
-            return self.send_if_up(io);
+            return self.send_if_established(io);
         }
-        if is_writable && link.socket.flush(io.registry) == WriteOutcome::Broken {
-            return self.end_broken();
+        if is_writable && connection.socket.flush(io.registry) == WriteOutcome::Broken {
+            return self.close_broken();
         }
         self.read(io)
     }
 
     fn read(&mut self, io: &mut IoContext<'_>) -> Option<CallOutcome> {
         loop {
-            let link = self.link.as_mut()?;
-            let (progress, is_full) = match link.socket.read(io.buffer) {
+            let connection = self.connection.as_mut()?;
+            let (progress, is_full) = match connection.socket.read(io.buffer) {
                 ReadOutcome::Bytes { count, is_full } => {
-                    link.http.receive(&io.buffer[..count]);
+                    connection.http.receive(&io.buffer[..count]);
                     self.bytes += count;
                     if let Some(pending) = &mut self.pending {
-                        pending.due = pending.due.max(io.now + PROGRESS_PATIENCE).min(pending.latest);
+                        pending.deadline =
+                            pending.deadline.max(io.now + PROGRESS_TIMEOUT).min(pending.overall_deadline);
                     }
-                    (link.http.advance(), is_full)
+                    (connection.http.advance(), is_full)
                 }
                 ReadOutcome::Nothing => return None,
-                ReadOutcome::Closed => (link.http.on_close(), false),
-                ReadOutcome::Broken => return self.end_broken(),
+                ReadOutcome::Closed => (connection.http.on_close(), false),
+                ReadOutcome::Broken => return self.close_broken(),
             };
             match progress {
-                ClientProgress::Answered(answer) => return Some(self.answered(answer)),
-                ClientProgress::Broken(_) | ClientProgress::Skipped => return self.end_broken(),
+                ClientProgress::Answered(answer) => return Some(self.complete_call(answer)),
+                ClientProgress::Broken(_) | ClientProgress::Skipped => return self.close_broken(),
                 ClientProgress::NeedMore if is_full => {}
                 ClientProgress::NeedMore => return None,
             }
         }
     }
 
-    fn answered(&mut self, answer: Box<Answer>) -> CallOutcome {
+    fn complete_call(&mut self, answer: Box<Answer>) -> CallOutcome {
         self.pending = None;
         if !answer.is_reusable {
-            self.link = None;
+            self.connection = None;
         }
         CallOutcome::Answered(answer)
     }
 
     /// Closes a broken connection. Returns an outcome only if a call was in flight.
-    fn end_broken(&mut self) -> Option<CallOutcome> {
+    fn close_broken(&mut self) -> Option<CallOutcome> {
         let was_calling = self.pending.is_some();
         self.cancel();
         was_calling.then_some(CallOutcome::Failed)
@@ -235,18 +237,18 @@
 
     /// Fails the call in flight if it has timed out.
     pub fn on_tick(&mut self, now: BootTime) -> Option<CallOutcome> {
-        let is_over = self.next_wake().is_some_and(|due| due <= now);
-        is_over.then(|| self.fail())
+        let has_timed_out = self.next_wake().is_some_and(|deadline| deadline <= now);
+        has_timed_out.then(|| self.fail_call())
     }
 }
 
 /// Sets the options by which the kernel notices a host that sends nothing more, not even a reset. Errors are ignored:
 /// without these options the call's own timeout notices it, only later.
-fn watch_for_silence(socket: &Socket) {
+fn enable_dead_host_detection(socket: &Socket) {
     let stream = socket.stream();
     let _keep_alive = sockopt::set_socket_keepalive(stream, true);
     let _idle = sockopt::set_tcp_keepidle(stream, KEEP_ALIVE_IDLE);
     let _interval = sockopt::set_tcp_keepintvl(stream, KEEP_ALIVE_INTERVAL);
     let _count = sockopt::set_tcp_keepcnt(stream, KEEP_ALIVE_COUNT);
-    let _unacknowledged = sockopt::set_tcp_user_timeout(stream, USER_TIMEOUT_MS);
+    let _unacknowledged = sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT_MS);
 }
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -11,7 +11,7 @@
 
 /// Time over which the busy share is averaged. It spans many turns and is short beside the time for which callers keep
 /// an answer of the directory.
-const WINDOW: Duration = Duration::from_millis(500);
+const BUSY_WINDOW: Duration = Duration::from_millis(500);
 /// Busy share, in percent, from which callers should be sent to other nodes. It is above the load for which serving
 /// nodes are planned, with room for the callers of a node that fails.
 const PRESSED_PERCENT: u8 = 70;
@@ -19,7 +19,7 @@
 const OVERLOADED_WAIT: Duration = Duration::from_millis(150);
 /// Longest sleep of the event loop that isn't taken for a stall of the process: twice the loop's tick, so that a late
 /// wake-up doesn't count as a stall.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+const MAX_PLANNED_SLEEP: Duration = Duration::from_millis(100);
 
 /// Measures the turns of the event loop.
 #[derive(Debug)]
@@ -27,11 +27,11 @@
     turn_began: BootTime,
     turn_ended: BootTime,
     /// Duration of the previous turn.
-    last_turn: Duration,
+    previous_turn: Duration,
     /// Duration of the sleep after the previous turn.
-    last_sleep: Duration,
+    previous_sleep: Duration,
     window_began: BootTime,
-    busy: Duration,
+    busy_time: Duration,
     percent: u8,
 }
 
@@ -41,37 +41,37 @@
         LoadMeter {
             turn_began: now,
             turn_ended: now,
-            last_turn: Duration::ZERO,
-            last_sleep: Duration::ZERO,
+            previous_turn: Duration::ZERO,
+            previous_sleep: Duration::ZERO,
             window_began: now,
-            busy: Duration::ZERO,
+            busy_time: Duration::ZERO,
             percent: 0,
         }
     }
 
     /// Starts a turn.
     pub fn begin_turn(&mut self, now: BootTime) {
-        self.last_turn = self.turn_ended.since(self.turn_began);
-        self.last_sleep = now.since(self.turn_ended);
+        self.previous_turn = self.turn_ended.since(self.turn_began);
+        self.previous_sleep = now.since(self.turn_ended);
         self.turn_began = now;
     }
 
     /// Ends a turn, and updates the busy share once per window.
     pub fn end_turn(&mut self, now: BootTime) {
         self.turn_ended = now;
-        self.busy += now.since(self.turn_began);
+        self.busy_time += now.since(self.turn_began);
         let window = now.since(self.window_began);
-        if window >= WINDOW {
-            let share = self.busy.as_secs_f64() / window.as_secs_f64();
-            self.percent = (share * 100.0).min(100.0) as u8;
+        if window >= BUSY_WINDOW {
+            let busy_share = self.busy_time.as_secs_f64() / window.as_secs_f64();
+            self.percent = (busy_share * 100.0).min(100.0) as u8;
             self.window_began = now;
-            self.busy = Duration::ZERO;
+            self.busy_time = Duration::ZERO;
         }
     }
 
     /// Returns the time between the starts of this turn and of the previous one.
     pub fn gap(&self) -> Duration {
-        self.last_turn + self.last_sleep
+        self.previous_turn + self.previous_sleep
     }
 
     /// Returns the longest time for which an event that is handled now may have waited since it arrived.
@@ -79,8 +79,8 @@
     /// An event that arrives during a sleep ends the sleep. So an event can only have waited during the previous turn,
     /// during this one, or during a sleep that is too long to be planned, in which the process itself was stalled.
     pub fn longest_wait(&self, now: BootTime) -> Duration {
-        let stood_still = if self.last_sleep > LONGEST_SLEEP { self.last_sleep } else { Duration::ZERO };
-        self.last_turn + stood_still + now.since(self.turn_began)
+        let stall = if self.previous_sleep > MAX_PLANNED_SLEEP { self.previous_sleep } else { Duration::ZERO };
+        self.previous_turn + stall + now.since(self.turn_began)
     }
 
     /// Whether new requests should be refused because events have waited too long.
--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -19,9 +19,9 @@
 const BUCKETS_MS: [u64; 12] = [5, 10, 25, 50, 75, 100, 150, 250, 500, 1000, 2500, 10_000];
 /// Maximum number of routes with a histogram of their own; further routes share one. This bounds the length of the
 /// text.
-const MAX_ROUTES: usize = 64;
+const MAX_ROUTE_HISTOGRAMS: usize = 64;
 /// Name of the histogram that further routes share.
-const OTHER_ROUTES: &str = "other";
+const OTHER_ROUTES_NAME: &str = "other";
 
 #[derive(Clone, Debug, Default)]
 struct RouteHistogram {
@@ -164,8 +164,8 @@
         self.answers += 1;
         let is_known = route.is_some_and(|name| self.routes.contains_key(name));
         let name = match route {
-            Some(name) if is_known || self.routes.len() < MAX_ROUTES => name.clone(),
-            _ => Arc::from(OTHER_ROUTES),
+            Some(name) if is_known || self.routes.len() < MAX_ROUTE_HISTOGRAMS => name.clone(),
+            _ => Arc::from(OTHER_ROUTES_NAME),
         };
         let histogram = self.routes.entry(name).or_default();
         let millis = took.as_secs_f64() * 1000.0;
--- a/crates/staircross-gateway/src/recorder.rs
+++ b/crates/staircross-gateway/src/recorder.rs
@@ -15,7 +15,7 @@
 /// Writes records to a file, each after its length.
 pub struct Recorder {
     file: BufWriter<File>,
-    left: u64,
+    remaining_bytes: u64,
 }
 
 /// Why a recording has ended.
@@ -40,7 +40,7 @@
 impl Recorder {
     /// Creates a new file for at most `bytes` bytes of records.
     pub fn create(path: &Path, bytes: u64) -> io::Result<Self> {
-        Ok(Recorder { file: BufWriter::new(File::create(path)?), left: bytes })
+        Ok(Recorder { file: BufWriter::new(File::create(path)?), remaining_bytes: bytes })
     }
 
     /// Writes a record, which may stay in the buffer until the next flush.
@@ -48,8 +48,8 @@
         let body = encode(record).map_err(|_| RecordingEnd::Failed)?;
         let length = u32::try_from(body.len()).map_err(|_| RecordingEnd::Failed)?;
         let prefix = length.to_be_bytes();
-        let whole = (prefix.len() + body.len()) as u64;
-        self.left = self.left.checked_sub(whole).ok_or(RecordingEnd::Full)?;
+        let size = (prefix.len() + body.len()) as u64;
+        self.remaining_bytes = self.remaining_bytes.checked_sub(size).ok_or(RecordingEnd::Full)?;
         self.file.write_all(&prefix).and_then(|()| self.file.write_all(&body)).map_err(|_| RecordingEnd::Failed)
     }
 
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -19,9 +19,9 @@
 
 /// Time for which a connection waits for the peer to close it after the last answer. Closing earlier could discard an
 /// answer that is still on its way.
-const CLOSE_PATIENCE: Duration = Duration::from_millis(1500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Interim response that permits the client to send its body.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Number of bytes after which a read stops while the connection's previous request is still being answered.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
@@ -80,7 +80,7 @@
     /// It waits for a request.
     Reading,
     /// It waits for the node to answer a request, a fault or a timeout.
-    Working,
+    AwaitingAnswer,
     /// It waits until the last answer is written and the peer has closed the connection.
     Closing,
 }
@@ -92,12 +92,12 @@
     state: State,
     generation: u32,
     /// When the connection was accepted, last received bytes of a request that it waits for, or last got an answer.
-    since: BootTime,
+    last_progress: BootTime,
     /// What the engine is told about the connection with the next request.
     link: CallerLink,
 }
 
-struct Listening {
+struct EndpointListener {
     endpoint: Endpoint,
     listener: TcpListener,
 }
@@ -114,7 +114,7 @@
 /// All listeners and accepted connections.
 pub struct Server {
     /// Listeners by slot; `None` once a listener is closed.
-    listeners: Vec<Option<Listening>>,
+    listeners: Vec<Option<EndpointListener>>,
     connections: Slab<Connection>,
     next_generation: u32,
     max_connections: usize,
@@ -133,16 +133,17 @@
         let slot = self.listeners.len() as u32;
         let id = SocketId { kind: SocketKind::Listener, generation: 0, slot };
         registry.register(&mut listener, id.token(), Interest::READABLE)?;
-        self.listeners.push(Some(Listening { endpoint, listener }));
+        self.listeners.push(Some(EndpointListener { endpoint, listener }));
         Ok(bound)
     }
 
     /// Closes the listeners of an endpoint, so that new connections are refused. Connections that already wait are
     /// accepted first.
     pub fn stop_listening(&mut self, now: BootTime, endpoint: Endpoint, registry: &Registry) {
-        let is_of = |listening: &Option<Listening>| listening.as_ref().is_some_and(|one| one.endpoint == endpoint);
+        let is_of_endpoint =
+            |entry: &Option<EndpointListener>| entry.as_ref().is_some_and(|one| one.endpoint == endpoint);
         for slot in 0..self.listeners.len() {
-            if is_of(&self.listeners[slot]) {
+            if is_of_endpoint(&self.listeners[slot]) {
                 let id = SocketId { kind: SocketKind::Listener, generation: 0, slot: slot as u32 };
                 self.on_acceptable(now, id, registry);
                 self.listeners[slot] = None;
@@ -154,9 +155,9 @@
     /// count: those whose request isn't answered yet, and those that are about to close.
     pub fn have_callers_rested(&self, now: BootTime, rest: Duration) -> bool {
         let is_in_use =
-            |connection: &Connection| connection.state == State::Reading && now.since(connection.since) < rest;
-        let mut of_callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
-        !of_callers.any(|(_, connection)| is_in_use(connection))
+            |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < rest;
+        let mut callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
+        !callers.any(|(_, connection)| is_in_use(connection))
     }
 
     /// Returns the number of accepted connections.
@@ -168,7 +169,7 @@
     pub fn is_busy(&self) -> bool {
         self.connections.iter().any(|(_, connection)| {
             connection.endpoint == Endpoint::Callers
-                && (connection.state == State::Working
+                && (connection.state == State::AwaitingAnswer
                     || !connection.socket.is_flushed()
                     || connection.http.has_partial_request())
         })
@@ -177,18 +178,18 @@
     /// Accepts all connections that wait on a listener.
     pub fn on_acceptable(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
         loop {
-            let Some(Some(listening)) = self.listeners.get(id.slot as usize) else {
+            let Some(Some(entry)) = self.listeners.get(id.slot as usize) else {
                 return;
             };
-            match listening.listener.accept() {
+            match entry.listener.accept() {
                 Ok((stream, _)) => {
-                    let endpoint = listening.endpoint;
+                    let endpoint = entry.endpoint;
                     if self.connections.len() >= self.max_connections {
                         // The stream is dropped, which closes it at once; the caller sees that and can use another
                         // node.
                         continue;
                     }
-                    self.add(now, endpoint, stream, registry);
+                    self.add_connection(now, endpoint, stream, registry);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 // Either no connection waits, or no descriptor is free; the next event tries again.
@@ -197,7 +198,7 @@
         }
     }
 
-    fn add(&mut self, now: BootTime, endpoint: Endpoint, stream: mio::net::TcpStream, registry: &Registry) {
+    fn add_connection(&mut self, now: BootTime, endpoint: Endpoint, stream: mio::net::TcpStream, registry: &Registry) {
         let generation = self.next_generation;
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
@@ -210,7 +211,7 @@
                 endpoint,
                 state: State::Reading,
                 generation,
-                since: now,
+                last_progress: now,
                 link,
             });
         }
@@ -227,7 +228,7 @@
         };
         if is_writable && !connection.socket.is_flushed() {
             let outcome = connection.socket.flush(io.registry);
-            if !self.after_write(id, outcome, events) {
+            if !self.handle_write_outcome(id, outcome, events) {
                 return;
             }
         }
@@ -235,7 +236,7 @@
     }
 
     fn read(&mut self, id: SocketId, io: &mut IoContext<'_>, events: &mut Vec<ServerEvent>) {
-        let mut ahead = 0;
+        let mut read_ahead = 0;
         loop {
             let Some(connection) = self.get(id) else {
                 return;
@@ -246,12 +247,12 @@
                         connection.http.receive(&io.buffer[..count]);
                     }
                     if connection.state == State::Reading {
-                        connection.since = io.now;
-                        self.advance(id, io, events);
+                        connection.last_progress = io.now;
+                        self.parse_next_request(id, io, events);
                     } else {
-                        ahead += count;
+                        read_ahead += count;
                     }
-                    if !is_full || ahead > MAX_READ_AHEAD {
+                    if !is_full || read_ahead > MAX_READ_AHEAD {
                         return;
                     }
                 }
@@ -268,14 +269,14 @@
         let Some(connection) = self.get(id) else {
             return;
         };
-        if connection.state == State::Working {
+        if connection.state == State::AwaitingAnswer {
             events.push(ServerEvent::Gone { connection: id });
         }
         self.connections.remove(id.slot as usize);
     }
 
     /// Emits the next request of a connection that waits for one, if it is complete.
-    fn advance(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
+    fn parse_next_request(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
         };
@@ -283,17 +284,17 @@
         match connection.http.advance(io.limits) {
             ServerProgress::NeedMore { continue_expected: false } => {}
             ServerProgress::NeedMore { continue_expected: true } => {
-                let outcome = connection.socket.write(CONTINUE.to_vec(), io.registry);
-                self.after_write(id, outcome, events);
+                let outcome = connection.socket.write(CONTINUE_RESPONSE.to_vec(), io.registry);
+                self.handle_write_outcome(id, outcome, events);
             }
             ServerProgress::Ready(request) => {
-                connection.state = State::Working;
+                connection.state = State::AwaitingAnswer;
                 let link = connection.link;
                 connection.link.is_fresh = false;
                 events.push(ServerEvent::Request { connection: id, endpoint, request, link });
             }
             ServerProgress::Fault(fault) => {
-                connection.state = State::Working;
+                connection.state = State::AwaitingAnswer;
                 events.push(ServerEvent::Fault { connection: id, fault });
             }
         }
@@ -311,16 +312,16 @@
         let Some(connection) = self.get(id) else {
             return;
         };
-        connection.since = io.now;
+        connection.last_progress = io.now;
         connection.state = if closes { State::Closing } else { State::Reading };
         let outcome = connection.socket.write(answer, io.registry);
-        if self.after_write(id, outcome, events) && !closes {
-            self.advance(id, io, events);
+        if self.handle_write_outcome(id, outcome, events) && !closes {
+            self.parse_next_request(id, io, events);
         }
     }
 
     /// Handles the outcome of a write. Returns whether the connection still exists.
-    fn after_write(&mut self, id: SocketId, outcome: WriteOutcome, events: &mut Vec<ServerEvent>) -> bool {
+    fn handle_write_outcome(&mut self, id: SocketId, outcome: WriteOutcome, events: &mut Vec<ServerEvent>) -> bool {
         let Some(connection) = self.get(id) else {
             return false;
         };
@@ -330,7 +331,7 @@
                 if connection.state == State::Closing {
                     // The peer closes the connection when it has read everything. If this side closed first, a reset
                     // could discard what the peer hasn't read.
-                    connection.socket.finish_writing();
+                    connection.socket.shutdown_write();
                 }
                 true
             }
@@ -344,22 +345,22 @@
     /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::Late`]
     /// instead.
     pub fn sweep(&mut self, now: BootTime, times: ServerTimes, events: &mut Vec<ServerEvent>) {
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (slot, connection) in &mut self.connections {
-            let age = now.since(connection.since);
+            let age = now.since(connection.last_progress);
             let id = SocketId { kind: SocketKind::Inbound, generation: connection.generation, slot: slot as u32 };
             match connection.state {
-                State::Working => {}
-                State::Closing if age >= CLOSE_PATIENCE => over.push(slot),
+                State::AwaitingAnswer => {}
+                State::Closing if age >= CLOSE_TIMEOUT => expired.push(slot),
                 State::Reading if connection.http.has_partial_request() && age >= times.head => {
-                    connection.state = State::Working;
+                    connection.state = State::AwaitingAnswer;
                     events.push(ServerEvent::Late { connection: id });
                 }
-                State::Reading if age >= times.idle => over.push(slot),
+                State::Reading if age >= times.idle => expired.push(slot),
                 State::Closing | State::Reading => {}
             }
         }
-        for slot in over {
+        for slot in expired {
             self.connections.remove(slot);
         }
     }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -29,28 +29,28 @@
 const DRAIN_REST_FRACTION: f64 = 0.3;
 /// Time for which a searcher whose entry has ended is still a fallback, as a fraction of the bound on drains. Together
 /// with the time between calls, a follower's pull and a late wake-up, it stays below the bound.
-const LAPSE_FRACTION: f64 = 0.25;
+const LAPSE_GRACE_FRACTION: f64 = 0.25;
 /// Silence of its readers that a follower tolerates, as a fraction of the shorter bound on updates. This silence, a
 /// probe, another third of the silence, and the follower's own call together stay below the bound.
-const SILENCE_FRACTION: f64 = 0.4;
+const HEARTBEAT_TIMEOUT_FRACTION: f64 = 0.4;
 /// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
 /// heartbeat isn't taken for silence.
-const PROBE_FRACTION: f64 = 0.4;
+const PROBE_INTERVAL_FRACTION: f64 = 0.4;
 /// Time between two probes of a node that hears no reader, as a fraction of the silence that followers tolerate. Longer
 /// than that of a reader, because many nodes may hear no reader at once.
-const DOUBT_FRACTION: f64 = 0.5;
+const PROBE_IN_DOUBT_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
 /// a large configuration, limiting only the number of large answers let some days exceed the budget for extra sends;
 /// with this share, none of six days did.
-const PEER_LINK_S: f64 = 0.2;
+const PEER_LINK_SHARE: f64 = 0.2;
 /// Average memory of a request in flight in bytes, at most. Enough for a head, a body, and the answers of several
 /// shards of typical sizes.
-const REQUEST_MEMORY: u64 = 64 * 1024;
+const MEMORY_PER_REQUEST: u64 = 64 * 1024;
 
 impl BoundSettings {
     /// Returns the shorter of the bounds on operator updates (configurations and evacuations), in milliseconds.
-    pub(super) fn operator_ms(&self) -> u64 {
+    pub(super) fn operator_update_ms(&self) -> u64 {
         self.evacuate_ms.map_or(self.config_ms, |evacuate_ms| evacuate_ms.min(self.config_ms))
     }
 }
@@ -59,38 +59,41 @@
     /// Returns when the store reader calls the store. The time between its calls is a small fraction of the time in
     /// which updates must be in force.
     pub fn reader(&self) -> ReaderSettings {
-        let usual = ReaderSettings::default();
-        let configuration_rest = Duration::from_millis(self.bounds.operator_ms()).mul_f64(CONFIG_REST_FRACTION);
+        let defaults = ReaderSettings::default();
+        let configuration_rest = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
         let searcher_rest = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
-        let silence = self.longest_silence();
-        let unconfirmed = self.longest_unconfirmed();
+        let heartbeat_timeout = self.longest_silence();
+        let max_confirmation_age = self.max_confirmation_age();
         ReaderSettings {
-            configuration_rest: usual.configuration_rest.min(configuration_rest),
-            searcher_rest: usual.searcher_rest.min(searcher_rest),
-            probe: ProbeIntervals { usual: usual.probe.usual.min(unconfirmed.mul_f64(PROBE_FRACTION)), ..usual.probe },
-            probe_for_others: silence.min(unconfirmed).mul_f64(PROBE_FRACTION),
-            probe_in_doubt: silence.mul_f64(DOUBT_FRACTION),
+            configuration_rest: defaults.configuration_rest.min(configuration_rest),
+            searcher_rest: defaults.searcher_rest.min(searcher_rest),
+            probe: ProbeIntervals {
+                usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(PROBE_INTERVAL_FRACTION)),
+                ..defaults.probe
+            },
+            probe_for_others: heartbeat_timeout.min(max_confirmation_age).mul_f64(PROBE_INTERVAL_FRACTION),
+            probe_in_doubt: heartbeat_timeout.mul_f64(PROBE_IN_DOUBT_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
-            ..usual
+            ..defaults
         }
     }
 
     /// Returns the silence of its readers that a follower tolerates, a fraction of the shorter bound on updates.
     pub fn longest_silence(&self) -> Duration {
-        let shorter_ms = self.bounds.operator_ms().min(self.bounds.drain_ms);
-        Duration::from_millis(shorter_ms).mul_f64(SILENCE_FRACTION)
+        let shorter_ms = self.bounds.operator_update_ms().min(self.bounds.drain_ms);
+        Duration::from_millis(shorter_ms).mul_f64(HEARTBEAT_TIMEOUT_FRACTION)
     }
 
     /// Returns the longest time without a confirmation of the configuration after which requests that need a key are
     /// still accepted. It is `Duration::MAX` unless `revoke_strict` is set.
-    fn longest_unconfirmed(&self) -> Duration {
+    fn max_confirmation_age(&self) -> Duration {
         let strict_ms = self.bounds.revoke_ms.filter(|_| self.bounds.revoke_strict);
         strict_ms.map_or(Duration::MAX, Duration::from_millis)
     }
 
     /// Returns the time after the end of its entry during which a searcher is still asked if no other can be.
     pub fn lapse_grace(&self) -> Duration {
-        Duration::from_millis(self.bounds.drain_ms).mul_f64(LAPSE_FRACTION)
+        Duration::from_millis(self.bounds.drain_ms).mul_f64(LAPSE_GRACE_FRACTION)
     }
 
     /// Returns the maximum number of callers' connections: half of the descriptors that aren't reserved. The other half
@@ -102,12 +105,12 @@
     /// Returns the number of bytes of answers to peers within a second from which no more configurations are sent to
     /// peers.
     pub fn max_bytes_to_peers(&self) -> usize {
-        (self.limits.link_mbps * 1e6 / 8.0 * PEER_LINK_S) as usize
+        (self.limits.link_mbps * 1e6 / 8.0 * PEER_LINK_SHARE) as usize
     }
 
     /// Returns the maximum number of requests in flight: as many as fit into half of the process's memory.
     pub fn max_requests(&self) -> usize {
         let half = self.limits.memory_mb * 1024 * 1024 / 2;
-        (half / REQUEST_MEMORY) as usize
+        (half / MEMORY_PER_REQUEST) as usize
     }
 }
--- a/crates/staircross-gateway/src/settings/file.rs
+++ b/crates/staircross-gateway/src/settings/file.rs
@@ -11,35 +11,36 @@
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    seen: Option<FileMark>,
+    /// State of the file when it was last read.
+    last_read: Option<FileState>,
 }
 
 /// Modification time and length of a file, by which a change is noticed without reading the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct FileMark {
+struct FileState {
     modified: SystemTime,
     length: u64,
 }
 
-impl FileMark {
+impl FileState {
     /// Returns the state of the file at `path`, or `None` if its metadata can't be read. Reading the file then reports
     /// the error.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
-        Some(FileMark { modified: metadata.modified().ok()?, length: metadata.len() })
+        Some(FileState { modified: metadata.modified().ok()?, length: metadata.len() })
     }
 }
 
 impl SettingsFile {
     /// Creates the settings file for a path, without reading it.
     pub fn new(path: impl Into<PathBuf>) -> Self {
-        SettingsFile { path: path.into(), seen: None }
+        SettingsFile { path: path.into(), last_read: None }
     }
 
     /// Reads and checks the file.
     pub fn load(&mut self) -> Result<GatewaySettings, SettingsError> {
         // The metadata is read before the text, so that a change in between is noticed the next time.
-        self.seen = FileMark::of(&self.path);
+        self.last_read = FileState::of(&self.path);
         let origin = self.path.display().to_string();
         let text = std::fs::read_to_string(&self.path)
             .map_err(|error| SettingsError::Unreadable { origin: origin.clone(), reason: error.to_string() })?;
@@ -48,8 +49,8 @@
 
     /// Whether the file has changed since it was last read. A file whose metadata can't be read counts as unchanged.
     pub fn has_changed(&self) -> bool {
-        let present = FileMark::of(&self.path);
-        present.is_some() && present != self.seen
+        let current = FileState::of(&self.path);
+        current.is_some() && current != self.last_read
     }
 }
 
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -63,7 +63,7 @@
     token: Token,
     outgoing: Vec<u8>,
     written: usize,
-    wants_writable: bool,
+    has_writable_interest: bool,
 }
 
 /// The state of a connection attempt.
@@ -85,7 +85,7 @@
         // A stream without this option still works, with a higher latency.
         let _best_effort = stream.set_nodelay(true);
         stream.register(registry, token, Interest::READABLE)?;
-        Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, wants_writable: false })
+        Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, has_writable_interest: false })
     }
 
     /// Starts to connect to `address`. The stream becomes writable when the connection is established.
@@ -93,7 +93,7 @@
         let mut stream = TcpStream::connect(address)?;
         let _best_effort = stream.set_nodelay(true);
         stream.register(registry, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, wants_writable: true })
+        Ok(Socket { stream, token, outgoing: Vec::new(), written: 0, has_writable_interest: true })
     }
 
     /// Returns the stream, for setting socket options.
@@ -146,7 +146,7 @@
                 Ok(0) => return WriteOutcome::Broken,
                 Ok(count) => self.written += count,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    return self.watch_writable(true, registry, WriteOutcome::Blocked);
+                    return self.set_writable_interest(true, registry, WriteOutcome::Blocked);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return WriteOutcome::Broken,
@@ -154,7 +154,7 @@
         }
         self.outgoing = Vec::new();
         self.written = 0;
-        self.watch_writable(false, registry, WriteOutcome::Done)
+        self.set_writable_interest(false, registry, WriteOutcome::Done)
     }
 
     /// Whether all outgoing bytes have been written.
@@ -167,20 +167,20 @@
         !self.outgoing.is_empty() && self.written == 0
     }
 
-    fn watch_writable(&mut self, wanted: bool, registry: &Registry, outcome: WriteOutcome) -> WriteOutcome {
-        if wanted == self.wants_writable {
+    fn set_writable_interest(&mut self, wanted: bool, registry: &Registry, outcome: WriteOutcome) -> WriteOutcome {
+        if wanted == self.has_writable_interest {
             return outcome;
         }
         let interest = if wanted { Interest::READABLE | Interest::WRITABLE } else { Interest::READABLE };
         if self.stream.reregister(registry, self.token, interest).is_err() {
             return WriteOutcome::Broken;
         }
-        self.wants_writable = wanted;
+        self.has_writable_interest = wanted;
         outcome
     }
 
     /// Shuts down the sending side of the stream.
-    pub fn finish_writing(&self) {
+    pub fn shutdown_write(&self) {
         // The peer may have closed the connection already, and then there is nothing to shut down.
         let _peer_may_be_gone = self.stream.shutdown(Shutdown::Write);
     }
@@ -215,8 +215,8 @@
         SocketKind::Datagrams,
     ];
 
-    fn from_bits(bits: usize) -> Option<Self> {
-        SocketKind::ALL.into_iter().find(|kind| *kind as usize == bits)
+    fn from_number(number: usize) -> Option<Self> {
+        SocketKind::ALL.into_iter().find(|kind| *kind as usize == number)
     }
 }
 
@@ -248,7 +248,7 @@
 
     /// Returns the id that a token encodes, or `None` if no kind of socket has this token.
     pub fn from_token(token: Token) -> Option<Self> {
-        let kind = SocketKind::from_bits(token.0 >> (SLOT_BITS + GENERATION_BITS))?;
+        let kind = SocketKind::from_number(token.0 >> (SLOT_BITS + GENERATION_BITS))?;
         let generation = (token.0 >> SLOT_BITS) as u32;
         let slot = (token.0 & ((1 << SLOT_BITS) - 1)) as u32;
         Some(SocketId { kind, generation, slot })
