--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -1,6 +1,6 @@
 //! An HTTP client for calls to the store or to a peer, one call at a time.
 //!
-//! [`HttpCaller`] owns a connection and the call in flight on it. It relies on `socket` for reading and writing, and on
+//! [`HttpClient`] owns a connection and the call in flight on it. It relies on `socket` for reading and writing, and on
 //! `staircross_http` for the format of messages. Its user interprets the answers.
 //!
 //! The connection is kept between calls. A call that times out closes the connection, so that a late answer is never
@@ -71,21 +71,21 @@
 }
 
 /// A client of one HTTP server that makes one call at a time.
-pub struct HttpCaller {
+pub struct HttpClient {
     socket_kind: SocketKind,
     slot: u32,
     generation: u32,
     address: SocketAddr,
     connection: Option<Connection>,
     pending: Option<PendingCall>,
-    /// Bytes sent and received since [`HttpCaller::take_bytes`] was last called.
+    /// Bytes sent and received since [`HttpClient::take_bytes`] was last called.
     bytes: usize,
 }
 
-impl HttpCaller {
+impl HttpClient {
     /// Creates a client of the server at `address`. Its socket ids carry `id_kind` and `slot`.
     pub fn new(socket_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
-        HttpCaller { socket_kind, slot, generation: 0, address, connection: None, pending: None, bytes: 0 }
+        HttpClient { socket_kind, slot, generation: 0, address, connection: None, pending: None, bytes: 0 }
     }
 
     /// Returns the server's address.
@@ -109,7 +109,7 @@
     }
 
     /// Whether a call is in flight.
-    pub fn is_calling(&self) -> bool {
+    pub fn is_call_in_flight(&self) -> bool {
         self.pending.is_some()
     }
 
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -35,7 +35,7 @@
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::Fleet;
-use crate::http_call::HttpCaller;
+use crate::http_call::HttpClient;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
 use crate::peer_answers::RecentPeerAnswers;
@@ -121,7 +121,7 @@
 
     fleet: Fleet,
     /// HTTP client for pulls from peers, one peer at a time.
-    peer_client: HttpCaller,
+    peer_client: HttpClient,
     /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
     /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -14,7 +14,7 @@
 use crate::dialect::{Dialect, HeaderNames};
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::{Fleet, FleetIdentity, new_id};
-use crate::http_call::HttpCaller;
+use crate::http_call::HttpClient;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
 use crate::peer_answers::RecentPeerAnswers;
@@ -71,7 +71,7 @@
             pool: build_pool(now, &settings, *dialect.headers()),
             fleet: build_fleet(now, routing.node, &settings, datagrams),
             store: StoreCalls::new(settings.store.address),
-            peer_client: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
+            peer_client: HttpClient::new(SocketKind::Peer, 0, settings.listen.peers),
             store_reader: build_store_reader(now, &settings),
             store_role: build_store_role(now, &settings),
             mirror: Mirror::default(),
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -4,7 +4,7 @@
 //! [`StoreReader`](staircross_routing::store_reader::StoreReader) decides which calls are made and when, and the
 //! dialect interprets the replies; `updates` connects the two. Arrays are indexed in the order of [`Lane::ALL`].
 
-use crate::http_call::HttpCaller;
+use crate::http_call::HttpClient;
 use crate::socket::SocketKind;
 use staircross_routing::store_reader::{Lane, StoreCall};
 use staircross_types::BootTime;
@@ -14,7 +14,7 @@
 
 /// Connections and pending calls to the store, by lane.
 pub(super) struct StoreCalls {
-    pub clients: [HttpCaller; LANE_COUNT],
+    pub clients: [HttpClient; LANE_COUNT],
     /// The call in flight in each lane.
     pub pending: [Option<StoreCall>; LANE_COUNT],
     /// Time of the last call in each lane.
@@ -24,7 +24,7 @@
 impl StoreCalls {
     pub fn new(address: SocketAddr) -> Self {
         StoreCalls {
-            clients: Lane::ALL.map(|lane| HttpCaller::new(SocketKind::Store, lane as u32, address)),
+            clients: Lane::ALL.map(|lane| HttpClient::new(SocketKind::Store, lane as u32, address)),
             pending: [const { None }; LANE_COUNT],
             called_at: [BootTime::default(); LANE_COUNT],
         }
@@ -40,6 +40,6 @@
 
     /// Returns when the first of the calls in flight times out.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.clients.iter().filter_map(HttpCaller::next_wake).min()
+        self.clients.iter().filter_map(HttpClient::next_wake).min()
     }
 }
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -32,7 +32,7 @@
 impl<D: Dialect> GatewayNode<D> {
     /// Pulls missing updates from a peer that is ahead, unless a pull is in flight.
     pub(in crate::node) fn pull_if_behind(&mut self) {
-        if self.peer_client.is_calling() {
+        if self.peer_client.is_call_in_flight() {
             return;
         }
         let is_reading = self.store_role.role() == StoreRole::Reader || self.store_reader.is_reading_once();
--- a/crates/staircross-gateway/tests/http_call.rs
+++ b/crates/staircross-gateway/tests/http_call.rs
@@ -1,7 +1,7 @@
 //! Calls to the store and to peers over real loopback sockets, with the clock in the test's hands.
 
 use mio::{Events, Poll};
-use staircross_gateway::http_call::{CallOutcome, HttpCaller};
+use staircross_gateway::http_call::{CallOutcome, HttpClient};
 use staircross_gateway::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use staircross_http::ServerLimits;
 use staircross_types::BootTime;
@@ -18,7 +18,7 @@
 /// A caller with a call out, and the server's end of its connection.
 struct Fixture {
     poll: Poll,
-    caller: HttpCaller,
+    caller: HttpClient,
     server: TcpStream,
     now: BootTime,
     buf: Box<[u8; READ_CHUNK]>,
@@ -28,7 +28,7 @@
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("its address");
-        let mut caller = HttpCaller::new(KIND, 0, address);
+        let mut caller = HttpClient::new(KIND, 0, address);
         let poll = Poll::new().expect("a poll");
         let mut buf = Box::new([0; READ_CHUNK]);
         let limits = ServerLimits { head_bytes: 1 << 16, body_bytes: 1 << 20 };
