--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -103,7 +103,7 @@
             stop.has_closed_listeners = true;
             self.server.stop_listening(now, Endpoint::Callers, self.poll.registry());
         }
-        let has_ended = stop.has_closed_listeners && is_idle && self.server.have_callers_rested(now, FINAL_IDLE_TIME);
+        let has_ended = stop.has_closed_listeners && is_idle && self.server.are_callers_idle(now, FINAL_IDLE_TIME);
         let is_past_deadline = now >= stop.deadline;
         if is_past_deadline && !self.requests.is_empty() {
             // The answers are written before the next tick ends the node.
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -153,7 +153,7 @@
 
     /// Whether all callers' connections that wait for a request have been unused for `rest`. Other connections don't
     /// count: those whose request isn't answered yet, and those that are about to close.
-    pub fn have_callers_rested(&self, now: BootTime, rest: Duration) -> bool {
+    pub fn are_callers_idle(&self, now: BootTime, rest: Duration) -> bool {
         let is_in_use =
             |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < rest;
         let mut callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
--- a/crates/staircross-gateway/tests/server.rs
+++ b/crates/staircross-gateway/tests/server.rs
@@ -48,8 +48,8 @@
 
     server.stop_listening(at(1000), Endpoint::Callers, poll.registry());
     assert!(TcpStream::connect(address).is_err(), "connecting is refused");
-    assert!(!server.have_callers_rested(at(1000), REST));
-    assert!(server.have_callers_rested(at(1500), REST));
+    assert!(!server.are_callers_idle(at(1000), REST));
+    assert!(server.are_callers_idle(at(1500), REST));
     assert!(next_request(&mut server, &mut poll, at(1600)), "the request is read");
     assert!(server.is_busy());
 }
