--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -201,7 +201,7 @@
 
     fn on_socket(&mut self, id: SocketId, event: &Event) {
         match id.kind {
-            SocketKind::Listener => self.server.on_acceptable(self.now, id, self.poll.registry()),
+            SocketKind::Listener => self.server.accept_connections(self.now, id, self.poll.registry()),
             SocketKind::Inbound => self.on_server_socket(id, event.is_writable()),
             SocketKind::Searcher => self.on_pool_socket(id, event.is_writable()),
             SocketKind::Store => self.on_store_socket(id, event.is_writable()),
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -145,7 +145,7 @@
         for slot in 0..self.listeners.len() {
             if is_of_endpoint(&self.listeners[slot]) {
                 let id = SocketId { kind: SocketKind::Listener, generation: 0, slot: slot as u32 };
-                self.on_acceptable(now, id, registry);
+                self.accept_connections(now, id, registry);
                 self.listeners[slot] = None;
             }
         }
@@ -176,7 +176,7 @@
     }
 
     /// Accepts all connections that wait on a listener.
-    pub fn on_acceptable(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
+    pub fn accept_connections(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
         loop {
             let Some(Some(entry)) = self.listeners.get(id.slot as usize) else {
                 return;
