--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -41,7 +41,7 @@
 use crate::peer_answers::RecentPeerAnswers;
 use crate::pool::Pool;
 use crate::recorder::Recorder;
-use crate::server::{Server, ServerTimes};
+use crate::server::{Server, ServerTimeouts};
 use crate::settings::GatewaySettings;
 use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use crate::store_role::StoreRoleSelector;
@@ -257,9 +257,9 @@
     }
 
     /// Returns the head and idle timeouts that the configuration sets for callers' connections.
-    fn server_times(&self) -> ServerTimes {
+    fn server_timeouts(&self) -> ServerTimeouts {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
-        ServerTimes {
+        ServerTimeouts {
             head: Duration::from_millis(limits.head_timeout_ms),
             idle: Duration::from_millis(limits.idle_timeout_ms),
         }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -37,7 +37,7 @@
 
     pub(super) fn sweep_server(&mut self) {
         let mut events = Vec::new();
-        let times = self.server_times();
+        let times = self.server_timeouts();
         self.server.sweep(self.now, times, &mut events);
         self.handle_server_events(events);
     }
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -104,7 +104,7 @@
 
 /// Timeouts of accepted connections.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerTimes {
+pub struct ServerTimeouts {
     /// Longest silence in the middle of a request.
     pub head: Duration,
     /// Longest time that a connection may be idle between requests.
@@ -344,7 +344,7 @@
 
     /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::Late`]
     /// instead.
-    pub fn sweep(&mut self, now: BootTime, times: ServerTimes, events: &mut Vec<ServerEvent>) {
+    pub fn sweep(&mut self, now: BootTime, times: ServerTimeouts, events: &mut Vec<ServerEvent>) {
         let mut expired = Vec::new();
         for (slot, connection) in &mut self.connections {
             let age = now.since(connection.last_progress);
