--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -52,8 +52,10 @@
                     self.answer_own_endpoint(connection, endpoint, &request);
                 }
                 ServerEvent::Fault { connection, fault } => self.on_fault(connection, fault),
-                ServerEvent::Late { connection } => self.refuse_connection(connection, ErrorKind::CallerTooSlow),
-                ServerEvent::Gone { connection } => self.on_caller_gone(connection),
+                ServerEvent::RequestTimedOut { connection } => {
+                    self.refuse_connection(connection, ErrorKind::CallerTooSlow)
+                }
+                ServerEvent::Disconnected { connection } => self.on_caller_gone(connection),
             }
         }
     }
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Server`] owns both. It reads complete requests and writes the answers, one at a time on each connection. The node
 //! decides what a request means and when it is answered; it must answer each [`ServerEvent::Request`],
-//! [`ServerEvent::Fault`] and [`ServerEvent::Late`] with [`Server::respond`]. The framing of messages is done by
+//! [`ServerEvent::Fault`] and [`ServerEvent::RequestTimedOut`] with [`Server::respond`]. The framing of messages is done by
 //! [`ServerConnection`].
 
 use crate::round_trip::round_trip;
@@ -63,12 +63,12 @@
     },
     /// The peer began a request and then sent nothing for too long. The event must be answered, and the connection
     /// closed.
-    Late {
+    RequestTimedOut {
         /// The connection that the answer goes to.
         connection: SocketId,
     },
     /// The peer closed the connection, or it broke, before its request was answered.
-    Gone {
+    Disconnected {
         /// The connection, which no longer exists.
         connection: SocketId,
     },
@@ -270,7 +270,7 @@
             return;
         };
         if connection.state == State::AwaitingAnswer {
-            events.push(ServerEvent::Gone { connection: id });
+            events.push(ServerEvent::Disconnected { connection: id });
         }
         self.connections.remove(id.slot as usize);
     }
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::Late`]
+    /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::RequestTimedOut`]
     /// instead.
     pub fn sweep(&mut self, now: BootTime, times: ServerTimeouts, events: &mut Vec<ServerEvent>) {
         let mut expired = Vec::new();
@@ -354,7 +354,7 @@
                 State::Closing if age >= CLOSE_TIMEOUT => expired.push(slot),
                 State::Reading if connection.http.has_partial_request() && age >= times.head => {
                     connection.state = State::AwaitingAnswer;
-                    events.push(ServerEvent::Late { connection: id });
+                    events.push(ServerEvent::RequestTimedOut { connection: id });
                 }
                 State::Reading if age >= times.idle => expired.push(slot),
                 State::Closing | State::Reading => {}
