--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -207,7 +207,7 @@
                     }
                     (connection.http.advance(), is_full)
                 }
-                ReadOutcome::Nothing => return None,
+                ReadOutcome::WouldBlock => return None,
                 ReadOutcome::Closed => (connection.http.on_close(), false),
                 ReadOutcome::Broken => return self.close_broken(),
             };
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -287,7 +287,7 @@
                         return;
                     }
                 }
-                ReadOutcome::Nothing => return,
+                ReadOutcome::WouldBlock => return,
                 ReadOutcome::Closed => {
                     let progress = connection.http.on_close();
                     self.take_progress(slot, progress, io.now, events);
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -256,7 +256,7 @@
                         return;
                     }
                 }
-                ReadOutcome::Nothing => return,
+                ReadOutcome::WouldBlock => return,
                 ReadOutcome::Closed | ReadOutcome::Broken => {
                     self.on_peer_closed(id, events);
                     return;
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -38,7 +38,7 @@
         is_full: bool,
     },
     /// No bytes wait at the moment.
-    Nothing,
+    WouldBlock,
     /// The peer closed its side of the connection.
     Closed,
     /// The connection is broken.
@@ -122,7 +122,7 @@
             match self.stream.read(buffer) {
                 Ok(0) => return ReadOutcome::Closed,
                 Ok(count) => return ReadOutcome::Bytes { count, is_full: count == buffer.len() },
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::Nothing,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::WouldBlock,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return ReadOutcome::Broken,
             }
