--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -179,9 +179,9 @@
         let connection = self.connection.as_mut()?;
         if !connection.is_established {
             match connection.socket.connecting_state() {
-                ConnectingState::Underway => return None,
+                ConnectingState::InProgress => return None,
                 ConnectingState::Reset | ConnectingState::Failed => return self.close_broken(),
-                ConnectingState::Up => connection.is_established = true,
+                ConnectingState::Established => connection.is_established = true,
             }
             if connection.socket.flush(io.registry) == WriteOutcome::Broken {
                 return self.close_broken();
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -54,10 +54,10 @@
     pub(super) fn on_connecting(&mut self, slot: usize, io: &mut IoContext<'_>, events: &mut Vec<PoolEvent>) {
         let connection = &mut self.connections[slot];
         match connection.socket.connecting_state() {
-            ConnectingState::Underway => return,
+            ConnectingState::InProgress => return,
             ConnectingState::Failed => return self.fail(slot, ClientFault::Reset, events),
             ConnectingState::Reset => return self.on_reset_at_once(slot, events),
-            ConnectingState::Up => {}
+            ConnectingState::Established => {}
         }
         let took = io.now.since(connection.since);
         events.push(PoolEvent::Connected { searcher: connection.searcher, took });
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectingState {
     /// The attempt hasn't ended yet.
-    Underway,
+    InProgress,
     /// The connection is established.
-    Up,
+    Established,
     /// The connection was established, and the peer reset it before this process looked at it.
     Reset,
     /// The connection couldn't be established.
@@ -110,8 +110,8 @@
             Ok(Some(_)) | Err(_) => return ConnectingState::Failed,
         }
         match self.stream.peer_addr() {
-            Ok(_) => ConnectingState::Up,
-            Err(error) if error.kind() == ErrorKind::NotConnected => ConnectingState::Underway,
+            Ok(_) => ConnectingState::Established,
+            Err(error) if error.kind() == ErrorKind::NotConnected => ConnectingState::InProgress,
             Err(_) => ConnectingState::Failed,
         }
     }
