--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -77,10 +77,10 @@
                 self.end_attempt(assignment, AttemptOutcome::NotRun(NotRun::Unconnected), events);
             }
             State::Proving { assignment } => self.reject_connection(searcher, connection.since, assignment, events),
-            State::Busy(assignment) if connection.socket.is_unbegun() && connection.is_fresh => {
+            State::Busy(assignment) if connection.socket.is_entirely_unsent() && connection.is_fresh => {
                 self.reject_connection(searcher, connection.since, Some(assignment), events);
             }
-            State::Busy(assignment) if connection.socket.is_unbegun() => {
+            State::Busy(assignment) if connection.socket.is_entirely_unsent() => {
                 self.end_attempt(Some(assignment), AttemptOutcome::NotRun(NotRun::Stale), events);
             }
             State::Busy(assignment) => {
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -163,7 +163,7 @@
     }
 
     /// Whether bytes wait to be written and none of them has been written yet.
-    pub fn is_unbegun(&self) -> bool {
+    pub fn is_entirely_unsent(&self) -> bool {
         !self.outgoing.is_empty() && self.written == 0
     }
 
