--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -32,7 +32,7 @@
     previous_sleep: Duration,
     window_began: BootTime,
     busy_time: Duration,
-    percent: u8,
+    busy_percent: u8,
 }
 
 impl LoadMeter {
@@ -45,7 +45,7 @@
             previous_sleep: Duration::ZERO,
             window_began: now,
             busy_time: Duration::ZERO,
-            percent: 0,
+            busy_percent: 0,
         }
     }
 
@@ -63,7 +63,7 @@
         let window = now.since(self.window_began);
         if window >= BUSY_WINDOW {
             let busy_share = self.busy_time.as_secs_f64() / window.as_secs_f64();
-            self.percent = (busy_share * 100.0).min(100.0) as u8;
+            self.busy_percent = (busy_share * 100.0).min(100.0) as u8;
             self.window_began = now;
             self.busy_time = Duration::ZERO;
         }
@@ -89,13 +89,13 @@
     }
 
     /// Returns the busy share of the last complete window, in percent.
-    pub fn percent(&self) -> u8 {
-        self.percent
+    pub fn busy_percent(&self) -> u8 {
+        self.busy_percent
     }
 
     /// Whether callers should be sent to other nodes.
     pub fn is_pressed(&self) -> bool {
-        is_pressed(self.percent)
+        is_pressed(self.busy_percent)
     }
 }
 
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -23,11 +23,14 @@
         let was_pressed = self.status.is_pressed;
         self.status.is_pressed = self.load.is_pressed();
         if was_pressed != self.status.is_pressed {
-            let line =
-                format_args!("event=pressed pressed={} busy_percent={}", self.status.is_pressed, self.load.percent());
+            let line = format_args!(
+                "event=pressed pressed={} busy_percent={}",
+                self.status.is_pressed,
+                self.load.busy_percent()
+            );
             self.log.line(self.now, LineKind::NodeEvent, line);
         }
-        self.fleet.set_load(self.load.percent(), &mut events);
+        self.fleet.set_load(self.load.busy_percent(), &mut events);
         // These aren't the records of a push in the same turn: the records take turns, and the datagrams of each tick
         // carry the next ones.
         self.fleet.set_cases(self.engine.next_case_records(self.now));
