--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -44,7 +44,7 @@
         let bound = quota_bound(&settings);
         self.engine.set_quota_bound(self.now, bound);
         self.record(RecordedEvent::QuotaBound(bound), &[]);
-        self.store_role.set_heartbeat_timeout(settings.longest_silence());
+        self.store_role.set_heartbeat_timeout(settings.heartbeat_timeout());
         if settings.store != self.settings.store {
             self.switch_store(settings.store.address);
         }
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -153,7 +153,7 @@
 }
 
 fn build_store_role(now: BootTime, settings: &GatewaySettings) -> StoreRoleSelector {
-    let keeper = StoreRoleSelector::new(now, settings.longest_silence());
+    let keeper = StoreRoleSelector::new(now, settings.heartbeat_timeout());
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
 
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -8,7 +8,7 @@
 //!
 //! | value | meaning |
 //! | --- | --- |
-//! | [`GatewaySettings::longest_silence`] | time without a heartbeat of a reader after which a follower probes |
+//! | [`GatewaySettings::heartbeat_timeout`] | time without a heartbeat of a reader after which a follower probes |
 //! | `ReaderSettings::probe_for_others` | time between two heartbeats of a reader: one goes out with each probe |
 //! | `ReaderSettings::probe_in_doubt` | time between two probes of a node that hears no reader |
 //! | `ReaderSettings::probe` | time between two confirmations of the configuration, where keys need them |
@@ -62,7 +62,7 @@
         let defaults = ReaderSettings::default();
         let configuration_rest = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
         let searcher_rest = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
-        let heartbeat_timeout = self.longest_silence();
+        let heartbeat_timeout = self.heartbeat_timeout();
         let max_confirmation_age = self.max_confirmation_age();
         ReaderSettings {
             configuration_rest: defaults.configuration_rest.min(configuration_rest),
@@ -79,7 +79,7 @@
     }
 
     /// Returns the silence of its readers that a follower tolerates, a fraction of the shorter bound on updates.
-    pub fn longest_silence(&self) -> Duration {
+    pub fn heartbeat_timeout(&self) -> Duration {
         let shorter_ms = self.bounds.operator_update_ms().min(self.bounds.drain_ms);
         Duration::from_millis(shorter_ms).mul_f64(HEARTBEAT_TIMEOUT_FRACTION)
     }
