--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -79,7 +79,7 @@
     fn limit_to_link_capacity(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
-            _ if recent.bytes >= self.settings.max_bytes_to_peers() => TakenConfiguration::None,
+            _ if recent.bytes >= self.settings.max_peer_answer_bytes_per_s() => TakenConfiguration::None,
             TakenConfiguration::Any if recent.large >= MAX_LARGE_ANSWERS => TakenConfiguration::Small,
             wanted => wanted,
         }
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -101,7 +101,7 @@
 }
 
 fn bind_server(settings: &GatewaySettings, registry: &Registry) -> Result<Server, GatewayError> {
-    let mut server = Server::new(settings.caller_connections());
+    let mut server = Server::new(settings.max_caller_connections());
     for (endpoint, name, address) in listeners(settings) {
         server.listen(endpoint, address, registry).map_err(io_error(format!("{name} {address}")))?;
     }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -98,13 +98,13 @@
 
     /// Returns the maximum number of callers' connections: half of the descriptors that aren't reserved. The other half
     /// is for searchers.
-    pub fn caller_connections(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         (self.limits.descriptors - RESERVED_DESCRIPTORS) / 2
     }
 
     /// Returns the number of bytes of answers to peers within a second from which no more configurations are sent to
     /// peers.
-    pub fn max_bytes_to_peers(&self) -> usize {
+    pub fn max_peer_answer_bytes_per_s(&self) -> usize {
         (self.limits.link_mbps * 1e6 / 8.0 * PEER_LINK_SHARE) as usize
     }
 
