--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -160,7 +160,7 @@
 
 impl Metrics {
     /// Counts an answer, and adds the time it took to the histogram of its route.
-    pub fn answered(&mut self, route: Option<&Arc<str>>, took: Duration) {
+    pub fn count_answer(&mut self, route: Option<&Arc<str>>, took: Duration) {
         self.answers += 1;
         let is_known = route.is_some_and(|name| self.routes.contains_key(name));
         let name = match route {
@@ -179,12 +179,12 @@
     }
 
     /// Counts a refusal by its kind.
-    pub fn refused(&mut self, kind: ErrorKind) {
+    pub fn count_refusal(&mut self, kind: ErrorKind) {
         *self.refusals.entry(kind).or_default() += 1;
     }
 
     /// Counts a caller that closed its connection before it got its answer.
-    pub fn caller_gone(&mut self) {
+    pub fn count_caller_gone(&mut self) {
         self.callers_gone += 1;
     }
 
--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -172,8 +172,8 @@
 
     fn count_finished(&mut self, pending: &CallerRequest, verdict: &Verdict, took: Duration) {
         match verdict {
-            Verdict::Refused { kind, .. } => self.metrics.refused(*kind),
-            Verdict::Merged(_) | Verdict::Passed(_) => self.metrics.answered(pending.route.as_ref(), took),
+            Verdict::Refused { kind, .. } => self.metrics.count_refusal(*kind),
+            Verdict::Merged(_) | Verdict::Passed(_) => self.metrics.count_answer(pending.route.as_ref(), took),
         }
         if let Some(tenant) = &pending.tenant {
             self.metrics.tenants.count(tenant, matches!(verdict, Verdict::Refused { .. }));
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -161,7 +161,7 @@
         let Some(key) = self.requests.key_of(connection) else {
             return;
         };
-        self.metrics.caller_gone();
+        self.metrics.count_caller_gone();
         if let Some(pending) = self.requests.remove(key) {
             self.log_caller_gone(&pending);
         }
@@ -192,7 +192,7 @@
 
     /// Refuses a request that the engine never gets.
     fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, options: ResponseOptions) {
-        self.metrics.refused(kind);
+        self.metrics.count_refusal(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
         let ResponseOptions { closes, is_head } = options;
         let context = AnswerContext { names: self.dialect.headers(), id: None, closes, is_head };
--- a/crates/staircross-gateway/tests/pinned_metrics.rs
+++ b/crates/staircross-gateway/tests/pinned_metrics.rs
@@ -10,10 +10,10 @@
 #[test]
 fn names_types_and_labels() {
     let mut metrics = Metrics::default();
-    metrics.answered(Some(&Arc::from("one")), Duration::from_millis(30));
-    metrics.answered(None, Duration::from_millis(300));
-    ErrorKind::ALL.iter().for_each(|kind| metrics.refused(*kind));
-    metrics.caller_gone();
+    metrics.count_answer(Some(&Arc::from("one")), Duration::from_millis(30));
+    metrics.count_answer(None, Duration::from_millis(300));
+    ErrorKind::ALL.iter().for_each(|kind| metrics.count_refusal(*kind));
+    metrics.count_caller_gone();
     metrics.tenants.count(&Arc::from("kami"), true);
     metrics.store_calls = StoreCallCounters { reads: 1, lists: 2, watches: 3, probes: 4 };
     metrics.directory_questions = 5;
