--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -83,7 +83,7 @@
 }
 
 impl HttpClient {
-    /// Creates a client of the server at `address`. Its socket ids carry `id_kind` and `slot`.
+    /// Creates a client of the server at `address`. Its socket ids carry `socket_kind` and `slot`.
     pub fn new(socket_kind: SocketKind, slot: u32, address: SocketAddr) -> Self {
         HttpClient { socket_kind, slot, generation: 0, address, connection: None, pending: None, bytes: 0 }
     }
@@ -135,6 +135,7 @@
         self.send_if_established(io)
     }
 
+    /// Returns whether the attempt could be started.
     fn start_connecting(&mut self, io: &mut IoContext<'_>) -> bool {
         self.generation = self.generation.wrapping_add(1);
         let id = SocketId { kind: self.socket_kind, generation: self.generation, slot: self.slot };
@@ -147,6 +148,7 @@
         true
     }
 
+    /// Sends the pending call if the connection is established and the call hasn't been sent yet.
     fn send_if_established(&mut self, io: &mut IoContext<'_>) -> Option<CallOutcome> {
         let connection = self.connection.as_mut().filter(|connection| connection.is_established)?;
         let pending = self.pending.as_mut().filter(|pending| !pending.is_sent)?;
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -1,7 +1,7 @@
 //! How busy this process is, and with what delay it handles its work.
 //!
-//! A process that gets too little CPU time finds more and more events waiting at each turn of its event loop. Such an
-//! event may have arrived at any time since the previous turn; the event itself doesn't tell when.
+//! A process that gets too little CPU time finds more and more events waiting at each turn (iteration) of its event
+//! loop. Such an event may have arrived at any time since the previous turn; the event itself doesn't tell when.
 //!
 //! [`LoadMeter`] owns the times of the turns and relies on the event loop to report the start and the end of each turn.
 //! The engine and the directory decide what follows from a busy or late process.
@@ -9,8 +9,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time over which the busy share is averaged. It spans many turns and is short beside the time for which callers keep
-/// an answer of the directory.
+/// Time over which the busy share is averaged, the share of the time that the event loop isn't asleep. It spans many
+/// turns and is short beside the time for which callers keep an answer of the directory.
 const BUSY_WINDOW: Duration = Duration::from_millis(500);
 /// Busy share, in percent, from which callers should be sent to other nodes. It is above the load for which serving
 /// nodes are planned, with room for the callers of a node that fails.
--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -109,13 +109,13 @@
     }
 }
 
-fn render_line(text: &mut String, name: &str, kind: &str, value: u64) {
+fn render_metric(text: &mut String, name: &str, kind: &str, value: u64) {
     // Writing to a string can't fail.
     let _infallible = writeln!(text, "# TYPE staircross_{name} {kind}\nstaircross_{name} {value}");
 }
 
 fn render_gauges(gauges: Gauges, text: &mut String) {
-    let mut line = |name: &str, value: u64| render_line(text, name, "gauge", value);
+    let mut line = |name: &str, value: u64| render_metric(text, name, "gauge", value);
     line("requests_in_flight", gauges.in_flight as u64);
     line("server_connections", gauges.server_connections as u64);
     line("searcher_connections", gauges.searcher_connections as u64);
@@ -202,7 +202,7 @@
     }
 
     fn render_counters(&self, counters: RoutingCounters, gauges: Gauges, text: &mut String) {
-        let mut line = |name: &str, value: u64| render_line(text, name, "counter", value);
+        let mut line = |name: &str, value: u64| render_metric(text, name, "counter", value);
         line("answers_total", self.answers);
         line("callers_gone_total", self.callers_gone);
         line("attempts_first_total", counters.firsts);
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Server`] owns both. It reads complete requests and writes the answers, one at a time on each connection. The node
 //! decides what a request means and when it is answered; it must answer each [`ServerEvent::Request`],
-//! [`ServerEvent::Fault`] and [`ServerEvent::RequestTimedOut`] with [`Server::respond`]. The framing of messages is done by
-//! [`ServerConnection`].
+//! [`ServerEvent::Fault`] and [`ServerEvent::RequestTimedOut`] with [`Server::respond`]. [`ServerConnection`] finds the
+//! ends of messages in the byte stream.
 
 use crate::round_trip::round_trip;
 use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
@@ -32,11 +32,11 @@
     Callers,
     /// Readiness checks.
     Readiness,
-    /// Questions of callers which nodes to send requests to.
+    /// Callers' questions about which nodes to send requests to.
     Directory,
-    /// Pulls by other nodes.
+    /// Other nodes' pulls of updates.
     Peers,
-    /// Scrapes of the metrics.
+    /// Requests for the metrics.
     Metrics,
 }
 
@@ -91,7 +91,8 @@
     endpoint: Endpoint,
     state: State,
     generation: u32,
-    /// When the connection was accepted, last received bytes of a request that it waits for, or last got an answer.
+    /// Time of the last progress: when the connection was accepted, last received bytes while it waited for a request,
+    /// or was last given an answer.
     last_progress: BootTime,
     /// What the engine is told about the connection with the next request.
     link: CallerLink,
@@ -105,7 +106,7 @@
 /// Timeouts of accepted connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerTimeouts {
-    /// Longest silence in the middle of a request.
+    /// Longest silence after a request has begun to arrive; each further byte restarts this timeout.
     pub head: Duration,
     /// Longest time that a connection may be idle between requests.
     pub idle: Duration,
@@ -141,7 +142,7 @@
     /// accepted first.
     pub fn stop_listening(&mut self, now: BootTime, endpoint: Endpoint, registry: &Registry) {
         let is_of_endpoint =
-            |entry: &Option<EndpointListener>| entry.as_ref().is_some_and(|one| one.endpoint == endpoint);
+            |entry: &Option<EndpointListener>| entry.as_ref().is_some_and(|listener| listener.endpoint == endpoint);
         for slot in 0..self.listeners.len() {
             if is_of_endpoint(&self.listeners[slot]) {
                 let id = SocketId { kind: SocketKind::Listener, generation: 0, slot: slot as u32 };
@@ -151,11 +152,11 @@
         }
     }
 
-    /// Whether all callers' connections that wait for a request have been unused for `rest`. Other connections don't
+    /// Whether all callers' connections that wait for a request have been idle for `idle`. Other connections don't
     /// count: those whose request isn't answered yet, and those that are about to close.
-    pub fn are_callers_idle(&self, now: BootTime, rest: Duration) -> bool {
+    pub fn are_callers_idle(&self, now: BootTime, idle: Duration) -> bool {
         let is_in_use =
-            |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < rest;
+            |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < idle;
         let mut callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
         !callers.any(|(_, connection)| is_in_use(connection))
     }
@@ -217,6 +218,7 @@
         }
     }
 
+    /// Returns a connection, or `None` if it no longer exists.
     fn get(&mut self, id: SocketId) -> Option<&mut Connection> {
         self.connections.get_mut(id.slot as usize).filter(|connection| connection.generation == id.generation)
     }
@@ -235,6 +237,7 @@
         self.read(id, io, events);
     }
 
+    /// Reads until nothing waits, and emits the request that is complete.
     fn read(&mut self, id: SocketId, io: &mut IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let mut read_ahead = 0;
         loop {
@@ -265,6 +268,7 @@
         }
     }
 
+    /// Removes a connection that the peer has closed or that is broken. Reports it if a request is unanswered.
     fn on_peer_closed(&mut self, id: SocketId, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
@@ -275,7 +279,7 @@
         self.connections.remove(id.slot as usize);
     }
 
-    /// Emits the next request of a connection that waits for one, if it is complete.
+    /// Emits the next request of a connection that waits for one if it is complete, or a fault if it isn't valid.
     fn parse_next_request(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
@@ -342,9 +346,9 @@
         }
     }
 
-    /// Ends connections whose timeouts have passed. A connection with a partial request gets a [`ServerEvent::RequestTimedOut`]
-    /// instead.
-    pub fn sweep(&mut self, now: BootTime, times: ServerTimeouts, events: &mut Vec<ServerEvent>) {
+    /// Ends connections whose timeouts have passed. Where a request has partly arrived, the connection isn't ended yet
+    /// but reported by [`ServerEvent::RequestTimedOut`].
+    pub fn sweep(&mut self, now: BootTime, timeouts: ServerTimeouts, events: &mut Vec<ServerEvent>) {
         let mut expired = Vec::new();
         for (slot, connection) in &mut self.connections {
             let age = now.since(connection.last_progress);
@@ -352,11 +356,11 @@
             match connection.state {
                 State::AwaitingAnswer => {}
                 State::Closing if age >= CLOSE_TIMEOUT => expired.push(slot),
-                State::Reading if connection.http.has_partial_request() && age >= times.head => {
+                State::Reading if connection.http.has_partial_request() && age >= timeouts.head => {
                     connection.state = State::AwaitingAnswer;
                     events.push(ServerEvent::RequestTimedOut { connection: id });
                 }
-                State::Reading if age >= times.idle => expired.push(slot),
+                State::Reading if age >= timeouts.idle => expired.push(slot),
                 State::Closing | State::Reading => {}
             }
         }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -91,7 +91,7 @@
         strict_ms.map_or(Duration::MAX, Duration::from_millis)
     }
 
-    /// Returns the time after the end of its entry during which a searcher is still asked if no other can be.
+    /// Returns how long a searcher whose entry has ended is still asked if no other can be.
     pub fn lapse_grace(&self) -> Duration {
         Duration::from_millis(self.bounds.drain_ms).mul_f64(LAPSE_GRACE_FRACTION)
     }
@@ -102,8 +102,7 @@
         (self.limits.descriptors - RESERVED_DESCRIPTORS) / 2
     }
 
-    /// Returns the number of bytes of answers to peers within a second from which no more configurations are sent to
-    /// peers.
+    /// Returns the rate of answers to peers, in bytes per second, from which no more configurations are sent to peers.
     pub fn max_peer_answer_bytes_per_s(&self) -> usize {
         (self.limits.link_mbps * 1e6 / 8.0 * PEER_LINK_SHARE) as usize
     }
