--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -35,7 +35,7 @@
 pub struct Gauges {
     /// Number of requests in flight.
     pub in_flight: usize,
-    /// Number of connections that the node's server has accepted, on all listeners.
+    /// Number of open connections that the node's server has accepted, on all listeners.
     pub server_connections: usize,
     /// Number of connections to searchers.
     pub searcher_connections: usize,
@@ -63,9 +63,10 @@
     pub broken: u64,
     /// Number of connections that searchers reset before anything was sent on them.
     pub connections_rejected: u64,
-    /// Number of contents that are sent to one searcher at a time, because searchers were lost while running them.
+    /// Number of request contents that are sent to one searcher at a time, because searchers were lost while running
+    /// requests with them.
     pub suspects: usize,
-    /// Number of contents that are sent to no searcher.
+    /// Number of request contents that are sent to no searcher.
     pub quarantined: usize,
     /// Number of routes whose requests have ended searchers lately.
     pub alarms: usize,
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -161,7 +161,7 @@
         !callers.any(|(_, connection)| is_in_use(connection))
     }
 
-    /// Returns the number of accepted connections.
+    /// Returns the number of open connections, on all listeners.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -195,7 +195,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Memory of the process, in megabytes.
+    /// Maximum memory of the process, in megabytes.
     pub memory_mb: u64,
     /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
