--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -35,13 +35,13 @@
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::Fleet;
-use crate::http_call::HttpCaller;
+use crate::http_call::HttpClient;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
 use crate::peer_answers::RecentPeerAnswers;
 use crate::pool::Pool;
 use crate::recorder::Recorder;
-use crate::server::{Server, ServerTimes};
+use crate::server::{Server, ServerTimeouts};
 use crate::settings::GatewaySettings;
 use crate::socket::{IoContext, READ_CHUNK, SocketId, SocketKind};
 use crate::store_role::StoreRoleSelector;
@@ -121,7 +121,7 @@
 
     fleet: Fleet,
     /// HTTP client for pulls from peers, one peer at a time.
-    peer_client: HttpCaller,
+    peer_client: HttpClient,
     /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
     /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
@@ -201,7 +201,7 @@
 
     fn on_socket(&mut self, id: SocketId, event: &Event) {
         match id.kind {
-            SocketKind::Listener => self.server.on_acceptable(self.now, id, self.poll.registry()),
+            SocketKind::Listener => self.server.accept_connections(self.now, id, self.poll.registry()),
             SocketKind::Inbound => self.on_server_socket(id, event.is_writable()),
             SocketKind::Searcher => self.on_pool_socket(id, event.is_writable()),
             SocketKind::Store => self.on_store_socket(id, event.is_writable()),
@@ -257,9 +257,9 @@
     }
 
     /// Returns the head and idle timeouts that the configuration sets for callers' connections.
-    fn server_times(&self) -> ServerTimes {
+    fn server_timeouts(&self) -> ServerTimeouts {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
-        ServerTimes {
+        ServerTimeouts {
             head: Duration::from_millis(limits.head_timeout_ms),
             idle: Duration::from_millis(limits.idle_timeout_ms),
         }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -37,7 +37,7 @@
 
     pub(super) fn sweep_server(&mut self) {
         let mut events = Vec::new();
-        let times = self.server_times();
+        let times = self.server_timeouts();
         self.server.sweep(self.now, times, &mut events);
         self.handle_server_events(events);
     }
@@ -52,8 +52,10 @@
                     self.answer_own_endpoint(connection, endpoint, &request);
                 }
                 ServerEvent::Fault { connection, fault } => self.on_fault(connection, fault),
-                ServerEvent::Late { connection } => self.refuse_connection(connection, ErrorKind::CallerTooSlow),
-                ServerEvent::Gone { connection } => self.on_caller_gone(connection),
+                ServerEvent::RequestTimedOut { connection } => {
+                    self.refuse_connection(connection, ErrorKind::CallerTooSlow)
+                }
+                ServerEvent::Disconnected { connection } => self.on_caller_gone(connection),
             }
         }
     }
@@ -159,7 +161,7 @@
         let Some(key) = self.requests.key_of(connection) else {
             return;
         };
-        self.metrics.caller_gone();
+        self.metrics.count_caller_gone();
         if let Some(pending) = self.requests.remove(key) {
             self.log_caller_gone(&pending);
         }
@@ -190,7 +192,7 @@
 
     /// Refuses a request that the engine never gets.
     fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, options: ResponseOptions) {
-        self.metrics.refused(kind);
+        self.metrics.count_refusal(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
         let ResponseOptions { closes, is_head } = options;
         let context = AnswerContext { names: self.dialect.headers(), id: None, closes, is_head };
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -14,7 +14,7 @@
 use crate::dialect::{Dialect, HeaderNames};
 use crate::event_log::{EventLog, LineKind};
 use crate::fleet::{Fleet, FleetIdentity, new_incarnation_id};
-use crate::http_call::HttpCaller;
+use crate::http_call::HttpClient;
 use crate::load::LoadMeter;
 use crate::metrics::Metrics;
 use crate::peer_answers::RecentPeerAnswers;
@@ -71,7 +71,7 @@
             pool: build_pool(now, &settings, *dialect.headers()),
             fleet: build_fleet(now, routing.node, &settings, datagrams),
             store: StoreCalls::new(settings.store.address),
-            peer_client: HttpCaller::new(SocketKind::Peer, 0, settings.listen.peers),
+            peer_client: HttpClient::new(SocketKind::Peer, 0, settings.listen.peers),
             store_reader: build_store_reader(now, &settings),
             store_role: build_store_role(now, &settings),
             mirror: Mirror::default(),
@@ -101,7 +101,7 @@
 }
 
 fn bind_server(settings: &GatewaySettings, registry: &Registry) -> Result<Server, GatewayError> {
-    let mut server = Server::new(settings.caller_connections());
+    let mut server = Server::new(settings.max_caller_connections());
     for (endpoint, name, address) in listeners(settings) {
         server.listen(endpoint, address, registry).map_err(io_error(format!("{name} {address}")))?;
     }
@@ -153,7 +153,7 @@
 }
 
 fn build_store_role(now: BootTime, settings: &GatewaySettings) -> StoreRoleSelector {
-    let keeper = StoreRoleSelector::new(now, settings.longest_silence());
+    let keeper = StoreRoleSelector::new(now, settings.heartbeat_timeout());
     if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
 }
 
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -87,10 +87,10 @@
             ConnectionState::Proving { assignment } => {
                 self.end_rejected(searcher, connection.state_since, assignment, events)
             }
-            ConnectionState::Busy(assignment) if connection.socket.is_unbegun() && connection.is_fresh => {
+            ConnectionState::Busy(assignment) if connection.socket.is_entirely_unsent() && connection.is_fresh => {
                 self.end_rejected(searcher, connection.state_since, Some(assignment), events);
             }
-            ConnectionState::Busy(assignment) if connection.socket.is_unbegun() => {
+            ConnectionState::Busy(assignment) if connection.socket.is_entirely_unsent() => {
                 self.end_attempt(Some(assignment), AttemptOutcome::NotRun(NotRun::Stale), events);
             }
             ConnectionState::Busy(assignment) => {
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -1,9 +1,9 @@
-//! Connections that requests come in on.
+//! Listeners and accepted connections.
 //!
-//! [`Server`] owns the listeners and the accepted connections, reads whole requests and writes answers, one after the other on each
-//! connection. What a request means and when it is answered is the node's; each [`ServerEvent::Request`],
-//! [`ServerEvent::Fault`] and [`ServerEvent::Late`] must be answered with [`Server::respond`]. Relies on the server half of HTTP
-//! for framing.
+//! [`Server`] owns both. It reads complete requests and writes the answers, one at a time on each connection. The node
+//! decides what a request means and when it is answered; it must answer each [`ServerEvent::Request`],
+//! [`ServerEvent::Fault`] and [`ServerEvent::RequestTimedOut`] with [`Server::respond`]. [`ServerConnection`] finds the
+//! ends of messages in the byte stream.
 
 use crate::round_trip::round_trip;
 use crate::socket::{IoContext, ReadOutcome, Socket, SocketId, SocketKind, WriteOutcome};
@@ -17,69 +17,71 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a peer to close after the last answer, so that an answer that is on its way is read before the connection goes.
-const CLOSE_PATIENCE: Duration = Duration::from_millis(1500);
-/// Permission to send a body.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes of further requests that are read at once while one is being answered.
+/// Time for which a connection waits for the peer to close it after the last answer. Closing earlier could discard an
+/// answer that is still on its way.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interim response that permits the client to send its body.
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// Number of bytes after which a read stops while the connection's previous request is still being answered.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// Who is spoken to on a listener.
+/// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// Callers' requests.
+    /// Requests of callers.
     Callers,
-    /// Questions for readiness.
+    /// Readiness checks.
     Readiness,
-    /// Questions where to go.
+    /// Callers' questions about which nodes to send requests to.
     Directory,
-    /// Other nodes.
+    /// Other nodes' pulls of updates.
     Peers,
-    /// The collector of metrics.
+    /// Requests for the metrics.
     Metrics,
 }
 
-/// What happened on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// A whole request; it must be answered with [`Server::respond`].
+    /// A complete request, which must be answered with [`Server::respond`].
     Request {
-        /// Where the answer goes.
+        /// The connection that the answer goes to.
         connection: SocketId,
-        /// Which listener it came in by.
+        /// What the connection's listener serves.
         endpoint: Endpoint,
         /// The request.
         request: Box<Request>,
-        /// What is known of the connection.
+        /// The connection's round trip, and whether this is its first request.
         link: CallerLink,
     },
-    /// Bytes that are no acceptable request; to be answered, then closed.
+    /// The peer sent bytes that aren't a valid request. The event must be answered, and the connection closed.
     Fault {
-        /// Where the answer goes.
+        /// The connection that the answer goes to.
         connection: SocketId,
-        /// What was wrong.
+        /// What is wrong with the bytes.
         fault: ServerFault,
     },
-    /// The head didn't arrive in time; to be answered, then closed.
-    Late {
-        /// Where the answer goes.
+    /// The peer began a request and then sent nothing for too long. The event must be answered, and the connection
+    /// closed.
+    RequestTimedOut {
+        /// The connection that the answer goes to.
         connection: SocketId,
     },
-    /// The caller left while its request was being worked on.
-    Gone {
-        /// The connection.
+    /// The peer closed the connection, or it broke, before its request was answered.
+    Disconnected {
+        /// The connection, which no longer exists.
         connection: SocketId,
     },
 }
 
-/// What a connection is doing.
+/// What a connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Waits for a request.
+    /// It waits for a request.
     Reading,
-    /// A request is being worked on.
-    Working,
-    /// The last answer is being written, then the connection ends.
+    /// It waits for the node to answer a request, a fault or a timeout.
+    AwaitingAnswer,
+    /// It waits until the last answer is written and the peer has closed the connection.
     Closing,
 }
 
@@ -89,110 +91,115 @@
     endpoint: Endpoint,
     state: State,
     generation: u32,
-    /// Since when it is in its present state without progress.
-    since: BootTime,
-    /// What the engine will know of the connection that the next request comes on.
+    /// Time of the last progress: when the connection was accepted, last received bytes while it waited for a request,
+    /// or was last given an answer.
+    last_progress: BootTime,
+    /// What the engine is told about the connection with the next request.
     link: CallerLink,
 }
 
-struct Listening {
+struct EndpointListener {
     endpoint: Endpoint,
     listener: TcpListener,
 }
 
-/// Times that connections are held to.
+/// Timeouts of accepted connections.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerTimes {
-    /// Time to send a whole head and body.
+pub struct ServerTimeouts {
+    /// Longest silence after a request has begun to arrive; each further byte restarts this timeout.
     pub head: Duration,
-    /// Time that a connection may rest.
+    /// Longest time that a connection may be idle between requests.
     pub idle: Duration,
 }
 
-/// All listeners and their connections.
+/// All listeners and accepted connections.
 pub struct Server {
-    /// By their slots; `None` once one has been closed.
-    listeners: Vec<Option<Listening>>,
+    /// Listeners by slot; `None` once a listener is closed.
+    listeners: Vec<Option<EndpointListener>>,
     connections: Slab<Connection>,
     next_generation: u32,
     max_connections: usize,
 }
 
 impl Server {
-    /// A server without listeners that holds at most `max_connections`.
+    /// Creates a server without listeners that holds at most `max_connections` accepted connections.
     pub fn new(max_connections: usize) -> Self {
         Server { listeners: Vec::new(), connections: Slab::new(), next_generation: 1, max_connections }
     }
 
-    /// Listens on an address; returns it with the port that was taken.
+    /// Listens on an address. Returns the bound address, with the actual port if `address` has port 0.
     pub fn listen(&mut self, endpoint: Endpoint, address: SocketAddr, registry: &Registry) -> io::Result<SocketAddr> {
         let mut listener = TcpListener::bind(address)?;
         let bound = listener.local_addr()?;
         let slot = self.listeners.len() as u32;
         let id = SocketId { kind: SocketKind::Listener, generation: 0, slot };
         registry.register(&mut listener, id.token(), Interest::READABLE)?;
-        self.listeners.push(Some(Listening { endpoint, listener }));
+        self.listeners.push(Some(EndpointListener { endpoint, listener }));
         Ok(bound)
     }
 
-    /// Closes the listeners of an endpoint, so that connecting is refused. What has connected is accepted before.
+    /// Closes the listeners of an endpoint, so that new connections are refused. Connections that already wait are
+    /// accepted first.
     pub fn stop_listening(&mut self, now: BootTime, endpoint: Endpoint, registry: &Registry) {
-        let is_of = |listening: &Option<Listening>| listening.as_ref().is_some_and(|one| one.endpoint == endpoint);
+        let is_of_endpoint =
+            |entry: &Option<EndpointListener>| entry.as_ref().is_some_and(|listener| listener.endpoint == endpoint);
         for slot in 0..self.listeners.len() {
-            if is_of(&self.listeners[slot]) {
+            if is_of_endpoint(&self.listeners[slot]) {
                 let id = SocketId { kind: SocketKind::Listener, generation: 0, slot: slot as u32 };
-                self.on_acceptable(now, id, registry);
+                self.accept_connections(now, id, registry);
                 self.listeners[slot] = None;
             }
         }
     }
 
-    /// Whether no open connection of callers was made or used within a time. One whose last answer has been written no longer counts.
-    pub fn have_callers_rested(&self, now: BootTime, rest: Duration) -> bool {
+    /// Whether all callers' connections that wait for a request have been idle for `idle`. Other connections don't
+    /// count: those whose request isn't answered yet, and those that are about to close.
+    pub fn are_callers_idle(&self, now: BootTime, idle: Duration) -> bool {
         let is_in_use =
-            |connection: &Connection| connection.state == State::Reading && now.since(connection.since) < rest;
-        let mut of_callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
-        !of_callers.any(|(_, connection)| is_in_use(connection))
+            |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < idle;
+        let mut callers = self.connections.iter().filter(|(_, connection)| connection.endpoint == Endpoint::Callers);
+        !callers.any(|(_, connection)| is_in_use(connection))
     }
 
-    /// Open connections.
+    /// Returns the number of open connections, on all listeners.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether a caller's request is being worked on or written.
+    /// Whether a caller's request is partly received, waits for its answer, or has an answer that isn't fully written.
     pub fn is_busy(&self) -> bool {
         self.connections.iter().any(|(_, connection)| {
             connection.endpoint == Endpoint::Callers
-                && (connection.state == State::Working
+                && (connection.state == State::AwaitingAnswer
                     || !connection.socket.is_flushed()
                     || connection.http.has_partial_request())
         })
     }
 
-    /// Takes new connections.
-    pub fn on_acceptable(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
+    /// Accepts all connections that wait on a listener.
+    pub fn accept_connections(&mut self, now: BootTime, id: SocketId, registry: &Registry) {
         loop {
-            let Some(Some(listening)) = self.listeners.get(id.slot as usize) else {
+            let Some(Some(entry)) = self.listeners.get(id.slot as usize) else {
                 return;
             };
-            match listening.listener.accept() {
+            match entry.listener.accept() {
                 Ok((stream, _)) => {
-                    let endpoint = listening.endpoint;
+                    let endpoint = entry.endpoint;
                     if self.connections.len() >= self.max_connections {
-                        // Dropped at once: the caller sees it and goes elsewhere.
+                        // The stream is dropped, which closes it at once; the caller sees that and can use another
+                        // node.
                         continue;
                     }
-                    self.add(now, endpoint, stream, registry);
+                    self.add_connection(now, endpoint, stream, registry);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // Nothing more waits, or no descriptor is free; the next event tries again.
+                // Either no connection waits, or no descriptor is free; the next event tries again.
                 Err(_) => return,
             }
         }
     }
 
-    fn add(&mut self, now: BootTime, endpoint: Endpoint, stream: mio::net::TcpStream, registry: &Registry) {
+    fn add_connection(&mut self, now: BootTime, endpoint: Endpoint, stream: mio::net::TcpStream, registry: &Registry) {
         let generation = self.next_generation;
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
@@ -205,32 +212,34 @@
                 endpoint,
                 state: State::Reading,
                 generation,
-                since: now,
+                last_progress: now,
                 link,
             });
         }
     }
 
+    /// Returns a connection, or `None` if it no longer exists.
     fn get(&mut self, id: SocketId) -> Option<&mut Connection> {
         self.connections.get_mut(id.slot as usize).filter(|connection| connection.generation == id.generation)
     }
 
-    /// Takes readiness of a connection.
+    /// Handles a readiness event of a connection.
     pub fn on_ready(&mut self, id: SocketId, is_writable: bool, io: &mut IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
         };
         if is_writable && !connection.socket.is_flushed() {
             let outcome = connection.socket.flush(io.registry);
-            if !self.after_write(id, outcome, events) {
+            if !self.handle_write_outcome(id, outcome, events) {
                 return;
             }
         }
         self.read(id, io, events);
     }
 
+    /// Reads until nothing waits, and emits the request that is complete.
     fn read(&mut self, id: SocketId, io: &mut IoContext<'_>, events: &mut Vec<ServerEvent>) {
-        let mut ahead = 0;
+        let mut read_ahead = 0;
         loop {
             let Some(connection) = self.get(id) else {
                 return;
@@ -241,16 +250,16 @@
                         connection.http.receive(&io.buffer[..count]);
                     }
                     if connection.state == State::Reading {
-                        connection.since = io.now;
-                        self.advance(id, io, events);
+                        connection.last_progress = io.now;
+                        self.parse_next_request(id, io, events);
                     } else {
-                        ahead += count;
+                        read_ahead += count;
                     }
-                    if !is_full || ahead > MAX_READ_AHEAD {
+                    if !is_full || read_ahead > MAX_READ_AHEAD {
                         return;
                     }
                 }
-                ReadOutcome::Nothing => return,
+                ReadOutcome::WouldBlock => return,
                 ReadOutcome::Closed | ReadOutcome::Broken => {
                     self.on_peer_closed(id, events);
                     return;
@@ -259,18 +268,19 @@
         }
     }
 
+    /// Removes a connection that the peer has closed or that is broken. Reports it if a request is unanswered.
     fn on_peer_closed(&mut self, id: SocketId, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
         };
-        if connection.state == State::Working {
-            events.push(ServerEvent::Gone { connection: id });
+        if connection.state == State::AwaitingAnswer {
+            events.push(ServerEvent::Disconnected { connection: id });
         }
         self.connections.remove(id.slot as usize);
     }
 
-    /// Looks for the next whole request of a connection that waits for one.
-    fn advance(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
+    /// Emits the next request of a connection that waits for one if it is complete, or a fault if it isn't valid.
+    fn parse_next_request(&mut self, id: SocketId, io: &IoContext<'_>, events: &mut Vec<ServerEvent>) {
         let Some(connection) = self.get(id) else {
             return;
         };
@@ -278,23 +288,23 @@
         match connection.http.advance(io.limits) {
             ServerProgress::NeedMore { continue_expected: false } => {}
             ServerProgress::NeedMore { continue_expected: true } => {
-                let outcome = connection.socket.write(CONTINUE.to_vec(), io.registry);
-                self.after_write(id, outcome, events);
+                let outcome = connection.socket.write(CONTINUE_RESPONSE.to_vec(), io.registry);
+                self.handle_write_outcome(id, outcome, events);
             }
             ServerProgress::Ready(request) => {
-                connection.state = State::Working;
+                connection.state = State::AwaitingAnswer;
                 let link = connection.link;
                 connection.link.is_fresh = false;
                 events.push(ServerEvent::Request { connection: id, endpoint, request, link });
             }
             ServerProgress::Fault(fault) => {
-                connection.state = State::Working;
+                connection.state = State::AwaitingAnswer;
                 events.push(ServerEvent::Fault { connection: id, fault });
             }
         }
     }
 
-    /// Writes the answer to the request that is being worked on. `closes` ends the connection after it.
+    /// Writes the answer to the connection's current request. If `closes` is set, the connection ends after the answer.
     pub fn respond(
         &mut self,
         id: SocketId,
@@ -306,16 +316,16 @@
         let Some(connection) = self.get(id) else {
             return;
         };
-        connection.since = io.now;
+        connection.last_progress = io.now;
         connection.state = if closes { State::Closing } else { State::Reading };
         let outcome = connection.socket.write(answer, io.registry);
-        if self.after_write(id, outcome, events) && !closes {
-            self.advance(id, io, events);
+        if self.handle_write_outcome(id, outcome, events) && !closes {
+            self.parse_next_request(id, io, events);
         }
     }
 
-    /// Returns whether the connection goes on.
-    fn after_write(&mut self, id: SocketId, outcome: WriteOutcome, events: &mut Vec<ServerEvent>) -> bool {
+    /// Handles the outcome of a write. Returns whether the connection still exists.
+    fn handle_write_outcome(&mut self, id: SocketId, outcome: WriteOutcome, events: &mut Vec<ServerEvent>) -> bool {
         let Some(connection) = self.get(id) else {
             return false;
         };
@@ -323,8 +333,9 @@
             WriteOutcome::Blocked => true,
             WriteOutcome::Done => {
                 if connection.state == State::Closing {
-                    // The peer closes when it has read all; closing first could reset what it hasn't read.
-                    connection.socket.finish_writing();
+                    // The peer closes the connection when it has read everything. If this side closed first, a reset
+                    // could discard what the peer hasn't read.
+                    connection.socket.shutdown_write();
                 }
                 true
             }
@@ -335,24 +346,25 @@
         }
     }
 
-    /// Ends connections that rest or dawdle too long.
-    pub fn sweep(&mut self, now: BootTime, times: ServerTimes, events: &mut Vec<ServerEvent>) {
-        let mut over = Vec::new();
+    /// Ends connections whose timeouts have passed. Where a request has partly arrived, the connection isn't ended yet
+    /// but reported by [`ServerEvent::RequestTimedOut`].
+    pub fn sweep(&mut self, now: BootTime, timeouts: ServerTimeouts, events: &mut Vec<ServerEvent>) {
+        let mut expired = Vec::new();
         for (slot, connection) in &mut self.connections {
-            let age = now.since(connection.since);
+            let age = now.since(connection.last_progress);
             let id = SocketId { kind: SocketKind::Inbound, generation: connection.generation, slot: slot as u32 };
             match connection.state {
-                State::Working => {}
-                State::Closing if age >= CLOSE_PATIENCE => over.push(slot),
-                State::Reading if connection.http.has_partial_request() && age >= times.head => {
-                    connection.state = State::Working;
-                    events.push(ServerEvent::Late { connection: id });
+                State::AwaitingAnswer => {}
+                State::Closing if age >= CLOSE_TIMEOUT => expired.push(slot),
+                State::Reading if connection.http.has_partial_request() && age >= timeouts.head => {
+                    connection.state = State::AwaitingAnswer;
+                    events.push(ServerEvent::RequestTimedOut { connection: id });
                 }
-                State::Reading if age >= times.idle => over.push(slot),
+                State::Reading if age >= timeouts.idle => expired.push(slot),
                 State::Closing | State::Reading => {}
             }
         }
-        for slot in over {
+        for slot in expired {
             self.connections.remove(slot);
         }
     }
