--- a/crates/staircross-routing/src/state.rs
+++ b/crates/staircross-routing/src/state.rs
@@ -1,21 +1,21 @@
-//! What this node believes: the store's content as far as it is known, searchers with their statistics, requests in flight.
+//! The state of this node: its copy of the store's content, statistics of the searchers, and the requests in flight.
 //!
-//! Beliefs come from the store, from peers and from answers; none is shared in memory and none outlives the process. Rules in
-//! [`crate::decision`] read it; [`crate::engine`] writes it.
+//! The node learns the state from the store, from peers and from answers. The state isn't kept in shared memory and
+//! doesn't outlive the process. The rules in [`crate::decision`] read it; [`crate::engine`] updates it.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`searcher_entry`] | what a searcher says of itself in the store |
-//! | `known_entries` | what is known of the entries under one searcher's id |
-//! | [`known_configuration`] | the configuration known here, and how much of it a peer is sent |
-//! | [`mirror`] | what this node knows of the platform's store, by revision |
-//! | `reach` | up to which revision all is known, and which change is the newest |
-//! | [`evacuations`] | which zones' searchers are to get no new work |
-//! | [`unreadable`] | items of the store that can't be used, and why |
-//! | [`searcher`] | what is known of one searcher: entry, load, speed, failures |
-//! | [`rejection`] | how much of its work a searcher rejects |
-//! | [`report`] | what a searcher says of itself with its answers |
-//! | [`decay`] | how much of an estimate is still believed after a while |
+//! | [`searcher_entry`] | the entry with which a searcher registers itself in the store |
+//! | `known_entries` | the entries known under one searcher's id |
+//! | [`known_configuration`] | the newest known configuration, and which part of it a peer is sent |
+//! | [`mirror`] | this node's copy of the platform's store, merged by revision |
+//! | `reach` | the revision up to which all changes are known, and the newest known change |
+//! | [`evacuations`] | the zones whose searchers must get no new work |
+//! | [`unreadable`] | items of the store that can't be used, and the reasons |
+//! | [`searcher`] | one searcher: entry, load, speed, failures |
+//! | [`rejection`] | an estimate of the fraction of its work that a searcher rejects |
+//! | [`report`] | the load and cold time that a searcher reports with its answers |
+//! | [`decay`] | the weight that an estimate keeps as it ages |
 //! | [`request`] | one request in flight |
 
 pub mod decay;
--- a/crates/staircross-routing/src/state/decay.rs
+++ b/crates/staircross-routing/src/state/decay.rs
@@ -1,8 +1,8 @@
-//! How much of an estimate is still believed after a while.
+//! The exponential decay of estimates that no newer sample confirms.
 
 use std::time::Duration;
 
-/// Fraction of an estimate that is left after `age`, if nothing confirms it and it halves in each `half_life`; 0 to 1.
+/// Returns the fraction of an estimate, 0 to 1, that remains after `age` if it halves in each `half_life`.
 pub fn kept_fraction(age: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -1,9 +1,10 @@
-//! Zones whose searchers are to get no new work, by revision.
+//! The zones whose searchers must get no new work, by revision.
 //!
-//! Owns the last change of each zone and the revision of the newest listing. Relies on nothing else; the mirror merges into it.
+//! This module holds the last change of each zone and the revision of the newest listing. It depends on no other
+//! module; the mirror merges updates into it.
 //!
-//! Ends are remembered with their revision like beginnings, so that updates may come in any order from the store or from peers.
-//! There are as many entries as zones.
+//! The end of an evacuation is remembered with its revision, as its start is, so that updates may arrive in any order
+//! from the store or from peers. There is at most one entry for each zone.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,24 +22,24 @@
     pub revision: u64,
     /// The zone.
     pub zone: Arc<str>,
-    /// Whether its searchers are to get no new work.
+    /// Whether the zone is being evacuated: its searchers must get no new work.
     pub is_active: bool,
 }
 
-/// What is known of evacuations.
+/// The last known change of each zone, and the newest listing.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     zones: BTreeMap<Arc<str>, ZoneState>,
-    /// Newest revision at which all were listed; 0 before the first listing.
+    /// Revision of the newest listing of all evacuations; 0 before the first listing.
     listed_at: u64,
 }
 
 impl Evacuations {
-    /// Takes the beginning or end of an evacuation. Returns whether that changed which zones are evacuated.
+    /// Merges the start or end of an evacuation. Returns whether the set of evacuated zones changed.
     pub fn take(&mut self, revision: u64, zone: Arc<str>, is_active: bool) -> bool {
         let known = self.zones.get(&zone).copied();
-        // What a listing left out had ended by then; a peer that hasn't heard of the end may still send its beginning. An end is remembered, so
-        // that this node counts as knowing it.
+        // An evacuation that the newest listing left out had ended by that listing, but a peer that doesn't know of the
+        // end may still send the start. An end is inserted in any case, so that this node counts as knowing it.
         let had_ended = known.is_none() && is_active && revision <= self.listed_at;
         if had_ended || known.is_some_and(|known| known.revision >= revision) {
             return false;
@@ -47,7 +48,8 @@
         known.is_some_and(|known| known.is_active) != is_active
     }
 
-    /// A whole listing at a revision: evacuations that it leaves out had ended by then. Returns whether any had.
+    /// Merges a complete listing at revision `at`: evacuations that it leaves out had ended by then.
+    /// Returns whether any known evacuation ended that way.
     pub fn end_unlisted(&mut self, at: u64, listed: &[Arc<str>]) -> bool {
         self.listed_at = self.listed_at.max(at);
         let mut has_ended = false;
@@ -60,25 +62,27 @@
         has_ended
     }
 
-    /// Zones that are being evacuated.
+    /// Returns the zones that are being evacuated.
     pub fn active(&self) -> Vec<Arc<str>> {
         let active = self.zones.iter().filter(|(_, state)| state.is_active);
         active.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Newest revision; 0 when nothing was ever evacuated.
+    /// Returns the revision of the newest known change; 0 when no zone was ever evacuated.
     pub fn newest(&self) -> u64 {
         self.zones.values().map(|state| state.revision).max().unwrap_or_default()
     }
 
-    /// Newest revision at which all were listed, if they ever were.
+    /// Returns the revision of the newest listing of all evacuations, if there was one.
     pub fn listed_at(&self) -> Option<u64> {
         (self.listed_at > 0).then_some(self.listed_at)
     }
 
-    /// What a peer lacks that knows everything up to a revision. Evacuations that go on are sent in any case, so that one that isn't is
-    /// known to have ended by [`Self::listed_at`]: a node that gets a newer configuration watches from there, and would never hear of ends
-    /// before it.
+    /// Returns the changes that a peer lacks which knows all changes up to `revision`.
+    ///
+    /// Active evacuations are always sent, so the peer can tell that an evacuation that isn't sent had ended by
+    /// [`Self::listed_at`]. A node that gets a newer configuration from a peer watches the store from that
+    /// configuration's revision on, and would never be told of ends before it.
     pub fn changes_after(&self, revision: u64) -> impl Iterator<Item = ZoneChange> {
         let newer = self.zones.iter().filter(move |(_, state)| state.revision > revision || state.is_active);
         newer.map(|(zone, state)| ZoneChange {
--- a/crates/staircross-routing/src/state/known_configuration.rs
+++ b/crates/staircross-routing/src/state/known_configuration.rs
@@ -1,54 +1,55 @@
-//! The configuration that this node knows, and how much of it a peer is sent.
+//! The newest configuration that this node knows, and which part of it a peer is sent.
 //!
-//! Owns the newest version and the changes that led to it. Relies on `configuration/delta` for what lies between two versions, and on the
-//! caller for what a peer takes.
+//! This module holds the newest version and the deltas that led to it. `configuration/delta` computes the difference
+//! of two versions; the caller says which configurations a peer accepts.
 
 use crate::configuration::definition::{RouteDefinition, RouteTarget, RoutingDefinition};
 use crate::configuration::delta::DefinitionDelta;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A configuration of more bytes is large, and isn't passed on to followers: many peers at once would not get it in time over a small
-/// machine's link. Fourteen followers that pulled 1,800 routes over 20 Mbit/s were up to eight seconds late, and a second where each read
-/// them from the store. Its size is estimated from its routes and the services that they name.
+/// Size in bytes above which a configuration is large and isn't sent to followers, because a small machine's link can't
+/// carry it to many peers in time. Fourteen followers that pulled 1,800 routes over 20 Mbit/s were up to eight seconds
+/// late, but only one second late where each read them from the store. The size is estimated from the routes and the
+/// services that they name.
 const LARGE_CONFIGURATION: usize = 64 * 1024;
-/// Estimated bytes of a route without the services that it names.
+/// Estimated size in bytes of a route without the services that it names.
 const ROUTE_BYTES: usize = 100;
-/// Estimated bytes of the name of a service or route.
+/// Estimated size in bytes of the name of a service or route.
 const NAME_BYTES: usize = 10;
-/// Changes of the configuration that are remembered, so that a peer that missed some is sent what it lacks instead of reading
+/// Number of deltas that are kept, so that a peer that missed some versions is sent what it lacks instead of reading
 /// the store.
 const MAX_DELTAS: usize = 4;
-/// Most bytes of one such change, by the same estimate; a larger one is forgotten with all before it. So that all four together stay well below a
-/// large configuration.
+/// Largest estimated size in bytes of a delta that is kept; a larger delta is dropped together with all earlier ones.
+/// With this limit all four deltas together stay well below the size of a large configuration.
 const LARGE_DELTA: usize = LARGE_CONFIGURATION / 8;
 
-/// Which newer configuration is passed on to a peer.
+/// Which newer configurations a peer accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakenConfiguration {
-    /// One of any size: the store doesn't serve the peer.
+    /// A configuration of any size, because the peer can't read the store.
     Any,
-    /// One that isn't large.
+    /// A configuration that isn't large.
     Small,
-    /// None, since the link is busy.
+    /// No configuration, because the link is busy.
     None,
 }
 
-/// What a peer is sent of a newer configuration.
+/// The form in which a newer configuration is sent to a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ConfigurationUpdate {
-    /// The whole.
+    /// The whole configuration.
     Whole(Arc<RoutingDefinition>),
-    /// What changed since the version that it has.
+    /// The deltas that lead from the peer's version to the newest one.
     Changes(Vec<DefinitionDelta>),
 }
 
-/// The newest version known, and what led to it.
+/// The newest known version, and the deltas that led to it.
 #[derive(Debug, Default)]
 pub(crate) struct KnownConfiguration {
-    /// With the store's revision at which it was written.
+    /// The newest version and the store's revision at which it was written.
     newest: Option<(u64, Arc<RoutingDefinition>)>,
-    /// The newest change last; each starts where the one before led to.
+    /// The kept deltas, the newest last; each starts from the version to which the delta before it leads.
     deltas: VecDeque<DefinitionDelta>,
 }
 
@@ -57,12 +58,13 @@
         self.newest.as_ref().map(|(_, definition)| definition)
     }
 
-    /// 0 when none is known.
+    /// Returns the newest known version; 0 when no configuration is known.
     pub fn version(&self) -> u64 {
         self.definition().map_or(0, |definition| definition.version)
     }
 
-    /// Takes a definition if it is newer, and returns it then. Versions only rise, whatever the revisions say.
+    /// Replaces the known definition by one of a higher version, and returns the new one if it did. Only versions are
+    /// compared, not revisions, so the version never falls.
     pub fn take(&mut self, revision: u64, definition: Arc<RoutingDefinition>) -> Option<Arc<RoutingDefinition>> {
         if definition.version <= self.version() && self.newest.is_some() {
             return None;
@@ -72,7 +74,10 @@
         Some(definition)
     }
 
-    /// Changes that don't lead from the version known here to the one that they say are ignored: the node stays behind, and reads the whole.
+    /// Applies the deltas that start from the known version, and returns the resulting definition if it is newer.
+    ///
+    /// Deltas that can't be applied to the known version, or whose result doesn't match their digest, are ignored. The
+    /// node then stays at its version and reads the whole configuration later.
     pub fn take_deltas(&mut self, revision: u64, deltas: &[DefinitionDelta]) -> Option<Arc<RoutingDefinition>> {
         let known = self.definition()?.clone();
         let lacking = deltas.iter().skip_while(|delta| delta.from != known.version);
@@ -94,7 +99,8 @@
         }
     }
 
-    /// What a peer at a version is sent: the changes since where they are remembered, otherwise the whole if it takes that.
+    /// Returns what a peer at `version` is sent, with the revision at which the newest version was written: the deltas
+    /// since its version if they are kept, otherwise the whole configuration if the peer accepts it.
     pub fn update_for(&self, version: u64, takes: TakenConfiguration) -> Option<(u64, ConfigurationUpdate)> {
         let (at, definition) = self.newest.as_ref().filter(|(_, definition)| definition.version > version)?;
         let deltas: Vec<DefinitionDelta> =
--- a/crates/staircross-routing/src/state/known_entries.rs
+++ b/crates/staircross-routing/src/state/known_entries.rs
@@ -1,16 +1,18 @@
-//! What is known of the entries written under one searcher's id.
+//! The entries known under one searcher's id.
 //!
-//! Owns the entries that hold under one id, and the revision up to which all before have ended. Relies on the mirror for the ids.
+//! This module holds the entries under one id and the revision of the newest known removal. The mirror maps ids to
+//! these states.
 //!
-//! A searcher may start again under the id that it had, and reports of its incarnations come in any order, from the store and from peers.
-//! So the state is such that the order doesn't matter: the newest end of the entry, and of the entries written after it those that no
-//! other outdoes in both start and revision. Of these, the one of the latest incarnation holds, so that nothing reported of an earlier
-//! one touches a later one. Starts are compared with each other and with no clock.
+//! A searcher may restart under the same id, and changes of its incarnations arrive in any order, from the store and
+//! from peers. The state doesn't depend on that order. It holds the revision of the newest removal and, of the entries
+//! written after it, those that no other entry supersedes in both start time and revision. Of these, the entry of the
+//! latest incarnation is current, so a change of an earlier incarnation never affects a later one. Start times are
+//! compared only with each other, never with a clock.
 
 use crate::state::searcher_entry::SearcherEntry;
 
-/// Entries remembered under one id. There is more than one only where an earlier incarnation wrote after a later one. Above the two of a restart that
-/// overlaps.
+/// Largest number of entries kept under one id. There is more than one only where an earlier incarnation wrote after a
+/// later one. A restart during which both incarnations write needs two.
 const MAX_STANDING: usize = 4;
 
 /// An entry and the revision at which it was written.
@@ -21,23 +23,24 @@
 }
 
 impl WrittenEntry {
-    /// Whether nothing can make this entry hold once the other is known: what ends the other ends this one too.
+    /// Returns whether this entry can never become current once `other` is known, because every removal of `other`
+    /// removes this entry too.
     fn is_outdone_by(&self, other: &WrittenEntry) -> bool {
         other.revision >= self.revision && other.entry.born_ms >= self.entry.born_ms
     }
 }
 
-/// What is known under one id.
+/// The entries and the newest removal known under one id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownEntries {
-    /// By revision; the later written, the earlier the incarnation.
+    /// The entries in ascending order of revision, and therefore in descending order of start time.
     standing: Vec<WrittenEntry>,
-    /// What was written up to this revision has gone.
+    /// Revision of the newest known removal; entries written up to it are gone.
     ended_at: u64,
 }
 
 impl KnownEntries {
-    /// Takes an entry; returns whether it is new.
+    /// Inserts an entry unless it is known, superseded or removed. Returns whether it was inserted.
     pub fn take(&mut self, written: WrittenEntry) -> bool {
         let is_known = self.standing.iter().any(|known| written.is_outdone_by(known));
         if is_known || written.revision <= self.ended_at {
@@ -50,7 +53,7 @@
         true
     }
 
-    /// Notes that what was written up to a revision has gone; returns whether that is new.
+    /// Removes the entries written up to `revision`. Returns whether this removal is newer than those already known.
     pub fn end(&mut self, revision: u64) -> bool {
         if revision <= self.ended_at {
             return false;
@@ -60,22 +63,22 @@
         true
     }
 
-    /// The entry that holds: that of the latest incarnation.
+    /// Returns the current entry, which is that of the latest incarnation.
     pub fn current(&self) -> Option<&WrittenEntry> {
         self.standing.first()
     }
 
-    /// Whether an entry holds that was written by a revision.
+    /// Returns whether the current entry was written at or before `revision`.
     pub fn stands_at(&self, revision: u64) -> bool {
         self.current().is_some_and(|known| known.revision <= revision)
     }
 
-    /// Entries that hold, or will if those of later incarnations end.
+    /// Returns the current entry and those that become current if the entries of later incarnations are removed.
     pub fn standing(&self) -> &[WrittenEntry] {
         &self.standing
     }
 
-    /// Revision of the newest end; 0 where none is known.
+    /// Returns the revision of the newest known removal; 0 where none is known.
     pub fn ended_at(&self) -> u64 {
         self.ended_at
     }
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -1,11 +1,11 @@
-//! What this node knows of the platform's store.
+//! This node's copy of the platform's store.
 //!
-//! Owns a copy of what the store holds, as far as it is known, and up to which revisions that is all. Relies on `known_configuration`,
-//! `known_entries` and `evacuations` for what holds of each kind. It makes no calls and puts nothing in force: an update is merged, and
-//! what was new is returned.
+//! The mirror holds the known items of the store and the revisions up to which it is complete. `known_configuration`,
+//! `known_entries` and `evacuations` hold the state of each kind of items. The mirror makes no calls to the store and
+//! doesn't apply changes to the engine: it merges updates and returns what changed.
 //!
-//! Each item carries the revision of its last change. Items are merged by revision, searchers' entries by their incarnation too, and
-//! never by the order in which they arrive, so it doesn't matter whether they come from the store or from a peer.
+//! Each item carries the revision of its last change. Items are merged by revision, and searchers' entries by start time
+//! too, but never by order of arrival. So it makes no difference whether they come from the store or from a peer.
 
 use crate::configuration::definition::RoutingDefinition;
 use crate::configuration::delta::DefinitionDelta;
@@ -20,38 +20,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most searchers that are remembered as gone; beyond it the older half is forgotten, and peers that are behind get a whole listing. Above the
-/// searchers of large fleets, which have some hundreds.
+/// Largest number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
+/// further behind get a complete listing. Large fleets have some hundreds of searchers, which is well below this limit.
 const MAX_TOMBSTONES: usize = 4096;
 
-/// One item of the store with its revision.
+/// One item of the store, or a change of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MirrorItem {
-    /// The configuration.
+    /// The whole configuration.
     Configuration {
-        /// Its content.
+        /// Content of the configuration.
         definition: Arc<RoutingDefinition>,
     },
-    /// What changed of the configuration since the version that the asker has, one version after the other.
+    /// The deltas of the configuration since the version of the asking node, in ascending order of version.
     ConfigurationChanges {
-        /// The changes.
+        /// The deltas.
         deltas: Vec<DefinitionDelta>,
     },
-    /// A searcher.
+    /// A searcher's entry was written.
     Searcher {
-        /// Its entry.
+        /// The entry.
         entry: SearcherEntry,
     },
-    /// A searcher's entry has gone.
+    /// A searcher's entry was removed from the store.
     SearcherGone {
-        /// The id of the searcher.
+        /// Id of the searcher.
         instance: Arc<str>,
     },
-    /// The searchers of a zone are to get no new work, or may get it again.
+    /// The evacuation of a zone started or ended: its searchers must get no new work, or may get it again.
     Evacuation {
         /// The zone.
         zone: Arc<str>,
-        /// Whether it is to get none.
+        /// Whether the zone is being evacuated.
         is_active: bool,
     },
 }
@@ -65,26 +65,29 @@
     }
 }
 
-/// Items that changed, and up to which revision that is all.
+/// Items that changed, and the revisions up to which the update is complete.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MirrorUpdate {
-    /// Items with the revision of their last change.
+    /// The items, each with the revision of its last change.
     pub items: Vec<(u64, MirrorItem)>,
-    /// Whether searchers that aren't listed are gone.
+    /// Whether the update lists all searchers, so that those it leaves out are gone.
     pub is_complete_for_searchers: bool,
-    /// Revision up to which the update holds all changes of searchers; 0 when it doesn't.
+    /// Revision up to which the receiver knows all changes of searchers after merging the update; 0 when the sender
+    /// doesn't know them all.
     pub up_to: u64,
-    /// Newest change of searchers before which the sender lacks nothing; a listing leaves out searchers whose end was the newest change.
+    /// Revision of the sender's newest change of searchers before which it knows all changes. It is sent because a listing
+    /// doesn't show the newest change if that was the removal of a searcher.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub newest: u64,
-    /// Revision up to which the update holds all that the operator wrote, but for a configuration that the asker doesn't take; 0 when it
-    /// doesn't.
+    /// Revision up to which the update holds all changes of the configuration and of evacuations, except for a
+    /// configuration that the asking node doesn't accept; 0 when the sender doesn't know them all.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub operator_up_to: u64,
-    /// Revision at which zones that aren't listed as evacuated weren't; `None` when the update doesn't list them all.
+    /// Revision at which all evacuated zones were listed, so that those the update leaves out weren't evacuated;
+    /// `None` when the update doesn't list them all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_evacuations_at: Option<u64>,
-    /// Items that can't be used, for the log of the node that read them; they aren't sent to peers.
+    /// Items that can't be used. The node that read them logs them; they aren't sent to peers.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableItem>,
 }
@@ -93,35 +96,35 @@
     *revision == 0
 }
 
-/// What an asker has and takes.
+/// What an asking peer already knows, and which configurations it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerKnowledge {
-    /// Revision up to which it knows the searchers.
+    /// Revision up to which the peer knows all changes of searchers; 0 when it has no complete listing.
     pub revision: u64,
-    /// Version of its configuration.
+    /// Version of the peer's configuration.
     pub version: u64,
-    /// Revision up to which it knows evacuations.
+    /// Revision up to which the peer knows all changes of evacuations.
     pub evacuations: u64,
-    /// Which newer configuration it takes; what it isn't sent it reads from the store.
+    /// Which newer configurations the peer accepts; it reads the others from the store.
     pub takes: TakenConfiguration,
 }
 
-/// What a merge changed: how things stand after it. No id is both among the searchers and among those
-/// that are gone, whatever happened to it on the way.
+/// The net effect of a merge. No id is both among the changed and among the removed searchers, even if the update holds
+/// several changes of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MirrorChanges {
-    /// A newer configuration.
+    /// The newest configuration, if the merge brought a newer one.
     pub configuration: Option<Arc<RoutingDefinition>>,
-    /// New or changed searchers.
+    /// Entries of new or changed searchers.
     pub searchers: Vec<SearcherEntry>,
-    /// Searchers whose entry has gone.
+    /// Ids of the searchers whose entry is gone.
     pub gone: Vec<Arc<str>>,
-    /// All zones that are being evacuated, if that has changed.
+    /// All zones that are being evacuated, if the set changed.
     pub evacuated: Option<Vec<Arc<str>>>,
 }
 
-/// Changes while a merge goes on. An update may hold several of one id; how things stand after it counts, but an
-/// incarnation that once was draining goes on draining.
+/// The changes collected during a merge. An update may hold several changes of one id. Only the state after the merge
+/// is reported, but an incarnation that was draining in any of its entries is reported as draining.
 #[derive(Default)]
 struct Touched {
     configuration: Option<Arc<RoutingDefinition>>,
@@ -131,9 +134,9 @@
 
 #[derive(Default)]
 struct TouchedSearcher {
-    /// Revision of the entry that held before the merge.
+    /// Revision of the entry that was current before the merge.
     before: Option<u64>,
-    /// Starts, in Unix milliseconds, of incarnations that were draining.
+    /// Start times, in Unix milliseconds, of the incarnations of which the merge brought a draining entry.
     draining: Vec<u64>,
 }
 
@@ -160,7 +163,7 @@
     }
 }
 
-/// What a listing holds: of its kind, all else is gone.
+/// The ids and zones in a listing. Every other item of a kind that the listing covers is gone.
 #[derive(Default)]
 struct Listed {
     /// Ids of searchers.
@@ -182,51 +185,53 @@
     }
 }
 
-/// A copy of what the store holds, as far as it is known.
+/// The known items of the store, and the revisions up to which they are complete.
 #[derive(Debug, Default)]
 pub struct Mirror {
     configuration: KnownConfiguration,
     searchers: BTreeMap<Arc<str>, KnownEntries>,
     evacuations: Evacuations,
-    /// How far all changes of searchers are known, once a whole listing is.
+    /// Revisions up to which changes of searchers are known. Complete only once `has_listing` is set.
     searchers_reach: Reach,
-    /// How far all is known that the operator wrote.
+    /// Revisions up to which changes of the configuration and of evacuations are known.
     operator_reach: Reach,
-    /// Revision from which on all ends of entries are remembered; a peer that is further behind gets a whole listing.
+    /// Revision after which all removals of entries are remembered; a peer that is further behind gets a complete listing.
     tombstones_from: u64,
-    /// Whether a whole listing of the searchers has been merged.
+    /// Whether a complete listing of the searchers has been merged.
     has_listing: bool,
 }
 
 impl Mirror {
-    /// The configuration, if one is known.
+    /// Returns the newest known configuration, if any is known.
     pub fn configuration(&self) -> Option<&Arc<RoutingDefinition>> {
         self.configuration.definition()
     }
 
-    /// Version of the configuration; 0 when none is known.
+    /// Returns the version of the configuration; 0 when none is known.
     pub fn version(&self) -> u64 {
         self.configuration.version()
     }
 
-    /// Revision up to which all is known that the operator wrote, the configuration and evacuations; 0 when nothing is known whole.
+    /// Returns the revision up to which all changes of the configuration and of evacuations are known; 0 before the first
+    /// complete listing.
     pub fn operator_up_to(&self) -> u64 {
         self.operator_reach.up_to()
     }
 
-    /// Newest change of a searcher's entry before which nothing is lacking: where a peer's is newer, it knows more.
+    /// Returns the revision of the newest change of a searcher's entry before which all changes are known. A peer whose
+    /// value is higher knows more.
     pub fn newest_revision(&self) -> u64 {
         self.searchers_reach.newest()
     }
 
-    /// Revision up to which nothing of the searchers is lacking: a peer that is asked sends what came later, and a watch goes on from there. 0 before a
-    /// whole listing is known.
+    /// Returns the revision up to which all changes of searchers are known; 0 before a complete listing was merged. Peers
+    /// are asked for later changes, and a watch continues from there.
     pub fn known_revision(&self) -> u64 {
         if self.has_listing { self.searchers_reach.up_to() } else { 0 }
     }
 
-    /// Newest revision of the start or end of an evacuation before which nothing is lacking; a peer that is asked sends what came later. Peers of an
-    /// earlier build don't say how far they know; then it is the newest.
+    /// Returns the revision of the newest start or end of an evacuation before which all are known; peers are asked for
+    /// later ones. Peers of an earlier build don't send `operator_up_to`; without it this is the newest known change.
     pub fn evacuations_revision(&self) -> u64 {
         let newest = self.evacuations.newest();
         match self.operator_reach.up_to() {
@@ -235,27 +240,28 @@
         }
     }
 
-    /// Zones that are being evacuated.
+    /// Returns the zones that are being evacuated.
     pub fn evacuated(&self) -> Vec<Arc<str>> {
         self.evacuations.active()
     }
 
-    /// Whether all searchers are known, by a listing of the store's own or of a peer that had one.
+    /// Returns whether a complete listing of the searchers was merged, from the store or from a peer.
     pub fn has_listing(&self) -> bool {
         self.has_listing
     }
 
-    /// Searchers with an entry.
+    /// Returns the current entries of all searchers.
     pub fn searchers(&self) -> impl Iterator<Item = &SearcherEntry> {
         self.searchers.values().filter_map(KnownEntries::current).map(|known| &known.entry)
     }
 
-    /// Merges an update and returns what was new.
+    /// Merges an update and returns what it changed.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
         let mut touched = Touched::default();
         let mut listed = Listed::default();
         let is_listing = update.is_complete_for_searchers || update.all_evacuations_at.is_some();
-        // Less is known there than here: a searcher that isn't known here had gone by then.
+        // If the sender knows less than this node, a searcher that only the sender knows is gone: this node knew of its
+        // removal and has forgotten it.
         let known = self.known_revision();
         let gone_by = if update.up_to < known { known } else { 0 };
         for (revision, item) in update.items {
@@ -284,7 +290,8 @@
         MirrorChanges { evacuated, ..touched.into_changes(&self.searchers) }
     }
 
-    /// Whether an entry is of a searcher that had gone by a revision up to which all are known.
+    /// Returns whether the item is an entry, written at or before `by`, of a searcher that isn't known here. If all
+    /// changes up to `by` are known, that searcher has been removed since.
     fn had_gone(&self, revision: u64, item: &MirrorItem, by: u64) -> bool {
         match item {
             MirrorItem::Searcher { entry } => revision <= by && !self.searchers.contains_key(&entry.instance),
@@ -310,7 +317,7 @@
         }
     }
 
-    /// Everything that a peer lacks, but for a large configuration that it doesn't take.
+    /// Returns everything that a peer lacks, except for a configuration that it doesn't accept.
     pub fn changes_for(&self, peer: PeerKnowledge) -> MirrorUpdate {
         let revision = peer.revision;
         let is_complete = self.has_listing && (revision < self.tombstones_from || revision == 0);
@@ -321,7 +328,8 @@
         for (instance, known) in &self.searchers {
             let update = known.standing().iter().filter(|known| is_complete || known.revision > revision);
             items.extend(update.map(|known| (known.revision, MirrorItem::Searcher { entry: known.entry.clone() })));
-            // A whole listing says by itself what had gone by then, but not of ids that it lists.
+            // A complete listing implies the removal of ids that it leaves out, but not that of earlier entries of ids
+            // that it lists.
             let is_said =
                 is_complete && known.standing().is_empty() && known.ended_at() <= self.searchers_reach.up_to();
             if known.ended_at() > revision && !is_said {
@@ -366,7 +374,7 @@
         }
     }
 
-    /// A whole listing at a revision leaves out what had gone by then.
+    /// Removes the entries that a complete listing at revision `at` leaves out and that were written by then.
     fn drop_unlisted(&mut self, at: u64, listed: &[Arc<str>], touched: &mut Touched) {
         for (instance, known) in &mut self.searchers {
             if listed.binary_search(instance).is_ok() || !known.stands_at(at) {
--- a/crates/staircross-routing/src/state/reach.rs
+++ b/crates/staircross-routing/src/state/reach.rs
@@ -1,10 +1,11 @@
-//! How far a node's knowledge of one kind of the store's items reaches.
+//! The revisions up to which a node knows the changes of one kind of the store's items.
 //!
-//! Owns two revisions that are easily taken for one: up to which all changes are known, and which known change is the newest. They differ where
-//! pages of a listing were read while items changed: a later page shows a change though an earlier one, made before it, isn't known yet. Whoever asked
-//! or watched from the newest change on would never hear of what lies between.
+//! This module holds two revisions that are easily confused: the revision up to which all changes are known, and the
+//! revision of the newest known change. They differ if items changed while the pages of a listing were read: a later
+//! page then contains a change although an earlier change isn't known yet. A node that asked a peer or watched the store
+//! from the newest change on would never be told of the changes in between.
 
-/// What is known of one kind of items.
+/// The known revisions of one kind of items.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Reach {
     up_to: u64,
@@ -12,22 +13,23 @@
 }
 
 impl Reach {
-    /// All changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     pub fn note_whole(&mut self, up_to: u64) {
         self.up_to = self.up_to.max(up_to);
     }
 
-    /// A change is known that was made at a revision.
+    /// Records that a change made at `revision` is known.
     pub fn note_change(&mut self, revision: u64) {
         self.newest = self.newest.max(revision);
     }
 
-    /// Revision up to which all changes are known; 0 where nothing is known whole.
+    /// Returns the revision up to which all changes are known; 0 before the first complete listing or update.
     pub fn up_to(&self) -> u64 {
         self.up_to
     }
 
-    /// Newest change before which nothing is lacking. Nodes compare it to find out who knows more: unlike [`Self::up_to`], it rises only with changes.
+    /// Returns the revision of the newest known change, but at most [`Self::up_to`]. Nodes compare it to find out which
+    /// of them knows more, because unlike [`Self::up_to`] it rises only with changes.
     pub fn newest(&self) -> u64 {
         self.newest.min(self.up_to)
     }
--- a/crates/staircross-routing/src/state/report.rs
+++ b/crates/staircross-routing/src/state/report.rs
@@ -1,6 +1,6 @@
-//! What a searcher says of itself with its answers.
+//! The load and cold time that a searcher reports with its answers.
 //!
-//! Reports lag and may mislead, so they come with their age wherever they are used or logged.
+//! Reports may be outdated or wrong, so their age is kept and is passed along wherever they are used or logged.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,13 +9,13 @@
 /// A searcher's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedLoad {
-    /// Requests that it works on.
+    /// Number of requests that the searcher is working on.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Number of requests that the searcher can work on at once.
     pub slots: u32,
-    /// How long work takes on its host at the moment, in percent of the usual time, if it says so.
+    /// Time that work takes on the searcher's host at the moment, in percent of the usual time, if reported.
     pub host_slowness: Option<u32>,
 }
 
@@ -29,13 +29,13 @@
     }
 }
 
-/// What an answer says of its searcher, besides answering.
+/// The report that accompanies a searcher's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SearcherReport {
-    /// Its load.
+    /// Load of the searcher.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<ReportedLoad>,
-    /// How much longer it stays cold.
+    /// Time for which the searcher stays cold from now on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<Duration>,
 }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -1,4 +1,4 @@
-//! State of one request in flight.
+//! The state of one request in flight: its arrival, its shards and attempts, and its outcome.
 
 use crate::configuration::definition::{GatherTarget, RouteDefinition};
 use crate::configuration::table::RouteTable;
@@ -13,112 +13,114 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that has arrived whole.
+/// A completely received request, with what this node knew when it arrived.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its number.
+    /// Number of the request.
     pub key: RequestKey,
-    /// Host that it names.
+    /// Host that the request names.
     pub host: String,
-    /// Path, without the query.
+    /// Path without the query string.
     pub path: String,
-    /// Time that the caller will wait, if it says so.
+    /// Time for which the caller waits for the answer, if it sent one.
     pub patience: Option<Duration>,
-    /// Longest time that the request may have waited to be read.
+    /// Longest time for which the request may have waited to be read.
     pub waited: Duration,
-    /// Whether this node is too busy to take more.
+    /// Whether this node is too busy to accept more requests.
     pub is_overloaded: bool,
-    /// Newest configuration that a peer is known to have: what isn't known here may be there.
+    /// Newest configuration version that any peer is known to have. It may hold a route that this node doesn't know.
     #[serde(default)]
     pub newest_version: u64,
-    /// How sure this node is of the keys that it knows.
+    /// How certain this node is that the API keys in its configuration haven't been revoked.
     #[serde(default)]
     pub view: ConfigurationView,
-    /// Whether all searchers that live are known here: the platform's list was read whole, and none are just coming back to it.
+    /// Whether this node knows all live searchers: the platform's list was read completely, and no lapsed entries are
+    /// being written anew.
     pub knows_searchers: bool,
-    /// What is known of the caller's connection.
+    /// Properties of the caller's connection.
     pub link: CallerLink,
-    /// What it asks for.
+    /// Digest of what the request asks for.
     pub content: ContentKey,
-    /// What it proves itself with.
+    /// The credential that the request carries.
     #[serde(default)]
     pub credential: Credential,
 }
 
 impl Arrival {
-    /// Whether a configuration isn't the newest that was known when the request came.
+    /// Returns whether a peer was known to have a newer configuration than `table` when the request arrived.
     pub fn is_ahead_of(&self, table: &RouteTable) -> bool {
         self.newest_version > table.version()
     }
 }
 
-/// How sure a node is that no key which it knows has been revoked.
+/// How certain a node is that no API key in its configuration has been revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationView {
-    /// As sure as the settings ask.
+    /// As certain as the settings require.
     #[default]
     Current,
-    /// It hasn't heard of the store for too long and knows that there is a newer version: it asks before it judges.
+    /// The node has had no news of the store for too long and knows of a newer version. It asks for that version before
+    /// it decides about a key.
     Doubtful,
-    /// It hasn't heard of the store for so long that it may let nobody in by a key.
+    /// The node has had no news of the store for so long that it must not accept any key.
     Expired,
 }
 
-/// What is known of a caller's connection.
+/// Properties of a caller's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLink {
-    /// Time to the caller and back, if the system reports it.
+    /// Round-trip time to the caller, if the operating system reports it.
     pub round_trip: Option<Duration>,
-    /// Whether the connection was made for this request.
+    /// Whether this request is the first on the connection.
     pub is_fresh: bool,
 }
 
-/// A searcher's whole answer.
+/// A searcher's complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearcherAnswer {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// The searcher's signature, if it gave one.
+    /// The searcher's signature, if the answer carries one.
     pub stamp: Option<Vec<u8>>,
-    /// All fields.
+    /// All header fields.
     pub headers: HeaderBlock,
-    /// Body.
+    /// Body of the answer.
     pub body: Vec<u8>,
-    /// What it says of its searcher.
+    /// The searcher's report of its load and cold time.
     pub report: SearcherReport,
 }
 
-/// Why an attempt certainly didn't run.
+/// Why it is certain that an attempt didn't run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRun {
-    /// No connection came up; nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unconnected,
-    /// The connection came up and was reset before anything was sent: the searcher has enough of them.
+    /// The connection was established and reset before anything was sent: the searcher accepts no more connections.
     #[serde(rename = "TurnedAway")]
     ConnectionRejected,
-    /// A kept connection had been closed by its searcher before anything was sent on it again.
+    /// The searcher had closed an idle kept-alive connection before the attempt was sent on it.
     Stale,
-    /// The searcher says that it didn't run it: no room, no time, or leaving.
+    /// The searcher replied that it didn't run the attempt because it has no room or no time, or is draining.
     Shed,
-    /// Another searcher has the address.
+    /// The address belongs to another searcher now.
     OtherInstance,
 }
 
-/// Why it isn't known whether an attempt ran.
+/// Why it is unknown whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unknown {
-    /// The connection ended without a whole answer: the searcher may have ended.
+    /// The connection ended before the answer was complete; the searcher may have crashed.
     Broken,
-    /// What came was no answer.
+    /// The searcher sent something that isn't a valid answer.
     Malformed,
-    /// Nobody waited for the answer any more, and it took too long to be read out.
+    /// The answer was no longer wanted and took too long to arrive.
     Unanswered,
-    /// The answer is longer than this node takes.
+    /// The answer is longer than this node accepts.
     TooLong,
 }
 
 impl NotRun {
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             NotRun::Unconnected => "unconnected",
@@ -131,7 +133,7 @@
 }
 
 impl Unknown {
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Unknown::Broken => "broken",
@@ -142,21 +144,21 @@
     }
 }
 
-/// Why an attempt is made.
+/// Why an attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SendReason {
-    /// The first for its shard.
+    /// It is the first attempt for its shard.
     First,
-    /// Besides one that is late.
+    /// An earlier attempt is late and still open.
     Hedge,
-    /// After one that failed or was rejected.
+    /// An earlier attempt failed or was rejected.
     Retry,
-    /// After a connection that didn't come up: nothing was sent.
+    /// The connection of an earlier attempt wasn't established, so nothing was sent.
     Reroute,
 }
 
 impl SendReason {
-    /// Name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             SendReason::First => "first",
@@ -170,69 +172,69 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered.
+    /// The searcher answered.
     Answered(Box<SearcherAnswer>),
-    /// Ran nowhere.
+    /// The attempt didn't run.
     NotRun(NotRun),
-    /// May have run.
+    /// The attempt may have run.
     Unknown(Unknown),
-    /// Nobody waited for it any more, and it was ended for that alone.
+    /// This node ended the attempt only because its answer was no longer wanted.
     Cancelled,
 }
 
-/// A merged answer.
+/// An answer merged from the parts of several shards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergedAnswer {
-    /// Signatures of the parts that are in.
+    /// Signatures of the merged parts.
     pub stamps: Vec<Vec<u8>>,
-    /// Shards that are left out.
+    /// Number of shards without a part in the answer.
     pub missing: usize,
-    /// The greatest records of these parts.
+    /// The greatest records of the merged parts.
     pub body: Vec<u8>,
 }
 
-/// The final word on a request.
+/// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Parts, merged.
+    /// An answer merged from the parts of several shards.
     Merged(MergedAnswer),
-    /// A searcher's answer as it is.
+    /// One searcher's answer, passed on unchanged.
     Passed(Box<SearcherAnswer>),
-    /// Refused or given up.
+    /// The request was refused or given up.
     Refused {
-        /// One of the closed list.
+        /// Kind of the error.
         kind: ErrorKind,
-        /// What exactly, for people.
+        /// Exact cause, for people.
         detail: &'static str,
-        /// When asking again may help, where that isn't the same for all of the kind.
+        /// Time after which a retry may succeed, if it differs from the usual time of the error's kind.
         retry_after: Option<Duration>,
     },
 }
 
-/// What is known about one shard of a request. A request to one service has one shard.
+/// State of one shard of a request. A request to one service has one shard.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub service: Arc<str>,
     pub state: ShardState,
-    /// Searchers that it was sent to, once for each sending.
+    /// Searchers to which the shard was sent, one element for each attempt.
     pub sent_to: Vec<SearcherKey>,
-    /// Searchers that aren't to be asked again.
+    /// Searchers that must not be asked again.
     pub tried: Vec<SearcherKey>,
-    /// Attempts out for it.
+    /// Number of open attempts.
     pub outstanding: u32,
-    /// Set while it waits for somebody to be asked.
+    /// Set while the shard waits for a searcher that can be asked.
     pub waiting: Option<Waiting>,
-    /// Whether it stands in the queue of its service.
+    /// Whether the shard is in the queue of its service.
     pub is_queued: bool,
 }
 
-/// A shard that nobody could be asked for yet.
+/// The wait of a shard for a searcher that can be asked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiting {
-    /// Why it is to be sent; what counts as extra goes on counting so.
+    /// Why the shard is sent. An attempt that counts as an extra send still does so after the wait.
     pub reason: SendReason,
-    /// When a searcher may be asked again; far in the future where all that could be asked lack room, which
-    /// the end of an attempt shows.
+    /// Time at which a searcher may be asked again. [`BootTime::FAR_FUTURE`] if all searchers that could be asked lack
+    /// room; the wait then ends when an attempt ends.
     pub retry_at: BootTime,
 }
 
@@ -249,24 +251,25 @@
         }
     }
 
-    /// Whether a searcher may not be asked: it was asked already, or `most` others were sent the request.
+    /// Returns whether the searcher must not be asked: it was tried already, or the shard was already sent to `most`
+    /// other searchers.
     pub fn is_excluded(&self, searcher: SearcherKey, most: u32) -> bool {
         let is_new = !self.sent_to.contains(&searcher);
         self.tried.contains(&searcher) || (is_new && self.searchers_reached() >= most)
     }
 
-    /// Whether any searcher may still be sent the request.
+    /// Returns whether the shard may still be sent to any searcher, when it may be sent to at most `most` searchers.
     pub fn may_be_sent(&self, most: u32) -> bool {
         self.searchers_reached() < most || self.sent_to.iter().any(|searcher| !self.tried.contains(searcher))
     }
 
-    /// Searchers that the request was sent to.
+    /// Returns the number of different searchers to which the shard was sent.
     fn searchers_reached(&self) -> u32 {
         let is_first = |index: &usize| !self.sent_to[..*index].contains(&self.sent_to[*index]);
         (0..self.sent_to.len()).filter(is_first).count() as u32
     }
 
-    /// Notes that a sending reached nobody.
+    /// Removes the last attempt at the searcher from `sent_to`, because nothing of it reached the searcher.
     pub fn forget_sending(&mut self, searcher: SearcherKey) {
         if let Some(index) = self.sent_to.iter().rposition(|known| *known == searcher) {
             self.sent_to.remove(index);
@@ -277,7 +280,8 @@
         matches!(self.state, ShardState::Open)
     }
 
-    /// Whether its part may still be in before a time: somebody is at work on it, or may be asked until then.
+    /// Returns whether the shard may still be answered before `time`: an attempt is open, or a searcher may be asked by
+    /// then.
     pub fn may_come_by(&self, time: BootTime) -> bool {
         let has_chance = self.outstanding > 0
             || self.waiting.is_none_or(|waiting| waiting.waits_for_room() || waiting.retry_at < time);
@@ -286,7 +290,7 @@
 }
 
 impl Waiting {
-    /// Whether it waits for room rather than for a time.
+    /// Returns whether the shard waits for a searcher to have room rather than for a time.
     pub fn waits_for_room(&self) -> bool {
         self.retry_at == BootTime::FAR_FUTURE
     }
@@ -294,11 +298,11 @@
 
 #[derive(Debug)]
 pub(crate) enum ShardState {
-    /// Asked, or waiting for a searcher with room.
+    /// An attempt is open, or the shard waits for a searcher that can be asked.
     Open,
-    /// Its part is in.
+    /// A searcher answered the shard.
     In(Box<SearcherAnswer>),
-    /// Given up, with the searcher's own failure if there was one.
+    /// The shard was given up. Holds the searcher's error answer if there was one.
     Failed(Option<Box<SearcherAnswer>>),
 }
 
@@ -306,43 +310,46 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub shard: u32,
-    /// When another searcher may be asked besides.
+    /// Time at which a hedge to another searcher may be sent.
     pub hedge_at: BootTime,
+    /// Whether the request still waits for the attempt's answer.
     pub is_open: bool,
-    /// Whether its end is known; one that was abandoned may have run.
+    /// Whether the outcome of the attempt is known. An abandoned attempt without an outcome may have run.
     pub is_resolved: bool,
 }
 
-/// One request.
+/// State of one request from its arrival to its final result.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// The configuration that the request began with; all its parts come from there.
+    /// The configuration that was in force when the request arrived; it applies to the whole request.
     pub table: Arc<RouteTable>,
     pub route_index: usize,
-    /// Whose it is by that configuration, for all its attempts.
+    /// The request's tenant in that configuration, for all attempts.
     pub tenant: Option<TenantKey>,
-    /// What it proved itself with; a newer configuration may hold it no more.
+    /// The credential that the request carries; a newer configuration may no longer hold its key.
     pub credential: Credential,
-    /// Whether that has happened: nothing more is sent for it.
+    /// Whether a newer configuration no longer holds the key, so that no further attempts are sent.
     pub is_key_revoked: bool,
     pub shards: Vec<Shard>,
     pub attempts: Vec<Attempt>,
-    /// When a partial answer goes out rather than none in time.
+    /// Time by which the answer must be sent to meet the route's latency goal. From then on a partial answer is sent
+    /// rather than a late one.
     pub answer_by: BootTime,
+    /// Time by which the request must have its final result.
     pub deadline: BootTime,
-    /// The group of services that it asks.
+    /// The group of services that the request asks.
     pub group: Arc<str>,
-    /// What it asks for.
+    /// Digest of what the request asks for.
     pub content: ContentKey,
     /// Whether any attempt ran or may have run.
     pub may_have_run: bool,
-    /// Whether any searcher has run it to its end.
+    /// Whether any searcher ran an attempt to its end.
     pub is_answered: bool,
-    /// Whether the time for the best answer is over.
+    /// Whether [`Self::answer_by`] has passed.
     pub is_past_goal: bool,
-    /// The next time at which it is looked at; looks that were scheduled for later are void.
+    /// Time of the next scheduled check of the request; checks scheduled for other times are ignored.
     pub wake_at: Option<BootTime>,
-    /// Set while none of its shards has answered, where others of its route have ended searchers lately.
+    /// The first probe, set until one of the shards has answered, if requests of the route have crashed searchers lately.
     pub probe: Option<FirstProbe>,
 }
 
@@ -374,7 +381,7 @@
         }
     }
 
-    /// Shards that make an answer.
+    /// Returns the least number of answered shards that make an answer.
     pub fn least_shards(&self) -> usize {
         self.route().least_shards()
     }
@@ -387,18 +394,19 @@
         self.shards.iter().filter(|shard| shard.is_open()).count()
     }
 
-    /// Attempts whose answers are waited for.
+    /// Returns the number of attempts for whose answers the request still waits.
     pub fn attempts_at_work(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_open).count()
     }
 
-    /// Whether its key was revoked while it isn't known yet whether anything of it runs: the next end of an attempt shows.
+    /// Returns whether the key was revoked while it is unknown whether the open attempts run. The end of the next attempt
+    /// shows it.
     pub fn is_unclear(&self) -> bool {
         let is_anything_out = || self.attempts.iter().any(|attempt| attempt.is_open);
         self.is_key_revoked && !self.may_have_run && is_anything_out()
     }
 
-    /// Whether any shard that is open may have its part in time for the best answer.
+    /// Returns whether any open shard may still be answered before [`Self::answer_by`].
     pub fn may_grow_in_time(&self) -> bool {
         self.shards.iter().any(|shard| shard.may_come_by(self.answer_by))
     }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -1,7 +1,7 @@
-//! What is known of one searcher: its entry, its load as seen from here, its speed, its failures.
+//! The state of one searcher: its entry, the attempts that this node sent it, its speed and its failures.
 //!
-//! Of its reports, the slowness of its host counts for a moment, and its queue only in the log. A searcher
-//! that has gone or is leaving is never asked again; when it starts again under its id, that is another searcher.
+//! Of a searcher's reports, the slowness of its host affects decisions for a moment; its queue is only logged. A searcher
+//! that is gone or draining is never asked again. If it restarts under the same id, it counts as another searcher.
 
 use crate::configuration::definition::ColdStart;
 use crate::decision::cold::ColdSends;
@@ -13,112 +13,121 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Weight of a usual sample in the estimate of slowness. So that some three answers move it.
+/// Weight of a usual sample in the estimate of slowness. With this weight some three answers move the estimate.
 const USUAL_GAIN: f64 = 0.3;
-/// Weight of a slow sample that may come of one pause. So that a single one hardly counts: with more, a pause sent callers of a zone to the next.
+/// Weight of a slow sample that a single pause may have caused. Such a sample must hardly count: with a larger weight,
+/// one pause moved the requests of a zone's callers to the next zone.
 const PAUSE_GAIN: f64 = 0.02;
-/// Weight of a slow sample of an attempt sent after a slow answer: a pause would have been over. So that two make a searcher slow.
+/// Weight of a slow sample of an attempt that was sent after a slow answer, when a pause would have been over. With this
+/// weight two slow samples make a searcher slow.
 const SLOW_GAIN: f64 = 0.6;
-/// Time in which an estimate of slowness that nothing confirms halves its distance to normal. So that a slow searcher is tried again within some ten
-/// seconds.
+/// Time in which an estimate of slowness halves its distance to normal without new samples. With it a slow searcher is
+/// tried again within some ten seconds.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(4000);
-/// Slowness that a lost, spoiled or failed answer counts as. A slow answer rather than a failure, since three living searchers that lost every other
-/// answer were otherwise all avoided.
+/// Slowness that a lost, damaged or error answer counts as. It counts as a slow answer rather than as a failure because
+/// otherwise three live searchers that lost every other answer were all avoided.
 const FALTER_SAMPLE: f64 = 10.0;
-/// Weight of a lost, spoiled or failed answer in the estimate of slowness. Near [`USUAL_GAIN`].
+/// Weight of a lost, damaged or error answer in the estimate of slowness; near [`USUAL_GAIN`].
 const FALTER_GAIN: f64 = 0.25;
-/// What a host reports when work takes its usual time there, in percent. By definition of the report.
+/// Value of [`ReportedLoad::host_slowness`], in percent, that means that work takes its usual time on the host.
 const USUAL_PERCENT: u32 = 100;
-/// Time in which a report of a host's slowness loses half of its weight: hosts are shared with others, and their load changes many
-/// times a second. Measured on four days: +0.0022 ± 0.0016 of the worth; 0.8 s +0.0020 ± 0.0017 (docs/design/searcher-choice.md).
+/// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with other
+/// programs and their load changes many times a second. On four days this raised the mean value of an answer (0 to 1)
+/// by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
 const HOST_HALF_LIFE: Duration = Duration::from_millis(300);
-/// Times the estimate from which a sample is slow. Above the usual spread of work.
+/// Multiple of the estimate above which a sample is slow. It is above the usual spread of the time that work takes.
 const NOTABLY_SLOWER: f64 = 3.0;
-/// Least slowness that a sample counts as. So that one quick answer doesn't draw all work to a searcher.
+/// Least slowness that a sample counts as. The limit prevents one fast answer from attracting all work to a searcher.
 const MIN_SLOWNESS: f64 = 0.6;
-/// Greatest slowness that a sample or a report counts as. So that a searcher that was stuck is believed to be well again after a few usual answers.
+/// Greatest slowness that a sample or a report counts as. With the limit, a searcher that was stuck counts as normal again
+/// after a few usual answers.
 const MAX_SLOWNESS: f64 = 30.0;
-/// Least slowness of a searcher while it is cold. So that warm searchers are preferred where they have room.
+/// Least slowness of a searcher while it is cold. It makes warm searchers preferred where they have room.
 const COLD_FACTOR: f64 = 2.0;
-/// First time of avoidance after failures in a row; doubles with each further one. For a short interruption.
+/// Time for which a searcher is avoided after its first failure. It fits a short interruption and doubles with each
+/// further failure in a row.
 const AVOID_BASE: Duration = Duration::from_millis(400);
-/// Doublings of the time of avoidance at most. For 6.4 s at most, so that a searcher that is back is soon found.
+/// Largest number of doublings of [`AVOID_BASE`]. A searcher is avoided for at most 6.4 s, so one that is back is found
+/// soon.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time during which a searcher that accepts no connection at all isn't asked. Short, since it lives and may have room at any moment.
+/// Time for which a searcher that accepts no connection at all isn't asked. It is short because the searcher is alive and
+/// may have room at any moment.
 const CONNECTION_REJECTED_PAUSE: Duration = Duration::from_millis(120);
-/// Time during which a searcher that accepts no further connection isn't asked for one.
+/// Time for which no further connection is opened to a searcher that rejected one while others to it were open.
 const FULL_PAUSE: Duration = Duration::from_millis(800);
-/// Time during which a searcher that rejected work isn't asked. Where most searchers reject much, [`RejectionRate`] remembers more.
+/// Time for which a searcher that rejected work isn't asked. Where most searchers reject much, [`RejectionRate`]
+/// remembers rejections for longer.
 const SHED_PAUSE: Duration = Duration::from_millis(60);
-/// Time between trials of a searcher that has failed. Below [`AVOID_BASE`].
+/// Time between trial attempts at a searcher that has failed; below [`AVOID_BASE`].
 const TRIAL_SPACING: Duration = Duration::from_millis(300);
 
-/// An attempt that holds a connection of the searcher.
+/// An attempt that holds a connection to the searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenAttempt {
-    /// Which.
+    /// Key of the attempt.
     pub attempt: AttemptKey,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: BootTime,
-    /// When it should have been answered.
+    /// Time after which the attempt is overdue.
     pub due_at: BootTime,
 }
 
-/// Whether a searcher may be asked.
+/// Whether a searcher may be asked, by its entry in the store and by its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Its entry says that it serves.
+    /// The searcher has an entry that isn't draining.
     Serving,
-    /// Its entry has gone without a report of its own. Entries also lapse while the store is away, so it is asked until a
-    /// time, if nobody else can be.
+    /// The entry is gone although the searcher didn't announce that it leaves. Entries also lapse while the store is
+    /// unavailable, so the searcher may be asked for some more time.
     Lapsed {
-        /// The time.
+        /// Time until which the searcher may be asked.
         until: BootTime,
     },
-    /// It said that it leaves; never asked again.
+    /// The searcher announced that it leaves; it is never asked again.
     Draining,
-    /// It isn't at its address any more.
+    /// The searcher is no longer at its address.
     Gone,
 }
 
-/// One start of a searcher.
+/// State of one incarnation of a searcher.
 #[derive(Debug)]
 pub struct Searcher {
-    /// Its entry, as last known.
+    /// The last known entry.
     pub entry: SearcherEntry,
-    /// Its incarnation, as other nodes know it.
+    /// Key of the incarnation, which is the same on all nodes.
     pub instance_key: InstanceKey,
-    /// Whether it may be asked.
+    /// Whether the searcher may be asked, by its entry and its answers.
     pub standing: Standing,
-    /// Attempts that hold a connection.
+    /// Attempts that hold a connection to the searcher.
     pub open: Vec<OpenAttempt>,
-    /// Connections that it accepts from all callers together.
+    /// Number of connections that the searcher accepts from all its clients together.
     pub max_connections: u32,
-    /// What it bears while it is cold.
+    /// Duration of the cold start, and the load that the searcher can take meanwhile.
     pub cold_start: ColdStart,
-    /// Whether its zone is being evacuated: it gets no new work until that is taken back.
+    /// Whether the searcher's zone is being evacuated; the searcher gets no new work until that ends.
     is_evacuated: bool,
-    /// When a connection to its address came up last.
+    /// Time at which a connection to the searcher's address was last established.
     connected_at: Option<BootTime>,
     cold_until: BootTime,
     cold_sends: ColdSends,
     reported: Option<(BootTime, ReportedLoad)>,
     slowness: f64,
     measured_at: BootTime,
-    /// When the first of the slow answers that came without a usual one in between was seen.
+    /// Time of the first slow answer since the last answer that wasn't slow.
     slow_answer_at: Option<BootTime>,
     rejections: RejectionRate,
     failures: u32,
     avoid_until: BootTime,
-    /// Whether one attempt alone finds out if it can be asked again.
+    /// Whether a single trial attempt must succeed before the searcher gets more work.
     needs_trial: bool,
-    /// Attempts that it takes at once while it accepts no further connection, and until when.
+    /// Number of open attempts at which the searcher is full, until `full_until`.
     full_at: usize,
+    /// Time until which the searcher is taken to accept no further connection.
     full_until: BootTime,
 }
 
 impl Searcher {
-    /// A searcher that was just learned of.
+    /// Creates the state of a searcher whose first entry has just arrived.
     pub fn new(now: BootTime, entry: SearcherEntry, max_connections: u32) -> Self {
         let standing = if entry.is_draining { Standing::Draining } else { Standing::Serving };
         let cold_until = now + Duration::from_millis(entry.cold_ms);
@@ -146,12 +155,13 @@
         }
     }
 
-    /// The same, counting what was sent to the incarnation before it while that was cold: it may have reached this one.
+    /// Counts the requests that were sent to the previous incarnation while that was cold, because they may have reached
+    /// this one.
     pub fn with_cold_sends(self, cold_sends: ColdSends) -> Self {
         Searcher { cold_sends, ..self }
     }
 
-    /// Takes a newer entry of the same start. Leaving is final; coming back after a lapse isn't.
+    /// Replaces the entry by a newer one of the same incarnation. A draining searcher stays so; a lapsed one serves again.
     pub fn update(&mut self, now: BootTime, entry: SearcherEntry) {
         let was_draining = self.standing == Standing::Draining;
         self.standing = if was_draining || entry.is_draining { Standing::Draining } else { Standing::Serving };
@@ -159,32 +169,32 @@
         self.entry = entry;
     }
 
-    /// Its entry has gone from the store.
+    /// Records that the entry is gone from the store; the searcher may be asked until `until`.
     pub fn mark_lapsed(&mut self, until: BootTime) {
         if self.standing == Standing::Serving {
             self.standing = Standing::Lapsed { until };
         }
     }
 
-    /// It isn't at its address any more.
+    /// Records that the searcher is no longer at its address.
     pub fn mark_gone(&mut self) {
         if self.standing != Standing::Draining {
             self.standing = Standing::Gone;
         }
     }
 
-    /// Whether its entry says that it serves.
+    /// Returns whether the searcher has an entry that isn't draining.
     pub fn is_serving(&self) -> bool {
         self.standing == Standing::Serving
     }
 
-    /// Whether new work may be sent, room and trials aside.
+    /// Returns whether new work may be sent to the searcher, regardless of its room and of trials.
     pub fn may_be_asked(&self, now: BootTime) -> bool {
         !self.is_evacuated && self.is_listed(now)
     }
 
-    /// Notes whether its zone is being evacuated. When that ends, the searcher may have been started anew shortly before and
-    /// its entry may not say so yet.
+    /// Sets whether the searcher's zone is being evacuated. When an evacuation ends, the searcher is treated as cold: it
+    /// may have been restarted shortly before, and its entry may not show that yet.
     pub fn set_evacuated(&mut self, now: BootTime, is_evacuated: bool) {
         if self.is_evacuated && !is_evacuated {
             self.cold_until = self.cold_until.max(now + Duration::from_millis(self.cold_start.duration_ms));
@@ -192,27 +202,29 @@
         self.is_evacuated = is_evacuated;
     }
 
-    /// Notes that a connection to its address came up. The process there may be a later incarnation under the same id.
+    /// Records that a connection to the searcher's address was established. The process there may be a later incarnation
+    /// under the same id.
     pub fn note_connected(&mut self, now: BootTime) {
         self.connected_at = Some(now);
     }
 
-    /// When a connection to its address came up last; what is older surely goes to the process that accepted it.
+    /// Returns the time at which a connection to the searcher's address was last established. Entries and attempts older
+    /// than that certainly belong to the process that accepted it.
     pub fn connected_at(&self) -> Option<BootTime> {
         self.connected_at
     }
 
-    /// Whether it is cold.
+    /// Returns whether the searcher is still in its cold start.
     pub fn is_cold(&self, now: BootTime) -> bool {
         now < self.cold_until
     }
 
-    /// What was sent to it while it was cold.
+    /// Returns the record of the requests sent to the searcher while it was cold.
     pub fn cold_sends(&self) -> &ColdSends {
         &self.cold_sends
     }
 
-    /// Takes what an answer says of the searcher.
+    /// Stores the report of an answer.
     pub fn take_report(&mut self, now: BootTime, report: SearcherReport) {
         if let Some(load) = report.load {
             self.reported = Some((now, load));
@@ -222,12 +234,12 @@
         }
     }
 
-    /// What it reported last of its load, and when.
+    /// Returns the last reported load and the time at which it arrived.
     pub fn reported(&self) -> Option<(BootTime, ReportedLoad)> {
         self.reported
     }
 
-    /// Whether it may be asked by what its entry says.
+    /// Returns whether the searcher may be asked by its [`Standing`].
     pub fn is_listed(&self, now: BootTime) -> bool {
         match self.standing {
             Standing::Serving => true,
@@ -236,19 +248,20 @@
         }
     }
 
-    /// When it may be asked again after failures; in the past if it isn't avoided.
+    /// Returns the time until which the searcher is avoided after failures or rejections; in the past if it isn't avoided.
     pub fn avoided_until(&self) -> BootTime {
         self.avoid_until
     }
 
-    /// How many times slower than usual it is taken to be.
+    /// Returns the estimated slowness: the time that the searcher takes as a multiple of the usual time.
     pub fn slowness(&self, now: BootTime) -> f64 {
         let present = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
         if self.is_cold(now) { present.max(COLD_FACTOR) } else { present }
     }
 
-    /// How many times slower than usual its host is taken to be by its last report. A report that says it is faster counts as nothing:
-    /// it may mislead, and then costs no more than a searcher left aside for a moment.
+    /// Returns the estimated slowness of the searcher's host by the last report: a multiple of the usual time, at least 1.
+    /// A report that the host is faster than usual is ignored. So a wrong report costs no more than a searcher that isn't
+    /// asked for a moment.
     pub fn host_slowness(&self, now: BootTime) -> f64 {
         let Some((at, load)) = self.reported else {
             return 1.0;
@@ -257,20 +270,20 @@
         1.0 + beyond.min(MAX_SLOWNESS) * kept_fraction(now.since(at), HOST_HALF_LIFE)
     }
 
-    /// Fraction of what is sent to it that it is taken to reject, 0 to 1.
+    /// Returns the estimated fraction of its requests that the searcher rejects, 0 to 1.
     pub fn rejection_rate(&self, now: BootTime) -> f64 {
         self.rejections.get(now)
     }
 
-    /// Longest time by which an open attempt is overdue.
+    /// Returns the longest time by which an open attempt is overdue; zero if none is.
     pub fn overdue(&self, now: BootTime) -> Duration {
         self.open.iter().map(|open| now.since(open.due_at)).max().unwrap_or_default()
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub fn sent(&mut self, now: BootTime, open: OpenAttempt) {
         if self.needs_trial {
-            // The one trial; nothing else is sent until it has ended.
+            // This is the trial attempt; no other attempt is sent for `TRIAL_SPACING` or until the trial has ended.
             self.avoid_until = now + TRIAL_SPACING;
         }
         if self.is_cold(now) {
@@ -279,12 +292,12 @@
         self.open.push(open);
     }
 
-    /// Notes that an attempt no longer holds a connection.
+    /// Records that an attempt no longer holds a connection.
     pub fn released(&mut self, attempt: AttemptKey) {
         self.open.retain(|open| open.attempt != attempt);
     }
 
-    /// Notes an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
+    /// Records an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
     pub fn answered(&mut self, now: BootTime, sent_at: BootTime, ratio: f64) {
         self.failures = 0;
         self.needs_trial = false;
@@ -308,8 +321,8 @@
         }
     }
 
-    /// Notes that a connection to it has come up and is kept: the trial has succeeded, and there may be room for
-    /// one more.
+    /// Records that a connection to the searcher was established and not reset: a trial has succeeded, and there may be
+    /// room for one more attempt.
     pub fn accepted(&mut self) {
         self.full_at = self.full_at.max(self.open.len() + 1);
         if self.needs_trial {
@@ -323,18 +336,18 @@
         kept_fraction(now.since(self.measured_at), SLOWNESS_HALF_LIFE)
     }
 
-    /// Notes an answer that was lost, spoiled or a failure. It counts as a slow one: others are preferred
-    /// for a while, but where all do so, all go on being asked.
+    /// Records an answer that was lost, damaged or an error. It counts as a slow answer: other searchers are preferred for
+    /// a while, but where all searchers give such answers, all are still asked.
     pub fn faltered(&mut self, now: BootTime) {
         let before = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
         self.slowness = before + (FALTER_SAMPLE - before).max(0.0) * FALTER_GAIN;
         self.measured_at = now;
     }
 
-    /// Notes that it accepts no further connection. Those that it has accepted go on being used.
+    /// Records that the searcher accepts no further connection. Connections that it has accepted stay in use.
     pub fn connection_rejected(&mut self, now: BootTime) {
         if self.open.is_empty() {
-            // It lives, and may have room for another at any moment.
+            // The searcher is alive and may have room for a connection at any moment.
             self.needs_trial = true;
             self.avoid_until = self.avoid_until.max(now + CONNECTION_REJECTED_PAUSE);
             return;
@@ -343,18 +356,19 @@
         self.full_until = now + FULL_PAUSE;
     }
 
-    /// Whether it takes no more attempts at once than it has now.
+    /// Returns whether the searcher can't take another attempt because it accepts no further connection.
     pub fn is_full(&self, now: BootTime) -> bool {
         now < self.full_until && self.open.len() >= self.full_at
     }
 
-    /// Notes that it rejected work.
+    /// Records that the searcher rejected work.
     pub fn shed(&mut self, now: BootTime) {
         self.rejections.rejected(now);
         self.avoid_until = self.avoid_until.max(now + SHED_PAUSE);
     }
 
-    /// Notes that it couldn't be reached; failures in a row keep work away ever longer.
+    /// Records that the searcher couldn't be reached. Each further failure in a row doubles the time for which it is
+    /// avoided, up to [`MAX_DOUBLINGS`] times.
     pub fn failed(&mut self, now: BootTime) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
--- a/crates/staircross-routing/src/state/searcher_entry.rs
+++ b/crates/staircross-routing/src/state/searcher_entry.rs
@@ -1,34 +1,35 @@
-//! What a searcher writes of itself in the store.
+//! The entry with which a searcher registers itself in the store.
 //!
-//! Owns the entry's form on the wire between nodes. Relies on an adapter for reading it from the store's items.
+//! The serialized form of the entry is the one that nodes send each other. An adapter reads entries from the store's
+//! items.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One entry, of one incarnation of a searcher.
+/// The entry of one incarnation of a searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SearcherEntry {
     /// The searcher's id.
     pub instance: Arc<str>,
-    /// Service that it serves.
+    /// Service to which the searcher belongs.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which the searcher listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the searcher.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that the searcher works on at once.
     pub slots: u32,
-    /// Whether it is draining: it finishes its requests and is to get no new ones.
+    /// Whether the searcher is draining: it finishes its requests and must get no new ones.
     pub is_draining: bool,
-    /// Milliseconds that it stays slow after it wrote the entry.
+    /// Time for which the searcher stays cold after it wrote the entry, in milliseconds.
     pub cold_ms: u64,
-    /// Unix milliseconds of its start, by which incarnations under one id are told apart; 0 where it isn't known.
+    /// Start time of the incarnation in Unix milliseconds, which distinguishes incarnations under one id; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_unknown")]
     pub born_ms: u64,
 }
 
-/// Many searchers don't write when they started.
+/// Leaves `born_ms` out of the serialized form if it is unknown, since many searchers don't write their start time.
 fn is_unknown(born_ms: &u64) -> bool {
     *born_ms == 0
 }
--- a/crates/staircross-routing/src/state/unreadable.rs
+++ b/crates/staircross-routing/src/state/unreadable.rs
@@ -1,14 +1,15 @@
-//! Items of the store that can't be used: other writers' entries, and documents that can't be read.
+//! Items of the store that can't be used: entries of other writers, and documents that can't be parsed.
 //!
-//! Owns the kinds and reasons, as the log names them. Relies on an adapter, which finds such items, and on the node, which logs them.
-//! Only where and why is logged, never what stands there: a document may hold callers' keys.
+//! This module defines the kinds and reasons with their names in logs. An adapter finds such items, and the node logs
+//! them. The log says where the item is and why it can't be used, but never quotes its content, because a document may
+//! hold callers' keys.
 
 use std::fmt;
 
-/// Longest part of a key that is logged, in characters. So that a line stays short and a key can be found by it.
+/// Number of characters of a key that are logged: few enough for a short line, enough to find the key by.
 const MAX_KEY_CHARS: usize = 64;
 
-/// What an item's key stands for.
+/// Kind of item that a key stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
     /// The configuration.
@@ -22,7 +23,7 @@
 }
 
 impl KeyKind {
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             KeyKind::Configuration => "configuration",
@@ -36,32 +37,32 @@
 /// Why an item can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnreadableReason {
-    /// The item itself lacks a field, or one has another type.
+    /// The item itself lacks a field, or a field has the wrong type.
     Item,
-    /// Its key names nothing of its kind.
+    /// The key isn't a valid key of its kind.
     Key,
-    /// Its value isn't in the store's encoding.
+    /// The value isn't in the store's encoding.
     Encoding,
-    /// Its value is longer than any of its kind.
+    /// The value is longer than any valid value of its kind.
     TooLong {
-        /// Bytes.
+        /// Length of the value in bytes.
         bytes: usize,
     },
-    /// Its value isn't written in the language of such documents.
+    /// The value has a syntax error.
     Syntax {
-        /// Line, from 1.
+        /// Line of the error, from 1.
         line: usize,
-        /// Column, from 1.
+        /// Column of the error, from 1.
         column: usize,
     },
-    /// A field of its value is missing or has another type.
+    /// A field of the value is missing or has the wrong type.
     Shape {
-        /// Line where that was noticed, from 1.
+        /// Line at which the parser noticed the error, from 1.
         line: usize,
-        /// Column, from 1.
+        /// Column at which the parser noticed the error, from 1.
         column: usize,
     },
-    /// A field of its value says nothing that it may.
+    /// A field of the value has an invalid content.
     Field {
         /// Path of the field.
         path: String,
@@ -69,7 +70,7 @@
 }
 
 impl UnreadableReason {
-    /// That a field says nothing that it may.
+    /// Creates the reason for a field with an invalid content.
     pub fn field(path: impl Into<String>) -> Self {
         UnreadableReason::Field { path: path.into() }
     }
@@ -92,18 +93,18 @@
 /// An item that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableItem {
-    /// What its key stands for.
+    /// Kind of item that the key stands for.
     pub kind: KeyKind,
-    /// Its key, shortened and without control characters or blanks; empty where that can't be read.
+    /// Key of the item, shortened and with `?` for control characters and blanks; empty if it can't be read.
     pub key: String,
-    /// Revision of its last change, where that can be read.
+    /// Revision of the item's last change, if it can be read.
     pub revision: Option<u64>,
-    /// Why it can't be used.
+    /// Why the item can't be used.
     pub reason: UnreadableReason,
 }
 
 impl UnreadableItem {
-    /// An item at a key.
+    /// Creates the record of an item, with its key shortened and made printable.
     pub fn new(kind: KeyKind, key: &str, revision: Option<u64>, reason: UnreadableReason) -> Self {
         let printable = |c: char| if c.is_control() || c.is_whitespace() { '?' } else { c };
         let key = key.chars().take(MAX_KEY_CHARS).map(printable).collect();
