--- a/crates/staircross-routing/src/configuration.rs
+++ b/crates/staircross-routing/src/configuration.rs
@@ -1,15 +1,16 @@
-//! What operators ask for: one version of the configuration, its check, what differs between two, and look-ups in it.
+//! The operators' configuration: the content of a version, its checks, the difference of two versions, and look-ups.
 //!
-//! A version never changes once it is made; a newer one replaces it as a whole. Nothing here depends on what this node believes or decides.
+//! A version is immutable; a newer version replaces it as a whole. Nothing here depends on the state of this node or on
+//! its decisions.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`definition`] | what one version of the configuration says |
-//! | [`check`] | what in a version is allowed and will hurt |
-//! | [`delta`] | what differs between two versions, for peers |
-//! | [`tenants`] | whose requests are taken, and by which keys |
-//! | [`rank`] | how urgent a request is |
-//! | [`table`] | which route a request takes |
+//! | [`definition`] | the content of one version of the configuration |
+//! | [`check`] | warnings about valid settings that are probably mistakes |
+//! | [`delta`] | the difference of two versions, which is sent to peers |
+//! | [`tenants`] | the tenants whose requests are accepted, and their API keys |
+//! | [`rank`] | the rank of a request by tenant and route priority |
+//! | [`table`] | look-ups of a request's route and tenant |
 
 pub mod check;
 pub mod definition;
--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -1,6 +1,6 @@
-//! What is allowed in a configuration and will hurt: what an operator wants to know before a version is written.
+//! Warnings about valid settings that are probably mistakes, for operators before they write a version.
 //!
-//! Findings name tenants, routes and regions; keys never.
+//! Findings name tenants, routes and regions, but never keys.
 
 use crate::configuration::definition::{RouteDefinition, RoutingDefinition};
 use crate::configuration::tenants::{KeyDigest, TenantDefinition};
@@ -11,44 +11,44 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Least burst that lets one request through at any time.
+/// Least burst, in requests, with which a request that follows a time without any is accepted.
 const MIN_BURST: f64 = 1.0;
 
-/// One weakness of a configuration.
+/// One probable mistake in a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// Two tenants have one name.
+    /// Two tenants have the same name.
     TenantTwice {
-        /// The name.
+        /// Name of the tenants.
         tenant: Arc<str>,
     },
-    /// Two tenants hold the same key; it lets callers in as the first.
+    /// Two tenants hold the same key, or one tenant lists it twice. Callers with the key count as the first tenant.
     KeyHeldTwice {
-        /// Who holds it by the order of the configuration.
+        /// The tenant that comes first in the configuration; requests with the key are its requests.
         first: Arc<str>,
-        /// Who holds it in vain; the same where a tenant lists a key twice.
+        /// The tenant for which the key has no effect; equal to `first` if one tenant lists the key twice.
         second: Arc<str>,
     },
-    /// A tenant has no key: nobody can ask in its name.
+    /// A tenant has no key, so no request can be made in its name.
     NoKeys {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
     },
-    /// A burst is given without a rate: there is no limit.
+    /// A burst is given without a rate, so there is no limit.
     BurstWithoutRate {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
     },
-    /// The burst is too small to let a request through whenever there was none before.
+    /// The burst is so small that even a request that follows a time without any is refused.
     BurstBelowOne {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
         /// The burst, in requests.
         burst: f64,
     },
-    /// A region is allowed in which there is no zone.
+    /// An allowed region has no zone.
     UnknownRegion {
-        /// Who allows it.
+        /// The route or tenant that allows the region.
         by: RegionHolder,
         /// The region.
         region: Arc<str>,
@@ -62,7 +62,7 @@
     },
 }
 
-/// Who allows regions.
+/// The route or tenant that allows a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegionHolder {
     /// A route.
@@ -71,7 +71,7 @@
     Tenant(Arc<str>),
 }
 
-/// Judges a quota as it is written: requests per second, 0 where there is no limit, and requests beyond that.
+/// Checks a tenant's quota: its rate in requests per second (0 for no limit) and its burst in requests.
 pub fn check_quota(tenant: &Arc<str>, rate_per_s: f64, burst: f64) -> Option<Finding> {
     let tenant = tenant.clone();
     match (rate_per_s > 0.0, burst) {
@@ -81,7 +81,8 @@
     }
 }
 
-/// Judges what a definition says of tenants and regions. `regions` are those that have zones; `None` where they aren't known.
+/// Checks the tenants and regions of a definition. `regions` are the regions that have zones; `None` if they are
+/// unknown.
 pub fn check_tenants(definition: &RoutingDefinition, regions: Option<&[Arc<str>]>) -> Vec<Finding> {
     let mut findings = check_names(&definition.tenants);
     findings.extend(check_keys(&definition.tenants));
--- a/crates/staircross-routing/src/configuration/definition.rs
+++ b/crates/staircross-routing/src/configuration/definition.rs
@@ -1,21 +1,21 @@
-//! What one version of the configuration says.
+//! The content of one version of the configuration: routes, services, limits and tenants.
 
 use crate::configuration::tenants::TenantDefinition;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One whole version of the configuration.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingDefinition {
-    /// Rises with every change, by uneven steps.
+    /// Version number. It rises with every change, by steps of any size.
     pub version: u64,
-    /// Routes.
+    /// The routes.
     pub routes: Vec<RouteDefinition>,
-    /// Services that the routes name.
+    /// The services that the routes name.
     pub services: Vec<ServiceEntry>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Whose requests are taken; where there are none, requests need no key.
+    /// The tenants whose requests are accepted. If there are none, requests need no key.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantDefinition>,
 }
@@ -23,99 +23,100 @@
 /// One route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteDefinition {
-    /// Name; keeps its statistics over versions.
+    /// Name of the route. A route of the same name in a newer version keeps its statistics.
     pub name: Arc<str>,
     /// Host that requests name.
     pub host: Arc<str>,
-    /// Start of the paths that take this route; the longest wins.
+    /// Prefix of the paths that take this route; the route with the longest matching prefix is taken.
     pub path_prefix: Arc<str>,
-    /// Where requests go.
+    /// The services to which requests are sent.
     pub target: RouteTarget,
     /// Whether a request may run more than once.
     pub is_idempotent: bool,
-    /// Longest time that a request is held, in milliseconds.
+    /// Time after which a request is given up, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency goal in milliseconds: the time within which an answer has its full value.
     pub goal_ms: u64,
-    /// Most searchers that one request is sent to (per shard).
+    /// Largest number of searchers to which one request is sent, per shard.
     pub max_attempts: u32,
-    /// Rank; 0 is the highest.
+    /// Priority of the route; 0 is the highest.
     pub priority: u32,
-    /// Regions whose searchers may serve the requests; empty where any may.
+    /// Regions whose searchers may serve the requests; empty if all may.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub allowed_regions: Vec<Arc<str>>,
-    /// Whether requests need no key where there are tenants.
+    /// Whether requests need no key although there are tenants.
     #[serde(default, skip_serializing_if = "is_false")]
     pub is_public: bool,
 }
 
-/// Few routes are public, and large configurations are passed on between nodes.
+/// Leaves `is_public` out of the serialized form of most routes, because few are public and large configurations are
+/// sent between nodes.
 fn is_false(flag: &bool) -> bool {
     !flag
 }
 
-/// Where the requests of a route go.
+/// The services to which the requests of a route are sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RouteTarget {
-    /// To one searcher of one service.
+    /// A request is sent to one searcher of this service.
     Service(Arc<str>),
-    /// To one searcher of one of several services, by weight.
+    /// A request is sent to one searcher of one of these services, chosen by weight.
     Weighted(Vec<WeightedService>),
-    /// To one searcher of each service; the answers are merged.
+    /// A request is sent to one searcher of each service, and the answers are merged.
     Gather(GatherTarget),
 }
 
-/// A service and its share of the requests.
+/// A service and its weight among the services of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: Arc<str>,
-    /// Its weight.
+    /// Weight of the service: its share of the requests relative to the other weights.
     pub weight: u32,
 }
 
-/// A query over many shards.
+/// The target of a query over many shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatherTarget {
-    /// The shards, each a service.
+    /// The services of the shards, one for each shard.
     pub shards: Vec<Arc<str>>,
-    /// Records of the merged answer.
+    /// Number of records in the merged answer.
     pub top_k: usize,
-    /// Least share of the shards that makes an answer, 0 to 1.
+    /// Least fraction of the shards that must have answered for a merged answer, 0 to 1.
     pub min_coverage: f64,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that each of its searchers accepts from all callers together.
+    /// Number of connections that each searcher of the service accepts from all its clients together.
     pub max_connections: u32,
-    /// What its searchers bear after a start.
+    /// Duration of the searchers' cold start, and the load that they can take meanwhile.
     #[serde(default)]
     pub cold_start: ColdStart,
 }
 
-/// What a searcher bears while it is cold.
+/// How long a searcher stays cold after a start, and the load that it can take meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long it stays cold after a start, in milliseconds.
+    /// Time for which the searcher stays cold after a start, in milliseconds.
     pub duration_ms: u64,
-    /// Requests per second that it bears meanwhile, from all nodes together; `None` where it bears its usual load.
+    /// Requests per second from all nodes together that a cold searcher can take; `None` if it can take its usual load.
     pub requests_per_s: Option<f64>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time that callers may take.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Longest request head, in bytes.
     pub head_bytes: usize,
     /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// Time to send a whole head, in milliseconds.
+    /// Longest time that a caller may take to send a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Longest time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -126,7 +127,7 @@
 }
 
 impl RouteDefinition {
-    /// Least number of shards that makes an answer; one where a single service is asked.
+    /// Returns the least number of shards that must have answered; one if a single service is asked.
     pub fn least_shards(&self) -> usize {
         match &self.target {
             RouteTarget::Gather(gather) => gather.least_shards(),
@@ -136,10 +137,10 @@
 }
 
 impl GatherTarget {
-    /// Least number of shards that makes an answer; at least one.
+    /// Returns the least number of shards that must have answered; at least one.
     pub fn least_shards(&self) -> usize {
         let exact = self.min_coverage * self.shards.len() as f64;
-        // Shares such as 0.7 of 10 must not be rounded up by the last bit of the product.
+        // The product of 0.7 and 10, for example, may be slightly above 7 and must not be rounded up to 8.
         ((exact - 1e-9).ceil() as usize).max(1)
     }
 }
--- a/crates/staircross-routing/src/configuration/delta.rs
+++ b/crates/staircross-routing/src/configuration/delta.rs
@@ -1,8 +1,9 @@
-//! What differs between two versions of the configuration, so that peers are sent a change instead of the whole.
+//! The difference of two versions of the configuration, which peers are sent instead of the whole.
 //!
-//! A configuration of 1,700 routes is a quarter of a megabyte. Passed on whole it fills the links of small machines, and read by each node from the store it
-//! costs a call a node for each change, mostly of one route. A delta holds the routes and services that changed and a digest of what must come of
-//! it; a node that gets something else doesn't take it and reads the whole.
+//! A configuration of 1,700 routes is a quarter of a megabyte. Sending it whole to peers saturates the links of small
+//! machines, and reading it from the store costs one call per node for each change, most of which affect one route. A
+//! delta holds the changed entries and a digest of the resulting definition. A node whose result has another digest
+//! rejects the delta and reads the whole configuration.
 
 use crate::configuration::definition::{CallerLimits, RouteDefinition, RoutingDefinition, ServiceEntry};
 use crate::configuration::tenants::TenantDefinition;
@@ -14,16 +15,16 @@
 /// The change from one version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DefinitionDelta {
-    /// Version that it starts from.
+    /// Version to which the delta can be applied.
     pub from: u64,
-    /// Version that it leads to.
+    /// Version that results from applying the delta.
     pub to: u64,
     routes: ListDelta<RouteDefinition>,
     services: ListDelta<ServiceEntry>,
     #[serde(default, skip_serializing_if = "ListDelta::is_empty")]
     tenants: ListDelta<TenantDefinition>,
     limits: CallerLimits,
-    /// Digest of the definition that it leads to.
+    /// Digest of the definition that results from applying the delta.
     digest: u64,
 }
 
@@ -32,11 +33,11 @@
 struct ListDelta<T> {
     /// Entries that are new or have changed.
     set: Vec<T>,
-    /// Names of those that are gone.
+    /// Names of the entries that were removed.
     gone: Vec<Arc<str>>,
 }
 
-/// Something that has a name of its own in a definition.
+/// An entry of a definition's list, identified by its name.
 trait Named {
     fn name(&self) -> &Arc<str>;
 }
@@ -60,7 +61,7 @@
 }
 
 impl DefinitionDelta {
-    /// What leads from one definition to another; `None` where names aren't unique.
+    /// Computes the delta from `old` to `new`; `None` if names aren't unique.
     pub fn between(old: &RoutingDefinition, new: &RoutingDefinition) -> Option<Self> {
         Some(DefinitionDelta {
             from: old.version,
@@ -73,7 +74,8 @@
         })
     }
 
-    /// The definition that it leads to from `old`; `None` where `old` is another than it starts from, or something else would come of it.
+    /// Returns the definition that results from applying the delta to `old`; `None` if `old` has another version than
+    /// `from`, or if the result doesn't match the digest.
     pub fn apply(&self, old: &RoutingDefinition) -> Option<RoutingDefinition> {
         if old.version != self.from {
             return None;
@@ -88,7 +90,7 @@
         (digest(&new)? == self.digest).then_some(new)
     }
 
-    /// Routes that are sent, and names of those that are gone.
+    /// Returns the routes that are new or changed, and the names of those that were removed.
     pub fn changed_routes(&self) -> (&[RouteDefinition], &[Arc<str>]) {
         (&self.routes.set, &self.routes.gone)
     }
@@ -127,13 +129,13 @@
     }
 }
 
-/// `None` where two entries have one name.
+/// Indexes entries by name; `None` if two entries have the same name.
 fn by_name<T: Named>(entries: &[T]) -> Option<BTreeMap<&Arc<str>, &T>> {
     let map: BTreeMap<&Arc<str>, &T> = entries.iter().map(|entry| (entry.name(), entry)).collect();
     (map.len() == entries.len()).then_some(map)
 }
 
-/// A digest that doesn't depend on the order of routes and services; `None` where names aren't unique.
+/// Computes a digest that doesn't depend on the order of routes, services and tenants; `None` if names aren't unique.
 fn digest(definition: &RoutingDefinition) -> Option<u64> {
     let mut digest = Xxh3Default::new();
     digest.update(&definition.version.to_le_bytes());
--- a/crates/staircross-routing/src/configuration/rank.rs
+++ b/crates/staircross-routing/src/configuration/rank.rs
@@ -1,27 +1,29 @@
-//! How urgent a request is: first by its tenant, then by its route.
+//! The rank of a request, by the priority of its tenant first and of its route second.
 
 use std::ops::RangeInclusive;
 
-/// Rank of a request; the least is the most urgent.
+/// Rank of a request; the lowest rank is the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Different priorities of tenants above this one's.
+    /// Number of different tenant priorities above that of the request's tenant.
     tenant: u32,
-    /// The route's priority as the configuration has it.
+    /// Priority of the route, as configured.
     route: u32,
 }
 
 impl Rank {
-    /// A rank of a tenant with so many different priorities above its own, on a route of a priority.
+    /// Creates the rank of a request of a tenant with `tenant` different tenant priorities above its own, on a route
+    /// with priority `route`.
     pub fn new(tenant: u32, route: u32) -> Self {
         Rank { tenant, route }
     }
 
-    /// Steps below the most urgent rank of services whose routes have priorities in a range.
+    /// Returns the number of steps below the most urgent rank, at services whose routes have priorities in `routes`.
     ///
-    /// A tenant's steps begin where those of the tenants above it end, so that steps sort as ranks do. Tenants count by how many
-    /// different priorities are above theirs, not by their figures: how far apart an operator writes these says nothing, and each step
-    /// takes more from the rank that stands there. Routes count by their figures, with tenants as without.
+    /// A tenant's steps begin where those of the tenants above it end, so that steps have the same order as ranks.
+    /// Tenants are counted by the number of different priorities above theirs, not by the value of their priority. The
+    /// distance between the values that an operator chooses has no meaning, but each step takes more from a rank.
+    /// Routes are counted by the value of their priority, with tenants as without.
     pub fn steps(self, routes: RangeInclusive<u32>) -> u32 {
         let (first, last) = routes.into_inner();
         let steps_a_tenant = last.saturating_sub(first).saturating_add(1);
--- a/crates/staircross-routing/src/configuration/table.rs
+++ b/crates/staircross-routing/src/configuration/table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Look-ups of a request's route, tenant and rank in one version of the configuration.
 
 use crate::configuration::definition::{RouteDefinition, RoutingDefinition};
 use crate::configuration::rank::Rank;
@@ -8,19 +8,20 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A version of the configuration, ready for look-ups. Immutable: a request keeps the one it began with.
+/// A version of the configuration, indexed for look-ups. The table is immutable: a request keeps the table that was in
+/// force when it arrived.
 #[derive(Debug)]
 pub struct RouteTable {
     definition: Arc<RoutingDefinition>,
-    /// Per host, indices of its routes, longest prefix first.
+    /// Indices of the routes of each host, the longest path prefix first.
     by_host: HashMap<Arc<str>, Vec<u32>>,
     by_key: HashMap<KeyDigest, TenantKey>,
-    /// Different priorities of tenants, the most urgent first.
+    /// The different priorities of tenants, the most urgent first.
     tenant_priorities: Vec<u32>,
 }
 
 impl RouteTable {
-    /// Indexes a definition.
+    /// Creates the table of a definition.
     pub fn new(definition: Arc<RoutingDefinition>) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<u32>> = HashMap::new();
         for (index, route) in definition.routes.iter().enumerate() {
@@ -35,7 +36,7 @@
         let mut by_key = HashMap::new();
         for (index, tenant) in definition.tenants.iter().enumerate() {
             for key in &tenant.keys {
-                // A key that two tenants hold is the first one's, at all nodes.
+                // A key that two tenants hold belongs to the first of them, on every node.
                 by_key.entry(*key).or_insert(TenantKey(index as u32));
             }
         }
@@ -45,26 +46,27 @@
         RouteTable { definition, by_host, by_key, tenant_priorities }
     }
 
-    /// A tenant of this version.
+    /// Returns a tenant of this version.
     pub fn tenant(&self, key: TenantKey) -> Option<&TenantDefinition> {
         self.definition.tenants.get(key.0 as usize)
     }
 
-    /// How urgent a request is. A request that is no tenant's comes after all tenants'.
+    /// Returns the rank of a request. A request without a tenant ranks below those of all tenants.
     pub fn rank(&self, tenant: Option<TenantKey>, route: &RouteDefinition) -> Rank {
         let priority = tenant.and_then(|key| self.tenant(key)).map(|tenant| tenant.priority);
         let above = self.tenant_priorities.partition_point(|known| priority.is_none_or(|own| *known < own));
         Rank::new(above as u32, route.priority)
     }
 
-    /// All ranks that requests may have.
+    /// Returns all ranks that requests may have.
     pub fn ranks(&self) -> BTreeSet<Rank> {
         let routes: BTreeSet<u32> = self.definition.routes.iter().map(|route| route.priority).collect();
         let tenants = 0..=self.tenant_priorities.len() as u32;
         tenants.flat_map(|tenant| routes.iter().map(move |route| Rank::new(tenant, *route))).collect()
     }
 
-    /// Whose a request to a route is. `None` where it needs to be nobody's: there are no tenants, or the route is public.
+    /// Returns the tenant of a request to a route, or why its credential is refused. `None` means that the request is
+    /// accepted without a tenant, because there are no tenants or because the route is public and no key was sent.
     pub fn judge(&self, route: &RouteDefinition, credential: Credential) -> Result<Option<TenantKey>, KeyRefusal> {
         if self.definition.tenants.is_empty() {
             return Ok(None);
@@ -77,25 +79,27 @@
         }
     }
 
-    /// Whether a request that was let in with a credential still would be: where there are tenants, one of them holds the key.
+    /// Returns whether a request that was accepted with a credential would still be accepted: there are no tenants, or
+    /// one of them holds the key.
     pub fn holds(&self, credential: Credential) -> bool {
         let is_held = |digest| self.by_key.contains_key(&digest);
         self.definition.tenants.is_empty() || matches!(credential, Credential::Key(digest) if is_held(digest))
     }
 
-    /// The definition.
+    /// Returns the definition from which the table was created.
     pub fn definition(&self) -> &Arc<RoutingDefinition> {
         &self.definition
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.definition.version
     }
 
-    /// Regions that the routes of a host allow; empty where all of them may be served anywhere.
+    /// Returns the regions that the routes of a host allow; empty if all its routes may be served anywhere.
     ///
-    /// Where routes differ, those that all restricted ones allow, or else all that any of them does.
+    /// If the routes with a restriction differ, these are the regions that all of them allow or, if there is none,
+    /// those that any of them allows.
     pub fn allowed_regions(&self, host: &str) -> Vec<Arc<str>> {
         let indices = self.by_host.get(host).map_or(&[][..], Vec::as_slice);
         let routes = || indices.iter().map(|index| &self.definition.routes[*index as usize]);
@@ -108,7 +112,7 @@
         if common.is_empty() { any } else { common }
     }
 
-    /// Index of the route for a host (as the request names it, a port allowed) and a path.
+    /// Returns the index of the route for a path and a host as the request names it, with or without a port.
     pub fn find_index(&self, host: &str, path: &str) -> Option<usize> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let indices = match self.by_host.get(name) {
--- a/crates/staircross-routing/src/configuration/tenants.rs
+++ b/crates/staircross-routing/src/configuration/tenants.rs
@@ -1,6 +1,7 @@
-//! Tenants: whose requests a node takes, and how they prove who they are.
+//! Tenants, whose requests a node accepts, and the API keys with which their callers authenticate.
 //!
-//! A key is a secret. Only its digest is kept, sent to peers, recorded and compared; no output shows either.
+//! A key is a secret. Only its digest is stored, sent to peers, recorded and compared. Neither the key nor the digest
+//! is ever logged or printed.
 
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
@@ -9,25 +10,25 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest key that is looked at, in bytes.
+/// Longest key that is accepted, in bytes.
 const LONGEST_KEY: usize = 256;
-/// Separates these digests from any other use of the same keys. It is no secret: keys are random and long, so that a digest can't be
-/// turned back by trying.
+/// Context string that makes these digests differ from digests of the same keys for other purposes. It needn't be
+/// secret, because keys are random and so long that no key can be found from its digest by trying.
 const DIGEST_PURPOSE: &[u8] = b"staircross caller key 1";
-/// Bytes of the digest that are kept; by far enough that no two keys of a fleet share them.
+/// Number of bytes of the digest that are kept; far more than needed for the digests of a fleet's keys to differ.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of a caller's key. Two digests are looked up by hash, so how long that takes reveals nothing of the key.
+/// Digest of a caller's key. Digests are looked up by hash, so the time of a look-up reveals nothing about the key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Digest of a key's text; `None` where it is empty or longer than any key.
+    /// Computes the digest of a key; `None` if the key is empty or longer than any valid key.
     pub fn of(key: &[u8]) -> Option<Self> {
         if key.is_empty() || key.len() > LONGEST_KEY {
             return None;
         }
-        // HMAC takes a key of any length.
+        // HMAC accepts a key of any length, so this never fails.
         let mut mac = Hmac::<Sha256>::new_from_slice(DIGEST_PURPOSE).ok()?;
         mac.update(key);
         let whole = mac.finalize().into_bytes();
@@ -37,40 +38,40 @@
     }
 }
 
-/// Nothing of the digest, which stands for a secret.
+/// Prints nothing of the digest, because it stands for a secret.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
 }
 
-/// What a request brings to prove whose it is.
+/// The credential with which a request authenticates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Credential {
-    /// Nothing.
+    /// The request carries no key.
     #[default]
     Missing,
-    /// A key.
+    /// The request carries a key with this digest.
     Key(KeyDigest),
-    /// Something that is no key: empty, too long, or more than one.
+    /// The request carries an invalid key, which is empty or too long, or more than one key.
     Malformed,
 }
 
-/// Why a credential lets nobody in.
+/// Why a credential is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyRefusal {
-    /// There is none.
+    /// The request carries no key.
     Missing,
     /// No tenant holds the key.
     Unknown,
-    /// It is no key.
+    /// The request carries an invalid key or more than one.
     Malformed,
-    /// The key was held when the request came, and is no more.
+    /// A tenant held the key when the request arrived, but none does any more.
     Revoked,
 }
 
 impl KeyRefusal {
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             KeyRefusal::Missing => "missing",
@@ -80,7 +81,7 @@
         }
     }
 
-    /// What the caller reads.
+    /// Returns the explanation that the caller gets.
     pub fn detail(self) -> &'static str {
         match self {
             KeyRefusal::Missing => "the request carries no key",
@@ -91,31 +92,32 @@
     }
 }
 
-/// Whom a request is for, as it is sent to a searcher.
+/// The tenant of a request, as it is sent to a searcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SentIdentity {
-    /// There are no tenants: what the caller says of itself goes on as it is.
+    /// The configuration has no tenants; the identity that the caller claims is passed on unchanged.
     Unmanaged,
-    /// Nobody: the route is public, and the request brings no key.
+    /// The request has no tenant, because the route is public and the request carries no key.
     Anonymous,
-    /// A tenant.
+    /// The request belongs to the tenant of this name.
     Tenant(Arc<str>),
 }
 
 /// One tenant in one version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantDefinition {
-    /// Name; searchers and logs get it.
+    /// Name of the tenant, which is sent to searchers and written to logs.
     pub name: Arc<str>,
-    /// Digests of the keys that it holds.
+    /// Digests of the tenant's keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank; 0 is the highest. A route's rank counts within its tenant's.
+    /// Priority of the tenant; 0 is the highest. Route priorities order the requests of tenants with the same priority.
     #[serde(default)]
     pub priority: u32,
-    /// What it may send; `None` where there is no limit.
+    /// Quota of the tenant; `None` if there is no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Quota>,
-    /// Regions whose searchers may serve its requests, besides what routes allow; empty where any may.
+    /// Regions whose searchers may serve the tenant's requests, in addition to the restriction of the route; empty if
+    /// all may.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub allowed_regions: Vec<Arc<str>>,
 }
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -4,8 +4,8 @@
 //! `known_entries` and `evacuations` hold the state of each kind of items. The mirror makes no calls to the store and
 //! doesn't apply changes to the engine: it merges updates and returns what changed.
 //!
-//! Each item carries the revision of its last change. Items are merged by revision, and searchers' entries by start time
-//! too, but never by order of arrival. So it makes no difference whether they come from the store or from a peer.
+//! Each item carries the revision of its last change. Items are merged by revision, and searchers' entries by start
+//! time too, but never by order of arrival. So it makes no difference whether they come from the store or from a peer.
 
 use crate::configuration::definition::RoutingDefinition;
 use crate::configuration::delta::DefinitionDelta;
@@ -75,8 +75,8 @@
     /// Revision up to which the receiver knows all changes of searchers after merging the update; 0 when the sender
     /// doesn't know them all.
     pub up_to: u64,
-    /// Revision of the sender's newest change of searchers before which it knows all changes. It is sent because a listing
-    /// doesn't show the newest change if that was the removal of a searcher.
+    /// Revision of the sender's newest change of searchers before which it knows all changes. It is sent because a
+    /// listing doesn't show the newest change if that was the removal of a searcher.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub newest: u64,
     /// Revision up to which the update holds all changes of the configuration and of evacuations, except for a
@@ -195,7 +195,8 @@
     searchers_reach: Reach,
     /// Revisions up to which changes of the configuration and of evacuations are known.
     operator_reach: Reach,
-    /// Revision after which all removals of entries are remembered; a peer that is further behind gets a complete listing.
+    /// Revision after which all removals of entries are remembered; a peer that is further behind gets a complete
+    /// listing.
     tombstones_from: u64,
     /// Whether a complete listing of the searchers has been merged.
     has_listing: bool,
@@ -212,8 +213,8 @@
         self.configuration.version()
     }
 
-    /// Returns the revision up to which all changes of the configuration and of evacuations are known; 0 before the first
-    /// complete listing.
+    /// Returns the revision up to which all changes of the configuration and of evacuations are known; 0 before the
+    /// first complete listing.
     pub fn operator_up_to(&self) -> u64 {
         self.operator_reach.up_to()
     }
@@ -224,8 +225,8 @@
         self.searchers_reach.newest()
     }
 
-    /// Returns the revision up to which all changes of searchers are known; 0 before a complete listing was merged. Peers
-    /// are asked for later changes, and a watch continues from there.
+    /// Returns the revision up to which all changes of searchers are known; 0 before a complete listing was merged.
+    /// Peers are asked for later changes, and a watch continues from there.
     pub fn known_revision(&self) -> u64 {
         if self.has_listing { self.searchers_reach.up_to() } else { 0 }
     }
--- a/crates/staircross-routing/src/state/rejection.rs
+++ b/crates/staircross-routing/src/state/rejection.rs
@@ -1,16 +1,16 @@
 //! An estimate of the fraction of its work that a searcher rejects.
 //!
-//! A searcher may reject most of its requests at once although its health checks pass and other searchers of its service
-//! have room. Each rejection costs a retry from a budget that all requests share. Remembering which searchers reject
-//! therefore lets more requests succeed than a pause of any length does: where 60 of 100 requests to two thirds of a
-//! service's searchers were rejected, failed requests fell from 9 in 100 to 1 in 1,000.
+//! A searcher may reject most of its requests at once although its health checks pass and other searchers of its
+//! service have room. Each rejection costs a retry from a budget that all requests share. Remembering which searchers
+//! reject therefore lets more requests succeed than a pause of any length does: where 60 of 100 requests to two thirds
+//! of a service's searchers were rejected, failed requests fell from 9 in 100 to 1 in 1,000.
 
 use crate::state::decay::kept_fraction;
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Weight of a rejection in the estimate. It is above [`ACCEPTED_GAIN`] because a searcher that rejects half of its work
-/// answers the other half.
+/// Weight of a rejection in the estimate. It is above [`ACCEPTED_GAIN`] because a searcher that rejects half of its
+/// work answers the other half.
 const REJECTED_GAIN: f64 = 0.3;
 /// Weight of an answer in the estimate; half of [`REJECTED_GAIN`].
 const ACCEPTED_GAIN: f64 = 0.15;
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -349,7 +349,8 @@
     pub is_past_goal: bool,
     /// Time of the next scheduled check of the request; checks scheduled for other times are ignored.
     pub wake_at: Option<BootTime>,
-    /// The first probe, set until one of the shards has answered, if requests of the route have crashed searchers lately.
+    /// The first probe, set until one of the shards has answered, if requests of the route have crashed searchers
+    /// lately.
     pub probe: Option<FirstProbe>,
 }
 
@@ -399,8 +400,8 @@
         self.attempts.iter().filter(|attempt| attempt.is_open).count()
     }
 
-    /// Returns whether the key was revoked while it is unknown whether the open attempts run. The end of the next attempt
-    /// shows it.
+    /// Returns whether the key was revoked while it is unknown whether the open attempts run. The end of the next
+    /// attempt shows it.
     pub fn is_unclear(&self) -> bool {
         let is_anything_out = || self.attempts.iter().any(|attempt| attempt.is_open);
         self.is_key_revoked && !self.may_have_run && is_anything_out()
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -1,7 +1,8 @@
 //! The state of one searcher: its entry, the attempts that this node sent it, its speed and its failures.
 //!
-//! Of a searcher's reports, the slowness of its host affects decisions for a moment; its queue is only logged. A searcher
-//! that is gone or draining is never asked again. If it restarts under the same id, it counts as another searcher.
+//! Of a searcher's reports, the slowness of its host affects decisions for a moment; its queue is only logged. A
+//! searcher that is gone or draining is never asked again. If it restarts under the same id, it counts as another
+//! searcher.
 
 use crate::configuration::definition::ColdStart;
 use crate::decision::cold::ColdSends;
@@ -18,8 +19,8 @@
 /// Weight of a slow sample that a single pause may have caused. Such a sample must hardly count: with a larger weight,
 /// one pause moved the requests of a zone's callers to the next zone.
 const PAUSE_GAIN: f64 = 0.02;
-/// Weight of a slow sample of an attempt that was sent after a slow answer, when a pause would have been over. With this
-/// weight two slow samples make a searcher slow.
+/// Weight of a slow sample of an attempt that was sent after a slow answer, when a pause would have been over. With
+/// this weight two slow samples make a searcher slow.
 const SLOW_GAIN: f64 = 0.6;
 /// Time in which an estimate of slowness halves its distance to normal without new samples. With it a slow searcher is
 /// tried again within some ten seconds.
@@ -31,16 +32,16 @@
 const FALTER_GAIN: f64 = 0.25;
 /// Value of [`ReportedLoad::host_slowness`], in percent, that means that work takes its usual time on the host.
 const USUAL_PERCENT: u32 = 100;
-/// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with other
-/// programs and their load changes many times a second. On four days this raised the mean value of an answer (0 to 1)
-/// by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
+/// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with
+/// other programs and their load changes many times a second. On four days this raised the mean value of an answer (0
+/// to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
 const HOST_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Multiple of the estimate above which a sample is slow. It is above the usual spread of the time that work takes.
 const NOTABLY_SLOWER: f64 = 3.0;
 /// Least slowness that a sample counts as. The limit prevents one fast answer from attracting all work to a searcher.
 const MIN_SLOWNESS: f64 = 0.6;
-/// Greatest slowness that a sample or a report counts as. With the limit, a searcher that was stuck counts as normal again
-/// after a few usual answers.
+/// Greatest slowness that a sample or a report counts as. With the limit, a searcher that was stuck counts as normal
+/// again after a few usual answers.
 const MAX_SLOWNESS: f64 = 30.0;
 /// Least slowness of a searcher while it is cold. It makes warm searchers preferred where they have room.
 const COLD_FACTOR: f64 = 2.0;
@@ -50,8 +51,8 @@
 /// Largest number of doublings of [`AVOID_BASE`]. A searcher is avoided for at most 6.4 s, so one that is back is found
 /// soon.
 const MAX_DOUBLINGS: u32 = 4;
-/// Time for which a searcher that accepts no connection at all isn't asked. It is short because the searcher is alive and
-/// may have room at any moment.
+/// Time for which a searcher that accepts no connection at all isn't asked. It is short because the searcher is alive
+/// and may have room at any moment.
 const CONNECTION_REJECTED_PAUSE: Duration = Duration::from_millis(120);
 /// Time for which no further connection is opened to a searcher that rejected one while others to it were open.
 const FULL_PAUSE: Duration = Duration::from_millis(800);
@@ -155,13 +156,14 @@
         }
     }
 
-    /// Counts the requests that were sent to the previous incarnation while that was cold, because they may have reached
-    /// this one.
+    /// Counts the requests that were sent to the previous incarnation while that was cold, because they may have
+    /// reached this one.
     pub fn with_cold_sends(self, cold_sends: ColdSends) -> Self {
         Searcher { cold_sends, ..self }
     }
 
-    /// Replaces the entry by a newer one of the same incarnation. A draining searcher stays so; a lapsed one serves again.
+    /// Replaces the entry by a newer one of the same incarnation. A draining searcher stays so; a lapsed one serves
+    /// again.
     pub fn update(&mut self, now: BootTime, entry: SearcherEntry) {
         let was_draining = self.standing == Standing::Draining;
         self.standing = if was_draining || entry.is_draining { Standing::Draining } else { Standing::Serving };
@@ -193,8 +195,8 @@
         !self.is_evacuated && self.is_listed(now)
     }
 
-    /// Sets whether the searcher's zone is being evacuated. When an evacuation ends, the searcher is treated as cold: it
-    /// may have been restarted shortly before, and its entry may not show that yet.
+    /// Sets whether the searcher's zone is being evacuated. When an evacuation ends, the searcher is treated as cold:
+    /// it may have been restarted shortly before, and its entry may not show that yet.
     pub fn set_evacuated(&mut self, now: BootTime, is_evacuated: bool) {
         if self.is_evacuated && !is_evacuated {
             self.cold_until = self.cold_until.max(now + Duration::from_millis(self.cold_start.duration_ms));
@@ -202,14 +204,14 @@
         self.is_evacuated = is_evacuated;
     }
 
-    /// Records that a connection to the searcher's address was established. The process there may be a later incarnation
-    /// under the same id.
+    /// Records that a connection to the searcher's address was established. The process there may be a later
+    /// incarnation under the same id.
     pub fn note_connected(&mut self, now: BootTime) {
         self.connected_at = Some(now);
     }
 
-    /// Returns the time at which a connection to the searcher's address was last established. Entries and attempts older
-    /// than that certainly belong to the process that accepted it.
+    /// Returns the time at which a connection to the searcher's address was last established. No connection was
+    /// established since, so later requests certainly went to the process that accepted that connection.
     pub fn connected_at(&self) -> Option<BootTime> {
         self.connected_at
     }
@@ -248,7 +250,8 @@
         }
     }
 
-    /// Returns the time until which the searcher is avoided after failures or rejections; in the past if it isn't avoided.
+    /// Returns the time until which the searcher is avoided after failures or rejections; in the past if it isn't
+    /// avoided.
     pub fn avoided_until(&self) -> BootTime {
         self.avoid_until
     }
@@ -259,9 +262,9 @@
         if self.is_cold(now) { present.max(COLD_FACTOR) } else { present }
     }
 
-    /// Returns the estimated slowness of the searcher's host by the last report: a multiple of the usual time, at least 1.
-    /// A report that the host is faster than usual is ignored. So a wrong report costs no more than a searcher that isn't
-    /// asked for a moment.
+    /// Returns the estimated slowness of the searcher's host by the last report: a multiple of the usual time, at least
+    /// 1. A report that the host is faster than usual is ignored. So a wrong report costs no more than a searcher that
+    /// isn't asked for a moment.
     pub fn host_slowness(&self, now: BootTime) -> f64 {
         let Some((at, load)) = self.reported else {
             return 1.0;
@@ -336,8 +339,8 @@
         kept_fraction(now.since(self.measured_at), SLOWNESS_HALF_LIFE)
     }
 
-    /// Records an answer that was lost, damaged or an error. It counts as a slow answer: other searchers are preferred for
-    /// a while, but where all searchers give such answers, all are still asked.
+    /// Records an answer that was lost, damaged or an error. It counts as a slow answer: other searchers are preferred
+    /// for a while, but where all searchers give such answers, all are still asked.
     pub fn faltered(&mut self, now: BootTime) {
         let before = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
         self.slowness = before + (FALTER_SAMPLE - before).max(0.0) * FALTER_GAIN;
