--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -157,14 +157,20 @@
                 write!(f, "tenant {first}: lists a key twice")
             }
             Finding::KeyHeldTwice { first, second } => {
-                write!(f, "tenant {second}: holds a key of tenant {first}, which it lets callers in as")
+                write!(
+                    f,
+                    "tenant {second}: holds a key of tenant {first}; callers with that key count as tenant {first}"
+                )
             }
             Finding::NoKeys { tenant } => write!(f, "tenant {tenant}: has no key"),
             Finding::BurstWithoutRate { tenant } => {
-                write!(f, "tenant {tenant}: a burst without a rate; it may send without limit")
+                write!(f, "tenant {tenant}: a burst without a rate, so there is no limit")
             }
             Finding::BurstBelowOne { tenant, burst } => {
-                write!(f, "tenant {tenant}: a burst of {burst} lets no request through that comes after a rest")
+                write!(
+                    f,
+                    "tenant {tenant}: a burst of {burst} is below 1, so even a request after an idle period is refused"
+                )
             }
             Finding::UnknownRegion { by, region } => write!(f, "{by}: allows region {region}, which has no zone"),
             Finding::NowhereToServe { route, tenant } => {
