--- a/crates/staircross-routing/src/keys.rs
+++ b/crates/staircross-routing/src/keys.rs
@@ -1,4 +1,4 @@
-//! Small keys: what is referred to stands in tables of its own.
+//! Small identifiers of requests, attempts, searchers, tenants and routes, whose data is kept in tables elsewhere.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,12 +9,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey(pub u64);
 
-/// One sending of a request to one searcher.
+/// Key of one attempt: a request sent once to one searcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request to which the attempt belongs.
     pub request: RequestKey,
-    /// Counts up within the request.
+    /// Number of the attempt, ascending within the request.
     pub number: u16,
 }
 
@@ -26,13 +26,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantKey(pub u32);
 
-/// What a request asks for, the same for each caller and each retry: a digest of host, method, target and body, alike on all nodes.
+/// Digest of what a request asks for: of its host, method, target and body. It is the same for every caller, every
+/// retry and on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentKey(pub u64);
 
 impl ContentKey {
-    /// The same asked for by a tenant. Searchers are sent the tenant, so the work may differ; and one tenant's requests must not
-    /// bar another's.
+    /// Returns the key of the same content requested by the tenant of this name; the key itself without a tenant.
+    ///
+    /// Tenants have different keys because searchers are sent the tenant, so their work may differ, and because the
+    /// requests of one tenant must not block those of another.
     pub fn of_tenant(self, name: Option<&str>) -> Self {
         name.map_or(self, |name| ContentKey(xxh3_64_with_seed(name.as_bytes(), self.0)))
     }
@@ -47,29 +50,29 @@
 /// One incarnation of a searcher under its id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// The id.
+    /// Id of the searcher.
     pub instance: Arc<str>,
-    /// Unix milliseconds of the start; 0 where it isn't known.
+    /// Start time in Unix milliseconds; 0 if unknown.
     pub born_ms: u64,
 }
 
-/// One incarnation of a searcher, alike on all nodes: a digest of its id and its start.
+/// Digest of a searcher's id and start time, which identifies one incarnation on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceKey(pub u64);
 
-/// A route by name, alike on all nodes whatever version of the configuration they have.
+/// Digest of a route's name, which identifies the route on all nodes, whatever version of the configuration they have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteDigest(pub u64);
 
 impl RouteDigest {
-    /// The digest of a route's name.
+    /// Computes the digest of a route's name.
     pub fn of(name: &str) -> Self {
         RouteDigest(xxh3_64(name.as_bytes()))
     }
 }
 
 impl InstanceKey {
-    /// The key of a start in Unix milliseconds, 0 where it isn't known.
+    /// Computes the key of the incarnation with this id and start time in Unix milliseconds; 0 if the time is unknown.
     pub fn of(instance: &str, born_ms: u64) -> Self {
         InstanceKey(xxh3_64_with_seed(instance.as_bytes(), born_ms))
     }
--- a/crates/staircross-routing/src/lib.rs
+++ b/crates/staircross-routing/src/lib.rs
@@ -1,18 +1,19 @@
-//! Decisions for routed requests, without input or output of their own.
+//! Routing decisions: which searchers get a request, when it is retried or hedged, and how its answer is formed.
 //!
-//! Everything is driven by `on_event(now, event, &mut actions)`; time and chance come from outside.
+//! The crate does no I/O. Its engine is driven by `on_event(now, event, &mut actions)`; the caller passes in the time
+//! and the seed for random numbers.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | [`decision`] | the rules, one file each |
-//! | [`state`] | what this node believes |
-//! | [`configuration`] | what operators ask for |
-//! | [`engine`] | one request from arrival to its final answer: carries events to state and rules, verdicts to actions |
-//! | [`engine_message`] | what the engine takes in, and what it wants done |
-//! | [`store_reader`] | when the store is read, watched, or left alone |
-//! | [`recording`] | recorded decisions, and making them again |
-//! | [`keys`] | what attempts, requests and searchers are called by |
-//! | [`merge`] | the best records of several parts |
+//! | [`decision`] | the rules by which decisions are made, one file each |
+//! | [`state`] | this node's copy of the store, statistics of searchers, requests in flight |
+//! | [`configuration`] | the operators' configuration: routes, services, tenants, limits |
+//! | [`engine`] | the handling of a request from its arrival to its final answer: events update the state, rules decide, actions are returned |
+//! | [`engine_message`] | the events that the engine handles, and the actions that it requests |
+//! | [`store_reader`] | the schedule of calls to the store: listings, watches, probes |
+//! | [`recording`] | the recording of events and decisions, and their replay |
+//! | [`keys`] | identifiers of requests, attempts, searchers, tenants and routes |
+//! | [`merge`] | the merging of several parts into the greatest records |
 //! | [`policy`] | switches that turn single mechanisms off |
 
 pub mod configuration;
--- a/crates/staircross-routing/src/merge.rs
+++ b/crates/staircross-routing/src/merge.rs
@@ -1,10 +1,10 @@
-//! The best records of several parts.
+//! The merging of the parts of several shards into the greatest records.
 
 /// Length of a record, in bytes.
 pub const RECORD_LENGTH: usize = 16;
 
-/// The greatest `top_k` records of all parts, greatest first, compared byte by byte. Equal records
-/// all count. A rest of a part that is shorter than a record is none.
+/// Returns the greatest `top_k` records of all parts in descending order, compared byte by byte. Duplicate records are
+/// all kept. Bytes at the end of a part that don't fill a record are ignored.
 pub fn greatest_records<'a>(parts: impl Iterator<Item = &'a [u8]>, top_k: usize) -> Vec<u8> {
     let mut records: Vec<&[u8]> = parts.flat_map(|part| part.chunks_exact(RECORD_LENGTH)).collect();
     if records.len() > top_k && top_k > 0 {
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -1,8 +1,8 @@
-//! Recorded decisions, and making them again.
+//! The recording of the engine's events and decisions, and their replay.
 //!
-//! The engine takes its decisions from its events, their times, and a seed. A record of these is
-//! enough to take them again, with the same code or another version of it, and to see where it decides otherwise.
-//! Bodies and fields aren't recorded; no decision depends on them.
+//! The engine's decisions depend only on its settings, its events with their times, and a seed. A recording of these is
+//! enough to replay the decisions, with the same or another version of the code, and to find where they differ. Bodies
+//! and header fields aren't recorded, because no decision depends on them.
 
 use crate::RoutingDefinition;
 use crate::configuration::table::RouteTable;
@@ -23,16 +23,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One entry of a recording. The first of a run is its beginning.
+/// One entry of a recording. The first entry of each run of the engine is [`Record::Begin`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// An engine was made.
+    /// An engine was created with these settings.
     Begin(RecordedSettings),
-    /// It took something in.
+    /// The engine handled an event.
     Turn(RecordedTurn),
 }
 
-/// What an engine was made with.
+/// The settings with which an engine was created.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordedSettings {
     /// Name of the node.
@@ -54,18 +54,18 @@
     started_at: BootTime,
 }
 
-/// One event and what the engine wanted done.
+/// One event and the decisions that the engine made on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordedTurn {
-    /// When.
+    /// Time at which the engine handled the event.
     pub at: BootTime,
-    /// What it took in.
+    /// The event.
     pub event: RecordedEvent,
-    /// What it decided.
+    /// The engine's decisions.
     pub decisions: Vec<Decision>,
 }
 
-/// What an engine takes in, without bodies.
+/// An event of the engine, or a change of one of its bounds, without bodies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordedEvent {
@@ -109,7 +109,7 @@
     Tick,
 }
 
-/// How an attempt ended, without bodies.
+/// The outcome of an attempt, without body and header fields.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordedOutcome {
@@ -124,28 +124,28 @@
     Cancelled,
 }
 
-/// A decision that others notice.
+/// A decision that searchers or callers can observe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// A searcher is sent a request.
+    /// A request is sent to a searcher.
     Send {
-        /// The sending.
+        /// The attempt.
         attempt: AttemptKey,
-        /// The incarnation of the searcher.
+        /// Id of the searcher.
         instance: Arc<str>,
-        /// Why.
+        /// Why the attempt is sent.
         reason: SendReason,
     },
-    /// An answer is no longer wanted.
+    /// The answer to an attempt is no longer wanted.
     Abandon {
-        /// Of which sending.
+        /// The attempt.
         attempt: AttemptKey,
     },
-    /// A request has its final word.
+    /// A request has its final result.
     Finish {
-        /// Which request.
+        /// The request.
         request: RequestKey,
-        /// The word.
+        /// How the request ended.
         ending: Ending,
     },
 }
@@ -153,24 +153,24 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// Parts were merged.
+    /// The parts of several shards were merged.
     Merged {
-        /// Parts that are in.
+        /// Number of merged parts.
         parts: usize,
-        /// Shards that are left out.
+        /// Number of shards without a part in the answer.
         missing: usize,
     },
-    /// A searcher's answer was passed on.
+    /// One searcher's answer was passed on.
     Passed {
-        /// Its status.
+        /// HTTP status code of the answer.
         status: u16,
     },
-    /// Refused or given up.
+    /// The request was refused or given up.
     Refused(ErrorKind),
 }
 
 impl RecordedSettings {
-    /// What an engine of a node is made with.
+    /// Creates the record of the settings of a node's engine.
     pub fn new(node: &str, settings: &RoutingSettings) -> Self {
         RecordedSettings {
             node: node.to_owned(),
@@ -272,7 +272,7 @@
 }
 
 impl Decision {
-    /// The decision in an action; `None` where others notice nothing.
+    /// Returns the decision of an action; `None` if neither searchers nor callers can observe it.
     pub fn in_action(action: &RoutingAction) -> Option<Decision> {
         match action {
             RoutingAction::Send(order) => {
@@ -297,7 +297,7 @@
         }
     }
 
-    /// The request that it concerns.
+    /// Returns the request to which the decision belongs.
     pub fn request(&self) -> RequestKey {
         match self {
             Decision::Send { attempt, .. } | Decision::Abandon { attempt } => attempt.request,
@@ -316,37 +316,37 @@
     }
 }
 
-/// A request on which a replay decided otherwise than the record says.
+/// A request for which the replayed decisions differ from the recorded ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// When.
+    /// Time of the event on which the decisions differ.
     pub at: BootTime,
     /// The request.
     pub request: RequestKey,
-    /// What was decided then.
+    /// Decisions of the recording.
     pub recorded: Vec<Decision>,
-    /// What is decided now.
+    /// Decisions of the replay.
     pub replayed: Vec<Decision>,
 }
 
-/// Takes recorded decisions again.
+/// Replays a recording and compares the decisions.
 pub struct Replay {
     engine: RoutingEngine,
     differing: BTreeSet<RequestKey>,
-    /// Turns played.
+    /// Number of replayed events.
     pub turns: u64,
-    /// Decisions recorded.
+    /// Number of decisions in the replayed part of the recording.
     pub decisions: u64,
 }
 
 impl Replay {
-    /// An engine as the recorded one was.
+    /// Creates a replay with an engine that has the recorded settings.
     pub fn new(settings: &RecordedSettings) -> Self {
         Replay { engine: RoutingEngine::new(settings.settings()), differing: BTreeSet::new(), turns: 0, decisions: 0 }
     }
 
-    /// Plays one turn. A request on which the replay has differed once is not followed any further: what came
-    /// of its sendings is not known.
+    /// Replays one event and returns the requests for which the decisions differ. A request that has differed once is
+    /// no longer compared, because the outcomes of its replayed attempts aren't in the recording.
     pub fn play(&mut self, turn: RecordedTurn) -> Vec<Difference> {
         self.turns += 1;
         self.decisions += turn.decisions.len() as u64;
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -1,31 +1,33 @@
-//! When the store is read, watched, or left alone.
+//! The schedule of calls to the store: when to list, watch and probe it, and when to make no calls.
 //!
-//! Owns the times of all calls to the store and the revision that each lane has reached. It makes no call itself: it says which are
-//! due, and the node hands back what became of them. Relies on the node for its role, which gives the mode, and on the mirror, which
-//! merges whatever was read.
+//! The reader holds the time of the next call and the known revision of each lane. It makes no calls itself: it returns
+//! the calls that are due, and the node passes their results back. The node's role determines the mode; the mirror
+//! merges the updates that were read.
 //!
-//! A *lane* is a kind of call with at most one call out. Two lanes read, one the configuration and one the searchers. Each lists once,
-//! then watches from the revision it has reached, and lists again only when the store has forgotten the history in between. Every call
-//! costs, so after updates a lane rests for a moment: a storm of changes is then a few calls. A lane that fails backs off and goes on
-//! trying for ever.
+//! A *lane* is one kind of call, of which at most one is open at a time. Two lanes read: one the configuration, the
+//! other the searchers. Each makes one listing, then watches from the revision that it has reached, and makes a listing
+//! again only if the store no longer has the history since that revision. Every call has a cost, so a lane pauses for a
+//! moment after updates, and many changes in a short time cause only a few calls. A lane whose call fails backs off and
+//! retries without limit.
 //!
-//! A store that was away may have forgotten a watch without a word, and a watch that is held looks the same as one that is dead. So the
-//! third lane probes: now and then it makes the cheapest call there is, to learn whether the store answers. Once the store has missed
-//! a probe, both watches are renewed when it is back, and a lane that fails meanwhile leaves it to the probe to find that out.
+//! A store that was unavailable may have dropped a watch silently, and an idle watch can't be told from a dropped one.
+//! So the third lane probes: it regularly makes the cheapest call that there is, to find out whether the store answers.
+//! If the store misses a probe, both watches are renewed as soon as it answers again. Until then a lane whose call
+//! fails makes no further calls and waits for a successful probe.
 //!
-//! | mode | lanes that ask | who is in it |
+//! | mode | lanes that make calls | nodes in this mode |
 //! | --- | --- | --- |
 //! | [`Watching`](ReadingMode::Watching) | all | a reader |
-//! | [`Once`](ReadingMode::Once) | both that read, until each has listed; the probe while a listing fails | a starting process, and a follower whose peers don't pass on what it lacks |
-//! | [`Probing`](ReadingMode::Probing) | the probe | a prober, which hears no reader |
+//! | [`Once`](ReadingMode::Once) | both reading lanes, until each has made its listing; the probe while a listing fails | a starting process, and a follower whose peers don't send what it lacks |
+//! | [`Probing`](ReadingMode::Probing) | the probe | a prober, which receives no messages from a reader |
 //! | [`Following`](ReadingMode::Following) | none | a follower, whose updates come from a reader |
 //!
-//! | silence | bounded by | what follows |
+//! | missing reply | timeout | consequence |
 //! | --- | --- | --- |
-//! | of a store that is listed | [`ReaderSettings::patience`] | the lane backs off |
-//! | of a store that holds a watch | [`ReaderSettings::watch`] and `patience` | the lane backs off |
-//! | of a store that is probed | [`ReaderSettings::probe_patience`] | the store counts as away |
-//! | of a reader, at its followers | the gateway's `store_role` | the follower becomes a prober |
+//! | to a listing | [`ReaderSettings::patience`] | the lane backs off |
+//! | to a watch | [`ReaderSettings::watch`] plus `patience` | the lane backs off |
+//! | to a probe | [`ReaderSettings::probe_patience`] | the store counts as unavailable |
+//! | from a reader, at its followers | set by the gateway's `store_role` | the follower becomes a prober |
 
 mod lane;
 mod message;
@@ -37,29 +39,30 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Longest time from a store's return to the next probe, which shows that renewed watches are held. Followers wait for a reader's
-/// announcement that the store serves it for a third of the silence that they bear; those that hear none all read by themselves, some
-/// ten calls each. With a probe this soon, a day on which the store was away took 750 calls instead of 1,339. A watch is begun within
-/// milliseconds.
+/// Longest time from the first successful probe after an outage of the store to the next probe, which confirms that the
+/// renewed watches are held; a watch starts within milliseconds. Followers wait for a reader's announcement that it
+/// reaches the store for a third of their timeout for a silent reader. Without an announcement each of them reads the
+/// store itself, which costs some ten calls. With a probe this early, a day with an outage of the store took 750 calls
+/// instead of 1,339.
 const CONFIRMATION: Duration = Duration::from_millis(150);
 
-/// Decides about calls to the store.
+/// Schedules the calls to the store.
 #[derive(Debug)]
 pub struct StoreReader {
     settings: ReaderSettings,
     mode: ReadingMode,
-    /// In the order of [`Lane::ALL`].
+    /// The lanes, in the order of [`Lane::ALL`].
     lanes: [LaneReader; 3],
-    /// Whether the store has missed a probe since the watches began.
+    /// Whether the last probe failed, so that the watches must be renewed once the store answers again.
     was_away: bool,
-    /// Whether others rely on this node's probes of the store.
+    /// Whether followers rely on this node's probes of the store.
     has_followers: bool,
-    /// Until when the rests after updates of searchers are short.
+    /// Time until which the pauses after updates of searchers are short, because the process has just restarted.
     starting_until: BootTime,
 }
 
 impl StoreReader {
-    /// A reader that begins at once.
+    /// Creates a reader in the mode [`ReadingMode::Watching`] whose first calls are due at once.
     pub fn new(settings: ReaderSettings) -> Self {
         let lanes = Lane::ALL.map(|lane| LaneReader {
             lane,
@@ -80,20 +83,20 @@
         }
     }
 
-    /// One that begins in another mode than watching.
+    /// Sets the initial mode, if it isn't [`ReadingMode::Watching`].
     pub fn with_mode(mut self, now: BootTime, mode: ReadingMode) -> Self {
         self.set_mode(now, mode, &mut Vec::new());
         self
     }
 
-    /// One that looks again soon after updates of searchers until a time. A restarted process knows
-    /// only what the store holds now, and entries may just be coming back.
+    /// Makes the pauses after updates of searchers short until `starting_until`. A restarted process knows only what
+    /// the store holds now, and lapsed entries may just be in the course of being written anew.
     pub fn with_starting_until(mut self, starting_until: BootTime) -> Self {
         self.starting_until = starting_until;
         self
     }
 
-    /// When a call is due next.
+    /// Returns the time at which the next call is due.
     pub fn next_wake(&self) -> Option<BootTime> {
         let due = self.lanes.iter().filter_map(|lane| match lane.state {
             LaneState::Resting { until } => Some(until),
@@ -102,19 +105,19 @@
         due.min()
     }
 
-    /// Whether the store answered last on both lanes.
+    /// Returns whether the store answers both reading lanes.
     pub fn is_reachable(&self) -> bool {
         self.lanes.iter().all(|lane| lane.is_reachable || lane.lane == Lane::Probe)
     }
 
-    /// Whether a watch of the configuration is out, to which a store that answers sends at once what is new.
+    /// Returns whether a watch of the configuration is open. A store that answers then sends changes at once.
     pub fn watches_configuration(&self) -> bool {
         let lane = self.lane(Lane::Configuration);
         lane.after.is_some() && lane.state == LaneState::Calling && !self.was_away
     }
 
-    /// Changes what is asked: calls of lanes that aren't wanted any more are cancelled, other lanes go on from the revision that they
-    /// or a peer's update have reached.
+    /// Sets the mode. Open calls of lanes that the mode doesn't use are cancelled; the other lanes continue from the
+    /// revision that they or a peer's update have reached.
     pub fn set_mode(&mut self, now: BootTime, mode: ReadingMode, actions: &mut Vec<ReaderAction>) {
         self.mode = mode;
         let has_failed_read = self.has_failed_read();
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Notes whether others rely on this node's probes of the store; they come more often then, the first at once.
+    /// Sets whether followers rely on this node's probes of the store. If they do, probes are more frequent, and the
+    /// first one is due at once.
     pub fn set_has_followers(&mut self, now: BootTime, has_followers: bool) {
         let begins = has_followers && !self.has_followers;
         self.has_followers = has_followers;
@@ -146,8 +150,8 @@
         }
     }
 
-    /// Reads the configuration once by itself: peers have a newer one that is too large to be passed on. A node that watches reads
-    /// it anyway.
+    /// Makes a node that doesn't watch the store read the configuration from it once, because peers have a newer
+    /// configuration that is too large to be sent. A node that watches the store reads it anyway.
     pub fn read_configuration(&mut self, now: BootTime, actions: &mut Vec<ReaderAction>) {
         if self.mode == ReadingMode::Following || (self.mode == ReadingMode::Once && !self.is_reading_once()) {
             self.lane_mut(Lane::Configuration).after = None;
@@ -155,23 +159,23 @@
         }
     }
 
-    /// Whether a node that follows is reading something by itself.
+    /// Returns whether a lane has yet to complete its listing in the mode [`ReadingMode::Once`].
     pub fn is_reading_once(&self) -> bool {
         self.mode == ReadingMode::Once && self.lanes.iter().any(|lane| lane.is_wanted(self.mode, false))
     }
 
-    /// Whether something that is wanted couldn't be read the last time.
+    /// Returns whether the last call of any lane that the mode uses has failed.
     fn has_failed_read(&self) -> bool {
         self.lanes.iter().any(|lane| lane.is_wanted(self.mode, false) && lane.failures > 0)
     }
 
-    /// Whether searchers that live may be missing from what is known: entries lapse while the store is away, and are written anew
-    /// one by one. A restarted process can't know which those are.
+    /// Returns whether live searchers may be missing from the known entries. Entries lapse while the store is
+    /// unavailable and are written anew one by one; a restarted process can't know which entries those are.
     pub fn may_lack_searchers(&self, now: BootTime) -> bool {
         now < self.starting_until || now < self.lane(Lane::Searchers).returns_until
     }
 
-    /// Makes the calls that are due.
+    /// Requests the calls that are due.
     pub fn on_tick(&mut self, now: BootTime, actions: &mut Vec<ReaderAction>) {
         let (mode, has_failed_read) = (self.mode, self.has_failed_read());
         for lane in &mut self.lanes {
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Takes a reply.
+    /// Handles the reply to the open call of a lane.
     pub fn on_reply(
         &mut self,
         now: BootTime,
@@ -223,7 +227,7 @@
         reader.set_reachable(true, actions);
     }
 
-    /// A call brought no reply: its connection broke, or its time was over.
+    /// Handles the failure of the open call of a lane: its connection broke, or it timed out.
     pub fn on_failed(&mut self, now: BootTime, lane: Lane, random: &mut ChaCha8Rng, actions: &mut Vec<ReaderAction>) {
         let settings = self.settings.clone();
         if lane == Lane::Probe {
@@ -235,7 +239,7 @@
     fn on_probe_ended(&mut self, now: BootTime, is_alive: bool, actions: &mut Vec<ReaderAction>) {
         let wait = self.probe_interval(is_alive);
         let is_back = is_alive && self.was_away;
-        // The next probe shows that the watches renewed below are held.
+        // The next probe confirms that the watches renewed below are held.
         let wait = if is_back { wait.min(CONFIRMATION) } else { wait };
         let probe = self.lane_mut(Lane::Probe);
         probe.state = LaneState::Resting { until: now + wait };
@@ -257,8 +261,9 @@
         }
     }
 
-    /// A store that answers the probe holds the watches that were begun from a revision that a peer had sent; they are answered
-    /// only when something changes.
+    /// Marks lanes with an open watch as reachable, since a store that answers the probe holds their watches. A watch
+    /// that started from a revision that a peer had sent has had no reply yet, because it is answered only when
+    /// something changes.
     fn note_held_watches(&mut self, actions: &mut Vec<ReaderAction>) {
         let is_held = |lane: &&mut LaneReader| {
             lane.lane != Lane::Probe && lane.state == LaneState::Calling && lane.after.is_some() && lane.failures == 0
@@ -266,7 +271,7 @@
         self.lanes.iter_mut().filter(is_held).for_each(|lane| lane.set_reachable(true, actions));
     }
 
-    /// Has lanes ask again: those whose watch may have been forgotten, and those that wait for the store.
+    /// Makes a new call due on the lanes whose watch the store may have dropped and on those that wait for a probe.
     fn renew_watches(&mut self, now: BootTime, actions: &mut Vec<ReaderAction>) {
         for lane in &mut self.lanes {
             if lane.lane != Lane::Probe && lane.state == LaneState::Calling {
@@ -280,8 +285,9 @@
         }
     }
 
-    /// With what a peer sent, everything up to `revision` is known, 0 when nothing is; a lane that has read nothing yet can watch from
-    /// there. A listing that is under way goes on: its next page would be taken for the whole.
+    /// Records that a peer's update made all changes up to `revision` known; 0 if it made nothing completely known. The
+    /// lane then watches from there, even if it has read nothing itself. A listing in progress continues, because its
+    /// next page would otherwise be taken for the whole listing.
     pub fn on_peer_report(&mut self, lane: Lane, revision: u64) {
         let reader = self.lane_mut(lane);
         let is_listing = reader.after.is_none() && (reader.state == LaneState::Calling || reader.partial.is_some());
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -1,7 +1,7 @@
-//! One lane: what it asks next, and what a reply means for it.
+//! One lane: its next call, and how it handles the replies.
 //!
-//! Owns the revision that the lane has reached, the pages of a listing that isn't whole, and the wait before the next call. Relies on
-//! the reader for whether it asks at all.
+//! A lane holds the revision that it has reached, the pages of an incomplete listing, and the time of the next call.
+//! [`StoreReader`](super::StoreReader) decides whether the lane makes calls at all.
 
 use super::message::{Lane, ReaderAction, ReaderSettings, ReadingMode, StoreCall};
 use crate::state::mirror::{MirrorItem, MirrorUpdate};
@@ -10,34 +10,35 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Entries that are gone in one reply, from which on they have lapsed rather than left: they come back one by one. Above what leaves in one rest of a
-/// lane.
+/// Number of removed entries in one reply from which on they count as lapsed, to be written anew one by one, rather
+/// than as removed by leaving searchers. It is above the number of searchers that leave during one pause of the lane.
 const LAPSED_TOGETHER: usize = 8;
-/// Time within which live searchers are back in a store that was away: the platform says about two seconds; a quarter is
-/// added for the lane's rest and a late wake-up.
+/// Time within which live searchers have written their entries anew after an outage of the store. The platform states
+/// about two seconds; a quarter is added for the pause of the lane and a late wake-up.
 const RETURN_TIME: Duration = Duration::from_millis(2500);
-/// Doublings of the wait after failures; [`Backoff::longest`](super::Backoff) is reached before. It keeps the shift small.
+/// Largest number of doublings of the back-off. [`Backoff::longest`](super::Backoff) is reached before; the limit only
+/// prevents an overflow of the shift.
 const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LaneState {
     /// The next call is due at a time.
     Resting { until: BootTime },
-    /// A call is out.
+    /// A call is open.
     Calling,
-    /// The last call failed, and so does the probe: nothing is asked until the store answers a probe.
+    /// The last call and the last probe failed: the lane makes no call until the store answers a probe.
     AwaitingProbe,
-    /// The mode asks nothing of this lane: what is new comes from a peer, or is known.
+    /// The mode doesn't use this lane, because peers send what is new or because the lane has read all it needs.
     Suspended,
 }
 
-/// Pages of a listing that isn't whole yet.
+/// The pages of an incomplete listing.
 #[derive(Debug)]
 pub(super) struct PartialListing {
     update: MirrorUpdate,
-    /// The store's revision at the first page.
+    /// The store's revision when the first page was read.
     first_at: u64,
-    /// Key after which the next page begins.
+    /// Key after which the next page starts.
     next_key: String,
 }
 
@@ -45,20 +46,21 @@
 pub(super) struct LaneReader {
     pub lane: Lane,
     pub state: LaneState,
-    /// Revision that changes are known up to; `None` before the first read.
+    /// Revision up to which all changes are known; `None` before the first complete listing.
     pub after: Option<u64>,
-    /// Pages read so far of a listing that goes on.
+    /// The pages read so far of an incomplete listing.
     pub partial: Option<PartialListing>,
-    /// Calls that failed in a row.
+    /// Number of failed calls in a row.
     pub failures: u32,
-    /// Whether the last call was served, or is known to be held by a store that answers.
+    /// Whether the last call was answered, or is an open watch of a store that answers probes.
     pub is_reachable: bool,
-    /// Until when entries that lapsed together may be coming back.
+    /// Time until which entries that lapsed together may still be written anew.
     pub returns_until: BootTime,
 }
 
 impl LaneReader {
-    /// Whether the lane asks anything in a mode. A read that failed brings in the probe, which costs a tenth, until all is read.
+    /// Returns whether the mode uses the lane. In [`ReadingMode::Once`] a failed read adds the probe until everything
+    /// is read, because a probe costs a tenth of a read.
     pub fn is_wanted(&self, mode: ReadingMode, has_failed_read: bool) -> bool {
         match (mode, self.lane) {
             (ReadingMode::Watching, _) => true,
@@ -105,7 +107,8 @@
             self.partial = Some(PartialListing { update: whole, first_at, next_key: key });
             return;
         }
-        // Pages are no snapshot: only what holds since the first page is known, the watch reports the rest.
+        // The pages aren't a snapshot, since items may have changed between them. The listing is complete only up to
+        // the revision of the first page; the watch reports later changes.
         match self.lane {
             Lane::Searchers => {
                 whole.is_complete_for_searchers = true;
@@ -140,7 +143,7 @@
         actions.push(ReaderAction::Learned { lane: self.lane, update });
     }
 
-    /// How long the lane rests after changes: shortly where entries went that may come back.
+    /// Returns the pause of the lane after changes. It is short after removals of searchers, which may be written anew.
     fn rest_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
         let is_end = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
         let ends = update.items.iter().filter(is_end).count();
@@ -165,7 +168,7 @@
         let doubled = settings.back_off.first * (1 << self.failures.min(MAX_DOUBLINGS));
         let wait = doubled.min(settings.back_off.longest);
         self.failures = self.failures.saturating_add(1);
-        // Spread, so that nodes that failed together don't come back together.
+        // The jitter prevents nodes that failed together from retrying together.
         let spread = random.random_range(0.5..1.0);
         self.state = LaneState::Resting { until: now + wait.mul_f64(spread) };
         self.set_reachable(false, actions);
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -1,19 +1,18 @@
-//! Calls to the store, its replies, what the reader wants done, and its times.
+//! The types that pass between the reader and the node: calls to the store, replies, actions and settings.
 //!
-//! Owns the types that pass between the reader and the node, which makes the calls; decides nothing. Relies on the mirror for what
-//! an update holds.
+//! The node makes the calls; nothing here makes decisions. The content of updates is defined by the mirror.
 
 use crate::state::mirror::MirrorUpdate;
 use std::time::Duration;
 
-/// What a lane reads.
+/// A kind of call to the store, of which at most one is open at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
-    /// What the operator writes: the configuration and evacuations.
+    /// Reads what the operator writes: the configuration and evacuations.
     Configuration,
-    /// The searchers' entries.
+    /// Reads the searchers' entries.
     Searchers,
-    /// Nothing: only whether the store answers.
+    /// Reads nothing, but checks whether the store answers.
     Probe,
 }
 
@@ -21,7 +20,7 @@
     /// All lanes.
     pub const ALL: [Lane; 3] = [Lane::Configuration, Lane::Searchers, Lane::Probe];
 
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Lane::Configuration => "configuration",
@@ -31,175 +30,179 @@
     }
 }
 
-/// What is asked of the store. It follows from the node's role in its region.
+/// Which calls are made to the store. The mode follows from the node's role in its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadingMode {
-    /// Configuration and searchers are read once and then watched; the store is probed.
+    /// The configuration and the searchers are listed once and then watched, and the store is probed.
     Watching,
-    /// Both are read once, until they are known; a process that has just started knows nothing.
+    /// The configuration and the searchers are listed once, unless they are known already. A process that has just
+    /// started knows neither.
     Once,
     /// The store is only probed, to find out whether it would answer.
     Probing,
-    /// Nothing: peers send what is new.
+    /// No calls are made, because peers send what is new.
     Following,
 }
 
 /// One call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A page of all that a lane reads, as it is now.
+    /// Reads a page of the present items of a lane.
     List {
-        /// Of what.
+        /// The lane whose items are read.
         lane: Lane,
-        /// Last key of the page before.
+        /// Last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// What changes after a revision.
+    /// Waits for changes of a lane's items after a revision.
     Watch {
-        /// Of what.
+        /// The lane whose items are watched.
         lane: Lane,
-        /// The revision.
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long the store may hold the call.
+        /// Longest time for which the store may hold the call.
         wait: Duration,
     },
-    /// A liveness probe, as cheap as there is.
+    /// Makes a liveness probe, the cheapest call that there is.
     Probe,
 }
 
-/// What the store said.
+/// The store's reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// Items, and the store's revision. `next` is the key to go on after when there are more.
+    /// A page of a listing.
     Items {
-        /// The items.
+        /// The items of the page.
         update: MirrorUpdate,
-        /// The store's revision.
+        /// The store's revision when the page was read.
         at: u64,
-        /// Where the next page begins.
+        /// Key after which the next page starts; `None` after the last page.
         next: Option<String>,
     },
-    /// Changes up to a revision.
+    /// The changes that a watch has found.
     Changes {
         /// The changes.
         update: MirrorUpdate,
-        /// The revision.
+        /// Revision up to which the changes are complete.
         at: u64,
     },
-    /// It lives.
+    /// The store answered a probe.
     Alive,
-    /// The history after the revision asked for is gone.
+    /// The store no longer has the history after the revision of the watch.
     HistoryGone,
-    /// Refused, or no proper answer; nothing is known.
+    /// The store refused the call, or its reply was invalid; the state of the store is unknown.
     Refused {
-        /// HTTP status.
+        /// HTTP status code of the reply.
         status: u16,
     },
 }
 
-/// What the reader wants done.
+/// An action that the reader requests from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReaderAction {
-    /// Make a call; give up on it and its connection after `patience`.
+    /// Make a call; give it up and close its connection after `patience`.
     Call {
         /// The lane that waits for the reply.
         lane: Lane,
         /// The call.
         call: StoreCall,
-        /// Longest wait.
+        /// Time after which the call is given up.
         patience: Duration,
     },
-    /// Give up the call that is out on a lane; its end isn't to be reported.
+    /// Give up the open call of a lane; its end must not be reported.
     Cancel {
         /// The lane.
         lane: Lane,
     },
-    /// Merge what was learned.
+    /// Merge an update that a lane has read.
     Learned {
-        /// From which lane.
+        /// The lane that read the update.
         lane: Lane,
-        /// What.
+        /// The update.
         update: MirrorUpdate,
     },
-    /// The store answers on this lane again, or no longer.
+    /// The store answers the lane's calls again, or has stopped answering them.
     Reachable {
         /// The lane.
         lane: Lane,
-        /// Whether it answers.
+        /// Whether the store answers.
         is_reachable: bool,
     },
 }
 
-/// Time between two probes, from one's end to the next's start.
+/// Time between two probes, from the end of one to the start of the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeIntervals {
-    /// While the store answers.
+    /// Interval while the store answers.
     pub usual: Duration,
-    /// While it doesn't: the time by which its return is noticed too late.
+    /// Interval while the store doesn't answer; it bounds the delay after which the end of an outage is noticed.
     pub while_away: Duration,
 }
 
-/// Wait after a failure, which doubles with each further one. What is waited is drawn between half of that and the whole.
+/// Exponential back-off after failed calls. It doubles with each further failure; the actual wait is drawn at random
+/// between half of it and the whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// After the first failure.
+    /// Back-off after the first failure.
     pub first: Duration,
-    /// After any number of them.
+    /// Longest back-off, after any number of failures.
     pub longest: Duration,
 }
 
-/// Times of the reader. A longest wait bounds a silence of the store; a rest bounds the rate of calls, and with it how late a
-/// change is learned.
+/// Timeouts and intervals of the reader. A timeout bounds the time without a reply from the store. A rest is a pause of
+/// a lane after updates; it bounds the rate of calls and thereby the delay with which a change is learned.
 #[derive(Clone, Debug)]
 pub struct ReaderSettings {
-    /// How long the store may hold a watch that has nothing to report.
+    /// Time for which the store may hold a watch that has nothing to report.
     pub watch: Duration,
-    /// Silence after which a listing is given up, and a watch whose end has passed; its connection goes with it.
+    /// Time after which a listing without a reply is given up. A watch is given up this long after the time for which
+    /// the store may hold it. The connection of the call is closed.
     pub patience: Duration,
-    /// Rest after updates of the configuration.
+    /// Pause of the lane after updates of the configuration.
     pub configuration_rest: Duration,
-    /// Rest after updates of searchers.
+    /// Pause of the lane after updates of searchers.
     pub searcher_rest: Duration,
-    /// The same when entries have gone: those that only lapsed come back one by one.
+    /// Pause of the lane after removals of searchers, because entries that only lapsed are written anew one by one.
     pub lapse_rest: Duration,
-    /// Time between probes where no follower relies on them.
+    /// Intervals between probes if no follower relies on them.
     pub probe: ProbeIntervals,
-    /// Time between probes of a reader with followers while the store answers. It lies well below the silence that they bear, so
-    /// that one lost probe is none.
+    /// Interval between the probes of a reader with followers while the store answers. It is well below the followers'
+    /// timeout for a silent reader, so that one lost probe doesn't exceed that timeout.
     pub probe_for_others: Duration,
-    /// Time between a prober's probes.
+    /// Interval between a prober's probes.
     pub probe_in_doubt: Duration,
-    /// Silence after which a probe is given up and the store taken for away.
+    /// Time after which a probe without a reply is given up and the store counts as unavailable.
     pub probe_patience: Duration,
-    /// Wait of a lane after a call that failed.
+    /// Back-off of a lane after failed calls.
     pub back_off: Backoff,
-    /// Whether a lane that failed asks nothing while the probe fails too.
+    /// Whether a lane whose last call failed makes no call while probes fail too.
     pub lanes_wait_for_probe: bool,
 }
 
-/// The gateway shortens the rests and the times between probes to fractions of the bounds in its settings.
+/// The defaults. The gateway shortens the pauses and the probe intervals to fractions of the bounds in its settings.
 impl Default for ReaderSettings {
     fn default() -> Self {
         ReaderSettings {
-            // Below the 30 s that the store holds a watch at the most.
+            // The store holds a watch for at most 30 s.
             watch: Duration::from_secs(25),
-            // Well above the milliseconds of a call, and below bounds on updates, which are seconds.
+            // A call takes milliseconds; the bounds on the delay of updates are seconds.
             patience: Duration::from_millis(1200),
-            // A storm of changes is to be a few calls.
+            // Many changes in a short time must cause only a few calls.
             configuration_rest: Duration::from_millis(500),
             searcher_rest: Duration::from_millis(900),
-            // On a day with a store that was away, this and a grace for lapsed searchers took the share of rejected requests from
-            // 0.019 to 0.001.
+            // On a day with an outage of the store, this pause and the grace period for lapsed searchers together
+            // reduced the fraction of rejected requests from 0.019 to 0.001.
             lapse_rest: Duration::from_millis(150),
-            // With a probe each two seconds, and watches renewed after a miss, a day on which the store was silent was served to 0.991
-            // instead of 0.694; a quiet day took 156 calls instead of 158.
+            // With a probe every two seconds and watches renewed after a missed probe, 0.991 instead of 0.694 of a
+            // day's requests were served while the store was silent. A day without outages took 156 calls instead of
+            // 158.
             probe: ProbeIntervals { usual: Duration::from_millis(2000), while_away: Duration::from_millis(400) },
-            // The gateway derives both from the silence that followers bear.
+            // The gateway derives both from the followers' timeout for a silent reader.
             probe_for_others: Duration::from_millis(500),
             probe_in_doubt: Duration::from_millis(600),
-            // Below `patience`: the probe is to fail before the lanes do.
+            // Below `patience`, so that the probe fails before the calls of the other lanes do.
             probe_patience: Duration::from_millis(800),
-            // A lane that is turned back for a moment is to lose little, and one that fails for long to cost a call a second.
+            // A short failure must delay a lane little, and a lasting one must cost only about a call a second.
             back_off: Backoff { first: Duration::from_millis(150), longest: Duration::from_millis(1000) },
             lanes_wait_for_probe: true,
         }
