--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -18,12 +18,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
     /// Two tenants have the same name.
-    TenantTwice {
+    DuplicateTenant {
         /// Name of the tenants.
         tenant: Arc<str>,
     },
     /// Two tenants hold the same key, or one tenant lists it twice. Callers with the key count as the first tenant.
-    KeyHeldTwice {
+    DuplicateKey {
         /// The tenant that comes first in the configuration; requests with the key are its requests.
         first: Arc<str>,
         /// The tenant for which the key has no effect; equal to `first` if one tenant lists the key twice.
@@ -54,7 +54,7 @@
         region: Arc<str>,
     },
     /// A route and a tenant have no allowed region in common.
-    NowhereToServe {
+    NoCommonRegion {
         /// The route.
         route: Arc<str>,
         /// The tenant.
@@ -95,8 +95,8 @@
 
 fn check_names(tenants: &[TenantDefinition]) -> Vec<Finding> {
     let mut names = HashSet::new();
-    let again = tenants.iter().filter(|tenant| !names.insert(tenant.name.clone()));
-    again.map(|tenant| Finding::TenantTwice { tenant: tenant.name.clone() }).collect()
+    let duplicates = tenants.iter().filter(|tenant| !names.insert(tenant.name.clone()));
+    duplicates.map(|tenant| Finding::DuplicateTenant { tenant: tenant.name.clone() }).collect()
 }
 
 fn check_keys(tenants: &[TenantDefinition]) -> Vec<Finding> {
@@ -110,7 +110,7 @@
             match holders.entry(*key) {
                 Entry::Occupied(holder) => {
                     let first = tenants[holder.get().0 as usize].name.clone();
-                    findings.push(Finding::KeyHeldTwice { first, second: tenant.name.clone() });
+                    findings.push(Finding::DuplicateKey { first, second: tenant.name.clone() });
                 }
                 Entry::Vacant(place) => {
                     place.insert(TenantKey(number));
@@ -134,10 +134,10 @@
 }
 
 fn check_route(route: &RouteDefinition, tenants: &[TenantDefinition]) -> Vec<Finding> {
-    let is_nowhere = |tenant: &&TenantDefinition| AllowedRegions::new(route, Some(tenant)).are_none();
+    let has_no_region = |tenant: &&TenantDefinition| AllowedRegions::new(route, Some(tenant)).are_none();
     let finding =
-        |tenant: &TenantDefinition| Finding::NowhereToServe { route: route.name.clone(), tenant: tenant.name.clone() };
-    tenants.iter().filter(is_nowhere).map(finding).collect()
+        |tenant: &TenantDefinition| Finding::NoCommonRegion { route: route.name.clone(), tenant: tenant.name.clone() };
+    tenants.iter().filter(has_no_region).map(finding).collect()
 }
 
 impl fmt::Display for RegionHolder {
@@ -152,11 +152,11 @@
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::TenantTwice { tenant } => write!(f, "tenant {tenant}: named twice"),
-            Finding::KeyHeldTwice { first, second } if first == second => {
+            Finding::DuplicateTenant { tenant } => write!(f, "tenant {tenant}: named twice"),
+            Finding::DuplicateKey { first, second } if first == second => {
                 write!(f, "tenant {first}: lists a key twice")
             }
-            Finding::KeyHeldTwice { first, second } => {
+            Finding::DuplicateKey { first, second } => {
                 write!(
                     f,
                     "tenant {second}: holds a key of tenant {first}; callers with that key count as tenant {first}"
@@ -173,7 +173,7 @@
                 )
             }
             Finding::UnknownRegion { by, region } => write!(f, "{by}: allows region {region}, which has no zone"),
-            Finding::NowhereToServe { route, tenant } => {
+            Finding::NoCommonRegion { route, tenant } => {
                 write!(f, "route {route}: has no allowed region in common with tenant {tenant}")
             }
         }
--- a/crates/staircross-routing/src/configuration/delta.rs
+++ b/crates/staircross-routing/src/configuration/delta.rs
@@ -32,9 +32,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ListDelta<T> {
     /// Entries that are new or have changed.
-    set: Vec<T>,
+    #[serde(rename = "set")]
+    changed: Vec<T>,
     /// Names of the entries that were removed.
-    gone: Vec<Arc<str>>,
+    #[serde(rename = "gone")]
+    removed: Vec<Arc<str>>,
 }
 
 /// An entry of a definition's list, identified by its name.
@@ -92,19 +94,19 @@
 
     /// Returns the routes that are new or changed, and the names of those that were removed.
     pub fn changed_routes(&self) -> (&[RouteDefinition], &[Arc<str>]) {
-        (&self.routes.set, &self.routes.gone)
+        (&self.routes.changed, &self.routes.removed)
     }
 }
 
 impl<T> Default for ListDelta<T> {
     fn default() -> Self {
-        ListDelta { set: Vec::new(), gone: Vec::new() }
+        ListDelta { changed: Vec::new(), removed: Vec::new() }
     }
 }
 
 impl<T> ListDelta<T> {
     fn is_empty(&self) -> bool {
-        self.set.is_empty() && self.gone.is_empty()
+        self.changed.is_empty() && self.removed.is_empty()
     }
 }
 
@@ -112,19 +114,19 @@
     fn between(old: &[T], new: &[T]) -> Option<Self> {
         let (old, new) = (by_name(old)?, by_name(new)?);
         let changed = new.iter().filter(|(name, entry)| old.get(*name) != Some(*entry));
-        let gone = old.keys().filter(|name| !new.contains_key(*name));
+        let removed = old.keys().filter(|name| !new.contains_key(*name));
         Some(ListDelta {
-            set: changed.map(|(_, entry)| (*entry).clone()).collect(),
-            gone: gone.map(|name| (*name).clone()).collect(),
+            changed: changed.map(|(_, entry)| (*entry).clone()).collect(),
+            removed: removed.map(|name| (*name).clone()).collect(),
         })
     }
 
     fn apply(&self, old: &[T]) -> Option<Vec<T>> {
         let mut entries = by_name(old)?;
-        for name in &self.gone {
+        for name in &self.removed {
             entries.remove(name);
         }
-        entries.extend(self.set.iter().map(|entry| (entry.name(), entry)));
+        entries.extend(self.changed.iter().map(|entry| (entry.name(), entry)));
         Some(entries.into_values().cloned().collect())
     }
 }
@@ -140,19 +142,19 @@
     let mut digest = Xxh3Default::new();
     digest.update(&definition.version.to_le_bytes());
     for route in by_name(&definition.routes)?.into_values() {
-        update(&mut digest, route)?;
+        hash_part(&mut digest, route)?;
     }
     for service in by_name(&definition.services)?.into_values() {
-        update(&mut digest, service)?;
+        hash_part(&mut digest, service)?;
     }
     for tenant in by_name(&definition.tenants)?.into_values() {
-        update(&mut digest, tenant)?;
+        hash_part(&mut digest, tenant)?;
     }
-    update(&mut digest, &definition.limits)?;
+    hash_part(&mut digest, &definition.limits)?;
     Some(digest.digest())
 }
 
-fn update(digest: &mut Xxh3Default, part: &impl Serialize) -> Option<()> {
+fn hash_part(digest: &mut Xxh3Default, part: &impl Serialize) -> Option<()> {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(part, &mut bytes).ok()?;
     digest.update(&bytes);
--- a/crates/staircross-routing/src/configuration/table.rs
+++ b/crates/staircross-routing/src/configuration/table.rs
@@ -120,7 +120,7 @@
             None => self.by_host.get(name.to_ascii_lowercase().as_str())?,
         };
         let routes = &self.definition.routes;
-        let takes = |index: &&u32| path.starts_with(&*routes[**index as usize].path_prefix);
-        indices.iter().find(takes).map(|index| *index as usize)
+        let matches_path = |index: &&u32| path.starts_with(&*routes[**index as usize].path_prefix);
+        indices.iter().find(matches_path).map(|index| *index as usize)
     }
 }
--- a/crates/staircross-routing/src/configuration/tenants.rs
+++ b/crates/staircross-routing/src/configuration/tenants.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 
 /// Longest key that is accepted, in bytes.
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Context string that makes these digests differ from digests of the same keys for other purposes. It needn't be
 /// secret, because keys are random and so long that no key can be found from its digest by trying.
-const DIGEST_PURPOSE: &[u8] = b"staircross caller key 1";
+const DIGEST_CONTEXT: &[u8] = b"staircross caller key 1";
 /// Number of bytes of the digest that are kept; far more than needed for the digests of a fleet's keys to differ.
 const DIGEST_BYTES: usize = 16;
 
@@ -25,11 +25,11 @@
 impl KeyDigest {
     /// Computes the digest of a key; `None` if the key is empty or longer than any valid key.
     pub fn of(key: &[u8]) -> Option<Self> {
-        if key.is_empty() || key.len() > LONGEST_KEY {
+        if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return None;
         }
         // HMAC accepts a key of any length, so this never fails.
-        let mut mac = Hmac::<Sha256>::new_from_slice(DIGEST_PURPOSE).ok()?;
+        let mut mac = Hmac::<Sha256>::new_from_slice(DIGEST_CONTEXT).ok()?;
         mac.update(key);
         let whole = mac.finalize().into_bytes();
         let mut digest = [0; DIGEST_BYTES];
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    fn settings(&self) -> RoutingSettings {
+    fn engine_settings(&self) -> RoutingSettings {
         RoutingSettings {
             extra: self.extra,
             zone: self.zone.clone(),
@@ -332,7 +332,7 @@
 /// Replays a recording and compares the decisions.
 pub struct Replay {
     engine: RoutingEngine,
-    differing: BTreeSet<RequestKey>,
+    differing_requests: BTreeSet<RequestKey>,
     /// Number of replayed events.
     pub turns: u64,
     /// Number of decisions in the replayed part of the recording.
@@ -342,7 +342,12 @@
 impl Replay {
     /// Creates a replay with an engine that has the recorded settings.
     pub fn new(settings: &RecordedSettings) -> Self {
-        Replay { engine: RoutingEngine::new(settings.settings()), differing: BTreeSet::new(), turns: 0, decisions: 0 }
+        Replay {
+            engine: RoutingEngine::new(settings.engine_settings()),
+            differing_requests: BTreeSet::new(),
+            turns: 0,
+            decisions: 0,
+        }
     }
 
     /// Replays one event and returns the requests for which the decisions differ. A request that has differed once is
@@ -359,13 +364,13 @@
         }
         let replayed: Vec<Decision> = actions.iter().filter_map(Decision::in_action).collect();
         let requests: BTreeSet<RequestKey> = turn.decisions.iter().chain(&replayed).map(Decision::request).collect();
-        let of = |request: RequestKey, decisions: &[Decision]| -> Vec<Decision> {
+        let decisions_of = |request: RequestKey, decisions: &[Decision]| -> Vec<Decision> {
             decisions.iter().filter(|decision| decision.request() == request).cloned().collect()
         };
         let mut differences = Vec::new();
         for request in requests {
-            let (then, now) = (of(request, &turn.decisions), of(request, &replayed));
-            if then != now && self.differing.insert(request) {
+            let (then, now) = (decisions_of(request, &turn.decisions), decisions_of(request, &replayed));
+            if then != now && self.differing_requests.insert(request) {
                 differences.push(Difference { at: turn.at, request, recorded: then, replayed: now });
             }
         }
--- a/crates/staircross-routing/src/state.rs
+++ b/crates/staircross-routing/src/state.rs
@@ -9,7 +9,7 @@
 //! | `known_entries` | the entries known under one searcher's id |
 //! | [`known_configuration`] | the newest known configuration, and which part of it a peer is sent |
 //! | [`mirror`] | this node's copy of the platform's store, merged by revision |
-//! | `reach` | the revision up to which all changes are known, and the newest known change |
+//! | `known_revisions` | the revision up to which all changes are known, and the newest known change |
 //! | [`evacuations`] | the zones whose searchers must get no new work |
 //! | [`unreadable`] | items of the store that can't be used, and the reasons |
 //! | [`searcher`] | one searcher: entry, load, speed, failures |
@@ -22,8 +22,8 @@
 pub mod evacuations;
 pub mod known_configuration;
 mod known_entries;
+mod known_revisions;
 pub mod mirror;
-mod reach;
 pub mod rejection;
 pub mod report;
 pub mod request;
--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -36,7 +36,7 @@
 
 impl Evacuations {
     /// Merges the start or end of an evacuation. Returns whether the set of evacuated zones changed.
-    pub fn take(&mut self, revision: u64, zone: Arc<str>, is_active: bool) -> bool {
+    pub fn merge_change(&mut self, revision: u64, zone: Arc<str>, is_active: bool) -> bool {
         let known = self.zones.get(&zone).copied();
         // An evacuation that the newest listing left out had ended by that listing, but a peer that doesn't know of the
         // end may still send the start. An end is inserted in any case, so that this node counts as knowing it.
@@ -50,7 +50,7 @@
 
     /// Merges a complete listing at revision `at`: evacuations that it leaves out had ended by then.
     /// Returns whether any known evacuation ended that way.
-    pub fn end_unlisted(&mut self, at: u64, listed: &[Arc<str>]) -> bool {
+    pub fn merge_listing(&mut self, at: u64, listed: &[Arc<str>]) -> bool {
         self.listed_at = self.listed_at.max(at);
         let mut has_ended = false;
         for (zone, state) in &mut self.zones {
--- a/crates/staircross-routing/src/state/known_configuration.rs
+++ b/crates/staircross-routing/src/state/known_configuration.rs
@@ -12,7 +12,7 @@
 /// carry it to many peers in time. Fourteen followers that pulled 1,800 routes over 20 Mbit/s were up to eight seconds
 /// late, but only one second late where each read them from the store. The size is estimated from the routes and the
 /// services that they name.
-const LARGE_CONFIGURATION: usize = 64 * 1024;
+const LARGE_CONFIGURATION_BYTES: usize = 64 * 1024;
 /// Estimated size in bytes of a route without the services that it names.
 const ROUTE_BYTES: usize = 100;
 /// Estimated size in bytes of the name of a service or route.
@@ -22,7 +22,7 @@
 const MAX_DELTAS: usize = 4;
 /// Largest estimated size in bytes of a delta that is kept; a larger delta is dropped together with all earlier ones.
 /// With this limit all four deltas together stay well below the size of a large configuration.
-const LARGE_DELTA: usize = LARGE_CONFIGURATION / 8;
+const MAX_DELTA_BYTES: usize = LARGE_CONFIGURATION_BYTES / 8;
 
 /// Which newer configurations a peer accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,12 +65,16 @@
 
     /// Replaces the known definition by one of a higher version, and returns the new one if it did. Only versions are
     /// compared, not revisions, so the version never falls.
-    pub fn take(&mut self, revision: u64, definition: Arc<RoutingDefinition>) -> Option<Arc<RoutingDefinition>> {
+    pub fn replace_if_newer(
+        &mut self,
+        revision: u64,
+        definition: Arc<RoutingDefinition>,
+    ) -> Option<Arc<RoutingDefinition>> {
         if definition.version <= self.version() && self.newest.is_some() {
             return None;
         }
         let before = self.newest.replace((revision, definition.clone()));
-        self.remember_delta(before.map(|(_, before)| before), &definition);
+        self.keep_delta(before.map(|(_, before)| before), &definition);
         Some(definition)
     }
 
@@ -78,19 +82,19 @@
     ///
     /// Deltas that can't be applied to the known version, or whose result doesn't match their digest, are ignored. The
     /// node then stays at its version and reads the whole configuration later.
-    pub fn take_deltas(&mut self, revision: u64, deltas: &[DefinitionDelta]) -> Option<Arc<RoutingDefinition>> {
+    pub fn apply_deltas(&mut self, revision: u64, deltas: &[DefinitionDelta]) -> Option<Arc<RoutingDefinition>> {
         let known = self.definition()?.clone();
-        let lacking = deltas.iter().skip_while(|delta| delta.from != known.version);
-        let result = lacking.fold(None::<RoutingDefinition>, |definition, delta| {
+        let missing = deltas.iter().skip_while(|delta| delta.from != known.version);
+        let result = missing.fold(None::<RoutingDefinition>, |definition, delta| {
             let base = definition.as_ref().unwrap_or(&known);
             delta.apply(base).or(definition)
         });
-        self.take(revision, Arc::new(result?))
+        self.replace_if_newer(revision, Arc::new(result?))
     }
 
-    fn remember_delta(&mut self, before: Option<Arc<RoutingDefinition>>, after: &RoutingDefinition) {
+    fn keep_delta(&mut self, before: Option<Arc<RoutingDefinition>>, after: &RoutingDefinition) {
         let delta = before.and_then(|before| DefinitionDelta::between(&before, after));
-        let Some(delta) = delta.filter(|delta| delta_bytes(delta) <= LARGE_DELTA) else {
+        let Some(delta) = delta.filter(|delta| delta_bytes(delta) <= MAX_DELTA_BYTES) else {
             return self.deltas.clear();
         };
         self.deltas.push_back(delta);
@@ -108,22 +112,22 @@
         if !deltas.is_empty() {
             return Some((*at, ConfigurationUpdate::Changes(deltas)));
         }
-        let is_passed_on = match takes {
+        let is_sent = match takes {
             TakenConfiguration::Any => true,
             TakenConfiguration::Small => !is_large(definition),
             TakenConfiguration::None => false,
         };
-        is_passed_on.then(|| (*at, ConfigurationUpdate::Whole(definition.clone())))
+        is_sent.then(|| (*at, ConfigurationUpdate::Whole(definition.clone())))
     }
 }
 
 fn is_large(definition: &RoutingDefinition) -> bool {
-    route_bytes(&definition.routes) > LARGE_CONFIGURATION
+    route_bytes(&definition.routes) > LARGE_CONFIGURATION_BYTES
 }
 
 fn delta_bytes(delta: &DefinitionDelta) -> usize {
-    let (set, gone) = delta.changed_routes();
-    route_bytes(set) + NAME_BYTES * gone.len()
+    let (changed, removed) = delta.changed_routes();
+    route_bytes(changed) + NAME_BYTES * removed.len()
 }
 
 fn route_bytes(routes: &[RouteDefinition]) -> usize {
--- a/crates/staircross-routing/src/state/known_entries.rs
+++ b/crates/staircross-routing/src/state/known_entries.rs
@@ -13,7 +13,7 @@
 
 /// Largest number of entries kept under one id. There is more than one only where an earlier incarnation wrote after a
 /// later one. A restart during which both incarnations write needs two.
-const MAX_STANDING: usize = 4;
+const MAX_ENTRIES_PER_ID: usize = 4;
 
 /// An entry and the revision at which it was written.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 impl WrittenEntry {
     /// Returns whether this entry can never become current once `other` is known, because every removal of `other`
     /// removes this entry too.
-    fn is_outdone_by(&self, other: &WrittenEntry) -> bool {
+    fn is_superseded_by(&self, other: &WrittenEntry) -> bool {
         other.revision >= self.revision && other.entry.born_ms >= self.entry.born_ms
     }
 }
@@ -34,52 +34,52 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownEntries {
     /// The entries in ascending order of revision, and therefore in descending order of start time.
-    standing: Vec<WrittenEntry>,
+    entries: Vec<WrittenEntry>,
     /// Revision of the newest known removal; entries written up to it are gone.
-    ended_at: u64,
+    removed_at: u64,
 }
 
 impl KnownEntries {
     /// Inserts an entry unless it is known, superseded or removed. Returns whether it was inserted.
-    pub fn take(&mut self, written: WrittenEntry) -> bool {
-        let is_known = self.standing.iter().any(|known| written.is_outdone_by(known));
-        if is_known || written.revision <= self.ended_at {
+    pub fn insert(&mut self, written: WrittenEntry) -> bool {
+        let is_known = self.entries.iter().any(|known| written.is_superseded_by(known));
+        if is_known || written.revision <= self.removed_at {
             return false;
         }
-        self.standing.retain(|known| !known.is_outdone_by(&written));
-        let place = self.standing.partition_point(|known| known.revision < written.revision);
-        self.standing.insert(place, written);
-        self.standing.truncate(MAX_STANDING);
+        self.entries.retain(|known| !known.is_superseded_by(&written));
+        let index = self.entries.partition_point(|known| known.revision < written.revision);
+        self.entries.insert(index, written);
+        self.entries.truncate(MAX_ENTRIES_PER_ID);
         true
     }
 
     /// Removes the entries written up to `revision`. Returns whether this removal is newer than those already known.
-    pub fn end(&mut self, revision: u64) -> bool {
-        if revision <= self.ended_at {
+    pub fn remove_up_to(&mut self, revision: u64) -> bool {
+        if revision <= self.removed_at {
             return false;
         }
-        self.ended_at = revision;
-        self.standing.retain(|known| known.revision > revision);
+        self.removed_at = revision;
+        self.entries.retain(|known| known.revision > revision);
         true
     }
 
     /// Returns the current entry, which is that of the latest incarnation.
     pub fn current(&self) -> Option<&WrittenEntry> {
-        self.standing.first()
+        self.entries.first()
     }
 
     /// Returns whether the current entry was written at or before `revision`.
-    pub fn stands_at(&self, revision: u64) -> bool {
+    pub fn has_current_entry_at(&self, revision: u64) -> bool {
         self.current().is_some_and(|known| known.revision <= revision)
     }
 
     /// Returns the current entry and those that become current if the entries of later incarnations are removed.
-    pub fn standing(&self) -> &[WrittenEntry] {
-        &self.standing
+    pub fn entries(&self) -> &[WrittenEntry] {
+        &self.entries
     }
 
     /// Returns the revision of the newest known removal; 0 where none is known.
-    pub fn ended_at(&self) -> u64 {
-        self.ended_at
+    pub fn removed_at(&self) -> u64 {
+        self.removed_at
     }
 }
--- a/crates/staircross-routing/src/state/reach.rs
+++ b/crates/staircross-routing/src/state/known_revisions.rs
@@ -7,30 +7,30 @@
 
 /// The known revisions of one kind of items.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reach {
-    up_to: u64,
-    newest: u64,
+pub(crate) struct KnownRevisions {
+    complete_up_to: u64,
+    newest_change: u64,
 }
 
-impl Reach {
+impl KnownRevisions {
     /// Records that all changes up to a revision are known.
-    pub fn note_whole(&mut self, up_to: u64) {
-        self.up_to = self.up_to.max(up_to);
+    pub fn note_complete(&mut self, up_to: u64) {
+        self.complete_up_to = self.complete_up_to.max(up_to);
     }
 
     /// Records that a change made at `revision` is known.
     pub fn note_change(&mut self, revision: u64) {
-        self.newest = self.newest.max(revision);
+        self.newest_change = self.newest_change.max(revision);
     }
 
     /// Returns the revision up to which all changes are known; 0 before the first complete listing or update.
-    pub fn up_to(&self) -> u64 {
-        self.up_to
+    pub fn complete_up_to(&self) -> u64 {
+        self.complete_up_to
     }
 
-    /// Returns the revision of the newest known change, but at most [`Self::up_to`]. Nodes compare it to find out which
-    /// of them knows more, because unlike [`Self::up_to`] it rises only with changes.
-    pub fn newest(&self) -> u64 {
-        self.newest.min(self.up_to)
+    /// Returns the revision of the newest known change, but at most [`Self::complete_up_to`]. Nodes compare it to find
+    /// out which of them knows more, because unlike [`Self::complete_up_to`] it rises only with changes.
+    pub fn newest_change(&self) -> u64 {
+        self.newest_change.min(self.complete_up_to)
     }
 }
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -13,7 +13,7 @@
 pub use crate::state::known_configuration::TakenConfiguration;
 use crate::state::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::state::known_entries::{KnownEntries, WrittenEntry};
-use crate::state::reach::Reach;
+use crate::state::known_revisions::KnownRevisions;
 pub use crate::state::searcher_entry::SearcherEntry;
 use crate::state::unreadable::UnreadableItem;
 use serde::{Deserialize, Serialize};
@@ -126,32 +126,32 @@
 /// The changes collected during a merge. An update may hold several changes of one id. Only the state after the merge
 /// is reported, but an incarnation that was draining in any of its entries is reported as draining.
 #[derive(Default)]
-struct Touched {
+struct PendingChanges {
     configuration: Option<Arc<RoutingDefinition>>,
-    searchers: BTreeMap<Arc<str>, TouchedSearcher>,
+    searchers: BTreeMap<Arc<str>, PendingSearcherChange>,
     has_evacuations: bool,
 }
 
 #[derive(Default)]
-struct TouchedSearcher {
+struct PendingSearcherChange {
     /// Revision of the entry that was current before the merge.
     before: Option<u64>,
     /// Start times, in Unix milliseconds, of the incarnations of which the merge brought a draining entry.
     draining: Vec<u64>,
 }
 
-impl Touched {
-    fn note(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut TouchedSearcher {
-        self.searchers.entry(instance).or_insert(TouchedSearcher { before, draining: Vec::new() })
+impl PendingChanges {
+    fn note(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut PendingSearcherChange {
+        self.searchers.entry(instance).or_insert(PendingSearcherChange { before, draining: Vec::new() })
     }
 
     fn into_changes(self, known: &BTreeMap<Arc<str>, KnownEntries>) -> MirrorChanges {
         let mut changes = MirrorChanges { configuration: self.configuration, ..MirrorChanges::default() };
-        for (instance, touched) in self.searchers {
+        for (instance, pending) in self.searchers {
             let after = known.get(&instance).and_then(KnownEntries::current);
-            match (touched.before, after) {
+            match (pending.before, after) {
                 (before, Some(after)) if before != Some(after.revision) => {
-                    let has_drained = touched.draining.contains(&after.entry.born_ms);
+                    let has_drained = pending.draining.contains(&after.entry.born_ms);
                     let is_draining = after.entry.is_draining || has_drained;
                     changes.searchers.push(SearcherEntry { is_draining, ..after.entry.clone() });
                 }
@@ -165,14 +165,14 @@
 
 /// The ids and zones in a listing. Every other item of a kind that the listing covers is gone.
 #[derive(Default)]
-struct Listed {
+struct ListedNames {
     /// Ids of searchers.
     searchers: Vec<Arc<str>>,
     /// Zones that are evacuated.
     evacuated: Vec<Arc<str>>,
 }
 
-impl Listed {
+impl ListedNames {
     fn note(&mut self, item: &MirrorItem) {
         match item {
             MirrorItem::Searcher { entry } => self.searchers.push(entry.instance.clone()),
@@ -192,12 +192,12 @@
     searchers: BTreeMap<Arc<str>, KnownEntries>,
     evacuations: Evacuations,
     /// Revisions up to which changes of searchers are known. Complete only once `has_listing` is set.
-    searchers_reach: Reach,
+    searcher_revisions: KnownRevisions,
     /// Revisions up to which changes of the configuration and of evacuations are known.
-    operator_reach: Reach,
+    operator_revisions: KnownRevisions,
     /// Revision after which all removals of entries are remembered; a peer that is further behind gets a complete
     /// listing.
-    tombstones_from: u64,
+    tombstones_complete_after: u64,
     /// Whether a complete listing of the searchers has been merged.
     has_listing: bool,
 }
@@ -216,26 +216,26 @@
     /// Returns the revision up to which all changes of the configuration and of evacuations are known; 0 before the
     /// first complete listing.
     pub fn operator_up_to(&self) -> u64 {
-        self.operator_reach.up_to()
+        self.operator_revisions.complete_up_to()
     }
 
     /// Returns the revision of the newest change of a searcher's entry before which all changes are known. A peer whose
     /// value is higher knows more.
     pub fn newest_revision(&self) -> u64 {
-        self.searchers_reach.newest()
+        self.searcher_revisions.newest_change()
     }
 
     /// Returns the revision up to which all changes of searchers are known; 0 before a complete listing was merged.
     /// Peers are asked for later changes, and a watch continues from there.
     pub fn known_revision(&self) -> u64 {
-        if self.has_listing { self.searchers_reach.up_to() } else { 0 }
+        if self.has_listing { self.searcher_revisions.complete_up_to() } else { 0 }
     }
 
     /// Returns the revision of the newest start or end of an evacuation before which all are known; peers are asked for
     /// later ones. Peers of an earlier build don't send `operator_up_to`; without it this is the newest known change.
     pub fn evacuations_revision(&self) -> u64 {
         let newest = self.evacuations.newest();
-        match self.operator_reach.up_to() {
+        match self.operator_revisions.complete_up_to() {
             0 => newest,
             up_to => newest.min(up_to),
         }
@@ -258,62 +258,62 @@
 
     /// Merges an update and returns what it changed.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
-        let mut touched = Touched::default();
-        let mut listed = Listed::default();
+        let mut pending = PendingChanges::default();
+        let mut listed = ListedNames::default();
         let is_listing = update.is_complete_for_searchers || update.all_evacuations_at.is_some();
         // If the sender knows less than this node, a searcher that only the sender knows is gone: this node knew of its
         // removal and has forgotten it.
         let known = self.known_revision();
-        let gone_by = if update.up_to < known { known } else { 0 };
+        let removed_by = if update.up_to < known { known } else { 0 };
         for (revision, item) in update.items {
             if is_listing {
                 listed.note(&item);
             }
-            if !self.had_gone(revision, &item, gone_by) {
-                self.take(revision, item, &mut touched);
+            if !self.was_removed(revision, &item, removed_by) {
+                self.merge_item(revision, item, &mut pending);
             }
         }
         if let Some(at) = update.all_evacuations_at {
-            touched.has_evacuations |= self.evacuations.end_unlisted(at, &listed.evacuated);
+            pending.has_evacuations |= self.evacuations.merge_listing(at, &listed.evacuated);
         }
         if update.is_complete_for_searchers {
             listed.searchers.sort();
-            self.drop_unlisted(update.up_to, &listed.searchers, &mut touched);
+            self.remove_unlisted(update.up_to, &listed.searchers, &mut pending);
             self.has_listing = true;
         }
         if self.has_listing {
-            self.searchers_reach.note_whole(update.up_to);
+            self.searcher_revisions.note_complete(update.up_to);
         }
-        self.searchers_reach.note_change(update.newest);
-        self.operator_reach.note_whole(update.operator_up_to);
-        self.forget_old_tombstones();
-        let evacuated = touched.has_evacuations.then(|| self.evacuations.active());
-        MirrorChanges { evacuated, ..touched.into_changes(&self.searchers) }
+        self.searcher_revisions.note_change(update.newest);
+        self.operator_revisions.note_complete(update.operator_up_to);
+        self.drop_old_tombstones();
+        let evacuated = pending.has_evacuations.then(|| self.evacuations.active());
+        MirrorChanges { evacuated, ..pending.into_changes(&self.searchers) }
     }
 
     /// Returns whether the item is an entry, written at or before `by`, of a searcher that isn't known here. If all
     /// changes up to `by` are known, that searcher has been removed since.
-    fn had_gone(&self, revision: u64, item: &MirrorItem, by: u64) -> bool {
+    fn was_removed(&self, revision: u64, item: &MirrorItem, by: u64) -> bool {
         match item {
             MirrorItem::Searcher { entry } => revision <= by && !self.searchers.contains_key(&entry.instance),
             _ => false,
         }
     }
 
-    fn take(&mut self, revision: u64, item: MirrorItem, touched: &mut Touched) {
+    fn merge_item(&mut self, revision: u64, item: MirrorItem, pending: &mut PendingChanges) {
         match item {
             MirrorItem::Configuration { definition } => {
-                let newer = self.configuration.take(revision, definition);
-                touched.configuration = newer.or(touched.configuration.take());
+                let newer = self.configuration.replace_if_newer(revision, definition);
+                pending.configuration = newer.or(pending.configuration.take());
             }
             MirrorItem::ConfigurationChanges { deltas } => {
-                let newer = self.configuration.take_deltas(revision, &deltas);
-                touched.configuration = newer.or(touched.configuration.take());
+                let newer = self.configuration.apply_deltas(revision, &deltas);
+                pending.configuration = newer.or(pending.configuration.take());
             }
-            MirrorItem::Searcher { entry } => self.take_searcher(revision, entry, touched),
-            MirrorItem::SearcherGone { instance } => self.take_gone(revision, instance, touched),
+            MirrorItem::Searcher { entry } => self.merge_entry(revision, entry, pending),
+            MirrorItem::SearcherGone { instance } => self.merge_removal(revision, instance, pending),
             MirrorItem::Evacuation { zone, is_active } => {
-                touched.has_evacuations |= self.evacuations.take(revision, zone, is_active);
+                pending.has_evacuations |= self.evacuations.merge_change(revision, zone, is_active);
             }
         }
     }
@@ -321,20 +321,21 @@
     /// Returns everything that a peer lacks, except for a configuration that it doesn't accept.
     pub fn changes_for(&self, peer: PeerKnowledge) -> MirrorUpdate {
         let revision = peer.revision;
-        let is_complete = self.has_listing && (revision < self.tombstones_from || revision == 0);
+        let is_complete = self.has_listing && (revision < self.tombstones_complete_after || revision == 0);
         let mut items = Vec::new();
         if let Some((at, update)) = self.configuration.update_for(peer.version, peer.takes) {
             items.push((at, update.into()));
         }
         for (instance, known) in &self.searchers {
-            let update = known.standing().iter().filter(|known| is_complete || known.revision > revision);
+            let update = known.entries().iter().filter(|known| is_complete || known.revision > revision);
             items.extend(update.map(|known| (known.revision, MirrorItem::Searcher { entry: known.entry.clone() })));
             // A complete listing implies the removal of ids that it leaves out, but not that of earlier entries of ids
             // that it lists.
-            let is_said =
-                is_complete && known.standing().is_empty() && known.ended_at() <= self.searchers_reach.up_to();
-            if known.ended_at() > revision && !is_said {
-                items.push((known.ended_at(), MirrorItem::SearcherGone { instance: instance.clone() }));
+            let is_implied = is_complete
+                && known.entries().is_empty()
+                && known.removed_at() <= self.searcher_revisions.complete_up_to();
+            if known.removed_at() > revision && !is_implied {
+                items.push((known.removed_at(), MirrorItem::SearcherGone { instance: instance.clone() }));
             }
         }
         items.extend(self.evacuations.changes_after(peer.evacuations).map(|change| {
@@ -352,53 +353,53 @@
         }
     }
 
-    fn take_searcher(&mut self, revision: u64, entry: SearcherEntry, touched: &mut Touched) {
+    fn merge_entry(&mut self, revision: u64, entry: SearcherEntry, pending: &mut PendingChanges) {
         let known = self.searchers.entry(entry.instance.clone()).or_default();
         let before = known.current().map(|known| known.revision);
         let (instance, born_ms, is_draining) = (entry.instance.clone(), entry.born_ms, entry.is_draining);
-        if !known.take(WrittenEntry { revision, entry }) {
+        if !known.insert(WrittenEntry { revision, entry }) {
             return;
         }
-        self.searchers_reach.note_change(revision);
-        let touched = touched.note(instance, before);
+        self.searcher_revisions.note_change(revision);
+        let pending = pending.note(instance, before);
         if is_draining {
-            touched.draining.push(born_ms);
+            pending.draining.push(born_ms);
         }
     }
 
-    fn take_gone(&mut self, revision: u64, instance: Arc<str>, touched: &mut Touched) {
+    fn merge_removal(&mut self, revision: u64, instance: Arc<str>, pending: &mut PendingChanges) {
         let known = self.searchers.entry(instance.clone()).or_default();
         let before = known.current().map(|known| known.revision);
-        if known.end(revision) {
-            self.searchers_reach.note_change(revision);
-            touched.note(instance, before);
+        if known.remove_up_to(revision) {
+            self.searcher_revisions.note_change(revision);
+            pending.note(instance, before);
         }
     }
 
     /// Removes the entries that a complete listing at revision `at` leaves out and that were written by then.
-    fn drop_unlisted(&mut self, at: u64, listed: &[Arc<str>], touched: &mut Touched) {
+    fn remove_unlisted(&mut self, at: u64, listed: &[Arc<str>], pending: &mut PendingChanges) {
         for (instance, known) in &mut self.searchers {
-            if listed.binary_search(instance).is_ok() || !known.stands_at(at) {
+            if listed.binary_search(instance).is_ok() || !known.has_current_entry_at(at) {
                 continue;
             }
             let before = known.current().map(|known| known.revision);
-            known.end(at);
-            self.searchers_reach.note_change(at);
-            touched.note(instance.clone(), before);
+            known.remove_up_to(at);
+            self.searcher_revisions.note_change(at);
+            pending.note(instance.clone(), before);
         }
-        self.tombstones_from = self.tombstones_from.max(at);
+        self.tombstones_complete_after = self.tombstones_complete_after.max(at);
     }
 
-    fn forget_old_tombstones(&mut self) {
-        let is_tombstone = |known: &KnownEntries| known.standing().is_empty();
+    fn drop_old_tombstones(&mut self) {
+        let is_tombstone = |known: &KnownEntries| known.entries().is_empty();
         let tombstones = self.searchers.values().filter(|known| is_tombstone(known));
-        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::ended_at).collect();
+        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::removed_at).collect();
         if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        let horizon = revisions[revisions.len() / 2];
-        self.searchers.retain(|_, known| !is_tombstone(known) || known.ended_at() > horizon);
-        self.tombstones_from = self.tombstones_from.max(horizon);
+        let forgotten_up_to = revisions[revisions.len() / 2];
+        self.searchers.retain(|_, known| !is_tombstone(known) || known.removed_at() > forgotten_up_to);
+        self.tombstones_complete_after = self.tombstones_complete_after.max(forgotten_up_to);
     }
 }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -251,20 +251,21 @@
         }
     }
 
-    /// Returns whether the searcher must not be asked: it was tried already, or the shard was already sent to `most`
-    /// other searchers.
-    pub fn is_excluded(&self, searcher: SearcherKey, most: u32) -> bool {
+    /// Returns whether the searcher must not be asked: it is in `tried`, or the shard was already sent to
+    /// `max_searchers` other searchers.
+    pub fn is_excluded(&self, searcher: SearcherKey, max_searchers: u32) -> bool {
         let is_new = !self.sent_to.contains(&searcher);
-        self.tried.contains(&searcher) || (is_new && self.searchers_reached() >= most)
+        self.tried.contains(&searcher) || (is_new && self.distinct_searchers() >= max_searchers)
     }
 
-    /// Returns whether the shard may still be sent to any searcher, when it may be sent to at most `most` searchers.
-    pub fn may_be_sent(&self, most: u32) -> bool {
-        self.searchers_reached() < most || self.sent_to.iter().any(|searcher| !self.tried.contains(searcher))
+    /// Returns whether the shard may still be sent to any searcher, when it may be sent to at most `max_searchers`
+    /// searchers.
+    pub fn may_be_sent(&self, max_searchers: u32) -> bool {
+        self.distinct_searchers() < max_searchers || self.sent_to.iter().any(|searcher| !self.tried.contains(searcher))
     }
 
     /// Returns the number of different searchers to which the shard was sent.
-    fn searchers_reached(&self) -> u32 {
+    fn distinct_searchers(&self) -> u32 {
         let is_first = |index: &usize| !self.sent_to[..*index].contains(&self.sent_to[*index]);
         (0..self.sent_to.len()).filter(is_first).count() as u32
     }
@@ -282,10 +283,10 @@
 
     /// Returns whether the shard may still be answered before `time`: an attempt is open, or a searcher may be asked by
     /// then.
-    pub fn may_come_by(&self, time: BootTime) -> bool {
-        let has_chance = self.outstanding > 0
+    pub fn may_be_answered_by(&self, time: BootTime) -> bool {
+        let may_get_answer = self.outstanding > 0
             || self.waiting.is_none_or(|waiting| waiting.waits_for_room() || waiting.retry_at < time);
-        self.is_open() && has_chance
+        self.is_open() && may_get_answer
     }
 }
 
@@ -403,12 +404,12 @@
     /// Returns whether the key was revoked while it is unknown whether the open attempts run. The end of the next
     /// attempt shows it.
     pub fn is_unclear(&self) -> bool {
-        let is_anything_out = || self.attempts.iter().any(|attempt| attempt.is_open);
-        self.is_key_revoked && !self.may_have_run && is_anything_out()
+        let has_open_attempt = || self.attempts.iter().any(|attempt| attempt.is_open);
+        self.is_key_revoked && !self.may_have_run && has_open_attempt()
     }
 
     /// Returns whether any open shard may still be answered before [`Self::answer_by`].
     pub fn may_grow_in_time(&self) -> bool {
-        self.shards.iter().any(|shard| shard.may_come_by(self.answer_by))
+        self.shards.iter().any(|shard| shard.may_be_answered_by(self.answer_by))
     }
 }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -7,7 +7,7 @@
 use crate::configuration::definition::ColdStart;
 use crate::decision::cold::ColdSends;
 use crate::keys::{AttemptKey, InstanceKey};
-use crate::state::decay::kept_fraction;
+use crate::state::decay::decay_factor;
 use crate::state::mirror::SearcherEntry;
 use crate::state::rejection::RejectionRate;
 use crate::state::report::{ReportedLoad, SearcherReport};
@@ -27,30 +27,30 @@
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(4000);
 /// Slowness that a lost, damaged or error answer counts as. It counts as a slow answer rather than as a failure because
 /// otherwise three live searchers that lost every other answer were all avoided.
-const FALTER_SAMPLE: f64 = 10.0;
+const FAILED_ANSWER_SLOWNESS: f64 = 10.0;
 /// Weight of a lost, damaged or error answer in the estimate of slowness; near [`USUAL_GAIN`].
-const FALTER_GAIN: f64 = 0.25;
+const FAILED_ANSWER_GAIN: f64 = 0.25;
 /// Value of [`ReportedLoad::host_slowness`], in percent, that means that work takes its usual time on the host.
-const USUAL_PERCENT: u32 = 100;
+const USUAL_HOST_PERCENT: u32 = 100;
 /// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with
 /// other programs and their load changes many times a second. On four days this raised the mean value of an answer (0
 /// to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
-const HOST_HALF_LIFE: Duration = Duration::from_millis(300);
+const HOST_SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Multiple of the estimate above which a sample is slow. It is above the usual spread of the time that work takes.
-const NOTABLY_SLOWER: f64 = 3.0;
+const SLOW_SAMPLE_RATIO: f64 = 3.0;
 /// Least slowness that a sample counts as. The limit prevents one fast answer from attracting all work to a searcher.
 const MIN_SLOWNESS: f64 = 0.6;
 /// Greatest slowness that a sample or a report counts as. With the limit, a searcher that was stuck counts as normal
 /// again after a few usual answers.
 const MAX_SLOWNESS: f64 = 30.0;
 /// Least slowness of a searcher while it is cold. It makes warm searchers preferred where they have room.
-const COLD_FACTOR: f64 = 2.0;
+const MIN_COLD_SLOWNESS: f64 = 2.0;
 /// Time for which a searcher is avoided after its first failure. It fits a short interruption and doubles with each
 /// further failure in a row.
-const AVOID_BASE: Duration = Duration::from_millis(400);
-/// Largest number of doublings of [`AVOID_BASE`]. A searcher is avoided for at most 6.4 s, so one that is back is found
-/// soon.
-const MAX_DOUBLINGS: u32 = 4;
+const FIRST_AVOIDANCE: Duration = Duration::from_millis(400);
+/// Largest number of doublings of [`FIRST_AVOIDANCE`]. A searcher is avoided for at most 6.4 s, so one that is back is
+/// found soon.
+const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
 /// Time for which a searcher that accepts no connection at all isn't asked. It is short because the searcher is alive
 /// and may have room at any moment.
 const CONNECTION_REJECTED_PAUSE: Duration = Duration::from_millis(120);
@@ -58,9 +58,9 @@
 const FULL_PAUSE: Duration = Duration::from_millis(800);
 /// Time for which a searcher that rejected work isn't asked. Where most searchers reject much, [`RejectionRate`]
 /// remembers rejections for longer.
-const SHED_PAUSE: Duration = Duration::from_millis(60);
-/// Time between trial attempts at a searcher that has failed; below [`AVOID_BASE`].
-const TRIAL_SPACING: Duration = Duration::from_millis(300);
+const REJECTION_PAUSE: Duration = Duration::from_millis(60);
+/// Time between trial attempts at a searcher that has failed; below [`FIRST_AVOIDANCE`].
+const TRIAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// An attempt that holds a connection to the searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -75,7 +75,7 @@
 
 /// Whether a searcher may be asked, by its entry in the store and by its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// The searcher has an entry that isn't draining.
     Serving,
     /// The entry is gone although the searcher didn't announce that it leaves. Entries also lapse while the store is
@@ -98,7 +98,7 @@
     /// Key of the incarnation, which is the same on all nodes.
     pub instance_key: InstanceKey,
     /// Whether the searcher may be asked, by its entry and its answers.
-    pub standing: Standing,
+    pub availability: Availability,
     /// Attempts that hold a connection to the searcher.
     pub open: Vec<OpenAttempt>,
     /// Number of connections that the searcher accepts from all its clients together.
@@ -109,16 +109,21 @@
     is_evacuated: bool,
     /// Time at which a connection to the searcher's address was last established.
     connected_at: Option<BootTime>,
+    /// Time until which the searcher is cold.
     cold_until: BootTime,
     cold_sends: ColdSends,
-    reported: Option<(BootTime, ReportedLoad)>,
+    /// The last reported load and the time at which it arrived.
+    last_reported: Option<(BootTime, ReportedLoad)>,
+    /// Estimated slowness at `slowness_estimated_at`, as a multiple of the usual time.
     slowness: f64,
-    measured_at: BootTime,
+    slowness_estimated_at: BootTime,
     /// Time of the first slow answer since the last answer that wasn't slow.
-    slow_answer_at: Option<BootTime>,
+    first_slow_answer_at: Option<BootTime>,
     rejections: RejectionRate,
-    failures: u32,
-    avoid_until: BootTime,
+    /// Number of failures in a row to reach the searcher.
+    consecutive_failures: u32,
+    /// Time until which the searcher is avoided after failures or rejections.
+    avoided_until: BootTime,
     /// Whether a single trial attempt must succeed before the searcher gets more work.
     needs_trial: bool,
     /// Number of open attempts at which the searcher is full, until `full_until`.
@@ -130,12 +135,12 @@
 impl Searcher {
     /// Creates the state of a searcher whose first entry has just arrived.
     pub fn new(now: BootTime, entry: SearcherEntry, max_connections: u32) -> Self {
-        let standing = if entry.is_draining { Standing::Draining } else { Standing::Serving };
+        let availability = if entry.is_draining { Availability::Draining } else { Availability::Serving };
         let cold_until = now + Duration::from_millis(entry.cold_ms);
         Searcher {
             instance_key: InstanceKey::of(&entry.instance, entry.born_ms),
             entry,
-            standing,
+            availability,
             open: Vec::new(),
             max_connections,
             cold_start: ColdStart::default(),
@@ -143,13 +148,13 @@
             connected_at: None,
             cold_until,
             cold_sends: ColdSends::default(),
-            reported: None,
+            last_reported: None,
             slowness: 1.0,
-            measured_at: now,
-            slow_answer_at: None,
+            slowness_estimated_at: now,
+            first_slow_answer_at: None,
             rejections: RejectionRate::default(),
-            failures: 0,
-            avoid_until: BootTime::default(),
+            consecutive_failures: 0,
+            avoided_until: BootTime::default(),
             needs_trial: false,
             full_at: 0,
             full_until: BootTime::default(),
@@ -165,29 +170,30 @@
     /// Replaces the entry by a newer one of the same incarnation. A draining searcher stays so; a lapsed one serves
     /// again.
     pub fn update(&mut self, now: BootTime, entry: SearcherEntry) {
-        let was_draining = self.standing == Standing::Draining;
-        self.standing = if was_draining || entry.is_draining { Standing::Draining } else { Standing::Serving };
+        let was_draining = self.availability == Availability::Draining;
+        self.availability =
+            if was_draining || entry.is_draining { Availability::Draining } else { Availability::Serving };
         self.cold_until = now + Duration::from_millis(entry.cold_ms);
         self.entry = entry;
     }
 
     /// Records that the entry is gone from the store; the searcher may be asked until `until`.
     pub fn mark_lapsed(&mut self, until: BootTime) {
-        if self.standing == Standing::Serving {
-            self.standing = Standing::Lapsed { until };
+        if self.availability == Availability::Serving {
+            self.availability = Availability::Lapsed { until };
         }
     }
 
     /// Records that the searcher is no longer at its address.
     pub fn mark_gone(&mut self) {
-        if self.standing != Standing::Draining {
-            self.standing = Standing::Gone;
+        if self.availability != Availability::Draining {
+            self.availability = Availability::Gone;
         }
     }
 
     /// Returns whether the searcher has an entry that isn't draining.
     pub fn is_serving(&self) -> bool {
-        self.standing == Standing::Serving
+        self.availability == Availability::Serving
     }
 
     /// Returns whether new work may be sent to the searcher, regardless of its room and of trials.
@@ -229,7 +235,7 @@
     /// Stores the report of an answer.
     pub fn take_report(&mut self, now: BootTime, report: SearcherReport) {
         if let Some(load) = report.load {
-            self.reported = Some((now, load));
+            self.last_reported = Some((now, load));
         }
         if let Some(cold) = report.cold {
             self.cold_until = now + cold;
@@ -238,39 +244,41 @@
 
     /// Returns the last reported load and the time at which it arrived.
     pub fn reported(&self) -> Option<(BootTime, ReportedLoad)> {
-        self.reported
+        self.last_reported
     }
 
-    /// Returns whether the searcher may be asked by its [`Standing`].
+    /// Returns whether the searcher may be asked by its [`Availability`].
     pub fn is_listed(&self, now: BootTime) -> bool {
-        match self.standing {
-            Standing::Serving => true,
-            Standing::Lapsed { until } => now < until,
-            Standing::Draining | Standing::Gone => false,
+        match self.availability {
+            Availability::Serving => true,
+            Availability::Lapsed { until } => now < until,
+            Availability::Draining | Availability::Gone => false,
         }
     }
 
     /// Returns the time until which the searcher is avoided after failures or rejections; in the past if it isn't
     /// avoided.
     pub fn avoided_until(&self) -> BootTime {
-        self.avoid_until
+        self.avoided_until
     }
 
     /// Returns the estimated slowness: the time that the searcher takes as a multiple of the usual time.
     pub fn slowness(&self, now: BootTime) -> f64 {
-        let present = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
-        if self.is_cold(now) { present.max(COLD_FACTOR) } else { present }
+        let current = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
+        if self.is_cold(now) { current.max(MIN_COLD_SLOWNESS) } else { current }
     }
 
     /// Returns the estimated slowness of the searcher's host by the last report: a multiple of the usual time, at least
     /// 1. A report that the host is faster than usual is ignored. So a wrong report costs no more than a searcher that
     /// isn't asked for a moment.
     pub fn host_slowness(&self, now: BootTime) -> f64 {
-        let Some((at, load)) = self.reported else {
+        let Some((at, load)) = self.last_reported else {
             return 1.0;
         };
-        let beyond = (f64::from(load.host_slowness.unwrap_or(USUAL_PERCENT)) / f64::from(USUAL_PERCENT) - 1.0).max(0.0);
-        1.0 + beyond.min(MAX_SLOWNESS) * kept_fraction(now.since(at), HOST_HALF_LIFE)
+        let excess = (f64::from(load.host_slowness.unwrap_or(USUAL_HOST_PERCENT)) / f64::from(USUAL_HOST_PERCENT)
+            - 1.0)
+            .max(0.0);
+        1.0 + excess.min(MAX_SLOWNESS) * decay_factor(now.since(at), HOST_SLOWNESS_HALF_LIFE)
     }
 
     /// Returns the estimated fraction of its requests that the searcher rejects, 0 to 1.
@@ -286,8 +294,8 @@
     /// Records that an attempt was sent.
     pub fn sent(&mut self, now: BootTime, open: OpenAttempt) {
         if self.needs_trial {
-            // This is the trial attempt; no other attempt is sent for `TRIAL_SPACING` or until the trial has ended.
-            self.avoid_until = now + TRIAL_SPACING;
+            // This is the trial attempt; no other attempt is sent for `TRIAL_INTERVAL` or until the trial has ended.
+            self.avoided_until = now + TRIAL_INTERVAL;
         }
         if self.is_cold(now) {
             self.cold_sends.note(now);
@@ -302,25 +310,25 @@
 
     /// Records an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
     pub fn answered(&mut self, now: BootTime, sent_at: BootTime, ratio: f64) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.needs_trial = false;
-        self.avoid_until = BootTime::default();
+        self.avoided_until = BootTime::default();
         self.rejections.accepted(now);
         let sample = ratio.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
-        let before = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
-        let is_slow = sample > before.max(1.0) * NOTABLY_SLOWER;
-        let is_still_slow = sample > NOTABLY_SLOWER && self.slow_answer_at.is_some_and(|seen| sent_at >= seen);
+        let before = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
+        let is_slow = sample > before.max(1.0) * SLOW_SAMPLE_RATIO;
+        let is_still_slow = sample > SLOW_SAMPLE_RATIO && self.first_slow_answer_at.is_some_and(|seen| sent_at >= seen);
         let gain = match (is_still_slow, is_slow) {
             (true, _) => SLOW_GAIN,
             (false, true) => PAUSE_GAIN,
             (false, false) => USUAL_GAIN,
         };
         self.slowness = before + (sample - before) * gain;
-        self.measured_at = now;
-        if sample > NOTABLY_SLOWER {
-            self.slow_answer_at.get_or_insert(now);
+        self.slowness_estimated_at = now;
+        if sample > SLOW_SAMPLE_RATIO {
+            self.first_slow_answer_at.get_or_insert(now);
         } else {
-            self.slow_answer_at = None;
+            self.first_slow_answer_at = None;
         }
     }
 
@@ -329,22 +337,22 @@
     pub fn accepted(&mut self) {
         self.full_at = self.full_at.max(self.open.len() + 1);
         if self.needs_trial {
-            self.failures = 0;
+            self.consecutive_failures = 0;
             self.needs_trial = false;
-            self.avoid_until = BootTime::default();
+            self.avoided_until = BootTime::default();
         }
     }
 
-    fn kept_since_measured(&self, now: BootTime) -> f64 {
-        kept_fraction(now.since(self.measured_at), SLOWNESS_HALF_LIFE)
+    fn slowness_decay(&self, now: BootTime) -> f64 {
+        decay_factor(now.since(self.slowness_estimated_at), SLOWNESS_HALF_LIFE)
     }
 
     /// Records an answer that was lost, damaged or an error. It counts as a slow answer: other searchers are preferred
     /// for a while, but where all searchers give such answers, all are still asked.
     pub fn faltered(&mut self, now: BootTime) {
-        let before = 1.0 + (self.slowness - 1.0) * self.kept_since_measured(now);
-        self.slowness = before + (FALTER_SAMPLE - before).max(0.0) * FALTER_GAIN;
-        self.measured_at = now;
+        let before = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
+        self.slowness = before + (FAILED_ANSWER_SLOWNESS - before).max(0.0) * FAILED_ANSWER_GAIN;
+        self.slowness_estimated_at = now;
     }
 
     /// Records that the searcher accepts no further connection. Connections that it has accepted stay in use.
@@ -352,7 +360,7 @@
         if self.open.is_empty() {
             // The searcher is alive and may have room for a connection at any moment.
             self.needs_trial = true;
-            self.avoid_until = self.avoid_until.max(now + CONNECTION_REJECTED_PAUSE);
+            self.avoided_until = self.avoided_until.max(now + CONNECTION_REJECTED_PAUSE);
             return;
         }
         self.full_at = self.open.len();
@@ -367,15 +375,15 @@
     /// Records that the searcher rejected work.
     pub fn shed(&mut self, now: BootTime) {
         self.rejections.rejected(now);
-        self.avoid_until = self.avoid_until.max(now + SHED_PAUSE);
+        self.avoided_until = self.avoided_until.max(now + REJECTION_PAUSE);
     }
 
     /// Records that the searcher couldn't be reached. Each further failure in a row doubles the time for which it is
-    /// avoided, up to [`MAX_DOUBLINGS`] times.
+    /// avoided, up to [`MAX_AVOIDANCE_DOUBLINGS`] times.
     pub fn failed(&mut self, now: BootTime) {
-        let doublings = self.failures.min(MAX_DOUBLINGS);
-        self.failures = self.failures.saturating_add(1);
+        let doublings = self.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.needs_trial = true;
-        self.avoid_until = now + AVOID_BASE * (1 << doublings);
+        self.avoided_until = now + FIRST_AVOIDANCE * (1 << doublings);
     }
 }
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -44,7 +44,7 @@
 /// reaches the store for a third of their timeout for a silent reader. Without an announcement each of them reads the
 /// store itself, which costs some ten calls. With a probe this early, a day with an outage of the store took 750 calls
 /// instead of 1,339.
-const CONFIRMATION: Duration = Duration::from_millis(150);
+const MAX_CONFIRMATION_DELAY: Duration = Duration::from_millis(150);
 
 /// Schedules the calls to the store.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     /// The lanes, in the order of [`Lane::ALL`].
     lanes: [LaneReader; 3],
     /// Whether the last probe failed, so that the watches must be renewed once the store answers again.
-    was_away: bool,
+    has_missed_probe: bool,
     /// Whether followers rely on this node's probes of the store.
     has_followers: bool,
     /// Time until which the pauses after updates of searchers are short, because the process has just restarted.
@@ -66,18 +66,18 @@
     pub fn new(settings: ReaderSettings) -> Self {
         let lanes = Lane::ALL.map(|lane| LaneReader {
             lane,
-            state: LaneState::Resting { until: BootTime::default() },
+            state: LaneState::Scheduled { at: BootTime::default() },
             after: None,
             partial: None,
             failures: 0,
             is_reachable: false,
-            returns_until: BootTime::default(),
+            reregistration_until: BootTime::default(),
         });
         StoreReader {
             settings,
             mode: ReadingMode::Watching,
             lanes,
-            was_away: false,
+            has_missed_probe: false,
             has_followers: false,
             starting_until: BootTime::default(),
         }
@@ -99,7 +99,7 @@
     /// Returns the time at which the next call is due.
     pub fn next_wake(&self) -> Option<BootTime> {
         let due = self.lanes.iter().filter_map(|lane| match lane.state {
-            LaneState::Resting { until } => Some(until),
+            LaneState::Scheduled { at } => Some(at),
             LaneState::Calling | LaneState::AwaitingProbe | LaneState::Suspended => None,
         });
         due.min()
@@ -113,7 +113,7 @@
     /// Returns whether a watch of the configuration is open. A store that answers then sends changes at once.
     pub fn watches_configuration(&self) -> bool {
         let lane = self.lane(Lane::Configuration);
-        lane.after.is_some() && lane.state == LaneState::Calling && !self.was_away
+        lane.after.is_some() && lane.state == LaneState::Calling && !self.has_missed_probe
     }
 
     /// Sets the mode. Open calls of lanes that the mode doesn't use are cancelled; the other lanes continue from the
@@ -122,20 +122,20 @@
         self.mode = mode;
         let has_failed_read = self.has_failed_read();
         for lane in &mut self.lanes {
-            let is_wanted = lane.is_wanted(mode, has_failed_read);
-            if !is_wanted && lane.state == LaneState::Calling {
+            let is_used = lane.is_used(mode, has_failed_read);
+            if !is_used && lane.state == LaneState::Calling {
                 actions.push(ReaderAction::Cancel { lane: lane.lane });
             }
-            if !is_wanted {
+            if !is_used {
                 lane.state = LaneState::Suspended;
                 lane.partial = None;
             } else if lane.state == LaneState::Suspended {
                 lane.failures = 0;
-                lane.state = LaneState::Resting { until: now };
+                lane.state = LaneState::Scheduled { at: now };
             }
         }
         if mode == ReadingMode::Following {
-            self.was_away = false;
+            self.has_missed_probe = false;
         }
     }
 
@@ -145,8 +145,8 @@
         let begins = has_followers && !self.has_followers;
         self.has_followers = has_followers;
         let probe = self.lane_mut(Lane::Probe);
-        if begins && matches!(probe.state, LaneState::Resting { .. }) {
-            probe.state = LaneState::Resting { until: now };
+        if begins && matches!(probe.state, LaneState::Scheduled { .. }) {
+            probe.state = LaneState::Scheduled { at: now };
         }
     }
 
@@ -161,31 +161,31 @@
 
     /// Returns whether a lane has yet to complete its listing in the mode [`ReadingMode::Once`].
     pub fn is_reading_once(&self) -> bool {
-        self.mode == ReadingMode::Once && self.lanes.iter().any(|lane| lane.is_wanted(self.mode, false))
+        self.mode == ReadingMode::Once && self.lanes.iter().any(|lane| lane.is_used(self.mode, false))
     }
 
     /// Returns whether the last call of any lane that the mode uses has failed.
     fn has_failed_read(&self) -> bool {
-        self.lanes.iter().any(|lane| lane.is_wanted(self.mode, false) && lane.failures > 0)
+        self.lanes.iter().any(|lane| lane.is_used(self.mode, false) && lane.failures > 0)
     }
 
     /// Returns whether live searchers may be missing from the known entries. Entries lapse while the store is
     /// unavailable and are written anew one by one; a restarted process can't know which entries those are.
     pub fn may_lack_searchers(&self, now: BootTime) -> bool {
-        now < self.starting_until || now < self.lane(Lane::Searchers).returns_until
+        now < self.starting_until || now < self.lane(Lane::Searchers).reregistration_until
     }
 
     /// Requests the calls that are due.
     pub fn on_tick(&mut self, now: BootTime, actions: &mut Vec<ReaderAction>) {
         let (mode, has_failed_read) = (self.mode, self.has_failed_read());
         for lane in &mut self.lanes {
-            if !lane.is_wanted(mode, has_failed_read) {
+            if !lane.is_used(mode, has_failed_read) {
                 lane.state = LaneState::Suspended;
             } else if lane.state == LaneState::Suspended {
-                lane.state = LaneState::Resting { until: now };
+                lane.state = LaneState::Scheduled { at: now };
             }
-            let is_due = matches!(lane.state, LaneState::Resting { until } if until <= now);
-            let waits = self.settings.lanes_wait_for_probe && self.was_away;
+            let is_due = matches!(lane.state, LaneState::Scheduled { at } if at <= now);
+            let waits = self.settings.lanes_wait_for_probe && self.has_missed_probe;
             if is_due && waits && lane.failures > 0 {
                 lane.state = LaneState::AwaitingProbe;
             } else if is_due {
@@ -209,19 +209,19 @@
             settings.searcher_rest = settings.searcher_rest.min(settings.lapse_rest);
         }
         if lane == Lane::Probe {
-            return self.on_probe_ended(now, matches!(reply, StoreReply::Alive), actions);
+            return self.on_probe_result(now, matches!(reply, StoreReply::Alive), actions);
         }
         let reader = self.lane_mut(lane);
         match reply {
-            StoreReply::Alive => reader.state = LaneState::Resting { until: now },
-            StoreReply::Refused { .. } => return reader.fail(now, &settings, random, actions),
+            StoreReply::Alive => reader.state = LaneState::Scheduled { at: now },
+            StoreReply::Refused { .. } => return reader.handle_failure(now, &settings, random, actions),
             StoreReply::HistoryGone => {
                 reader.after = None;
                 reader.partial = None;
-                reader.state = LaneState::Resting { until: now };
+                reader.state = LaneState::Scheduled { at: now };
             }
-            StoreReply::Items { update, at, next } => reader.take_page(now, update, at, next, actions),
-            StoreReply::Changes { update, at } => reader.take_changes(now, update, at, &settings, actions),
+            StoreReply::Items { update, at, next } => reader.handle_page(now, update, at, next, actions),
+            StoreReply::Changes { update, at } => reader.handle_changes(now, update, at, &settings, actions),
         }
         reader.failures = 0;
         reader.set_reachable(true, actions);
@@ -231,24 +231,24 @@
     pub fn on_failed(&mut self, now: BootTime, lane: Lane, random: &mut ChaCha8Rng, actions: &mut Vec<ReaderAction>) {
         let settings = self.settings.clone();
         if lane == Lane::Probe {
-            return self.on_probe_ended(now, false, actions);
+            return self.on_probe_result(now, false, actions);
         }
-        self.lane_mut(lane).fail(now, &settings, random, actions);
+        self.lane_mut(lane).handle_failure(now, &settings, random, actions);
     }
 
-    fn on_probe_ended(&mut self, now: BootTime, is_alive: bool, actions: &mut Vec<ReaderAction>) {
+    fn on_probe_result(&mut self, now: BootTime, is_alive: bool, actions: &mut Vec<ReaderAction>) {
         let wait = self.probe_interval(is_alive);
-        let is_back = is_alive && self.was_away;
+        let is_back = is_alive && self.has_missed_probe;
         // The next probe confirms that the watches renewed below are held.
-        let wait = if is_back { wait.min(CONFIRMATION) } else { wait };
+        let wait = if is_back { wait.min(MAX_CONFIRMATION_DELAY) } else { wait };
         let probe = self.lane_mut(Lane::Probe);
-        probe.state = LaneState::Resting { until: now + wait };
+        probe.state = LaneState::Scheduled { at: now + wait };
         probe.set_reachable(is_alive, actions);
-        self.was_away = !is_alive;
+        self.has_missed_probe = !is_alive;
         if is_back {
             self.renew_watches(now, actions);
         } else if is_alive {
-            self.note_held_watches(actions);
+            self.mark_held_watches_reachable(actions);
         }
     }
 
@@ -264,7 +264,7 @@
     /// Marks lanes with an open watch as reachable, since a store that answers the probe holds their watches. A watch
     /// that started from a revision that a peer had sent has had no reply yet, because it is answered only when
     /// something changes.
-    fn note_held_watches(&mut self, actions: &mut Vec<ReaderAction>) {
+    fn mark_held_watches_reachable(&mut self, actions: &mut Vec<ReaderAction>) {
         let is_held = |lane: &&mut LaneReader| {
             lane.lane != Lane::Probe && lane.state == LaneState::Calling && lane.after.is_some() && lane.failures == 0
         };
@@ -276,10 +276,10 @@
         for lane in &mut self.lanes {
             if lane.lane != Lane::Probe && lane.state == LaneState::Calling {
                 actions.push(ReaderAction::Cancel { lane: lane.lane });
-                lane.state = LaneState::Resting { until: now };
+                lane.state = LaneState::Scheduled { at: now };
                 lane.failures = 0;
             } else if lane.state == LaneState::AwaitingProbe {
-                lane.state = LaneState::Resting { until: now };
+                lane.state = LaneState::Scheduled { at: now };
                 lane.failures = 0;
             }
         }
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -12,18 +12,18 @@
 
 /// Number of removed entries in one reply from which on they count as lapsed, to be written anew one by one, rather
 /// than as removed by leaving searchers. It is above the number of searchers that leave during one pause of the lane.
-const LAPSED_TOGETHER: usize = 8;
+const MIN_LAPSED_ENTRIES: usize = 8;
 /// Time within which live searchers have written their entries anew after an outage of the store. The platform states
 /// about two seconds; a quarter is added for the pause of the lane and a late wake-up.
-const RETURN_TIME: Duration = Duration::from_millis(2500);
+const REREGISTRATION_TIME: Duration = Duration::from_millis(2500);
 /// Largest number of doublings of the back-off. [`Backoff::longest`](super::Backoff) is reached before; the limit only
 /// prevents an overflow of the shift.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LaneState {
-    /// The next call is due at a time.
-    Resting { until: BootTime },
+    /// The next call is due at this time.
+    Scheduled { at: BootTime },
     /// A call is open.
     Calling,
     /// The last call and the last probe failed: the lane makes no call until the store answers a probe.
@@ -37,7 +37,7 @@
 pub(super) struct PartialListing {
     update: MirrorUpdate,
     /// The store's revision when the first page was read.
-    first_at: u64,
+    first_revision: u64,
     /// Key after which the next page starts.
     next_key: String,
 }
@@ -55,13 +55,13 @@
     /// Whether the last call was answered, or is an open watch of a store that answers probes.
     pub is_reachable: bool,
     /// Time until which entries that lapsed together may still be written anew.
-    pub returns_until: BootTime,
+    pub reregistration_until: BootTime,
 }
 
 impl LaneReader {
     /// Returns whether the mode uses the lane. In [`ReadingMode::Once`] a failed read adds the probe until everything
     /// is read, because a probe costs a tenth of a read.
-    pub fn is_wanted(&self, mode: ReadingMode, has_failed_read: bool) -> bool {
+    pub fn is_used(&self, mode: ReadingMode, has_failed_read: bool) -> bool {
         match (mode, self.lane) {
             (ReadingMode::Watching, _) => true,
             (ReadingMode::Once, Lane::Probe) => has_failed_read,
@@ -88,56 +88,56 @@
         ReaderAction::Call { lane: self.lane, call, patience }
     }
 
-    pub fn take_page(
+    pub fn handle_page(
         &mut self,
         now: BootTime,
         update: MirrorUpdate,
-        at: u64,
+        revision: u64,
         next: Option<String>,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.state = LaneState::Resting { until: now };
-        let (mut whole, first_at) = match self.partial.take() {
-            Some(before) => (before.update, before.first_at),
-            None => (MirrorUpdate::default(), at),
+        self.state = LaneState::Scheduled { at: now };
+        let (mut listing, first_revision) = match self.partial.take() {
+            Some(before) => (before.update, before.first_revision),
+            None => (MirrorUpdate::default(), revision),
         };
-        whole.items.extend(update.items);
-        whole.unreadable.extend(update.unreadable);
+        listing.items.extend(update.items);
+        listing.unreadable.extend(update.unreadable);
         if let Some(key) = next {
-            self.partial = Some(PartialListing { update: whole, first_at, next_key: key });
+            self.partial = Some(PartialListing { update: listing, first_revision, next_key: key });
             return;
         }
         // The pages aren't a snapshot, since items may have changed between them. The listing is complete only up to
         // the revision of the first page; the watch reports later changes.
         match self.lane {
             Lane::Searchers => {
-                whole.is_complete_for_searchers = true;
-                whole.up_to = first_at;
+                listing.is_complete_for_searchers = true;
+                listing.up_to = first_revision;
             }
             Lane::Configuration => {
-                whole.all_evacuations_at = Some(first_at);
-                whole.operator_up_to = first_at;
+                listing.all_evacuations_at = Some(first_revision);
+                listing.operator_up_to = first_revision;
             }
             Lane::Probe => {}
         }
-        self.after = Some(first_at);
-        actions.push(ReaderAction::Learned { lane: self.lane, update: whole });
+        self.after = Some(first_revision);
+        actions.push(ReaderAction::Learned { lane: self.lane, update: listing });
     }
 
-    pub fn take_changes(
+    pub fn handle_changes(
         &mut self,
         now: BootTime,
         mut update: MirrorUpdate,
-        at: u64,
+        revision: u64,
         settings: &ReaderSettings,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.after = Some(self.after.map_or(at, |after| after.max(at)));
+        self.after = Some(self.after.map_or(revision, |after| after.max(revision)));
         let rest = if update.items.is_empty() { Duration::ZERO } else { self.rest_after(now, &update, settings) };
-        self.state = LaneState::Resting { until: now + rest };
+        self.state = LaneState::Scheduled { at: now + rest };
         match self.lane {
-            Lane::Searchers => update.up_to = at,
-            Lane::Configuration => update.operator_up_to = at,
+            Lane::Searchers => update.up_to = revision,
+            Lane::Configuration => update.operator_up_to = revision,
             Lane::Probe => {}
         }
         actions.push(ReaderAction::Learned { lane: self.lane, update });
@@ -145,32 +145,32 @@
 
     /// Returns the pause of the lane after changes. It is short after removals of searchers, which may be written anew.
     fn rest_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
-        let is_end = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
-        let ends = update.items.iter().filter(is_end).count();
-        if ends >= LAPSED_TOGETHER {
-            self.returns_until = now + RETURN_TIME;
+        let is_removal = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
+        let removals = update.items.iter().filter(is_removal).count();
+        if removals >= MIN_LAPSED_ENTRIES {
+            self.reregistration_until = now + REREGISTRATION_TIME;
         }
-        let looks_soon = ends > 0 || now < self.returns_until;
+        let is_short = removals > 0 || now < self.reregistration_until;
         match self.lane {
             Lane::Configuration => settings.configuration_rest,
-            Lane::Searchers | Lane::Probe if looks_soon => settings.lapse_rest.min(settings.searcher_rest),
+            Lane::Searchers | Lane::Probe if is_short => settings.lapse_rest.min(settings.searcher_rest),
             Lane::Searchers | Lane::Probe => settings.searcher_rest,
         }
     }
 
-    pub fn fail(
+    pub fn handle_failure(
         &mut self,
         now: BootTime,
         settings: &ReaderSettings,
         random: &mut ChaCha8Rng,
         actions: &mut Vec<ReaderAction>,
     ) {
-        let doubled = settings.back_off.first * (1 << self.failures.min(MAX_DOUBLINGS));
+        let doubled = settings.back_off.first * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
         let wait = doubled.min(settings.back_off.longest);
         self.failures = self.failures.saturating_add(1);
         // The jitter prevents nodes that failed together from retrying together.
-        let spread = random.random_range(0.5..1.0);
-        self.state = LaneState::Resting { until: now + wait.mul_f64(spread) };
+        let jitter = random.random_range(0.5..1.0);
+        self.state = LaneState::Scheduled { at: now + wait.mul_f64(jitter) };
         self.set_reachable(false, actions);
     }
 
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -193,8 +193,8 @@
             // On a day with an outage of the store, this pause and the grace period for lapsed searchers together
             // reduced the fraction of rejected requests from 0.019 to 0.001.
             lapse_rest: Duration::from_millis(150),
-            // With a probe every two seconds and watches renewed after a missed probe, 0.991 instead of 0.694 of a
-            // day's requests were served while the store was silent. A day without outages took 156 calls instead of
+            // With a probe every two seconds and watches renewed after a missed probe, the served fraction was 0.991
+            // instead of 0.694 on a day on which the store was silent. A day without outages took 156 calls instead of
             // 158.
             probe: ProbeIntervals { usual: Duration::from_millis(2000), while_away: Duration::from_millis(400) },
             // The gateway derives both from the followers' timeout for a silent reader.
