--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -154,7 +154,7 @@
         let attempt = AttemptKey { request: sending.request, number: request.attempts.len() as u16 };
         let work = times.usual.mul_f64(searcher.slowness(now));
         let due_at = now + times.round_trip + work.mul_f64(OVERDUE_FACTOR);
-        searcher.sent(now, OpenAttempt { attempt, sent_at: now, due_at });
+        searcher.note_sent(now, OpenAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[sending.shard_index];
         shard.sent_to.push(sending.searcher);
         shard.outstanding += 1;
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -24,7 +24,7 @@
         let Some(sent) = self.sent.remove(&attempt) else {
             return;
         };
-        self.searchers[sent.searcher.0 as usize].released(attempt);
+        self.searchers[sent.searcher.0 as usize].note_released(attempt);
         self.note_wait(now, &sent, &outcome, actions);
         self.note_searcher(now, &sent, &outcome);
         let shard = self.close_attempt(attempt);
@@ -62,7 +62,7 @@
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         if let AttemptOutcome::Answered(answer) = outcome {
-            searcher.take_report(now, answer.report);
+            searcher.note_report(now, answer.report);
         }
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status < 500 => {
@@ -70,15 +70,15 @@
                     return;
                 };
                 let usual = statistics.work.median().max(Duration::from_micros(100));
-                searcher.answered(now, sent.sent_at, worked.as_secs_f64() / usual.as_secs_f64());
+                searcher.note_answer(now, sent.sent_at, worked.as_secs_f64() / usual.as_secs_f64());
                 statistics.work.record(worked);
             }
-            AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.faltered(now),
+            AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.note_failed_answer(now),
             // A kept connection that has ended says nothing of how the searcher works.
             AttemptOutcome::Cancelled | AttemptOutcome::NotRun(NotRun::Stale) => {}
-            AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
-            AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
-            AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
+            AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.note_unreachable(now),
+            AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.note_connection_rejected(now),
+            AttemptOutcome::NotRun(NotRun::Shed) => searcher.note_rejection(now),
             AttemptOutcome::NotRun(NotRun::OtherInstance) => self.forget_serving(sent.searcher),
         }
     }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -196,7 +196,7 @@
         };
         sent.begun_at = now;
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
-        searcher.accepted();
+        searcher.note_connection_accepted();
         let service = searcher.entry.service.clone();
         self.serve_waiting(now, &service, actions);
     }
--- a/crates/staircross-routing/src/state/rejection.rs
+++ b/crates/staircross-routing/src/state/rejection.rs
@@ -41,12 +41,12 @@
     }
 
     /// Adds a rejection to the estimate.
-    pub fn rejected(&mut self, now: BootTime) {
+    pub fn note_rejection(&mut self, now: BootTime) {
         self.add_sample(now, 1.0, REJECTION_GAIN);
     }
 
     /// Adds an answer to the estimate.
-    pub fn accepted(&mut self, now: BootTime) {
+    pub fn note_answer(&mut self, now: BootTime) {
         self.add_sample(now, 0.0, ANSWER_GAIN);
     }
 
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -233,7 +233,7 @@
     }
 
     /// Stores the report of an answer.
-    pub fn take_report(&mut self, now: BootTime, report: SearcherReport) {
+    pub fn note_report(&mut self, now: BootTime, report: SearcherReport) {
         if let Some(load) = report.load {
             self.last_reported = Some((now, load));
         }
@@ -292,7 +292,7 @@
     }
 
     /// Records that an attempt was sent.
-    pub fn sent(&mut self, now: BootTime, open: OpenAttempt) {
+    pub fn note_sent(&mut self, now: BootTime, open: OpenAttempt) {
         if self.needs_trial {
             // This is the trial attempt; no other attempt is sent for `TRIAL_INTERVAL` or until the trial has ended.
             self.avoided_until = now + TRIAL_INTERVAL;
@@ -304,16 +304,16 @@
     }
 
     /// Records that an attempt no longer holds a connection.
-    pub fn released(&mut self, attempt: AttemptKey) {
+    pub fn note_released(&mut self, attempt: AttemptKey) {
         self.open.retain(|open| open.attempt != attempt);
     }
 
     /// Records an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
-    pub fn answered(&mut self, now: BootTime, sent_at: BootTime, ratio: f64) {
+    pub fn note_answer(&mut self, now: BootTime, sent_at: BootTime, ratio: f64) {
         self.consecutive_failures = 0;
         self.needs_trial = false;
         self.avoided_until = BootTime::default();
-        self.rejections.accepted(now);
+        self.rejections.note_answer(now);
         let sample = ratio.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
         let before = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
         let is_slow = sample > before.max(1.0) * SLOW_SAMPLE_RATIO;
@@ -334,7 +334,7 @@
 
     /// Records that a connection to the searcher was established and not reset: a trial has succeeded, and there may be
     /// room for one more attempt.
-    pub fn accepted(&mut self) {
+    pub fn note_connection_accepted(&mut self) {
         self.full_at = self.full_at.max(self.open.len() + 1);
         if self.needs_trial {
             self.consecutive_failures = 0;
@@ -349,14 +349,14 @@
 
     /// Records an answer that was lost, damaged or an error. It counts as a slow answer: other searchers are preferred
     /// for a while, but where all searchers give such answers, all are still asked.
-    pub fn faltered(&mut self, now: BootTime) {
+    pub fn note_failed_answer(&mut self, now: BootTime) {
         let before = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
         self.slowness = before + (FAILED_ANSWER_SLOWNESS - before).max(0.0) * FAILED_ANSWER_GAIN;
         self.slowness_estimated_at = now;
     }
 
     /// Records that the searcher accepts no further connection. Connections that it has accepted stay in use.
-    pub fn connection_rejected(&mut self, now: BootTime) {
+    pub fn note_connection_rejected(&mut self, now: BootTime) {
         if self.open.is_empty() {
             // The searcher is alive and may have room for a connection at any moment.
             self.needs_trial = true;
@@ -373,14 +373,14 @@
     }
 
     /// Records that the searcher rejected work.
-    pub fn shed(&mut self, now: BootTime) {
-        self.rejections.rejected(now);
+    pub fn note_rejection(&mut self, now: BootTime) {
+        self.rejections.note_rejection(now);
         self.avoided_until = self.avoided_until.max(now + REJECTION_PAUSE);
     }
 
     /// Records that the searcher couldn't be reached. Each further failure in a row doubles the time for which it is
     /// avoided, up to [`MAX_AVOIDANCE_DOUBLINGS`] times.
-    pub fn failed(&mut self, now: BootTime) {
+    pub fn note_unreachable(&mut self, now: BootTime) {
         let doublings = self.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.needs_trial = true;
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -59,17 +59,17 @@
         now() + Duration::from_millis(due_ms.unsigned_abs())
     };
     let open = |number| OpenAttempt { attempt: AttemptKey { request: RequestKey(0), number }, sent_at: now(), due_at };
-    with(searcher, |searcher| (0..attempts).for_each(|number| searcher.sent(now(), open(number))))
+    with(searcher, |searcher| (0..attempts).for_each(|number| searcher.note_sent(now(), open(number))))
 }
 
 /// With one open attempt, and without room for another.
 fn full() -> Searcher {
-    with(busy(at("a"), 1, 50), |searcher| searcher.connection_rejected(now()))
+    with(busy(at("a"), 1, 50), |searcher| searcher.note_connection_rejected(now()))
 }
 
 fn reporting(percent: u32) -> Searcher {
     let load = ReportedLoad { running: 0, waiting: 0, slots: 5, host_slowness: Some(percent) };
-    with(at("a"), |searcher| searcher.take_report(now(), SearcherReport { load: Some(load), cold: None }))
+    with(at("a"), |searcher| searcher.note_report(now(), SearcherReport { load: Some(load), cold: None }))
 }
 
 fn choice<'a>(route: &'a RouteDefinition, excluded: &'a [SearcherKey]) -> Choice<'a> {
@@ -99,7 +99,7 @@
         ("overdue by 15: 30 pause", busy(at("a"), 1, -15), 51),
         ("its host three times slower: 60 work", reporting(300), 61),
         ("its host faster counts as usual", reporting(50), 21),
-        ("rejected once, rate 0.3: 60 of the goal", with(at("a"), |it| it.shed(now())), 81),
+        ("rejected once, rate 0.3: 60 of the goal", with(at("a"), |it| it.note_rejection(now())), 81),
         ("its entry has gone: last", with(at("a"), |it| it.mark_lapsed(now())), 60_021),
     ];
     for (row, searcher, expected_ms) in rows {
@@ -115,7 +115,12 @@
         ("near_first", RoutingPolicy { near_first: false, ..off }, at("c"), 44),
         ("avoid_overdue", RoutingPolicy { avoid_overdue: false, ..off }, busy(at("a"), 1, -15), 21),
         ("reported_host", RoutingPolicy { reported_host: false, ..off }, reporting(300), 21),
-        ("avoid_rejecting", RoutingPolicy { avoid_rejecting: false, ..off }, with(at("a"), |it| it.shed(now())), 21),
+        (
+            "avoid_rejecting",
+            RoutingPolicy { avoid_rejecting: false, ..off },
+            with(at("a"), |it| it.note_rejection(now())),
+            21,
+        ),
     ];
     for (row, policy, searcher, expected_ms) in rows {
         let place = Place { policy, ..place() };
@@ -136,7 +141,7 @@
         ("all excluded", single(), vec![near, far, south], at("a"), None),
         ("allowed regions", southern, none(), at("a"), Some(south)),
         ("no room: nine of its share of nine", single(), none(), busy(at("a"), 9, 50), Some(far)),
-        ("unreachable a moment ago", single(), none(), with(at("a"), |it| it.failed(now())), Some(far)),
+        ("unreachable a moment ago", single(), none(), with(at("a"), |it| it.note_unreachable(now())), Some(far)),
         ("evacuated", single(), none(), with(at("a"), |it| it.set_evacuated(now(), true)), Some(far)),
         ("gone", single(), none(), with(at("a"), Searcher::mark_gone), Some(far)),
         ("accepts no further connection", single(), none(), full(), Some(far)),
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -34,7 +34,7 @@
     ];
     for (row, answers, expected, later) in rows {
         let mut searcher = new();
-        answers.iter().for_each(|(sent, ratio)| searcher.answered(at(100), at(*sent), *ratio));
+        answers.iter().for_each(|(sent, ratio)| searcher.note_answer(at(100), at(*sent), *ratio));
         assert_close(searcher.slowness(at(100)), expected, row);
         assert_close(searcher.slowness(at(4100)), later, row);
     }
@@ -54,7 +54,8 @@
     ];
     for (ends, later_ms, expected) in rows {
         let mut rate = RejectionRate::default();
-        ends.iter().for_each(|is_rejected| if *is_rejected { rate.rejected(at(0)) } else { rate.accepted(at(0)) });
+        ends.iter()
+            .for_each(|is_rejected| if *is_rejected { rate.note_rejection(at(0)) } else { rate.note_answer(at(0)) });
         assert_close(rate.get(at(later_ms)), expected, &format!("{ends:?} {later_ms}"));
     }
 }
@@ -64,14 +65,14 @@
     // Failures in a row; ms for which it is avoided.
     for (failures, expected) in [(1, 400), (2, 800), (3, 1600), (5, 6400), (9, 6400)] {
         let mut searcher = new();
-        (0..failures).for_each(|_| searcher.failed(at(0)));
+        (0..failures).for_each(|_| searcher.note_unreachable(at(0)));
         assert_eq!(searcher.avoided_until(), at(expected), "{failures}");
     }
     let mut searcher = new();
-    searcher.shed(at(0));
+    searcher.note_rejection(at(0));
     assert_eq!(searcher.avoided_until(), at(60), "it rejected work");
-    searcher.connection_rejected(at(0));
+    searcher.note_connection_rejected(at(0));
     assert_eq!(searcher.avoided_until(), at(120), "it accepted no connection");
-    searcher.answered(at(10), at(0), 1.0);
+    searcher.note_answer(at(10), at(0), 1.0);
     assert_eq!(searcher.avoided_until(), BootTime::default(), "it answered");
 }
