--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -160,7 +160,7 @@
         shard.outstanding += 1;
         shard.tried.push(sending.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let at_work = request.attempts_at_work();
+        let at_work = request.open_attempts();
         if let Some(probe) = &mut request.probe {
             probe.note_sent(now, times.round_trip, work, at_work);
         }
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -58,7 +58,7 @@
     /// one more that may end, and another shard's part is needed anyway.
     pub(super) fn is_held_by_probe(&self, now: BootTime, request: &Request, reason: SendReason) -> bool {
         let is_permitted =
-            |probe: FirstProbe| reason != SendReason::Hedge && probe.may_send(now, request.attempts_at_work());
+            |probe: FirstProbe| reason != SendReason::Hedge && probe.may_send(now, request.open_attempts());
         request.probe.is_some_and(|probe| !is_permitted(probe))
     }
 
@@ -83,7 +83,7 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let is_due = |probe: FirstProbe| probe.may_send(now, request.attempts_at_work());
+        let is_due = |probe: FirstProbe| probe.may_send(now, request.open_attempts());
         if !request.probe.is_some_and(is_due) {
             return;
         }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -127,7 +127,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.shards[shard].state = ShardState::In(answer);
+            request.shards[shard].state = ShardState::Answered(answer);
         }
         self.abandon_shard(key, shard, actions);
     }
@@ -149,7 +149,7 @@
         };
         let shard = &mut request.shards[shard];
         if !unused.is_counted {
-            shard.forget_sending(searcher);
+            shard.remove_sent(searcher);
         }
         if unused.may_be_asked_again {
             shard.tried.retain(|tried| *tried != searcher);
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -89,7 +89,7 @@
         };
         for shard in &request.shards {
             let cause = match (&shard.state, shard.outstanding > 0, shard.sent_to.is_empty()) {
-                (ShardState::In(_), _, _) => continue,
+                (ShardState::Answered(_), _, _) => continue,
                 (ShardState::Open, true, _) => LeftOutCause::Late,
                 (ShardState::Open, false, _) => LeftOutCause::NoRoom,
                 (ShardState::Failed(_), _, false) => LeftOutCause::Failed,
@@ -116,25 +116,25 @@
 
 fn progress(now: BootTime, request: &Request) -> Progress {
     Progress {
-        parts: request.parts_in(),
+        parts: request.answered_shards(),
         open: request.open_shards(),
         least: request.least_shards(),
-        may_grow_in_time: request.may_grow_in_time(),
+        may_grow_in_time: request.may_gain_parts(),
         is_past_goal: now >= request.answer_by,
         is_over: now >= request.deadline,
-        is_unclear: request.is_unclear(),
+        is_unclear: request.awaits_outcome_after_revocation(),
     }
 }
 
 fn success(request: &mut Request) -> Verdict {
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
-            Some(ShardState::In(answer)) => Verdict::Passed(answer),
+            Some(ShardState::Answered(answer)) => Verdict::Passed(answer),
             _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
         };
     };
     let parts = request.shards.iter().filter_map(|shard| match &shard.state {
-        ShardState::In(answer) => Some(answer),
+        ShardState::Answered(answer) => Some(answer),
         _ => None,
     });
     let body = greatest_records(parts.clone().map(|answer| answer.body.as_slice()), gather.top_k);
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -271,7 +271,7 @@
     }
 
     /// Removes the last attempt at the searcher from `sent_to`, because nothing of it reached the searcher.
-    pub fn forget_sending(&mut self, searcher: SearcherKey) {
+    pub fn remove_sent(&mut self, searcher: SearcherKey) {
         if let Some(index) = self.sent_to.iter().rposition(|known| *known == searcher) {
             self.sent_to.remove(index);
         }
@@ -302,7 +302,7 @@
     /// An attempt is open, or the shard waits for a searcher that can be asked.
     Open,
     /// A searcher answered the shard.
-    In(Box<SearcherAnswer>),
+    Answered(Box<SearcherAnswer>),
     /// The shard was given up. Holds the searcher's error answer if there was one.
     Failed(Option<Box<SearcherAnswer>>),
 }
@@ -388,8 +388,8 @@
         self.route().least_shards()
     }
 
-    pub fn parts_in(&self) -> usize {
-        self.shards.iter().filter(|shard| matches!(shard.state, ShardState::In(_))).count()
+    pub fn answered_shards(&self) -> usize {
+        self.shards.iter().filter(|shard| matches!(shard.state, ShardState::Answered(_))).count()
     }
 
     pub fn open_shards(&self) -> usize {
@@ -397,19 +397,19 @@
     }
 
     /// Returns the number of attempts for whose answers the request still waits.
-    pub fn attempts_at_work(&self) -> usize {
+    pub fn open_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_open).count()
     }
 
     /// Returns whether the key was revoked while it is unknown whether the open attempts run. The end of the next
     /// attempt shows it.
-    pub fn is_unclear(&self) -> bool {
+    pub fn awaits_outcome_after_revocation(&self) -> bool {
         let has_open_attempt = || self.attempts.iter().any(|attempt| attempt.is_open);
         self.is_key_revoked && !self.may_have_run && has_open_attempt()
     }
 
     /// Returns whether any open shard may still be answered before [`Self::answer_by`].
-    pub fn may_grow_in_time(&self) -> bool {
+    pub fn may_gain_parts(&self) -> bool {
         self.shards.iter().any(|shard| shard.may_be_answered_by(self.answer_by))
     }
 }
