--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -11,7 +11,7 @@
 use crate::socket::SocketId;
 use crate::store_role::StoreRole;
 use staircross_http::Request;
-use staircross_routing::{PeerKnowledge, TakenConfiguration};
+use staircross_routing::{AcceptedConfiguration, PeerKnowledge};
 use staircross_wire::frame::encode;
 
 /// Large answers to peers that go out within a second. The narrowest links seen carry 14 Mbit/s. Measured together with reading large
@@ -61,7 +61,7 @@
         let Some(peer) = known_by_peer(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
-        let peer = PeerKnowledge { takes: self.may_serve(peer.takes), ..peer };
+        let peer = PeerKnowledge { accepts: self.may_serve(peer.accepts), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
                 self.peer_answers.note(self.now, body.len());
@@ -72,11 +72,11 @@
     }
 
     /// Which configuration an asker is sent now: more would fill this node's link, and callers' requests go over the same.
-    fn may_serve(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
+    fn may_serve(&mut self, wanted: AcceptedConfiguration) -> AcceptedConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
-            _ if recent.bytes >= self.settings.max_bytes_to_peers() => TakenConfiguration::None,
-            TakenConfiguration::Any if recent.large >= LARGE_ANSWERS => TakenConfiguration::Small,
+            _ if recent.bytes >= self.settings.max_bytes_to_peers() => AcceptedConfiguration::None,
+            AcceptedConfiguration::Any if recent.large >= LARGE_ANSWERS => AcceptedConfiguration::Small,
             wanted => wanted,
         }
     }
@@ -112,15 +112,15 @@
 /// What a peer's question says of itself.
 fn known_by_peer(target: &str) -> Option<PeerKnowledge> {
     let (revision, rest) = target.strip_prefix(CHANGES_TARGET)?.split_once(VERSION_FIELD)?;
-    let (rest, takes) = match rest.strip_suffix(ANY_SIZE) {
-        Some(rest) => (rest, TakenConfiguration::Any),
-        None => (rest, TakenConfiguration::Small),
+    let (rest, accepts) = match rest.strip_suffix(ANY_SIZE) {
+        Some(rest) => (rest, AcceptedConfiguration::Any),
+        None => (rest, AcceptedConfiguration::Small),
     };
     let (version, evacuations) = rest.split_once(EVACUATIONS_FIELD)?;
     Some(PeerKnowledge {
         revision: revision.parse().ok()?,
         version: version.parse().ok()?,
         evacuations: evacuations.parse().ok()?,
-        takes,
+        accepts,
     })
 }
--- a/crates/staircross-routing/src/lib.rs
+++ b/crates/staircross-routing/src/lib.rs
@@ -37,7 +37,7 @@
 pub use engine::{RoutingAction, RoutingEngine, RoutingEvent, RoutingSettings};
 pub use keys::{AttemptKey, ContentKey, Incarnation, InstanceKey, RequestKey, RouteDigest, SearcherKey, TenantKey};
 pub use policy::RoutingPolicy;
-pub use state::mirror::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry, TakenConfiguration};
+pub use state::mirror::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry};
 pub use state::report::{ReportedLoad, SearcherReport};
 pub use state::request::{
     Arrival, AttemptOutcome, CallerLink, ConfigurationView, MergedAnswer, NotRun, SearcherAnswer, Verdict,
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -10,7 +10,7 @@
 use crate::configuration::definition::RoutingDefinition;
 use crate::configuration::delta::DefinitionDelta;
 use crate::state::evacuations::{Evacuations, ZoneChange};
-pub use crate::state::known_configuration::TakenConfiguration;
+pub use crate::state::known_configuration::AcceptedConfiguration;
 use crate::state::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::state::known_entries::{KnownEntries, WrittenEntry};
 use crate::state::known_revisions::KnownRevisions;
@@ -106,7 +106,7 @@
     /// Revision up to which the peer knows all changes of evacuations.
     pub evacuations: u64,
     /// Which newer configurations the peer accepts; it reads the others from the store.
-    pub takes: TakenConfiguration,
+    pub accepts: AcceptedConfiguration,
 }
 
 /// The net effect of a merge. No id is both among the changed and among the removed searchers, even if the update holds
@@ -323,7 +323,7 @@
         let revision = peer.revision;
         let is_complete = self.has_listing && (revision < self.tombstones_complete_after || revision == 0);
         let mut items = Vec::new();
-        if let Some((at, update)) = self.configuration.update_for(peer.version, peer.takes) {
+        if let Some((at, update)) = self.configuration.update_for(peer.version, peer.accepts) {
             items.push((at, update.into()));
         }
         for (instance, known) in &self.searchers {
--- a/crates/staircross-routing/tests/common/mirror.rs
+++ b/crates/staircross-routing/tests/common/mirror.rs
@@ -1,14 +1,14 @@
 //! Updates of a mirror, as tests write them, and what a mirror asks of its peers.
 
 use staircross_routing::{
-    CallerLimits, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition, RouteTarget, RoutingDefinition,
-    SearcherEntry, TakenConfiguration,
+    AcceptedConfiguration, CallerLimits, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition, RouteTarget,
+    RoutingDefinition, SearcherEntry,
 };
 use std::sync::Arc;
 
 /// What a peer asks with that knows nothing and takes a configuration of any size.
 pub const NOTHING_KNOWN: PeerKnowledge =
-    PeerKnowledge { revision: 0, version: 0, evacuations: 0, takes: TakenConfiguration::Any };
+    PeerKnowledge { revision: 0, version: 0, evacuations: 0, accepts: AcceptedConfiguration::Any };
 
 /// The entry of a searcher of `books` in zone `a`.
 pub fn entry(instance: &str, is_draining: bool) -> SearcherEntry {
@@ -88,7 +88,7 @@
         revision: mirror.known_revision(),
         version: mirror.version(),
         evacuations: mirror.evacuations_revision(),
-        takes: TakenConfiguration::Any,
+        accepts: AcceptedConfiguration::Any,
     }
 }
 
--- a/crates/staircross-routing/tests/definition_delta.rs
+++ b/crates/staircross-routing/tests/definition_delta.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use staircross_routing::configuration::delta::DefinitionDelta;
 use staircross_routing::{
-    CallerLimits, ColdStart, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition, RouteTarget,
-    RoutingDefinition, ServiceEntry, TakenConfiguration,
+    AcceptedConfiguration, CallerLimits, ColdStart, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition,
+    RouteTarget, RoutingDefinition, ServiceEntry,
 };
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 }
 
 fn knows(version: u64) -> PeerKnowledge {
-    PeerKnowledge { revision: 0, version, evacuations: 0, takes: TakenConfiguration::Small }
+    PeerKnowledge { revision: 0, version, evacuations: 0, accepts: AcceptedConfiguration::Small }
 }
 
 fn by_name(mut definition: RoutingDefinition) -> RoutingDefinition {
--- a/crates/staircross-routing/tests/evacuations.rs
+++ b/crates/staircross-routing/tests/evacuations.rs
@@ -4,7 +4,7 @@
 
 use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, known, listing, searcher};
 use staircross_routing::state::mirror::MirrorChanges;
-use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, TakenConfiguration};
+use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge};
 use std::sync::Arc;
 
 fn evacuation(zone: &str, is_active: bool) -> MirrorItem {
@@ -54,7 +54,7 @@
 fn an_evacuation_comes_with_a_configuration_that_is_too_large_to_be_passed_on() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(10, configuration_of(1000)), (12, evacuation("a", true))]));
-    let told = mirror.changes_for(PeerKnowledge { takes: TakenConfiguration::Small, ..NOTHING_KNOWN });
+    let told = mirror.changes_for(PeerKnowledge { accepts: AcceptedConfiguration::Small, ..NOTHING_KNOWN });
     assert_eq!(told.items, [(12, evacuation("a", true))]);
 }
 
--- a/crates/staircross-routing/tests/mirror_peers.rs
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, gone, known, listing, names, searcher};
-use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, TakenConfiguration};
+use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge};
 
 #[test]
 fn a_peer_that_has_the_configuration_is_not_sent_it_again() {
@@ -11,7 +11,7 @@
     mirror.merge(listing(10, vec![(3, searcher("a", false))]));
     mirror.merge(changes(vec![(11, configuration(4)), (12, gone("a"))]));
     let has_configuration = |version| {
-        let peer = PeerKnowledge { revision: 10, version, evacuations: 0, takes: TakenConfiguration::Small };
+        let peer = PeerKnowledge { revision: 10, version, evacuations: 0, accepts: AcceptedConfiguration::Small };
         let items = mirror.changes_for(peer).items;
         items.iter().any(|(_, item)| matches!(item, MirrorItem::Configuration { .. }))
     };
@@ -26,17 +26,17 @@
         mirror.merge(changes(vec![(11, configuration_of(count)), (12, searcher("a", false))]));
         mirror
     };
-    let passed = |mirror: &Mirror, takes| {
-        mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, takes }).items.len()
+    let passed = |mirror: &Mirror, accepts| {
+        mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, accepts }).items.len()
     };
-    assert_eq!(passed(&with_routes(200), TakenConfiguration::Small), 2);
-    assert_eq!(passed(&with_routes(1000), TakenConfiguration::Small), 1, "the searcher alone");
+    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::Small), 2);
+    assert_eq!(passed(&with_routes(1000), AcceptedConfiguration::Small), 1, "the searcher alone");
     assert_eq!(
-        passed(&with_routes(1000), TakenConfiguration::Any),
+        passed(&with_routes(1000), AcceptedConfiguration::Any),
         2,
         "whoever the store doesn't serve must get it from a peer"
     );
-    assert_eq!(passed(&with_routes(200), TakenConfiguration::None), 1, "the link is busy");
+    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::None), 1, "the link is busy");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/views.rs
+++ b/crates/staircross-routing/tests/views.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use staircross_routing::store_reader::{Lane, ReadingMode, StoreCall, StoreReply};
-use staircross_routing::{Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry, TakenConfiguration};
+use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -253,7 +253,7 @@
             revision: self.mirror.known_revision(),
             version: self.mirror.version(),
             evacuations: self.mirror.evacuations_revision(),
-            takes: TakenConfiguration::Any,
+            accepts: AcceptedConfiguration::Any,
         }
     }
 
