--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -125,7 +125,7 @@
             return (None, None);
         };
         let route = &table.definition().routes[index];
-        let tenant = table.judge(route, credential).ok().flatten().and_then(|key| table.tenant(key));
+        let tenant = table.authenticate(route, credential).ok().flatten().and_then(|key| table.tenant(key));
         (Some(route.name.clone()), tenant.map(|tenant| tenant.name.clone()))
     }
 
--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -58,13 +58,13 @@
                 let key = asked.next().expect("keys go round");
                 let credential =
                     KeyDigest::of(black_box(key.as_bytes())).map_or(Credential::Malformed, Credential::Key);
-                let whose = table.judge(&route, credential).expect("a known key");
+                let whose = table.authenticate(&route, credential).expect("a known key");
                 black_box(table.rank(whose, &route))
             });
         });
         let credential = Credential::Key(KeyDigest::of(keys[0].as_bytes()).expect("a key"));
         criterion.bench_function(&format!("judge_digest_{tenants}_tenants"), |bencher| {
-            bencher.iter(|| black_box(table.holds(black_box(credential))));
+            bencher.iter(|| black_box(table.accepts(black_box(credential))));
         });
     }
 }
--- a/crates/staircross-routing/src/configuration/table.rs
+++ b/crates/staircross-routing/src/configuration/table.rs
@@ -67,7 +67,11 @@
 
     /// Returns the tenant of a request to a route, or why its credential is refused. `None` means that the request is
     /// accepted without a tenant, because there are no tenants or because the route is public and no key was sent.
-    pub fn judge(&self, route: &RouteDefinition, credential: Credential) -> Result<Option<TenantKey>, KeyRefusal> {
+    pub fn authenticate(
+        &self,
+        route: &RouteDefinition,
+        credential: Credential,
+    ) -> Result<Option<TenantKey>, KeyRefusal> {
         if self.definition.tenants.is_empty() {
             return Ok(None);
         }
@@ -81,7 +85,7 @@
 
     /// Returns whether a request that was accepted with a credential would still be accepted: there are no tenants, or
     /// one of them holds the key.
-    pub fn holds(&self, credential: Credential) -> bool {
+    pub fn accepts(&self, credential: Credential) -> bool {
         let is_held = |digest| self.by_key.contains_key(&digest);
         self.definition.tenants.is_empty() || matches!(credential, Credential::Key(digest) if is_held(digest))
     }
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -311,7 +311,7 @@
     if is_judged && !table.definition().tenants.is_empty() {
         check_view(table, arrival)?;
     }
-    table.judge(route, arrival.credential).map_err(|refusal| {
+    table.authenticate(route, arrival.credential).map_err(|refusal| {
         if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
             return NotBegun::unprepared(cause, ErrorKind::NoConfiguration, detail);
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -15,8 +15,9 @@
         let Some(table) = self.table.clone() else {
             return;
         };
-        let is_concerned =
-            |request: &Request| request.tenant.is_some() && !request.is_key_revoked && !table.holds(request.credential);
+        let is_concerned = |request: &Request| {
+            request.tenant.is_some() && !request.is_key_revoked && !table.accepts(request.credential)
+        };
         let concerned = self.requests.iter().filter(|(_, request)| is_concerned(request));
         let mut keys: Vec<RequestKey> = concerned.map(|(key, _)| *key).collect();
         // The order of a hash map must not decide what is done first.
--- a/crates/staircross-routing/tests/tenant_cost.rs
+++ b/crates/staircross-routing/tests/tenant_cost.rs
@@ -49,7 +49,7 @@
     let keys: Vec<String> = (0..20_000).map(key).collect();
     let before = ALLOCATIONS.with(Cell::get);
     let held =
-        keys.iter().filter_map(|key| KeyDigest::of(key.as_bytes())).filter(|key| table.holds(Credential::Key(*key)));
+        keys.iter().filter_map(|key| KeyDigest::of(key.as_bytes())).filter(|key| table.accepts(Credential::Key(*key)));
     let held = held.count();
     assert_eq!(ALLOCATIONS.with(Cell::get), before);
     assert_eq!(held, 10_000);
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -213,7 +213,7 @@
     let routes = definition.routes.clone();
     let table = RouteTable::new(Arc::new(definition));
     let rank = |key: &str, route: usize| {
-        let whose = table.judge(&routes[route], credential(key)).expect("a known key");
+        let whose = table.authenticate(&routes[route], credential(key)).expect("a known key");
         table.rank(whose, &routes[route])
     };
     let order = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
