--- a/crates/staircross-gateway/src/node/recording.rs
+++ b/crates/staircross-gateway/src/node/recording.rs
@@ -38,7 +38,7 @@
 
     /// Records an event and what the engine wanted done.
     pub(super) fn record(&mut self, event: RecordedEvent, actions: &[RoutingAction]) {
-        let decisions = actions.iter().filter_map(Decision::in_action).collect();
+        let decisions = actions.iter().filter_map(Decision::from_action).collect();
         let turn = RecordedTurn { at: self.now, event, decisions };
         let outcome = self.recorder.as_mut().map_or(Ok(()), |recorder| recorder.write(&Record::Turn(turn)));
         self.end_recording_on(outcome);
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -9,8 +9,8 @@
 //! | figure | the silence that it bounds |
 //! | --- | --- |
 //! | [`GatewaySettings::longest_silence`] | a follower hears no heartbeat of its region's readers; then it probes the store |
-//! | `ReaderSettings::probe_for_others` | the readers' own: a heartbeat goes out with each probe answer |
-//! | `ReaderSettings::probe_in_doubt` | a node that hears no reader waits so long for its next probe |
+//! | `ReaderSettings::probe_with_followers` | the readers' own: a heartbeat goes out with each probe answer |
+//! | `ReaderSettings::probe_as_prober` | a node that hears no reader waits so long for its next probe |
 //! | `ReaderSettings::probe` | nobody confirms the configuration, where keys must be revoked in time |
 //! | [`GatewaySettings::lapse_grace`] | a searcher's entry has ended and nothing new is heard of it |
 
@@ -65,8 +65,8 @@
             configuration_rest: usual.configuration_rest.min(configuration_rest),
             searcher_rest: usual.searcher_rest.min(searcher_rest),
             probe: ProbeIntervals { usual: usual.probe.usual.min(unconfirmed.mul_f64(PROBE_FRACTION)), ..usual.probe },
-            probe_for_others: silence.min(unconfirmed).mul_f64(PROBE_FRACTION),
-            probe_in_doubt: silence.mul_f64(DOUBT_FRACTION),
+            probe_with_followers: silence.min(unconfirmed).mul_f64(PROBE_FRACTION),
+            probe_as_prober: silence.mul_f64(DOUBT_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..usual
         }
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -273,7 +273,7 @@
 
 impl Decision {
     /// Returns the decision of an action; `None` if neither searchers nor callers can observe it.
-    pub fn in_action(action: &RoutingAction) -> Option<Decision> {
+    pub fn from_action(action: &RoutingAction) -> Option<Decision> {
         match action {
             RoutingAction::Send(order) => {
                 Some(Decision::Send { attempt: order.attempt, instance: order.instance.clone(), reason: order.reason })
@@ -362,7 +362,7 @@
             ReplayedEvent::Quota(bound) => self.engine.set_quota_bound(turn.at, bound),
             ReplayedEvent::Event(event) => self.engine.on_event(turn.at, event, &mut actions),
         }
-        let replayed: Vec<Decision> = actions.iter().filter_map(Decision::in_action).collect();
+        let replayed: Vec<Decision> = actions.iter().filter_map(Decision::from_action).collect();
         let requests: BTreeSet<RequestKey> = turn.decisions.iter().chain(&replayed).map(Decision::request).collect();
         let decisions_of = |request: RequestKey, decisions: &[Decision]| -> Vec<Decision> {
             decisions.iter().filter(|decision| decision.request() == request).cloned().collect()
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -254,8 +254,8 @@
 
     fn probe_interval(&self, is_alive: bool) -> Duration {
         match (self.mode, is_alive, self.has_followers) {
-            (ReadingMode::Probing, ..) => self.settings.probe_in_doubt,
-            (_, true, true) => self.settings.probe_for_others,
+            (ReadingMode::Probing, ..) => self.settings.probe_as_prober,
+            (_, true, true) => self.settings.probe_with_followers,
             (_, true, false) => self.settings.probe.usual,
             (_, false, _) => self.settings.probe.while_away,
         }
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -168,9 +168,9 @@
     pub probe: ProbeIntervals,
     /// Interval between the probes of a reader with followers while the store answers. It is well below the followers'
     /// timeout for a silent reader, so that one lost probe doesn't exceed that timeout.
-    pub probe_for_others: Duration,
+    pub probe_with_followers: Duration,
     /// Interval between a prober's probes.
-    pub probe_in_doubt: Duration,
+    pub probe_as_prober: Duration,
     /// Time after which a probe without a reply is given up and the store counts as unavailable.
     pub probe_patience: Duration,
     /// Back-off of a lane after failed calls.
@@ -198,8 +198,8 @@
             // 158.
             probe: ProbeIntervals { usual: Duration::from_millis(2000), while_away: Duration::from_millis(400) },
             // The gateway derives both from the followers' timeout for a silent reader.
-            probe_for_others: Duration::from_millis(500),
-            probe_in_doubt: Duration::from_millis(600),
+            probe_with_followers: Duration::from_millis(500),
+            probe_as_prober: Duration::from_millis(600),
             // Below `patience`, so that the probe fails before the calls of the other lanes do.
             probe_patience: Duration::from_millis(800),
             // A short failure must delay a lane little, and a lasting one must cost only about a call a second.
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -205,7 +205,7 @@
         let mut actions = Vec::new();
         let recorded = RecordedEvent::from(&event);
         self.engine.on_event(self.now, event, &mut actions);
-        let decisions = actions.iter().filter_map(Decision::in_action).collect();
+        let decisions = actions.iter().filter_map(Decision::from_action).collect();
         self.turns.push(RecordedTurn { at: self.now, event: recorded, decisions });
         for action in actions {
             match action {
