--- a/crates/staircross-gateway/src/node/knowledge/store.rs
+++ b/crates/staircross-gateway/src/node/knowledge/store.rs
@@ -48,14 +48,14 @@
     pub(super) fn take_reader_actions(&mut self, actions: Vec<ReaderAction>) {
         for action in actions {
             match action {
-                ReaderAction::Call { lane, call, patience } => {
+                ReaderAction::Call { lane, call, timeout } => {
                     let index = lane as usize;
                     let target = self.dialect.store_target(&call);
                     self.metrics.store_calls.count(&call);
                     self.store.pending[index] = Some(call);
                     self.store.called_at[index] = self.now;
                     let mut io = Self::io(self.now, &self.poll, &mut self.buffer, &self.engine);
-                    if let Some(outcome) = self.store.callers[index].get(&target, patience, &mut io) {
+                    if let Some(outcome) = self.store.callers[index].get(&target, timeout, &mut io) {
                         self.on_store_outcome(lane, outcome);
                     }
                 }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -57,13 +57,13 @@
     /// When the store is called: a rest after updates is a small fraction of the time that updates may take.
     pub fn reader(&self) -> ReaderSettings {
         let usual = ReaderSettings::default();
-        let configuration_rest = Duration::from_millis(self.bounds.operator_ms()).mul_f64(CONFIG_REST_FRACTION);
-        let searcher_rest = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
+        let configuration_pause = Duration::from_millis(self.bounds.operator_ms()).mul_f64(CONFIG_REST_FRACTION);
+        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
         let silence = self.longest_silence();
         let unconfirmed = self.longest_unconfirmed();
         ReaderSettings {
-            configuration_rest: usual.configuration_rest.min(configuration_rest),
-            searcher_rest: usual.searcher_rest.min(searcher_rest),
+            configuration_pause: usual.configuration_pause.min(configuration_pause),
+            searcher_pause: usual.searcher_pause.min(searcher_pause),
             probe: ProbeIntervals { usual: usual.probe.usual.min(unconfirmed.mul_f64(PROBE_FRACTION)), ..usual.probe },
             probe_with_followers: silence.min(unconfirmed).mul_f64(PROBE_FRACTION),
             probe_as_prober: silence.mul_f64(DOUBT_FRACTION),
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -24,9 +24,9 @@
 //!
 //! | missing reply | timeout | consequence |
 //! | --- | --- | --- |
-//! | to a listing | [`ReaderSettings::patience`] | the lane backs off |
-//! | to a watch | [`ReaderSettings::watch`] plus `patience` | the lane backs off |
-//! | to a probe | [`ReaderSettings::probe_patience`] | the store counts as unavailable |
+//! | to a listing | [`ReaderSettings::call_timeout`] | the lane backs off |
+//! | to a watch | [`ReaderSettings::watch`] plus `call_timeout` | the lane backs off |
+//! | to a probe | [`ReaderSettings::probe_timeout`] | the store counts as unavailable |
 //! | from a reader, at its followers | set by the gateway's `store_role` | the follower becomes a prober |
 
 mod lane;
@@ -206,7 +206,7 @@
     ) {
         let mut settings = self.settings.clone();
         if now < self.starting_until {
-            settings.searcher_rest = settings.searcher_rest.min(settings.lapse_rest);
+            settings.searcher_pause = settings.searcher_pause.min(settings.removal_pause);
         }
         if lane == Lane::Probe {
             return self.on_probe_result(now, matches!(reply, StoreReply::Alive), actions);
@@ -257,7 +257,7 @@
             (ReadingMode::Probing, ..) => self.settings.probe_as_prober,
             (_, true, true) => self.settings.probe_with_followers,
             (_, true, false) => self.settings.probe.usual,
-            (_, false, _) => self.settings.probe.while_away,
+            (_, false, _) => self.settings.probe.during_outage,
         }
     }
 
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -73,19 +73,19 @@
 
     pub fn next_call(&self, settings: &ReaderSettings) -> ReaderAction {
         if self.lane == Lane::Probe {
-            return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, patience: settings.probe_patience };
+            return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, timeout: settings.probe_timeout };
         }
-        let (call, patience) = match (self.after, &self.partial, self.lane) {
+        let (call, timeout) = match (self.after, &self.partial, self.lane) {
             (Some(after), _, lane) => {
                 let call = StoreCall::Watch { lane, after, wait: settings.watch };
-                (call, settings.watch + settings.patience)
+                (call, settings.watch + settings.call_timeout)
             }
             (None, partial, lane) => {
                 let after = partial.as_ref().map(|partial| partial.next_key.clone());
-                (StoreCall::List { lane, after }, settings.patience)
+                (StoreCall::List { lane, after }, settings.call_timeout)
             }
         };
-        ReaderAction::Call { lane: self.lane, call, patience }
+        ReaderAction::Call { lane: self.lane, call, timeout }
     }
 
     pub fn handle_page(
@@ -133,8 +133,8 @@
         actions: &mut Vec<ReaderAction>,
     ) {
         self.after = Some(self.after.map_or(revision, |after| after.max(revision)));
-        let rest = if update.items.is_empty() { Duration::ZERO } else { self.rest_after(now, &update, settings) };
-        self.state = LaneState::Scheduled { at: now + rest };
+        let pause = if update.items.is_empty() { Duration::ZERO } else { self.pause_after(now, &update, settings) };
+        self.state = LaneState::Scheduled { at: now + pause };
         match self.lane {
             Lane::Searchers => update.up_to = revision,
             Lane::Configuration => update.operator_up_to = revision,
@@ -144,7 +144,7 @@
     }
 
     /// Returns the pause of the lane after changes. It is short after removals of searchers, which may be written anew.
-    fn rest_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
+    fn pause_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
         let is_removal = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
         let removals = update.items.iter().filter(is_removal).count();
         if removals >= MIN_LAPSED_ENTRIES {
@@ -152,9 +152,9 @@
         }
         let is_short = removals > 0 || now < self.reregistration_until;
         match self.lane {
-            Lane::Configuration => settings.configuration_rest,
-            Lane::Searchers | Lane::Probe if is_short => settings.lapse_rest.min(settings.searcher_rest),
-            Lane::Searchers | Lane::Probe => settings.searcher_rest,
+            Lane::Configuration => settings.configuration_pause,
+            Lane::Searchers | Lane::Probe if is_short => settings.removal_pause.min(settings.searcher_pause),
+            Lane::Searchers | Lane::Probe => settings.searcher_pause,
         }
     }
 
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -100,14 +100,14 @@
 /// An action that the reader requests from the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReaderAction {
-    /// Make a call; give it up and close its connection after `patience`.
+    /// Make a call; give it up and close its connection after `timeout`.
     Call {
         /// The lane that waits for the reply.
         lane: Lane,
         /// The call.
         call: StoreCall,
         /// Time after which the call is given up.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Give up the open call of a lane; its end must not be reported.
     Cancel {
@@ -136,7 +136,7 @@
     /// Interval while the store answers.
     pub usual: Duration,
     /// Interval while the store doesn't answer; it bounds the delay after which the end of an outage is noticed.
-    pub while_away: Duration,
+    pub during_outage: Duration,
 }
 
 /// Exponential back-off after failed calls. It doubles with each further failure; the actual wait is drawn at random
@@ -149,21 +149,21 @@
     pub longest: Duration,
 }
 
-/// Timeouts and intervals of the reader. A timeout bounds the time without a reply from the store. A rest is a pause of
-/// a lane after updates; it bounds the rate of calls and thereby the delay with which a change is learned.
+/// Timeouts and intervals of the reader. A timeout bounds the time without a reply from the store. A pause of a lane
+/// after updates bounds the rate of calls, and with it the delay after which a change is learned.
 #[derive(Clone, Debug)]
 pub struct ReaderSettings {
     /// Time for which the store may hold a watch that has nothing to report.
     pub watch: Duration,
     /// Time after which a listing without a reply is given up. A watch is given up this long after the time for which
     /// the store may hold it. The connection of the call is closed.
-    pub patience: Duration,
+    pub call_timeout: Duration,
     /// Pause of the lane after updates of the configuration.
-    pub configuration_rest: Duration,
+    pub configuration_pause: Duration,
     /// Pause of the lane after updates of searchers.
-    pub searcher_rest: Duration,
+    pub searcher_pause: Duration,
     /// Pause of the lane after removals of searchers, because entries that only lapsed are written anew one by one.
-    pub lapse_rest: Duration,
+    pub removal_pause: Duration,
     /// Intervals between probes if no follower relies on them.
     pub probe: ProbeIntervals,
     /// Interval between the probes of a reader with followers while the store answers. It is well below the followers'
@@ -172,7 +172,7 @@
     /// Interval between a prober's probes.
     pub probe_as_prober: Duration,
     /// Time after which a probe without a reply is given up and the store counts as unavailable.
-    pub probe_patience: Duration,
+    pub probe_timeout: Duration,
     /// Back-off of a lane after failed calls.
     pub back_off: Backoff,
     /// Whether a lane whose last call failed makes no call while probes fail too.
@@ -186,22 +186,22 @@
             // The store holds a watch for at most 30 s.
             watch: Duration::from_secs(25),
             // A call takes milliseconds; the bounds on the delay of updates are seconds.
-            patience: Duration::from_millis(1200),
+            call_timeout: Duration::from_millis(1200),
             // Many changes in a short time must cause only a few calls.
-            configuration_rest: Duration::from_millis(500),
-            searcher_rest: Duration::from_millis(900),
+            configuration_pause: Duration::from_millis(500),
+            searcher_pause: Duration::from_millis(900),
             // On a day with an outage of the store, this pause and the grace period for lapsed searchers together
             // reduced the fraction of rejected requests from 0.019 to 0.001.
-            lapse_rest: Duration::from_millis(150),
+            removal_pause: Duration::from_millis(150),
             // With a probe every two seconds and watches renewed after a missed probe, the served fraction was 0.991
             // instead of 0.694 on a day on which the store was silent. A day without outages took 156 calls instead of
             // 158.
-            probe: ProbeIntervals { usual: Duration::from_millis(2000), while_away: Duration::from_millis(400) },
+            probe: ProbeIntervals { usual: Duration::from_millis(2000), during_outage: Duration::from_millis(400) },
             // The gateway derives both from the followers' timeout for a silent reader.
             probe_with_followers: Duration::from_millis(500),
             probe_as_prober: Duration::from_millis(600),
-            // Below `patience`, so that the probe fails before the calls of the other lanes do.
-            probe_patience: Duration::from_millis(800),
+            // Below `call_timeout`, so that the probe fails before the calls of the other lanes do.
+            probe_timeout: Duration::from_millis(800),
             // A short failure must delay a lane little, and a lasting one must cost only about a call a second.
             back_off: Backoff { first: Duration::from_millis(150), longest: Duration::from_millis(1000) },
             lanes_wait_for_probe: true,
