--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -79,7 +79,7 @@
             key,
             host: head.headers.text("host").unwrap_or_default().to_owned(),
             path: head.path().to_owned(),
-            patience: patience.map(Duration::from_millis),
+            caller_timeout: patience.map(Duration::from_millis),
             waited: self.load.longest_wait(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -63,7 +63,7 @@
 
 impl HeldRequest {
     fn new(now: BootTime, arrival: Arrival) -> Self {
-        let until = giving_up::hold_until(now, arrival.patience);
+        let until = giving_up::hold_until(now, arrival.caller_timeout);
         HeldRequest { arrival, held_at: now, until }
     }
 
@@ -297,7 +297,7 @@
 
 fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
     let timeout = Duration::from_millis(route.timeout_ms);
-    giving_up::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
+    giving_up::deadline(now, TimeBounds { timeout, patience: arrival.caller_timeout, waited: arrival.waited })
 }
 
 /// Whose a request is. A node that is behind judges nobody: the newer configuration may hold the key.
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -23,7 +23,8 @@
     /// Path without the query string.
     pub path: String,
     /// Time for which the caller waits for the answer, if it sent one.
-    pub patience: Option<Duration>,
+    #[serde(rename = "patience")]
+    pub caller_timeout: Option<Duration>,
     /// Longest time for which the request may have waited to be read.
     pub waited: Duration,
     /// Whether this node is too busy to accept more requests.
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -242,7 +242,7 @@
             key,
             host: HOST.to_owned(),
             path: path.to_owned(),
-            patience: None,
+            caller_timeout: None,
             waited: Duration::ZERO,
             is_overloaded: false,
             newest_version: 0,
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -245,8 +245,8 @@
 fn a_request_that_was_rejected_often_asks_another_shard_within_its_goal() {
     let mut driver = driver();
     end_all(&mut driver, ContentKey(1));
-    let patience = Some(Duration::from_secs(30));
-    let arrival = Arrival { content: ContentKey(100), patience, ..driver.arrival("/all/new") };
+    let caller_timeout = Some(Duration::from_secs(30));
+    let arrival = Arrival { content: ContentKey(100), caller_timeout, ..driver.arrival("/all/new") };
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
     for rejected in 0..REJECTIONS {
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -95,7 +95,7 @@
     let mut driver = Driver::new();
     driver.event(RoutingEvent::Searchers(vec![searcher("s-1", "books", "a")]));
     let began = driver.now;
-    let request = arrive(&mut driver, "/r/1", |arrival| arrival.patience = Some(Duration::from_millis(1600)));
+    let request = arrive(&mut driver, "/r/1", |arrival| arrival.caller_timeout = Some(Duration::from_millis(1600)));
     driver.pass_ms(300);
     driver.configure(one_service(1, "r"));
     assert_eq!(driver.sent_for(request)[0].deadline, began + Duration::from_millis(1600));
@@ -104,7 +104,7 @@
 #[test]
 fn a_hold_leaves_an_impatient_caller_time_to_ask_another_node() {
     let mut driver = Driver::new();
-    let request = arrive(&mut driver, "/r/1", |arrival| arrival.patience = Some(Duration::from_millis(400)));
+    let request = arrive(&mut driver, "/r/1", |arrival| arrival.caller_timeout = Some(Duration::from_millis(400)));
     driver.pass_ms(100);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoConfiguration));
 }
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -188,7 +188,7 @@
         let round_trip = [None, Some(Duration::from_millis(20)), Some(Duration::from_millis(70))][number % 3];
         arrival.link = CallerLink { round_trip, is_fresh: number % 2 == 0 };
         arrival.waited = Duration::from_millis(number as u64 % 7);
-        arrival.patience = (number % 10 == 9).then_some(Duration::from_millis(300));
+        arrival.caller_timeout = (number % 10 == 9).then_some(Duration::from_millis(300));
     });
     world.run(8000);
     pinned("wide_gathers", &world);
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -94,7 +94,7 @@
     world.offer((900.0, 1500.0), 200.0, "/q/1", |arrival, _| arrival.knows_searchers = false);
     world.offer((1600.0, 3000.0), 200.0, "/new/1", |arrival, number| {
         arrival.newest_version = 2 + number as u64 % 2;
-        arrival.patience = (number % 4 == 0).then_some(Duration::from_millis(400));
+        arrival.caller_timeout = (number % 4 == 0).then_some(Duration::from_millis(400));
     });
     world.offer((1600.0, 6000.0), 200.0, "/q/1", |arrival, number| {
         let views = [ConfigurationView::Current, ConfigurationView::Doubtful, ConfigurationView::Expired];
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -15,7 +15,7 @@
 fn the_deadline_is_the_lesser_of_caller_and_route_and_the_final_answer_comes_before_it() {
     let mut driver = repeatable();
     let mut arrival = driver.arrival("/r/1");
-    arrival.patience = Some(Duration::from_millis(1500));
+    arrival.caller_timeout = Some(Duration::from_millis(1500));
     let key = arrival.key;
     let began = driver.now;
     driver.event(RoutingEvent::Arrived(arrival));
@@ -28,7 +28,7 @@
 fn time_that_a_request_waited_to_be_read_is_taken_off() {
     let mut driver = repeatable();
     let mut late = driver.arrival("/r/1");
-    late.patience = Some(Duration::from_millis(1000));
+    late.caller_timeout = Some(Duration::from_millis(1000));
     late.waited = Duration::from_millis(1000);
     let key = late.key;
     driver.event(RoutingEvent::Arrived(late));
@@ -36,7 +36,7 @@
     assert!(driver.sends.is_empty(), "nothing may run for a caller that has left");
 
     let mut half = driver.arrival("/r/2");
-    half.patience = Some(Duration::from_millis(1000));
+    half.caller_timeout = Some(Duration::from_millis(1000));
     half.waited = Duration::from_millis(400);
     let began = driver.now;
     driver.event(RoutingEvent::Arrived(half));
