--- a/crates/staircross-routing/src/configuration/rank.rs
+++ b/crates/staircross-routing/src/configuration/rank.rs
@@ -22,8 +22,8 @@
     ///
     /// A tenant's steps begin where those of the tenants above it end, so that steps have the same order as ranks.
     /// Tenants are counted by the number of different priorities above theirs, not by the value of their priority. The
-    /// distance between the values that an operator chooses has no meaning, but each step takes more from a rank.
-    /// Routes are counted by the value of their priority, with tenants as without.
+    /// distance between the values that an operator chooses has no meaning, but each step lowers the fraction of a
+    /// rank's requests that is accepted. Routes are counted by the value of their priority, with tenants as without.
     pub fn steps(self, routes: RangeInclusive<u32>) -> u32 {
         let (first, last) = routes.into_inner();
         let steps_a_tenant = last.saturating_sub(first).saturating_add(1);
--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -81,8 +81,8 @@
     /// Returns the changes that a peer lacks which knows all changes up to `revision`.
     ///
     /// Active evacuations are always sent, so the peer can tell that an evacuation that isn't sent had ended by
-    /// [`Self::listed_at`]. A node that gets a newer configuration from a peer watches the store from that
-    /// configuration's revision on, and would never be told of ends before it.
+    /// [`Self::listed_at`]. A node that has merged a peer's update watches the store only from the revision up to which
+    /// that update was complete, and would never be told of earlier ends.
     pub fn changes_after(&self, revision: u64) -> impl Iterator<Item = ZoneChange> {
         let newer = self.zones.iter().filter(move |(_, state)| state.revision > revision || state.is_active);
         newer.map(|(zone, state)| ZoneChange {
--- a/crates/staircross-routing/src/state/known_configuration.rs
+++ b/crates/staircross-routing/src/state/known_configuration.rs
@@ -27,7 +27,7 @@
 /// Which newer configurations a peer accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptedConfiguration {
-    /// A configuration of any size, because the peer can't read the store.
+    /// A configuration of any size, because the store doesn't answer the peer.
     Any,
     /// A configuration that isn't large.
     Small,
@@ -106,18 +106,18 @@
     /// Returns what a peer at `version` is sent, with the revision at which the newest version was written: the deltas
     /// since its version if they are kept, otherwise the whole configuration if the peer accepts it.
     pub fn update_for(&self, version: u64, accepts: AcceptedConfiguration) -> Option<(u64, ConfigurationUpdate)> {
-        let (at, definition) = self.newest.as_ref().filter(|(_, definition)| definition.version > version)?;
+        let (written_at, definition) = self.newest.as_ref().filter(|(_, definition)| definition.version > version)?;
         let deltas: Vec<DefinitionDelta> =
             self.deltas.iter().skip_while(|delta| delta.from != version).cloned().collect();
         if !deltas.is_empty() {
-            return Some((*at, ConfigurationUpdate::Changes(deltas)));
+            return Some((*written_at, ConfigurationUpdate::Changes(deltas)));
         }
         let is_sent = match accepts {
             AcceptedConfiguration::Any => true,
             AcceptedConfiguration::Small => !is_large(definition),
             AcceptedConfiguration::None => false,
         };
-        is_sent.then(|| (*at, ConfigurationUpdate::Whole(definition.clone())))
+        is_sent.then(|| (*written_at, ConfigurationUpdate::Whole(definition.clone())))
     }
 }
 
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -37,7 +37,7 @@
         /// The deltas.
         deltas: Vec<DefinitionDelta>,
     },
-    /// A searcher's entry was written.
+    /// A searcher's entry, as it was last written.
     Searcher {
         /// The entry.
         entry: SearcherEntry,
@@ -137,21 +137,23 @@
     /// Revision of the entry that was current before the merge.
     before: Option<u64>,
     /// Start times, in Unix milliseconds, of the incarnations of which the merge brought a draining entry.
-    draining: Vec<u64>,
+    draining_starts: Vec<u64>,
 }
 
 impl PendingChanges {
-    fn note(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut PendingSearcherChange {
-        self.searchers.entry(instance).or_insert(PendingSearcherChange { before, draining: Vec::new() })
+    /// Returns the record of a searcher that the merge changes; `before` is the revision of its entry before this
+    /// change.
+    fn searcher_mut(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut PendingSearcherChange {
+        self.searchers.entry(instance).or_insert(PendingSearcherChange { before, draining_starts: Vec::new() })
     }
 
     fn into_changes(self, known: &BTreeMap<Arc<str>, KnownEntries>) -> MirrorChanges {
         let mut changes = MirrorChanges { configuration: self.configuration, ..MirrorChanges::default() };
-        for (instance, pending) in self.searchers {
+        for (instance, change) in self.searchers {
             let after = known.get(&instance).and_then(KnownEntries::current);
-            match (pending.before, after) {
+            match (change.before, after) {
                 (before, Some(after)) if before != Some(after.revision) => {
-                    let has_drained = pending.draining.contains(&after.entry.born_ms);
+                    let has_drained = change.draining_starts.contains(&after.entry.born_ms);
                     let is_draining = after.entry.is_draining || has_drained;
                     changes.searchers.push(SearcherEntry { is_draining, ..after.entry.clone() });
                 }
@@ -173,7 +175,7 @@
 }
 
 impl ListedNames {
-    fn note(&mut self, item: &MirrorItem) {
+    fn add(&mut self, item: &MirrorItem) {
         match item {
             MirrorItem::Searcher { entry } => self.searchers.push(entry.instance.clone()),
             MirrorItem::Evacuation { zone, is_active: true } => self.evacuated.push(zone.clone()),
@@ -191,7 +193,7 @@
     configuration: KnownConfiguration,
     searchers: BTreeMap<Arc<str>, KnownEntries>,
     evacuations: Evacuations,
-    /// Revisions up to which changes of searchers are known. Complete only once `has_listing` is set.
+    /// Revisions up to which changes of searchers are known; complete up to 0 until `has_listing` is set.
     searcher_revisions: KnownRevisions,
     /// Revisions up to which changes of the configuration and of evacuations are known.
     operator_revisions: KnownRevisions,
@@ -264,12 +266,12 @@
         // If the sender knows less than this node, a searcher that only the sender knows is gone: this node knew of its
         // removal and has forgotten it.
         let known = self.known_revision();
-        let removed_by = if update.up_to < known { known } else { 0 };
+        let known_up_to = if update.up_to < known { known } else { 0 };
         for (revision, item) in update.items {
             if is_listing {
-                listed.note(&item);
+                listed.add(&item);
             }
-            if !self.was_removed(revision, &item, removed_by) {
+            if !self.was_removed(revision, &item, known_up_to) {
                 self.merge_item(revision, item, &mut pending);
             }
         }
@@ -291,11 +293,11 @@
         MirrorChanges { evacuated, ..pending.into_changes(&self.searchers) }
     }
 
-    /// Returns whether the item is an entry, written at or before `by`, of a searcher that isn't known here. If all
-    /// changes up to `by` are known, that searcher has been removed since.
-    fn was_removed(&self, revision: u64, item: &MirrorItem, by: u64) -> bool {
+    /// Returns whether the item is an entry of a searcher that has been removed since: the entry was written at or
+    /// before `known_up_to`, up to which all changes are known here, but the searcher isn't known.
+    fn was_removed(&self, revision: u64, item: &MirrorItem, known_up_to: u64) -> bool {
         match item {
-            MirrorItem::Searcher { entry } => revision <= by && !self.searchers.contains_key(&entry.instance),
+            MirrorItem::Searcher { entry } => revision <= known_up_to && !self.searchers.contains_key(&entry.instance),
             _ => false,
         }
     }
@@ -361,9 +363,9 @@
             return;
         }
         self.searcher_revisions.note_change(revision);
-        let pending = pending.note(instance, before);
+        let change = pending.searcher_mut(instance, before);
         if is_draining {
-            pending.draining.push(born_ms);
+            change.draining_starts.push(born_ms);
         }
     }
 
@@ -372,7 +374,7 @@
         let before = known.current().map(|known| known.revision);
         if known.remove_up_to(revision) {
             self.searcher_revisions.note_change(revision);
-            pending.note(instance, before);
+            pending.searcher_mut(instance, before);
         }
     }
 
@@ -385,7 +387,7 @@
             let before = known.current().map(|known| known.revision);
             known.remove_up_to(at);
             self.searcher_revisions.note_change(at);
-            pending.note(instance.clone(), before);
+            pending.searcher_mut(instance.clone(), before);
         }
         self.tombstones_complete_after = self.tombstones_complete_after.max(at);
     }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -33,8 +33,9 @@
 /// Value of [`ReportedLoad::host_slowness`], in percent, that means that work takes its usual time on the host.
 const USUAL_HOST_PERCENT: u32 = 100;
 /// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with
-/// other programs and their load changes many times a second. On four days this raised the mean value of an answer (0
-/// to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
+/// other programs and their load changes many times a second. On four days, using the reports with this half-life
+/// raised the mean value of an answer (0 to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017
+/// (docs/design/searcher-choice.md).
 const HOST_SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Multiple of the estimate above which a sample is slow. It is above the usual spread of the time that work takes.
 const SLOW_SAMPLE_RATIO: f64 = 3.0;
@@ -294,7 +295,7 @@
     /// Records that an attempt was sent.
     pub fn note_sent(&mut self, now: BootTime, open: OpenAttempt) {
         if self.needs_trial {
-            // This is the trial attempt; no other attempt is sent for `TRIAL_INTERVAL` or until the trial has ended.
+            // This is the trial attempt. No other attempt is sent until it has ended, but for `TRIAL_INTERVAL` at most.
             self.avoided_until = now + TRIAL_INTERVAL;
         }
         if self.is_cold(now) {
@@ -343,6 +344,7 @@
         }
     }
 
+    /// Returns the fraction of the slowness beyond 1 that still counts at `now`.
     fn slowness_decay(&self, now: BootTime) -> f64 {
         decay_factor(now.since(self.slowness_estimated_at), SLOWNESS_HALF_LIFE)
     }
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Returns the next call of the lane: a probe, a page of a listing, or a watch from the known revision.
     pub fn next_call(&self, settings: &ReaderSettings) -> ReaderAction {
         if self.lane == Lane::Probe {
             return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, timeout: settings.probe_timeout };
@@ -88,6 +89,7 @@
         ReaderAction::Call { lane: self.lane, call, timeout }
     }
 
+    /// Adds a page to the listing in progress and, after the last page, emits the whole listing as an update.
     pub fn handle_page(
         &mut self,
         now: BootTime,
@@ -124,6 +126,7 @@
         actions.push(ReaderAction::Learned { lane: self.lane, update: listing });
     }
 
+    /// Emits the changes that a watch has found and schedules the next watch.
     pub fn handle_changes(
         &mut self,
         now: BootTime,
@@ -158,6 +161,7 @@
         }
     }
 
+    /// Schedules a retry of a failed call, with exponential back-off and jitter, and marks the lane as unreachable.
     pub fn handle_failure(
         &mut self,
         now: BootTime,
@@ -174,6 +178,7 @@
         self.set_reachable(false, actions);
     }
 
+    /// Sets whether the store answers the lane's calls, and emits an action if that changed.
     pub fn set_reachable(&mut self, is_reachable: bool, actions: &mut Vec<ReaderAction>) {
         if self.is_reachable != is_reachable {
             self.is_reachable = is_reachable;
