--- a/crates/staircross-routing/src/configuration/definition.rs
+++ b/crates/staircross-routing/src/configuration/definition.rs
@@ -140,7 +140,7 @@
     /// Returns the least number of shards that must have answered; at least one.
     pub fn least_shards(&self) -> usize {
         let exact = self.min_coverage * self.shards.len() as f64;
-        // The product of 0.7 and 10, for example, may be slightly above 7 and must not be rounded up to 8.
+        // A rounding error of the product, as of 0.7 and 10, must not raise the result by one.
         ((exact - 1e-9).ceil() as usize).max(1)
     }
 }
--- a/crates/staircross-routing/src/configuration/tenants.rs
+++ b/crates/staircross-routing/src/configuration/tenants.rs
@@ -116,8 +116,7 @@
     /// Quota of the tenant; `None` if there is no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Quota>,
-    /// Regions whose searchers may serve the tenant's requests, in addition to the restriction of the route; empty if
-    /// all may.
+    /// Regions whose searchers may serve the tenant's requests, if the route allows them too; empty if all may.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub allowed_regions: Vec<Arc<str>>,
 }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -269,9 +269,9 @@
         if self.is_cold(now) { current.max(MIN_COLD_SLOWNESS) } else { current }
     }
 
-    /// Returns the estimated slowness of the searcher's host by the last report: a multiple of the usual time, at least
-    /// 1. A report that the host is faster than usual is ignored. So a wrong report costs no more than a searcher that
-    /// isn't asked for a moment.
+    /// Returns the estimated slowness of the searcher's host by the last report, as a multiple of the usual time. The
+    /// multiple is at least 1, because a report that the host is faster than usual is ignored. So a wrong report costs no
+    /// more than a searcher that isn't asked for a moment.
     pub fn host_slowness(&self, now: BootTime) -> f64 {
         let Some((at, load)) = self.last_reported else {
             return 1.0;
