--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -49,7 +49,7 @@
     /// An allowed region has no zone.
     UnknownRegion {
         /// The route or tenant that allows the region.
-        by: RegionHolder,
+        allowed_by: RegionHolder,
         /// The region.
         region: Arc<str>,
     },
@@ -126,9 +126,9 @@
         definition.routes.iter().map(|route| (RegionHolder::Route(route.name.clone()), &route.allowed_regions));
     let tenants =
         definition.tenants.iter().map(|tenant| (RegionHolder::Tenant(tenant.name.clone()), &tenant.allowed_regions));
-    let unknown = routes.chain(tenants).flat_map(|(by, allowed)| {
+    let unknown = routes.chain(tenants).flat_map(|(allowed_by, allowed)| {
         let unknown = allowed.iter().filter(|region| !regions.contains(region));
-        unknown.map(move |region| Finding::UnknownRegion { by: by.clone(), region: region.clone() })
+        unknown.map(move |region| Finding::UnknownRegion { allowed_by: allowed_by.clone(), region: region.clone() })
     });
     unknown.collect()
 }
@@ -172,7 +172,9 @@
                     "tenant {tenant}: a burst of {burst} is below 1, so even a request after an idle period is refused"
                 )
             }
-            Finding::UnknownRegion { by, region } => write!(f, "{by}: allows region {region}, which has no zone"),
+            Finding::UnknownRegion { allowed_by, region } => {
+                write!(f, "{allowed_by}: allows region {region}, which has no zone")
+            }
             Finding::NoCommonRegion { route, tenant } => {
                 write!(f, "route {route}: has no allowed region in common with tenant {tenant}")
             }
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -362,16 +362,16 @@
             ReplayedEvent::Quota(bound) => self.engine.set_quota_bound(turn.at, bound),
             ReplayedEvent::Event(event) => self.engine.on_event(turn.at, event, &mut actions),
         }
-        let replayed: Vec<Decision> = actions.iter().filter_map(Decision::from_action).collect();
-        let requests: BTreeSet<RequestKey> = turn.decisions.iter().chain(&replayed).map(Decision::request).collect();
+        let decisions: Vec<Decision> = actions.iter().filter_map(Decision::from_action).collect();
+        let requests: BTreeSet<RequestKey> = turn.decisions.iter().chain(&decisions).map(Decision::request).collect();
         let decisions_of = |request: RequestKey, decisions: &[Decision]| -> Vec<Decision> {
             decisions.iter().filter(|decision| decision.request() == request).cloned().collect()
         };
         let mut differences = Vec::new();
         for request in requests {
-            let (then, now) = (decisions_of(request, &turn.decisions), decisions_of(request, &replayed));
-            if then != now && self.differing_requests.insert(request) {
-                differences.push(Difference { at: turn.at, request, recorded: then, replayed: now });
+            let (recorded, replayed) = (decisions_of(request, &turn.decisions), decisions_of(request, &decisions));
+            if recorded != replayed && self.differing_requests.insert(request) {
+                differences.push(Difference { at: turn.at, request, recorded, replayed });
             }
         }
         differences
--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -31,7 +31,7 @@
 pub struct Evacuations {
     zones: BTreeMap<Arc<str>, ZoneState>,
     /// Revision of the newest listing of all evacuations; 0 before the first listing.
-    listed_at: u64,
+    listed_revision: u64,
 }
 
 impl Evacuations {
@@ -40,7 +40,7 @@
         let known = self.zones.get(&zone).copied();
         // An evacuation that the newest listing left out had ended by that listing, but a peer that doesn't know of the
         // end may still send the start. An end is inserted in any case, so that this node counts as knowing it.
-        let had_ended = known.is_none() && is_active && revision <= self.listed_at;
+        let had_ended = known.is_none() && is_active && revision <= self.listed_revision;
         if had_ended || known.is_some_and(|known| known.revision >= revision) {
             return false;
         }
@@ -48,14 +48,14 @@
         known.is_some_and(|known| known.is_active) != is_active
     }
 
-    /// Merges a complete listing at revision `at`: evacuations that it leaves out had ended by then.
+    /// Merges a complete listing at `revision`: evacuations that it leaves out had ended by then.
     /// Returns whether any known evacuation ended that way.
-    pub fn merge_listing(&mut self, at: u64, listed: &[Arc<str>]) -> bool {
-        self.listed_at = self.listed_at.max(at);
+    pub fn merge_listing(&mut self, revision: u64, listed: &[Arc<str>]) -> bool {
+        self.listed_revision = self.listed_revision.max(revision);
         let mut has_ended = false;
         for (zone, state) in &mut self.zones {
-            if state.is_active && state.revision <= at && !listed.contains(zone) {
-                *state = ZoneState { revision: at, is_active: false };
+            if state.is_active && state.revision <= revision && !listed.contains(zone) {
+                *state = ZoneState { revision, is_active: false };
                 has_ended = true;
             }
         }
@@ -74,15 +74,15 @@
     }
 
     /// Returns the revision of the newest listing of all evacuations, if there was one.
-    pub fn listed_at(&self) -> Option<u64> {
-        (self.listed_at > 0).then_some(self.listed_at)
+    pub fn listed_revision(&self) -> Option<u64> {
+        (self.listed_revision > 0).then_some(self.listed_revision)
     }
 
     /// Returns the changes that a peer lacks which knows all changes up to `revision`.
     ///
     /// Active evacuations are always sent, so the peer can tell that an evacuation that isn't sent had ended by
-    /// [`Self::listed_at`]. A node that has merged a peer's update watches the store only from the revision up to which
-    /// that update was complete, and would never be told of earlier ends.
+    /// [`Self::listed_revision`]. A node that has merged a peer's update watches the store only from the revision up to
+    /// which that update was complete, and would never be told of earlier ends.
     pub fn changes_after(&self, revision: u64) -> impl Iterator<Item = ZoneChange> {
         let newer = self.zones.iter().filter(move |(_, state)| state.revision > revision || state.is_active);
         newer.map(|(zone, state)| ZoneChange {
--- a/crates/staircross-routing/src/state/known_entries.rs
+++ b/crates/staircross-routing/src/state/known_entries.rs
@@ -36,14 +36,14 @@
     /// The entries in ascending order of revision, and therefore in descending order of start time.
     entries: Vec<WrittenEntry>,
     /// Revision of the newest known removal; entries written up to it are gone.
-    removed_at: u64,
+    removed_up_to: u64,
 }
 
 impl KnownEntries {
     /// Inserts an entry unless it is known, superseded or removed. Returns whether it was inserted.
     pub fn insert(&mut self, written: WrittenEntry) -> bool {
         let is_known = self.entries.iter().any(|known| written.is_superseded_by(known));
-        if is_known || written.revision <= self.removed_at {
+        if is_known || written.revision <= self.removed_up_to {
             return false;
         }
         self.entries.retain(|known| !known.is_superseded_by(&written));
@@ -55,10 +55,10 @@
 
     /// Removes the entries written up to `revision`. Returns whether this removal is newer than those already known.
     pub fn remove_up_to(&mut self, revision: u64) -> bool {
-        if revision <= self.removed_at {
+        if revision <= self.removed_up_to {
             return false;
         }
-        self.removed_at = revision;
+        self.removed_up_to = revision;
         self.entries.retain(|known| known.revision > revision);
         true
     }
@@ -79,7 +79,7 @@
     }
 
     /// Returns the revision of the newest known removal; 0 where none is known.
-    pub fn removed_at(&self) -> u64 {
-        self.removed_at
+    pub fn removed_up_to(&self) -> u64 {
+        self.removed_up_to
     }
 }
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -275,8 +275,8 @@
                 self.merge_item(revision, item, &mut pending);
             }
         }
-        if let Some(at) = update.all_evacuations_at {
-            pending.has_evacuations |= self.evacuations.merge_listing(at, &listed.evacuated);
+        if let Some(revision) = update.all_evacuations_at {
+            pending.has_evacuations |= self.evacuations.merge_listing(revision, &listed.evacuated);
         }
         if update.is_complete_for_searchers {
             listed.searchers.sort();
@@ -325,8 +325,8 @@
         let revision = peer.revision;
         let is_complete = self.has_listing && (revision < self.tombstones_complete_after || revision == 0);
         let mut items = Vec::new();
-        if let Some((at, update)) = self.configuration.update_for(peer.version, peer.accepts) {
-            items.push((at, update.into()));
+        if let Some((written_at, update)) = self.configuration.update_for(peer.version, peer.accepts) {
+            items.push((written_at, update.into()));
         }
         for (instance, known) in &self.searchers {
             let update = known.entries().iter().filter(|known| is_complete || known.revision > revision);
@@ -335,9 +335,9 @@
             // that it lists.
             let is_implied = is_complete
                 && known.entries().is_empty()
-                && known.removed_at() <= self.searcher_revisions.complete_up_to();
-            if known.removed_at() > revision && !is_implied {
-                items.push((known.removed_at(), MirrorItem::SearcherGone { instance: instance.clone() }));
+                && known.removed_up_to() <= self.searcher_revisions.complete_up_to();
+            if known.removed_up_to() > revision && !is_implied {
+                items.push((known.removed_up_to(), MirrorItem::SearcherGone { instance: instance.clone() }));
             }
         }
         items.extend(self.evacuations.changes_after(peer.evacuations).map(|change| {
@@ -350,7 +350,7 @@
             up_to: self.known_revision(),
             newest: self.newest_revision(),
             operator_up_to: self.operator_up_to(),
-            all_evacuations_at: self.evacuations.listed_at(),
+            all_evacuations_at: self.evacuations.listed_revision(),
             ..MirrorUpdate::default()
         }
     }
@@ -378,30 +378,30 @@
         }
     }
 
-    /// Removes the entries that a complete listing at revision `at` leaves out and that were written by then.
-    fn remove_unlisted(&mut self, at: u64, listed: &[Arc<str>], pending: &mut PendingChanges) {
+    /// Removes the entries that a complete listing at `revision` leaves out and that were written by then.
+    fn remove_unlisted(&mut self, revision: u64, listed: &[Arc<str>], pending: &mut PendingChanges) {
         for (instance, known) in &mut self.searchers {
-            if listed.binary_search(instance).is_ok() || !known.has_current_entry_at(at) {
+            if listed.binary_search(instance).is_ok() || !known.has_current_entry_at(revision) {
                 continue;
             }
             let before = known.current().map(|known| known.revision);
-            known.remove_up_to(at);
-            self.searcher_revisions.note_change(at);
+            known.remove_up_to(revision);
+            self.searcher_revisions.note_change(revision);
             pending.searcher_mut(instance.clone(), before);
         }
-        self.tombstones_complete_after = self.tombstones_complete_after.max(at);
+        self.tombstones_complete_after = self.tombstones_complete_after.max(revision);
     }
 
     fn drop_old_tombstones(&mut self) {
         let is_tombstone = |known: &KnownEntries| known.entries().is_empty();
         let tombstones = self.searchers.values().filter(|known| is_tombstone(known));
-        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::removed_at).collect();
+        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::removed_up_to).collect();
         if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
         let forgotten_up_to = revisions[revisions.len() / 2];
-        self.searchers.retain(|_, known| !is_tombstone(known) || known.removed_at() > forgotten_up_to);
+        self.searchers.retain(|_, known| !is_tombstone(known) || known.removed_up_to() > forgotten_up_to);
         self.tombstones_complete_after = self.tombstones_complete_after.max(forgotten_up_to);
     }
 }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -270,8 +270,8 @@
     }
 
     /// Returns the estimated slowness of the searcher's host by the last report, as a multiple of the usual time. The
-    /// multiple is at least 1, because a report that the host is faster than usual is ignored. So a wrong report costs no
-    /// more than a searcher that isn't asked for a moment.
+    /// multiple is at least 1, because a report that the host is faster than usual is ignored. So a wrong report costs
+    /// no more than a searcher that isn't asked for a moment.
     pub fn host_slowness(&self, now: BootTime) -> f64 {
         let Some((at, load)) = self.last_reported else {
             return 1.0;
