--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -82,7 +82,7 @@
     ///
     /// Active evacuations are always sent, so the peer can tell that an evacuation that isn't sent had ended by
     /// [`Self::listed_revision`]. A node that has merged a peer's update watches the store only from the revision up to
-    /// which that update was complete, and would never be told of earlier ends.
+    /// which that update was complete, and would never learn of earlier ends.
     pub fn changes_after(&self, revision: u64) -> impl Iterator<Item = ZoneChange> {
         let newer = self.zones.iter().filter(move |(_, state)| state.revision > revision || state.is_active);
         newer.map(|(zone, state)| ZoneChange {
--- a/crates/staircross-routing/src/state/known_revisions.rs
+++ b/crates/staircross-routing/src/state/known_revisions.rs
@@ -3,7 +3,7 @@
 //! This module holds two revisions that are easily confused: the revision up to which all changes are known, and the
 //! revision of the newest known change. They differ if items changed while the pages of a listing were read: a later
 //! page then contains a change although an earlier change isn't known yet. A node that asked a peer or watched the
-//! store from the newest change on would never be told of the changes in between.
+//! store from the newest change on would never learn of the changes in between.
 
 /// The known revisions of one kind of items.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -10,7 +10,7 @@
 //! moment after updates, and many changes in a short time cause only a few calls. A lane whose call fails backs off and
 //! retries without limit.
 //!
-//! A store that was unavailable may have dropped a watch silently, and an idle watch can't be told from a dropped one.
+//! A store that was unavailable may have dropped a watch silently, and an idle watch looks the same as a dropped one.
 //! So the third lane probes: it regularly makes the cheapest call that there is, to find out whether the store answers.
 //! If the store misses a probe, both watches are renewed as soon as it answers again. Until then a lane whose call
 //! fails makes no further calls and waits for a successful probe.
@@ -41,9 +41,9 @@
 
 /// Longest time from the first successful probe after an outage of the store to the next probe, which confirms that the
 /// renewed watches are held; a watch starts within milliseconds. Followers wait for a reader's announcement that it
-/// reaches the store for a third of their timeout for a silent reader. Without an announcement each of them reads the
-/// store itself, which costs some ten calls. With a probe this early, a day with an outage of the store took 750 calls
-/// instead of 1,339.
+/// reaches the store for a third of their timeout for a reader that sends nothing. Without an announcement each of them
+/// reads the store itself, which costs some ten calls. With a probe this early, a day with an outage of the store took
+/// 750 calls instead of 1,339.
 const MAX_CONFIRMATION_DELAY: Duration = Duration::from_millis(150);
 
 /// Schedules the calls to the store.
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -167,7 +167,7 @@
     /// Intervals between probes if no follower relies on them.
     pub probe: ProbeIntervals,
     /// Interval between the probes of a reader with followers while the store answers. It is well below the followers'
-    /// timeout for a silent reader, so that one lost probe doesn't exceed that timeout.
+    /// timeout for a reader that sends nothing, so that one lost probe doesn't exceed that timeout.
     pub probe_with_followers: Duration,
     /// Interval between a prober's probes.
     pub probe_as_prober: Duration,
@@ -197,7 +197,7 @@
             // instead of 0.694 on a day on which the store was silent. A day without outages took 156 calls instead of
             // 158.
             probe: ProbeIntervals { usual: Duration::from_millis(2000), during_outage: Duration::from_millis(400) },
-            // The gateway derives both from the followers' timeout for a silent reader.
+            // The gateway derives both from the followers' timeout for a reader that sends nothing.
             probe_with_followers: Duration::from_millis(500),
             probe_as_prober: Duration::from_millis(600),
             // Below `call_timeout`, so that the probe fails before the calls of the other lanes do.
