--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -60,8 +60,8 @@
     /// As certain as the settings require.
     #[default]
     Current,
-    /// The node has had no news of the store for too long and knows of a newer version. It asks for that version before
-    /// it decides about a key.
+    /// The node has had no news of the store for too long and knows of a newer version. It waits for that version
+    /// before it decides about a key, but only for a limited time.
     Doubtful,
     /// The node has had no news of the store for so long that it must not accept any key.
     Expired,
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -37,7 +37,8 @@
 /// raised the mean value of an answer (0 to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017
 /// (docs/design/searcher-choice.md).
 const HOST_SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(300);
-/// Multiple of the estimate above which a sample is slow. It is above the usual spread of the time that work takes.
+/// Multiple of the estimated slowness, or of the usual time if that is greater, above which a sample is slow. It is
+/// above the usual spread of the time that work takes.
 const SLOW_SAMPLE_RATIO: f64 = 3.0;
 /// Least slowness that a sample counts as. The limit prevents one fast answer from attracting all work to a searcher.
 const MIN_SLOWNESS: f64 = 0.6;
@@ -318,8 +319,8 @@
         let sample = ratio.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
         let before = 1.0 + (self.slowness - 1.0) * self.slowness_decay(now);
         let is_slow = sample > before.max(1.0) * SLOW_SAMPLE_RATIO;
-        let is_still_slow = sample > SLOW_SAMPLE_RATIO && self.first_slow_answer_at.is_some_and(|seen| sent_at >= seen);
-        let gain = match (is_still_slow, is_slow) {
+        let is_slow_again = sample > SLOW_SAMPLE_RATIO && self.first_slow_answer_at.is_some_and(|seen| sent_at >= seen);
+        let gain = match (is_slow_again, is_slow) {
             (true, _) => SLOW_GAIN,
             (false, true) => PAUSE_GAIN,
             (false, false) => USUAL_GAIN,
