--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -12,7 +12,7 @@
 use crate::socket::SocketId;
 use crate::store_role::StoreRole;
 use staircross_http::Request;
-use staircross_routing::{PeerKnowledge, TakenConfiguration};
+use staircross_routing::{AcceptedConfiguration, PeerKnowledge};
 use staircross_wire::frame::encode;
 
 /// Maximum number of large answers to peers within a second. The narrowest links seen carry 14 Mbit/s. Measured
@@ -64,7 +64,7 @@
         let Some(peer) = parse_peer_knowledge(&request.head.target) else {
             return context.plain(404, "text/plain", b"");
         };
-        let peer = PeerKnowledge { takes: self.limit_to_link_capacity(peer.takes), ..peer };
+        let peer = PeerKnowledge { accepts: self.limit_to_link_capacity(peer.accepts), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
                 self.peer_answers.note(self.now, body.len());
@@ -76,11 +76,11 @@
 
     /// Returns the largest configuration that a peer may be sent now. A larger one would fill this node's link, which
     /// also carries callers' requests.
-    fn limit_to_link_capacity(&mut self, wanted: TakenConfiguration) -> TakenConfiguration {
+    fn limit_to_link_capacity(&mut self, wanted: AcceptedConfiguration) -> AcceptedConfiguration {
         let recent = self.peer_answers.recent(self.now);
         match wanted {
-            _ if recent.bytes >= self.settings.max_peer_answer_bytes_per_s() => TakenConfiguration::None,
-            TakenConfiguration::Any if recent.large >= MAX_LARGE_ANSWERS => TakenConfiguration::Small,
+            _ if recent.bytes >= self.settings.max_peer_answer_bytes_per_s() => AcceptedConfiguration::None,
+            AcceptedConfiguration::Any if recent.large >= MAX_LARGE_ANSWERS => AcceptedConfiguration::Small,
             wanted => wanted,
         }
     }
@@ -116,15 +116,15 @@
 /// Parses the target of a pull; returns what the peer knows already, or `None` if the target is malformed.
 fn parse_peer_knowledge(target: &str) -> Option<PeerKnowledge> {
     let (revision, rest) = target.strip_prefix(PULL_TARGET_PREFIX)?.split_once(VERSION_PARAM)?;
-    let (rest, takes) = match rest.strip_suffix(ANY_SIZE_SUFFIX) {
-        Some(rest) => (rest, TakenConfiguration::Any),
-        None => (rest, TakenConfiguration::Small),
+    let (rest, accepts) = match rest.strip_suffix(ANY_SIZE_SUFFIX) {
+        Some(rest) => (rest, AcceptedConfiguration::Any),
+        None => (rest, AcceptedConfiguration::Small),
     };
     let (version, evacuations) = rest.split_once(EVACUATIONS_PARAM)?;
     Some(PeerKnowledge {
         revision: revision.parse().ok()?,
         version: version.parse().ok()?,
         evacuations: evacuations.parse().ok()?,
-        takes,
+        accepts,
     })
 }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -88,7 +88,7 @@
             key,
             host: head.headers.text("host").unwrap_or_default().to_owned(),
             path: head.path().to_owned(),
-            patience: patience.map(Duration::from_millis),
+            caller_timeout: patience.map(Duration::from_millis),
             waited: self.load.longest_wait(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
@@ -139,7 +139,7 @@
             return (None, None);
         };
         let route = &table.definition().routes[index];
-        let tenant = table.judge(route, credential).ok().flatten().and_then(|key| table.tenant(key));
+        let tenant = table.authenticate(route, credential).ok().flatten().and_then(|key| table.tenant(key));
         (Some(route.name.clone()), tenant.map(|tenant| tenant.name.clone()))
     }
 
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -9,8 +9,8 @@
 //! | value | meaning |
 //! | --- | --- |
 //! | [`GatewaySettings::heartbeat_timeout`] | time without a heartbeat of a reader after which a follower probes |
-//! | `ReaderSettings::probe_for_others` | time between two heartbeats of a reader: one goes out with each probe |
-//! | `ReaderSettings::probe_in_doubt` | time between two probes of a node that hears no reader |
+//! | `ReaderSettings::probe_with_followers` | time between two heartbeats of a reader: one goes out with each probe |
+//! | `ReaderSettings::probe_as_prober` | time between two probes of a node that hears no reader |
 //! | `ReaderSettings::probe` | time between two confirmations of the configuration, where keys need them |
 //! | [`GatewaySettings::lapse_grace`] | time for which a searcher whose entry has ended is still a fallback |
 
@@ -60,19 +60,19 @@
     /// which updates must be in force.
     pub fn reader(&self) -> ReaderSettings {
         let defaults = ReaderSettings::default();
-        let configuration_rest = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
-        let searcher_rest = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
+        let configuration_pause = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
+        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
         let heartbeat_timeout = self.heartbeat_timeout();
         let max_confirmation_age = self.max_confirmation_age();
         ReaderSettings {
-            configuration_rest: defaults.configuration_rest.min(configuration_rest),
-            searcher_rest: defaults.searcher_rest.min(searcher_rest),
+            configuration_pause: defaults.configuration_pause.min(configuration_pause),
+            searcher_pause: defaults.searcher_pause.min(searcher_pause),
             probe: ProbeIntervals {
                 usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(PROBE_INTERVAL_FRACTION)),
                 ..defaults.probe
             },
-            probe_for_others: heartbeat_timeout.min(max_confirmation_age).mul_f64(PROBE_INTERVAL_FRACTION),
-            probe_in_doubt: heartbeat_timeout.mul_f64(PROBE_IN_DOUBT_FRACTION),
+            probe_with_followers: heartbeat_timeout.min(max_confirmation_age).mul_f64(PROBE_INTERVAL_FRACTION),
+            probe_as_prober: heartbeat_timeout.mul_f64(PROBE_IN_DOUBT_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..defaults
         }
--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -1,6 +1,6 @@
-//! What is allowed in a configuration and will hurt: what an operator wants to know before a version is written.
+//! Warnings about valid settings that are probably mistakes, for operators before they write a version.
 //!
-//! Findings name tenants, routes and regions; keys never.
+//! Findings name tenants, routes and regions, but never keys.
 
 use crate::configuration::definition::{RouteDefinition, RoutingDefinition};
 use crate::configuration::tenants::{KeyDigest, TenantDefinition};
@@ -11,50 +11,50 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Least burst that lets one request through at any time.
+/// Least burst, in requests, with which a request that follows a time without any is accepted.
 const MIN_BURST: f64 = 1.0;
 
-/// One weakness of a configuration.
+/// One probable mistake in a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// Two tenants have one name.
-    TenantTwice {
-        /// The name.
+    /// Two tenants have the same name.
+    DuplicateTenant {
+        /// Name of the tenants.
         tenant: Arc<str>,
     },
-    /// Two tenants hold the same key; it lets callers in as the first.
-    KeyHeldTwice {
-        /// Who holds it by the order of the configuration.
+    /// Two tenants hold the same key, or one tenant lists it twice. Callers with the key count as the first tenant.
+    DuplicateKey {
+        /// The tenant that comes first in the configuration; requests with the key are its requests.
         first: Arc<str>,
-        /// Who holds it in vain; the same where a tenant lists a key twice.
+        /// The tenant for which the key has no effect; equal to `first` if one tenant lists the key twice.
         second: Arc<str>,
     },
-    /// A tenant has no key: nobody can ask in its name.
+    /// A tenant has no key, so no request can be made in its name.
     NoKeys {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
     },
-    /// A burst is given without a rate: there is no limit.
+    /// A burst is given without a rate, so there is no limit.
     BurstWithoutRate {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
     },
-    /// The burst is too small to let a request through whenever there was none before.
+    /// The burst is so small that even a request that follows a time without any is refused.
     BurstBelowOne {
-        /// Whose.
+        /// The tenant.
         tenant: Arc<str>,
         /// The burst, in requests.
         burst: f64,
     },
-    /// A region is allowed in which there is no zone.
+    /// An allowed region has no zone.
     UnknownRegion {
-        /// Who allows it.
-        by: RegionHolder,
+        /// The route or tenant that allows the region.
+        allowed_by: RegionHolder,
         /// The region.
         region: Arc<str>,
     },
     /// A route and a tenant have no allowed region in common.
-    NowhereToServe {
+    NoCommonRegion {
         /// The route.
         route: Arc<str>,
         /// The tenant.
@@ -62,7 +62,7 @@
     },
 }
 
-/// Who allows regions.
+/// The route or tenant that allows a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegionHolder {
     /// A route.
@@ -71,7 +71,7 @@
     Tenant(Arc<str>),
 }
 
-/// Judges a quota as it is written: requests per second, 0 where there is no limit, and requests beyond that.
+/// Checks a tenant's quota: its rate in requests per second (0 for no limit) and its burst in requests.
 pub fn check_quota(tenant: &Arc<str>, rate_per_s: f64, burst: f64) -> Option<Finding> {
     let tenant = tenant.clone();
     match (rate_per_s > 0.0, burst) {
@@ -81,7 +81,8 @@
     }
 }
 
-/// Judges what a definition says of tenants and regions. `regions` are those that have zones; `None` where they aren't known.
+/// Checks the tenants and regions of a definition. `regions` are the regions that have zones; `None` if they are
+/// unknown.
 pub fn check_tenants(definition: &RoutingDefinition, regions: Option<&[Arc<str>]>) -> Vec<Finding> {
     let mut findings = check_names(&definition.tenants);
     findings.extend(check_keys(&definition.tenants));
@@ -94,8 +95,8 @@
 
 fn check_names(tenants: &[TenantDefinition]) -> Vec<Finding> {
     let mut names = HashSet::new();
-    let again = tenants.iter().filter(|tenant| !names.insert(tenant.name.clone()));
-    again.map(|tenant| Finding::TenantTwice { tenant: tenant.name.clone() }).collect()
+    let duplicates = tenants.iter().filter(|tenant| !names.insert(tenant.name.clone()));
+    duplicates.map(|tenant| Finding::DuplicateTenant { tenant: tenant.name.clone() }).collect()
 }
 
 fn check_keys(tenants: &[TenantDefinition]) -> Vec<Finding> {
@@ -109,7 +110,7 @@
             match holders.entry(*key) {
                 Entry::Occupied(holder) => {
                     let first = tenants[holder.get().0 as usize].name.clone();
-                    findings.push(Finding::KeyHeldTwice { first, second: tenant.name.clone() });
+                    findings.push(Finding::DuplicateKey { first, second: tenant.name.clone() });
                 }
                 Entry::Vacant(place) => {
                     place.insert(TenantKey(number));
@@ -125,18 +126,18 @@
         definition.routes.iter().map(|route| (RegionHolder::Route(route.name.clone()), &route.allowed_regions));
     let tenants =
         definition.tenants.iter().map(|tenant| (RegionHolder::Tenant(tenant.name.clone()), &tenant.allowed_regions));
-    let unknown = routes.chain(tenants).flat_map(|(by, allowed)| {
+    let unknown = routes.chain(tenants).flat_map(|(allowed_by, allowed)| {
         let unknown = allowed.iter().filter(|region| !regions.contains(region));
-        unknown.map(move |region| Finding::UnknownRegion { by: by.clone(), region: region.clone() })
+        unknown.map(move |region| Finding::UnknownRegion { allowed_by: allowed_by.clone(), region: region.clone() })
     });
     unknown.collect()
 }
 
 fn check_route(route: &RouteDefinition, tenants: &[TenantDefinition]) -> Vec<Finding> {
-    let is_nowhere = |tenant: &&TenantDefinition| AllowedRegions::new(route, Some(tenant)).are_none();
+    let has_no_region = |tenant: &&TenantDefinition| AllowedRegions::new(route, Some(tenant)).are_none();
     let finding =
-        |tenant: &TenantDefinition| Finding::NowhereToServe { route: route.name.clone(), tenant: tenant.name.clone() };
-    tenants.iter().filter(is_nowhere).map(finding).collect()
+        |tenant: &TenantDefinition| Finding::NoCommonRegion { route: route.name.clone(), tenant: tenant.name.clone() };
+    tenants.iter().filter(has_no_region).map(finding).collect()
 }
 
 impl fmt::Display for RegionHolder {
@@ -151,22 +152,30 @@
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::TenantTwice { tenant } => write!(f, "tenant {tenant}: named twice"),
-            Finding::KeyHeldTwice { first, second } if first == second => {
+            Finding::DuplicateTenant { tenant } => write!(f, "tenant {tenant}: named twice"),
+            Finding::DuplicateKey { first, second } if first == second => {
                 write!(f, "tenant {first}: lists a key twice")
             }
-            Finding::KeyHeldTwice { first, second } => {
-                write!(f, "tenant {second}: holds a key of tenant {first}, which it lets callers in as")
+            Finding::DuplicateKey { first, second } => {
+                write!(
+                    f,
+                    "tenant {second}: holds a key of tenant {first}; callers with that key count as tenant {first}"
+                )
             }
             Finding::NoKeys { tenant } => write!(f, "tenant {tenant}: has no key"),
             Finding::BurstWithoutRate { tenant } => {
-                write!(f, "tenant {tenant}: a burst without a rate; it may send without limit")
+                write!(f, "tenant {tenant}: a burst without a rate, so there is no limit")
             }
             Finding::BurstBelowOne { tenant, burst } => {
-                write!(f, "tenant {tenant}: a burst of {burst} lets no request through that comes after a rest")
+                write!(
+                    f,
+                    "tenant {tenant}: a burst of {burst} is below 1, so even a request after an idle period is refused"
+                )
+            }
+            Finding::UnknownRegion { allowed_by, region } => {
+                write!(f, "{allowed_by}: allows region {region}, which has no zone")
             }
-            Finding::UnknownRegion { by, region } => write!(f, "{by}: allows region {region}, which has no zone"),
-            Finding::NowhereToServe { route, tenant } => {
+            Finding::NoCommonRegion { route, tenant } => {
                 write!(f, "route {route}: has no allowed region in common with tenant {tenant}")
             }
         }
--- a/crates/staircross-routing/src/configuration/delta.rs
+++ b/crates/staircross-routing/src/configuration/delta.rs
@@ -1,8 +1,9 @@
-//! What differs between two versions of the configuration, so that peers are sent a change instead of the whole.
+//! The difference of two versions of the configuration, which peers are sent instead of the whole.
 //!
-//! A configuration of 1,700 routes is a quarter of a megabyte. Passed on whole it fills the links of small machines, and read by each node from the store it
-//! costs a call a node for each change, mostly of one route. A delta holds the routes and services that changed and a digest of what must come of
-//! it; a node that gets something else doesn't take it and reads the whole.
+//! A configuration of 1,700 routes is a quarter of a megabyte. Sending it whole to peers saturates the links of small
+//! machines, and reading it from the store costs one call per node for each change, most of which affect one route. A
+//! delta holds the changed entries and a digest of the resulting definition. A node whose result has another digest
+//! rejects the delta and reads the whole configuration.
 
 use crate::configuration::definition::{CallerLimits, RouteDefinition, RoutingDefinition, ServiceEntry};
 use crate::configuration::tenants::TenantDefinition;
@@ -14,16 +15,16 @@
 /// The change from one version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DefinitionDelta {
-    /// Version that it starts from.
+    /// Version to which the delta can be applied.
     pub from: u64,
-    /// Version that it leads to.
+    /// Version that results from applying the delta.
     pub to: u64,
     routes: ListDelta<RouteDefinition>,
     services: ListDelta<ServiceEntry>,
     #[serde(default, skip_serializing_if = "ListDelta::is_empty")]
     tenants: ListDelta<TenantDefinition>,
     limits: CallerLimits,
-    /// Digest of the definition that it leads to.
+    /// Digest of the definition that results from applying the delta.
     digest: u64,
 }
 
@@ -31,12 +32,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ListDelta<T> {
     /// Entries that are new or have changed.
-    set: Vec<T>,
-    /// Names of those that are gone.
-    gone: Vec<Arc<str>>,
+    #[serde(rename = "set")]
+    changed: Vec<T>,
+    /// Names of the entries that were removed.
+    #[serde(rename = "gone")]
+    removed: Vec<Arc<str>>,
 }
 
-/// Something that has a name of its own in a definition.
+/// An entry of a definition's list, identified by its name.
 trait Named {
     fn name(&self) -> &Arc<str>;
 }
@@ -60,7 +63,7 @@
 }
 
 impl DefinitionDelta {
-    /// What leads from one definition to another; `None` where names aren't unique.
+    /// Computes the delta from `old` to `new`; `None` if names aren't unique.
     pub fn between(old: &RoutingDefinition, new: &RoutingDefinition) -> Option<Self> {
         Some(DefinitionDelta {
             from: old.version,
@@ -73,7 +76,8 @@
         })
     }
 
-    /// The definition that it leads to from `old`; `None` where `old` is another than it starts from, or something else would come of it.
+    /// Returns the definition that results from applying the delta to `old`; `None` if `old` has another version than
+    /// `from`, or if the result doesn't match the digest.
     pub fn apply(&self, old: &RoutingDefinition) -> Option<RoutingDefinition> {
         if old.version != self.from {
             return None;
@@ -88,21 +92,21 @@
         (digest(&new)? == self.digest).then_some(new)
     }
 
-    /// Routes that are sent, and names of those that are gone.
+    /// Returns the routes that are new or changed, and the names of those that were removed.
     pub fn changed_routes(&self) -> (&[RouteDefinition], &[Arc<str>]) {
-        (&self.routes.set, &self.routes.gone)
+        (&self.routes.changed, &self.routes.removed)
     }
 }
 
 impl<T> Default for ListDelta<T> {
     fn default() -> Self {
-        ListDelta { set: Vec::new(), gone: Vec::new() }
+        ListDelta { changed: Vec::new(), removed: Vec::new() }
     }
 }
 
 impl<T> ListDelta<T> {
     fn is_empty(&self) -> bool {
-        self.set.is_empty() && self.gone.is_empty()
+        self.changed.is_empty() && self.removed.is_empty()
     }
 }
 
@@ -110,47 +114,47 @@
     fn between(old: &[T], new: &[T]) -> Option<Self> {
         let (old, new) = (by_name(old)?, by_name(new)?);
         let changed = new.iter().filter(|(name, entry)| old.get(*name) != Some(*entry));
-        let gone = old.keys().filter(|name| !new.contains_key(*name));
+        let removed = old.keys().filter(|name| !new.contains_key(*name));
         Some(ListDelta {
-            set: changed.map(|(_, entry)| (*entry).clone()).collect(),
-            gone: gone.map(|name| (*name).clone()).collect(),
+            changed: changed.map(|(_, entry)| (*entry).clone()).collect(),
+            removed: removed.map(|name| (*name).clone()).collect(),
         })
     }
 
     fn apply(&self, old: &[T]) -> Option<Vec<T>> {
         let mut entries = by_name(old)?;
-        for name in &self.gone {
+        for name in &self.removed {
             entries.remove(name);
         }
-        entries.extend(self.set.iter().map(|entry| (entry.name(), entry)));
+        entries.extend(self.changed.iter().map(|entry| (entry.name(), entry)));
         Some(entries.into_values().cloned().collect())
     }
 }
 
-/// `None` where two entries have one name.
+/// Indexes entries by name; `None` if two entries have the same name.
 fn by_name<T: Named>(entries: &[T]) -> Option<BTreeMap<&Arc<str>, &T>> {
     let map: BTreeMap<&Arc<str>, &T> = entries.iter().map(|entry| (entry.name(), entry)).collect();
     (map.len() == entries.len()).then_some(map)
 }
 
-/// A digest that doesn't depend on the order of routes and services; `None` where names aren't unique.
+/// Computes a digest that doesn't depend on the order of routes, services and tenants; `None` if names aren't unique.
 fn digest(definition: &RoutingDefinition) -> Option<u64> {
     let mut digest = Xxh3Default::new();
     digest.update(&definition.version.to_le_bytes());
     for route in by_name(&definition.routes)?.into_values() {
-        update(&mut digest, route)?;
+        hash_part(&mut digest, route)?;
     }
     for service in by_name(&definition.services)?.into_values() {
-        update(&mut digest, service)?;
+        hash_part(&mut digest, service)?;
     }
     for tenant in by_name(&definition.tenants)?.into_values() {
-        update(&mut digest, tenant)?;
+        hash_part(&mut digest, tenant)?;
     }
-    update(&mut digest, &definition.limits)?;
+    hash_part(&mut digest, &definition.limits)?;
     Some(digest.digest())
 }
 
-fn update(digest: &mut Xxh3Default, part: &impl Serialize) -> Option<()> {
+fn hash_part(digest: &mut Xxh3Default, part: &impl Serialize) -> Option<()> {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(part, &mut bytes).ok()?;
     digest.update(&bytes);
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -66,7 +66,7 @@
 
 impl HeldRequest {
     fn new(now: BootTime, arrival: Arrival) -> Self {
-        let until = request_lifecycle::hold_until(now, arrival.patience);
+        let until = request_lifecycle::hold_until(now, arrival.caller_timeout);
         HeldRequest { arrival, held_at: now, until }
     }
 
@@ -313,7 +313,7 @@
 
 fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
     let timeout = Duration::from_millis(route.timeout_ms);
-    request_lifecycle::deadline(now, TimeBounds { timeout, patience: arrival.patience, waited: arrival.waited })
+    request_lifecycle::deadline(now, TimeBounds { timeout, patience: arrival.caller_timeout, waited: arrival.waited })
 }
 
 /// Returns the tenant that a request's credential belongs to. A key that this node's configuration doesn't accept
@@ -328,7 +328,7 @@
     if is_judged && !table.definition().tenants.is_empty() {
         check_configuration_view(table, arrival)?;
     }
-    table.judge(route, arrival.credential).map_err(|refusal| {
+    table.authenticate(route, arrival.credential).map_err(|refusal| {
         if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
             return NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail);
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -164,13 +164,13 @@
         let attempt = AttemptKey { request: planned.request, number: request.attempts.len() as u16 };
         let work = times.usual.mul_f64(searcher.slowness(now));
         let due_at = now + times.round_trip + work.mul_f64(OVERDUE_WORK_FACTOR);
-        searcher.sent(now, OpenAttempt { attempt, sent_at: now, due_at });
+        searcher.note_sent(now, OpenAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[planned.shard_index];
         shard.sent_to.push(planned.searcher);
         shard.outstanding += 1;
         shard.tried.push(planned.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let at_work = request.attempts_at_work();
+        let at_work = request.open_attempts();
         if let Some(probe) = &mut request.probe {
             probe.note_sent(now, times.round_trip, work, at_work);
         }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -26,7 +26,7 @@
         let Some(sent) = self.sent_attempts.remove(&attempt) else {
             return;
         };
-        self.searchers[sent.searcher.0 as usize].released(attempt);
+        self.searchers[sent.searcher.0 as usize].note_released(attempt);
         self.record_wait(now, &sent, &outcome, actions);
         self.update_searcher(now, &sent, &outcome);
         let shard_index = self.close_attempt(attempt);
@@ -65,7 +65,7 @@
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         if let AttemptOutcome::Answered(answer) = outcome {
-            searcher.take_report(now, answer.report);
+            searcher.note_report(now, answer.report);
         }
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status < 500 => {
@@ -73,15 +73,15 @@
                     return;
                 };
                 let usual = statistics.work.median().max(Duration::from_micros(100));
-                searcher.answered(now, sent.sent_at, worked.as_secs_f64() / usual.as_secs_f64());
+                searcher.note_answer(now, sent.sent_at, worked.as_secs_f64() / usual.as_secs_f64());
                 statistics.work.record(worked);
             }
-            AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.faltered(now),
+            AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) => searcher.note_failed_answer(now),
             // An idle connection that was closed says nothing about the searcher's speed or health.
             AttemptOutcome::Cancelled | AttemptOutcome::NotRun(NotRun::Stale) => {}
-            AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.failed(now),
-            AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.connection_rejected(now),
-            AttemptOutcome::NotRun(NotRun::Shed) => searcher.shed(now),
+            AttemptOutcome::NotRun(NotRun::Unconnected) => searcher.note_unreachable(now),
+            AttemptOutcome::NotRun(NotRun::ConnectionRejected) => searcher.note_connection_rejected(now),
+            AttemptOutcome::NotRun(NotRun::Shed) => searcher.note_rejection(now),
             AttemptOutcome::NotRun(NotRun::OtherInstance) => self.mark_searcher_gone(sent.searcher),
         }
     }
@@ -133,7 +133,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.shards[shard_index].state = ShardState::In(answer);
+            request.shards[shard_index].state = ShardState::Answered(answer);
         }
         self.abandon_shard_attempts(key, shard_index, actions);
     }
@@ -161,7 +161,7 @@
         };
         let shard = &mut request.shards[shard_index];
         if !unused.is_counted {
-            shard.forget_sending(searcher);
+            shard.remove_sent(searcher);
         }
         if unused.may_be_asked_again {
             shard.tried.retain(|tried| *tried != searcher);
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -16,8 +16,9 @@
         let Some(table) = self.table.clone() else {
             return;
         };
-        let is_affected =
-            |request: &Request| request.tenant.is_some() && !request.is_key_revoked && !table.holds(request.credential);
+        let is_affected = |request: &Request| {
+            request.tenant.is_some() && !request.is_key_revoked && !table.accepts(request.credential)
+        };
         let affected = self.requests.iter().filter(|(_, request)| is_affected(request));
         let mut keys: Vec<RequestKey> = affected.map(|(key, _)| *key).collect();
         // The result must not depend on the order of the hash map.
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -1,57 +1,57 @@
-//! What this node knows of the platform's store.
+//! This node's copy of the platform's store.
 //!
-//! Owns a copy of what the store holds, as far as it is known, and up to which revisions that is all. Relies on `known_configuration`,
-//! `known_entries` and `evacuations` for what holds of each kind. It makes no calls and puts nothing in force: an update is merged, and
-//! what was new is returned.
+//! The mirror holds the known items of the store and the revisions up to which it is complete. `known_configuration`,
+//! `known_entries` and `evacuations` hold the state of each kind of items. The mirror makes no calls to the store and
+//! doesn't apply changes to the engine: it merges updates and returns what changed.
 //!
-//! Each item carries the revision of its last change. Items are merged by revision, searchers' entries by their incarnation too, and
-//! never by the order in which they arrive, so it doesn't matter whether they come from the store or from a peer.
+//! Each item carries the revision of its last change. Items are merged by revision, and searchers' entries by start
+//! time too, but never by order of arrival. So it makes no difference whether they come from the store or from a peer.
 
 use crate::configuration::definition::RoutingDefinition;
 use crate::configuration::delta::DefinitionDelta;
 use crate::state::evacuations::{Evacuations, ZoneChange};
-pub use crate::state::known_configuration::TakenConfiguration;
+pub use crate::state::known_configuration::AcceptedConfiguration;
 use crate::state::known_configuration::{ConfigurationUpdate, KnownConfiguration};
 use crate::state::known_entries::{KnownEntries, WrittenEntry};
-use crate::state::reach::Reach;
+use crate::state::known_revisions::KnownRevisions;
 pub use crate::state::searcher_entry::SearcherEntry;
 use crate::state::unreadable::UnreadableItem;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most searchers that are remembered as gone; beyond it the older half is forgotten, and peers that are behind get a whole listing. Above the
-/// searchers of large fleets, which have some hundreds.
+/// Largest number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
+/// further behind get a complete listing. Large fleets have some hundreds of searchers, which is well below this limit.
 const MAX_TOMBSTONES: usize = 4096;
 
-/// One item of the store with its revision.
+/// One item of the store, or a change of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MirrorItem {
-    /// The configuration.
+    /// The whole configuration.
     Configuration {
-        /// Its content.
+        /// Content of the configuration.
         definition: Arc<RoutingDefinition>,
     },
-    /// What changed of the configuration since the version that the asker has, one version after the other.
+    /// The deltas of the configuration since the version of the asking node, in ascending order of version.
     ConfigurationChanges {
-        /// The changes.
+        /// The deltas.
         deltas: Vec<DefinitionDelta>,
     },
-    /// A searcher.
+    /// A searcher's entry, as it was last written.
     Searcher {
-        /// Its entry.
+        /// The entry.
         entry: SearcherEntry,
     },
-    /// A searcher's entry has gone.
+    /// A searcher's entry was removed from the store.
     SearcherGone {
-        /// The id of the searcher.
+        /// Id of the searcher.
         instance: Arc<str>,
     },
-    /// The searchers of a zone are to get no new work, or may get it again.
+    /// The evacuation of a zone started or ended: its searchers must get no new work, or may get it again.
     Evacuation {
         /// The zone.
         zone: Arc<str>,
-        /// Whether it is to get none.
+        /// Whether the zone is being evacuated.
         is_active: bool,
     },
 }
@@ -65,26 +65,29 @@
     }
 }
 
-/// Items that changed, and up to which revision that is all.
+/// Items that changed, and the revisions up to which the update is complete.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MirrorUpdate {
-    /// Items with the revision of their last change.
+    /// The items, each with the revision of its last change.
     pub items: Vec<(u64, MirrorItem)>,
-    /// Whether searchers that aren't listed are gone.
+    /// Whether the update lists all searchers, so that those it leaves out are gone.
     pub is_complete_for_searchers: bool,
-    /// Revision up to which the update holds all changes of searchers; 0 when it doesn't.
+    /// Revision up to which the receiver knows all changes of searchers after merging the update; 0 when the sender
+    /// doesn't know them all.
     pub up_to: u64,
-    /// Newest change of searchers before which the sender lacks nothing; a listing leaves out searchers whose end was the newest change.
+    /// Revision of the sender's newest change of searchers before which it knows all changes. It is sent because a
+    /// listing doesn't show the newest change if that was the removal of a searcher.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub newest: u64,
-    /// Revision up to which the update holds all that the operator wrote, but for a configuration that the asker doesn't take; 0 when it
-    /// doesn't.
+    /// Revision up to which the update holds all changes of the configuration and of evacuations, except for a
+    /// configuration that the asking node doesn't accept; 0 when the sender doesn't know them all.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub operator_up_to: u64,
-    /// Revision at which zones that aren't listed as evacuated weren't; `None` when the update doesn't list them all.
+    /// Revision at which all evacuated zones were listed, so that those the update leaves out weren't evacuated;
+    /// `None` when the update doesn't list them all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_evacuations_at: Option<u64>,
-    /// Items that can't be used, for the log of the node that read them; they aren't sent to peers.
+    /// Items that can't be used. The node that read them logs them; they aren't sent to peers.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableItem>,
 }
@@ -93,62 +96,64 @@
     *revision == 0
 }
 
-/// What an asker has and takes.
+/// What an asking peer already knows, and which configurations it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerKnowledge {
-    /// Revision up to which it knows the searchers.
+    /// Revision up to which the peer knows all changes of searchers; 0 when it has no complete listing.
     pub revision: u64,
-    /// Version of its configuration.
+    /// Version of the peer's configuration.
     pub version: u64,
-    /// Revision up to which it knows evacuations.
+    /// Revision up to which the peer knows all changes of evacuations.
     pub evacuations: u64,
-    /// Which newer configuration it takes; what it isn't sent it reads from the store.
-    pub takes: TakenConfiguration,
+    /// Which newer configurations the peer accepts; it reads the others from the store.
+    pub accepts: AcceptedConfiguration,
 }
 
-/// What a merge changed: how things stand after it. No id is both among the searchers and among those
-/// that are gone, whatever happened to it on the way.
+/// The net effect of a merge. No id is both among the changed and among the removed searchers, even if the update holds
+/// several changes of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MirrorChanges {
-    /// A newer configuration.
+    /// The newest configuration, if the merge brought a newer one.
     pub configuration: Option<Arc<RoutingDefinition>>,
-    /// New or changed searchers.
+    /// Entries of new or changed searchers.
     pub searchers: Vec<SearcherEntry>,
-    /// Searchers whose entry has gone.
+    /// Ids of the searchers whose entry is gone.
     pub gone: Vec<Arc<str>>,
-    /// All zones that are being evacuated, if that has changed.
+    /// All zones that are being evacuated, if the set changed.
     pub evacuated: Option<Vec<Arc<str>>>,
 }
 
-/// Changes while a merge goes on. An update may hold several of one id; how things stand after it counts, but an
-/// incarnation that once was draining goes on draining.
+/// The changes collected during a merge. An update may hold several changes of one id. Only the state after the merge
+/// is reported, but an incarnation that was draining in any of its entries is reported as draining.
 #[derive(Default)]
-struct Touched {
+struct PendingChanges {
     configuration: Option<Arc<RoutingDefinition>>,
-    searchers: BTreeMap<Arc<str>, TouchedSearcher>,
+    searchers: BTreeMap<Arc<str>, PendingSearcherChange>,
     has_evacuations: bool,
 }
 
 #[derive(Default)]
-struct TouchedSearcher {
-    /// Revision of the entry that held before the merge.
+struct PendingSearcherChange {
+    /// Revision of the entry that was current before the merge.
     before: Option<u64>,
-    /// Starts, in Unix milliseconds, of incarnations that were draining.
-    draining: Vec<u64>,
+    /// Start times, in Unix milliseconds, of the incarnations of which the merge brought a draining entry.
+    draining_starts: Vec<u64>,
 }
 
-impl Touched {
-    fn note(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut TouchedSearcher {
-        self.searchers.entry(instance).or_insert(TouchedSearcher { before, draining: Vec::new() })
+impl PendingChanges {
+    /// Returns the record of a searcher that the merge changes; `before` is the revision of its entry before this
+    /// change.
+    fn searcher_mut(&mut self, instance: Arc<str>, before: Option<u64>) -> &mut PendingSearcherChange {
+        self.searchers.entry(instance).or_insert(PendingSearcherChange { before, draining_starts: Vec::new() })
     }
 
     fn into_changes(self, known: &BTreeMap<Arc<str>, KnownEntries>) -> MirrorChanges {
         let mut changes = MirrorChanges { configuration: self.configuration, ..MirrorChanges::default() };
-        for (instance, touched) in self.searchers {
+        for (instance, change) in self.searchers {
             let after = known.get(&instance).and_then(KnownEntries::current);
-            match (touched.before, after) {
+            match (change.before, after) {
                 (before, Some(after)) if before != Some(after.revision) => {
-                    let has_drained = touched.draining.contains(&after.entry.born_ms);
+                    let has_drained = change.draining_starts.contains(&after.entry.born_ms);
                     let is_draining = after.entry.is_draining || has_drained;
                     changes.searchers.push(SearcherEntry { is_draining, ..after.entry.clone() });
                 }
@@ -160,17 +165,17 @@
     }
 }
 
-/// What a listing holds: of its kind, all else is gone.
+/// The ids and zones in a listing. Every other item of a kind that the listing covers is gone.
 #[derive(Default)]
-struct Listed {
+struct ListedNames {
     /// Ids of searchers.
     searchers: Vec<Arc<str>>,
     /// Zones that are evacuated.
     evacuated: Vec<Arc<str>>,
 }
 
-impl Listed {
-    fn note(&mut self, item: &MirrorItem) {
+impl ListedNames {
+    fn add(&mut self, item: &MirrorItem) {
         match item {
             MirrorItem::Searcher { entry } => self.searchers.push(entry.instance.clone()),
             MirrorItem::Evacuation { zone, is_active: true } => self.evacuated.push(zone.clone()),
@@ -182,150 +187,157 @@
     }
 }
 
-/// A copy of what the store holds, as far as it is known.
+/// The known items of the store, and the revisions up to which they are complete.
 #[derive(Debug, Default)]
 pub struct Mirror {
     configuration: KnownConfiguration,
     searchers: BTreeMap<Arc<str>, KnownEntries>,
     evacuations: Evacuations,
-    /// How far all changes of searchers are known, once a whole listing is.
-    searchers_reach: Reach,
-    /// How far all is known that the operator wrote.
-    operator_reach: Reach,
-    /// Revision from which on all ends of entries are remembered; a peer that is further behind gets a whole listing.
-    tombstones_from: u64,
-    /// Whether a whole listing of the searchers has been merged.
+    /// Revisions up to which changes of searchers are known; complete up to 0 until `has_listing` is set.
+    searcher_revisions: KnownRevisions,
+    /// Revisions up to which changes of the configuration and of evacuations are known.
+    operator_revisions: KnownRevisions,
+    /// Revision after which all removals of entries are remembered; a peer that is further behind gets a complete
+    /// listing.
+    tombstones_complete_after: u64,
+    /// Whether a complete listing of the searchers has been merged.
     has_listing: bool,
 }
 
 impl Mirror {
-    /// The configuration, if one is known.
+    /// Returns the newest known configuration, if any is known.
     pub fn configuration(&self) -> Option<&Arc<RoutingDefinition>> {
         self.configuration.definition()
     }
 
-    /// Version of the configuration; 0 when none is known.
+    /// Returns the version of the configuration; 0 when none is known.
     pub fn version(&self) -> u64 {
         self.configuration.version()
     }
 
-    /// Revision up to which all is known that the operator wrote, the configuration and evacuations; 0 when nothing is known whole.
+    /// Returns the revision up to which all changes of the configuration and of evacuations are known; 0 before the
+    /// first complete listing.
     pub fn operator_up_to(&self) -> u64 {
-        self.operator_reach.up_to()
+        self.operator_revisions.complete_up_to()
     }
 
-    /// Newest change of a searcher's entry before which nothing is lacking: where a peer's is newer, it knows more.
+    /// Returns the revision of the newest change of a searcher's entry before which all changes are known. A peer whose
+    /// value is higher knows more.
     pub fn newest_revision(&self) -> u64 {
-        self.searchers_reach.newest()
+        self.searcher_revisions.newest_change()
     }
 
-    /// Revision up to which nothing of the searchers is lacking: a peer that is asked sends what came later, and a watch goes on from there. 0 before a
-    /// whole listing is known.
+    /// Returns the revision up to which all changes of searchers are known; 0 before a complete listing was merged.
+    /// Peers are asked for later changes, and a watch continues from there.
     pub fn known_revision(&self) -> u64 {
-        if self.has_listing { self.searchers_reach.up_to() } else { 0 }
+        if self.has_listing { self.searcher_revisions.complete_up_to() } else { 0 }
     }
 
-    /// Newest revision of the start or end of an evacuation before which nothing is lacking; a peer that is asked sends what came later. Peers of an
-    /// earlier build don't say how far they know; then it is the newest.
+    /// Returns the revision of the newest start or end of an evacuation before which all are known; peers are asked for
+    /// later ones. Peers of an earlier build don't send `operator_up_to`; without it this is the newest known change.
     pub fn evacuations_revision(&self) -> u64 {
         let newest = self.evacuations.newest();
-        match self.operator_reach.up_to() {
+        match self.operator_revisions.complete_up_to() {
             0 => newest,
             up_to => newest.min(up_to),
         }
     }
 
-    /// Zones that are being evacuated.
+    /// Returns the zones that are being evacuated.
     pub fn evacuated(&self) -> Vec<Arc<str>> {
         self.evacuations.active()
     }
 
-    /// Whether all searchers are known, by a listing of the store's own or of a peer that had one.
+    /// Returns whether a complete listing of the searchers was merged, from the store or from a peer.
     pub fn has_listing(&self) -> bool {
         self.has_listing
     }
 
-    /// Searchers with an entry.
+    /// Returns the current entries of all searchers.
     pub fn searchers(&self) -> impl Iterator<Item = &SearcherEntry> {
         self.searchers.values().filter_map(KnownEntries::current).map(|known| &known.entry)
     }
 
-    /// Merges an update and returns what was new.
+    /// Merges an update and returns what it changed.
     pub fn merge(&mut self, update: MirrorUpdate) -> MirrorChanges {
-        let mut touched = Touched::default();
-        let mut listed = Listed::default();
+        let mut pending = PendingChanges::default();
+        let mut listed = ListedNames::default();
         let is_listing = update.is_complete_for_searchers || update.all_evacuations_at.is_some();
-        // Less is known there than here: a searcher that isn't known here had gone by then.
+        // If the sender knows less than this node, a searcher that only the sender knows is gone: this node knew of its
+        // removal and has forgotten it.
         let known = self.known_revision();
-        let gone_by = if update.up_to < known { known } else { 0 };
+        let known_up_to = if update.up_to < known { known } else { 0 };
         for (revision, item) in update.items {
             if is_listing {
-                listed.note(&item);
+                listed.add(&item);
             }
-            if !self.had_gone(revision, &item, gone_by) {
-                self.take(revision, item, &mut touched);
+            if !self.was_removed(revision, &item, known_up_to) {
+                self.merge_item(revision, item, &mut pending);
             }
         }
-        if let Some(at) = update.all_evacuations_at {
-            touched.has_evacuations |= self.evacuations.end_unlisted(at, &listed.evacuated);
+        if let Some(revision) = update.all_evacuations_at {
+            pending.has_evacuations |= self.evacuations.merge_listing(revision, &listed.evacuated);
         }
         if update.is_complete_for_searchers {
             listed.searchers.sort();
-            self.drop_unlisted(update.up_to, &listed.searchers, &mut touched);
+            self.remove_unlisted(update.up_to, &listed.searchers, &mut pending);
             self.has_listing = true;
         }
         if self.has_listing {
-            self.searchers_reach.note_whole(update.up_to);
+            self.searcher_revisions.note_complete(update.up_to);
         }
-        self.searchers_reach.note_change(update.newest);
-        self.operator_reach.note_whole(update.operator_up_to);
-        self.forget_old_tombstones();
-        let evacuated = touched.has_evacuations.then(|| self.evacuations.active());
-        MirrorChanges { evacuated, ..touched.into_changes(&self.searchers) }
+        self.searcher_revisions.note_change(update.newest);
+        self.operator_revisions.note_complete(update.operator_up_to);
+        self.drop_old_tombstones();
+        let evacuated = pending.has_evacuations.then(|| self.evacuations.active());
+        MirrorChanges { evacuated, ..pending.into_changes(&self.searchers) }
     }
 
-    /// Whether an entry is of a searcher that had gone by a revision up to which all are known.
-    fn had_gone(&self, revision: u64, item: &MirrorItem, by: u64) -> bool {
+    /// Returns whether the item is an entry of a searcher that has been removed since: the entry was written at or
+    /// before `known_up_to`, up to which all changes are known here, but the searcher isn't known.
+    fn was_removed(&self, revision: u64, item: &MirrorItem, known_up_to: u64) -> bool {
         match item {
-            MirrorItem::Searcher { entry } => revision <= by && !self.searchers.contains_key(&entry.instance),
+            MirrorItem::Searcher { entry } => revision <= known_up_to && !self.searchers.contains_key(&entry.instance),
             _ => false,
         }
     }
 
-    fn take(&mut self, revision: u64, item: MirrorItem, touched: &mut Touched) {
+    fn merge_item(&mut self, revision: u64, item: MirrorItem, pending: &mut PendingChanges) {
         match item {
             MirrorItem::Configuration { definition } => {
-                let newer = self.configuration.take(revision, definition);
-                touched.configuration = newer.or(touched.configuration.take());
+                let newer = self.configuration.replace_if_newer(revision, definition);
+                pending.configuration = newer.or(pending.configuration.take());
             }
             MirrorItem::ConfigurationChanges { deltas } => {
-                let newer = self.configuration.take_deltas(revision, &deltas);
-                touched.configuration = newer.or(touched.configuration.take());
+                let newer = self.configuration.apply_deltas(revision, &deltas);
+                pending.configuration = newer.or(pending.configuration.take());
             }
-            MirrorItem::Searcher { entry } => self.take_searcher(revision, entry, touched),
-            MirrorItem::SearcherGone { instance } => self.take_gone(revision, instance, touched),
+            MirrorItem::Searcher { entry } => self.merge_entry(revision, entry, pending),
+            MirrorItem::SearcherGone { instance } => self.merge_removal(revision, instance, pending),
             MirrorItem::Evacuation { zone, is_active } => {
-                touched.has_evacuations |= self.evacuations.take(revision, zone, is_active);
+                pending.has_evacuations |= self.evacuations.merge_change(revision, zone, is_active);
             }
         }
     }
 
-    /// Everything that a peer lacks, but for a large configuration that it doesn't take.
+    /// Returns everything that a peer lacks, except for a configuration that it doesn't accept.
     pub fn changes_for(&self, peer: PeerKnowledge) -> MirrorUpdate {
         let revision = peer.revision;
-        let is_complete = self.has_listing && (revision < self.tombstones_from || revision == 0);
+        let is_complete = self.has_listing && (revision < self.tombstones_complete_after || revision == 0);
         let mut items = Vec::new();
-        if let Some((at, update)) = self.configuration.update_for(peer.version, peer.takes) {
-            items.push((at, update.into()));
+        if let Some((written_at, update)) = self.configuration.update_for(peer.version, peer.accepts) {
+            items.push((written_at, update.into()));
         }
         for (instance, known) in &self.searchers {
-            let update = known.standing().iter().filter(|known| is_complete || known.revision > revision);
+            let update = known.entries().iter().filter(|known| is_complete || known.revision > revision);
             items.extend(update.map(|known| (known.revision, MirrorItem::Searcher { entry: known.entry.clone() })));
-            // A whole listing says by itself what had gone by then, but not of ids that it lists.
-            let is_said =
-                is_complete && known.standing().is_empty() && known.ended_at() <= self.searchers_reach.up_to();
-            if known.ended_at() > revision && !is_said {
-                items.push((known.ended_at(), MirrorItem::SearcherGone { instance: instance.clone() }));
+            // A complete listing implies the removal of ids that it leaves out, but not that of earlier entries of ids
+            // that it lists.
+            let is_implied = is_complete
+                && known.entries().is_empty()
+                && known.removed_up_to() <= self.searcher_revisions.complete_up_to();
+            if known.removed_up_to() > revision && !is_implied {
+                items.push((known.removed_up_to(), MirrorItem::SearcherGone { instance: instance.clone() }));
             }
         }
         items.extend(self.evacuations.changes_after(peer.evacuations).map(|change| {
@@ -338,58 +350,58 @@
             up_to: self.known_revision(),
             newest: self.newest_revision(),
             operator_up_to: self.operator_up_to(),
-            all_evacuations_at: self.evacuations.listed_at(),
+            all_evacuations_at: self.evacuations.listed_revision(),
             ..MirrorUpdate::default()
         }
     }
 
-    fn take_searcher(&mut self, revision: u64, entry: SearcherEntry, touched: &mut Touched) {
+    fn merge_entry(&mut self, revision: u64, entry: SearcherEntry, pending: &mut PendingChanges) {
         let known = self.searchers.entry(entry.instance.clone()).or_default();
         let before = known.current().map(|known| known.revision);
         let (instance, born_ms, is_draining) = (entry.instance.clone(), entry.born_ms, entry.is_draining);
-        if !known.take(WrittenEntry { revision, entry }) {
+        if !known.insert(WrittenEntry { revision, entry }) {
             return;
         }
-        self.searchers_reach.note_change(revision);
-        let touched = touched.note(instance, before);
+        self.searcher_revisions.note_change(revision);
+        let change = pending.searcher_mut(instance, before);
         if is_draining {
-            touched.draining.push(born_ms);
+            change.draining_starts.push(born_ms);
         }
     }
 
-    fn take_gone(&mut self, revision: u64, instance: Arc<str>, touched: &mut Touched) {
+    fn merge_removal(&mut self, revision: u64, instance: Arc<str>, pending: &mut PendingChanges) {
         let known = self.searchers.entry(instance.clone()).or_default();
         let before = known.current().map(|known| known.revision);
-        if known.end(revision) {
-            self.searchers_reach.note_change(revision);
-            touched.note(instance, before);
+        if known.remove_up_to(revision) {
+            self.searcher_revisions.note_change(revision);
+            pending.searcher_mut(instance, before);
         }
     }
 
-    /// A whole listing at a revision leaves out what had gone by then.
-    fn drop_unlisted(&mut self, at: u64, listed: &[Arc<str>], touched: &mut Touched) {
+    /// Removes the entries that a complete listing at `revision` leaves out and that were written by then.
+    fn remove_unlisted(&mut self, revision: u64, listed: &[Arc<str>], pending: &mut PendingChanges) {
         for (instance, known) in &mut self.searchers {
-            if listed.binary_search(instance).is_ok() || !known.stands_at(at) {
+            if listed.binary_search(instance).is_ok() || !known.has_current_entry_at(revision) {
                 continue;
             }
             let before = known.current().map(|known| known.revision);
-            known.end(at);
-            self.searchers_reach.note_change(at);
-            touched.note(instance.clone(), before);
+            known.remove_up_to(revision);
+            self.searcher_revisions.note_change(revision);
+            pending.searcher_mut(instance.clone(), before);
         }
-        self.tombstones_from = self.tombstones_from.max(at);
+        self.tombstones_complete_after = self.tombstones_complete_after.max(revision);
     }
 
-    fn forget_old_tombstones(&mut self) {
-        let is_tombstone = |known: &KnownEntries| known.standing().is_empty();
+    fn drop_old_tombstones(&mut self) {
+        let is_tombstone = |known: &KnownEntries| known.entries().is_empty();
         let tombstones = self.searchers.values().filter(|known| is_tombstone(known));
-        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::ended_at).collect();
+        let mut revisions: Vec<u64> = tombstones.map(KnownEntries::removed_up_to).collect();
         if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        let horizon = revisions[revisions.len() / 2];
-        self.searchers.retain(|_, known| !is_tombstone(known) || known.ended_at() > horizon);
-        self.tombstones_from = self.tombstones_from.max(horizon);
+        let forgotten_up_to = revisions[revisions.len() / 2];
+        self.searchers.retain(|_, known| !is_tombstone(known) || known.removed_up_to() > forgotten_up_to);
+        self.tombstones_complete_after = self.tombstones_complete_after.max(forgotten_up_to);
     }
 }
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -1,7 +1,7 @@
-//! One lane: what it asks next, and what a reply means for it.
+//! One lane: its next call, and how it handles the replies.
 //!
-//! Owns the revision that the lane has reached, the pages of a listing that isn't whole, and the wait before the next call. Relies on
-//! the reader for whether it asks at all.
+//! A lane holds the revision that it has reached, the pages of an incomplete listing, and the time of the next call.
+//! [`StoreReader`](super::StoreReader) decides whether the lane makes calls at all.
 
 use super::message::{Lane, ReaderAction, ReaderSettings, ReadingMode, StoreCall};
 use crate::state::mirror::{MirrorItem, MirrorUpdate};
@@ -10,34 +10,35 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Entries that are gone in one reply, from which on they have lapsed rather than left: they come back one by one. Above what leaves in one rest of a
-/// lane.
-const LAPSED_TOGETHER: usize = 8;
-/// Time within which live searchers are back in a store that was away: the platform says about two seconds; a quarter is
-/// added for the lane's rest and a late wake-up.
-const RETURN_TIME: Duration = Duration::from_millis(2500);
-/// Doublings of the wait after failures; [`Backoff::longest`](super::Backoff) is reached before. It keeps the shift small.
-const MAX_DOUBLINGS: u32 = 6;
+/// Number of removed entries in one reply from which on they count as lapsed, to be written anew one by one, rather
+/// than as removed by leaving searchers. It is above the number of searchers that leave during one pause of the lane.
+const MIN_LAPSED_ENTRIES: usize = 8;
+/// Time within which live searchers have written their entries anew after an outage of the store. The platform states
+/// about two seconds; a quarter is added for the pause of the lane and a late wake-up.
+const REREGISTRATION_TIME: Duration = Duration::from_millis(2500);
+/// Largest number of doublings of the back-off. [`Backoff::longest`](super::Backoff) is reached before; the limit only
+/// prevents an overflow of the shift.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LaneState {
-    /// The next call is due at a time.
-    Resting { until: BootTime },
-    /// A call is out.
+    /// The next call is due at this time.
+    Scheduled { at: BootTime },
+    /// A call is open.
     Calling,
-    /// The last call failed, and so does the probe: nothing is asked until the store answers a probe.
+    /// The last call and the last probe failed: the lane makes no call until the store answers a probe.
     AwaitingProbe,
-    /// The mode asks nothing of this lane: what is new comes from a peer, or is known.
+    /// The mode doesn't use this lane, because peers send what is new or because the lane has read all it needs.
     Suspended,
 }
 
-/// Pages of a listing that isn't whole yet.
+/// The pages of an incomplete listing.
 #[derive(Debug)]
 pub(super) struct PartialListing {
     update: MirrorUpdate,
-    /// The store's revision at the first page.
-    first_at: u64,
-    /// Key after which the next page begins.
+    /// The store's revision when the first page was read.
+    first_revision: u64,
+    /// Key after which the next page starts.
     next_key: String,
 }
 
@@ -45,21 +46,22 @@
 pub(super) struct LaneReader {
     pub lane: Lane,
     pub state: LaneState,
-    /// Revision that changes are known up to; `None` before the first read.
+    /// Revision up to which all changes are known; `None` before the first complete listing.
     pub after: Option<u64>,
-    /// Pages read so far of a listing that goes on.
+    /// The pages read so far of an incomplete listing.
     pub partial: Option<PartialListing>,
-    /// Calls that failed in a row.
+    /// Number of failed calls in a row.
     pub failures: u32,
-    /// Whether the last call was served, or is known to be held by a store that answers.
+    /// Whether the last call was answered, or is an open watch of a store that answers probes.
     pub is_reachable: bool,
-    /// Until when entries that lapsed together may be coming back.
-    pub returns_until: BootTime,
+    /// Time until which entries that lapsed together may still be written anew.
+    pub reregistration_until: BootTime,
 }
 
 impl LaneReader {
-    /// Whether the lane asks anything in a mode. A read that failed brings in the probe, which costs a tenth, until all is read.
-    pub fn is_wanted(&self, mode: ReadingMode, has_failed_read: bool) -> bool {
+    /// Returns whether the mode uses the lane. In [`ReadingMode::Once`] a failed read adds the probe until everything
+    /// is read, because a probe costs a tenth of a read.
+    pub fn is_used(&self, mode: ReadingMode, has_failed_read: bool) -> bool {
         match (mode, self.lane) {
             (ReadingMode::Watching, _) => true,
             (ReadingMode::Once, Lane::Probe) => has_failed_read,
@@ -69,108 +71,114 @@
         }
     }
 
+    /// Returns the next call of the lane: a probe, a page of a listing, or a watch from the known revision.
     pub fn next_call(&self, settings: &ReaderSettings) -> ReaderAction {
         if self.lane == Lane::Probe {
-            return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, patience: settings.probe_patience };
+            return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, timeout: settings.probe_timeout };
         }
-        let (call, patience) = match (self.after, &self.partial, self.lane) {
+        let (call, timeout) = match (self.after, &self.partial, self.lane) {
             (Some(after), _, lane) => {
                 let call = StoreCall::Watch { lane, after, wait: settings.watch };
-                (call, settings.watch + settings.patience)
+                (call, settings.watch + settings.call_timeout)
             }
             (None, partial, lane) => {
                 let after = partial.as_ref().map(|partial| partial.next_key.clone());
-                (StoreCall::List { lane, after }, settings.patience)
+                (StoreCall::List { lane, after }, settings.call_timeout)
             }
         };
-        ReaderAction::Call { lane: self.lane, call, patience }
+        ReaderAction::Call { lane: self.lane, call, timeout }
     }
 
-    pub fn take_page(
+    /// Adds a page to the listing in progress and, after the last page, emits the whole listing as an update.
+    pub fn handle_page(
         &mut self,
         now: BootTime,
         update: MirrorUpdate,
-        at: u64,
+        revision: u64,
         next: Option<String>,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.state = LaneState::Resting { until: now };
-        let (mut whole, first_at) = match self.partial.take() {
-            Some(before) => (before.update, before.first_at),
-            None => (MirrorUpdate::default(), at),
+        self.state = LaneState::Scheduled { at: now };
+        let (mut listing, first_revision) = match self.partial.take() {
+            Some(before) => (before.update, before.first_revision),
+            None => (MirrorUpdate::default(), revision),
         };
-        whole.items.extend(update.items);
-        whole.unreadable.extend(update.unreadable);
+        listing.items.extend(update.items);
+        listing.unreadable.extend(update.unreadable);
         if let Some(key) = next {
-            self.partial = Some(PartialListing { update: whole, first_at, next_key: key });
+            self.partial = Some(PartialListing { update: listing, first_revision, next_key: key });
             return;
         }
-        // Pages are no snapshot: only what holds since the first page is known, the watch reports the rest.
+        // The pages aren't a snapshot, since items may have changed between them. The listing is complete only up to
+        // the revision of the first page; the watch reports later changes.
         match self.lane {
             Lane::Searchers => {
-                whole.is_complete_for_searchers = true;
-                whole.up_to = first_at;
+                listing.is_complete_for_searchers = true;
+                listing.up_to = first_revision;
             }
             Lane::Configuration => {
-                whole.all_evacuations_at = Some(first_at);
-                whole.operator_up_to = first_at;
+                listing.all_evacuations_at = Some(first_revision);
+                listing.operator_up_to = first_revision;
             }
             Lane::Probe => {}
         }
-        self.after = Some(first_at);
-        actions.push(ReaderAction::Learned { lane: self.lane, update: whole });
+        self.after = Some(first_revision);
+        actions.push(ReaderAction::Learned { lane: self.lane, update: listing });
     }
 
-    pub fn take_changes(
+    /// Emits the changes that a watch has found and schedules the next watch.
+    pub fn handle_changes(
         &mut self,
         now: BootTime,
         mut update: MirrorUpdate,
-        at: u64,
+        revision: u64,
         settings: &ReaderSettings,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.after = Some(self.after.map_or(at, |after| after.max(at)));
-        let rest = if update.items.is_empty() { Duration::ZERO } else { self.rest_after(now, &update, settings) };
-        self.state = LaneState::Resting { until: now + rest };
+        self.after = Some(self.after.map_or(revision, |after| after.max(revision)));
+        let pause = if update.items.is_empty() { Duration::ZERO } else { self.pause_after(now, &update, settings) };
+        self.state = LaneState::Scheduled { at: now + pause };
         match self.lane {
-            Lane::Searchers => update.up_to = at,
-            Lane::Configuration => update.operator_up_to = at,
+            Lane::Searchers => update.up_to = revision,
+            Lane::Configuration => update.operator_up_to = revision,
             Lane::Probe => {}
         }
         actions.push(ReaderAction::Learned { lane: self.lane, update });
     }
 
-    /// How long the lane rests after changes: shortly where entries went that may come back.
-    fn rest_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
-        let is_end = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
-        let ends = update.items.iter().filter(is_end).count();
-        if ends >= LAPSED_TOGETHER {
-            self.returns_until = now + RETURN_TIME;
+    /// Returns the pause of the lane after changes. It is short after removals of searchers, which may be written anew.
+    fn pause_after(&mut self, now: BootTime, update: &MirrorUpdate, settings: &ReaderSettings) -> Duration {
+        let is_removal = |item: &&(u64, MirrorItem)| matches!(item.1, MirrorItem::SearcherGone { .. });
+        let removals = update.items.iter().filter(is_removal).count();
+        if removals >= MIN_LAPSED_ENTRIES {
+            self.reregistration_until = now + REREGISTRATION_TIME;
         }
-        let looks_soon = ends > 0 || now < self.returns_until;
+        let is_short = removals > 0 || now < self.reregistration_until;
         match self.lane {
-            Lane::Configuration => settings.configuration_rest,
-            Lane::Searchers | Lane::Probe if looks_soon => settings.lapse_rest.min(settings.searcher_rest),
-            Lane::Searchers | Lane::Probe => settings.searcher_rest,
+            Lane::Configuration => settings.configuration_pause,
+            Lane::Searchers | Lane::Probe if is_short => settings.removal_pause.min(settings.searcher_pause),
+            Lane::Searchers | Lane::Probe => settings.searcher_pause,
         }
     }
 
-    pub fn fail(
+    /// Schedules a retry of a failed call, with exponential back-off and jitter, and marks the lane as unreachable.
+    pub fn handle_failure(
         &mut self,
         now: BootTime,
         settings: &ReaderSettings,
         random: &mut ChaCha8Rng,
         actions: &mut Vec<ReaderAction>,
     ) {
-        let doubled = settings.back_off.first * (1 << self.failures.min(MAX_DOUBLINGS));
+        let doubled = settings.back_off.first * (1 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
         let wait = doubled.min(settings.back_off.longest);
         self.failures = self.failures.saturating_add(1);
-        // Spread, so that nodes that failed together don't come back together.
-        let spread = random.random_range(0.5..1.0);
-        self.state = LaneState::Resting { until: now + wait.mul_f64(spread) };
+        // The jitter prevents nodes that failed together from retrying together.
+        let jitter = random.random_range(0.5..1.0);
+        self.state = LaneState::Scheduled { at: now + wait.mul_f64(jitter) };
         self.set_reachable(false, actions);
     }
 
+    /// Sets whether the store answers the lane's calls, and emits an action if that changed.
     pub fn set_reachable(&mut self, is_reachable: bool, actions: &mut Vec<ReaderAction>) {
         if self.is_reachable != is_reachable {
             self.is_reachable = is_reachable;
