--- a/crates/staircross-types/src/coverage.rs
+++ b/crates/staircross-types/src/coverage.rs
@@ -1,4 +1,4 @@
-//! What an answer includes and what it lacks.
+//! The shards that an answer includes and those that it lacks.
 
 use crate::ids::ShardId;
 use serde::{Deserialize, Serialize};
@@ -8,22 +8,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MissingCause {
-    /// Work was sent and no whole reply came in time.
+    /// A sub-request was sent, and no complete reply arrived in time.
     Late,
     /// No replica of the shard is known to be alive.
     Lost,
-    /// Every replica asked refused for lack of room.
+    /// Every replica that was asked refused because it had no free slot.
     Shed,
-    /// Every replica asked no longer holds the snapshot.
+    /// Every replica that was asked no longer holds the snapshot.
     SnapshotGone,
-    /// The replicas left are leaving and take no new work.
+    /// The remaining replicas are draining and accept no new work.
     Draining,
-    /// A reply broke off, was damaged, or the connection failed.
+    /// A reply was truncated or damaged, or the connection failed.
     Unreachable,
 }
 
 impl MissingCause {
-    /// The name used in answers, metrics and logs.
+    /// Returns the name of the cause in answers, metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             MissingCause::Late => "late",
@@ -42,31 +42,31 @@
     }
 }
 
-/// One shard that an answer lacks.
+/// A shard that an answer lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissingShard {
     /// The shard.
     pub shard: ShardId,
-    /// Why it is missing.
+    /// Why the shard is missing.
     pub cause: MissingCause,
 }
 
-/// Shards included and lacking, counted against the snapshot's own shard map.
+/// The included and the missing shards of an answer. Together they are the shards of the snapshot's own shard map.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Shards whose whole reply was merged, in rising order.
+    /// Shards whose complete reply was merged into the answer, in ascending order.
     pub included: Vec<ShardId>,
-    /// Shards that are lacking, in rising order.
+    /// Shards that the answer lacks, in ascending order.
     pub missing: Vec<MissingShard>,
 }
 
 impl Coverage {
-    /// Number of shards in the snapshot's map.
+    /// Returns the number of shards in the snapshot's shard map.
     pub fn total(&self) -> usize {
         self.included.len() + self.missing.len()
     }
 
-    /// Included shards per thousand, rounded down; an index without shards is wholly covered.
+    /// Returns the included shards per thousand, rounded down. An index without shards counts as fully covered.
     pub fn per_mille(&self) -> u32 {
         match self.total() {
             0 => 1000,
--- a/crates/staircross-types/src/errors.rs
+++ b/crates/staircross-types/src/errors.rs
@@ -1,7 +1,7 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! All error kinds, with the HTTP status and other properties of the answer to each.
 //!
-//! Every refusal that a caller sees is one of these kinds. Whether a refused request may have run
-//! is a property of the kind, so it can't be stated differently in two places.
+//! Every refusal that a caller receives has one of these kinds. Whether a refused request may have run is a property of
+//! the kind, so that no two places in the code can state it differently.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,15 +10,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Executed {
-    /// It ran nowhere and never will.
+    /// The request has run nowhere and never will.
     Never,
-    /// It may have run, may be running, or may yet run.
+    /// The request may have run, may be running, or may still run.
     Maybe,
 }
 
 macro_rules! error_kinds {
     ($($variant:ident, $name:literal, $status:literal, $executed:ident, $retry:expr, $meaning:literal;)*) => {
-        /// Every way in which a request can be refused.
+        /// Why a request was refused.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ErrorKind {
@@ -26,30 +26,31 @@
         }
 
         impl ErrorKind {
-            /// All kinds, in the order of the table.
+            /// All kinds, in the order in which they are declared.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$variant,)*];
 
-            /// The name in answers, metrics and logs.
+            /// Returns the name of the kind in answers, metrics and logs.
             pub fn name(self) -> &'static str {
                 match self { $(ErrorKind::$variant => $name,)* }
             }
 
-            /// HTTP status of the answer.
+            /// Returns the HTTP status of the answer.
             pub fn http_status(self) -> u16 {
                 match self { $(ErrorKind::$variant => $status,)* }
             }
 
-            /// Whether the request may have run.
+            /// Returns whether the request may have run.
             pub fn executed(self) -> Executed {
                 match self { $(ErrorKind::$variant => Executed::$executed,)* }
             }
 
-            /// Milliseconds after which sending the same request again may help; `None` means it won't.
+            /// Returns the milliseconds after which the same request may succeed if it is sent again, or `None` if sending
+            /// it again won't help.
             pub fn retry_after_ms(self) -> Option<u64> {
                 match self { $(ErrorKind::$variant => $retry,)* }
             }
 
-            /// One line for people.
+            /// Returns a description of the kind for people, in one line.
             pub fn meaning(self) -> &'static str {
                 match self { $(ErrorKind::$variant => $meaning,)* }
             }
@@ -99,7 +100,7 @@
     }
 }
 
-/// The table from kind to answer as Markdown, for the documentation.
+/// Returns the table of all error kinds and their properties as Markdown, for the documentation.
 pub fn error_table_markdown() -> String {
     let mut table =
         String::from("| kind | HTTP | executed | retry after | meaning |\n| --- | --- | --- | --- | --- |\n");
--- a/crates/staircross-types/src/ids.rs
+++ b/crates/staircross-types/src/ids.rs
@@ -1,7 +1,7 @@
-//! Identities.
+//! Identifiers of nodes, sessions, requests, searchers and shards.
 //!
-//! Everything that is restarted gets a new identity, because no machine keeps anything:
-//! a [`NodeId`] names one run of a node process, a [`SearcherIncarnation`] one run of a searcher.
+//! Machines keep no state over a restart, so each run of a process gets a new identifier: a [`NodeId`] identifies one run
+//! of a node, and a [`SearcherIncarnation`] one run of a searcher.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -77,10 +77,11 @@
 }
 
 quick_error! {
-    /// Why a text is no identity.
+    /// Why a text can't be parsed as an identifier.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum InvalidIdentity {
-        /// The text isn't 32 hexadecimal digits.
+        /// The text doesn't have the identifier's form: 32 hexadecimal digits, or for a [`Ticket`] 32 of them, a hyphen and
+        /// 16 more.
         Malformed {
             display("expected 32 hexadecimal digits")
         }
@@ -88,24 +89,24 @@
 }
 
 hex_identity! {
-    /// One run of a node process (128 random bits drawn at its start).
+    /// Identifies one run of a node process: 128 random bits drawn when the process starts.
     NodeId
 }
 hex_identity! {
-    /// One run of a searcher process (128 random bits drawn at its start).
+    /// Identifies one run of a searcher process: 128 random bits drawn when the process starts.
     SearcherIncarnation
 }
 hex_identity! {
-    /// The unguessable name of a session.
+    /// Identifies a session; callers can't guess the tokens of others' sessions.
     SessionToken
 }
 
-/// One caller's request: minted by the node that holds the session.
+/// Identifies one request of a caller; issued by the node that holds the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The node that minted this id.
+    /// The node that issued this id.
     pub node: NodeId,
-    /// Counts up from one during the node's life.
+    /// The request's number on that node, counted up from 1 since the node started.
     pub sequence: u64,
 }
 
@@ -115,12 +116,12 @@
     }
 }
 
-/// One sending of one sub-request; echoed by each hop and compared in full.
+/// Identifies one attempt at a sub-request. Each hop repeats it in its reply, and the receiver compares all of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The request that this attempt serves.
     pub request: RequestId,
-    /// Counts up from one within the request.
+    /// The attempt's number, counted up from 1 within the request.
     pub attempt: u32,
 }
 
@@ -130,12 +131,12 @@
     }
 }
 
-/// Leave to run one non-repeatable request once; minted by the node that holds the session.
+/// Permission to run one non-repeatable request once; issued by the node that holds the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The node that minted the ticket; no other node runs it.
+    /// The node that issued the ticket; no other node runs the ticket's request.
     pub node: NodeId,
-    /// Random part.
+    /// Random number that distinguishes the node's tickets.
     pub serial: u64,
 }
 
@@ -167,7 +168,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Builds the name from a text.
+            /// Creates the name from a text.
             pub fn new(name: impl Into<String>) -> Self {
                 $name(name.into())
             }
@@ -206,14 +207,14 @@
 }
 
 number_identity! {
-    /// A searcher as the platform document numbers it; keeps its number over restarts.
+    /// Number of a searcher in the platform document; a restarted searcher keeps it.
     SearcherId
 }
 number_identity! {
-    /// A shard within its shard map.
+    /// Number of a shard within its shard map.
     ShardId
 }
 number_identity! {
-    /// A group of searchers that one set of leaves owns.
+    /// Number of a group of searchers that are all owned by the same set of leaves.
     GroupId
 }
--- a/crates/staircross-types/src/lib.rs
+++ b/crates/staircross-types/src/lib.rs
@@ -1,17 +1,17 @@
-//! Shared vocabulary of staircross.
+//! Types shared by the crates of staircross.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`ids`] | identities of nodes, sessions, requests, searchers and shards |
-//! | [`time`] | [`BootTime`], the only clock that decisions may use |
+//! | [`time`] | [`BootTime`], the only kind of time that decisions may use |
 //! | [`snapshot`] | [`Snapshot`] and [`ShardMap`] |
 //! | [`boot_clock`] | reading the boot clock |
 //! | [`coverage`] | [`Coverage`] and the causes of missing shards |
-//! | [`errors`] | the closed list of error kinds and the table from kind to answer |
+//! | [`errors`] | all error kinds, with the HTTP status and other properties of each |
 //! | [`quota`] | how many requests a tenant may send |
 //! | [`query`] | search requests, hits and per-shard results |
-//! | [`searcher_api`] | messages between leaf and searcher |
-//! | [`digest`] | content digests for bodies |
+//! | [`searcher_api`] | messages between a leaf (the node that calls searchers) and a searcher |
+//! | [`digest`] | content digests of bodies |
 
 pub mod boot_clock;
 pub mod coverage;
--- a/crates/staircross-types/src/query.rs
+++ b/crates/staircross-types/src/query.rs
@@ -1,25 +1,25 @@
-//! Search requests and results as they travel between caller, root, leaf and searcher.
+//! Search requests and results, which pass between caller, root, leaf and searcher.
 
 use crate::ids::ShardId;
 use serde::{Deserialize, Serialize};
 
-/// What to look for.
+/// A search request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SearchQuery {
     /// Terms that a document must all contain; empty matches every document.
     pub terms: Vec<String>,
-    /// Most hits to return.
+    /// Maximum number of hits to return.
     pub limit: u32,
-    /// For a paged pull: only documents after this position in (shard, document) order.
+    /// In a paged query, restricts the result to documents after this position in (shard, document) order.
     pub after: Option<PagePosition>,
 }
 
-/// A position in the (shard, document) order of a paged pull.
+/// A position in the (shard, document) order of a paged query.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PagePosition {
-    /// The shard of the last document seen.
+    /// The shard of the last document returned.
     pub shard: ShardId,
-    /// The last document seen.
+    /// The id of the last document returned.
     pub document: String,
 }
 
@@ -28,39 +28,39 @@
 pub struct Hit {
     /// Document id, unique within a snapshot.
     pub document: String,
-    /// Shard that holds it.
+    /// The shard that holds the document.
     pub shard: ShardId,
-    /// Relevance; higher is better.
+    /// Relevance; a higher score is better.
     pub score: f32,
-    /// Text to show.
+    /// Title of the document, for people.
     pub title: String,
 }
 
-/// One shard's part of a reply.
+/// The hits of one shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardHits {
     /// The shard.
     pub shard: ShardId,
-    /// Documents that match, beyond those listed too.
+    /// Number of documents that match, including those that aren't listed in `hits`.
     pub matched: u64,
-    /// Best hits, best first.
+    /// The best hits, in descending order of relevance.
     pub hits: Vec<Hit>,
 }
 
-/// A non-repeatable request to one shard's searcher.
+/// A non-repeatable request, which a searcher of one shard runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionCommand {
-    /// What to do, e.g. `confirm`.
+    /// Name of the action, e.g. `confirm`.
     pub verb: String,
-    /// The document acted on; it selects the shard.
+    /// Id of the document on which to act; it determines the shard.
     pub target: String,
-    /// Free text kept in the audit trail.
+    /// Free text that is kept in the audit trail.
     pub note: String,
 }
 
-/// Shard that holds `document`, of `shard_count` shards.
+/// Returns which of `shard_count` shards holds `document`.
 ///
-/// Searchers place documents by this rule and roots send actions by it, so it must never change.
+/// Searchers place documents by this function and roots route actions by it, so its results must never change.
 pub fn shard_of(document: &str, shard_count: usize) -> ShardId {
     ShardId((xxhash_rust::xxh3::xxh3_64(document.as_bytes()) % shard_count.max(1) as u64) as u32)
 }
--- a/crates/staircross-types/src/quota.rs
+++ b/crates/staircross-types/src/quota.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Requests that a tenant may send to all nodes together: `burst` at once, and `rate_per_s` more each second.
+/// Limit on the requests that a tenant may send to all nodes together: `burst` at once, and `rate_per_s` more each second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests per second; over 0.
+    /// Requests per second; greater than 0.
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may come at once; 0 or more.
+    /// Requests beyond the rate that may arrive at once; 0 or more.
     pub burst: f64,
 }
--- a/crates/staircross-types/src/searcher_api.rs
+++ b/crates/staircross-types/src/searcher_api.rs
@@ -5,51 +5,51 @@
 use crate::snapshot::Snapshot;
 use serde::{Deserialize, Serialize};
 
-/// Header that carries [`crate::body_digest`] of a body.
+/// Header field with the [`crate::body_digest`] of the body.
 pub const DIGEST_HEADER: &str = "x-content-digest";
-/// Path of [`SearchCall`].
+/// Path to which a [`SearchCall`] is sent.
 pub const SEARCH_PATH: &str = "/v1/search";
-/// Path of [`ActCall`].
+/// Path to which an [`ActCall`] is sent.
 pub const ACT_PATH: &str = "/v1/act";
-/// Path of [`CancelCall`].
+/// Path to which a [`CancelCall`] is sent.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path that answers [`StateReply`].
+/// Path at which a searcher answers with its [`StateReply`].
 pub const STATE_PATH: &str = "/v1/state";
 
 /// Asks a searcher to search some shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SearchCall {
-    /// Identity, echoed in the reply.
+    /// Id of the attempt, repeated in the reply.
     pub attempt: AttemptId,
-    /// The snapshot to search, never another.
+    /// The snapshot to search; the searcher must not use another one.
     pub snapshot: Snapshot,
     /// Shards to search.
     pub shards: Vec<ShardId>,
-    /// What to look for.
+    /// The search request.
     pub query: SearchQuery,
-    /// Milliseconds after which the reply is of no use.
+    /// Milliseconds from the receipt of the call after which the reply is no longer useful.
     pub remaining_ms: u64,
 }
 
-/// Asks a searcher to act.
+/// Asks a searcher to run an action.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActCall {
-    /// Identity, echoed in the reply.
+    /// Id of the attempt, repeated in the reply.
     pub attempt: AttemptId,
-    /// The snapshot that the action is based on.
+    /// The snapshot on which the action is based.
     pub snapshot: Snapshot,
-    /// The shard that holds the target.
+    /// The shard that holds the target document.
     pub shard: ShardId,
-    /// What to do.
+    /// The action to run.
     pub command: ActionCommand,
-    /// Milliseconds after which the action must not be started.
+    /// Milliseconds from the receipt of the call after which the action must not be started.
     pub remaining_ms: u64,
 }
 
-/// Tells a searcher that an attempt is no longer wanted.
+/// Tells a searcher that the reply to an attempt is no longer needed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancelCall {
-    /// The attempt.
+    /// Id of the attempt to cancel.
     pub attempt: AttemptId,
 }
 
@@ -57,38 +57,38 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "status", rename_all = "snake_case")]
 pub enum CallStatus {
-    /// Searched.
+    /// The search was run.
     Found {
-        /// One element per shard searched.
+        /// The result, with one element per searched shard.
         shards: Vec<ShardHits>,
     },
-    /// Acted.
+    /// The action was run.
     Acted {
-        /// Entry number in the audit trail.
+        /// Number of the action's entry in the audit trail.
         entry: u64,
-        /// Words for people.
+        /// Result of the action, for people.
         message: String,
     },
-    /// Not run: no free slot.
+    /// The call wasn't run because the searcher had no free slot.
     Shed,
-    /// Not run: the snapshot isn't held.
+    /// The call wasn't run because the searcher doesn't hold the snapshot.
     SnapshotGone,
-    /// Not run: the searcher is leaving.
+    /// The call wasn't run because the searcher is draining.
     Draining,
-    /// Stopped part-way by cancellation or its deadline.
+    /// The call was stopped before it was done, by a cancellation or because its time had passed.
     Stopped,
 }
 
 /// Reply to [`SearchCall`] and [`ActCall`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallReply {
-    /// The call's identity.
+    /// Id of the call's attempt.
     pub attempt: AttemptId,
-    /// The snapshot that the reply comes from.
+    /// The snapshot that the searcher used.
     pub snapshot: Snapshot,
-    /// The run of the searcher that replies.
+    /// The incarnation of the searcher that replies.
     pub incarnation: SearcherIncarnation,
-    /// How it ended.
+    /// How the call ended.
     #[serde(flatten)]
     pub status: CallStatus,
 }
@@ -98,12 +98,12 @@
 pub struct StateReply {
     /// The searcher's number.
     pub searcher: SearcherId,
-    /// This run of it.
+    /// The searcher's current incarnation.
     pub incarnation: SearcherIncarnation,
-    /// Snapshots held.
+    /// Snapshots that the searcher holds.
     pub snapshots: Vec<Snapshot>,
-    /// Whether it is leaving.
+    /// Whether the searcher is draining: it accepts no new calls.
     pub draining: bool,
-    /// Its own idea of its load, 0 to 1. It lags and misleads; decisions don't use it.
+    /// The searcher's own estimate of its load, from 0 to 1. The estimate is outdated and misleading, so no decision uses it.
     pub load: f64,
 }
--- a/crates/staircross-types/src/snapshot.rs
+++ b/crates/staircross-types/src/snapshot.rs
@@ -1,24 +1,24 @@
 //! Index snapshots and shard maps.
 //!
-//! A [`Snapshot`] names exactly one state of one service's index. An answer is built from replies
-//! of one snapshot only, and its coverage is counted against that snapshot's own [`ShardMap`].
+//! A [`Snapshot`] identifies exactly one state of one service's index. An answer is built from replies of one snapshot only,
+//! and its coverage is counted against that snapshot's own [`ShardMap`].
 
 use crate::ids::{SearcherId, ShardId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One state of an index: its version, the partition it is cut by, and the build that made it.
+/// Identifies one state of an index: its version, its partitioning into shards, and the build that produced it.
 ///
-/// Ordered by version, then epoch, then build. Two builds of one version are two snapshots:
-/// their documents may differ, so they must never be merged.
+/// Snapshots are ordered by version, then epoch, then build. Two builds of one version are different snapshots: their
+/// documents may differ, so replies from both must never be merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Index version; rises with each publish.
+    /// Version of the index, which increases each time the index is published.
     pub version: u64,
-    /// Partition epoch; rises when documents move between shards.
+    /// Number of the partitioning, which increases when documents move between shards.
     pub epoch: u64,
-    /// Build that produced the files.
+    /// Number of the build that produced the index files.
     pub build: u64,
 }
 
@@ -28,13 +28,13 @@
     }
 }
 
-/// Where one shard's replicas are.
+/// The searchers that hold one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardPlacement {
     /// The shard.
     pub shard: ShardId,
-    /// Searchers that hold it.
+    /// Searchers that hold a replica of the shard.
     pub replicas: Vec<SearcherId>,
 }
 
@@ -44,6 +44,6 @@
 pub struct ShardMap {
     /// The snapshot that this map describes.
     pub snapshot: Snapshot,
-    /// Every shard, in rising order of shard id.
+    /// All shards, in ascending order of their ids.
     pub shards: Vec<ShardPlacement>,
 }
--- a/crates/staircross-types/src/time.rs
+++ b/crates/staircross-types/src/time.rs
@@ -1,7 +1,7 @@
-//! Time as the decision logic sees it.
+//! The only kind of time that decisions may use.
 //!
-//! Decisions use the boot clock only: it never jumps and goes on during a pause of the process,
-//! so a process that wakes late sees how much time it lost.
+//! Decisions use the boot clock only. It never jumps, and it continues while the process is paused, so a process that
+//! resumes late sees how much time has passed.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
@@ -9,25 +9,25 @@
 
 /// Microseconds since an arbitrary origin of this machine (its boot, or the start of a simulation).
 ///
-/// Values of two machines can't be compared.
+/// Values from different machines can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootTime(pub u64);
 
 impl BootTime {
-    /// A time later than any that is reached.
+    /// A time that is never reached.
     pub const FAR_FUTURE: BootTime = BootTime(u64::MAX / 2);
 
-    /// Builds a time from milliseconds.
+    /// Creates a time from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         BootTime(millis * 1000)
     }
 
-    /// Time elapsed since `earlier`; zero when `earlier` is in the future.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: BootTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Time left until `later`; zero when it has passed.
+    /// Returns the time left until `later`, or zero if `later` has passed.
     pub fn until(self, later: BootTime) -> Duration {
         later.since(self)
     }
@@ -49,7 +49,8 @@
     }
 }
 
-/// Whole microseconds of a span; one that is longer than the clock counts is the longest that it does, so that a time after it never lies before.
+/// Returns the whole microseconds of a duration. A duration that doesn't fit into `u64` becomes `u64::MAX`, so that adding a
+/// duration never gives an earlier time.
 fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
