--- a/crates/staircross-types/src/ids.rs
+++ b/crates/staircross-types/src/ids.rs
@@ -30,8 +30,8 @@
             type Err = InvalidIdentity;
 
             fn from_str(text: &str) -> Result<Self, InvalidIdentity> {
-                let well_formed = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-                if !well_formed {
+                let is_well_formed = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+                if !is_well_formed {
                     return Err(InvalidIdentity::Malformed);
                 }
                 let value = u128::from_str_radix(text, 16).map_err(|_| InvalidIdentity::Malformed)?;
@@ -151,8 +151,8 @@
 
     fn from_str(text: &str) -> Result<Self, InvalidIdentity> {
         let (node, serial) = text.split_once('-').ok_or(InvalidIdentity::Malformed)?;
-        let well_formed = serial.len() == 16 && serial.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if !well_formed {
+        let is_well_formed = serial.len() == 16 && serial.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if !is_well_formed {
             return Err(InvalidIdentity::Malformed);
         }
         let serial = u64::from_str_radix(serial, 16).map_err(|_| InvalidIdentity::Malformed)?;
--- a/crates/staircross-types/src/time.rs
+++ b/crates/staircross-types/src/time.rs
@@ -36,21 +36,21 @@
 impl Add<Duration> for BootTime {
     type Output = BootTime;
 
-    fn add(self, span: Duration) -> BootTime {
-        BootTime(self.0.saturating_add(micros(span)))
+    fn add(self, duration: Duration) -> BootTime {
+        BootTime(self.0.saturating_add(saturating_micros(duration)))
     }
 }
 
 impl Sub<Duration> for BootTime {
     type Output = BootTime;
 
-    fn sub(self, span: Duration) -> BootTime {
-        BootTime(self.0.saturating_sub(micros(span)))
+    fn sub(self, duration: Duration) -> BootTime {
+        BootTime(self.0.saturating_sub(saturating_micros(duration)))
     }
 }
 
 /// Returns the whole microseconds of a duration. A duration that doesn't fit into `u64` becomes `u64::MAX`, so that adding a
 /// duration never gives an earlier time.
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn saturating_micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
