--- a/crates/staircross-types/src/ids.rs
+++ b/crates/staircross-types/src/ids.rs
@@ -207,7 +207,7 @@
 }
 
 number_identity! {
-    /// Number of a searcher in the platform document; a restarted searcher keeps it.
+    /// Number of a searcher in the platform's service document; a restarted searcher keeps it.
     SearcherId
 }
 number_identity! {
--- a/crates/staircross-types/src/lib.rs
+++ b/crates/staircross-types/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`errors`] | all error kinds, with the HTTP status and other properties of each |
 //! | [`quota`] | how many requests a tenant may send |
 //! | [`query`] | search requests, hits and per-shard results |
-//! | [`searcher_api`] | messages between a leaf (the node that calls searchers) and a searcher |
+//! | [`searcher_api`] | messages between a leaf (a node that owns searchers and calls them) and a searcher |
 //! | [`digest`] | content digests of bodies |
 
 pub mod boot_clock;
--- a/crates/staircross-types/src/searcher_api.rs
+++ b/crates/staircross-types/src/searcher_api.rs
@@ -93,7 +93,7 @@
     pub status: CallStatus,
 }
 
-/// A searcher's state.
+/// A searcher's answer at [`STATE_PATH`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateReply {
     /// The searcher's number.
@@ -104,6 +104,6 @@
     pub snapshots: Vec<Snapshot>,
     /// Whether the searcher is draining: it accepts no new calls.
     pub draining: bool,
-    /// The searcher's own estimate of its load, from 0 to 1. The estimate is outdated and misleading, so no decision uses it.
+    /// The searcher's own estimate of its load, from 0 to 1. The estimate lags behind and misleads, so no decision uses it.
     pub load: f64,
 }
