--- a/crates/staircross-types/src/coverage.rs
+++ b/crates/staircross-types/src/coverage.rs
@@ -12,7 +12,7 @@
     Late,
     /// No replica of the shard is known to be alive.
     Lost,
-    /// Every replica that was asked refused because it had no free slot.
+    /// Every replica that was asked refused for lack of capacity.
     Shed,
     /// Every replica that was asked no longer holds the snapshot.
     SnapshotGone,
--- a/crates/staircross-types/src/lib.rs
+++ b/crates/staircross-types/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`ids`] | identities of nodes, sessions, requests, searchers and shards |
+//! | [`ids`] | identifiers of nodes, sessions, requests, searchers and shards |
 //! | [`time`] | [`BootTime`], the only kind of time that decisions may use |
 //! | [`snapshot`] | [`Snapshot`] and [`ShardMap`] |
 //! | [`boot_clock`] | reading the boot clock |
