--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -137,7 +137,7 @@
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
             Some(ShardState::Answered(answer)) => Verdict::Passed(answer),
-            _ => Refusal::new(ErrorKind::Internal, "a request without any shard's answer was taken as answered").into(),
+            _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
         };
     };
     let parts = request.shards.iter().filter_map(|shard| match &shard.state {
