--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -1,7 +1,8 @@
-//! The cluster logic of one node as a whole.
+//! Entry point of the cluster logic of one node.
 //!
-//! Composes membership, the platform's document, views and session copies; passes messages and time
-//! to each and carries updates between them. Inputs and outputs are typed events and actions.
+//! The engine composes membership, the platform's document, searcher views and session copies. It passes
+//! messages and ticks to each, and recomputes ownership when members or configuration have changed. Events go
+//! in, actions come out.
 
 mod sessions;
 
@@ -19,73 +20,74 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Session copies kept for others, unless set otherwise.
+/// Default number of session copies that a node keeps for others.
 const SESSION_COPIES: usize = 20_000;
-/// Members that a planned stop is announced to at once.
+/// Number of members that a planned stop is announced to at once.
 const LEAVE_FANOUT: usize = 8;
 
-/// How the cluster logic of a node is set up.
+/// Settings of the cluster logic of one node.
 #[derive(Clone, Debug)]
 pub struct ClusterSettings {
-    /// The node's own record.
+    /// Record of the node itself.
     pub me: Member,
-    /// Peer addresses to join through.
+    /// Peer addresses through which the node joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Most session copies kept for others.
+    /// Most session copies that the node keeps for others.
     pub session_copies: usize,
-    /// Times of the membership.
+    /// Settings of the membership protocol.
     pub membership: MembershipSettings,
 }
 
 impl ClusterSettings {
-    /// Usual times for a node.
+    /// Settings with default times and sizes.
     pub fn new(me: Member, seeds: Vec<SocketAddr>) -> Self {
         let membership = MembershipSettings::default();
         ClusterSettings { me, seeds, session_copies: SESSION_COPIES, membership }
     }
 }
 
-/// What the cluster logic takes in.
+/// Input of the cluster logic.
 #[derive(Clone, Debug)]
 pub enum ClusterEvent {
-    /// A peer's message.
+    /// A message from a peer has arrived.
     Message(Box<Envelope>),
-    /// The platform's document, as just read.
+    /// The platform's document has been read.
     Platform(Arc<PlatformDocument>),
-    /// This node, an owner, found out about a searcher.
+    /// This node, an owner of the searcher, has observed its state; `evidence` is `None` when the searcher doesn't
+    /// answer.
     Observed { searcher: SearcherId, evidence: Option<SpreadEvidence>, leaving: bool },
-    /// Copy a session's state to other nodes.
+    /// Copies of a session held here are to be stored on other nodes.
     StoreSession { token: SessionToken, version: u64, state: Vec<u8> },
-    /// Find a session's state at other nodes.
+    /// Copies of a session are sought here and on other nodes; the answers carry the number `ask`.
     FetchSession { token: SessionToken, ask: u64 },
-    /// A session was closed.
+    /// A session was closed; its copies are to be dropped here and on other nodes.
     ForgetSession { token: SessionToken },
-    /// Take a session over from `holder`, which is notified.
+    /// This node has taken a session over from `holder`, which is to be notified.
     TakeOver { token: SessionToken, holder: NodeId },
     /// A planned stop begins.
     Leave,
-    /// The planned stop is done but for the exit.
+    /// The planned stop is complete and the process is about to exit.
     Left,
     /// Time has passed.
     Tick,
 }
 
-/// What the cluster logic wants done.
+/// Output of the cluster logic: a message to send, or a change to act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterAction {
-    /// Send to a peer.
+    /// Send a message to a peer.
     Send(Envelope),
-    /// A newer document is in force here.
+    /// A newer document is in force on this node.
     ConfigChanged(Arc<PlatformDocument>),
-    /// The members have changed.
+    /// The record of a member has changed.
     MembersChanged,
     /// A searcher's record has changed.
     ViewChanged(ViewRecord),
-    /// A peer keeps a copy; or has a newer one by another holder.
+    /// A peer has stored a copy; if `is_overtaken`, it kept a newer copy of another holder instead.
     SessionStored { token: SessionToken, version: u64, keeper: NodeId, is_overtaken: bool },
-    /// A peer's copy, if it has one.
+    /// The copy kept by this node or a peer that was asked, if it has one.
     SessionFetched { token: SessionToken, ask: u64, copy: Option<SessionCopy> },
-    /// Another node holds the session now.
+    /// Another node has taken the session over from this one.
     SessionMoved { token: SessionToken },
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl ClusterEngine {
-    /// Logic of a node that has just started; `seed` feeds its random choices.
+    /// Creates the logic of a node that has just started; `seed` seeds its random number generator.
     pub fn new(settings: ClusterSettings, seed: u64) -> Self {
         let me = settings.me.node;
         ClusterEngine {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn on_event(&mut self, now: BootTime, event: ClusterEvent, actions: &mut Vec<ClusterAction>) {
         match event {
             ClusterEvent::Message(envelope) => self.on_envelope(now, *envelope, actions),
@@ -148,42 +150,42 @@
         }
     }
 
-    /// This incarnation.
+    /// Id of this node's incarnation.
     pub fn node(&self) -> NodeId {
         self.me
     }
 
-    /// The document in force here, if one is known.
+    /// The document in force on this node, if one is known.
     pub fn config(&self) -> Option<&Arc<PlatformDocument>> {
         self.published.document()
     }
 
-    /// Revision of the document in force here; 0 when none is known.
+    /// Revision of the document in force on this node; 0 when none is known.
     pub fn revision(&self) -> u64 {
         self.published.revision()
     }
 
-    /// Revision that a member holds, as far as it said so here.
+    /// Revision that a member last announced to this node; for this node, the revision that it holds.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         if node == self.me { Some(self.revision()) } else { self.published.revision_of(node) }
     }
 
-    /// The members, gone ones included.
+    /// All member records, including this node's own and those of gone members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members().values()
     }
 
-    /// One member.
+    /// The record of one member, gone or not.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.membership.get(node)
     }
 
-    /// Deaths declared by this node itself.
+    /// Number of members that this node itself declared dead.
     pub fn declared_dead(&self) -> u64 {
         self.membership.declared_dead
     }
 
-    /// Owners of searchers, as this node sees them.
+    /// Owners of the searchers, computed from this node's member records and configuration.
     pub fn ownership(&mut self) -> &OwnershipMap {
         if self.ownership_is_stale {
             self.ownership_is_stale = false;
@@ -193,12 +195,12 @@
         &self.ownership
     }
 
-    /// All searcher records.
+    /// Records of all known searchers.
     pub fn view_records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.views.records()
     }
 
-    /// Copies of other nodes' sessions.
+    /// Number of session copies that this node keeps for others.
     pub fn session_copies(&self) -> usize {
         self.copies.len()
     }
@@ -208,7 +210,7 @@
             return;
         }
         let Envelope { from, from_address, to, message, .. } = envelope;
-        // Meant for the incarnation that was at this address before.
+        // The message is meant for an earlier incarnation at this node's address.
         if to.is_some_and(|to| to != self.me) {
             let mut out = Vec::new();
             self.membership.on_misaddressed(from, from_address, &mut out);
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -1,4 +1,4 @@
-//! Copies of sessions: which peers keep them, and what is asked of them.
+//! Session copies: which peers keep them, and the messages to store, fetch and drop them.
 
 use super::{ClusterAction, ClusterEngine};
 use crate::message::ClusterMessage;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Members that keep copies of a session held here, best first: other zones before the own.
+    /// Members that keep copies of a session held here, in order of rank; members of other zones than this node's come first.
     fn keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let own_zone = self.membership.own().zone.clone();
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), Some(&own_zone));
@@ -45,12 +45,12 @@
         others.take(COPIES).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Nodes that are to keep copies of a session held here.
+    /// Ids of the nodes that keep copies of a session held here.
     pub fn session_keepers(&self, token: SessionToken) -> Vec<NodeId> {
         self.keepers(token).into_iter().map(|(node, _)| node).collect()
     }
 
-    /// Number of copies that a session held here should have.
+    /// Number of copies that a session held here should have: fewer than [`COPIES`] in a very small fleet.
     pub fn wanted_copies(&self) -> usize {
         self.membership.others().filter(|member| member.takes_work()).count().min(COPIES)
     }
@@ -70,7 +70,7 @@
     }
 
     pub(super) fn fetch_session(&mut self, token: SessionToken, ask: u64, actions: &mut Vec<ClusterAction>) {
-        // The holder chose by its own zone, which isn't known here; a copy in this node counts too.
+        // The holder chose the keepers by its own zone, which isn't known here, so this node may keep a copy itself.
         if let Some(copy) = self.copies.get(token) {
             actions.push(ClusterAction::SessionFetched { token, ask, copy: Some(copy.clone()) });
         }
@@ -80,13 +80,14 @@
         }
     }
 
+    /// Members that may keep a copy of the session, whichever zone its holder is in.
     fn likely_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), None);
         let others = ranked.into_iter().filter(|member| member.node != self.me);
         others.take(ASKED).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Number of members asked for a session that isn't here.
+    /// Number of answers that a fetch of the session asks for; a copy kept by this node counts as one.
     pub fn asked_for_session(&self, token: SessionToken) -> usize {
         self.likely_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
--- a/crates/staircross-cluster/src/lib.rs
+++ b/crates/staircross-cluster/src/lib.rs
@@ -1,14 +1,16 @@
-//! How nodes act as one system, without input or output of their own.
+//! Cluster protocol of the gateway nodes: membership, ownership, configuration and session copies.
+//!
+//! The crate does no input or output and reads no clock: events and the current time go in, actions come out.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`engine`] | composes the parts below; the one entry point for a node |
-//! | [`membership`] | who is in the fleet: probes, suspicion, refutation, gossip |
-//! | [`member`] | one node's record and how two records of it merge |
+//! | [`engine`] | composes the other modules; the only entry point for a node |
+//! | [`membership`] | which nodes are in the fleet: probes, suspicion, refutation, gossip |
+//! | [`member`] | the record of one node and which of two records of it wins |
 //! | [`ownership`] | which nodes own which searchers, and their share of slots |
-//! | [`published`] | the platform's document: newest wins, relayed between nodes |
-//! | [`views`] | what owners know of searchers, spread to all |
-//! | [`replicas`] | copies of session state at other nodes |
+//! | [`published`] | which revision of the platform's document is in force, and its relay between nodes |
+//! | [`views`] | gossip of the searcher states that owners observe |
+//! | [`replicas`] | copies of session state on other nodes |
 //! | [`message`] | typed messages between nodes |
 
 pub mod engine;
--- a/crates/staircross-cluster/src/member.rs
+++ b/crates/staircross-cluster/src/member.rs
@@ -1,9 +1,9 @@
-//! One node's record.
+//! The membership record of one node.
 //!
-//! Records of the same run merge: the higher version wins, and at equal versions the worse state.
-//! Only the node itself raises its version, which is how it refutes a suspicion, or a death that
-//! was declared while it was paused or cut off. A process that was restarted is a new incarnation with a
-//! new [`NodeId`]; it can't refute anything about the one before it.
+//! Of two records of the same incarnation the one with the higher version wins; at equal versions the one
+//! with the worse state wins. Only the node itself raises its version. That is how it refutes a suspicion, or
+//! a death that was declared while it was paused or cut off. A restarted process is a new incarnation with a
+//! new [`NodeId`]; it can't refute a claim about its predecessor.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{NodeId, ZoneName};
@@ -13,43 +13,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers probes.
+    /// The node answers probes.
     Alive,
-    /// In a planned stop: finishes its work, takes no new.
+    /// The node is in a planned stop: it finishes the work that it has and takes no new work.
     Leaving,
-    /// Didn't answer; may still refute.
+    /// The node didn't answer a probe; it may still refute the suspicion.
     Suspect,
-    /// Considered gone.
+    /// The node didn't refute a suspicion in time and is considered gone.
     Dead,
-    /// Has stopped as planned.
+    /// The node has ended its planned stop.
     Left,
 }
 
-/// One node.
+/// Membership record of one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The incarnation.
+    /// Id of the incarnation.
     #[serde(rename = "n")]
     pub node: NodeId,
-    /// Where peers reach it.
+    /// Address at which peers reach the node.
     #[serde(rename = "p")]
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address at which callers reach the node.
     #[serde(rename = "c")]
     pub caller_address: SocketAddr,
-    /// Its region.
+    /// Region that the node runs in.
     #[serde(rename = "r")]
     pub region: String,
-    /// Its zone.
+    /// Zone that the node runs in.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// State.
+    /// State of the node as known to the sender of the record.
     #[serde(rename = "s")]
     pub state: MemberState,
-    /// Raised by the node itself.
+    /// Version of the record; only the node itself raises it.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Whether callers may be sent to it; a node that knows no configuration yet is alive but not ready.
+    /// Whether callers may be sent to the node. A node that knows no configuration yet is alive but not ready.
     #[serde(rename = "k", default = "ready_by_default", skip_serializing_if = "is_true")]
     pub is_ready: bool,
 }
@@ -63,7 +63,9 @@
 }
 
 impl Member {
-    /// Whether `other` says something newer or worse about the same run.
+    /// Whether `other` is a newer record of the same incarnation, or one of the same version with a worse state.
+    ///
+    /// `Left` is final: no record supersedes it.
     pub fn is_superseded_by(&self, other: &Member) -> bool {
         if self.state == MemberState::Left {
             return false;
@@ -71,12 +73,12 @@
         (other.version, other.state) > (self.version, self.state)
     }
 
-    /// Whether the incarnation is considered over.
+    /// Whether the incarnation is dead or has left.
     pub fn is_gone(&self) -> bool {
         matches!(self.state, MemberState::Dead | MemberState::Left)
     }
 
-    /// Whether the node takes new work.
+    /// Whether the node takes new work. A suspect does: it may only be slow to answer.
     pub fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -1,9 +1,13 @@
-//! Who is in the fleet.
+//! Membership of the fleet: failure detection and gossip in the manner of SWIM.
 //!
-//! Each node probes one other at a time; one that doesn't answer is probed through others, then
-//! suspected, then, if it doesn't refute in time, declared dead. Updates ride on probes. Inputs:
-//! probes and their answers, gossip, time. Invariants: only a node itself clears a suspicion of
-//! it; a node that was paused doesn't judge others by answers it slept through.
+//! Each node probes one member at a time. A member that doesn't answer is probed through other members, then
+//! suspected, and declared dead if it doesn't refute the suspicion in time. Membership updates are piggybacked
+//! on probes and their answers.
+//!
+//! Invariants: only the suspected node itself clears a suspicion; a node that was paused doesn't suspect
+//! members whose answers it may have missed during the pause.
+//!
+//! In this module, a *local* member is in the same region as this node and a *remote* member is in another one.
 
 mod message;
 mod probing;
@@ -27,9 +31,10 @@
 use std::time::Duration;
 use suspicion::Suspicion;
 
+/// A member whose record this node still sends with its probes and answers.
 struct Rumor {
     node: NodeId,
-    /// How often it was sent within the region, and to other regions.
+    /// Number of times that the record was sent to local members; for remote members see `times_sent_far`.
     times_sent: u32,
     times_sent_far: u32,
 }
@@ -58,17 +63,17 @@
     next_seed_contact: BootTime,
     next_dead_contact: BootTime,
     next_compare: BootTime,
-    /// When a listing last brought something new.
+    /// Time at which a member list last contained something new.
     learned_at: Option<BootTime>,
-    /// Deaths that this node itself declared, for metrics.
+    /// Number of members that this node itself declared dead, for metrics.
     pub declared_dead: u64,
 }
 
-/// Time between contacts to seed addresses at which no member is known.
+/// Time between messages to seed addresses at which no member is known.
 const SEED_CONTACT_EVERY: Duration = Duration::from_secs(1);
 
 impl Membership {
-    /// A fleet of one.
+    /// Creates a membership that knows only this node.
     pub fn new(settings: MembershipSettings, me: Member, seeds: Vec<SocketAddr>) -> Self {
         let node = me.node;
         let own_start = Rumor::new(node);
@@ -94,12 +99,12 @@
         }
     }
 
-    /// All records, gone ones included.
+    /// All member records, including this node's own and those of gone members.
     pub fn members(&self) -> &BTreeMap<NodeId, Member> {
         &self.members
     }
 
-    /// One record.
+    /// The record of one member, gone or not.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Members that aren't gone, besides this node.
+    /// All members that aren't gone, except this node.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.node != self.me && !member.is_gone())
     }
@@ -122,7 +127,7 @@
         self.members.get(&node).is_some_and(Member::is_gone)
     }
 
-    /// Announces that this node is in a planned stop.
+    /// Sets this node's own state to a state of a planned stop, and queues the change for gossip.
     pub fn leave(&mut self, state: MemberState, actions: &mut Vec<MembershipAction>) {
         let Some(own) = self.members.get_mut(&self.me) else {
             return;
@@ -133,7 +138,7 @@
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Says whether callers may be sent to this node.
+    /// Sets whether callers may be sent to this node, and queues a change for gossip.
     pub fn set_ready(&mut self, is_ready: bool, actions: &mut Vec<MembershipAction>) {
         let Some(own) = self.members.get_mut(&self.me).filter(|own| own.is_ready != is_ready) else {
             return;
@@ -144,8 +149,9 @@
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Pushes the present updates to some members of the region at once, without waiting for the next probe; a relay pushes them to some
-    /// of other regions too.
+    /// Sends the pending updates to up to `count` local members at once, without waiting for the next probe.
+    ///
+    /// A relay, or a node without local members, sends them to [`RELAY_PUSHES`] remote members too.
     pub fn push_updates(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
         let (near, far) = self.near_and_far();
         let far_count = if self.is_relay() || near.is_empty() { RELAY_PUSHES } else { 0 };
@@ -159,7 +165,7 @@
         }
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn on_message(
         &mut self,
         now: BootTime,
@@ -174,10 +180,10 @@
                 let is_stranger = !self.members.contains_key(&from);
                 let known = self.take_probe_updates(now, updates, actions);
                 let mut updates = self.take_updates(from);
-                // A member that is wrongly thought gone must hear of it to refute it.
+                // A member that is wrongly held for suspect or dead must receive that record to refute it.
                 let slandered = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
                 updates.extend(slandered.cloned());
-                // A node that says what it thinks of this one, or knows it by its address only, must hear how it is.
+                // A node that sent a record of this one, or knows only its address, needs its current record.
                 if (names_us || is_stranger) && !updates.iter().any(|record| record.node == self.me) {
                     updates.push(self.own().clone());
                 }
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Runs everything that is due at `now`: probes, suspicions, contacts to seeds and dead members, comparisons.
     pub fn on_tick(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         let was_paused = self.last_tick.is_some_and(|last| now.since(last) > self.settings.pause_gap);
         self.last_tick = Some(now);
@@ -221,13 +227,15 @@
         }
     }
 
-    /// After a pause of this process, silence of others proves nothing.
+    /// Drops the outstanding probe and restarts all suspicions after a pause of this process: answers may have
+    /// arrived during the pause.
     fn excuse_all(&mut self, now: BootTime) {
         self.probe = None;
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
     }
 
-    /// Joins through seeds, and keeps announcing the fleet to seeds that have restarted.
+    /// Contacts seed addresses at which no live member is known: to join the fleet, and to reach seeds that have
+    /// restarted.
     fn contact_seeds(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         if now < self.next_seed_contact {
             return;
@@ -243,8 +251,10 @@
         unknown.into_iter().for_each(|seed| self.introduce_to(seed, actions));
     }
 
-    /// Has a node be known at an address where it is unknown who listens. One that knows somebody near gets the rest there, and only has to be
-    /// known.
+    /// Sends this node's record to an address at which no member is known.
+    ///
+    /// A node that knows no local member asks for a member list; a node that knows one learns the others
+    /// from it, and only announces itself.
     fn introduce_to(&mut self, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let member = self.own().clone();
         let has_mates = !self.near_and_far().0.is_empty();
@@ -255,10 +265,11 @@
         actions.push(MembershipAction::Send { to: None, address, message });
     }
 
-    /// A peer sent something to an earlier incarnation at this node's address, which nobody may take for this one's.
+    /// Handles a message that a peer sent to an earlier incarnation at this node's address.
     ///
-    /// Whoever sends that is alive and doesn't know this incarnation. It may be the only way for both to meet: seeds of a node that starts again
-    /// may all be gone.
+    /// The content of the message is ignored, but its sender is alive and doesn't know this incarnation, so this
+    /// node announces itself to the sender unless it knows the sender already. It may be the only contact between the
+    /// two: the seeds of a restarted node may all be gone.
     pub fn on_misaddressed(&mut self, from: NodeId, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_known = self.members.get(&from).is_some_and(|member| !member.is_gone());
         if !is_known {
@@ -266,7 +277,7 @@
         }
     }
 
-    /// Merges one record and passes it on if it was new. Returns whether it was.
+    /// Merges one record and queues it for gossip if it was new. Returns whether it was new.
     fn take(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         let is_new = self.merge(now, record, actions);
@@ -276,7 +287,7 @@
         is_new
     }
 
-    /// Merges one record. Returns whether it was new.
+    /// Merges one record without gossiping it. Returns whether it was new.
     fn merge(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         if node == self.me {
@@ -284,7 +295,7 @@
         }
         let is_new = match self.members.get(&node) {
             Some(known) => known.is_superseded_by(&record),
-            // The end of an incarnation never met, or forgotten, is nothing new.
+            // The end of an incarnation that this node never knew, or has forgotten, isn't stored.
             None => !record.is_gone(),
         };
         if !is_new {
@@ -319,7 +330,7 @@
         self.next_number
     }
 
-    /// Live members ranked for a key by rendezvous hashing, those of other zones than `zone` first.
+    /// Members that take work, ranked for a key by rendezvous hashing; those outside `zone` come first.
     pub fn ranked_for(&self, key: &[u8], zone: Option<&staircross_types::ZoneName>) -> Vec<&Member> {
         let mut ranked: Vec<&Member> = self.members.values().filter(|member| member.takes_work()).collect();
         ranked.sort_by_cached_key(|member| {
--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! Settings of the membership protocol, its messages and what it wants done.
+//! Settings, messages and actions of the membership protocol.
 
 use super::reconcile::Fingerprints;
 use crate::member::Member;
@@ -12,25 +12,26 @@
 pub struct MembershipSettings {
     /// Time between probes sent by one node.
     pub probe_every: Duration,
-    /// Time after which an unanswered probe is tried through others.
+    /// Time after which other members are asked to probe a member that hasn't answered a direct probe.
     pub direct_timeout: Duration,
-    /// Time after which a probe has failed.
+    /// Time after which an unanswered probe has failed and its target becomes suspect.
     pub probe_timeout: Duration,
-    /// Time a suspect has to refute.
+    /// Time that a suspect has to refute the suspicion before it is declared dead.
     pub suspicion: Duration,
-    /// A gap between ticks longer than this was a pause of this process.
+    /// Gap between two ticks above which this process is assumed to have been paused.
     pub pause_gap: Duration,
-    /// Others that are asked to probe on one's behalf.
+    /// Number of members that are asked to probe a member that hasn't answered.
     pub helpers: usize,
-    /// Updates on one message.
+    /// Most updates piggybacked on one message.
     pub updates_per_message: usize,
-    /// How often each update is sent: so many times the logarithm of the fleet's size, and so many more.
+    /// Number of times that this node sends each update.
     pub retransmits: Retransmits,
-    /// Whether a joiner asks one seed at a time instead of all: each answers with the whole fleet.
+    /// Whether a joining node asks one seed at a time instead of all of them. Each seed may answer with the
+    /// whole fleet.
     pub asks_one_seed: bool,
-    /// Members listed in one message.
+    /// Most member records in one message of a member list.
     pub members_per_message: usize,
-    /// Time after which a gone member is forgotten.
+    /// Time after which the record of a gone member is dropped.
     pub forget_after: Duration,
 }
 
@@ -40,7 +41,8 @@
             probe_every: Duration::from_millis(500),
             direct_timeout: Duration::from_millis(200),
             probe_timeout: Duration::from_millis(600),
-            // A pause of a second must never evict: the probe timeout and this are well above it.
+            // A pause of one second must never get a node declared dead: the probe timeout and this time
+            // together are well above it.
             suspicion: Duration::from_millis(2500),
             pause_gap: Duration::from_millis(400),
             helpers: 3,
@@ -53,12 +55,12 @@
     }
 }
 
-/// How often one node sends one update.
+/// Number of times that one node sends one update, as a function of the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retransmits {
-    /// For each doubling of the fleet's size.
+    /// Sends for each doubling of the fleet's size.
     pub per_doubling: u32,
-    /// Besides.
+    /// Sends added to that, whatever the fleet's size.
     pub besides: u32,
 }
 
@@ -68,31 +70,31 @@
     }
 }
 
-/// Ids from the first to the last, both included.
+/// An inclusive range of node ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdSpan {
-    /// The first.
+    /// Lowest id of the range.
     #[serde(rename = "f")]
     pub first: NodeId,
-    /// The last.
+    /// Highest id of the range.
     #[serde(rename = "l")]
     pub last: NodeId,
 }
 
 impl IdSpan {
-    /// All ids.
+    /// The range of all ids.
     pub const ALL: IdSpan = IdSpan { first: NodeId(0), last: NodeId(u128::MAX) };
 
-    /// Whether an id lies in it.
+    /// Whether the range contains `node`.
     pub fn contains(&self, node: NodeId) -> bool {
         self.first <= node && node <= self.last
     }
 }
 
-/// Probes and gossip.
+/// Messages of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Are you there? Updates besides.
+    /// Asks whether the receiver is alive, and carries membership updates.
     #[serde(rename = "p")]
     Probe {
         #[serde(rename = "n")]
@@ -100,37 +102,40 @@
         #[serde(rename = "w")]
         updates: Vec<Member>,
     },
-    /// I am.
+    /// Answers the probe with the same number, and carries membership updates.
     #[serde(rename = "q")]
     ProbeAnswer {
         #[serde(rename = "n")]
         number: u64,
         #[serde(rename = "w")]
         updates: Vec<Member>,
-        /// Which of the probe's updates were known already: a bit for each, the first one lowest.
+        /// Bit set of the probe's updates that the receiver knew already; the lowest bit is the first update.
         #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
         known: u32,
     },
-    /// Please probe a third on my behalf.
+    /// Asks the receiver to probe `target` on the sender's behalf.
     ProbeFor { number: u64, target: NodeId, target_address: SocketAddr },
-    /// I have come up; tell me of everyone.
+    /// Announces a node that has just started and asks for a member list.
     Join { member: Member },
-    /// Everyone I know of whose id lies in a span. Of older versions without one nothing follows for who isn't listed.
+    /// Lists members whose ids lie in `span`, among them every live one that the sender knows.
+    ///
+    /// Without a span, the list is partial: a member that isn't listed may still be known to the sender. Older
+    /// versions send no span.
     Everyone {
         members: Vec<Member>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         span: Option<IdSpan>,
     },
-    /// Tell me who is there in those parts of the ids where that isn't what I know.
+    /// Asks for the live members of each id bucket whose fingerprint differs from the sender's.
     Compare { fingerprints: Box<Fingerprints> },
 }
 
-/// What the membership wants done.
+/// What the caller of the membership logic must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Send a message.
+    /// Send a message; `to` is `None` where it isn't known which node listens at the address.
     Send { to: Option<NodeId>, address: SocketAddr, message: MembershipMessage },
-    /// A member's record changed.
+    /// Take note that a member's record has changed.
     Changed(NodeId),
 }
 
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: one other at a time, through helpers where it doesn't answer.
+//! Direct probes of one member at a time, and indirect probes through helpers when it doesn't answer.
 
 use super::{Membership, MembershipAction, MembershipMessage, shuffle};
 use crate::member::Member;
@@ -8,19 +8,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Members of each other region that are probed in a round: a part of those of the own region, but some.
+/// A relay probes this fraction of the number of local members in each other region per round.
 const FAR_DIVISOR: usize = 8;
+/// Fewest members of each other region that a round contains, as far as the region has them.
 const MIN_FAR: usize = 3;
 
+/// The direct probe that this node awaits an answer to.
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
-    /// Whom its updates were about.
+    /// Members whose records the probe carried, in the order sent.
     pub(super) sent: Vec<NodeId>,
     pub(super) sent_at: BootTime,
     pub(super) asked_helpers: bool,
 }
 
+/// A probe that this node sent on behalf of another.
 pub(super) struct HelpedProbe {
     pub(super) number: u64,
     pub(super) for_number: u64,
@@ -43,7 +46,8 @@
         self.probe = Some(OutstandingProbe { number, target: target.node, sent, sent_at: now, asked_helpers: false });
     }
 
-    /// Goes through a round in random order before beginning the next, so each is probed in bounded time.
+    /// The next member to probe. A round is completed in random order before the next begins, so each local member is
+    /// probed within a bounded time.
     fn next_target(&mut self, random: &mut ChaCha8Rng) -> Option<Member> {
         loop {
             if self.round.is_empty() {
@@ -59,8 +63,8 @@
         }
     }
 
-    /// All others of the region, and some of each other region, more by relays. Of a small region all are in every
-    /// round.
+    /// Targets of a new round in random order: all local members and a few members of each other region, of which a
+    /// relay includes more. Of a region with at most [`MIN_FAR`] members, all are in every round.
     fn new_round(&self, random: &mut ChaCha8Rng) -> Vec<NodeId> {
         let mut by_region: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for member in self.others() {
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -1,7 +1,7 @@
-//! How members come to know the same, with few bytes.
+//! Reconciliation: how all nodes arrive at the same member records with little traffic.
 //!
-//! Updates are sent until they are mostly known; the node that is asked says what it knew already, so that old updates
-//! dies early. What gets lost that way is found by comparing fingerprints when nothing is being sent.
+//! A probed node answers which of the probe's updates it knew already, so that widely known updates are dropped
+//! early. Updates that some nodes miss because of that are found by comparing fingerprints from time to time.
 
 use super::{IdSpan, Membership, MembershipAction, MembershipMessage};
 use crate::member::{Member, MemberState};
@@ -15,22 +15,23 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An update that was known where it was sent counts as sent so many times more.
+/// Sends that are added to the count of an update when its receiver already knew it.
 const REDUNDANT_SEND_WEIGHT: u32 = 3;
-/// Time between comparisons begun by one node, and while it has learned something that way lately.
+/// Time between comparisons started by one node.
 const COMPARE_EVERY: Duration = Duration::from_secs(3);
+/// Time between comparisons while the node has learned something from a member list within [`LEARNING`].
 const COMPARE_LEARNING: Duration = Duration::from_millis(1500);
 const LEARNING: Duration = Duration::from_secs(4);
-/// Parts of the ids that are compared one by one.
+/// Leading bits of an id that select its bucket; each bucket has a fingerprint of its own.
 const BUCKET_BITS: u32 = 4;
 const BUCKETS: usize = 1 << BUCKET_BITS;
-/// One comparison in so many is with a member of another region, and of the others one with a member of any zone of the
-/// region.
+/// A relay compares with a remote member in one of this many comparison intervals.
 const FAR_TURNS: u64 = 4;
+/// Of the other comparisons, one in this many is with a local member of any zone, the rest within the zone.
 const REGION_TURNS: u32 = 4;
 
 impl Membership {
-    /// Merges the updates of a probe; says which of them were known already.
+    /// Merges the updates of a probe. Returns a bit set of those that were known already, the first one lowest.
     pub(super) fn take_probe_updates(
         &mut self,
         now: BootTime,
@@ -45,7 +46,7 @@
         known
     }
 
-    /// What many know already needn't be sent for much longer.
+    /// Raises the send count of the updates that the receiver of a probe knew already, so that they are dropped sooner.
     pub(super) fn note_redundant_sends(&mut self, sent: &[NodeId], known: u32, is_far: bool) {
         let in_vain = |index: usize| known.checked_shr(index as u32).unwrap_or(0) & 1 == 1;
         for (_, node) in sent.iter().enumerate().filter(|(index, _)| in_vain(*index)) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Asks another now and then whether it knows the same, oftener while this node still learns much that way.
+    /// Sends this node's fingerprints to a random member when a comparison is due.
     pub(super) fn ask_to_compare(
         &mut self,
         now: BootTime,
@@ -85,7 +86,7 @@
         actions.push(MembershipAction::Send { to: Some(member.node), address: member.peer_address, message });
     }
 
-    /// Answers a comparison: who is live in those parts of the ids where that differs.
+    /// Answers a comparison with the live members of each bucket whose fingerprint differs.
     pub(super) fn compare(
         &self,
         from: NodeId,
@@ -102,7 +103,10 @@
         }
     }
 
-    /// Lists the members of a span, in the order of their ids, in messages of bounded length; without a span, some.
+    /// Sends a member list, split into messages of at most `members_per_message` records.
+    ///
+    /// With a span, `members` are all known members in it, in the order of their ids, and each message covers its
+    /// own part of the span. Without a span, the list is partial.
     pub(super) fn list(
         &self,
         members: Vec<Member>,
@@ -115,7 +119,7 @@
         let mut rest = members.into_iter().peekable();
         loop {
             let piece: Vec<Member> = rest.by_ref().take(self.settings.members_per_message).collect();
-            // Between the last of a piece and the first of the next there is nobody.
+            // The part ends just before the first member of the next message: no member lies between them.
             let last = span.map(|span| rest.peek().map_or(span.last, |next| NodeId(next.node.0 - 1)));
             let span = first.zip(last).map(|(first, last)| IdSpan { first, last });
             let message = MembershipMessage::Everyone { members: piece, span };
@@ -127,7 +131,8 @@
         }
     }
 
-    /// Takes what another knows of members in a span; what it lacks there is sent.
+    /// Merges a member list from another node, and queues for gossip the live members within its span that the list
+    /// lacks or has with an older record.
     pub(super) fn take_listing(
         &mut self,
         now: BootTime,
@@ -138,7 +143,7 @@
         let listed: BTreeMap<NodeId, (u64, MemberState)> =
             members.iter().map(|member| (member.node, (member.version, member.state))).collect();
         for member in members {
-            // Not passed on as updates: others compare too, and the fleet must not be sent everything by everybody.
+            // Not gossiped: other nodes compare too, and a list of the fleet must not be repeated by every reader.
             if self.merge(now, member, actions) {
                 self.learned_at = Some(now);
                 self.next_compare = self.next_compare.min(now + COMPARE_LEARNING);
@@ -158,7 +163,7 @@
         lacking.into_iter().for_each(|node| self.spread(node));
     }
 
-    /// A number for who is live in each part of the ids, whatever order they were learned in.
+    /// Computes the fingerprints of this node's live members.
     fn fingerprints(&self) -> Fingerprints {
         let mut sums = Fingerprints::default();
         for member in self.members.values().filter(|member| !member.is_gone()) {
@@ -173,16 +178,16 @@
     }
 }
 
-/// A number for who is live in each part of the ids.
+/// One checksum for each id bucket, over the ids, versions and states of its live members; their order doesn't matter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fingerprints([u64; BUCKETS]);
 
-/// The part of the ids that one lies in.
+/// The bucket that an id belongs to.
 fn part_of(node: NodeId) -> usize {
     (node.0 >> (u128::BITS - BUCKET_BITS)) as usize
 }
 
-/// The ids of a part.
+/// The ids of a bucket.
 fn span_of(bucket: usize) -> IdSpan {
     let first = (bucket as u128) << (u128::BITS - BUCKET_BITS);
     let last = first | (u128::MAX >> BUCKET_BITS);
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -1,23 +1,24 @@
-//! What regions send each other.
+//! Gossip between regions.
 //!
-//! Bytes between regions are dear, and a member is watched well by those around it. So in a region of some size only a few
-//! members, the relays, send other regions who has come and gone; they are those with the lowest ids, as each sees it.
-//! A node that they send it to passes it on within its own region.
+//! Traffic between regions is expensive, and a member is probed well by the members of its own region. So only a few
+//! members of a region, its relays, send membership updates to other regions. The relays are the live members with the
+//! lowest ids; each node computes them from its own records. A node that receives such an update gossips it
+//! within its own region.
 
 use super::{IdSpan, Membership, MembershipAction, Rumor};
 use crate::member::{Member, MemberState};
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
 
-/// Relays of a region: with some of them gone or cut off, others go on.
+/// Number of relays in a region. There are several so that some can fail or be cut off.
 const RELAYS: usize = 4;
-/// Members of other regions that a relay sends a change to at once.
+/// Number of remote members that an immediate push goes to.
 pub(super) const RELAY_PUSHES: usize = 2;
-/// How often a relay sends one update to other regions.
+/// Number of times that a relay sends one update to other regions.
 const FAR_RETRANSMITS: u32 = 3;
 
 impl Membership {
-    /// Whether this node sends other regions what is new in its own.
+    /// Whether this node is one of the relays of its region.
     pub(super) fn is_relay(&self) -> bool {
         let own = self.own();
         let mates = self.members.values().filter(|member| member.region == own.region);
@@ -25,18 +26,21 @@
         live.take_while(|member| member.node < self.me).count() < RELAYS
     }
 
-    /// Live members of the own region and of others, besides this node.
+    /// Members that aren't gone, except this node: first the local ones, then the remote ones.
     pub(super) fn near_and_far(&self) -> (Vec<&Member>, Vec<&Member>) {
         let region = &self.own().region;
         self.others().partition(|member| member.region == *region)
     }
 
+    /// Whether a node is known to be in another region.
     pub(super) fn is_far(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(|member| member.region != self.own().region)
     }
 
-    /// The updates for a member that were sent least often. Within the region each is sent a few times the logarithm of the
-    /// fleet's size; relays send other regions those of their own, and nobody else does.
+    /// Chooses the updates to send to a member, least often sent first, and counts them as sent.
+    ///
+    /// Each update is sent to local members as often as the settings' `retransmits` say. Remote members are sent only
+    /// updates about members of this node's region, and only by relays.
     pub(super) fn take_updates(&mut self, to: NodeId) -> Vec<Member> {
         let is_far = self.is_far(to);
         if is_far && !self.is_relay() {
@@ -60,7 +64,7 @@
         updates
     }
 
-    /// Drops the updates that were sent often enough.
+    /// Drops the updates that were sent as often as they must be.
     fn forget_sent(&mut self, max_sends: u32) {
         let (is_relay, region) = (self.is_relay(), self.own().region.clone());
         let has_far = self.others().any(|member| member.region != region);
@@ -72,8 +76,10 @@
         });
     }
 
-    /// Answers a node that has just started: with its own region where that is known, since those around it send it the
-    /// rest, else with everybody.
+    /// Answers a node that has just started.
+    ///
+    /// A joiner from this node's region, or from a region of which no live member is known, gets all members. Any other
+    /// joiner gets the members of its own region, which then send it the rest.
     pub(super) fn answer_joiner(
         &mut self,
         now: BootTime,
@@ -89,7 +95,7 @@
             let everybody = self.members.values().cloned().collect();
             return self.list(everybody, Some(IdSpan::ALL), node, address, actions);
         }
-        // A joiner asks on until it knows the seeds.
+        // A joiner goes on asking until it knows a member at each seed address, so the list includes the seeds.
         let is_seed = |member: &Member| member.node == self.me || self.seeds.contains(&member.peer_address);
         let wanted = others().filter(|member| member.region == region || is_seed(member)).cloned().collect();
         self.list(wanted, None, node, address, actions);
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion, refutation and death: how a member that doesn't answer is judged, and comes back.
+//! Suspicion, refutation and death of members that don't answer probes.
 
 use super::{Membership, MembershipAction, MembershipMessage};
 use crate::member::{Member, MemberState};
@@ -7,21 +7,22 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time between reminders to a suspect.
+/// Time between notifications to a suspect that it is suspected.
 const REMINDER_EVERY: Duration = Duration::from_millis(400);
-/// Time between probes of members declared dead.
+/// Time between probes that this node sends to dead members.
 const DEAD_CONTACT_EVERY: Duration = Duration::from_secs(2);
 
-/// A suspicion that this node holds.
+/// State of the suspicion of one member.
 pub(super) struct Suspicion {
     pub(super) since: BootTime,
-    /// Whether this node itself got no answer. Those who only heard of it wait twice as long, so
-    /// that a refutation heard by the first can reach them.
+    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits
+    /// twice as long, so that a refutation that reached the suspecting node can reach it too.
     pub(super) is_first_hand: bool,
     pub(super) next_reminder: BootTime,
 }
 
 impl Membership {
+    /// Marks a member as suspect after this node's own probe failed.
     pub(super) fn suspect(&mut self, now: BootTime, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).filter(|member| !member.is_gone()) else {
             return;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Notifies suspects that they are suspected, so that a member that was only paused refutes at once.
+    /// Notifies suspects of their suspicion, so that a member that was only paused refutes it at once.
     pub(super) fn remind_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Probes a member with what is thought of it; if it is alive, it refutes.
+    /// Probes a member and includes the record that this node has of it; a live member refutes that record.
     pub(super) fn send_its_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).cloned() else {
             return;
@@ -59,6 +60,7 @@
         actions.push(MembershipAction::Send { to: Some(node), address: member.peer_address, message });
     }
 
+    /// Declares the suspects dead that didn't refute in time.
     pub(super) fn expire_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
         let span = self.settings.suspicion;
         let is_expired = |suspicion: &Suspicion| {
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Drops the records of members that have been gone for `forget_after`.
     pub(super) fn forget_gone(&mut self, now: BootTime) {
         let span = self.settings.forget_after;
         let forgotten: Vec<NodeId> =
@@ -89,7 +92,8 @@
         }
     }
 
-    /// Probes somebody who was declared dead: after a cut has healed, this brings the sides together.
+    /// Probes a random dead member when that is due, so that the sides of a network partition find each other after it
+    /// has healed.
     pub(super) fn contact_dead(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         if now < self.next_dead_contact {
             return;
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Raises its own version where somebody thinks worse of this node. Returns whether somebody did.
+    /// Raises this node's version above that of a record that shows it in a worse state than its own. Returns
+    /// whether it did so.
     pub(super) fn refute(&mut self, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let Some(own) = self.members.get_mut(&self.me) else {
             return false;
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -1,4 +1,4 @@
-//! Typed messages between nodes about the fleet itself.
+//! Messages of the cluster protocol.
 
 use crate::membership::MembershipMessage;
 use crate::published::PublishedMessage;
@@ -8,38 +8,38 @@
 use staircross_types::NodeId;
 use std::net::SocketAddr;
 
-/// What one node sends another.
+/// A message of one of the parts of the cluster logic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
-    /// Probes and gossip.
+    /// A message of the membership protocol.
     #[serde(rename = "m")]
     Membership(MembershipMessage),
-    /// The platform's document.
+    /// A message about the platform's document.
     #[serde(rename = "d")]
     Published(PublishedMessage),
-    /// Searcher views.
+    /// A message about searcher views.
     #[serde(rename = "v")]
     Views(ViewMessage),
-    /// Session copies.
+    /// A message about session copies.
     Replica(ReplicaMessage),
 }
 
-/// A message on its way.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The incarnation that sends.
+    /// Incarnation of the sender.
     #[serde(rename = "f")]
     pub from: NodeId,
-    /// Where it can be answered.
+    /// Address to which an answer is sent.
     #[serde(rename = "a")]
     pub from_address: SocketAddr,
-    /// The incarnation it is for; `None` for any that listens at the address.
+    /// Incarnation that the message is for; `None` for whichever listens at the address.
     #[serde(rename = "t")]
     pub to: Option<NodeId>,
-    /// Where it goes. Not sent: the receiver is there.
+    /// Address of the receiver. It isn't encoded, because the receiver doesn't need it.
     #[serde(skip, default = "unspecified_address")]
     pub to_address: SocketAddr,
-    /// What it says.
+    /// The message itself.
     #[serde(rename = "m")]
     pub message: ClusterMessage,
 }
--- a/crates/staircross-cluster/src/ownership.rs
+++ b/crates/staircross-cluster/src/ownership.rs
@@ -1,10 +1,12 @@
-//! Which nodes own which searchers.
+//! Assignment of searchers to owner nodes.
 //!
-//! Inputs: live members and the searchers of the configuration in force. Each group of searchers
-//! is owned by a few nodes, chosen by rendezvous hashing: when a node comes or goes, only its own
-//! groups change hands. Invariant: the owners' shares of a searcher's slots add up to no more than
-//! its slots, for any one view of the members. Two views that differ may briefly add up to more;
-//! the searcher's own slots then shed, which costs time but breaks no promise.
+//! The assignment is computed from the live members and the searchers of the configuration in force. Each
+//! group of searchers is owned by a few nodes, chosen by rendezvous hashing, so that only the groups of a node
+//! that joins or leaves change owners.
+//!
+//! Invariant: for any one set of members, the owners' shares of a searcher's slots add up to no more than its
+//! slots. Nodes with different member records may briefly use more in sum; the searcher then sheds the excess,
+//! which costs time but violates no guarantee.
 
 use crate::member::Member;
 use staircross_config::{SearcherDefinition, ServiceDefinition};
@@ -12,10 +14,10 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Owners of a group, unless its searchers have fewer slots.
+/// Number of owners of a group; a group with a searcher of fewer slots has only that many.
 pub const OWNERS_PER_GROUP: usize = 2;
 
-/// Owners of every searcher, as seen with one view of the members.
+/// Owners and slots of every searcher, for one set of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipMap {
     owners: BTreeMap<SearcherId, Vec<NodeId>>,
@@ -53,15 +55,15 @@
         }
     }
 
-    /// Owners of a searcher, best first.
+    /// Owners of a searcher, in order of rank.
     pub fn owners(&self, searcher: SearcherId) -> &[NodeId] {
         self.owners.get(&searcher).map_or(&[], Vec::as_slice)
     }
 
-    /// Owners in the order in which to try them for one sub-request; `turn` counts up.
+    /// Owners in the order in which to try them for one sub-request; `turn` rises by one with each.
     ///
-    /// Owners come first as often as their share of the slots: turns spread evenly would queue at
-    /// an owner with a small share while others have slots free.
+    /// Each owner comes first in proportion to its share of the slots. With equal turns, requests would queue at an
+    /// owner with a small share while other owners have free slots.
     pub fn owners_in_turn(&self, searcher: SearcherId, turn: u64) -> Vec<NodeId> {
         let owners = self.owners(searcher);
         let slots = self.slots.get(&searcher).copied().unwrap_or(0);
@@ -69,12 +71,12 @@
             return owners.to_vec();
         }
         let slot = (turn % u64::from(slots)) as u32;
-        // Slot n belongs to owner n modulo the number of owners: exactly each one's share.
+        // Slot n belongs to owner n modulo the number of owners, which gives each owner exactly its share.
         let first = slot as usize % owners.len();
         (0..owners.len()).map(|step| owners[(first + step) % owners.len()]).collect()
     }
 
-    /// Searchers that `node` owns, with its share of each one's slots.
+    /// Searchers that `node` owns, with the node's share of the slots of each.
     pub fn shares_of(&self, node: NodeId) -> BTreeMap<SearcherId, u32> {
         let mut shares = BTreeMap::new();
         for (searcher, owners) in &self.owners {
@@ -88,12 +90,12 @@
     }
 }
 
-/// The share of the owner at `position`: all slots are given out, none twice.
+/// Number of slots of the owner at `position`; the shares of all owners add up to `slots`.
 fn share_of(slots: u32, owners: u32, position: u32) -> u32 {
     slots / owners + u32::from(position < slots % owners)
 }
 
-/// Owners in the searchers' own zone come first: they are a millisecond nearer.
+/// Chooses up to `count` owners of a group, those in the searchers' zone first: their latency is a millisecond lower.
 fn choose_owners(
     service: &str,
     group: GroupId,
@@ -113,7 +115,7 @@
     ranked.into_iter().map(|(_, _, node)| node).collect()
 }
 
-/// Weight of `node` for a key; the highest weights win.
+/// Weight of `node` for a key and a salt in rendezvous hashing; the nodes with the highest weights are chosen.
 pub fn rendezvous_weight(key: &[u8], salt: u64, node: NodeId) -> u64 {
     let key_hash = xxh3_64_with_seed(key, salt);
     xxh3_64_with_seed(&node.0.to_be_bytes(), key_hash)
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -1,8 +1,8 @@
-//! The platform's document as this node holds it, relayed between nodes.
+//! The platform's document as this node holds it, and its relay between nodes.
 //!
-//! The platform alone decides what is in force; a node takes every newer document from any node that has
-//! it, and never an older one. Each node announces to a few others which revision it holds; one that has a
-//! newer one answers with it. So a node that the platform doesn't serve follows its peers.
+//! Only the platform creates documents. A node adopts a newer document from the platform or any peer, and never an
+//! older one. Each node announces the revision that it holds to a few peers; a peer with a newer revision answers
+//! with its document. So a node that can't read the platform still gets its documents from peers.
 
 use crate::member::Member;
 use rand::seq::IndexedRandom;
@@ -15,72 +15,73 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between publications.
+/// Time between announcements of the revision held.
 const PUBLISH_EVERY: Duration = Duration::from_millis(250);
-/// Others sent to each time, and at once after updates.
+/// Number of members that a periodic announcement goes to.
 const FANOUT: usize = 2;
+/// Number of members that the announcement of a new document goes to; it is sent without waiting for the next period.
 const UPDATE_FANOUT: usize = 6;
 
-/// What nodes say to each other about the document.
+/// Messages about the platform's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PublishedMessage {
-    /// The revision that the sender holds; 0 when it holds none.
+    /// Announces the revision that the sender holds; 0 when it holds none.
     #[serde(rename = "h")]
     Holds {
-        /// The revision.
+        /// Revision that the sender holds.
         #[serde(rename = "r")]
         revision: u64,
     },
-    /// A document that the receiver lacks.
+    /// Carries a document that is newer than the receiver's.
     #[serde(rename = "d")]
     Document(Arc<PlatformDocument>),
 }
 
-/// A message on its way.
+/// A message to be sent to a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedSend {
-    /// To whom.
+    /// Incarnation of the receiver.
     pub to: NodeId,
-    /// Where it is reached.
+    /// Peer address of the receiver.
     pub address: SocketAddr,
-    /// What.
+    /// The message itself.
     pub message: PublishedMessage,
 }
 
-/// The document in force, as far as this node knows.
+/// The newest valid document that this node has received, and the revisions that peers hold.
 #[derive(Debug, Default)]
 pub struct Published {
     held: Option<Arc<PlatformDocument>>,
-    /// Revisions that others said they hold.
+    /// Revisions that peers last announced.
     held_by_peer: BTreeMap<NodeId, u64>,
     has_update: bool,
     next_publication: BootTime,
 }
 
 impl Published {
-    /// A node that holds nothing yet.
+    /// Creates the state of a node that holds no document yet.
     pub fn new() -> Self {
         Published::default()
     }
 
-    /// The document held.
+    /// The document that this node holds.
     pub fn document(&self) -> Option<&Arc<PlatformDocument>> {
         self.held.as_ref()
     }
 
-    /// Its revision; 0 when none is held.
+    /// Revision of the document that this node holds; 0 when it holds none.
     pub fn revision(&self) -> u64 {
         self.held.as_ref().map_or(0, |document| document.revision)
     }
 
-    /// The revision that a node last said it holds.
+    /// Revision that a peer last announced.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         self.held_by_peer.get(&node).copied()
     }
 
-    /// Takes a document if it is newer than what is held, and valid. Returns whether it was taken.
+    /// Adopts a document if it is valid and newer than the one held. Returns whether it was adopted.
     pub fn take(&mut self, document: Arc<PlatformDocument>) -> bool {
-        // The platform may be stale or step back; what was in force never reverts.
+        // The platform may serve an old revision; the document in force is never replaced by an older one.
         if document.revision <= self.revision() || document.check().is_err() {
             return false;
         }
@@ -89,7 +90,7 @@
         true
     }
 
-    /// Takes a message. Returns whether a newer document is held since.
+    /// Handles a message from a peer. Returns whether it brought a newer document.
     pub fn on_message(
         &mut self,
         from: NodeId,
@@ -107,7 +108,8 @@
         }
     }
 
-    /// A node that has less gets the document; one that has more is asked for it by the announcement of what is held.
+    /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this node's
+    /// own announcement, which it answers with its document.
     fn answer_to(&self, theirs: u64) -> Option<PublishedMessage> {
         let own = self.revision();
         match &self.held {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Announces the revision held to random members when that is due, or at once after a new document was adopted.
     pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
         if now < self.next_publication && !self.has_update {
             return;
--- a/crates/staircross-cluster/src/replicas.rs
+++ b/crates/staircross-cluster/src/replicas.rs
@@ -1,47 +1,49 @@
-//! Copies of session state at other nodes, so that a session outlives the node that holds it.
+//! Copies of session state on other nodes, so that a session survives the loss of the node that holds it.
 //!
-//! Copies go to the members that rank highest for the token, in other zones than the holder's.
-//! Any node can find them again, because it ranks the members the same way. Inputs: copies, asks.
-//! Invariants: an older copy never replaces a newer one; memory is bounded.
+//! Copies go to the members that rank highest for the session token, preferably in other zones than the
+//! holder's. Any node can find them, because all nodes rank the members in the same way.
+//!
+//! Invariants: an older copy never replaces a newer one; the number of copies is bounded.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{NodeId, SessionToken};
 use std::collections::{BTreeMap, HashMap};
 
-/// Copies kept besides the holder's own state.
+/// Number of copies of a session, in addition to the holder's own state.
 pub const COPIES: usize = 2;
-/// Members asked when a session is resumed. More than hold copies, because views of the members differ.
+/// Number of members asked for a copy when a session is resumed. They are more than keep copies, because nodes
+/// may differ in the members that they know.
 pub const ASKED: usize = 8;
 
-/// One copy of a session's state.
+/// A copy of a session's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCopy {
-    /// Rises with each change by a holder, and when another node takes over.
+    /// Version of the state; it rises with each change by the holder, and when another node takes the session over.
     pub version: u64,
-    /// The node that holds the session.
+    /// Node that holds the session.
     pub holder: NodeId,
-    /// The state, encoded by the holder.
+    /// State of the session, as encoded by the holder.
     pub state: Vec<u8>,
 }
 
-/// Messages about copies.
+/// Messages about session copies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicaMessage {
-    /// Keep this.
+    /// Asks the receiver to store a copy.
     Store { token: SessionToken, copy: SessionCopy },
-    /// Kept; or not, because a newer copy by another holder is known.
+    /// Answers `Store`; if `is_overtaken`, the receiver kept a newer copy of another holder instead.
     Stored { token: SessionToken, version: u64, is_overtaken: bool },
-    /// What do you have?
+    /// Asks the receiver for its copy; the answer carries the same number `ask`.
     Fetch { token: SessionToken, ask: u64 },
-    /// This.
+    /// Answers `Fetch` with the copy, if there is one.
     Fetched { token: SessionToken, ask: u64, copy: Option<SessionCopy> },
-    /// The session was closed.
+    /// Asks the receiver to drop its copy, because the session was closed.
     Forget { token: SessionToken },
-    /// Another node holds the session now.
+    /// Notifies the previous holder that the sender has taken the session over.
     Moved { token: SessionToken },
 }
 
-/// Copies that this node keeps for others.
+/// Session copies that this node keeps for others.
 pub struct ReplicaStore {
     copies: HashMap<SessionToken, SessionCopy>,
     order: BTreeMap<u64, SessionToken>,
@@ -50,12 +52,13 @@
 }
 
 impl ReplicaStore {
-    /// Keeps at most `capacity` copies; the one stored longest ago goes first.
+    /// Creates a store of at most `capacity` copies; when it is full, the session that was stored first is dropped.
     pub fn new(capacity: usize) -> Self {
         ReplicaStore { copies: HashMap::new(), order: BTreeMap::new(), next_order: 0, capacity }
     }
 
-    /// Keeps a copy unless a newer one is known; returns whether it was overtaken.
+    /// Stores a copy unless one of the same or a newer version is stored. Returns whether a newer copy of another
+    /// holder is stored.
     pub fn store(&mut self, token: SessionToken, copy: SessionCopy) -> bool {
         if let Some(known) = self.copies.get(&token) {
             let is_overtaken = known.version > copy.version && known.holder != copy.holder;
@@ -75,24 +78,24 @@
         false
     }
 
-    /// The copy of a session.
+    /// Returns the copy of a session, if one is stored.
     pub fn get(&self, token: SessionToken) -> Option<&SessionCopy> {
         self.copies.get(&token)
     }
 
-    /// Drops a copy.
+    /// Drops the copy of a session.
     pub fn forget(&mut self, token: SessionToken) {
         if self.copies.remove(&token).is_some() {
             self.order.retain(|_, known| *known != token);
         }
     }
 
-    /// Number of copies.
+    /// Number of copies stored.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether there is no copy.
+    /// Whether no copy is stored.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -1,8 +1,8 @@
-//! What owners know of searchers, spread to all nodes.
+//! Gossip of the searcher states that owners observe.
 //!
-//! Each record carries a version that rises with every change anywhere; the highest wins.
-//! Updates are pushed to a few random members and sent a bounded number of times; now and then two
-//! nodes compare fingerprints and fill each other's gaps.
+//! Each searcher has one record with a version. An owner that observes a change raises the version; of two records
+//! the one with the higher version wins. New records are pushed to a few random members, a bounded number of
+//! times. Periodically, two nodes compare fingerprints and send each other the records that one of them lacks.
 
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -13,83 +13,83 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between pushes while there are updates.
+/// Time between pushes while there are records to push.
 const PUSH_EVERY: Duration = Duration::from_millis(200);
-/// Members that a push goes to.
+/// Number of members that a push goes to.
 const PUSH_FANOUT: usize = 2;
-/// Records in one push.
+/// Most records in one push.
 const PUSH_RECORDS: usize = 12;
-/// Times each record is pushed by each node, per doubling of the fleet.
+/// Number of times that each node pushes a record, per doubling of the fleet's size; two more are added.
 const RETRANSMITS_PER_DOUBLING: u32 = 1;
-/// Time between comparisons with a random member.
+/// Time between comparisons that this node starts with a random member.
 const COMPARE_EVERY: Duration = Duration::from_secs(5);
-/// Time between comparisons while no record is known.
+/// Time between comparisons while this node knows no record.
 const NEWCOMER_COMPARE_EVERY: Duration = Duration::from_millis(200);
-/// Buckets of a comparison: only those that differ are listed.
+/// Number of buckets of a comparison; only records of buckets that differ are listed.
 const BUCKETS: usize = 64;
 
-/// What a searcher last said.
+/// What a searcher last reported of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpreadEvidence {
-    /// Run of the searcher.
+    /// Incarnation of the searcher.
     #[serde(rename = "i")]
     pub incarnation: SearcherIncarnation,
-    /// Snapshots held.
+    /// Snapshots that the searcher holds.
     #[serde(rename = "s")]
     pub snapshots: Vec<Snapshot>,
 }
 
-/// One searcher's record.
+/// Record of one searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRecord {
-    /// The searcher.
+    /// Id of the searcher.
     #[serde(rename = "r")]
     pub searcher: SearcherId,
-    /// What it last said; `None` when it doesn't answer.
+    /// What the searcher last reported; `None` when it doesn't answer.
     #[serde(rename = "e")]
     pub evidence: Option<SpreadEvidence>,
-    /// Whether it is leaving, by any source.
+    /// Whether the searcher is leaving, whichever source says so.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// Version of the record.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The owner that made it; settles equal versions.
+    /// Owner that created the record; at equal versions the record with the higher owner id wins.
     #[serde(rename = "o")]
     pub origin: NodeId,
 }
 
-/// Version of one searcher's record, for a comparison.
+/// Version of one searcher's record, as listed in a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewVersion {
-    /// The searcher.
+    /// Id of the searcher.
     pub searcher: SearcherId,
-    /// Version held.
+    /// Version that the sender holds.
     pub version: u64,
 }
 
-/// Messages about views.
+/// Messages about searcher views.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewMessage {
-    /// Records that may be new.
+    /// Carries records that may be new to the receiver.
     #[serde(rename = "News")]
     Updates { records: Vec<ViewRecord> },
-    /// Fingerprints of all records, by bucket.
+    /// Starts a comparison with the fingerprints of all buckets.
     Compare { fingerprints: Vec<u64> },
-    /// Versions held in the buckets that differ. The receiver sends what is newer.
+    /// Lists the versions that the sender holds in the buckets that differ. The receiver answers with its newer records.
     Versions { buckets: Vec<u8>, versions: Vec<ViewVersion> },
 }
 
-/// What the views want done.
+/// What the caller of the view logic must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewAction {
     /// Send a message.
     Send { to: NodeId, address: SocketAddr, message: ViewMessage },
-    /// A record changed.
+    /// Take note that a record has changed.
     Changed(ViewRecord),
 }
 
-/// The view logic of one node.
+/// Searcher records of one node, and those that it still pushes.
 pub struct Views {
     me: NodeId,
     records: BTreeMap<SearcherId, ViewRecord>,
@@ -99,7 +99,7 @@
 }
 
 impl Views {
-    /// Knows nothing.
+    /// Creates the state of a node that knows no record.
     pub fn new(me: NodeId) -> Self {
         Views {
             me,
@@ -115,7 +115,7 @@
         self.records.values()
     }
 
-    /// Takes what this node, an owner, found out itself.
+    /// Records what this node, an owner, has observed of a searcher, under a new version.
     pub fn observe(
         &mut self,
         searcher: SearcherId,
@@ -128,6 +128,7 @@
         self.take(record, actions);
     }
 
+    /// Stores a record and queues it for pushes, if it is newer than the one known.
     fn take(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
         let is_new = self
             .records
@@ -142,7 +143,7 @@
         actions.push(ViewAction::Changed(record));
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn on_message(
         &mut self,
         from: NodeId,
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Sends what the other lacks, and asks for what this node lacks.
+    /// Sends the records that are newer here than at the peer. If the peer has newer ones, sends this node's own versions,
+    /// which the peer answers with them.
     fn answer_versions(
         &self,
         from: NodeId,
@@ -217,7 +219,7 @@
         fingerprints
     }
 
-    /// Lets time pass; `others` are the live members.
+    /// Pushes records and starts a comparison when they are due; `others` are the live members.
     pub fn on_tick(
         &mut self,
         now: BootTime,
@@ -232,7 +234,7 @@
         if now >= self.next_compare
             && let Some((node, address)) = others.choose(random)
         {
-            // A newcomer asks again soon: it must not act long on what it doesn't know.
+            // A new node asks again soon, so that it doesn't act without searcher records for long.
             let is_newcomer = self.records.is_empty();
             self.next_compare = now + if is_newcomer { NEWCOMER_COMPARE_EVERY } else { COMPARE_EVERY };
             let message = ViewMessage::Compare { fingerprints: self.fingerprints() };
