--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 
 /// Default number of session copies that a node keeps for others.
-const SESSION_COPIES: usize = 20_000;
+const DEFAULT_MAX_SESSION_COPIES: usize = 20_000;
 /// Number of members that a planned stop is announced to at once.
 const LEAVE_FANOUT: usize = 8;
 
@@ -33,7 +33,7 @@
     /// Peer addresses through which the node joins the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Most session copies that the node keeps for others.
-    pub session_copies: usize,
+    pub max_session_copies: usize,
     /// Settings of the membership protocol.
     pub membership: MembershipSettings,
 }
@@ -42,7 +42,7 @@
     /// Settings with default times and sizes.
     pub fn new(me: Member, seeds: Vec<SocketAddr>) -> Self {
         let membership = MembershipSettings::default();
-        ClusterSettings { me, seeds, session_copies: SESSION_COPIES, membership }
+        ClusterSettings { me, seeds, max_session_copies: DEFAULT_MAX_SESSION_COPIES, membership }
     }
 }
 
@@ -115,7 +115,7 @@
             membership: Membership::new(settings.membership, settings.me, settings.seeds),
             published: Published::new(),
             views: Views::new(me),
-            copies: ReplicaStore::new(settings.session_copies),
+            copies: ReplicaStore::new(settings.max_session_copies),
             ownership: OwnershipMap::default(),
             ownership_is_stale: true,
         }
@@ -127,13 +127,13 @@
             ClusterEvent::Message(envelope) => self.on_envelope(now, *envelope, actions),
             ClusterEvent::Platform(document) => {
                 if self.published.take(document) {
-                    self.config_changed(actions);
+                    self.report_config_change(actions);
                 }
             }
             ClusterEvent::Observed { searcher, evidence, leaving } => {
                 let mut out = Vec::new();
                 self.views.observe(searcher, evidence, leaving, &mut out);
-                self.do_views(out, actions);
+                self.apply_view_actions(out, actions);
             }
             ClusterEvent::StoreSession { token, version, state } => self.store_session(token, version, state, actions),
             ClusterEvent::FetchSession { token, ask } => self.fetch_session(token, ask, actions),
@@ -201,7 +201,7 @@
     }
 
     /// Number of session copies that this node keeps for others.
-    pub fn session_copies(&self) -> usize {
+    pub fn session_copy_count(&self) -> usize {
         self.copies.len()
     }
 
@@ -214,26 +214,26 @@
         if to.is_some_and(|to| to != self.me) {
             let mut out = Vec::new();
             self.membership.on_misaddressed(from, from_address, &mut out);
-            return self.do_membership(out, actions);
+            return self.apply_membership_actions(out, actions);
         }
         match message {
             ClusterMessage::Membership(message) => {
                 let mut out = Vec::new();
                 self.membership.on_message(now, from, from_address, message, &mut out);
-                self.do_membership(out, actions);
+                self.apply_membership_actions(out, actions);
             }
             ClusterMessage::Published(message) => {
                 let mut out = Vec::new();
                 let has_changed = self.published.on_message(from, from_address, message, &mut out);
-                self.do_published(out, actions);
+                self.send_published(out, actions);
                 if has_changed {
-                    self.config_changed(actions);
+                    self.report_config_change(actions);
                 }
             }
             ClusterMessage::Views(message) => {
                 let mut out = Vec::new();
                 self.views.on_message(from, from_address, message, &mut out);
-                self.do_views(out, actions);
+                self.apply_view_actions(out, actions);
             }
             ClusterMessage::Replica(message) => self.on_replica_message(from, from_address, message, actions),
         }
@@ -254,27 +254,27 @@
         let mut out = Vec::new();
         self.membership.leave(state, &mut out);
         self.membership.push_updates(&mut self.rng, LEAVE_FANOUT, &mut out);
-        self.do_membership(out, actions);
+        self.apply_membership_actions(out, actions);
     }
 
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<ClusterAction>) {
         let mut out = Vec::new();
         self.membership.on_tick(now, &mut self.rng, &mut out);
-        self.do_membership(out, actions);
+        self.apply_membership_actions(out, actions);
 
         let mut out = Vec::new();
         let others: Vec<&Member> = self.membership.others().collect();
         self.published.on_tick(now, &others, &mut self.rng, &mut out);
-        self.do_published(out, actions);
+        self.send_published(out, actions);
 
         let others: Vec<(NodeId, SocketAddr)> =
             self.membership.others().map(|member| (member.node, member.peer_address)).collect();
         let mut out = Vec::new();
         self.views.on_tick(now, &others, &mut self.rng, &mut out);
-        self.do_views(out, actions);
+        self.apply_view_actions(out, actions);
     }
 
-    fn do_membership(&mut self, out: Vec<MembershipAction>, actions: &mut Vec<ClusterAction>) {
+    fn apply_membership_actions(&mut self, out: Vec<MembershipAction>, actions: &mut Vec<ClusterAction>) {
         for action in out {
             match action {
                 MembershipAction::Send { to, address, message } => {
@@ -288,13 +288,13 @@
         }
     }
 
-    fn do_published(&mut self, out: Vec<PublishedSend>, actions: &mut Vec<ClusterAction>) {
+    fn send_published(&mut self, out: Vec<PublishedSend>, actions: &mut Vec<ClusterAction>) {
         for PublishedSend { to, address, message } in out {
             self.send(Some(to), address, ClusterMessage::Published(message), actions);
         }
     }
 
-    fn do_views(&mut self, out: Vec<ViewAction>, actions: &mut Vec<ClusterAction>) {
+    fn apply_view_actions(&mut self, out: Vec<ViewAction>, actions: &mut Vec<ClusterAction>) {
         for action in out {
             match action {
                 ViewAction::Send { to, address, message } => {
@@ -305,7 +305,7 @@
         }
     }
 
-    fn config_changed(&mut self, actions: &mut Vec<ClusterAction>) {
+    fn report_config_change(&mut self, actions: &mut Vec<ClusterAction>) {
         self.ownership_is_stale = true;
         if let Some(document) = self.published.document() {
             actions.push(ClusterAction::ConfigChanged(document.clone()));
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterAction, ClusterEngine};
 use crate::message::ClusterMessage;
-use crate::replicas::{ASKED, COPIES, ReplicaMessage, SessionCopy};
+use crate::replicas::{COPIES_PER_SESSION, FETCH_FANOUT, ReplicaMessage, SessionCopy};
 use staircross_types::{NodeId, SessionToken};
 use std::net::SocketAddr;
 
@@ -42,7 +42,7 @@
         let own_zone = self.membership.own().zone.clone();
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), Some(&own_zone));
         let others = ranked.into_iter().filter(|member| member.node != self.me);
-        others.take(COPIES).map(|member| (member.node, member.peer_address)).collect()
+        others.take(COPIES_PER_SESSION).map(|member| (member.node, member.peer_address)).collect()
     }
 
     /// Ids of the nodes that keep copies of a session held here.
@@ -50,9 +50,9 @@
         self.keepers(token).into_iter().map(|(node, _)| node).collect()
     }
 
-    /// Number of copies that a session held here should have: fewer than [`COPIES`] in a very small fleet.
+    /// Number of copies that a session held here should have: fewer than [`COPIES_PER_SESSION`] in a very small fleet.
     pub fn wanted_copies(&self) -> usize {
-        self.membership.others().filter(|member| member.takes_work()).count().min(COPIES)
+        self.membership.others().filter(|member| member.takes_work()).count().min(COPIES_PER_SESSION)
     }
 
     pub(super) fn store_session(
@@ -74,27 +74,27 @@
         if let Some(copy) = self.copies.get(token) {
             actions.push(ClusterAction::SessionFetched { token, ask, copy: Some(copy.clone()) });
         }
-        for (node, address) in self.likely_keepers(token) {
+        for (node, address) in self.possible_keepers(token) {
             let message = ReplicaMessage::Fetch { token, ask };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
 
     /// Members that may keep a copy of the session, whichever zone its holder is in.
-    fn likely_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
+    fn possible_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), None);
         let others = ranked.into_iter().filter(|member| member.node != self.me);
-        others.take(ASKED).map(|member| (member.node, member.peer_address)).collect()
+        others.take(FETCH_FANOUT).map(|member| (member.node, member.peer_address)).collect()
     }
 
     /// Number of answers that a fetch of the session asks for; a copy kept by this node counts as one.
     pub fn asked_for_session(&self, token: SessionToken) -> usize {
-        self.likely_keepers(token).len() + usize::from(self.copies.get(token).is_some())
+        self.possible_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
 
     pub(super) fn forget_session(&mut self, token: SessionToken, actions: &mut Vec<ClusterAction>) {
         self.copies.forget(token);
-        for (node, address) in self.likely_keepers(token) {
+        for (node, address) in self.possible_keepers(token) {
             let message = ReplicaMessage::Forget { token };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -20,11 +20,11 @@
 
 use crate::member::{Member, MemberState};
 use crate::ownership::rendezvous_weight;
-use probing::{HelpedProbe, OutstandingProbe};
+use probing::{IndirectProbe, OutstandingProbe};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
-use regions::RELAY_PUSHES;
+use regions::RELAY_PUSH_FANOUT;
 use staircross_types::{BootTime, NodeId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,16 +32,16 @@
 use suspicion::Suspicion;
 
 /// A member whose record this node still sends with its probes and answers.
-struct Rumor {
+struct PendingUpdate {
     node: NodeId,
-    /// Number of times that the record was sent to local members; for remote members see `times_sent_far`.
-    times_sent: u32,
-    times_sent_far: u32,
+    /// Number of times that the record was sent to local members; for remote members see `times_sent_remotely`.
+    times_sent_locally: u32,
+    times_sent_remotely: u32,
 }
 
-impl Rumor {
+impl PendingUpdate {
     fn new(node: NodeId) -> Self {
-        Rumor { node, times_sent: 0, times_sent_far: 0 }
+        PendingUpdate { node, times_sent_locally: 0, times_sent_remotely: 0 }
     }
 }
 
@@ -52,19 +52,19 @@
     members: BTreeMap<NodeId, Member>,
     suspicions: BTreeMap<NodeId, Suspicion>,
     gone_at: BTreeMap<NodeId, BootTime>,
-    rumors: Vec<Rumor>,
+    pending_updates: Vec<PendingUpdate>,
     probe: Option<OutstandingProbe>,
-    helped: Vec<HelpedProbe>,
+    indirect_probes: Vec<IndirectProbe>,
     round: Vec<NodeId>,
     next_probe: BootTime,
     next_number: u64,
     last_tick: Option<BootTime>,
     seeds: Vec<SocketAddr>,
     next_seed_contact: BootTime,
-    next_dead_contact: BootTime,
+    next_dead_probe: BootTime,
     next_compare: BootTime,
     /// Time at which a member list last contained something new.
-    learned_at: Option<BootTime>,
+    last_learned_at: Option<BootTime>,
     /// Number of members that this node itself declared dead, for metrics.
     pub declared_dead: u64,
 }
@@ -76,25 +76,25 @@
     /// Creates a membership that knows only this node.
     pub fn new(settings: MembershipSettings, me: Member, seeds: Vec<SocketAddr>) -> Self {
         let node = me.node;
-        let own_start = Rumor::new(node);
+        let own_update = PendingUpdate::new(node);
         Membership {
             settings,
             me: node,
             members: BTreeMap::from([(node, me)]),
             suspicions: BTreeMap::new(),
             gone_at: BTreeMap::new(),
-            rumors: vec![own_start],
+            pending_updates: vec![own_update],
             probe: None,
-            helped: Vec::new(),
+            indirect_probes: Vec::new(),
             round: Vec::new(),
             next_probe: BootTime::default(),
             next_number: 1,
             last_tick: None,
             seeds,
             next_seed_contact: BootTime::default(),
-            next_dead_contact: BootTime::default(),
+            next_dead_probe: BootTime::default(),
             next_compare: BootTime::default(),
-            learned_at: None,
+            last_learned_at: None,
             declared_dead: 0,
         }
     }
@@ -134,7 +134,7 @@
         };
         own.state = state;
         own.version += 1;
-        self.spread(self.me);
+        self.queue_update(self.me);
         actions.push(MembershipAction::Changed(self.me));
     }
 
@@ -145,21 +145,21 @@
         };
         own.is_ready = is_ready;
         own.version += 1;
-        self.spread(self.me);
+        self.queue_update(self.me);
         actions.push(MembershipAction::Changed(self.me));
     }
 
     /// Sends the pending updates to up to `count` local members at once, without waiting for the next probe.
     ///
-    /// A relay, or a node without local members, sends them to [`RELAY_PUSHES`] remote members too.
+    /// A relay, or a node without local members, sends them to [`RELAY_PUSH_FANOUT`] remote members too.
     pub fn push_updates(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
-        let (near, far) = self.near_and_far();
-        let far_count = if self.is_relay() || near.is_empty() { RELAY_PUSHES } else { 0 };
-        let chosen = near.choose_multiple(random, count).chain(far.choose_multiple(random, far_count));
+        let (local, remote) = self.local_and_remote();
+        let remote_count = if self.is_relay() || local.is_empty() { RELAY_PUSH_FANOUT } else { 0 };
+        let chosen = local.choose_multiple(random, count).chain(remote.choose_multiple(random, remote_count));
         let targets: Vec<(NodeId, SocketAddr)> = chosen.map(|member| (member.node, member.peer_address)).collect();
         for (node, address) in targets {
-            let number = self.take_number();
-            let updates = self.take_updates(node);
+            let number = self.next_probe_number();
+            let updates = self.choose_updates(node);
             let message = MembershipMessage::Probe { number, updates };
             actions.push(MembershipAction::Send { to: Some(node), address, message });
         }
@@ -176,15 +176,15 @@
     ) {
         match message {
             MembershipMessage::Probe { number, updates } => {
-                let names_us = updates.iter().any(|record| record.node == self.me);
-                let is_stranger = !self.members.contains_key(&from);
-                let known = self.take_probe_updates(now, updates, actions);
-                let mut updates = self.take_updates(from);
+                let mentions_self = updates.iter().any(|record| record.node == self.me);
+                let is_unknown_sender = !self.members.contains_key(&from);
+                let known = self.merge_probe_updates(now, updates, actions);
+                let mut updates = self.choose_updates(from);
                 // A member that is wrongly held for suspect or dead must receive that record to refute it.
-                let slandered = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
-                updates.extend(slandered.cloned());
+                let suspected = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
+                updates.extend(suspected.cloned());
                 // A node that sent a record of this one, or knows only its address, needs its current record.
-                if (names_us || is_stranger) && !updates.iter().any(|record| record.node == self.me) {
+                if (mentions_self || is_unknown_sender) && !updates.iter().any(|record| record.node == self.me) {
                     updates.push(self.own().clone());
                 }
                 let message = MembershipMessage::ProbeAnswer { number, updates, known };
@@ -192,18 +192,18 @@
             }
             MembershipMessage::ProbeAnswer { number, updates, known } => {
                 for record in updates {
-                    self.take(now, record, actions);
+                    self.merge_and_gossip(now, record, actions);
                 }
-                self.on_answer(number, known, actions);
+                self.on_probe_answer(number, known, actions);
             }
             MembershipMessage::ProbeFor { number, target, target_address } => {
-                self.help(now, number, from, from_address, target, target_address, actions);
+                self.probe_on_behalf(now, number, from, from_address, target, target_address, actions);
             }
             MembershipMessage::Join { member } => {
                 self.answer_joiner(now, member, from_address, actions);
             }
-            MembershipMessage::Everyone { members, span } => self.take_listing(now, members, span, actions),
-            MembershipMessage::Compare { fingerprints } => self.compare(from, from_address, &fingerprints, actions),
+            MembershipMessage::Everyone { members, span } => self.merge_member_list(now, members, span, actions),
+            MembershipMessage::Compare { fingerprints } => self.on_compare(from, from_address, &fingerprints, actions),
         }
     }
 
@@ -212,16 +212,16 @@
         let was_paused = self.last_tick.is_some_and(|last| now.since(last) > self.settings.pause_gap);
         self.last_tick = Some(now);
         if was_paused {
-            self.excuse_all(now);
+            self.reset_failure_detection(now);
         }
         self.check_probe(now, random, actions);
-        self.remind_suspects(now, actions);
+        self.notify_suspects(now, actions);
         self.expire_suspects(now, actions);
-        self.forget_gone(now);
+        self.drop_gone_members(now);
         self.contact_seeds(now, random, actions);
-        self.contact_dead(now, random, actions);
-        self.ask_to_compare(now, random, actions);
-        self.helped.retain(|helped| now.since(helped.sent_at) < self.settings.probe_timeout);
+        self.probe_dead_member(now, random, actions);
+        self.start_comparison(now, random, actions);
+        self.indirect_probes.retain(|indirect| now.since(indirect.sent_at) < self.settings.probe_timeout);
         if now >= self.next_probe && self.probe.is_none() {
             self.start_probe(now, random, actions);
         }
@@ -229,7 +229,7 @@
 
     /// Drops the outstanding probe and restarts all suspicions after a pause of this process: answers may have
     /// arrived during the pause.
-    fn excuse_all(&mut self, now: BootTime) {
+    fn reset_failure_detection(&mut self, now: BootTime) {
         self.probe = None;
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
     }
@@ -248,18 +248,18 @@
             shuffle(&mut unknown, random);
             unknown.truncate(1);
         }
-        unknown.into_iter().for_each(|seed| self.introduce_to(seed, actions));
+        unknown.into_iter().for_each(|seed| self.announce_to(seed, actions));
     }
 
     /// Sends this node's record to an address at which no member is known.
     ///
     /// A node that knows no local member asks for a member list; a node that knows one learns the others
     /// from it, and only announces itself.
-    fn introduce_to(&mut self, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
+    fn announce_to(&mut self, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let member = self.own().clone();
-        let has_mates = !self.near_and_far().0.is_empty();
-        let message = match has_mates {
-            true => MembershipMessage::Probe { number: self.take_number(), updates: vec![member] },
+        let knows_local_members = !self.local_and_remote().0.is_empty();
+        let message = match knows_local_members {
+            true => MembershipMessage::Probe { number: self.next_probe_number(), updates: vec![member] },
             false => MembershipMessage::Join { member },
         };
         actions.push(MembershipAction::Send { to: None, address, message });
@@ -273,16 +273,16 @@
     pub fn on_misaddressed(&mut self, from: NodeId, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_known = self.members.get(&from).is_some_and(|member| !member.is_gone());
         if !is_known {
-            self.introduce_to(address, actions);
+            self.announce_to(address, actions);
         }
     }
 
     /// Merges one record and queues it for gossip if it was new. Returns whether it was new.
-    fn take(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
+    fn merge_and_gossip(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         let is_new = self.merge(now, record, actions);
         if is_new && node != self.me {
-            self.spread(node);
+            self.queue_update(node);
         }
         is_new
     }
@@ -303,7 +303,7 @@
         }
         match record.state {
             MemberState::Suspect => {
-                let suspicion = Suspicion { since: now, is_first_hand: false, next_reminder: now };
+                let suspicion = Suspicion { since: now, is_first_hand: false, next_notification: now };
                 self.suspicions.insert(node, suspicion);
             }
             MemberState::Dead | MemberState::Left => {
@@ -320,12 +320,12 @@
         true
     }
 
-    fn spread(&mut self, node: NodeId) {
-        self.rumors.retain(|rumor| rumor.node != node);
-        self.rumors.push(Rumor::new(node));
+    fn queue_update(&mut self, node: NodeId) {
+        self.pending_updates.retain(|update| update.node != node);
+        self.pending_updates.push(PendingUpdate::new(node));
     }
 
-    fn take_number(&mut self) -> u64 {
+    fn next_probe_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -9,26 +9,26 @@
 use std::net::SocketAddr;
 
 /// A relay probes this fraction of the number of local members in each other region per round.
-const FAR_DIVISOR: usize = 8;
+const REMOTE_TARGET_DIVISOR: usize = 8;
 /// Fewest members of each other region that a round contains, as far as the region has them.
-const MIN_FAR: usize = 3;
+const MIN_REMOTE_TARGETS: usize = 3;
 
 /// The direct probe that this node awaits an answer to.
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
-    /// Members whose records the probe carried, in the order sent.
-    pub(super) sent: Vec<NodeId>,
+    /// Members whose records the probe carried, in the order sent_updates.
+    pub(super) sent_updates: Vec<NodeId>,
     pub(super) sent_at: BootTime,
     pub(super) asked_helpers: bool,
 }
 
 /// A probe that this node sent on behalf of another.
-pub(super) struct HelpedProbe {
+pub(super) struct IndirectProbe {
     pub(super) number: u64,
-    pub(super) for_number: u64,
-    pub(super) for_node: NodeId,
-    pub(super) for_address: SocketAddr,
+    pub(super) requester_number: u64,
+    pub(super) requester: NodeId,
+    pub(super) requester_address: SocketAddr,
     pub(super) sent_at: BootTime,
 }
 
@@ -38,12 +38,13 @@
         let Some(target) = self.next_target(random) else {
             return;
         };
-        let number = self.take_number();
-        let updates = self.take_updates(target.node);
-        let sent = updates.iter().map(|member| member.node).collect();
+        let number = self.next_probe_number();
+        let updates = self.choose_updates(target.node);
+        let sent_updates = updates.iter().map(|member| member.node).collect();
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target.node), address: target.peer_address, message });
-        self.probe = Some(OutstandingProbe { number, target: target.node, sent, sent_at: now, asked_helpers: false });
+        self.probe =
+            Some(OutstandingProbe { number, target: target.node, sent_updates, sent_at: now, asked_helpers: false });
     }
 
     /// The next member to probe. A round is completed in random order before the next begins, so each local member is
@@ -64,16 +65,20 @@
     }
 
     /// Targets of a new round in random order: all local members and a few members of each other region, of which a
-    /// relay includes more. Of a region with at most [`MIN_FAR`] members, all are in every round.
+    /// relay includes more. Of a region with at most [`MIN_REMOTE_TARGETS`] members, all are in every round.
     fn new_round(&self, random: &mut ChaCha8Rng) -> Vec<NodeId> {
         let mut by_region: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for member in self.others() {
             by_region.entry(&member.region).or_default().push(member.node);
         }
         let mut round = by_region.remove(self.own().region.as_str()).unwrap_or_default();
-        let far_count = if self.is_relay() { MIN_FAR.max(round.len() / FAR_DIVISOR) } else { MIN_FAR };
-        for far in by_region.values() {
-            round.extend(far.choose_multiple(random, far_count));
+        let remote_count = if self.is_relay() {
+            MIN_REMOTE_TARGETS.max(round.len() / REMOTE_TARGET_DIVISOR)
+        } else {
+            MIN_REMOTE_TARGETS
+        };
+        for remote in by_region.values() {
+            round.extend(remote.choose_multiple(random, remote_count));
         }
         shuffle(&mut round, random);
         round
@@ -119,34 +124,44 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn help(
+    pub(super) fn probe_on_behalf(
         &mut self,
         now: BootTime,
-        for_number: u64,
-        for_node: NodeId,
-        for_address: SocketAddr,
+        requester_number: u64,
+        requester: NodeId,
+        requester_address: SocketAddr,
         target: NodeId,
         target_address: SocketAddr,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let number = self.take_number();
-        self.helped.push(HelpedProbe { number, for_number, for_node, for_address, sent_at: now });
-        let updates = self.take_updates(target);
+        let number = self.next_probe_number();
+        self.indirect_probes.push(IndirectProbe {
+            number,
+            requester_number,
+            requester,
+            requester_address,
+            sent_at: now,
+        });
+        let updates = self.choose_updates(target);
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target), address: target_address, message });
     }
 
-    pub(super) fn on_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn on_probe_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
         if let Some(probe) = self.probe.take_if(|probe| probe.number == number) {
-            self.note_redundant_sends(&probe.sent, known, self.is_far(probe.target));
+            self.count_redundant_sends(&probe.sent_updates, known, self.is_remote(probe.target));
             return;
         }
-        let Some(index) = self.helped.iter().position(|helped| helped.number == number) else {
+        let Some(index) = self.indirect_probes.iter().position(|indirect| indirect.number == number) else {
             return;
         };
-        let helped = self.helped.swap_remove(index);
-        let updates = self.take_updates(helped.for_node);
-        let message = MembershipMessage::ProbeAnswer { number: helped.for_number, updates, known: 0 };
-        actions.push(MembershipAction::Send { to: Some(helped.for_node), address: helped.for_address, message });
+        let indirect = self.indirect_probes.swap_remove(index);
+        let updates = self.choose_updates(indirect.requester);
+        let message = MembershipMessage::ProbeAnswer { number: indirect.requester_number, updates, known: 0 };
+        actions.push(MembershipAction::Send {
+            to: Some(indirect.requester),
+            address: indirect.requester_address,
+            message,
+        });
     }
 }
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -5,35 +5,35 @@
 //! lowest ids; each node computes them from its own records. A node that receives such an update gossips it
 //! within its own region.
 
-use super::{IdSpan, Membership, MembershipAction, Rumor};
+use super::{IdSpan, Membership, MembershipAction, PendingUpdate};
 use crate::member::{Member, MemberState};
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
 
 /// Number of relays in a region. There are several so that some can fail or be cut off.
-const RELAYS: usize = 4;
+const RELAYS_PER_REGION: usize = 4;
 /// Number of remote members that an immediate push goes to.
-pub(super) const RELAY_PUSHES: usize = 2;
+pub(super) const RELAY_PUSH_FANOUT: usize = 2;
 /// Number of times that a relay sends one update to other regions.
-const FAR_RETRANSMITS: u32 = 3;
+const REMOTE_RETRANSMITS: u32 = 3;
 
 impl Membership {
     /// Whether this node is one of the relays of its region.
     pub(super) fn is_relay(&self) -> bool {
         let own = self.own();
-        let mates = self.members.values().filter(|member| member.region == own.region);
-        let live = mates.filter(|member| member.state == MemberState::Alive);
-        live.take_while(|member| member.node < self.me).count() < RELAYS
+        let local_members = self.members.values().filter(|member| member.region == own.region);
+        let live = local_members.filter(|member| member.state == MemberState::Alive);
+        live.take_while(|member| member.node < self.me).count() < RELAYS_PER_REGION
     }
 
     /// Members that aren't gone, except this node: first the local ones, then the remote ones.
-    pub(super) fn near_and_far(&self) -> (Vec<&Member>, Vec<&Member>) {
+    pub(super) fn local_and_remote(&self) -> (Vec<&Member>, Vec<&Member>) {
         let region = &self.own().region;
         self.others().partition(|member| member.region == *region)
     }
 
     /// Whether a node is known to be in another region.
-    pub(super) fn is_far(&self, node: NodeId) -> bool {
+    pub(super) fn is_remote(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(|member| member.region != self.own().region)
     }
 
@@ -41,38 +41,50 @@
     ///
     /// Each update is sent to local members as often as the settings' `retransmits` say. Remote members are sent only
     /// updates about members of this node's region, and only by relays.
-    pub(super) fn take_updates(&mut self, to: NodeId) -> Vec<Member> {
-        let is_far = self.is_far(to);
-        if is_far && !self.is_relay() {
+    pub(super) fn choose_updates(&mut self, to: NodeId) -> Vec<Member> {
+        let is_remote = self.is_remote(to);
+        if is_remote && !self.is_relay() {
             return Vec::new();
         }
         let region = self.own().region.clone();
         let max_sends = self.settings.retransmits.for_fleet(self.members.len());
-        let sent = |rumor: &Rumor| if is_far { rumor.times_sent_far } else { rumor.times_sent };
-        self.rumors.sort_by_key(sent);
+        let times_sent =
+            |update: &PendingUpdate| if is_remote { update.times_sent_remotely } else { update.times_sent_locally };
+        self.pending_updates.sort_by_key(times_sent);
         let members = &self.members;
-        let is_ours = |rumor: &Rumor| members.get(&rumor.node).is_some_and(|member| member.region == region);
-        let may_be_sent = |rumor: &Rumor| {
-            if is_far { is_ours(rumor) && sent(rumor) < FAR_RETRANSMITS } else { sent(rumor) < max_sends }
+        let is_about_own_region =
+            |update: &PendingUpdate| members.get(&update.node).is_some_and(|member| member.region == region);
+        let may_be_sent = |update: &PendingUpdate| {
+            if is_remote {
+                is_about_own_region(update) && times_sent(update) < REMOTE_RETRANSMITS
+            } else {
+                times_sent(update) < max_sends
+            }
         };
         let mut updates = Vec::new();
-        for rumor in self.rumors.iter_mut().filter(|rumor| may_be_sent(rumor)).take(self.settings.updates_per_message) {
-            *(if is_far { &mut rumor.times_sent_far } else { &mut rumor.times_sent }) += 1;
-            updates.extend(members.get(&rumor.node).cloned());
+        for update in
+            self.pending_updates.iter_mut().filter(|update| may_be_sent(update)).take(self.settings.updates_per_message)
+        {
+            *(if is_remote { &mut update.times_sent_remotely } else { &mut update.times_sent_locally }) += 1;
+            updates.extend(members.get(&update.node).cloned());
         }
-        self.forget_sent(max_sends);
+        self.drop_sent_updates(max_sends);
         updates
     }
 
     /// Drops the updates that were sent as often as they must be.
-    fn forget_sent(&mut self, max_sends: u32) {
+    fn drop_sent_updates(&mut self, max_sends: u32) {
         let (is_relay, region) = (self.is_relay(), self.own().region.clone());
-        let has_far = self.others().any(|member| member.region != region);
+        let has_remote_members = self.others().any(|member| member.region != region);
         let members = &self.members;
-        let is_ours = |rumor: &Rumor| members.get(&rumor.node).is_some_and(|member| member.region == region);
-        self.rumors.retain(|rumor| {
-            let is_wanted_far = is_relay && has_far && rumor.times_sent_far < FAR_RETRANSMITS && is_ours(rumor);
-            rumor.times_sent < max_sends || is_wanted_far
+        let is_about_own_region =
+            |update: &PendingUpdate| members.get(&update.node).is_some_and(|member| member.region == region);
+        self.pending_updates.retain(|update| {
+            let is_pending_remotely = is_relay
+                && has_remote_members
+                && update.times_sent_remotely < REMOTE_RETRANSMITS
+                && is_about_own_region(update);
+            update.times_sent_locally < max_sends || is_pending_remotely
         });
     }
 
@@ -88,16 +100,16 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let (node, region) = (joiner.node, joiner.region.clone());
-        self.take(now, joiner, actions);
+        self.merge_and_gossip(now, joiner, actions);
         let others = || self.members.values().filter(|member| member.node != node && !member.is_gone());
-        let has_mates = others().any(|member| member.region == region);
-        if self.own().region == region || !has_mates {
-            let everybody = self.members.values().cloned().collect();
-            return self.list(everybody, Some(IdSpan::ALL), node, address, actions);
+        let knows_joiner_region = others().any(|member| member.region == region);
+        if self.own().region == region || !knows_joiner_region {
+            let all_members = self.members.values().cloned().collect();
+            return self.send_member_list(all_members, Some(IdSpan::ALL), node, address, actions);
         }
         // A joiner goes on asking until it knows a member at each seed address, so the list includes the seeds.
         let is_seed = |member: &Member| member.node == self.me || self.seeds.contains(&member.peer_address);
-        let wanted = others().filter(|member| member.region == region || is_seed(member)).cloned().collect();
-        self.list(wanted, None, node, address, actions);
+        let listed = others().filter(|member| member.region == region || is_seed(member)).cloned().collect();
+        self.send_member_list(listed, None, node, address, actions);
     }
 }
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Time between notifications to a suspect that it is suspected.
-const REMINDER_EVERY: Duration = Duration::from_millis(400);
+const NOTIFY_SUSPECT_EVERY: Duration = Duration::from_millis(400);
 /// Time between probes that this node sends to dead members.
-const DEAD_CONTACT_EVERY: Duration = Duration::from_secs(2);
+const PROBE_DEAD_EVERY: Duration = Duration::from_secs(2);
 
 /// State of the suspicion of one member.
 pub(super) struct Suspicion {
@@ -18,7 +18,7 @@
     /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits
     /// twice as long, so that a refutation that reached the suspecting node can reach it too.
     pub(super) is_first_hand: bool,
-    pub(super) next_reminder: BootTime,
+    pub(super) next_notification: BootTime,
 }
 
 impl Membership {
@@ -29,32 +29,32 @@
         };
         let mut record = member.clone();
         record.state = MemberState::Suspect;
-        self.take(now, record, actions);
+        self.merge_and_gossip(now, record, actions);
         if let Some(suspicion) = self.suspicions.get_mut(&node) {
             suspicion.is_first_hand = true;
         }
     }
 
     /// Notifies suspects of their suspicion, so that a member that was only paused refutes it at once.
-    pub(super) fn remind_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn notify_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
-            if suspicion.is_first_hand && now >= suspicion.next_reminder {
-                suspicion.next_reminder = now + REMINDER_EVERY;
+            if suspicion.is_first_hand && now >= suspicion.next_notification {
+                suspicion.next_notification = now + NOTIFY_SUSPECT_EVERY;
                 due.push(*node);
             }
         }
         for node in due {
-            self.send_its_record(node, actions);
+            self.probe_with_known_record(node, actions);
         }
     }
 
     /// Probes a member and includes the record that this node has of it; a live member refutes that record.
-    pub(super) fn send_its_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn probe_with_known_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).cloned() else {
             return;
         };
-        let number = self.take_number();
+        let number = self.next_probe_number();
         let updates = vec![self.own().clone(), member.clone()];
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(node), address: member.peer_address, message });
@@ -62,10 +62,10 @@
 
     /// Declares the suspects dead that didn't refute in time.
     pub(super) fn expire_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
-        let span = self.settings.suspicion;
+        let first_hand_timeout = self.settings.suspicion;
         let is_expired = |suspicion: &Suspicion| {
-            let patience = if suspicion.is_first_hand { span } else { span * 2 };
-            now.since(suspicion.since) >= patience
+            let timeout = if suspicion.is_first_hand { first_hand_timeout } else { first_hand_timeout * 2 };
+            now.since(suspicion.since) >= timeout
         };
         let expired: Vec<NodeId> =
             self.suspicions.iter().filter(|(_, suspicion)| is_expired(suspicion)).map(|(node, _)| *node).collect();
@@ -77,15 +77,19 @@
             let mut record = member.clone();
             record.state = MemberState::Dead;
             self.declared_dead += 1;
-            self.take(now, record, actions);
+            self.merge_and_gossip(now, record, actions);
         }
     }
 
     /// Drops the records of members that have been gone for `forget_after`.
-    pub(super) fn forget_gone(&mut self, now: BootTime) {
-        let span = self.settings.forget_after;
-        let forgotten: Vec<NodeId> =
-            self.gone_at.iter().filter(|(_, since)| now.since(**since) >= span).map(|(node, _)| *node).collect();
+    pub(super) fn drop_gone_members(&mut self, now: BootTime) {
+        let forget_after = self.settings.forget_after;
+        let forgotten: Vec<NodeId> = self
+            .gone_at
+            .iter()
+            .filter(|(_, since)| now.since(**since) >= forget_after)
+            .map(|(node, _)| *node)
+            .collect();
         for node in forgotten {
             self.gone_at.remove(&node);
             self.members.remove(&node);
@@ -94,15 +98,20 @@
 
     /// Probes a random dead member when that is due, so that the sides of a network partition find each other after it
     /// has healed.
-    pub(super) fn contact_dead(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
-        if now < self.next_dead_contact {
+    pub(super) fn probe_dead_member(
+        &mut self,
+        now: BootTime,
+        random: &mut ChaCha8Rng,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        if now < self.next_dead_probe {
             return;
         }
-        self.next_dead_contact = now + DEAD_CONTACT_EVERY;
+        self.next_dead_probe = now + PROBE_DEAD_EVERY;
         let dead: Vec<Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).cloned().collect();
         if let Some(member) = dead.choose(random) {
-            self.send_its_record(member.node, actions);
+            self.probe_with_known_record(member.node, actions);
         }
     }
 
@@ -112,12 +121,12 @@
         let Some(own) = self.members.get_mut(&self.me) else {
             return false;
         };
-        let is_slander = record.state > own.state && record.version >= own.version;
-        if is_slander {
+        let needs_refutation = record.state > own.state && record.version >= own.version;
+        if needs_refutation {
             own.version = record.version + 1;
-            self.spread(self.me);
+            self.queue_update(self.me);
             actions.push(MembershipAction::Changed(self.me));
         }
-        is_slander
+        needs_refutation
     }
 }
--- a/crates/staircross-cluster/src/ownership.rs
+++ b/crates/staircross-cluster/src/ownership.rs
@@ -106,8 +106,12 @@
     let mut ranked: Vec<(bool, u64, NodeId)> = candidates
         .iter()
         .map(|member| {
-            let is_far = Some(&member.zone) != zone;
-            (is_far, u64::MAX - rendezvous_weight(service.as_bytes(), u64::from(group.0), member.node), member.node)
+            let is_in_other_zone = Some(&member.zone) != zone;
+            (
+                is_in_other_zone,
+                u64::MAX - rendezvous_weight(service.as_bytes(), u64::from(group.0), member.node),
+                member.node,
+            )
         })
         .collect();
     ranked.sort_unstable();
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -16,11 +16,11 @@
 use std::time::Duration;
 
 /// Time between announcements of the revision held.
-const PUBLISH_EVERY: Duration = Duration::from_millis(250);
+const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
 /// Number of members that a periodic announcement goes to.
-const FANOUT: usize = 2;
+const ANNOUNCE_FANOUT: usize = 2;
 /// Number of members that the announcement of a new document goes to; it is sent without waiting for the next period.
-const UPDATE_FANOUT: usize = 6;
+const NEW_DOCUMENT_FANOUT: usize = 6;
 
 /// Messages about the platform's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -53,9 +53,9 @@
 pub struct Published {
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that peers last announced.
-    held_by_peer: BTreeMap<NodeId, u64>,
-    has_update: bool,
-    next_publication: BootTime,
+    peer_revisions: BTreeMap<NodeId, u64>,
+    has_unannounced_document: bool,
+    next_announcement: BootTime,
 }
 
 impl Published {
@@ -76,7 +76,7 @@
 
     /// Revision that a peer last announced.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
-        self.held_by_peer.get(&node).copied()
+        self.peer_revisions.get(&node).copied()
     }
 
     /// Adopts a document if it is valid and newer than the one held. Returns whether it was adopted.
@@ -86,7 +86,7 @@
             return false;
         }
         self.held = Some(document);
-        self.has_update = true;
+        self.has_unannounced_document = true;
         true
     }
 
@@ -100,8 +100,12 @@
     ) -> bool {
         match message {
             PublishedMessage::Holds { revision } => {
-                self.held_by_peer.insert(from, revision);
-                out.extend(self.answer_to(revision).map(|message| PublishedSend { to: from, address, message }));
+                self.peer_revisions.insert(from, revision);
+                out.extend(self.answer_announcement(revision).map(|message| PublishedSend {
+                    to: from,
+                    address,
+                    message,
+                }));
                 false
             }
             PublishedMessage::Document(document) => self.take(document),
@@ -110,24 +114,24 @@
 
     /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this node's
     /// own announcement, which it answers with its document.
-    fn answer_to(&self, theirs: u64) -> Option<PublishedMessage> {
-        let own = self.revision();
+    fn answer_announcement(&self, peer_revision: u64) -> Option<PublishedMessage> {
+        let own_revision = self.revision();
         match &self.held {
-            Some(document) if theirs < own => Some(PublishedMessage::Document(document.clone())),
-            _ if theirs > own => Some(PublishedMessage::Holds { revision: own }),
+            Some(document) if peer_revision < own_revision => Some(PublishedMessage::Document(document.clone())),
+            _ if peer_revision > own_revision => Some(PublishedMessage::Holds { revision: own_revision }),
             _ => None,
         }
     }
 
     /// Announces the revision held to random members when that is due, or at once after a new document was adopted.
     pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
-        if now < self.next_publication && !self.has_update {
+        if now < self.next_announcement && !self.has_unannounced_document {
             return;
         }
-        let count = if self.has_update { UPDATE_FANOUT } else { FANOUT };
-        self.has_update = false;
-        self.next_publication = now + PUBLISH_EVERY;
-        self.held_by_peer.retain(|node, _| others.iter().any(|member| member.node == *node));
+        let count = if self.has_unannounced_document { NEW_DOCUMENT_FANOUT } else { ANNOUNCE_FANOUT };
+        self.has_unannounced_document = false;
+        self.next_announcement = now + ANNOUNCE_EVERY;
+        self.peer_revisions.retain(|node, _| others.iter().any(|member| member.node == *node));
         let message = PublishedMessage::Holds { revision: self.revision() };
         out.extend(others.choose_multiple(rng, count).map(|member| PublishedSend {
             to: member.node,
--- a/crates/staircross-cluster/src/replicas.rs
+++ b/crates/staircross-cluster/src/replicas.rs
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Number of copies of a session, in addition to the holder's own state.
-pub const COPIES: usize = 2;
+pub const COPIES_PER_SESSION: usize = 2;
 /// Number of members asked for a copy when a session is resumed. They are more than keep copies, because nodes
 /// may differ in the members that they know.
-pub const ASKED: usize = 8;
+pub const FETCH_FANOUT: usize = 8;
 
 /// A copy of a session's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
 /// Session copies that this node keeps for others.
 pub struct ReplicaStore {
     copies: HashMap<SessionToken, SessionCopy>,
-    order: BTreeMap<u64, SessionToken>,
+    insertion_order: BTreeMap<u64, SessionToken>,
     next_order: u64,
     capacity: usize,
 }
@@ -54,7 +54,7 @@
 impl ReplicaStore {
     /// Creates a store of at most `capacity` copies; when it is full, the session that was stored first is dropped.
     pub fn new(capacity: usize) -> Self {
-        ReplicaStore { copies: HashMap::new(), order: BTreeMap::new(), next_order: 0, capacity }
+        ReplicaStore { copies: HashMap::new(), insertion_order: BTreeMap::new(), next_order: 0, capacity }
     }
 
     /// Stores a copy unless one of the same or a newer version is stored. Returns whether a newer copy of another
@@ -67,11 +67,11 @@
             }
         } else {
             self.next_order += 1;
-            self.order.insert(self.next_order, token);
+            self.insertion_order.insert(self.next_order, token);
         }
         self.copies.insert(token, copy);
         while self.copies.len() > self.capacity {
-            if let Some((_, oldest)) = self.order.pop_first() {
+            if let Some((_, oldest)) = self.insertion_order.pop_first() {
                 self.copies.remove(&oldest);
             }
         }
@@ -86,7 +86,7 @@
     /// Drops the copy of a session.
     pub fn forget(&mut self, token: SessionToken) {
         if self.copies.remove(&token).is_some() {
-            self.order.retain(|_, known| *known != token);
+            self.insertion_order.retain(|_, known| *known != token);
         }
     }
 
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -93,7 +93,7 @@
 pub struct Views {
     me: NodeId,
     records: BTreeMap<SearcherId, ViewRecord>,
-    rumors: Vec<(SearcherId, u32)>,
+    pending_pushes: Vec<(SearcherId, u32)>,
     next_push: BootTime,
     next_compare: BootTime,
 }
@@ -104,7 +104,7 @@
         Views {
             me,
             records: BTreeMap::new(),
-            rumors: Vec::new(),
+            pending_pushes: Vec::new(),
             next_push: BootTime::default(),
             next_compare: BootTime::default(),
         }
@@ -125,11 +125,11 @@
     ) {
         let version = self.records.get(&searcher).map_or(0, |record| record.version) + 1;
         let record = ViewRecord { searcher, evidence, leaving, version, origin: self.me };
-        self.take(record, actions);
+        self.store_if_newer(record, actions);
     }
 
     /// Stores a record and queues it for pushes, if it is newer than the one known.
-    fn take(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
+    fn store_if_newer(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
         let is_new = self
             .records
             .get(&record.searcher)
@@ -137,8 +137,8 @@
         if !is_new {
             return;
         }
-        self.rumors.retain(|(searcher, _)| *searcher != record.searcher);
-        self.rumors.push((record.searcher, 0));
+        self.pending_pushes.retain(|(searcher, _)| *searcher != record.searcher);
+        self.pending_pushes.push((record.searcher, 0));
         self.records.insert(record.searcher, record.clone());
         actions.push(ViewAction::Changed(record));
     }
@@ -154,7 +154,7 @@
         match message {
             ViewMessage::Updates { records } => {
                 for record in records {
-                    self.take(record, actions);
+                    self.store_if_newer(record, actions);
                 }
             }
             ViewMessage::Compare { fingerprints } => {
@@ -183,16 +183,18 @@
         versions: &[ViewVersion],
         actions: &mut Vec<ViewAction>,
     ) {
-        let theirs: BTreeMap<SearcherId, u64> =
+        let peer_versions: BTreeMap<SearcherId, u64> =
             versions.iter().map(|version| (version.searcher, version.version)).collect();
-        let in_buckets = |record: &&ViewRecord| buckets.contains(&bucket_of(record.searcher));
-        let is_newer = |record: &&ViewRecord| theirs.get(&record.searcher).is_none_or(|held| record.version > *held);
-        let records: Vec<ViewRecord> = self.records.values().filter(in_buckets).filter(is_newer).cloned().collect();
+        let is_in_buckets = |record: &&ViewRecord| buckets.contains(&bucket_of(record.searcher));
+        let is_newer_here =
+            |record: &&ViewRecord| peer_versions.get(&record.searcher).is_none_or(|held| record.version > *held);
+        let records: Vec<ViewRecord> =
+            self.records.values().filter(is_in_buckets).filter(is_newer_here).cloned().collect();
         if !records.is_empty() {
             let message = ViewMessage::Updates { records };
             actions.push(ViewAction::Send { to: from, address: from_address, message });
         }
-        let is_behind = theirs
+        let is_behind = peer_versions
             .iter()
             .any(|(searcher, version)| self.records.get(searcher).is_none_or(|record| record.version < *version));
         if is_behind {
@@ -227,7 +229,7 @@
         random: &mut ChaCha8Rng,
         actions: &mut Vec<ViewAction>,
     ) {
-        if now >= self.next_push && !self.rumors.is_empty() {
+        if now >= self.next_push && !self.pending_pushes.is_empty() {
             self.next_push = now + PUSH_EVERY;
             self.push(others, random, actions);
         }
@@ -244,13 +246,13 @@
 
     fn push(&mut self, others: &[(NodeId, SocketAddr)], random: &mut ChaCha8Rng, actions: &mut Vec<ViewAction>) {
         let max_sends = RETRANSMITS_PER_DOUBLING * (others.len() as u32 + 1).ilog2() + 2;
-        self.rumors.sort_by_key(|(_, sent)| *sent);
+        self.pending_pushes.sort_by_key(|(_, sent)| *sent);
         let mut records = Vec::new();
-        for (searcher, sent) in self.rumors.iter_mut().take(PUSH_RECORDS) {
+        for (searcher, sent) in self.pending_pushes.iter_mut().take(PUSH_RECORDS) {
             *sent += 1;
             records.extend(self.records.get(searcher).cloned());
         }
-        self.rumors.retain(|(_, sent)| *sent < max_sends);
+        self.pending_pushes.retain(|(_, sent)| *sent < max_sends);
         for (node, address) in others.choose_multiple(random, PUSH_FANOUT) {
             let message = ViewMessage::Updates { records: records.clone() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
