--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes of the cluster logic on a simulated network, with a platform that some of them can read.
+//! Cluster engines on a simulated network, with a simulated platform that some of the nodes can read.
 #![allow(dead_code)]
 
 use rand::Rng;
@@ -19,15 +19,16 @@
 const POLL: Duration = Duration::from_millis(500);
 const DELAY: Duration = Duration::from_millis(5);
 
-/// One process: its engine, and what was ever wrong with what it held.
+/// One simulated process.
 struct Node {
     engine: ClusterEngine,
     paused_until: BootTime,
     next_poll: BootTime,
+    /// Revision that the node held after its last tick.
     held: u64,
 }
 
-/// A message that arrives at a time.
+/// A message in flight.
 struct Arrival {
     due: BootTime,
     to: SocketAddr,
@@ -42,28 +43,29 @@
     arrivals: Vec<Arrival>,
     rng: ChaCha8Rng,
     next_run: u128,
-    /// Messages lost, per thousand.
+    /// Number of messages in a thousand that are lost.
     pub loss_per_mille: u32,
-    /// Pairs of sides between which nothing passes: nodes in the set and the others.
+    /// Nodes that are partitioned from all nodes that aren't in the set.
     pub cut_off: BTreeSet<usize>,
-    /// Nodes that the platform serves.
+    /// Nodes that can read the platform.
     pub served: BTreeSet<usize>,
-    /// All documents ever published; the platform shows the one at `shown`.
+    /// All documents ever published. The platform serves the one at index `shown`.
     pub documents: Vec<Arc<PlatformDocument>>,
     pub shown: usize,
     pub violations: Vec<String>,
     pub sent: Sent,
 }
 
-/// What membership messages carried.
+/// Counts of the membership messages sent and of the records in them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
     pub messages: usize,
     pub between_regions: usize,
-    /// Members' records, sent as updates or listed for a joiner.
+    /// Member records sent as updates.
     pub updates: usize,
+    /// Member records sent in member lists.
     pub listed: usize,
-    /// Those of them that went to another region.
+    /// Member records of both kinds that went to another region.
     pub records_between_regions: usize,
 }
 
@@ -77,7 +79,7 @@
     Arc::new(PlatformDocument::new(revision, vec![service]))
 }
 
-/// Times as a gateway has them.
+/// Settings with the times of a gateway.
 fn quick_settings() -> MembershipSettings {
     MembershipSettings {
         probe_every: Duration::from_millis(200),
@@ -100,7 +102,7 @@
 }
 
 impl Fleet {
-    /// `count` nodes that have just started, all served by a platform with one document.
+    /// Starts `count` nodes, all of which can read a platform with one document.
     pub fn new(count: usize, seed: u64) -> Self {
         let mut fleet = Fleet {
             now: BootTime::from_millis(1000),
@@ -124,12 +126,12 @@
         self.nodes.len()
     }
 
-    /// Starts a node, as a new incarnation without memory.
+    /// Starts a node as a new incarnation without state.
     pub fn start(&mut self, index: usize) {
         self.start_with_seeds(index, vec![address(0), address(1), address(2)]);
     }
 
-    /// The same for one whose seeds are all gone.
+    /// Starts a node as [`start`](Self::start) does, but without seeds.
     pub fn start_without_seeds(&mut self, index: usize) {
         self.start_with_seeds(index, Vec::new());
     }
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Publishes the next document.
+    /// Publishes a document with the next revision.
     pub fn publish(&mut self) {
         self.documents.push(document(self.documents.len() as u64 + 1));
         self.shown = self.documents.len() - 1;
@@ -185,7 +187,7 @@
         self.nodes.iter().flatten().map(|node| node.engine.declared_dead()).sum()
     }
 
-    /// Whether `one` takes the present run of `other` for alive.
+    /// Whether `one` has the current incarnation of `other` as alive.
     pub fn sees_alive(&self, one: usize, other: usize) -> bool {
         let (Some(one), Some(other)) = (&self.nodes[one], &self.nodes[other]) else {
             return false;
@@ -193,7 +195,7 @@
         one.engine.member(other.engine.node()).is_some_and(|member| member.state == MemberState::Alive)
     }
 
-    /// Members that a node takes for live.
+    /// Number of members, itself included, that a node doesn't have as gone; 0 for a node that isn't running.
     pub fn live_count(&self, index: usize) -> usize {
         let node = self.nodes[index].as_ref();
         node.map_or(0, |node| node.engine.members().filter(|member| !member.is_gone()).count())
@@ -231,7 +233,7 @@
         };
         let is_paused = self.nodes[index].as_ref().is_some_and(|node| node.paused_until > self.now);
         if is_paused {
-            // It waits in the socket.
+            // The message waits in the receiver's socket.
             self.arrivals.push(Arrival { due: self.now + TICK, ..arrival });
             return;
         }
@@ -301,7 +303,7 @@
         self.sent.records_between_regions += if is_far { records } else { 0 };
     }
 
-    /// What must hold at every moment: only what was published, and never an older one.
+    /// Records a violation unless the node holds a published document that isn't older than the one it held before.
     fn judge(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else {
             return;
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What membership tells whom, in fleets of some size.
+//! Tests of membership in simulated fleets: convergence, and the number of records sent for it.
 
 mod common;
 
@@ -7,14 +7,14 @@
 
 const NODES: usize = 60;
 
-/// A fleet whose nodes all start at once, after it has found itself.
+/// A fleet whose nodes all started at once, 15 seconds later.
 fn started(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(NODES, seed);
     fleet.run_for(Duration::from_secs(15));
     fleet
 }
 
-/// What is sent in a while.
+/// Runs the fleet for `span` and returns what was sent meanwhile.
 fn sent_in(fleet: &mut Fleet, span: Duration) -> Sent {
     let before = fleet.sent;
     fleet.run_for(span);
@@ -31,7 +31,7 @@
 fn a_fleet_that_starts_at_once_finds_itself_without_telling_everything_many_times() {
     let fleet = started(1);
     assert!(fleet.all_see_all());
-    // Each of 60 nodes must hear of 59 others: 3540 records are the least, by listing or as updates.
+    // Each of 60 nodes must learn of 59 others, so at least 3540 records must be sent in lists or as updates.
     let sent = fleet.sent.updates + fleet.sent.listed;
     assert!(sent < 12 * NODES * (NODES - 1), "{:?}", fleet.sent);
 }
@@ -53,7 +53,7 @@
     assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
     fleet.run_for(Duration::from_secs(30));
     let sent = sent_in(&mut fleet, Duration::from_secs(10));
-    // What is left: each node reminds one dead member of itself each second, so that cuts heal.
+    // What is still sent: each node probes one dead member every two seconds, so that partitions heal.
     assert!(sent.updates < sent.messages / 8, "old news is told no more: {sent:?}");
 }
 
@@ -67,10 +67,12 @@
     assert!(fleet.all_see_all());
 }
 
-/// Time after which a starting node that knows nobody takes itself for alone, and a tenant's whole quota for its own.
+/// Time after which a starting node that knows no other member assumes that it is the only one, and grants itself a
+/// tenant's whole quota.
 const TAKEN_FOR_ALONE: Duration = Duration::from_millis(600);
 
-/// Its peers go on probing the address of its predecessor.
+/// Guards against a restarted node without live seeds staying alone: its peers go on probing the address of its
+/// predecessor, and it must answer them.
 #[test]
 fn a_node_that_starts_again_is_found_though_all_its_seeds_are_gone() {
     for seed in 0..20 {
@@ -102,7 +104,7 @@
     let mut fleet = Fleet::new(LARGE, 6);
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_see_all(), "{:?}", fleet.sent);
-    // Two other regions must hear of each member; joiners ask seeds of any region, who tell them of their own.
+    // Two other regions must learn of each member; joiners ask seeds of any region, which list the members of the joiner's region.
     assert!(fleet.sent.records_between_regions < 40 * LARGE, "{:?}", fleet.sent);
 }
 
@@ -113,14 +115,14 @@
     let sent = sent_in(&mut fleet, Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 11);
     assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
-    // Suspicion, and death; besides, dead members are reminded of themselves, once each two seconds by each node.
+    // The suspicion and the death are sent; besides, each node probes a dead member every two seconds.
     assert!(sent.records_between_regions < 1000, "{sent:?}");
 }
 
 #[test]
 fn regions_learn_of_each_other_when_the_first_relays_are_gone() {
     let mut fleet = started(9);
-    // Whoever the relays of a region were, most of it is gone now.
+    // Half of the nodes of one region are gone now, whichever of them were relays.
     (0..NODES).filter(|index| index % 3 == 0 && index % 2 == 0).for_each(|index| fleet.crash(index));
     fleet.run_for(Duration::from_secs(15));
     fleet.crash(3);
@@ -135,13 +137,14 @@
     let mut fleet = started(6);
     fleet.run_for(Duration::from_secs(20));
     let calm = sent_in(&mut fleet, Duration::from_secs(5));
-    // A run that is gone and comes back as another has the fleet listed to it, six members a message.
+    // A node that crashes and restarts as a new incarnation gets a member list, with six members in each message.
     fleet.crash(9);
     fleet.start(9);
     let joined = sent_in(&mut fleet, Duration::from_secs(5));
     assert!(fleet.all_see_all());
     assert!(joined.listed >= NODES - 1, "{joined:?}");
     let besides = joined.updates.saturating_sub(calm.updates);
-    // A start, a suspicion and an end, told up to nine times by each; all 60 records by some would be 3600.
+    // A start, a suspicion and a death are each sent up to nine times by each node. If the readers of the list
+    // gossiped all 60 records, there would be 3600.
     assert!(besides < 30 * NODES, "{besides} after {calm:?}");
 }
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -1,4 +1,5 @@
-//! What the platform published is in force everywhere soon, and nothing older ever after.
+//! Tests of the document's distribution: every node soon holds the newest published document, and never returns to an
+//! older one.
 
 mod common;
 
@@ -19,7 +20,7 @@
     SocketAddr::from(([10, 0, 0, 9], 1))
 }
 
-/// What a node answers to a message.
+/// Passes a message to a node and returns its answers.
 fn answer(published: &mut Published, message: PublishedMessage) -> Vec<PublishedMessage> {
     let mut out = Vec::new();
     published.on_message(PEER, peer(), message, &mut out);
@@ -211,8 +212,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, nobody falls back or holds what was never published; once troubles are over and the
-    /// platform serves one node, all hold its newest document and see each other.
+    /// Under any sequence of faults, no node returns to an older document or holds one that was never published. Once the
+    /// faults are over and one node can read the platform, all nodes hold the newest document and have each other as alive.
     #[test]
     fn what_the_platform_published_is_in_force_everywhere(
         seed in any::<u64>(),
