--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(20);
-const POLL: Duration = Duration::from_millis(500);
-const DELAY: Duration = Duration::from_millis(5);
+const POLL_EVERY: Duration = Duration::from_millis(500);
+const NETWORK_DELAY: Duration = Duration::from_millis(5);
 
 /// One simulated process.
 struct Node {
@@ -25,7 +25,7 @@
     paused_until: BootTime,
     next_poll: BootTime,
     /// Revision that the node held after its last tick.
-    held: u64,
+    last_revision: u64,
 }
 
 /// A message in flight.
@@ -46,19 +46,19 @@
     /// Number of messages in a thousand that are lost.
     pub loss_per_mille: u32,
     /// Nodes that are partitioned from all nodes that aren't in the set.
-    pub cut_off: BTreeSet<usize>,
+    pub partitioned: BTreeSet<usize>,
     /// Nodes that can read the platform.
-    pub served: BTreeSet<usize>,
-    /// All documents ever published. The platform serves the one at index `shown`.
+    pub platform_readers: BTreeSet<usize>,
+    /// All documents ever published. The platform serves the one at index `served_document`.
     pub documents: Vec<Arc<PlatformDocument>>,
-    pub shown: usize,
+    pub served_document: usize,
     pub violations: Vec<String>,
-    pub sent: Sent,
+    pub sent: SentCounts,
 }
 
 /// Counts of the membership messages sent and of the records in them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sent {
+pub struct SentCounts {
     pub messages: usize,
     pub between_regions: usize,
     /// Member records sent as updates.
@@ -80,7 +80,7 @@
 }
 
 /// Settings with the times of a gateway.
-fn quick_settings() -> MembershipSettings {
+fn gateway_settings() -> MembershipSettings {
     MembershipSettings {
         probe_every: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
@@ -111,12 +111,12 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             next_run: 1,
             loss_per_mille: 0,
-            cut_off: BTreeSet::new(),
-            served: (0..count).collect(),
+            partitioned: BTreeSet::new(),
+            platform_readers: (0..count).collect(),
             documents: vec![document(1)],
-            shown: 0,
+            served_document: 0,
             violations: Vec::new(),
-            sent: Sent::default(),
+            sent: SentCounts::default(),
         };
         (0..count).for_each(|index| fleet.start(index));
         fleet
@@ -148,10 +148,10 @@
             is_ready: true,
         };
         self.next_run += 1;
-        let settings = ClusterSettings { membership: quick_settings(), ..ClusterSettings::new(me, seeds) };
+        let settings = ClusterSettings { membership: gateway_settings(), ..ClusterSettings::new(me, seeds) };
         let engine = ClusterEngine::new(settings, self.rng.random());
         let next_poll = self.now;
-        self.nodes[index] = Some(Node { engine, paused_until: BootTime::default(), next_poll, held: 0 });
+        self.nodes[index] = Some(Node { engine, paused_until: BootTime::default(), next_poll, last_revision: 0 });
     }
 
     pub fn crash(&mut self, index: usize) {
@@ -168,7 +168,7 @@
     /// Publishes a document with the next revision.
     pub fn publish(&mut self) {
         self.documents.push(document(self.documents.len() as u64 + 1));
-        self.shown = self.documents.len() - 1;
+        self.served_document = self.documents.len() - 1;
     }
 
     pub fn newest(&self) -> u64 {
@@ -212,7 +212,7 @@
             self.now = self.now + TICK;
             self.deliver();
             for index in 0..self.nodes.len() {
-                self.turn(index);
+                self.tick_node(index);
             }
         }
     }
@@ -238,14 +238,14 @@
             return;
         }
         let from = (0..self.len()).find(|index| address(*index) == arrival.from);
-        let is_cut = from.is_some_and(|from| self.cut_off.contains(&from) != self.cut_off.contains(&index));
+        let is_cut = from.is_some_and(|from| self.partitioned.contains(&from) != self.partitioned.contains(&index));
         if is_cut || self.rng.random_range(0..1000) < self.loss_per_mille {
             return;
         }
-        self.tell(index, ClusterEvent::Message(Box::new(arrival.envelope)));
+        self.handle_event(index, ClusterEvent::Message(Box::new(arrival.envelope)));
     }
 
-    fn turn(&mut self, index: usize) {
+    fn tick_node(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
@@ -254,32 +254,32 @@
         }
         let polls = node.next_poll <= self.now;
         if polls {
-            node.next_poll = self.now + POLL;
+            node.next_poll = self.now + POLL_EVERY;
         }
-        if polls && self.served.contains(&index) {
-            let shown = self.documents[self.shown].clone();
-            self.tell(index, ClusterEvent::Platform(shown));
+        if polls && self.platform_readers.contains(&index) {
+            let served = self.documents[self.served_document].clone();
+            self.handle_event(index, ClusterEvent::Platform(served));
         }
-        self.tell(index, ClusterEvent::Tick);
-        self.judge(index);
+        self.handle_event(index, ClusterEvent::Tick);
+        self.check_document(index);
     }
 
-    fn tell(&mut self, index: usize, event: ClusterEvent) {
+    fn handle_event(&mut self, index: usize, event: ClusterEvent) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
         let mut actions = Vec::new();
         node.engine.on_event(self.now, event, &mut actions);
-        let due = self.now + DELAY;
+        let due = self.now + NETWORK_DELAY;
         for action in actions {
             if let ClusterAction::Send(envelope) = action {
-                self.count(index, &envelope);
+                self.count_sent(index, &envelope);
                 self.arrivals.push(Arrival { due, to: envelope.to_address, from: address(index), envelope });
             }
         }
     }
 
-    fn count(&mut self, index: usize, envelope: &Envelope) {
+    fn count_sent(&mut self, index: usize, envelope: &Envelope) {
         let ClusterMessage::Membership(message) = &envelope.message else {
             return;
         };
@@ -304,15 +304,15 @@
     }
 
     /// Records a violation unless the node holds a published document that isn't older than the one it held before.
-    fn judge(&mut self, index: usize) {
+    fn check_document(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
         let revision = node.engine.revision();
-        if revision < node.held {
-            self.violations.push(format!("node {index} fell back from {} to {revision}", node.held));
+        if revision < node.last_revision {
+            self.violations.push(format!("node {index} fell back from {} to {revision}", node.last_revision));
         }
-        node.held = revision;
+        node.last_revision = revision;
         let published = revision.checked_sub(1).map(|before| self.documents.get(before as usize));
         let is_as_published = match (published, node.engine.config()) {
             (None, None) => true,
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -2,23 +2,23 @@
 
 mod common;
 
-use common::{Fleet, Sent};
+use common::{Fleet, SentCounts};
 use std::time::Duration;
 
 const NODES: usize = 60;
 
 /// A fleet whose nodes all started at once, 15 seconds later.
-fn started(seed: u64) -> Fleet {
+fn converged_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(NODES, seed);
     fleet.run_for(Duration::from_secs(15));
     fleet
 }
 
 /// Runs the fleet for `span` and returns what was sent meanwhile.
-fn sent_in(fleet: &mut Fleet, span: Duration) -> Sent {
+fn run_and_count(fleet: &mut Fleet, span: Duration) -> SentCounts {
     let before = fleet.sent;
     fleet.run_for(span);
-    Sent {
+    SentCounts {
         messages: fleet.sent.messages - before.messages,
         between_regions: fleet.sent.between_regions - before.between_regions,
         updates: fleet.sent.updates - before.updates,
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_fleet_that_starts_at_once_finds_itself_without_telling_everything_many_times() {
-    let fleet = started(1);
+    let fleet = converged_fleet(1);
     assert!(fleet.all_see_all());
     // Each of 60 nodes must learn of 59 others, so at least 3540 records must be sent in lists or as updates.
     let sent = fleet.sent.updates + fleet.sent.listed;
@@ -38,28 +38,28 @@
 
 #[test]
 fn most_probes_stay_within_the_region() {
-    let mut fleet = started(2);
-    let sent = sent_in(&mut fleet, Duration::from_secs(20));
+    let mut fleet = converged_fleet(2);
+    let sent = run_and_count(&mut fleet, Duration::from_secs(20));
     assert!(sent.between_regions * 3 < sent.messages, "{sent:?}");
     assert!(sent.between_regions > 0, "regions hear of each other");
 }
 
 #[test]
 fn a_death_is_known_in_all_regions_soon_and_then_told_no_more() {
-    let mut fleet = started(3);
+    let mut fleet = converged_fleet(3);
     fleet.crash(7);
     fleet.run_for(Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 7);
     assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
     fleet.run_for(Duration::from_secs(30));
-    let sent = sent_in(&mut fleet, Duration::from_secs(10));
+    let sent = run_and_count(&mut fleet, Duration::from_secs(10));
     // What is still sent: each node probes one dead member every two seconds, so that partitions heal.
     assert!(sent.updates < sent.messages / 8, "old news is told no more: {sent:?}");
 }
 
 #[test]
 fn a_newcomer_is_known_everywhere_soon() {
-    let mut fleet = started(4);
+    let mut fleet = converged_fleet(4);
     fleet.crash(9);
     fleet.run_for(Duration::from_secs(12));
     fleet.start(9);
@@ -69,10 +69,10 @@
 
 /// Time after which a starting node that knows no other member assumes that it is the only one, and grants itself a
 /// tenant's whole quota.
-const TAKEN_FOR_ALONE: Duration = Duration::from_millis(600);
+const ASSUMED_ALONE_AFTER: Duration = Duration::from_millis(600);
 
 /// Guards against a restarted node without live seeds staying alone: its peers go on probing the address of its
-/// predecessor, and it must answer them.
+/// predecessor, and it must announce itself to them.
 #[test]
 fn a_node_that_starts_again_is_found_though_all_its_seeds_are_gone() {
     for seed in 0..20 {
@@ -81,7 +81,7 @@
         fleet.crash(0);
         fleet.run_for(Duration::from_millis(seed * 100));
         fleet.start_without_seeds(0);
-        fleet.run_for(TAKEN_FOR_ALONE);
+        fleet.run_for(ASSUMED_ALONE_AFTER);
         assert!(fleet.live_count(0) > 1, "seed {seed}: it knows nobody");
         fleet.run_for(Duration::from_secs(2));
         assert!(fleet.all_see_all(), "seed {seed}");
@@ -110,9 +110,9 @@
 
 #[test]
 fn a_death_is_told_to_other_regions_by_a_few() {
-    let mut fleet = started(8);
+    let mut fleet = converged_fleet(8);
     fleet.crash(11);
-    let sent = sent_in(&mut fleet, Duration::from_secs(12));
+    let sent = run_and_count(&mut fleet, Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 11);
     assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
     // The suspicion and the death are sent; besides, each node probes a dead member every two seconds.
@@ -121,7 +121,7 @@
 
 #[test]
 fn regions_learn_of_each_other_when_the_first_relays_are_gone() {
-    let mut fleet = started(9);
+    let mut fleet = converged_fleet(9);
     // Half of the nodes of one region are gone now, whichever of them were relays.
     (0..NODES).filter(|index| index % 3 == 0 && index % 2 == 0).for_each(|index| fleet.crash(index));
     fleet.run_for(Duration::from_secs(15));
@@ -134,17 +134,17 @@
 
 #[test]
 fn a_listing_in_pieces_does_not_make_its_reader_tell_of_everybody() {
-    let mut fleet = started(6);
+    let mut fleet = converged_fleet(6);
     fleet.run_for(Duration::from_secs(20));
-    let calm = sent_in(&mut fleet, Duration::from_secs(5));
+    let baseline = run_and_count(&mut fleet, Duration::from_secs(5));
     // A node that crashes and restarts as a new incarnation gets a member list, with six members in each message.
     fleet.crash(9);
     fleet.start(9);
-    let joined = sent_in(&mut fleet, Duration::from_secs(5));
+    let after_restart = run_and_count(&mut fleet, Duration::from_secs(5));
     assert!(fleet.all_see_all());
-    assert!(joined.listed >= NODES - 1, "{joined:?}");
-    let besides = joined.updates.saturating_sub(calm.updates);
+    assert!(after_restart.listed >= NODES - 1, "{after_restart:?}");
+    let additional = after_restart.updates.saturating_sub(baseline.updates);
     // A start, a suspicion and a death are each sent up to nine times by each node. If the readers of the list
     // gossiped all 60 records, there would be 3600.
-    assert!(besides < 30 * NODES, "{besides} after {calm:?}");
+    assert!(additional < 30 * NODES, "{additional} after {baseline:?}");
 }
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -21,7 +21,7 @@
 }
 
 /// Passes a message to a node and returns its answers.
-fn answer(published: &mut Published, message: PublishedMessage) -> Vec<PublishedMessage> {
+fn answers_to(published: &mut Published, message: PublishedMessage) -> Vec<PublishedMessage> {
     let mut out = Vec::new();
     published.on_message(PEER, peer(), message, &mut out);
     out.into_iter().map(|send: PublishedSend| send.message).collect()
@@ -52,23 +52,23 @@
     let mut published = Published::new();
     published.take(document(5));
     assert_eq!(
-        answer(&mut published, PublishedMessage::Holds { revision: 4 }),
+        answers_to(&mut published, PublishedMessage::Holds { revision: 4 }),
         [PublishedMessage::Document(document(5))]
     );
     assert_eq!(
-        answer(&mut published, PublishedMessage::Holds { revision: 6 }),
+        answers_to(&mut published, PublishedMessage::Holds { revision: 6 }),
         [PublishedMessage::Holds { revision: 5 }]
     );
-    assert_eq!(answer(&mut published, PublishedMessage::Holds { revision: 5 }), []);
+    assert_eq!(answers_to(&mut published, PublishedMessage::Holds { revision: 5 }), []);
     assert_eq!(published.revision_of(PEER), Some(5));
 }
 
 #[test]
 fn a_node_that_holds_nothing_asks_and_is_asked_for_nothing() {
     let mut published = Published::new();
-    assert_eq!(answer(&mut published, PublishedMessage::Holds { revision: 0 }), []);
+    assert_eq!(answers_to(&mut published, PublishedMessage::Holds { revision: 0 }), []);
     assert_eq!(
-        answer(&mut published, PublishedMessage::Holds { revision: 2 }),
+        answers_to(&mut published, PublishedMessage::Holds { revision: 2 }),
         [PublishedMessage::Holds { revision: 0 }]
     );
 }
@@ -85,7 +85,7 @@
 fn nodes_that_the_platform_does_not_serve_follow_their_peers() {
     let mut fleet = Fleet::new(9, 1);
     fleet.run_for(Duration::from_secs(3));
-    fleet.served = [4].into();
+    fleet.platform_readers = [4].into();
     fleet.publish();
     fleet.run_for(Duration::from_secs(2));
     assert!(fleet.all_hold(2), "within two seconds");
@@ -98,10 +98,10 @@
     fleet.publish();
     fleet.publish();
     fleet.run_for(Duration::from_secs(3));
-    fleet.shown = 0;
+    fleet.served_document = 0;
     fleet.run_for(Duration::from_secs(3));
     assert!(fleet.all_hold(3));
-    fleet.served.clear();
+    fleet.platform_readers.clear();
     fleet.run_for(Duration::from_secs(3));
     assert!(fleet.all_hold(3));
     assert_eq!(fleet.violations, Vec::<String>::new());
@@ -112,7 +112,7 @@
     let mut fleet = Fleet::new(6, 3);
     fleet.publish();
     fleet.run_for(Duration::from_secs(4));
-    fleet.served.clear();
+    fleet.platform_readers.clear();
     for index in 0..fleet.len() {
         fleet.crash(index);
         fleet.run_for(Duration::from_secs(1));
@@ -127,12 +127,12 @@
 fn both_sides_of_a_cut_agree_soon_after_it_heals() {
     let mut fleet = Fleet::new(8, 4);
     fleet.run_for(Duration::from_secs(4));
-    fleet.cut_off = [0, 1, 2].into();
-    fleet.served = [0].into();
+    fleet.partitioned = [0, 1, 2].into();
+    fleet.platform_readers = [0].into();
     fleet.publish();
     fleet.run_for(Duration::from_secs(10));
     assert_eq!((fleet.revision(2), fleet.revision(6)), (Some(2), Some(1)));
-    fleet.cut_off.clear();
+    fleet.partitioned.clear();
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_hold(2));
     assert!(fleet.all_see_all(), "dead members are probed now and then, so cuts heal");
@@ -187,18 +187,18 @@
 fn apply(fleet: &mut Fleet, operation: &Operation) {
     match operation {
         Operation::Publish => fleet.publish(),
-        Operation::StepBack(by) => fleet.shown = fleet.shown.saturating_sub(*by),
-        Operation::Serve(node, true) => drop(fleet.served.insert(*node)),
+        Operation::StepBack(by) => fleet.served_document = fleet.served_document.saturating_sub(*by),
+        Operation::Serve(node, true) => drop(fleet.platform_readers.insert(*node)),
         Operation::Serve(node, false) => {
-            fleet.served.remove(node);
+            fleet.platform_readers.remove(node);
         }
         Operation::Crash(node) => fleet.crash(*node),
         Operation::Start(node) => fleet.start(*node),
         Operation::Pause(node, millis) => fleet.pause(*node, Duration::from_millis(*millis)),
         Operation::Cut(node) => {
-            fleet.cut_off.insert(*node);
+            fleet.partitioned.insert(*node);
         }
-        Operation::Heal => fleet.cut_off.clear(),
+        Operation::Heal => fleet.partitioned.clear(),
         Operation::Loss(per_mille) => fleet.loss_per_mille = *per_mille,
         Operation::Run(millis) => fleet.run_for(Duration::from_millis(*millis)),
     }
@@ -223,10 +223,10 @@
         for operation in &operations {
             apply(&mut fleet, operation);
         }
-        fleet.cut_off.clear();
+        fleet.partitioned.clear();
         fleet.loss_per_mille = 0;
-        fleet.shown = fleet.documents.len() - 1;
-        fleet.served = [(seed % 7) as usize].into();
+        fleet.served_document = fleet.documents.len() - 1;
+        fleet.platform_readers = [(seed % 7) as usize].into();
         for index in 0..fleet.len() {
             if fleet.revision(index).is_none() {
                 fleet.start(index);
