--- a/crates/staircross-cluster/src/member.rs
+++ b/crates/staircross-cluster/src/member.rs
@@ -78,7 +78,7 @@
         matches!(self.state, MemberState::Dead | MemberState::Left)
     }
 
-    /// Whether the node takes new work. A suspect does: it may only be slow to answer.
+    /// Whether the node takes new work, which live nodes and suspects do.
     pub fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -1,74 +1,75 @@
-//! One connection that requests go out on.
+//! The client's side of one connection: reads responses and matches them to the outstanding request.
 //!
-//! Invariants: an answer counts only if it repeats the id of the request that waits; one with
-//! another id is skipped whole. A connection that has said anything that is no answer, or that
-//! ended within one, is never used again. Nothing is ever sent twice.
+//! Invariants: where the protocol has request ids, a response counts only if it repeats the id of the outstanding
+//! request; a response with another id is skipped. A connection that delivered bytes that are no HTTP response, or
+//! that ended within a response, is never used again. No request is sent twice.
 
 use crate::framing::{BodyDecoder, Framing};
 use crate::head::{HeadError, ResponseHead};
 
-/// Longest head of an answer, in bytes.
+/// Longest head of a response, in bytes.
 const MAX_ANSWER_HEAD: usize = 64 * 1024;
-/// Largest buffer that is kept between answers, in bytes.
+/// Largest input buffer that is kept for reuse once all its bytes are consumed, in bytes.
 const KEPT_BUFFER: usize = 4096;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Head.
+    /// Status line and header fields.
     pub head: ResponseHead,
-    /// Body, decoded.
+    /// Decoded body.
     pub body: Vec<u8>,
     /// Whether the connection may carry another request.
     pub is_reusable: bool,
 }
 
-/// Why a connection is over.
+/// Why a connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientFault {
-    /// Bytes that are no answer.
+    /// The peer sent bytes that are no valid response.
     Malformed,
-    /// The answer is longer than allowed.
+    /// The head or the body of a response is longer than allowed.
     TooLong,
-    /// Closed before the answer was whole.
+    /// The peer closed the connection before the response was complete.
     Truncated,
-    /// Closed before any byte of an answer came.
+    /// The peer closed the connection without a response to the outstanding request.
     ClosedUnanswered,
-    /// Reset.
+    /// The connection was reset.
     Reset,
 }
 
-/// What the bytes so far amount to.
+/// Result of looking for a response in the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientProgress {
     /// More bytes are needed.
     NeedMore,
-    /// The answer to the waiting request.
+    /// The response to the outstanding request is complete.
     Answered(Box<Answer>),
-    /// An answer to something else was skipped.
+    /// A response that doesn't belong to the outstanding request was skipped.
     Skipped,
     /// The connection can't be used any more.
     Broken(ClientFault),
 }
 
-/// The request that waits for an answer.
+/// The outstanding request, as far as it is needed to recognise and read its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// Its method: answers to `HEAD` have no body.
+    /// Method of the request. Responses to `HEAD` have no body.
     pub method: String,
-    /// Its id, and the field in which answers repeat it; `None` where the protocol has no ids.
+    /// Id that the response must repeat; `None` where the protocol has no request ids.
     pub id: Option<ExpectedId>,
 }
 
-/// How an answer shows which request it belongs to.
+/// The header field that ties a response to its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedId {
-    /// Name of the field.
+    /// Name of the header field.
     pub field: &'static str,
-    /// Value that the answer must repeat.
+    /// Value that the field must have in the response.
     pub value: Vec<u8>,
 }
 
+/// A response whose head has been read and whose body is being read.
 #[derive(Debug)]
 struct PendingAnswer {
     head: ResponseHead,
@@ -78,7 +79,7 @@
     is_close_delimited: bool,
 }
 
-/// Reads answers from one connection.
+/// Reads the responses of one connection.
 #[derive(Debug)]
 pub struct ClientConnection {
     input: Vec<u8>,
@@ -89,27 +90,28 @@
 }
 
 impl ClientConnection {
-    /// A connection whose answers have bodies of at most `max_body` bytes.
+    /// Creates the state of a new connection; response bodies of more than `max_body` bytes are refused.
     pub fn new(max_body: usize) -> Self {
         ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, seen_close: false }
     }
 
-    /// Notes that a request was sent.
+    /// Sets the outstanding request. Called when a request is sent.
     pub fn expect(&mut self, expected: Expected) {
         self.expected = Some(expected);
     }
 
-    /// Whether a request waits for its answer.
+    /// Whether a request is outstanding.
     pub fn is_waiting(&self) -> bool {
         self.expected.is_some()
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes to the input buffer.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Looks for the next whole answer. Call until it needs more.
+    /// Reads the next response from the buffered bytes. Must be called until it returns [`ClientProgress::NeedMore`] or
+    /// [`ClientProgress::Broken`].
     pub fn advance(&mut self) -> ClientProgress {
         if self.pending.is_none() {
             match self.read_head() {
@@ -121,7 +123,7 @@
         self.read_body()
     }
 
-    /// The peer closed its side cleanly.
+    /// Handles a clean close by the peer; it completes a response whose body ends with the connection.
     pub fn on_close(&mut self) -> ClientProgress {
         self.seen_close = true;
         match self.pending.take() {
@@ -184,7 +186,7 @@
 
     fn finish(&mut self, pending: PendingAnswer) -> ClientProgress {
         if !pending.is_expected {
-            // Whoever closes after an unasked answer leaves the waiting request unanswered.
+            // A peer that closes after a response to another request leaves the outstanding request unanswered.
             if self.seen_close || pending.is_close_delimited || !pending.head.keeps_alive() {
                 return ClientProgress::Broken(ClientFault::ClosedUnanswered);
             }
@@ -198,7 +200,7 @@
     fn consume(&mut self, count: usize) {
         if count == self.input.len() {
             self.input.clear();
-            // A buffer that one long answer made large isn't kept for the short ones.
+            // A buffer that has grown for one long response isn't kept for the short ones.
             if self.input.capacity() > KEPT_BUFFER {
                 self.input = Vec::new();
             }
@@ -209,7 +211,7 @@
 }
 
 impl Expected {
-    /// Whether an answer belongs to this request. Where ids are used, one without an id is nobody's.
+    /// Whether a response belongs to this request. Where ids are used, a response without an id belongs to none.
     fn matches(&self, head: &ResponseHead) -> bool {
         match &self.id {
             Some(id) => head.headers.first(id.field).is_some_and(|value| value.trim_ascii() == id.value),
--- a/crates/staircross-http/src/framing.rs
+++ b/crates/staircross-http/src/framing.rs
@@ -1,26 +1,27 @@
-//! Where a body ends, and decoding it.
+//! How the end of a message body is found, and decoding of bodies.
 
 use crate::head::{HeadError, RequestHead, ResponseHead};
 use crate::headers::HeaderBlock;
 
-/// Longest line of a chunk's size or a trailer.
+/// Longest chunk-size line or trailer line, in bytes.
 const MAX_CHUNK_LINE: usize = 4096;
 
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// The message has no body.
     Empty,
-    /// After so many bytes.
+    /// The body ends after this number of bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body is chunked and ends after the last chunk and its trailers.
     Chunked,
-    /// When the peer closes.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
 impl Framing {
-    /// Framing of a request's body. Anything that two parsers could read in two ways is refused.
+    /// Determines the framing of a request's body. Framing that two parsers could interpret differently is refused,
+    /// because it would allow request smuggling.
     pub fn of_request(head: &RequestHead) -> Result<Framing, HeadError> {
         let has_encoding = head.headers.first("transfer-encoding").is_some();
         let length = content_length(&head.headers)?;
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Framing of the body of a response to a request with `method`.
+    /// Determines the framing of the body of a response to a request with `method`.
     pub fn of_response(head: &ResponseHead, method: &str) -> Result<Framing, HeadError> {
         let is_bodiless = method == "HEAD" || head.status < 200 || head.status == 204 || head.status == 304;
         if is_bodiless {
@@ -62,7 +63,7 @@
     first.is_some_and(|value| value.trim_ascii().eq_ignore_ascii_case(b"chunked")) && values.next().is_none()
 }
 
-/// The one length that all `Content-Length` fields state.
+/// The length that all `Content-Length` fields agree on; `None` without such a field.
 fn content_length(headers: &HeaderBlock) -> Result<Option<u64>, HeadError> {
     let mut length = None;
     for value in headers.values("content-length") {
@@ -80,6 +81,7 @@
     Ok(length)
 }
 
+/// What a [`BodyDecoder`] expects next. The numbers are the bytes left of the body or of the chunk.
 #[derive(Clone, Debug)]
 enum DecoderState {
     Done,
@@ -91,7 +93,7 @@
     UntilClose,
 }
 
-/// Decodes one body, however its bytes are cut into pieces.
+/// Decodes one body from pieces of any size.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: DecoderState,
@@ -99,7 +101,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for `framing` that refuses bodies longer than `max_length` bytes.
+    /// Creates a decoder for `framing` that refuses bodies longer than `max_length` bytes.
     pub fn new(framing: Framing, max_length: usize) -> Result<Self, HeadError> {
         let state = match framing {
             Framing::Empty => DecoderState::Done,
@@ -111,7 +113,7 @@
         Ok(BodyDecoder { state, max_length })
     }
 
-    /// Whether the whole body is in.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.state, DecoderState::Done)
     }
@@ -121,7 +123,7 @@
         matches!(self.state, DecoderState::UntilClose | DecoderState::Done)
     }
 
-    /// Appends decoded bytes to `body`; returns how many bytes of `input` were used.
+    /// Decodes `input` and appends the result to `body`. Returns the number of bytes of `input` that were used.
     pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
         let mut used = 0;
         while !self.is_done() {
@@ -135,7 +137,7 @@
         Ok(used)
     }
 
-    /// Takes one element of the framing; zero means that more input is needed.
+    /// Decodes one element of the framing and returns its length; zero means that more input is needed.
     fn step(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
         match self.state {
             DecoderState::Done => Ok(0),
@@ -190,7 +192,7 @@
         Ok(2)
     }
 
-    /// Trailers are read and dropped: they concern nobody further on.
+    /// Reads one trailer line and drops it: trailers aren't forwarded.
     fn trailer_line(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
         let Some(end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
             return if rest.len() > MAX_CHUNK_LINE { Err(HeadError::TooLong) } else { Ok(0) };
--- a/crates/staircross-http/src/head.rs
+++ b/crates/staircross-http/src/head.rs
@@ -1,4 +1,4 @@
-//! First line and header fields of requests and responses.
+//! Parsing of message heads: the first line and the header fields of requests and responses.
 
 use crate::headers::HeaderBlock;
 use quick_error::quick_error;
@@ -7,18 +7,18 @@
 pub const MAX_FIELDS: usize = 96;
 
 quick_error! {
-    /// Why bytes are no acceptable message head.
+    /// Why a message is refused.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum HeadError {
-        /// Not HTTP/1.x.
+        /// The bytes aren't HTTP/1.x.
         Malformed {
             display("the bytes are no HTTP/1.1 message")
         }
-        /// More fields than [`MAX_FIELDS`], or more bytes than allowed.
+        /// The head has more fields than [`MAX_FIELDS`], or a line is longer than allowed.
         TooLong {
             display("the message head is too long")
         }
-        /// Contradicting or unknown framing, which could hide a second message.
+        /// The framing fields contradict each other or are unknown, which could hide a second message.
         AmbiguousFraming {
             display("the length of the body is ambiguous")
         }
@@ -29,12 +29,12 @@
     }
 }
 
-/// Head of a request.
+/// Request line and header fields of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method, as it arrived.
+    /// Method, exactly as received.
     pub method: String,
-    /// Target, as it arrived: path and query.
+    /// Request target, exactly as received: path and query.
     pub target: String,
     /// Minor version: 0 or 1.
     pub minor_version: u8,
@@ -42,10 +42,10 @@
     pub headers: HeaderBlock,
 }
 
-/// Head of a response.
+/// Status line and header fields of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Minor version: 0 or 1.
     pub minor_version: u8,
@@ -53,7 +53,7 @@
     pub headers: HeaderBlock,
 }
 
-/// A head and the number of bytes it took, or `None` while bytes are lacking.
+/// A parsed head and its length in bytes, or `None` while the head is incomplete.
 pub type Parsed<T> = Result<Option<(T, usize)>, HeadError>;
 
 impl RequestHead {
@@ -82,7 +82,7 @@
         !self.headers.asks_to_close()
     }
 
-    /// Path without the query.
+    /// Path of the target, without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
--- a/crates/staircross-http/src/headers.rs
+++ b/crates/staircross-http/src/headers.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-/// Fields that concern one connection only (RFC 9110, section 7.6.1).
+/// Header fields that are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -15,13 +15,14 @@
     "upgrade",
 ];
 
+/// Position of one field's name and value in the text of a [`HeaderBlock`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FieldSpan {
     name: Range<u32>,
     value: Range<u32>,
 }
 
-/// Header fields in the order in which they arrived, in one allocation of text.
+/// Header fields in the order in which they were received, with all their text in one allocation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeaderBlock {
     text: Vec<u8>,
@@ -29,7 +30,7 @@
 }
 
 impl HeaderBlock {
-    /// Copies parsed fields.
+    /// Copies header fields parsed by `httparse`.
     pub fn from_parsed(fields: &[httparse::Header<'_>]) -> Self {
         let length = fields.iter().map(|field| field.name.len() + field.value.len()).sum();
         let mut block = HeaderBlock { text: Vec::with_capacity(length), fields: Vec::with_capacity(fields.len()) };
@@ -56,7 +57,7 @@
         &self.text[span.start as usize..span.end as usize]
     }
 
-    /// All fields, names as they arrived.
+    /// All fields in order, with names exactly as received.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|field| {
             let name = std::str::from_utf8(self.slice(&field.name)).unwrap_or_default();
@@ -64,24 +65,24 @@
         })
     }
 
-    /// All values of a field; names are compared without regard to case.
+    /// All values of the fields named `name`, regardless of case.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         let matching = self.fields.iter().filter(|field| self.slice(&field.name).eq_ignore_ascii_case(name.as_bytes()));
         matching.map(|field| self.slice(&field.value))
     }
 
-    /// The first value of a field.
+    /// Value of the first field named `name`, regardless of case.
     pub fn first(&self, name: &str) -> Option<&[u8]> {
         let field = self.fields.iter().find(|field| self.slice(&field.name).eq_ignore_ascii_case(name.as_bytes()))?;
         Some(self.slice(&field.value))
     }
 
-    /// The first value of a field as text.
+    /// Value of the first field named `name` as trimmed text; `None` without such a field or if it isn't UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.first(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether a comma-separated field names `token`.
+    /// Whether a comma-separated field contains `token`, regardless of case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name).any(|value| tokens(value).any(|found| found.eq_ignore_ascii_case(token.as_bytes())))
     }
@@ -91,12 +92,12 @@
         self.has_token("connection", "close")
     }
 
-    /// Whether `name` concerns this connection only: by the standard, or as `Connection` lists it.
+    /// Whether the field `name` must not be forwarded: by the standard, or because `Connection` lists it.
     pub fn is_hop_by_hop(&self, name: &str) -> bool {
         HOP_BY_HOP.iter().any(|known| known.eq_ignore_ascii_case(name)) || self.has_token("connection", name)
     }
 
-    /// Seconds that the peer keeps the idle connection, as `Keep-Alive: timeout=N` says.
+    /// Seconds for which the peer keeps an idle connection open, as stated by `Keep-Alive: timeout=N`.
     pub fn keep_alive_seconds(&self) -> Option<u64> {
         let value = self.text("keep-alive")?;
         let parameter = value.split(',').map(str::trim).find_map(|part| part.strip_prefix("timeout="))?;
--- a/crates/staircross-http/src/lib.rs
+++ b/crates/staircross-http/src/lib.rs
@@ -1,17 +1,17 @@
-//! HTTP/1.1 messages over byte buffers, without input or output of their own.
+//! HTTP/1.1 for servers and clients over byte buffers. The crate itself does no input or output.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`headers`] | a block of header fields, and which of them concern one connection only |
+//! | [`headers`] | a block of header fields, and which of them are hop-by-hop |
 //! | [`head`] | first line and header fields of requests and responses |
-//! | [`framing`] | where a body ends, and decoding it |
-//! | [`server`] | one connection that requests come in on |
-//! | [`client`] | one connection that requests go out on |
+//! | [`framing`] | how the end of a body is found, and decoding of bodies |
+//! | [`server`] | reading requests from one connection |
+//! | [`client`] | reading responses from one connection |
 //! | [`write`] | serialising messages |
 //!
-//! Parsing of heads and chunk sizes is `httparse`'s. What this crate adds is control that HTTP
-//! libraries keep to themselves: an answer to another request is skipped and told, an early answer
-//! is seen while the request is still being written, and nothing is ever repeated behind one's back.
+//! Heads and chunk sizes are parsed by `httparse`. This crate adds control that HTTP libraries don't offer: a response
+//! to another request is skipped and reported, a response that arrives while the request is still being written is
+//! seen, and no request is ever retried without the caller's knowledge.
 
 pub mod client;
 pub mod framing;
--- a/crates/staircross-http/src/server.rs
+++ b/crates/staircross-http/src/server.rs
@@ -1,12 +1,12 @@
-//! One connection that requests come in on.
+//! The server's side of one connection: reads requests.
 //!
-//! Invariant: a request is handed out only when the one before it has been answered, so nothing is
-//! ever written where no request waits.
+//! The next request is read only when the caller asks for it. The caller must have answered the previous one by then,
+//! so that no response is ever written without an outstanding request.
 
 use crate::framing::{BodyDecoder, Framing};
 use crate::head::{HeadError, RequestHead};
 
-/// What a caller may send.
+/// Limits on the size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
     /// Longest head, in bytes.
@@ -15,37 +15,39 @@
     pub body_bytes: usize,
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Head.
+    /// Request line and header fields.
     pub head: RequestHead,
-    /// Body, decoded.
+    /// Decoded body.
     pub body: Vec<u8>,
 }
 
-/// Why a request can't be taken; the connection must be closed after the answer.
+/// Why a request is refused. The connection must be closed after the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
-    /// Answer 400.
+    /// The request is malformed or its framing is ambiguous; the response is 400.
     BadRequest,
-    /// Answer 413.
+    /// The body is longer than allowed; the response is 413.
     BodyTooLong,
-    /// Answer 431.
+    /// The head is longer than allowed; the response is 431.
     HeadTooLong,
 }
 
-/// What the bytes so far amount to.
+/// Result of looking for a request in the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ServerProgress {
-    /// More bytes are needed; `continue_expected` once when the caller waits for leave to send its body.
+    /// More bytes are needed. `continue_expected` is true once if the client waits for `100 Continue` before it sends
+    /// the body.
     NeedMore { continue_expected: bool },
-    /// A request is whole.
+    /// A request is complete.
     Ready(Box<Request>),
-    /// The bytes are no acceptable request.
+    /// The bytes are no acceptable request, which must be refused.
     Fault(ServerFault),
 }
 
+/// A request whose head has been read and whose body is being read.
 #[derive(Debug)]
 struct PendingBody {
     head: RequestHead,
@@ -53,7 +55,7 @@
     body: Vec<u8>,
 }
 
-/// Reads requests from one connection.
+/// Reads the requests of one connection.
 #[derive(Debug, Default)]
 pub struct ServerConnection {
     input: Vec<u8>,
@@ -61,7 +63,7 @@
 }
 
 impl ServerConnection {
-    /// Adds received bytes.
+    /// Appends received bytes to the input buffer.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
@@ -71,7 +73,7 @@
         !self.input.is_empty() || self.pending.is_some()
     }
 
-    /// Looks for the next whole request.
+    /// Reads the next request from the buffered bytes.
     pub fn advance(&mut self, limits: ServerLimits) -> ServerProgress {
         let mut continue_expected = false;
         if self.pending.is_none() {
@@ -130,7 +132,7 @@
 
     fn consume(&mut self, count: usize) {
         if count == self.input.len() {
-            // Idle connections keep no buffer.
+            // An idle connection keeps no buffer.
             self.input = Vec::new();
         } else {
             self.input.drain(..count);
--- a/crates/staircross-http/src/write.rs
+++ b/crates/staircross-http/src/write.rs
@@ -1,25 +1,25 @@
-//! Serialising messages.
+//! Serialising of requests and responses into a byte buffer.
 
 use std::io::Write;
 
-/// Appends `text` and a line end.
+/// Appends `text` and a line break.
 fn push_line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
     // Writing to a vector can't fail.
     let _infallible = out.write_fmt(text);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Starts a request.
+/// Appends the request line, which starts a request.
 pub fn request_line(out: &mut Vec<u8>, method: &str, target: &str) {
     push_line(out, format_args!("{method} {target} HTTP/1.1"));
 }
 
-/// Starts a response.
+/// Appends the status line, which starts a response.
 pub fn status_line(out: &mut Vec<u8>, status: u16) {
     push_line(out, format_args!("HTTP/1.1 {status} {}", reason(status)));
 }
 
-/// Adds a field.
+/// Appends a header field.
 pub fn field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
@@ -27,17 +27,17 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Adds a field with a displayed value.
+/// Appends a header field whose value is formatted with `Display`.
 pub fn field_display(out: &mut Vec<u8>, name: &str, value: impl std::fmt::Display) {
     push_line(out, format_args!("{name}: {value}"));
 }
 
-/// Ends the head.
+/// Appends the empty line that ends the head.
 pub fn end_head(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
 
-/// The usual phrase for a status.
+/// Standard reason phrase of a status code; `Status` for codes that have none here.
 pub fn reason(status: u16) -> &'static str {
     match status {
         100 => "Continue",
--- a/crates/staircross-http/tests/framing.rs
+++ b/crates/staircross-http/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as bytes, whole, cut into pieces, and wrong.
+//! Tests of reading requests and responses: complete, split into pieces, and malformed.
 
 use proptest::prelude::*;
 use staircross_http::client::{Expected, ExpectedId};
@@ -182,7 +182,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However the network cuts the bytes, the same answers come out in the same order.
+    /// The same responses are read in the same order, however the bytes are split into pieces.
     #[test]
     fn pieces_make_no_difference(cuts in prop::collection::vec(1..40_usize, 1..60), chunk in 1..9_usize) {
         let mut bytes = answer("a", "skip me").into_bytes();
@@ -218,7 +218,7 @@
         prop_assert_eq!(answers, vec![body.to_vec()]);
     }
 
-    /// No bytes whatever make the parsers panic, or a body longer than allowed.
+    /// No input makes the parsers panic or return a body longer than allowed.
     #[test]
     fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         if let ServerProgress::Ready(request) = request(&bytes) {
--- a/crates/staircross-wire/src/datagram.rs
+++ b/crates/staircross-wire/src/datagram.rs
@@ -1,20 +1,21 @@
 //! Small control messages over UDP.
 //!
-//! Probes, gossip and leases go to ever changing peers and each is small: a connection to each
-//! peer would cost every node hundreds of sockets. A datagram is the CBOR body followed by a
-//! shortened keyed digest; what doesn't verify is dropped. Loss is expected by these protocols.
+//! Probes, gossip and leases are small and go to changing peers: a connection to each peer would cost every node
+//! hundreds of sockets. A datagram is a CBOR body followed by a truncated HMAC. Datagrams that don't verify are
+//! dropped. The protocols that use datagrams tolerate their loss.
 
 use crate::frame::{WireError, decode, encode};
 use crate::handshake::ClusterKey;
 use crate::message::PeerMessage;
 
-/// Longest datagram: stays under a usual network's frame, so it is never cut.
+/// Longest datagram, in bytes. It fits into the frame of a usual network, so that it is never fragmented.
 pub const MAX_DATAGRAM: usize = 1200;
-/// Bytes of the keyed digest that are sent.
+/// Number of bytes of the HMAC that are sent.
 const DIGEST_LENGTH: usize = 16;
+/// First signed part of a datagram. Handshakes sign other first parts.
 const PURPOSE: &[u8] = b"datagram";
 
-/// Encodes a message, or `None` when it is too long for a datagram.
+/// Encodes and signs a message. Returns `None` if it is too long for a datagram.
 pub fn seal(key: &ClusterKey, message: &PeerMessage) -> Result<Option<Vec<u8>>, WireError> {
     let mut body = encode(message)?;
     if body.len() + DIGEST_LENGTH > MAX_DATAGRAM {
@@ -25,7 +26,7 @@
     Ok(Some(body))
 }
 
-/// Checks and decodes a datagram.
+/// Verifies and decodes a datagram.
 pub fn open(key: &ClusterKey, datagram: &[u8]) -> Result<PeerMessage, WireError> {
     let split = datagram.len().checked_sub(DIGEST_LENGTH);
     let Some(split) = split else {
--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Length-prefixed CBOR over a TCP stream.
+//! Length-prefixed CBOR frames over a TCP stream.
 
 use quick_error::quick_error;
 use serde::Serialize;
@@ -9,23 +9,23 @@
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
 
 quick_error! {
-    /// Why a frame couldn't be read or written. Each ends the connection it came from, and only that.
+    /// Why a message couldn't be read or written. On a connection, such an error ends only that connection.
     #[derive(Debug)]
     pub enum WireError {
-        /// The connection failed.
+        /// Reading from or writing to the connection failed.
         Io(error: std::io::Error) {
             from()
             display("connection: {error}")
         }
-        /// A frame is longer than allowed.
+        /// The body of a frame is longer than allowed.
         TooLong { length: usize } {
             display("frame of {length} bytes, allowed are {MAX_FRAME}")
         }
-        /// A frame's body isn't the expected message.
+        /// The body of a frame or datagram isn't the expected message.
         Malformed { reason: String } {
             display("malformed frame: {reason}")
         }
-        /// The other side isn't of this fleet.
+        /// The peer isn't authenticated as a node of this cluster with the same protocol version.
         Stranger { reason: &'static str } {
             display("stranger: {reason}")
         }
@@ -42,7 +42,7 @@
     Ok(body)
 }
 
-/// Decodes a message from CBOR; bytes left over are an error.
+/// Decodes a message from CBOR. Bytes after the message are an error.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, WireError> {
     let mut rest = body;
     let message =
@@ -53,7 +53,8 @@
     Ok(message)
 }
 
-/// Writes one frame: four bytes of length, most significant first, then the body.
+/// Writes one frame, which is the length of the body as four big-endian bytes and the body. Returns the number of
+/// bytes written.
 pub fn write_frame(stream: &mut impl Write, message: &impl Serialize) -> Result<usize, WireError> {
     let body = encode(message)?;
     let length = u32::try_from(body.len()).map_err(|_| WireError::TooLong { length: body.len() })?;
@@ -62,7 +63,7 @@
     Ok(body.len() + 4)
 }
 
-/// Reads one frame of at most `limit` bytes.
+/// Reads one frame whose body has at most `limit` bytes.
 pub fn read_frame<T: DeserializeOwned>(stream: &mut impl Read, limit: usize) -> Result<T, WireError> {
     let mut prefix = [0_u8; 4];
     stream.read_exact(&mut prefix)?;
@@ -70,7 +71,7 @@
     if length > limit.min(MAX_FRAME) {
         return Err(WireError::TooLong { length });
     }
-    // Grows with what arrives: a prefix alone must not make this process reserve the whole length.
+    // The buffer grows with the bytes received: a length prefix alone must not make this process allocate that length.
     let mut body = Vec::new();
     stream.take(length as u64).read_to_end(&mut body)?;
     if body.len() < length {
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -1,4 +1,5 @@
-//! Who may speak on a connection: version, fleet name, and a proof of the shared key by both sides.
+//! Mutual authentication on a new connection: the acceptor checks the protocol version and the cluster name, and both
+//! sides prove that they know the cluster's shared secret.
 
 use crate::frame::{WireError, read_frame, write_frame};
 use hmac::{Hmac, Mac};
@@ -7,12 +8,12 @@
 use staircross_types::NodeId;
 use std::io::{Read, Write};
 
-/// Version of the protocol between nodes. Nodes of another version are rejected.
+/// Version of the protocol between nodes. A node with another version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest handshake frame, in bytes.
+/// Longest body of a handshake frame, in bytes.
 const MAX_HANDSHAKE: usize = 1024;
 
-/// The fleet's name and shared secret.
+/// Name and shared secret of a cluster.
 #[derive(Clone)]
 pub struct ClusterKey {
     cluster: String,
@@ -20,12 +21,13 @@
 }
 
 impl ClusterKey {
-    /// Builds the key of a fleet.
+    /// Creates the key of a cluster from its name and secret.
     pub fn new(cluster: &str, secret: &str) -> Self {
         ClusterKey { cluster: cluster.to_owned(), secret: secret.as_bytes().to_vec() }
     }
 
-    /// A keyed digest over parts; each part's length is included, so parts can't be shifted.
+    /// Computes an HMAC over the cluster's name and `parts`. The length of each part is included, so that the same bytes
+    /// split differently give another digest.
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
@@ -38,7 +40,7 @@
         mac.finalize().into_bytes().into()
     }
 
-    /// Compares a digest in constant time.
+    /// Whether `digest` is the digest of `parts`, or a prefix of it. The comparison takes constant time.
     pub fn verify(&self, parts: &[&[u8]], digest: &[u8]) -> bool {
         let expected = self.sign(parts);
         if digest.is_empty() || digest.len() > expected.len() {
@@ -49,7 +51,7 @@
     }
 }
 
-/// First frame, from the connecting node.
+/// First frame, sent by the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Hello {
     version: u32,
@@ -58,14 +60,14 @@
     nonce: u128,
 }
 
-/// Second frame, from the accepting node.
+/// Second frame, sent by the accepting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Challenge {
     nonce: u128,
     proof: [u8; 32],
 }
 
-/// Third frame, from the connecting node.
+/// Third frame, sent by the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Response {
     proof: [u8; 32],
@@ -74,7 +76,7 @@
 const ACCEPTOR: &[u8] = b"acceptor";
 const CONNECTOR: &[u8] = b"connector";
 
-/// Proves to the acceptor that `node` is of the fleet, and has it prove the same. `nonce` is fresh and random.
+/// Performs the handshake as the connecting node `node`. `nonce` must be fresh and random.
 pub fn connect(stream: &mut (impl Read + Write), key: &ClusterKey, node: NodeId, nonce: u128) -> Result<(), WireError> {
     let hello = Hello { version: PROTOCOL_VERSION, cluster: key.cluster.clone(), node, nonce };
     write_frame(stream, &hello)?;
@@ -92,7 +94,7 @@
     Ok(())
 }
 
-/// Checks the connecting node and returns its incarnation. `nonce` is fresh and random.
+/// Performs the handshake as the accepting node. Returns the connecting node's id. `nonce` must be fresh and random.
 pub fn accept(stream: &mut (impl Read + Write), key: &ClusterKey, nonce: u128) -> Result<NodeId, WireError> {
     let hello: Hello = read_frame(stream, MAX_HANDSHAKE)?;
     if hello.version != PROTOCOL_VERSION {
--- a/crates/staircross-wire/src/lib.rs
+++ b/crates/staircross-wire/src/lib.rs
@@ -1,11 +1,11 @@
-//! How messages travel between nodes.
+//! Encoding and transport of the messages between nodes.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`message`] | everything that one node says to another |
+//! | [`message`] | all messages between nodes |
 //! | [`frame`] | length-prefixed CBOR over a TCP stream |
-//! | [`handshake`] | versioned hello with a keyed proof, so that no stranger joins |
-//! | [`datagram`] | small control messages over UDP, each with its own keyed proof |
+//! | [`handshake`] | mutual authentication of two nodes on a new connection |
+//! | [`datagram`] | small control messages over UDP, each authenticated on its own |
 
 pub mod datagram;
 pub mod frame;
--- a/crates/staircross-wire/src/message.rs
+++ b/crates/staircross-wire/src/message.rs
@@ -1,36 +1,36 @@
-//! Everything that one node says to another.
+//! All messages between nodes.
 
 use serde::{Deserialize, Serialize};
 use staircross_cluster::Envelope;
 use staircross_search::{SubReply, SubRequest};
 use staircross_types::{AttemptId, NodeId};
 
-/// One message between nodes.
+/// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// About the fleet itself.
+    /// A message of the cluster protocol.
     Cluster(Envelope),
-    /// From a root to a leaf.
+    /// A sub-request, sent by the root of a request to a leaf.
     Request {
-        /// The root.
+        /// Incarnation of the root.
         from: NodeId,
-        /// The leaf's run; another run at the address drops it.
+        /// Incarnation of the leaf. Another incarnation at its address drops the message.
         to: NodeId,
-        /// The work.
+        /// Sub-request to execute.
         request: SubRequest,
     },
-    /// From a leaf to a root.
+    /// The reply to a sub-request, sent by a leaf to the root.
     Reply {
-        /// The root's run.
+        /// Incarnation of the root.
         to: NodeId,
-        /// The reply.
+        /// Reply of the leaf.
         reply: SubReply,
     },
-    /// From a root to a leaf: no longer wanted.
+    /// The root no longer needs the reply to an attempt.
     Cancel {
-        /// The root.
+        /// Incarnation of the root.
         from: NodeId,
-        /// The attempt.
+        /// Attempt that is cancelled.
         attempt: AttemptId,
     },
 }
--- a/crates/staircross-wire/tests/notation/mod.rs
+++ b/crates/staircross-wire/tests/notation/mod.rs
@@ -1,14 +1,14 @@
-//! Bytes as text: hexadecimal, and CBOR as a tree.
+//! Text forms of bytes: hexadecimal, and the diagnostic notation of CBOR.
 
 use ciborium::Value;
 use std::fmt::Write;
 
-/// Bytes in hexadecimal.
+/// Renders bytes in hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// CBOR bytes as a tree, in the usual diagnostic notation.
+/// Renders CBOR bytes in the usual diagnostic notation.
 pub fn notation(bytes: &[u8]) -> String {
     let value: Value = ciborium::from_reader(bytes).expect("is CBOR");
     let mut text = String::new();
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other about the fleet itself, as encoded bytes.
+//! Snapshots of the encoded messages of the cluster protocol.
 
 mod notation;
 mod pinning;
@@ -29,7 +29,7 @@
         from: SENDER,
         from_address: address("10.0.0.1:7101"),
         to,
-        // Isn't sent, and is read back as this.
+        // The address isn't encoded, and is decoded as this one.
         to_address: address("0.0.0.0:0"),
         message,
     };
@@ -105,7 +105,7 @@
     insta::assert_snapshot!(pins.join("\n"));
 }
 
-/// A document with every key.
+/// A document that sets every key.
 const DOCUMENT: &str = r#"{
     "revision": 12,
     "services": [{
--- a/crates/staircross-wire/tests/pinned_handshake.rs
+++ b/crates/staircross-wire/tests/pinned_handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake's frames, a frame and a datagram, as bytes.
+//! Snapshots of the encoded frames of a handshake, of a frame and of a datagram.
 
 mod notation;
 
@@ -9,7 +9,7 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A stream that keeps what is written to it.
+/// A stream that records the bytes written to it.
 struct Kept {
     stream: UnixStream,
     written: Vec<u8>,
@@ -48,7 +48,7 @@
     PeerMessage::Cancel { from: NodeId(3), attempt: AttemptId { request, attempt: 7 } }
 }
 
-/// Frames as their lengths, trees and bytes.
+/// Renders each frame as the notation of its body, and its length prefix and body in hexadecimal.
 fn frames(name: &str, mut bytes: &[u8]) -> String {
     let mut text = String::new();
     while let Some((prefix, rest)) = bytes.split_first_chunk::<4>() {
--- a/crates/staircross-wire/tests/pinned_requests.rs
+++ b/crates/staircross-wire/tests/pinned_requests.rs
@@ -1,4 +1,4 @@
-//! What roots and leaves send each other, and the copy of a session, as encoded bytes.
+//! Snapshots of the encoded messages between roots and leaves, and of the encoded state of a session.
 
 mod notation;
 mod pinning;
@@ -111,7 +111,7 @@
     (Ticket { node: ROOT, serial }, outcome)
 }
 
-/// A session with a floor and a ticket in each state.
+/// A session with a minimum snapshot and a ticket in each state.
 fn session() -> SessionState {
     let token = SessionToken(5);
     let mut table = SessionTable::new(1);
--- a/crates/staircross-wire/tests/wire.rs
+++ b/crates/staircross-wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames, handshakes and datagrams, good and bad.
+//! Tests of frames, handshakes and datagrams, valid and invalid.
 
 use proptest::prelude::*;
 use staircross_types::{AttemptId, NodeId, RequestId};
