--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -8,9 +8,9 @@
 use crate::head::{HeadError, ResponseHead};
 
 /// Longest head of a response, in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
+const MAX_RESPONSE_HEAD: usize = 64 * 1024;
 /// Largest input buffer that is kept for reuse once all its bytes are consumed, in bytes.
-const KEPT_BUFFER: usize = 4096;
+const MAX_KEPT_BUFFER: usize = 4096;
 
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
 
 /// A response whose head has been read and whose body is being read.
 #[derive(Debug)]
-struct PendingAnswer {
+struct PendingResponse {
     head: ResponseHead,
     decoder: BodyDecoder,
     body: Vec<u8>,
@@ -83,16 +83,16 @@
 #[derive(Debug)]
 pub struct ClientConnection {
     input: Vec<u8>,
-    pending: Option<Box<PendingAnswer>>,
+    pending: Option<Box<PendingResponse>>,
     expected: Option<Expected>,
     max_body: usize,
-    seen_close: bool,
+    peer_closed: bool,
 }
 
 impl ClientConnection {
     /// Creates the state of a new connection; response bodies of more than `max_body` bytes are refused.
     pub fn new(max_body: usize) -> Self {
-        ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, seen_close: false }
+        ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, peer_closed: false }
     }
 
     /// Sets the outstanding request. Called when a request is sent.
@@ -125,7 +125,7 @@
 
     /// Handles a clean close by the peer; it completes a response whose body ends with the connection.
     pub fn on_close(&mut self) -> ClientProgress {
-        self.seen_close = true;
+        self.peer_closed = true;
         match self.pending.take() {
             Some(pending) if pending.decoder.ends_at_close() => self.finish(*pending),
             Some(_) => ClientProgress::Broken(ClientFault::Truncated),
@@ -141,21 +141,21 @@
             }
             let (head, length) = match ResponseHead::parse(&self.input) {
                 Ok(Some(parsed)) => parsed,
-                Ok(None) if self.input.len() > MAX_ANSWER_HEAD => return Err(ClientFault::TooLong),
+                Ok(None) if self.input.len() > MAX_RESPONSE_HEAD => return Err(ClientFault::TooLong),
                 Ok(None) => return Ok(false),
                 Err(_) => return Err(ClientFault::Malformed),
             };
             self.consume(length);
-            let is_interim = head.status < 200 && head.status != 101;
-            if is_interim {
+            let is_informational = head.status < 200 && head.status != 101;
+            if is_informational {
                 continue;
             }
-            self.pending = Some(Box::new(self.begin(head)?));
+            self.pending = Some(Box::new(self.start_response(head)?));
             return Ok(true);
         }
     }
 
-    fn begin(&self, head: ResponseHead) -> Result<PendingAnswer, ClientFault> {
+    fn start_response(&self, head: ResponseHead) -> Result<PendingResponse, ClientFault> {
         let is_expected = self.expected.as_ref().is_some_and(|expected| expected.matches(&head));
         let method = match &self.expected {
             Some(expected) if is_expected => expected.method.as_str(),
@@ -164,7 +164,7 @@
         let framing = Framing::of_response(&head, method).map_err(|_| ClientFault::Malformed)?;
         let decoder = BodyDecoder::new(framing, self.max_body).map_err(|_| ClientFault::TooLong)?;
         let is_close_delimited = framing == Framing::UntilClose;
-        Ok(PendingAnswer { head, decoder, body: Vec::new(), is_expected, is_close_delimited })
+        Ok(PendingResponse { head, decoder, body: Vec::new(), is_expected, is_close_delimited })
     }
 
     fn read_body(&mut self) -> ClientProgress {
@@ -184,16 +184,16 @@
         self.finish(*pending)
     }
 
-    fn finish(&mut self, pending: PendingAnswer) -> ClientProgress {
+    fn finish(&mut self, pending: PendingResponse) -> ClientProgress {
         if !pending.is_expected {
             // A peer that closes after a response to another request leaves the outstanding request unanswered.
-            if self.seen_close || pending.is_close_delimited || !pending.head.keeps_alive() {
+            if self.peer_closed || pending.is_close_delimited || !pending.head.keeps_alive() {
                 return ClientProgress::Broken(ClientFault::ClosedUnanswered);
             }
             return ClientProgress::Skipped;
         }
         self.expected = None;
-        let is_reusable = pending.head.keeps_alive() && !pending.is_close_delimited && !self.seen_close;
+        let is_reusable = pending.head.keeps_alive() && !pending.is_close_delimited && !self.peer_closed;
         ClientProgress::Answered(Box::new(Answer { head: pending.head, body: pending.body, is_reusable }))
     }
 
@@ -201,7 +201,7 @@
         if count == self.input.len() {
             self.input.clear();
             // A buffer that has grown for one long response isn't kept for the short ones.
-            if self.input.capacity() > KEPT_BUFFER {
+            if self.input.capacity() > MAX_KEPT_BUFFER {
                 self.input = Vec::new();
             }
         } else {
--- a/crates/staircross-http/src/framing.rs
+++ b/crates/staircross-http/src/framing.rs
@@ -128,7 +128,7 @@
         let mut used = 0;
         while !self.is_done() {
             let rest = &input[used..];
-            let step = self.step(rest, body)?;
+            let step = self.decode_step(rest, body)?;
             if step == 0 {
                 break;
             }
@@ -138,30 +138,30 @@
     }
 
     /// Decodes one element of the framing and returns its length; zero means that more input is needed.
-    fn step(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
+    fn decode_step(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
         match self.state {
             DecoderState::Done => Ok(0),
             DecoderState::Remaining(left) => {
-                let taken = self.take(rest, left, body)?;
+                let taken = self.copy_body(rest, left, body)?;
                 let left = left - taken as u64;
                 self.state = if left == 0 { DecoderState::Done } else { DecoderState::Remaining(left) };
                 Ok(taken)
             }
-            DecoderState::UntilClose => self.take(rest, u64::MAX, body),
-            DecoderState::ChunkSize => self.chunk_size(rest),
+            DecoderState::UntilClose => self.copy_body(rest, u64::MAX, body),
+            DecoderState::ChunkSize => self.read_chunk_size(rest),
             DecoderState::ChunkData(left) => {
-                let taken = self.take(rest, left, body)?;
+                let taken = self.copy_body(rest, left, body)?;
                 let left = left - taken as u64;
                 self.state = if left == 0 { DecoderState::ChunkEnd } else { DecoderState::ChunkData(left) };
                 Ok(taken)
             }
-            DecoderState::ChunkEnd => self.chunk_end(rest),
-            DecoderState::Trailer => self.trailer_line(rest),
+            DecoderState::ChunkEnd => self.read_chunk_end(rest),
+            DecoderState::Trailer => self.read_trailer_line(rest),
         }
     }
 
-    fn take(&self, rest: &[u8], most: u64, body: &mut Vec<u8>) -> Result<usize, HeadError> {
-        let count = (rest.len() as u64).min(most) as usize;
+    fn copy_body(&self, rest: &[u8], max_count: u64, body: &mut Vec<u8>) -> Result<usize, HeadError> {
+        let count = (rest.len() as u64).min(max_count) as usize;
         if body.len() + count > self.max_length {
             return Err(HeadError::BodyTooLong);
         }
@@ -169,7 +169,7 @@
         Ok(count)
     }
 
-    fn chunk_size(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_chunk_size(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
         match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete((length, size))) => {
                 self.state = if size == 0 { DecoderState::Trailer } else { DecoderState::ChunkData(size) };
@@ -181,7 +181,7 @@
         }
     }
 
-    fn chunk_end(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_chunk_end(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
         if rest.len() < 2 {
             return Ok(0);
         }
@@ -193,7 +193,7 @@
     }
 
     /// Reads one trailer line and drops it: trailers aren't forwarded.
-    fn trailer_line(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_trailer_line(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
         let Some(end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
             return if rest.len() > MAX_CHUNK_LINE { Err(HeadError::TooLong) } else { Ok(0) };
         };
--- a/crates/staircross-http/src/head.rs
+++ b/crates/staircross-http/src/head.rs
@@ -61,7 +61,7 @@
     pub fn parse(bytes: &[u8]) -> Parsed<RequestHead> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
-        let length = match request.parse(bytes).map_err(head_error)? {
+        let length = match request.parse(bytes).map_err(to_head_error)? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(length) => length,
         };
@@ -93,7 +93,7 @@
     pub fn parse(bytes: &[u8]) -> Parsed<ResponseHead> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
-        let length = match response.parse(bytes).map_err(head_error)? {
+        let length = match response.parse(bytes).map_err(to_head_error)? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(length) => length,
         };
@@ -111,7 +111,7 @@
     }
 }
 
-fn head_error(error: httparse::Error) -> HeadError {
+fn to_head_error(error: httparse::Error) -> HeadError {
     match error {
         httparse::Error::TooManyHeaders => HeadError::TooLong,
         _ => HeadError::Malformed,
--- a/crates/staircross-http/src/server.rs
+++ b/crates/staircross-http/src/server.rs
@@ -49,7 +49,7 @@
 
 /// A request whose head has been read and whose body is being read.
 #[derive(Debug)]
-struct PendingBody {
+struct PendingRequest {
     head: RequestHead,
     decoder: BodyDecoder,
     body: Vec<u8>,
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 pub struct ServerConnection {
     input: Vec<u8>,
-    pending: Option<Box<PendingBody>>,
+    pending: Option<Box<PendingRequest>>,
 }
 
 impl ServerConnection {
@@ -87,8 +87,8 @@
     }
 
     fn read_head(&mut self, limits: ServerLimits) -> Result<bool, ServerFault> {
-        let blank = self.input.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        self.consume(blank);
+        let leading_blanks = self.input.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        self.consume(leading_blanks);
         let (head, length) = match RequestHead::parse(&self.input) {
             Ok(Some(parsed)) => parsed,
             Ok(None) if self.input.len() > limits.head_bytes => return Err(ServerFault::HeadTooLong),
@@ -102,12 +102,12 @@
         let framing = Framing::of_request(&head).map_err(|_| ServerFault::BadRequest)?;
         let decoder = BodyDecoder::new(framing, limits.body_bytes).map_err(|_| ServerFault::BodyTooLong)?;
         self.consume(length);
-        self.pending = Some(Box::new(PendingBody { head, decoder, body: Vec::new() }));
+        self.pending = Some(Box::new(PendingRequest { head, decoder, body: Vec::new() }));
         Ok(true)
     }
 
     fn expects_continue(&self) -> bool {
-        let waits = |pending: &PendingBody| {
+        let waits = |pending: &PendingRequest| {
             !pending.decoder.is_done() && pending.head.headers.has_token("expect", "100-continue")
         };
         self.input.is_empty() && self.pending.as_deref().is_some_and(waits)
--- a/crates/staircross-http/src/write.rs
+++ b/crates/staircross-http/src/write.rs
@@ -16,7 +16,7 @@
 
 /// Appends the status line, which starts a response.
 pub fn status_line(out: &mut Vec<u8>, status: u16) {
-    push_line(out, format_args!("HTTP/1.1 {status} {}", reason(status)));
+    push_line(out, format_args!("HTTP/1.1 {status} {}", reason_phrase(status)));
 }
 
 /// Appends a header field.
@@ -38,7 +38,7 @@
 }
 
 /// Standard reason phrase of a status code; `Status` for codes that have none here.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/crates/staircross-wire/src/datagram.rs
+++ b/crates/staircross-wire/src/datagram.rs
@@ -13,7 +13,7 @@
 /// Number of bytes of the HMAC that are sent.
 const DIGEST_LENGTH: usize = 16;
 /// First signed part of a datagram. Handshakes sign other first parts.
-const PURPOSE: &[u8] = b"datagram";
+const DATAGRAM_PURPOSE: &[u8] = b"datagram";
 
 /// Encodes and signs a message. Returns `None` if it is too long for a datagram.
 pub fn seal(key: &ClusterKey, message: &PeerMessage) -> Result<Option<Vec<u8>>, WireError> {
@@ -21,7 +21,7 @@
     if body.len() + DIGEST_LENGTH > MAX_DATAGRAM {
         return Ok(None);
     }
-    let digest = key.sign(&[PURPOSE, &body]);
+    let digest = key.sign(&[DATAGRAM_PURPOSE, &body]);
     body.extend_from_slice(&digest[..DIGEST_LENGTH]);
     Ok(Some(body))
 }
@@ -33,7 +33,7 @@
         return Err(WireError::Malformed { reason: "shorter than its digest".to_owned() });
     };
     let (body, digest) = datagram.split_at(split);
-    if !key.verify(&[PURPOSE, body], digest) {
+    if !key.verify(&[DATAGRAM_PURPOSE, body], digest) {
         return Err(WireError::Stranger { reason: "the digest doesn't match" });
     }
     decode(body)
--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -27,7 +27,7 @@
         }
         /// The peer isn't authenticated as a node of this cluster with the same protocol version.
         Stranger { reason: &'static str } {
-            display("stranger: {reason}")
+            display("unauthenticated peer: {reason}")
         }
     }
 }
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -83,12 +83,12 @@
     stream.flush()?;
     let challenge: Challenge = read_frame(stream, MAX_HANDSHAKE)?;
     let node_bytes = node.0.to_be_bytes();
-    let ours = nonce.to_be_bytes();
-    let theirs = challenge.nonce.to_be_bytes();
-    if !key.verify(&[ACCEPTOR, &ours, &theirs, &node_bytes], &challenge.proof) {
+    let own_nonce = nonce.to_be_bytes();
+    let peer_nonce = challenge.nonce.to_be_bytes();
+    if !key.verify(&[ACCEPTOR, &own_nonce, &peer_nonce, &node_bytes], &challenge.proof) {
         return Err(WireError::Stranger { reason: "the acceptor doesn't know the key" });
     }
-    let proof = key.sign(&[CONNECTOR, &theirs, &ours, &node_bytes]);
+    let proof = key.sign(&[CONNECTOR, &peer_nonce, &own_nonce, &node_bytes]);
     write_frame(stream, &Response { proof })?;
     stream.flush()?;
     Ok(())
@@ -104,13 +104,13 @@
         return Err(WireError::Stranger { reason: "another fleet" });
     }
     let node_bytes = hello.node.0.to_be_bytes();
-    let theirs = hello.nonce.to_be_bytes();
-    let ours = nonce.to_be_bytes();
-    let proof = key.sign(&[ACCEPTOR, &theirs, &ours, &node_bytes]);
+    let peer_nonce = hello.nonce.to_be_bytes();
+    let own_nonce = nonce.to_be_bytes();
+    let proof = key.sign(&[ACCEPTOR, &peer_nonce, &own_nonce, &node_bytes]);
     write_frame(stream, &Challenge { nonce, proof })?;
     stream.flush()?;
     let response: Response = read_frame(stream, MAX_HANDSHAKE)?;
-    if !key.verify(&[CONNECTOR, &ours, &theirs, &node_bytes], &response.proof) {
+    if !key.verify(&[CONNECTOR, &own_nonce, &peer_nonce, &node_bytes], &response.proof) {
         return Err(WireError::Stranger { reason: "the connector doesn't know the key" });
     }
     Ok(hello.node)
--- a/crates/staircross-wire/tests/pinned_handshake.rs
+++ b/crates/staircross-wire/tests/pinned_handshake.rs
@@ -10,24 +10,24 @@
 use std::os::unix::net::UnixStream;
 
 /// A stream that records the bytes written to it.
-struct Kept {
+struct RecordingStream {
     stream: UnixStream,
     written: Vec<u8>,
 }
 
-impl Kept {
+impl RecordingStream {
     fn new(stream: UnixStream) -> Self {
-        Kept { stream, written: Vec::new() }
+        RecordingStream { stream, written: Vec::new() }
     }
 }
 
-impl Read for Kept {
+impl Read for RecordingStream {
     fn read(&mut self, buf: &mut [u8]) -> std::io::Result<usize> {
         self.stream.read(buf)
     }
 }
 
-impl Write for Kept {
+impl Write for RecordingStream {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         let count = self.stream.write(buf)?;
         self.written.extend_from_slice(&buf[..count]);
@@ -63,12 +63,12 @@
 fn handshake_is_pinned() {
     let (near, far) = UnixStream::pair().expect("a pair");
     let accepting = std::thread::spawn(move || {
-        let mut stream = Kept::new(far);
+        let mut stream = RecordingStream::new(far);
         let node = accept(&mut stream, &key(), 0x22).expect("accepts");
         assert_eq!(node, NodeId(42));
         stream.written
     });
-    let mut stream = Kept::new(near);
+    let mut stream = RecordingStream::new(near);
     connect(&mut stream, &key(), NodeId(42), 0x11).expect("connects");
     let accepted = accepting.join().expect("ends");
     insta::assert_snapshot!(frames("connector", &stream.written) + &frames("acceptor", &accepted));
--- a/crates/staircross-wire/tests/wire.rs
+++ b/crates/staircross-wire/tests/wire.rs
@@ -35,7 +35,7 @@
     assert!(decode::<PeerMessage>(&extended).expect_err("left over").to_string().contains("left over"));
 }
 
-fn shake(connector: ClusterKey, acceptor: ClusterKey) -> (bool, Option<NodeId>) {
+fn handshake_result(connector: ClusterKey, acceptor: ClusterKey) -> (bool, Option<NodeId>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("has an address");
     let accepting = std::thread::spawn(move || {
@@ -51,11 +51,11 @@
 #[test]
 fn handshake_lets_only_the_fleet_in() {
     let key = ClusterKey::new("fleet", "a long shared secret");
-    assert_eq!(shake(key.clone(), key.clone()), (true, Some(NodeId(42))));
+    assert_eq!(handshake_result(key.clone(), key.clone()), (true, Some(NodeId(42))));
     let wrong_secret = ClusterKey::new("fleet", "another shared secret");
-    assert_eq!(shake(wrong_secret, key.clone()), (false, None));
+    assert_eq!(handshake_result(wrong_secret, key.clone()), (false, None));
     let wrong_fleet = ClusterKey::new("other", "a long shared secret");
-    assert_eq!(shake(wrong_fleet, key), (false, None));
+    assert_eq!(handshake_result(wrong_fleet, key), (false, None));
 }
 
 #[test]
@@ -63,8 +63,8 @@
     let key = ClusterKey::new("fleet", "a long shared secret");
     let sealed = seal(&key, &message()).expect("seals").expect("fits");
     assert_eq!(open(&key, &sealed).expect("opens"), message());
-    let stranger = ClusterKey::new("fleet", "another shared secret");
-    assert!(open(&stranger, &sealed).is_err());
+    let other_key = ClusterKey::new("fleet", "another shared secret");
+    assert!(open(&other_key, &sealed).is_err());
     for index in 0..sealed.len() {
         let mut flipped = sealed.clone();
         flipped[index] ^= 1;
