--- a/crates/staircross/src/check.rs
+++ b/crates/staircross/src/check.rs
@@ -1,11 +1,11 @@
-//! `staircross check`: judges settings and service documents before they are used.
+//! `staircross check`: validates settings files and service documents before they are used.
 
 use crate::Verdict;
 use crate::flags;
 use staircross_config::{PlatformDocument, Settings};
 use std::path::Path;
 
-/// Runs `check`.
+/// Runs `check`: prints all findings, and fails if there are any.
 pub fn run(command: &flags::Check) -> Result<Verdict, String> {
     if command.settings.is_none() && command.document.is_none() {
         return Err("check: give --settings, --document or both".to_owned());
@@ -27,7 +27,7 @@
     Ok(Verdict::Failed)
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 pub fn read_settings(path: &Path) -> Result<Settings, String> {
     let text = read(path)?;
     Settings::from_toml(&path.display().to_string(), &text).map_err(|error| error.to_string())
@@ -57,7 +57,7 @@
     Ok(document.services.iter().flat_map(find_weaknesses).collect())
 }
 
-/// Things that are allowed and will hurt.
+/// Lists definitions of a service that are valid but make requests fail, or would after the loss of one searcher.
 fn find_weaknesses(service: &staircross_config::ServiceDefinition) -> Vec<String> {
     let mut findings = Vec::new();
     if service.shard_maps.is_empty() {
--- a/crates/staircross/src/explain.rs
+++ b/crates/staircross/src/explain.rs
@@ -1,14 +1,16 @@
-//! `staircross explain`: one request's way through the logs of gateway nodes.
+//! `staircross explain`: the timeline of one request from the logs of gateway nodes.
 //!
-//! Beside the request's own lines it shows what the node believed at that time and how old that was:
-//! the configuration, the store's state, its load, and the entries of the searchers that are named.
+//! In addition to the request's own log lines, the timeline shows the state that the node had at that time and its
+//! age: the configuration, the state of the store, the load, and the entries of the searchers that the request's lines
+//! name.
 
 use crate::Verdict;
 use crate::flags;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// A belief this much older than the request's first line is still shown if it is the last of its kind.
+/// Events that state what the node knows. The last event of each kind before the request's end is shown, however old
+/// it is, with the exceptions in [`last_beliefs`].
 const BELIEFS: &[&str] = &[
     "configuration",
     "configuration_view",
@@ -24,26 +26,27 @@
     "suspicion",
     "alarm",
 ];
-/// Field of a line on a store's lane, a group of services or a content: the last word of each counts.
+/// Fields that name the subject of an event: a lane of the store, a group of services, a content or a route. The last
+/// event of each subject is shown.
 const SUBJECTS: &[&str] = &["lane", "group", "content", "route"];
-/// Value of `level` where a group is limited no more.
+/// Value of `level` in an `admission` event when a group is no longer limited.
 const UNLIMITED: &str = "1.00";
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Seconds on the node's own clock.
+    /// Time of the event in seconds, on the node's own clock.
     pub time: f64,
-    /// The node.
+    /// Name of the node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// Kind of the event.
     pub event: String,
-    /// All further fields, in order.
+    /// Names and values of the other fields, in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its time is passed over. `None` when it is no such line.
+    /// Parses a line; text before its time field is ignored. Returns `None` if it isn't a line of a node's log.
     pub fn parse(text: &str) -> Option<LogLine> {
         let start = text.find("t=").filter(|start| *start == 0 || text.as_bytes()[start - 1] == b' ')?;
         let mut fields = text[start..].split_whitespace().filter_map(|word| word.split_once('='));
@@ -54,11 +57,12 @@
         Some(LogLine { time, node, event, fields })
     }
 
-    /// Value of a field.
+    /// Value of the field named `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 
+    /// Renders the line with its time in milliseconds since `since`, and without the field `request`.
     fn render(&self, since: f64) -> String {
         let fields: Vec<String> = self
             .fields
@@ -70,7 +74,7 @@
     }
 }
 
-/// Runs `explain`.
+/// Runs `explain`: prints the timeline, and fails if no line names the request.
 pub fn run(command: &flags::Explain) -> Result<Verdict, String> {
     let text =
         std::fs::read_to_string(&command.file).map_err(|error| format!("{}: {error}", command.file.display()))?;
@@ -94,7 +98,7 @@
     )
 }
 
-/// The timeline of a request, or `None` when no line names it.
+/// Renders the timeline of a request at each node; `None` if no line names the request.
 pub fn explain(text: &str, request: &str) -> Option<String> {
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     let nodes: BTreeSet<&str> =
@@ -106,6 +110,7 @@
     Some(parts.collect())
 }
 
+/// Renders the timeline of a request at one node.
 fn explain_at(lines: &[LogLine], node: &str, request: &str) -> String {
     let here = lines_of_run(lines, node, request);
     let own: Vec<&LogLine> = here.iter().copied().filter(|line| line.get("request") == Some(request)).collect();
@@ -134,7 +139,8 @@
     report
 }
 
-/// A searcher without a line of its own was learned of together with others.
+/// Describes a searcher that no line names. If the node has logged a list of searchers before the request's end, the
+/// searcher may be one of them.
 fn entry_among_many(here: &[&LogLine], ended: f64, instance: &str) -> String {
     match here.iter().find(|line| line.time <= ended && line.event == "searchers") {
         Some(listing) => {
@@ -148,7 +154,8 @@
     }
 }
 
-/// Lines of the one run of the node that the request came to: clocks of two runs can't be compared.
+/// Lines of the run of the node that received the request. Other runs are left out because the clocks of two runs can't
+/// be compared.
 fn lines_of_run<'a>(lines: &'a [LogLine], node: &str, request: &str) -> Vec<&'a LogLine> {
     let mut run: Vec<&LogLine> = Vec::new();
     let mut is_found = false;
@@ -165,20 +172,21 @@
     run
 }
 
-/// When the request arrived, as a line of it tells: its own time less what it says has passed.
+/// Arrival time of the request: the time of one of its lines minus the elapsed time that the line states.
 fn arrival_of(line: &LogLine) -> f64 {
     let passed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
     line.time - passed.unwrap_or(0.0) / 1000.0
 }
 
-/// The last word of each kind before the request's end, oldest first.
+/// The last event of each kind and subject before the request's end, oldest first.
 fn last_beliefs<'a>(here: &[&'a LogLine], arrived: f64, ended: f64, content: Option<&str>) -> Vec<&'a LogLine> {
     let mut last: BTreeMap<String, &LogLine> = BTreeMap::new();
     for line in here.iter().filter(|line| BELIEFS.contains(&line.event.as_str()) && line.time <= ended) {
         let subject = SUBJECTS.iter().find_map(|field| line.get(field)).unwrap_or_default();
         last.insert(format!("{} {subject}", line.event), line);
     }
-    // A late wake-up long ago says nothing, nor does a limit that is lifted, nor what is thought of another content.
+    // Left out: a late wake-up five seconds or more before the request, a lifted limit, the suspicion of another
+    // content, and a cleared alarm.
     let is_telling = |line: &&LogLine| match line.event.as_str() {
         "woke_late" => arrived - line.time < 5.0,
         "admission" => line.get("level") != Some(UNLIMITED),
@@ -191,6 +199,7 @@
     beliefs
 }
 
+/// Instances of the searchers that the request's lines name.
 fn named_searchers(own: &[&LogLine]) -> BTreeSet<String> {
     let lists = own.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
     lists.flat_map(|list| list.split(',')).filter(|name| !name.is_empty()).map(str::to_owned).collect()
--- a/crates/staircross/src/flags.rs
+++ b/crates/staircross/src/flags.rs
@@ -1,4 +1,4 @@
-//! Arguments.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
--- a/crates/staircross/src/main.rs
+++ b/crates/staircross/src/main.rs
@@ -1,6 +1,6 @@
-//! The command line of staircross, for operators and callers.
+//! Command-line program for operators and callers.
 //!
-//! Exit codes: 0 done, 1 failed or refused, 2 wrong usage.
+//! Exit codes: 0 success, 1 failure or refusal, 2 wrong usage.
 
 mod check;
 mod explain;
@@ -13,11 +13,11 @@
 
 use std::process::ExitCode;
 
-/// Whether a command did what it was asked.
+/// Result of a command that ran to its end.
 pub enum Verdict {
-    /// It did.
+    /// The command succeeded.
     Done,
-    /// It was refused, or found fault; what was found has been printed.
+    /// The command was refused or found faults, and has printed why.
     Failed,
 }
 
--- a/crates/staircross/src/query.rs
+++ b/crates/staircross/src/query.rs
@@ -1,4 +1,4 @@
-//! `staircross query` and `staircross command`.
+//! `staircross query` and `staircross command`: send statements to a node and print its replies.
 
 use crate::Verdict;
 use crate::flags;
@@ -9,12 +9,13 @@
 use std::io::{BufRead, IsTerminal, Write};
 use std::net::SocketAddr;
 
-/// Reads an address argument.
+/// Parses the address given with `flag`.
 pub fn parse_address(flag: &str, text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|error| format!("{flag} {text}: {error}; an address looks like 127.0.0.1:7001"))
 }
 
-/// Runs `query`.
+/// Runs `query` with the given statement, or interactively without one. A session that was opened for a single
+/// statement is closed afterwards.
 pub fn run_query(command: &flags::Query) -> Result<Verdict, String> {
     let client = NodeClient::new(parse_address("--node", &command.node)?);
     let (session, is_own) = match &command.session {
@@ -58,7 +59,7 @@
     print_reply(&reply, json)
 }
 
-/// An action typed without a ticket gets a fresh one: a person at a prompt means it once.
+/// Appends a new ticket to an action that has none. A person who types an action wants it to run once.
 fn with_ticket(client: &NodeClient, session: SessionToken, statement: &str) -> Result<String, String> {
     let mut words = statement.split_whitespace();
     let is_run = words.next().is_some_and(|word| word.eq_ignore_ascii_case("RUN"));
--- a/crates/staircross/src/replay.rs
+++ b/crates/staircross/src/replay.rs
@@ -1,7 +1,7 @@
-//! `staircross replay`: a gateway node's recorded decisions, taken again.
+//! `staircross replay`: replays the recorded input of a gateway node and compares the decisions with the recorded ones.
 //!
-//! With the code that made the recording nothing may differ. With a changed policy, what differs is what the change
-//! does to that traffic, as far as can be told: what would have come of other sendings nobody knows.
+//! With the code that made the recording, no decision may differ. With a changed policy, the differences show the
+//! change's effect on that traffic, but only in part: the replies to attempts that weren't sent are unknown.
 
 use crate::Verdict;
 use crate::flags;
@@ -12,10 +12,10 @@
 use std::io::{BufReader, ErrorKind, Read};
 use std::path::Path;
 
-/// Differences shown where nothing is said.
+/// Number of differences shown without `--most`.
 const DEFAULT_MOST: usize = 20;
 
-/// Runs `replay`.
+/// Runs `replay`: prints the differences, and fails if there are any.
 pub fn run(command: &flags::Replay) -> Result<Verdict, String> {
     let file = File::open(&command.file).map_err(|error| format!("{}: {error}", command.file.display()))?;
     let mut reader = BufReader::new(file);
@@ -38,7 +38,8 @@
     Ok(if differences.is_empty() { Verdict::Done } else { Verdict::Failed })
 }
 
-/// The next record; `None` at the end. A node that was killed may have left a part of its last one.
+/// Reads the next record; `None` at the end of the file. An incomplete last record counts as the end, since a killed
+/// node may leave one.
 fn next(reader: &mut impl Read, path: &Path) -> Result<Option<Record>, String> {
     match read_frame(reader, MAX_FRAME) {
         Ok(record) => Ok(Some(record)),
--- a/crates/staircross/src/run_node.rs
+++ b/crates/staircross/src/run_node.rs
@@ -1,4 +1,4 @@
-//! `staircross node`: runs a node until it is told to stop.
+//! `staircross node`: runs a node until a signal stops it.
 
 use crate::Verdict;
 use crate::check::read_settings;
@@ -11,10 +11,10 @@
 use staircross_types::ZoneName;
 use std::time::Duration;
 
-/// How often a stopping node looks whether it is done.
+/// Time between checks for signals and for the end of a stop.
 const DONE_CHECK: Duration = Duration::from_millis(20);
 
-/// Runs `node`.
+/// Runs `node`. SIGTERM or SIGINT begins a planned stop.
 pub fn run(command: &flags::Node) -> Result<Verdict, String> {
     let settings = settings_of(command)?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|error| format!("signals: {error}"))?;
@@ -22,7 +22,7 @@
     println!("node {}", node.id());
     while !node.is_done() {
         if signals.pending().next().is_some() {
-            // A second signal changes nothing: what is in flight still finishes.
+            // A second signal changes nothing: requests in flight still finish.
             node.begin_stop();
         }
         std::thread::sleep(DONE_CHECK);
@@ -31,6 +31,7 @@
     Ok(Verdict::Done)
 }
 
+/// Reads the settings file, replaces what the flags override, and checks the result.
 fn settings_of(command: &flags::Node) -> Result<Settings, String> {
     let mut settings = read_settings(&command.settings)?;
     if let Some(listen) = &command.listen {
--- a/crates/staircross/src/status.rs
+++ b/crates/staircross/src/status.rs
@@ -1,4 +1,4 @@
-//! `staircross status`.
+//! `staircross status`: shows a node, and the fleet as the node knows it.
 
 use crate::Verdict;
 use crate::flags;
--- a/crates/staircross/src/table.rs
+++ b/crates/staircross/src/table.rs
@@ -1,6 +1,6 @@
-//! Plain tables for people.
+//! Plain-text tables for terminals.
 
-/// Renders rows under a head, columns padded to their widest cell.
+/// Renders rows under a header, with each column padded to its widest cell.
 pub fn render(columns: &[String], rows: &[Vec<String>]) -> String {
     let widths: Vec<usize> = (0..columns.len())
         .map(|index| {
--- a/crates/staircross/tests/common/mod.rs
+++ b/crates/staircross/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Node processes of the session tier over loopback; platform and searchers are stand-ins in the test's own process.
+//! Node processes of the session tier over loopback. The platform and the searchers are stand-ins in the test process.
 #![allow(dead_code)]
 
 use rustix::process::{Pid, Signal, kill_process};
@@ -19,7 +19,7 @@
 pub const DOCUMENTS: u64 = 64;
 pub const ZONES: [&str; 3] = ["z0", "z1", "z2"];
 pub const SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
-/// Far longer than anything takes; a test that hangs must end.
+/// Time after which a wait fails, so that a test that hangs ends. It is far longer than any step takes.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 fn free_address() -> SocketAddr {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Stand-ins and node processes. Processes are killed when dropped.
+/// Stand-ins and node processes. The processes are killed on drop.
 pub struct Fleet {
     pub searchers: Vec<SearcherStandin>,
     settings: Vec<PathBuf>,
@@ -70,7 +70,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for node in &mut self.nodes {
-            // It may have ended already.
+            // The process may have ended already.
             let _may_have_ended = node.kill();
             let _reaped = node.wait();
         }
@@ -132,7 +132,7 @@
         kill_process(pid, signal).expect("the node can be signalled");
     }
 
-    /// Publishes the next revision, with another wait bound.
+    /// Publishes the next revision with another `wait_ms` for the first service. Returns the revision.
     pub fn publish(&mut self, wait_ms: u64) -> u64 {
         self.document.revision += 1;
         self.document.services[0].policy.wait_ms = wait_ms;
@@ -144,7 +144,7 @@
         self.client(index).status().map_or(0, |status| status.revision)
     }
 
-    /// Waits until every node holds `revision`; none may ever hold less than `least`.
+    /// Waits until every node holds `revision`. Fails if a node holds a revision below `least` meanwhile.
     pub fn wait_in_force(&self, revision: u64, least: u64) {
         let started = Instant::now();
         loop {
--- a/crates/staircross/tests/explain.rs
+++ b/crates/staircross/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `staircross explain` on a log with lines of several nodes.
+//! Tests of `staircross explain` on a log with lines of several nodes.
 
 use std::process::Command;
 
--- a/crates/staircross/tests/pinned_help.rs
+++ b/crates/staircross/tests/pinned_help.rs
@@ -1,8 +1,8 @@
-//! The help of the program.
+//! Snapshot of the program's help.
 
 use std::process::Command;
 
-/// What the program prints for a subcommand's `--help`: the whole program's help, by sections.
+/// Output of `--help` after `arguments`, which is the help of the whole program in sections, whatever the subcommand.
 fn help(arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_staircross"));
     let output = command.args(arguments).arg("--help").output().expect("runs");
@@ -10,7 +10,7 @@
     String::from_utf8(printed).expect("is text")
 }
 
-/// The section of one subcommand.
+/// The section of one subcommand in the whole help.
 fn section(whole: &str, subcommand: &str) -> String {
     let title = format!("\nstaircross {subcommand}\n");
     let start = whole.find(&title).expect("has the subcommand") + 1;
--- a/crates/staircross/tests/processes.rs
+++ b/crates/staircross/tests/processes.rs
@@ -1,8 +1,8 @@
-//! Real node processes over loopback with sessions under load: rolling stop of all, a kill, a pause.
+//! Tests of real node processes over loopback with sessions under load: a rolling replacement, a kill, a pause.
 //!
-//! Platform and searchers are stand-ins in the test's own process. What is asserted doesn't depend
-//! on timing: answers are right, coverage adds up, no session is lost, no planned stop cuts a
-//! request, nothing that must run once runs twice.
+//! The platform and the searchers are stand-ins in the test process. The assertions don't depend on timing: answers
+//! are correct, coverage adds up, no session is lost, no planned stop breaks a request, and no action that must run
+//! once runs twice.
 
 mod common;
 
@@ -17,11 +17,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What went wrong, gathered from all callers.
+/// Faults found by all callers, and flags that control the callers.
 #[derive(Clone, Default)]
 struct Findings {
     wrong: Arc<Mutex<Vec<String>>>,
-    /// Whether a broken connection is a fault: not while nodes are killed.
+    /// Whether a broken connection counts as a fault. It doesn't while nodes are killed.
     is_cut_a_fault: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
 }
@@ -32,7 +32,8 @@
     }
 }
 
-/// One caller: a session, queries one after the other, going where replies send it.
+/// Sends queries of one session one after the other until told to stop, and follows the addresses in replies. Returns the
+/// number of answers.
 fn run_caller(number: usize, session: SessionToken, callers: Vec<SocketAddr>, findings: &Findings) -> usize {
     let mut at = number;
     let mut client = NodeClient::new(callers[at % callers.len()]);
@@ -94,13 +95,13 @@
         .map(|number| {
             let callers = fleet.callers.clone();
             let findings = findings.clone();
-            // Before any node stops: a stopping node opens no new session.
+            // The session is opened before any node stops, since a stopping node opens no new session.
             let session = fleet.client(number).open_session().expect("a session opens");
             std::thread::spawn(move || run_caller(number, session, callers, &findings))
         })
         .collect();
 
-    // Rolling replacement of the whole fleet cuts nothing; a second signal changes nothing.
+    // A rolling replacement of the whole fleet breaks no request, and a second signal changes nothing.
     for index in 0..NODES {
         fleet.signal(index, Signal::TERM);
         if index % 2 == 0 {
@@ -110,7 +111,7 @@
         fleet.replace(index);
     }
 
-    // What the platform publishes is in force everywhere, and nothing brings an older revision back.
+    // A published document is in force on all nodes, and no node returns to an older revision.
     let second = fleet.publish(2900);
     fleet.wait_in_force(second, 1);
     fleet.platform.set_mode(PlatformMode::SteppedBack);
@@ -118,7 +119,7 @@
     fleet.wait_in_force(second, second);
     fleet.platform.set_mode(PlatformMode::Down);
 
-    // A killed node loses its connections, not its sessions; a paused one wakes late.
+    // A killed node loses its connections, but its sessions survive. A paused node resumes late.
     findings.is_cut_a_fault.store(false, Ordering::Release);
     fleet.signal(0, Signal::KILL);
     wait_for_exit(&mut fleet.nodes[0]);
@@ -127,7 +128,7 @@
     fleet.signal(1, Signal::CONT);
     fleet.replace(0);
     fleet.wait_ready(1);
-    // The platform is down, so the node that was started anew has the document from its peers.
+    // The platform is down, so the restarted node has the document from its peers.
     fleet.wait_in_force(second, second);
     fleet.platform.set_mode(PlatformMode::Up);
 
@@ -145,8 +146,8 @@
     let _leftover = std::fs::remove_dir_all(&folder);
 }
 
-/// Nodes that may hold a session and don't answer in time haven't said that they lack it. Seen: once beside load, a caller that moved on from a stopping
-/// node was told that its session was lost.
+/// Guards against a session reported as lost because the nodes that may hold it didn't answer in time: their silence
+/// doesn't mean that they lack it. Seen once under load, when a caller moved on from a stopping node.
 #[test]
 fn a_session_is_not_called_lost_while_nodes_that_may_hold_it_are_silent() {
     let folder = std::env::temp_dir().join(format!("staircross-silent-{}", std::process::id()));
@@ -154,7 +155,7 @@
     let fleet = Fleet::start(&folder);
     let session = fleet.client(0).open_session().expect("a session opens");
     let search = "SEARCH 'common' IN SERVICE clauses LIMIT 1";
-    // Copies are in other zones than the holder's, and the holder is killed.
+    // The copies are in other zones than the holder's. Their nodes are paused and the holder is killed.
     let keepers: Vec<usize> = (0..NODES).filter(|index| index % ZONES.len() != 0).collect();
     keepers.iter().for_each(|index| fleet.signal(*index, Signal::STOP));
     fleet.signal(0, Signal::KILL);
@@ -175,9 +176,8 @@
     let _leftover = std::fs::remove_dir_all(&folder);
 }
 
-/// A session that rests while all other nodes are replaced lives at its holder alone, and is lost with it. Why: its state was copied when it changed, to those
-/// that were to keep it then; whoever came in their place was never sent a copy. Shown by this test: after the replacements and the holder's end, the
-/// others answer `unknown_session`.
+/// Guards against the loss of an idle session whose keepers are replaced before its holder ends: the state was copied
+/// only when it changed, so the nodes that took the keepers' place never got a copy and answered `unknown_session`.
 #[test]
 fn a_session_that_rests_outlives_the_replacement_of_those_that_keep_copies() {
     let folder = std::env::temp_dir().join(format!("staircross-resting-{}", std::process::id()));
--- a/crates/staircross/tests/stops.rs
+++ b/crates/staircross/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops of real node processes: callers are not cut.
+//! Tests of planned stops of real node processes: no caller's request is broken.
 
 mod common;
 
@@ -7,10 +7,11 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Callers that go on asking a node that stops.
+/// Number of callers that go on sending requests to a stopping node.
 const CALLERS: usize = 8;
 
-/// Asks a node whether it is alive, each time on the connection that is left, until it can't be connected to; returns what was cut.
+/// Sends liveness requests to a node, on the same connection while it stays open, until the node refuses connections.
+/// Returns the errors of broken requests.
 fn cut_until_refused(address: SocketAddr) -> Vec<String> {
     let mut cut = Vec::new();
     let mut kept: Option<TcpStream> = None;
@@ -23,7 +24,7 @@
     cut
 }
 
-/// The head of the answer.
+/// Sends one liveness request. Returns the response as text.
 fn ask_alive(stream: &mut TcpStream) -> std::io::Result<String> {
     stream.write_all(b"GET /livez HTTP/1.1\r\nHost: node\r\n\r\n")?;
     let mut text = Vec::new();
@@ -38,8 +39,9 @@
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// What happens: a stopping node of the session tier ends when nothing is in flight, and its listener takes connections until the process is gone, so that callers who go on asking are
-/// cut. Why: the node counts requests and not connections, and the server library can't be told to stop listening.
+/// Guards against requests broken by the end of a planned stop. A stopping node of the session tier ends when no request
+/// is in flight, while its listener accepts connections until the process is gone, because the node counts requests
+/// rather than connections and the server library can't be told to stop listening.
 #[test]
 fn callers_that_go_on_asking_a_node_of_the_session_tier_until_its_stop_is_over_are_never_cut() {
     let folder = std::env::temp_dir().join(format!("staircross-stop-{}", std::process::id()));
