--- a/crates/staircross/src/check.rs
+++ b/crates/staircross/src/check.rs
@@ -1,12 +1,12 @@
 //! `staircross check`: validates settings files and service documents before they are used.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::flags;
 use staircross_config::{PlatformDocument, Settings};
 use std::path::Path;
 
 /// Runs `check`: prints all findings, and fails if there are any.
-pub fn run(command: &flags::Check) -> Result<Verdict, String> {
+pub fn run(command: &flags::Check) -> Result<CommandOutcome, String> {
     if command.settings.is_none() && command.document.is_none() {
         return Err("check: give --settings, --document or both".to_owned());
     }
@@ -22,23 +22,23 @@
     }
     if findings.is_empty() {
         println!("no fault found");
-        return Ok(Verdict::Done);
+        return Ok(CommandOutcome::Done);
     }
-    Ok(Verdict::Failed)
+    Ok(CommandOutcome::Failed)
 }
 
 /// Reads and parses a settings file.
 pub fn read_settings(path: &Path) -> Result<Settings, String> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     Settings::from_toml(&path.display().to_string(), &text).map_err(|error| error.to_string())
 }
 
-fn read(path: &Path) -> Result<String, String> {
+fn read_file(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 fn check_settings(path: &Path) -> Result<Vec<String>, String> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let settings = match Settings::from_toml(&path.display().to_string(), &text) {
         Ok(settings) => settings,
         Err(error) => return Ok(vec![error.to_string()]),
@@ -48,7 +48,7 @@
 }
 
 fn check_document(path: &Path) -> Result<Vec<String>, String> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let origin = path.display().to_string();
     let document = match PlatformDocument::from_json(&origin, &text) {
         Ok(document) => document,
@@ -64,10 +64,10 @@
         findings.push(format!("{}: no shard map, so every request is refused", service.name));
     }
     for map in &service.shard_maps {
-        let bare = map.shards.iter().filter(|placement| placement.replicas.len() < 2).count();
-        if bare > 0 {
+        let under_replicated = map.shards.iter().filter(|placement| placement.replicas.len() < 2).count();
+        if under_replicated > 0 {
             findings.push(format!(
-                "{} snapshot {}: {bare} shards have fewer than two replicas, so losing one searcher loses them",
+                "{} snapshot {}: {under_replicated} shards have fewer than two replicas, so losing one searcher loses them",
                 service.name, map.snapshot
             ));
         }
--- a/crates/staircross/src/explain.rs
+++ b/crates/staircross/src/explain.rs
@@ -4,14 +4,14 @@
 //! age: the configuration, the state of the store, the load, and the entries of the searchers that the request's lines
 //! name.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::flags;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
 /// Events that state what the node knows. The last event of each kind before the request's end is shown, however old
-/// it is, with the exceptions in [`last_beliefs`].
-const BELIEFS: &[&str] = &[
+/// it is, with the exceptions in [`last_state_events`].
+const STATE_EVENTS: &[&str] = &[
     "configuration",
     "configuration_view",
     "searchers",
@@ -28,9 +28,9 @@
 ];
 /// Fields that name the subject of an event: a lane of the store, a group of services, a content or a route. The last
 /// event of each subject is shown.
-const SUBJECTS: &[&str] = &["lane", "group", "content", "route"];
+const SUBJECT_FIELDS: &[&str] = &["lane", "group", "content", "route"];
 /// Value of `level` in an `admission` event when a group is no longer limited.
-const UNLIMITED: &str = "1.00";
+const UNLIMITED_LEVEL: &str = "1.00";
 
 /// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
@@ -75,22 +75,22 @@
 }
 
 /// Runs `explain`: prints the timeline, and fails if no line names the request.
-pub fn run(command: &flags::Explain) -> Result<Verdict, String> {
+pub fn run(command: &flags::Explain) -> Result<CommandOutcome, String> {
     let text =
         std::fs::read_to_string(&command.file).map_err(|error| format!("{}: {error}", command.file.display()))?;
     match explain(&text, &command.request) {
         Some(report) => {
             print!("{report}");
-            Ok(Verdict::Done)
+            Ok(CommandOutcome::Done)
         }
         None => {
-            println!("{}", nothing_found(&command.file, &command.request));
-            Ok(Verdict::Failed)
+            println!("{}", not_found_message(&command.file, &command.request));
+            Ok(CommandOutcome::Failed)
         }
     }
 }
 
-fn nothing_found(file: &Path, request: &str) -> String {
+fn not_found_message(file: &Path, request: &str) -> String {
     format!(
         "{}: no line names request {request}; it may not have reached a node (see the caller), its node may have \
          died or stalled before it wrote, or lines were held back (look for event=lines_held_back)",
@@ -106,33 +106,34 @@
     if nodes.is_empty() {
         return None;
     }
-    let parts = nodes.into_iter().map(|node| explain_at(&lines, node, request));
+    let parts = nodes.into_iter().map(|node| render_node_timeline(&lines, node, request));
     Some(parts.collect())
 }
 
 /// Renders the timeline of a request at one node.
-fn explain_at(lines: &[LogLine], node: &str, request: &str) -> String {
-    let here = lines_of_run(lines, node, request);
-    let own: Vec<&LogLine> = here.iter().copied().filter(|line| line.get("request") == Some(request)).collect();
-    let arrived = own.iter().map(|line| arrival_of(line)).fold(f64::INFINITY, f64::min);
-    let ended = own.iter().map(|line| line.time).fold(arrived, f64::max);
+fn render_node_timeline(lines: &[LogLine], node: &str, request: &str) -> String {
+    let run_lines = lines_of_run(lines, node, request);
+    let request_lines: Vec<&LogLine> =
+        run_lines.iter().copied().filter(|line| line.get("request") == Some(request)).collect();
+    let arrived_at = request_lines.iter().map(|line| arrival_time(line)).fold(f64::INFINITY, f64::min);
+    let ended_at = request_lines.iter().map(|line| line.time).fold(arrived_at, f64::max);
     let mut report = format!("request {request} at {node}\n\nwhat the node believed when it arrived\n");
-    let content = own.iter().find_map(|line| line.get("content"));
-    for belief in last_beliefs(&here, arrived, ended, content) {
-        report.push_str(&format!("{}\n", belief.render(arrived)));
+    let content = request_lines.iter().find_map(|line| line.get("content"));
+    for state_event in last_state_events(&run_lines, arrived_at, ended_at, content) {
+        report.push_str(&format!("{}\n", state_event.render(arrived_at)));
     }
     report.push_str("\nwhat it decided\n");
-    for line in &own {
-        report.push_str(&format!("{}\n", line.render(arrived)));
+    for line in &request_lines {
+        report.push_str(&format!("{}\n", line.render(arrived_at)));
     }
-    let named = named_searchers(&own);
-    if !named.is_empty() {
+    let instances = named_searchers(&request_lines);
+    if !instances.is_empty() {
         report.push_str("\nwhat it knew of the searchers named\n");
     }
-    for instance in named {
-        match here.iter().rfind(|line| line.time <= ended && line.get("instance") == Some(instance.as_str())) {
-            Some(entry) => report.push_str(&format!("{}\n", entry.render(arrived))),
-            None => report.push_str(&entry_among_many(&here, ended, &instance)),
+    for instance in instances {
+        match run_lines.iter().rfind(|line| line.time <= ended_at && line.get("instance") == Some(instance.as_str())) {
+            Some(entry) => report.push_str(&format!("{}\n", entry.render(arrived_at))),
+            None => report.push_str(&describe_unnamed_searcher(&run_lines, ended_at, &instance)),
         }
     }
     report.push('\n');
@@ -141,8 +142,8 @@
 
 /// Describes a searcher that no line names. If the node has logged a list of searchers before the request's end, the
 /// searcher may be one of them.
-fn entry_among_many(here: &[&LogLine], ended: f64, instance: &str) -> String {
-    match here.iter().find(|line| line.time <= ended && line.event == "searchers") {
+fn describe_unnamed_searcher(run_lines: &[&LogLine], ended_at: f64, instance: &str) -> String {
+    match run_lines.iter().find(|line| line.time <= ended_at && line.event == "searchers") {
         Some(listing) => {
             let (changed, source) = (listing.get("changed").unwrap_or("?"), listing.get("source").unwrap_or("?"));
             format!(
@@ -173,34 +174,39 @@
 }
 
 /// Arrival time of the request: the time of one of its lines minus the elapsed time that the line states.
-fn arrival_of(line: &LogLine) -> f64 {
-    let passed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
-    line.time - passed.unwrap_or(0.0) / 1000.0
+fn arrival_time(line: &LogLine) -> f64 {
+    let elapsed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
+    line.time - elapsed.unwrap_or(0.0) / 1000.0
 }
 
 /// The last event of each kind and subject before the request's end, oldest first.
-fn last_beliefs<'a>(here: &[&'a LogLine], arrived: f64, ended: f64, content: Option<&str>) -> Vec<&'a LogLine> {
+fn last_state_events<'a>(
+    run_lines: &[&'a LogLine],
+    arrived_at: f64,
+    ended_at: f64,
+    content: Option<&str>,
+) -> Vec<&'a LogLine> {
     let mut last: BTreeMap<String, &LogLine> = BTreeMap::new();
-    for line in here.iter().filter(|line| BELIEFS.contains(&line.event.as_str()) && line.time <= ended) {
-        let subject = SUBJECTS.iter().find_map(|field| line.get(field)).unwrap_or_default();
+    for line in run_lines.iter().filter(|line| STATE_EVENTS.contains(&line.event.as_str()) && line.time <= ended_at) {
+        let subject = SUBJECT_FIELDS.iter().find_map(|field| line.get(field)).unwrap_or_default();
         last.insert(format!("{} {subject}", line.event), line);
     }
     // Left out: a late wake-up five seconds or more before the request, a lifted limit, the suspicion of another
     // content, and a cleared alarm.
-    let is_telling = |line: &&LogLine| match line.event.as_str() {
-        "woke_late" => arrived - line.time < 5.0,
-        "admission" => line.get("level") != Some(UNLIMITED),
+    let is_relevant = |line: &&LogLine| match line.event.as_str() {
+        "woke_late" => arrived_at - line.time < 5.0,
+        "admission" => line.get("level") != Some(UNLIMITED_LEVEL),
         "suspicion" => line.get("content") == content,
         "alarm" => line.get("raised") == Some("true"),
         _ => true,
     };
-    let mut beliefs: Vec<&LogLine> = last.into_values().filter(is_telling).collect();
-    beliefs.sort_by(|left, right| left.time.total_cmp(&right.time));
-    beliefs
+    let mut state_events: Vec<&LogLine> = last.into_values().filter(is_relevant).collect();
+    state_events.sort_by(|left, right| left.time.total_cmp(&right.time));
+    state_events
 }
 
 /// Instances of the searchers that the request's lines name.
-fn named_searchers(own: &[&LogLine]) -> BTreeSet<String> {
-    let lists = own.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
+fn named_searchers(request_lines: &[&LogLine]) -> BTreeSet<String> {
+    let lists = request_lines.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
     lists.flat_map(|list| list.split(',')).filter(|name| !name.is_empty()).map(str::to_owned).collect()
 }
--- a/crates/staircross/src/main.rs
+++ b/crates/staircross/src/main.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 /// Result of a command that ran to its end.
-pub enum Verdict {
+pub enum CommandOutcome {
     /// The command succeeded.
     Done,
     /// The command was refused or found faults, and has printed why.
@@ -33,8 +33,8 @@
         flags::StaircrossCmd::Check(command) => check::run(&command),
     };
     match result {
-        Ok(Verdict::Done) => ExitCode::SUCCESS,
-        Ok(Verdict::Failed) => ExitCode::FAILURE,
+        Ok(CommandOutcome::Done) => ExitCode::SUCCESS,
+        Ok(CommandOutcome::Failed) => ExitCode::FAILURE,
         Err(message) => {
             eprintln!("staircross: {message}");
             ExitCode::FAILURE
--- a/crates/staircross/src/query.rs
+++ b/crates/staircross/src/query.rs
@@ -1,6 +1,6 @@
 //! `staircross query` and `staircross command`: send statements to a node and print its replies.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::flags;
 use crate::table;
 use staircross_node::NodeClient;
@@ -16,29 +16,29 @@
 
 /// Runs `query` with the given statement, or interactively without one. A session that was opened for a single
 /// statement is closed afterwards.
-pub fn run_query(command: &flags::Query) -> Result<Verdict, String> {
+pub fn run_query(command: &flags::Query) -> Result<CommandOutcome, String> {
     let client = NodeClient::new(parse_address("--node", &command.node)?);
-    let (session, is_own) = match &command.session {
+    let (session, is_new_session) = match &command.session {
         Some(text) => (text.parse().map_err(|error| format!("--session: {error}"))?, false),
         None => (client.open_session().map_err(|error| error.to_string())?, true),
     };
-    let verdict = match &command.statement {
-        Some(statement) => ask(&client, session, statement, command.json),
+    let outcome = match &command.statement {
+        Some(statement) => send_statement(&client, session, statement, command.json),
         None => run_interactively(&client, session, command.json),
     };
-    if is_own && command.statement.is_some() {
+    if is_new_session && command.statement.is_some() {
         client.close_session(session).map_err(|error| error.to_string())?;
     }
-    verdict
+    outcome
 }
 
-fn run_interactively(client: &NodeClient, session: SessionToken, json: bool) -> Result<Verdict, String> {
+fn run_interactively(client: &NodeClient, session: SessionToken, json: bool) -> Result<CommandOutcome, String> {
     let stdin = std::io::stdin();
     let is_terminal = stdin.is_terminal();
     if is_terminal {
         println!("session {session}; one statement a line, empty line or end of input to leave");
     }
-    let mut verdict = Verdict::Done;
+    let mut outcome = CommandOutcome::Done;
     loop {
         if is_terminal {
             print!("> ");
@@ -47,20 +47,25 @@
         let mut line = String::new();
         let count = stdin.lock().read_line(&mut line).map_err(|error| error.to_string())?;
         if count == 0 || line.trim().is_empty() {
-            return Ok(verdict);
+            return Ok(outcome);
         }
-        verdict = ask(client, session, line.trim(), json)?;
+        outcome = send_statement(client, session, line.trim(), json)?;
     }
 }
 
-fn ask(client: &NodeClient, session: SessionToken, statement: &str, json: bool) -> Result<Verdict, String> {
-    let statement = with_ticket(client, session, statement)?;
+fn send_statement(
+    client: &NodeClient,
+    session: SessionToken,
+    statement: &str,
+    json: bool,
+) -> Result<CommandOutcome, String> {
+    let statement = add_ticket_if_missing(client, session, statement)?;
     let reply = client.query(session, &statement).map_err(|error| error.to_string())?;
     print_reply(&reply, json)
 }
 
 /// Appends a new ticket to an action that has none. A person who types an action wants it to run once.
-fn with_ticket(client: &NodeClient, session: SessionToken, statement: &str) -> Result<String, String> {
+fn add_ticket_if_missing(client: &NodeClient, session: SessionToken, statement: &str) -> Result<String, String> {
     let mut words = statement.split_whitespace();
     let is_run = words.next().is_some_and(|word| word.eq_ignore_ascii_case("RUN"));
     let has_ticket = words.any(|word| word.eq_ignore_ascii_case("TICKET"));
@@ -72,21 +77,21 @@
 }
 
 /// Runs `command`.
-pub fn run_command(command: &flags::Command) -> Result<Verdict, String> {
+pub fn run_command(command: &flags::Command) -> Result<CommandOutcome, String> {
     let client = NodeClient::new(parse_address("--node", &command.node)?);
     let reply = client.command(&command.statement).map_err(|error| error.to_string())?;
     print_reply(&reply, command.json)
 }
 
-fn print_reply(reply: &StatementReply, json: bool) -> Result<Verdict, String> {
+fn print_reply(reply: &StatementReply, json: bool) -> Result<CommandOutcome, String> {
     if json {
         println!("{}", serde_json::to_string(reply).map_err(|error| error.to_string())?);
     } else {
         print!("{}", describe(reply));
     }
     Ok(match reply.body {
-        ReplyBody::Refusal(_) => Verdict::Failed,
-        _ => Verdict::Done,
+        ReplyBody::Refusal(_) => CommandOutcome::Failed,
+        _ => CommandOutcome::Done,
     })
 }
 
@@ -103,9 +108,9 @@
         }
         ReplyBody::Listing(listing) => table::render(&listing.columns, &listing.rows),
         ReplyBody::Refusal(refusal) => {
-            let again = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; come back in {delay} ms"));
-            let ran = format!("{:?}", refusal.executed).to_lowercase();
-            format!("refused: {}: {} (ran: {ran}{again})\n", refusal.error, refusal.detail)
+            let retry_hint = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; come back in {delay} ms"));
+            let executed = format!("{:?}", refusal.executed).to_lowercase();
+            format!("refused: {}: {} (ran: {executed}{retry_hint})\n", refusal.error, refusal.detail)
         }
     }
 }
--- a/crates/staircross/src/run_node.rs
+++ b/crates/staircross/src/run_node.rs
@@ -1,6 +1,6 @@
 //! `staircross node`: runs a node until a signal stops it.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::check::read_settings;
 use crate::flags;
 use crate::query::parse_address;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// Time between checks for signals and for the end of a stop.
-const DONE_CHECK: Duration = Duration::from_millis(20);
+const DONE_CHECK_EVERY: Duration = Duration::from_millis(20);
 
 /// Runs `node`. SIGTERM or SIGINT begins a planned stop.
-pub fn run(command: &flags::Node) -> Result<Verdict, String> {
-    let settings = settings_of(command)?;
+pub fn run(command: &flags::Node) -> Result<CommandOutcome, String> {
+    let settings = load_settings(command)?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|error| format!("signals: {error}"))?;
     let node = Node::start(settings).map_err(|error| error.to_string())?;
     println!("node {}", node.id());
@@ -25,14 +25,14 @@
             // A second signal changes nothing: requests in flight still finish.
             node.begin_stop();
         }
-        std::thread::sleep(DONE_CHECK);
+        std::thread::sleep(DONE_CHECK_EVERY);
     }
     node.wait();
-    Ok(Verdict::Done)
+    Ok(CommandOutcome::Done)
 }
 
 /// Reads the settings file, replaces what the flags override, and checks the result.
-fn settings_of(command: &flags::Node) -> Result<Settings, String> {
+fn load_settings(command: &flags::Node) -> Result<Settings, String> {
     let mut settings = read_settings(&command.settings)?;
     if let Some(listen) = &command.listen {
         settings.node.listen = parse_address("--listen", listen)?;
--- a/crates/staircross/src/status.rs
+++ b/crates/staircross/src/status.rs
@@ -1,18 +1,18 @@
 //! `staircross status`: shows a node, and the fleet as the node knows it.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::flags;
 use crate::query::parse_address;
 use crate::table;
 use staircross_node::NodeClient;
 
 /// Runs `status`.
-pub fn run(command: &flags::Status) -> Result<Verdict, String> {
+pub fn run(command: &flags::Status) -> Result<CommandOutcome, String> {
     let client = NodeClient::new(parse_address("--node", &command.node)?);
     let status = client.status().map_err(|error| error.to_string())?;
     if command.json {
         println!("{}", serde_json::to_string(&status).map_err(|error| error.to_string())?);
-        return Ok(Verdict::Done);
+        return Ok(CommandOutcome::Done);
     }
     println!("node {}{}", status.node, if status.leaving { " (leaving)" } else { "" });
     println!("configuration revision {}", status.revision);
@@ -36,5 +36,5 @@
         })
         .collect();
     print!("{}", table::render(&columns, &rows));
-    Ok(Verdict::Done)
+    Ok(CommandOutcome::Done)
 }
--- a/crates/staircross/src/table.rs
+++ b/crates/staircross/src/table.rs
@@ -9,8 +9,8 @@
         })
         .collect();
     let mut text = render_row(columns, &widths);
-    let rule: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
-    text.push_str(&render_row(&rule, &widths));
+    let separator: Vec<String> = widths.iter().map(|width| "-".repeat(*width)).collect();
+    text.push_str(&render_row(&separator, &widths));
     for row in rows {
         text.push_str(&render_row(row, &widths));
     }
