--- a/crates/staircross/tests/common/mod.rs
+++ b/crates/staircross/tests/common/mod.rs
@@ -20,7 +20,7 @@
 pub const ZONES: [&str; 3] = ["z0", "z1", "z2"];
 pub const SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
 /// Time after which a wait fails, so that a test that hangs ends. It is far longer than any step takes.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn free_address() -> SocketAddr {
     loopback::free_address().expect("a free port")
@@ -122,7 +122,7 @@
     pub fn wait_ready(&self, index: usize) {
         let started = Instant::now();
         while !self.is_ready(index) {
-            assert!(started.elapsed() < PATIENCE, "node {index} isn't ready");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "node {index} isn't ready");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -153,7 +153,7 @@
             if held.iter().all(|held| *held == revision) {
                 return;
             }
-            assert!(started.elapsed() < PATIENCE, "revision {revision} isn't in force everywhere: {held:?}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "revision {revision} isn't in force everywhere: {held:?}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -214,7 +214,7 @@
         if let Some(status) = node.try_wait().expect("the node can be waited for") {
             return status.code();
         }
-        assert!(started.elapsed() < PATIENCE, "a stopping node ends");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "a stopping node ends");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/staircross/tests/processes.rs
+++ b/crates/staircross/tests/processes.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{DOCUMENTS, Fleet, NODES, PATIENCE, SHARDS, SNAPSHOT, ZONES, wait_for_exit};
+use common::{DOCUMENTS, Fleet, NODES, SHARDS, SNAPSHOT, WAIT_TIMEOUT, ZONES, wait_for_exit};
 use rustix::process::Signal;
 use staircross_node::api::ReplyBody;
 use staircross_node::{ClientError, NodeClient};
@@ -20,15 +20,15 @@
 /// Faults found by all callers, and flags that control the callers.
 #[derive(Clone, Default)]
 struct Findings {
-    wrong: Arc<Mutex<Vec<String>>>,
+    faults: Arc<Mutex<Vec<String>>>,
     /// Whether a broken connection counts as a fault. It doesn't while nodes are killed.
-    is_cut_a_fault: Arc<AtomicBool>,
+    broken_connection_is_fault: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
 }
 
 impl Findings {
     fn add(&self, what: String) {
-        self.wrong.lock().expect("no caller panics").push(what);
+        self.faults.lock().expect("no caller panics").push(what);
     }
 }
 
@@ -44,9 +44,9 @@
                 match &reply.body {
                     ReplyBody::Answer(answer) => {
                         answers += 1;
-                        let told = answer.shards_included + answer.shards_missing.len();
+                        let reported = answer.shards_included + answer.shards_missing.len();
                         let is_whole = answer.shards_missing.is_empty();
-                        if told != SHARDS as usize || answer.snapshot != SNAPSHOT.to_string() {
+                        if reported != SHARDS as usize || answer.snapshot != SNAPSHOT.to_string() {
                             findings.add(format!("coverage or snapshot is wrong: {answer:?}"));
                         }
                         if is_whole && (answer.matched != DOCUMENTS || answer.hits.len() as u64 != DOCUMENTS) {
@@ -64,7 +64,7 @@
                 }
             }
             Err(error) => {
-                if findings.is_cut_a_fault.load(Ordering::Acquire) {
+                if findings.broken_connection_is_fault.load(Ordering::Acquire) {
                     findings.add(format!("caller {number} was cut off: {error}"));
                 }
                 at += 1;
@@ -90,7 +90,7 @@
     std::fs::create_dir_all(&folder).expect("a folder for settings");
     let mut fleet = Fleet::start(&folder);
     let findings = Findings::default();
-    findings.is_cut_a_fault.store(true, Ordering::Release);
+    findings.broken_connection_is_fault.store(true, Ordering::Release);
     let load: Vec<_> = (0..6)
         .map(|number| {
             let callers = fleet.callers.clone();
@@ -120,7 +120,7 @@
     fleet.platform.set_mode(PlatformMode::Down);
 
     // A killed node loses its connections, but its sessions survive. A paused node resumes late.
-    findings.is_cut_a_fault.store(false, Ordering::Release);
+    findings.broken_connection_is_fault.store(false, Ordering::Release);
     fleet.signal(0, Signal::KILL);
     wait_for_exit(&mut fleet.nodes[0]);
     fleet.signal(1, Signal::STOP);
@@ -139,8 +139,8 @@
 
     findings.stop.store(true, Ordering::Release);
     let answers: usize = load.into_iter().map(|caller| caller.join().expect("a caller ends")).sum();
-    let wrong = findings.wrong.lock().expect("no caller panics").clone();
-    assert!(wrong.is_empty(), "{} findings, the first: {:?}", wrong.len(), &wrong[..wrong.len().min(5)]);
+    let faults = findings.faults.lock().expect("no caller panics").clone();
+    assert!(faults.is_empty(), "{} findings, the first: {:?}", faults.len(), &faults[..faults.len().min(5)]);
     assert!(answers > 0, "the load was answered");
     drop(fleet);
     let _leftover = std::fs::remove_dir_all(&folder);
@@ -169,7 +169,7 @@
         || matches!(fleet.client(3).query(session, search), Ok(reply) if matches!(reply.body, ReplyBody::Answer(_)));
     let started = Instant::now();
     while !is_answered() {
-        assert!(started.elapsed() < PATIENCE, "the session isn't found once they answer");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the session isn't found once they answer");
         std::thread::sleep(Duration::from_millis(50));
     }
     drop(fleet);
@@ -199,7 +199,7 @@
             ReplyBody::Refusal(refusal) if refusal.error == ErrorKind::SessionSought => {}
             other => panic!("the session is lost: {other:?}"),
         }
-        assert!(started.elapsed() < PATIENCE, "the session isn't found");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the session isn't found");
         std::thread::sleep(Duration::from_millis(50));
     }
     drop(fleet);
--- a/crates/staircross/tests/stops.rs
+++ b/crates/staircross/tests/stops.rs
@@ -12,20 +12,20 @@
 
 /// Sends liveness requests to a node, on the same connection while it stays open, until the node refuses connections.
 /// Returns the errors of broken requests.
-fn cut_until_refused(address: SocketAddr) -> Vec<String> {
-    let mut cut = Vec::new();
-    let mut kept: Option<TcpStream> = None;
-    while let Some(mut stream) = kept.take().or_else(|| TcpStream::connect(address).ok()) {
-        match ask_alive(&mut stream) {
-            Ok(head) => kept = Some(stream).filter(|_| !head.to_ascii_lowercase().contains("connection: close")),
-            Err(error) => cut.push(error.to_string()),
+fn request_until_refused(address: SocketAddr) -> Vec<String> {
+    let mut broken = Vec::new();
+    let mut connection: Option<TcpStream> = None;
+    while let Some(mut stream) = connection.take().or_else(|| TcpStream::connect(address).ok()) {
+        match request_liveness(&mut stream) {
+            Ok(head) => connection = Some(stream).filter(|_| !head.to_ascii_lowercase().contains("connection: close")),
+            Err(error) => broken.push(error.to_string()),
         }
     }
-    cut
+    broken
 }
 
 /// Sends one liveness request. Returns the response as text.
-fn ask_alive(stream: &mut TcpStream) -> std::io::Result<String> {
+fn request_liveness(stream: &mut TcpStream) -> std::io::Result<String> {
     stream.write_all(b"GET /livez HTTP/1.1\r\nHost: node\r\n\r\n")?;
     let mut text = Vec::new();
     let mut buffer = [0_u8; 1024];
@@ -48,10 +48,10 @@
     std::fs::create_dir_all(&folder).expect("a folder for settings");
     let mut fleet = Fleet::start(&folder);
     let address = fleet.callers[0];
-    let callers: Vec<_> = (0..CALLERS).map(|_| std::thread::spawn(move || cut_until_refused(address))).collect();
+    let callers: Vec<_> = (0..CALLERS).map(|_| std::thread::spawn(move || request_until_refused(address))).collect();
     fleet.signal(0, Signal::TERM);
-    let cut: Vec<String> = callers.into_iter().flat_map(|caller| caller.join().expect("a caller ends")).collect();
-    assert!(cut.is_empty(), "{} requests cut, the first: {:?}", cut.len(), cut.first());
+    let broken: Vec<String> = callers.into_iter().flat_map(|caller| caller.join().expect("a caller ends")).collect();
+    assert!(broken.is_empty(), "{} requests cut, the first: {:?}", broken.len(), broken.first());
     assert_eq!(wait_for_exit(&mut fleet.nodes[0]), Some(0));
     drop(fleet);
     let _leftover = std::fs::remove_dir_all(&folder);
