--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -34,8 +34,9 @@
 /// A member whose record this node still sends with its probes and answers.
 struct PendingUpdate {
     node: NodeId,
-    /// Number of times that the record was sent to local members; for remote members see `times_sent_remotely`.
+    /// Number of times that the record was sent to local members.
     times_sent_locally: u32,
+    /// Number of times that the record was sent to remote members.
     times_sent_remotely: u32,
 }
 
@@ -51,13 +52,16 @@
     me: NodeId,
     members: BTreeMap<NodeId, Member>,
     suspicions: BTreeMap<NodeId, Suspicion>,
+    /// Times at which gone members became so, until their records are dropped.
     gone_at: BTreeMap<NodeId, BootTime>,
     pending_updates: Vec<PendingUpdate>,
     probe: Option<OutstandingProbe>,
     indirect_probes: Vec<IndirectProbe>,
+    /// Members still to be probed in the present round; the last one is next.
     round: Vec<NodeId>,
     next_probe: BootTime,
-    next_number: u64,
+    /// Number of the probe sent last.
+    last_probe_number: u64,
     last_tick: Option<BootTime>,
     seeds: Vec<SocketAddr>,
     next_seed_contact: BootTime,
@@ -88,7 +92,7 @@
             indirect_probes: Vec::new(),
             round: Vec::new(),
             next_probe: BootTime::default(),
-            next_number: 1,
+            last_probe_number: 1,
             last_tick: None,
             seeds,
             next_seed_contact: BootTime::default(),
@@ -227,8 +231,8 @@
         }
     }
 
-    /// Drops the outstanding probe and restarts all suspicions after a pause of this process: answers may have
-    /// arrived during the pause.
+    /// Drops the outstanding probe and restarts all suspicions. After a pause of this process, missing answers prove
+    /// nothing.
     fn reset_failure_detection(&mut self, now: BootTime) {
         self.probe = None;
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
@@ -320,14 +324,15 @@
         true
     }
 
+    /// Queues a member's current record for gossip, in place of an earlier update about that member.
     fn queue_update(&mut self, node: NodeId) {
         self.pending_updates.retain(|update| update.node != node);
         self.pending_updates.push(PendingUpdate::new(node));
     }
 
     fn next_probe_number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+        self.last_probe_number += 1;
+        self.last_probe_number
     }
 
     /// Members that take work, ranked for a key by rendezvous hashing; those outside `zone` come first.
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -21,6 +21,7 @@
 const COMPARE_EVERY: Duration = Duration::from_secs(3);
 /// Time between comparisons while the node has learned something from a member list within [`LEARNING_WINDOW`].
 const COMPARE_EVERY_WHILE_LEARNING: Duration = Duration::from_millis(1500);
+/// Time for which a node counts as learning after a member list contained something new.
 const LEARNING_WINDOW: Duration = Duration::from_secs(4);
 /// Leading bits of an id that select its bucket; each bucket has a fingerprint of its own.
 const BUCKET_BITS: u32 = 4;
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -91,7 +91,7 @@
     /// Answers a node that has just started.
     ///
     /// A joiner from this node's region, or from a region of which no live member is known, gets all members. Any other
-    /// joiner gets the members of its own region, which then send it the rest.
+    /// joiner gets the seeds and the members of its own region, which then send it the rest.
     pub(super) fn answer_joiner(
         &mut self,
         now: BootTime,
