--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -143,7 +143,7 @@
             }
             return;
         }
-        let answers_left = self.cluster.asked_for_session(token);
+        let answers_left = self.cluster.expected_fetch_answers(token);
         if answers_left == 0 {
             send_reply(&reply, CallerReply::Refused(unknown_session()));
             return;
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -88,7 +88,7 @@
     }
 
     /// Number of answers that a fetch of the session asks for; a copy kept by this node counts as one.
-    pub fn asked_for_session(&self, token: SessionToken) -> usize {
+    pub fn expected_fetch_answers(&self, token: SessionToken) -> usize {
         self.possible_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
 
