--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -101,6 +101,7 @@
     views: Views,
     copies: ReplicaStore,
     ownership: OwnershipMap,
+    /// Whether members or configuration have changed since `ownership` was computed.
     ownership_is_stale: bool,
 }
 
@@ -126,7 +127,7 @@
         match event {
             ClusterEvent::Message(envelope) => self.on_envelope(now, *envelope, actions),
             ClusterEvent::Platform(document) => {
-                if self.published.take(document) {
+                if self.published.adopt(document) {
                     self.report_config_change(actions);
                 }
             }
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -55,6 +55,7 @@
         self.membership.others().filter(|member| member.takes_work()).count().min(COPIES_PER_SESSION)
     }
 
+    /// Sends a new version of a session held here to its keepers.
     pub(super) fn store_session(
         &mut self,
         token: SessionToken,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Asks for the copies of a session that other nodes keep, and returns the one kept here at once.
     pub(super) fn fetch_session(&mut self, token: SessionToken, ask: u64, actions: &mut Vec<ClusterAction>) {
         // The holder chose the keepers by its own zone, which isn't known here, so this node may keep a copy itself.
         if let Some(copy) = self.copies.get(token) {
@@ -87,11 +89,12 @@
         others.take(FETCH_FANOUT).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Number of answers that a fetch of the session asks for; a copy kept by this node counts as one.
+    /// Number of answers to expect from a fetch of the session; a copy kept by this node counts as one.
     pub fn expected_fetch_answers(&self, token: SessionToken) -> usize {
         self.possible_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
 
+    /// Drops the copies of a closed session here and on other nodes.
     pub(super) fn forget_session(&mut self, token: SessionToken, actions: &mut Vec<ClusterAction>) {
         self.copies.forget(token);
         for (node, address) in self.possible_keepers(token) {
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -54,6 +54,7 @@
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that peers last announced.
     peer_revisions: BTreeMap<NodeId, u64>,
+    /// Whether a document was adopted since the last announcement.
     has_unannounced_document: bool,
     next_announcement: BootTime,
 }
@@ -80,7 +81,7 @@
     }
 
     /// Adopts a document if it is valid and newer than the one held. Returns whether it was adopted.
-    pub fn take(&mut self, document: Arc<PlatformDocument>) -> bool {
+    pub fn adopt(&mut self, document: Arc<PlatformDocument>) -> bool {
         // The platform may serve an old revision; the document in force is never replaced by an older one.
         if document.revision <= self.revision() || document.check().is_err() {
             return false;
@@ -108,7 +109,7 @@
                 }));
                 false
             }
-            PublishedMessage::Document(document) => self.take(document),
+            PublishedMessage::Document(document) => self.adopt(document),
         }
     }
 
--- a/crates/staircross-cluster/src/replicas.rs
+++ b/crates/staircross-cluster/src/replicas.rs
@@ -46,6 +46,7 @@
 /// Session copies that this node keeps for others.
 pub struct ReplicaStore {
     copies: HashMap<SessionToken, SessionCopy>,
+    /// Tokens in the order in which their sessions were first stored.
     insertion_order: BTreeMap<u64, SessionToken>,
     next_order: u64,
     capacity: usize,
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -18,7 +18,7 @@
 /// Number of members that a push goes to.
 const PUSH_FANOUT: usize = 2;
 /// Most records in one push.
-const PUSH_RECORDS: usize = 12;
+const MAX_PUSH_RECORDS: usize = 12;
 /// Number of times that each node pushes a record, per doubling of the fleet's size; two more are added.
 const RETRANSMITS_PER_DOUBLING: u32 = 1;
 /// Time between comparisons that this node starts with a random member.
@@ -93,6 +93,7 @@
 pub struct Views {
     me: NodeId,
     records: BTreeMap<SearcherId, ViewRecord>,
+    /// Searchers whose records are still pushed, each with the number of its pushes so far.
     pending_pushes: Vec<(SearcherId, u32)>,
     next_push: BootTime,
     next_compare: BootTime,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// All records.
+    /// All known records.
     pub fn records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.records.values()
     }
@@ -158,8 +159,9 @@
                 }
             }
             ViewMessage::Compare { fingerprints } => {
-                let own = self.fingerprints();
-                let differs = |bucket: &u8| fingerprints.get(usize::from(*bucket)) != own.get(usize::from(*bucket));
+                let own_fingerprints = self.fingerprints();
+                let differs =
+                    |bucket: &u8| fingerprints.get(usize::from(*bucket)) != own_fingerprints.get(usize::from(*bucket));
                 let buckets: Vec<u8> = (0..BUCKETS as u8).filter(differs).collect();
                 if !buckets.is_empty() {
                     let versions = self.versions_in(&buckets);
@@ -204,11 +206,13 @@
         }
     }
 
+    /// Versions of the records in the given buckets.
     fn versions_in(&self, buckets: &[u8]) -> Vec<ViewVersion> {
         let records = self.records.values().filter(|record| buckets.contains(&bucket_of(record.searcher)));
         records.map(|record| ViewVersion { searcher: record.searcher, version: record.version }).collect()
     }
 
+    /// Computes one checksum for each bucket, over the searchers, versions and owners of its records.
     fn fingerprints(&self) -> Vec<u64> {
         let mut fingerprints = vec![0_u64; BUCKETS];
         for record in self.records.values() {
@@ -244,15 +248,16 @@
         }
     }
 
+    /// Sends the least often pushed records to random members.
     fn push(&mut self, others: &[(NodeId, SocketAddr)], random: &mut ChaCha8Rng, actions: &mut Vec<ViewAction>) {
         let max_sends = RETRANSMITS_PER_DOUBLING * (others.len() as u32 + 1).ilog2() + 2;
-        self.pending_pushes.sort_by_key(|(_, sent)| *sent);
+        self.pending_pushes.sort_by_key(|(_, times_sent)| *times_sent);
         let mut records = Vec::new();
-        for (searcher, sent) in self.pending_pushes.iter_mut().take(PUSH_RECORDS) {
-            *sent += 1;
+        for (searcher, times_sent) in self.pending_pushes.iter_mut().take(MAX_PUSH_RECORDS) {
+            *times_sent += 1;
             records.extend(self.records.get(searcher).cloned());
         }
-        self.pending_pushes.retain(|(_, sent)| *sent < max_sends);
+        self.pending_pushes.retain(|(_, times_sent)| *times_sent < max_sends);
         for (node, address) in others.choose_multiple(random, PUSH_FANOUT) {
             let message = ViewMessage::Updates { records: records.clone() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -30,27 +30,27 @@
 #[test]
 fn only_a_newer_document_is_taken() {
     let mut published = Published::new();
-    assert!(published.take(document(3)));
-    assert!(!published.take(document(2)), "the platform stepped back");
-    assert!(!published.take(document(3)));
+    assert!(published.adopt(document(3)));
+    assert!(!published.adopt(document(2)), "the platform stepped back");
+    assert!(!published.adopt(document(3)));
     assert_eq!(published.revision(), 3);
-    assert!(published.take(document(4)));
+    assert!(published.adopt(document(4)));
 }
 
 #[test]
 fn an_invalid_document_is_not_taken_whatever_its_revision() {
     let mut published = Published::new();
-    published.take(document(1));
+    published.adopt(document(1));
     let mut broken: PlatformDocument = (*document(2)).clone();
     broken.services[0].policy = ServicePolicy { wait_ms: 0, ..ServicePolicy::default() };
-    assert!(!published.take(Arc::new(broken)));
+    assert!(!published.adopt(Arc::new(broken)));
     assert_eq!(published.revision(), 1);
 }
 
 #[test]
 fn whoever_has_less_gets_the_document_and_whoever_has_more_is_told_what_is_held() {
     let mut published = Published::new();
-    published.take(document(5));
+    published.adopt(document(5));
     assert_eq!(
         answers_to(&mut published, PublishedMessage::Holds { revision: 4 }),
         [PublishedMessage::Document(document(5))]
