--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Members that keep copies of a session held here, in order of rank; members of other zones than this node's come first.
+    /// Members that keep copies of a session held here, in order of rank; members of other zones than this node's
+    /// come first.
     fn keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let own_zone = self.membership.own().zone.clone();
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), Some(&own_zone));
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -1,8 +1,8 @@
 //! The platform's document as this node holds it, and its relay between nodes.
 //!
-//! Only the platform creates documents. A node adopts a newer document from the platform or any peer, and never an
-//! older one. Each node announces the revision that it holds to a few peers; a peer with a newer revision answers
-//! with its document. So a node that can't read the platform still gets its documents from peers.
+//! The platform alone decides which document is in force. A node adopts a newer document from the platform or any
+//! peer, and never an older one. Each node announces the revision that it holds to a few peers; a peer with a newer
+//! revision answers with its document. So a node that can't read the platform still gets its documents from peers.
 
 use crate::member::Member;
 use rand::seq::IndexedRandom;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this node's
-    /// own announcement, which it answers with its document.
+    /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this
+    /// node's own announcement, which it answers with its document.
     fn answer_announcement(&self, peer_revision: u64) -> Option<PublishedMessage> {
         let own_revision = self.revision();
         match &self.held {
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -76,7 +76,8 @@
     Updates { records: Vec<ViewRecord> },
     /// Starts a comparison with the fingerprints of all buckets.
     Compare { fingerprints: Vec<u64> },
-    /// Lists the versions that the sender holds in the buckets that differ. The receiver answers with its newer records.
+    /// Lists the versions that the sender holds in the buckets that differ. The receiver answers with its newer
+    /// records.
     Versions { buckets: Vec<u8>, versions: Vec<ViewVersion> },
 }
 
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Sends the records that are newer here than at the peer. If the peer has newer ones, sends this node's own versions,
-    /// which the peer answers with them.
+    /// Sends the records that are newer here than at the peer. If the peer has newer ones, sends this node's own
+    /// versions, which the peer answers with them.
     fn answer_versions(
         &self,
         from: NodeId,
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -104,7 +104,8 @@
     let mut fleet = Fleet::new(LARGE, 6);
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_see_all(), "{:?}", fleet.sent);
-    // Two other regions must learn of each member; joiners ask seeds of any region, which list the members of the joiner's region.
+    // Two other regions must learn of each member; joiners ask seeds of any region, which list the members of the
+    // joiner's region.
     assert!(fleet.sent.records_between_regions < 40 * LARGE, "{:?}", fleet.sent);
 }
 
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -212,8 +212,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Under any sequence of faults, no node returns to an older document or holds one that was never published. Once the
-    /// faults are over and one node can read the platform, all nodes hold the newest document and have each other as alive.
+    /// Under any sequence of faults, no node returns to an older document or holds one that was never published. Once
+    /// the faults are over and one node can read the platform, all nodes hold the newest document and have each other
+    /// as alive.
     #[test]
     fn what_the_platform_published_is_in_force_everywhere(
         seed in any::<u64>(),
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -26,8 +26,8 @@
         ClusterKey { cluster: cluster.to_owned(), secret: secret.as_bytes().to_vec() }
     }
 
-    /// Computes an HMAC over the cluster's name and `parts`. The length of each part is included, so that the same bytes
-    /// split differently give another digest.
+    /// Computes an HMAC over the cluster's name and `parts`. The length of each part is included, so that the same
+    /// bytes split differently give another digest.
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.secret) {
             Ok(mac) => mac,
--- a/crates/staircross/src/explain.rs
+++ b/crates/staircross/src/explain.rs
@@ -133,16 +133,16 @@
     for instance in instances {
         match run_lines.iter().rfind(|line| line.time <= ended_at && line.get("instance") == Some(instance.as_str())) {
             Some(entry) => report.push_str(&format!("{}\n", entry.render(arrived_at))),
-            None => report.push_str(&describe_unnamed_searcher(&run_lines, ended_at, &instance)),
+            None => report.push_str(&describe_unlogged_searcher(&run_lines, ended_at, &instance)),
         }
     }
     report.push('\n');
     report
 }
 
-/// Describes a searcher that no line names. If the node has logged a list of searchers before the request's end, the
-/// searcher may be one of them.
-fn describe_unnamed_searcher(run_lines: &[&LogLine], ended_at: f64, instance: &str) -> String {
+/// Describes a searcher that has no log line of its own. If the node had logged by the request's end that it learned
+/// of several searchers at once, the searcher may be one of them.
+fn describe_unlogged_searcher(run_lines: &[&LogLine], ended_at: f64, instance: &str) -> String {
     match run_lines.iter().find(|line| line.time <= ended_at && line.event == "searchers") {
         Some(listing) => {
             let (changed, source) = (listing.get("changed").unwrap_or("?"), listing.get("source").unwrap_or("?"));
--- a/crates/staircross/tests/processes.rs
+++ b/crates/staircross/tests/processes.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Sends queries of one session one after the other until told to stop, and follows the addresses in replies. Returns the
-/// number of answers.
+/// Sends queries of one session one after the other until told to stop, and follows the addresses in replies. Returns
+/// the number of answers.
 fn run_caller(number: usize, session: SessionToken, callers: Vec<SocketAddr>, findings: &Findings) -> usize {
     let mut at = number;
     let mut client = NodeClient::new(callers[at % callers.len()]);
--- a/crates/staircross/tests/stops.rs
+++ b/crates/staircross/tests/stops.rs
@@ -39,9 +39,9 @@
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Guards against requests broken by the end of a planned stop. A stopping node of the session tier ends when no request
-/// is in flight, while its listener accepts connections until the process is gone, because the node counts requests
-/// rather than connections and the server library can't be told to stop listening.
+/// Guards against requests broken by the end of a planned stop. A stopping node of the session tier ends when no
+/// request is in flight, while its listener accepts connections until the process is gone, because the node counts
+/// requests rather than connections and the server library can't be told to stop listening.
 #[test]
 fn callers_that_go_on_asking_a_node_of_the_session_tier_until_its_stop_is_over_are_never_cut() {
     let folder = std::env::temp_dir().join(format!("staircross-stop-{}", std::process::id()));
