--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A relay probes this fraction of the number of local members in each other region per round.
+/// In each round, a relay probes as many members of each other region as it has local members, divided by this.
 const REMOTE_TARGET_DIVISOR: usize = 8;
 /// Fewest members of each other region that a round contains, as far as the region has them.
 const MIN_REMOTE_TARGETS: usize = 3;
@@ -17,15 +17,17 @@
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
-    /// Members whose records the probe carried, in the order sent_updates.
+    /// Members whose records the probe carried, in the order of the records.
     pub(super) sent_updates: Vec<NodeId>,
     pub(super) sent_at: BootTime,
+    /// Whether other members have been asked to probe the target, too.
     pub(super) asked_helpers: bool,
 }
 
 /// A probe that this node sent on behalf of another.
 pub(super) struct IndirectProbe {
     pub(super) number: u64,
+    /// Number of the requester's own probe, which the answer to it must carry.
     pub(super) requester_number: u64,
     pub(super) requester: NodeId,
     pub(super) requester_address: SocketAddr,
@@ -33,6 +35,7 @@
 }
 
 impl Membership {
+    /// Sends a probe to the next target.
     pub(super) fn start_probe(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         self.next_probe = now + self.settings.probe_every;
         let Some(target) = self.next_target(random) else {
@@ -84,6 +87,7 @@
         round
     }
 
+    /// Asks helpers when the outstanding probe isn't answered in time, and suspects its target when it has failed.
     pub(super) fn check_probe(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         let Some(probe) = &mut self.probe else {
             return;
@@ -102,6 +106,7 @@
         }
     }
 
+    /// Asks random members to probe `target` on this node's behalf.
     fn ask_helpers(
         &mut self,
         target: NodeId,
@@ -123,6 +128,7 @@
         }
     }
 
+    /// Probes `target` for another node; the target's answer is passed on to that node.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn probe_on_behalf(
         &mut self,
@@ -147,6 +153,7 @@
         actions.push(MembershipAction::Send { to: Some(target), address: target_address, message });
     }
 
+    /// Handles the answer to this node's outstanding probe, or to a probe sent on behalf of another node.
     pub(super) fn on_probe_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
         if let Some(probe) = self.probe.take_if(|probe| probe.number == number) {
             self.count_redundant_sends(&probe.sent_updates, known, self.is_remote(probe.target));
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -107,8 +107,8 @@
 
     /// Sends a member list, split into messages of at most `members_per_message` records.
     ///
-    /// With a span, `members` are all known members in it, in the order of their ids, and each message covers its
-    /// own part of the span. Without a span, the list is partial.
+    /// With a span, `members` include all live members in it and are in the order of their ids, and each message covers
+    /// its own part of the span. Without a span, the list is partial.
     pub(super) fn send_member_list(
         &self,
         members: Vec<Member>,
