--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::message::{ClusterMessage, Envelope};
 use crate::ownership::OwnershipMap;
 use crate::published::{Published, PublishedSend};
-use crate::replicas::{ReplicaMessage, ReplicaStore, SessionCopy};
+use crate::replicas::{SessionCopy, SessionCopyMessage, SessionCopyStore};
 use crate::views::{SpreadEvidence, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -99,7 +99,7 @@
     membership: Membership,
     published: Published,
     views: Views,
-    copies: ReplicaStore,
+    copies: SessionCopyStore,
     ownership: OwnershipMap,
     /// Whether members or configuration have changed since `ownership` was computed.
     ownership_is_stale: bool,
@@ -116,7 +116,7 @@
             membership: Membership::new(settings.membership, settings.me, settings.seeds),
             published: Published::new(),
             views: Views::new(me),
-            copies: ReplicaStore::new(settings.max_session_copies),
+            copies: SessionCopyStore::new(settings.max_session_copies),
             ownership: OwnershipMap::default(),
             ownership_is_stale: true,
         }
@@ -141,7 +141,7 @@
             ClusterEvent::ForgetSession { token } => self.forget_session(token, actions),
             ClusterEvent::TakeOver { token, holder } => {
                 if let Some(address) = self.membership.get(holder).map(|member| member.peer_address) {
-                    let message = ClusterMessage::Replica(ReplicaMessage::Moved { token });
+                    let message = ClusterMessage::Replica(SessionCopyMessage::Moved { token });
                     self.send(Some(holder), address, message, actions);
                 }
             }
@@ -236,7 +236,7 @@
                 self.views.on_message(from, from_address, message, &mut out);
                 self.apply_view_actions(out, actions);
             }
-            ClusterMessage::Replica(message) => self.on_replica_message(from, from_address, message, actions),
+            ClusterMessage::Replica(message) => self.on_session_copy_message(from, from_address, message, actions),
         }
     }
 
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -2,38 +2,38 @@
 
 use super::{ClusterAction, ClusterEngine};
 use crate::message::ClusterMessage;
-use crate::replicas::{COPIES_PER_SESSION, FETCH_FANOUT, ReplicaMessage, SessionCopy};
+use crate::replicas::{COPIES_PER_SESSION, FETCH_FANOUT, SessionCopy, SessionCopyMessage};
 use staircross_types::{NodeId, SessionToken};
 use std::net::SocketAddr;
 
 impl ClusterEngine {
-    pub(super) fn on_replica_message(
+    pub(super) fn on_session_copy_message(
         &mut self,
         from: NodeId,
         from_address: SocketAddr,
-        message: ReplicaMessage,
+        message: SessionCopyMessage,
         actions: &mut Vec<ClusterAction>,
     ) {
         match message {
-            ReplicaMessage::Store { token, copy } => {
+            SessionCopyMessage::Store { token, copy } => {
                 let version = copy.version;
                 let is_overtaken = self.copies.store(token, copy);
-                let reply = ReplicaMessage::Stored { token, version, is_overtaken };
+                let reply = SessionCopyMessage::Stored { token, version, is_overtaken };
                 self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
             }
-            ReplicaMessage::Stored { token, version, is_overtaken } => {
+            SessionCopyMessage::Stored { token, version, is_overtaken } => {
                 actions.push(ClusterAction::SessionStored { token, version, keeper: from, is_overtaken });
             }
-            ReplicaMessage::Fetch { token, ask } => {
+            SessionCopyMessage::Fetch { token, ask } => {
                 let copy = self.copies.get(token).cloned();
-                let reply = ReplicaMessage::Fetched { token, ask, copy };
+                let reply = SessionCopyMessage::Fetched { token, ask, copy };
                 self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
             }
-            ReplicaMessage::Fetched { token, ask, copy } => {
+            SessionCopyMessage::Fetched { token, ask, copy } => {
                 actions.push(ClusterAction::SessionFetched { token, ask, copy });
             }
-            ReplicaMessage::Forget { token } => self.copies.forget(token),
-            ReplicaMessage::Moved { token } => actions.push(ClusterAction::SessionMoved { token }),
+            SessionCopyMessage::Forget { token } => self.copies.forget(token),
+            SessionCopyMessage::Moved { token } => actions.push(ClusterAction::SessionMoved { token }),
         }
     }
 
@@ -66,7 +66,7 @@
     ) {
         let copy = SessionCopy { version, holder: self.me, state };
         for (node, address) in self.keepers(token) {
-            let message = ReplicaMessage::Store { token, copy: copy.clone() };
+            let message = SessionCopyMessage::Store { token, copy: copy.clone() };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
@@ -78,7 +78,7 @@
             actions.push(ClusterAction::SessionFetched { token, ask, copy: Some(copy.clone()) });
         }
         for (node, address) in self.possible_keepers(token) {
-            let message = ReplicaMessage::Fetch { token, ask };
+            let message = SessionCopyMessage::Fetch { token, ask };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
@@ -99,7 +99,7 @@
     pub(super) fn forget_session(&mut self, token: SessionToken, actions: &mut Vec<ClusterAction>) {
         self.copies.forget(token);
         for (node, address) in self.possible_keepers(token) {
-            let message = ReplicaMessage::Forget { token };
+            let message = SessionCopyMessage::Forget { token };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
--- a/crates/staircross-cluster/src/replicas.rs
+++ b/crates/staircross-cluster/src/replicas.rs
@@ -28,7 +28,7 @@
 
 /// Messages about session copies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ReplicaMessage {
+pub enum SessionCopyMessage {
     /// Asks the receiver to store a copy.
     Store { token: SessionToken, copy: SessionCopy },
     /// Answers `Store`; if `is_overtaken`, the receiver kept a newer copy of another holder instead.
@@ -44,7 +44,7 @@
 }
 
 /// Session copies that this node keeps for others.
-pub struct ReplicaStore {
+pub struct SessionCopyStore {
     copies: HashMap<SessionToken, SessionCopy>,
     /// Tokens in the order in which their sessions were first stored.
     insertion_order: BTreeMap<u64, SessionToken>,
@@ -52,10 +52,10 @@
     capacity: usize,
 }
 
-impl ReplicaStore {
+impl SessionCopyStore {
     /// Creates a store of at most `capacity` copies; when it is full, the session that was stored first is dropped.
     pub fn new(capacity: usize) -> Self {
-        ReplicaStore { copies: HashMap::new(), insertion_order: BTreeMap::new(), next_order: 0, capacity }
+        SessionCopyStore { copies: HashMap::new(), insertion_order: BTreeMap::new(), next_order: 0, capacity }
     }
 
     /// Stores a copy unless one of the same or a newer version is stored. Returns whether a newer copy of another
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -6,7 +6,7 @@
 use pinning::pin;
 use staircross_cluster::membership::{Fingerprints, IdSpan, MembershipMessage};
 use staircross_cluster::published::PublishedMessage;
-use staircross_cluster::replicas::{ReplicaMessage, SessionCopy};
+use staircross_cluster::replicas::{SessionCopy, SessionCopyMessage};
 use staircross_cluster::views::{SpreadEvidence, ViewMessage, ViewRecord, ViewVersion};
 use staircross_cluster::{ClusterMessage, Envelope, Member, MemberState};
 use staircross_config::PlatformDocument;
@@ -48,7 +48,7 @@
     envelope_to(Some(RECEIVER), ClusterMessage::Views(message))
 }
 
-fn replica(message: ReplicaMessage) -> PeerMessage {
+fn session_copy(message: SessionCopyMessage) -> PeerMessage {
     envelope_to(Some(RECEIVER), ClusterMessage::Replica(message))
 }
 
@@ -170,13 +170,13 @@
     let token = TOKEN;
     let copy = SessionCopy { version: 4, holder: SENDER, state: vec![1, 2, 255] };
     let pins = [
-        pin("store", &replica(ReplicaMessage::Store { token, copy: copy.clone() })),
-        pin("stored", &replica(ReplicaMessage::Stored { token, version: 4, is_overtaken: true })),
-        pin("fetch", &replica(ReplicaMessage::Fetch { token, ask: 8 })),
-        pin("fetched", &replica(ReplicaMessage::Fetched { token, ask: 8, copy: Some(copy) })),
-        pin("fetched nothing", &replica(ReplicaMessage::Fetched { token, ask: 8, copy: None })),
-        pin("forget", &replica(ReplicaMessage::Forget { token })),
-        pin("moved", &replica(ReplicaMessage::Moved { token })),
+        pin("store", &session_copy(SessionCopyMessage::Store { token, copy: copy.clone() })),
+        pin("stored", &session_copy(SessionCopyMessage::Stored { token, version: 4, is_overtaken: true })),
+        pin("fetch", &session_copy(SessionCopyMessage::Fetch { token, ask: 8 })),
+        pin("fetched", &session_copy(SessionCopyMessage::Fetched { token, ask: 8, copy: Some(copy) })),
+        pin("fetched nothing", &session_copy(SessionCopyMessage::Fetched { token, ask: 8, copy: None })),
+        pin("forget", &session_copy(SessionCopyMessage::Forget { token })),
+        pin("moved", &session_copy(SessionCopyMessage::Moved { token })),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
