--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -4,7 +4,7 @@
 use crate::api::ReplyBody;
 use crate::searchers::OwnedAddress;
 use spdlog::info;
-use staircross_cluster::views::{SpreadEvidence, ViewRecord};
+use staircross_cluster::views::{GossipedEvidence, ViewRecord};
 use staircross_cluster::{ClusterAction, ClusterEvent};
 use staircross_config::{EditError, PlatformDocument};
 use staircross_language::ConfigStatement;
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn spread_view(&mut self, now: BootTime, view: &SearcherView) {
-        let evidence = view.evidence.as_ref().map(|evidence| SpreadEvidence {
+        let evidence = view.evidence.as_ref().map(|evidence| GossipedEvidence {
             incarnation: evidence.incarnation,
             snapshots: evidence.snapshots.clone(),
         });
--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::ownership::OwnershipMap;
 use crate::published::{Published, PublishedSend};
 use crate::replicas::{SessionCopy, SessionCopyMessage, SessionCopyStore};
-use crate::views::{SpreadEvidence, ViewAction, ViewRecord, Views};
+use crate::views::{GossipedEvidence, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_config::PlatformDocument;
@@ -55,7 +55,7 @@
     Platform(Arc<PlatformDocument>),
     /// This node, an owner of the searcher, has observed its state; `evidence` is `None` when the searcher doesn't
     /// answer.
-    Observed { searcher: SearcherId, evidence: Option<SpreadEvidence>, leaving: bool },
+    Observed { searcher: SearcherId, evidence: Option<GossipedEvidence>, leaving: bool },
     /// Copies of a session held here are to be stored on other nodes.
     StoreSession { token: SessionToken, version: u64, state: Vec<u8> },
     /// Copies of a session are sought here and on other nodes; the answers carry the number `ask`.
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -30,7 +30,7 @@
 
 /// What a searcher last reported of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpreadEvidence {
+pub struct GossipedEvidence {
     /// Incarnation of the searcher.
     #[serde(rename = "i")]
     pub incarnation: SearcherIncarnation,
@@ -47,7 +47,7 @@
     pub searcher: SearcherId,
     /// What the searcher last reported; `None` when it doesn't answer.
     #[serde(rename = "e")]
-    pub evidence: Option<SpreadEvidence>,
+    pub evidence: Option<GossipedEvidence>,
     /// Whether the searcher is leaving, whichever source says so.
     #[serde(rename = "l")]
     pub leaving: bool,
@@ -121,7 +121,7 @@
     pub fn observe(
         &mut self,
         searcher: SearcherId,
-        evidence: Option<SpreadEvidence>,
+        evidence: Option<GossipedEvidence>,
         leaving: bool,
         actions: &mut Vec<ViewAction>,
     ) {
