--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -47,7 +47,7 @@
             pause_gap: Duration::from_millis(400),
             helpers: 3,
             updates_per_message: 6,
-            retransmits: Retransmits { per_doubling: 4, besides: 4 },
+            retransmits: Retransmits { per_doubling: 4, additional: 4 },
             asks_one_seed: false,
             members_per_message: 1000,
             forget_after: Duration::from_secs(120),
@@ -61,12 +61,12 @@
     /// Sends for each doubling of the fleet's size.
     pub per_doubling: u32,
     /// Sends added to that, whatever the fleet's size.
-    pub besides: u32,
+    pub additional: u32,
 }
 
 impl Retransmits {
     pub(super) fn for_fleet(self, members: usize) -> u32 {
-        self.per_doubling * (members as u32 + 1).ilog2() + self.besides
+        self.per_doubling * (members as u32 + 1).ilog2() + self.additional
     }
 }
 
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -86,7 +86,7 @@
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
         updates_per_message: 5,
-        retransmits: Retransmits { per_doubling: 1, besides: 3 },
+        retransmits: Retransmits { per_doubling: 1, additional: 3 },
         asks_one_seed: true,
         members_per_message: 6,
         ..MembershipSettings::default()
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -328,7 +328,7 @@
         pause_gap: Duration::from_millis(400),
         helpers: 2,
         updates_per_message: 5,
-        retransmits: Retransmits { per_doubling: 1, besides: 3 },
+        retransmits: Retransmits { per_doubling: 1, additional: 3 },
         asks_one_seed: true,
         members_per_message: MEMBERS_PER_DATAGRAM,
         forget_after: Duration::from_secs(60),
