--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -310,7 +310,7 @@
         };
         let revision = node.engine.revision();
         if revision < node.last_revision {
-            self.violations.push(format!("node {index} fell back from {} to {revision}", node.last_revision));
+            self.violations.push(format!("node {index} returned from revision {} to {revision}", node.last_revision));
         }
         node.last_revision = revision;
         let published = revision.checked_sub(1).map(|before| self.documents.get(before as usize));
@@ -320,7 +320,8 @@
             _ => false,
         };
         if !is_as_published {
-            self.violations.push(format!("node {index} holds something never published as {revision}"));
+            self.violations
+                .push(format!("node {index} holds a document as revision {revision} that was never published"));
         }
     }
 }
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -41,7 +41,7 @@
     let mut fleet = converged_fleet(2);
     let sent = run_and_count(&mut fleet, Duration::from_secs(20));
     assert!(sent.between_regions * 3 < sent.messages, "{sent:?}");
-    assert!(sent.between_regions > 0, "regions hear of each other");
+    assert!(sent.between_regions > 0, "no probe went to another region");
 }
 
 #[test]
@@ -50,11 +50,11 @@
     fleet.crash(7);
     fleet.run_for(Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 7);
-    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
+    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "a survivor doesn't know of the death");
     fleet.run_for(Duration::from_secs(30));
     let sent = run_and_count(&mut fleet, Duration::from_secs(10));
     // What is still sent: each node probes one dead member every two seconds, so that partitions heal.
-    assert!(sent.updates < sent.messages / 8, "old news is told no more: {sent:?}");
+    assert!(sent.updates < sent.messages / 8, "old updates are still sent: {sent:?}");
 }
 
 #[test]
@@ -82,7 +82,7 @@
         fleet.run_for(Duration::from_millis(seed * 100));
         fleet.start_without_seeds(0);
         fleet.run_for(ASSUMED_ALONE_AFTER);
-        assert!(fleet.live_count(0) > 1, "seed {seed}: it knows nobody");
+        assert!(fleet.live_count(0) > 1, "seed {seed}: the restarted node knows no other member");
         fleet.run_for(Duration::from_secs(2));
         assert!(fleet.all_see_all(), "seed {seed}");
     }
@@ -115,7 +115,7 @@
     fleet.crash(11);
     let sent = run_and_count(&mut fleet, Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 11);
-    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
+    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "a survivor doesn't know of the death");
     // The suspicion and the death are sent; besides, each node probes a dead member every two seconds.
     assert!(sent.records_between_regions < 1000, "{sent:?}");
 }
@@ -130,7 +130,10 @@
     fleet.run_for(Duration::from_secs(12));
     let live = (0..NODES).filter(|index| fleet.live_count(*index) > 0).count();
     let survivors = (0..NODES).filter(|index| fleet.live_count(*index) > 0);
-    assert!(survivors.into_iter().all(|index| fleet.live_count(index) == live), "all know who is left");
+    assert!(
+        survivors.into_iter().all(|index| fleet.live_count(index) == live),
+        "a node doesn't know exactly the nodes that are left"
+    );
 }
 
 #[test]
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -88,7 +88,7 @@
     fleet.platform_readers = [4].into();
     fleet.publish();
     fleet.run_for(Duration::from_secs(2));
-    assert!(fleet.all_hold(2), "within two seconds");
+    assert!(fleet.all_hold(2), "the document isn't in force everywhere within two seconds");
     assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
@@ -135,7 +135,7 @@
     fleet.partitioned.clear();
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_hold(2));
-    assert!(fleet.all_see_all(), "dead members are probed now and then, so cuts heal");
+    assert!(fleet.all_see_all(), "the sides haven't found each other by probes of dead members");
 }
 
 #[test]
@@ -151,7 +151,7 @@
     fleet.publish();
     fleet.run_for(Duration::from_secs(11));
     assert!(fleet.all_see_all());
-    assert!(fleet.all_hold(2), "it woke up behind and has caught up");
+    assert!(fleet.all_hold(2), "the paused node hasn't caught up");
 }
 
 #[derive(Clone, Debug)]
@@ -235,7 +235,7 @@
         }
         fleet.run_for(Duration::from_secs(20));
         prop_assert_eq!(&fleet.violations, &Vec::<String>::new());
-        prop_assert!(fleet.all_hold(fleet.newest()), "not in force everywhere");
-        prop_assert!(fleet.all_see_all(), "somebody isn't seen");
+        prop_assert!(fleet.all_hold(fleet.newest()), "the newest document isn't in force everywhere");
+        prop_assert!(fleet.all_see_all(), "a node isn't known as alive everywhere");
     }
 }
--- a/crates/staircross/tests/processes.rs
+++ b/crates/staircross/tests/processes.rs
@@ -162,7 +162,7 @@
     let silent = fleet.client(3).query(session, search).expect("a reply");
     keepers.iter().for_each(|index| fleet.signal(*index, Signal::CONT));
     let ReplyBody::Refusal(refusal) = silent.body else {
-        panic!("nobody could have told the session: {silent:?}");
+        panic!("no node could have had the session: {silent:?}");
     };
     assert_eq!(refusal.error, ErrorKind::SessionSought, "{}", refusal.detail);
     let is_answered =
