--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -1,7 +1,8 @@
-//! The cluster logic of one node as a whole.
+//! Entry point of the cluster logic of one node.
 //!
-//! Composes membership, the platform's document, views and session copies; passes messages and time
-//! to each and carries updates between them. Inputs and outputs are typed events and actions.
+//! The engine composes membership, the platform's document, searcher views and session copies. It passes
+//! messages and ticks to each, and recomputes ownership when members or configuration have changed. Events go
+//! in, actions come out.
 
 mod sessions;
 
@@ -10,8 +11,8 @@
 use crate::message::{ClusterMessage, Envelope};
 use crate::ownership::OwnershipMap;
 use crate::published::{Published, PublishedSend};
-use crate::replicas::{ReplicaMessage, ReplicaStore, SessionCopy};
-use crate::views::{SpreadEvidence, ViewAction, ViewRecord, Views};
+use crate::replicas::{SessionCopy, SessionCopyMessage, SessionCopyStore};
+use crate::views::{GossipedEvidence, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_config::PlatformDocument;
@@ -19,73 +20,74 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Session copies kept for others, unless set otherwise.
-const SESSION_COPIES: usize = 20_000;
-/// Members that a planned stop is announced to at once.
+/// Default number of session copies that a node keeps for others.
+const DEFAULT_MAX_SESSION_COPIES: usize = 20_000;
+/// Number of members that a planned stop is announced to at once.
 const LEAVE_FANOUT: usize = 8;
 
-/// How the cluster logic of a node is set up.
+/// Settings of the cluster logic of one node.
 #[derive(Clone, Debug)]
 pub struct ClusterSettings {
-    /// The node's own record.
+    /// Record of the node itself.
     pub me: Member,
-    /// Peer addresses to join through.
+    /// Peer addresses through which the node joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Most session copies kept for others.
-    pub session_copies: usize,
-    /// Times of the membership.
+    /// Most session copies that the node keeps for others.
+    pub max_session_copies: usize,
+    /// Settings of the membership protocol.
     pub membership: MembershipSettings,
 }
 
 impl ClusterSettings {
-    /// Usual times for a node.
+    /// Settings with default times and sizes.
     pub fn new(me: Member, seeds: Vec<SocketAddr>) -> Self {
         let membership = MembershipSettings::default();
-        ClusterSettings { me, seeds, session_copies: SESSION_COPIES, membership }
+        ClusterSettings { me, seeds, max_session_copies: DEFAULT_MAX_SESSION_COPIES, membership }
     }
 }
 
-/// What the cluster logic takes in.
+/// Input of the cluster logic.
 #[derive(Clone, Debug)]
 pub enum ClusterEvent {
-    /// A peer's message.
+    /// A message from a peer has arrived.
     Message(Box<Envelope>),
-    /// The platform's document, as just read.
+    /// The platform's document has been read.
     Platform(Arc<PlatformDocument>),
-    /// This node, an owner, found out about a searcher.
-    Observed { searcher: SearcherId, evidence: Option<SpreadEvidence>, leaving: bool },
-    /// Copy a session's state to other nodes.
+    /// This node, an owner of the searcher, has observed its state; `evidence` is `None` when the searcher doesn't
+    /// answer.
+    Observed { searcher: SearcherId, evidence: Option<GossipedEvidence>, leaving: bool },
+    /// Copies of a session held here are to be stored on other nodes.
     StoreSession { token: SessionToken, version: u64, state: Vec<u8> },
-    /// Find a session's state at other nodes.
+    /// Copies of a session are sought here and on other nodes; the answers carry the number `ask`.
     FetchSession { token: SessionToken, ask: u64 },
-    /// A session was closed.
+    /// A session was closed; its copies are to be dropped here and on other nodes.
     ForgetSession { token: SessionToken },
-    /// Take a session over from `holder`, which is notified.
+    /// This node has taken a session over from `holder`, which is to be notified.
     TakeOver { token: SessionToken, holder: NodeId },
     /// A planned stop begins.
     Leave,
-    /// The planned stop is done but for the exit.
+    /// The planned stop is complete and the process is about to exit.
     Left,
     /// Time has passed.
     Tick,
 }
 
-/// What the cluster logic wants done.
+/// Output of the cluster logic: a message to send, or a change to act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterAction {
-    /// Send to a peer.
+    /// Send a message to a peer.
     Send(Envelope),
-    /// A newer document is in force here.
+    /// A newer document is in force on this node.
     ConfigChanged(Arc<PlatformDocument>),
-    /// The members have changed.
+    /// The record of a member has changed.
     MembersChanged,
     /// A searcher's record has changed.
     ViewChanged(ViewRecord),
-    /// A peer keeps a copy; or has a newer one by another holder.
+    /// A peer has stored a copy; if `is_overtaken`, it kept a newer copy of another holder instead.
     SessionStored { token: SessionToken, version: u64, keeper: NodeId, is_overtaken: bool },
-    /// A peer's copy, if it has one.
+    /// The copy kept by this node or a peer that was asked, if it has one.
     SessionFetched { token: SessionToken, ask: u64, copy: Option<SessionCopy> },
-    /// Another node holds the session now.
+    /// Another node has taken the session over from this one.
     SessionMoved { token: SessionToken },
 }
 
@@ -97,13 +99,14 @@
     membership: Membership,
     published: Published,
     views: Views,
-    copies: ReplicaStore,
+    copies: SessionCopyStore,
     ownership: OwnershipMap,
+    /// Whether members or configuration have changed since `ownership` was computed.
     ownership_is_stale: bool,
 }
 
 impl ClusterEngine {
-    /// Logic of a node that has just started; `seed` feeds its random choices.
+    /// Creates the logic of a node that has just started; `seed` seeds its random number generator.
     pub fn new(settings: ClusterSettings, seed: u64) -> Self {
         let me = settings.me.node;
         ClusterEngine {
@@ -113,32 +116,32 @@
             membership: Membership::new(settings.membership, settings.me, settings.seeds),
             published: Published::new(),
             views: Views::new(me),
-            copies: ReplicaStore::new(settings.session_copies),
+            copies: SessionCopyStore::new(settings.max_session_copies),
             ownership: OwnershipMap::default(),
             ownership_is_stale: true,
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn on_event(&mut self, now: BootTime, event: ClusterEvent, actions: &mut Vec<ClusterAction>) {
         match event {
             ClusterEvent::Message(envelope) => self.on_envelope(now, *envelope, actions),
             ClusterEvent::Platform(document) => {
-                if self.published.take(document) {
-                    self.config_changed(actions);
+                if self.published.adopt(document) {
+                    self.report_config_change(actions);
                 }
             }
             ClusterEvent::Observed { searcher, evidence, leaving } => {
                 let mut out = Vec::new();
                 self.views.observe(searcher, evidence, leaving, &mut out);
-                self.do_views(out, actions);
+                self.apply_view_actions(out, actions);
             }
             ClusterEvent::StoreSession { token, version, state } => self.store_session(token, version, state, actions),
             ClusterEvent::FetchSession { token, ask } => self.fetch_session(token, ask, actions),
             ClusterEvent::ForgetSession { token } => self.forget_session(token, actions),
             ClusterEvent::TakeOver { token, holder } => {
                 if let Some(address) = self.membership.get(holder).map(|member| member.peer_address) {
-                    let message = ClusterMessage::Replica(ReplicaMessage::Moved { token });
+                    let message = ClusterMessage::Replica(SessionCopyMessage::Moved { token });
                     self.send(Some(holder), address, message, actions);
                 }
             }
@@ -148,42 +151,42 @@
         }
     }
 
-    /// This incarnation.
+    /// Id of this node's incarnation.
     pub fn node(&self) -> NodeId {
         self.me
     }
 
-    /// The document in force here, if one is known.
+    /// The document in force on this node, if one is known.
     pub fn config(&self) -> Option<&Arc<PlatformDocument>> {
         self.published.document()
     }
 
-    /// Revision of the document in force here; 0 when none is known.
+    /// Revision of the document in force on this node; 0 when none is known.
     pub fn revision(&self) -> u64 {
         self.published.revision()
     }
 
-    /// Revision that a member holds, as far as it said so here.
+    /// Revision that a member last announced to this node; for this node, the revision that it holds.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         if node == self.me { Some(self.revision()) } else { self.published.revision_of(node) }
     }
 
-    /// The members, gone ones included.
+    /// All member records, including this node's own and those of gone members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members().values()
     }
 
-    /// One member.
+    /// The record of one member, gone or not.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.membership.get(node)
     }
 
-    /// Deaths declared by this node itself.
+    /// Number of members that this node itself declared dead.
     pub fn declared_dead(&self) -> u64 {
         self.membership.declared_dead
     }
 
-    /// Owners of searchers, as this node sees them.
+    /// Owners of the searchers, computed from this node's member records and configuration.
     pub fn ownership(&mut self) -> &OwnershipMap {
         if self.ownership_is_stale {
             self.ownership_is_stale = false;
@@ -193,13 +196,13 @@
         &self.ownership
     }
 
-    /// All searcher records.
+    /// Records of all known searchers.
     pub fn view_records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.views.records()
     }
 
-    /// Copies of other nodes' sessions.
-    pub fn session_copies(&self) -> usize {
+    /// Number of session copies that this node keeps for others.
+    pub fn session_copy_count(&self) -> usize {
         self.copies.len()
     }
 
@@ -208,32 +211,32 @@
             return;
         }
         let Envelope { from, from_address, to, message, .. } = envelope;
-        // Meant for the incarnation that was at this address before.
+        // The message is meant for an earlier incarnation at this node's address.
         if to.is_some_and(|to| to != self.me) {
             let mut out = Vec::new();
             self.membership.on_misaddressed(from, from_address, &mut out);
-            return self.do_membership(out, actions);
+            return self.apply_membership_actions(out, actions);
         }
         match message {
             ClusterMessage::Membership(message) => {
                 let mut out = Vec::new();
                 self.membership.on_message(now, from, from_address, message, &mut out);
-                self.do_membership(out, actions);
+                self.apply_membership_actions(out, actions);
             }
             ClusterMessage::Published(message) => {
                 let mut out = Vec::new();
                 let has_changed = self.published.on_message(from, from_address, message, &mut out);
-                self.do_published(out, actions);
+                self.send_published(out, actions);
                 if has_changed {
-                    self.config_changed(actions);
+                    self.report_config_change(actions);
                 }
             }
             ClusterMessage::Views(message) => {
                 let mut out = Vec::new();
                 self.views.on_message(from, from_address, message, &mut out);
-                self.do_views(out, actions);
+                self.apply_view_actions(out, actions);
             }
-            ClusterMessage::Replica(message) => self.on_replica_message(from, from_address, message, actions),
+            ClusterMessage::Replica(message) => self.on_session_copy_message(from, from_address, message, actions),
         }
     }
 
@@ -252,27 +255,27 @@
         let mut out = Vec::new();
         self.membership.leave(state, &mut out);
         self.membership.push_updates(&mut self.rng, LEAVE_FANOUT, &mut out);
-        self.do_membership(out, actions);
+        self.apply_membership_actions(out, actions);
     }
 
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<ClusterAction>) {
         let mut out = Vec::new();
         self.membership.on_tick(now, &mut self.rng, &mut out);
-        self.do_membership(out, actions);
+        self.apply_membership_actions(out, actions);
 
         let mut out = Vec::new();
         let others: Vec<&Member> = self.membership.others().collect();
         self.published.on_tick(now, &others, &mut self.rng, &mut out);
-        self.do_published(out, actions);
+        self.send_published(out, actions);
 
         let others: Vec<(NodeId, SocketAddr)> =
             self.membership.others().map(|member| (member.node, member.peer_address)).collect();
         let mut out = Vec::new();
         self.views.on_tick(now, &others, &mut self.rng, &mut out);
-        self.do_views(out, actions);
+        self.apply_view_actions(out, actions);
     }
 
-    fn do_membership(&mut self, out: Vec<MembershipAction>, actions: &mut Vec<ClusterAction>) {
+    fn apply_membership_actions(&mut self, out: Vec<MembershipAction>, actions: &mut Vec<ClusterAction>) {
         for action in out {
             match action {
                 MembershipAction::Send { to, address, message } => {
@@ -286,13 +289,13 @@
         }
     }
 
-    fn do_published(&mut self, out: Vec<PublishedSend>, actions: &mut Vec<ClusterAction>) {
+    fn send_published(&mut self, out: Vec<PublishedSend>, actions: &mut Vec<ClusterAction>) {
         for PublishedSend { to, address, message } in out {
             self.send(Some(to), address, ClusterMessage::Published(message), actions);
         }
     }
 
-    fn do_views(&mut self, out: Vec<ViewAction>, actions: &mut Vec<ClusterAction>) {
+    fn apply_view_actions(&mut self, out: Vec<ViewAction>, actions: &mut Vec<ClusterAction>) {
         for action in out {
             match action {
                 ViewAction::Send { to, address, message } => {
@@ -303,7 +306,7 @@
         }
     }
 
-    fn config_changed(&mut self, actions: &mut Vec<ClusterAction>) {
+    fn report_config_change(&mut self, actions: &mut Vec<ClusterAction>) {
         self.ownership_is_stale = true;
         if let Some(document) = self.published.document() {
             actions.push(ClusterAction::ConfigChanged(document.clone()));
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -1,60 +1,62 @@
-//! Copies of sessions: which peers keep them, and what is asked of them.
+//! Session copies: which peers keep them, and the messages to store, fetch and drop them.
 
 use super::{ClusterAction, ClusterEngine};
 use crate::message::ClusterMessage;
-use crate::replicas::{ASKED, COPIES, ReplicaMessage, SessionCopy};
+use crate::replicas::{COPIES_PER_SESSION, FETCH_FANOUT, SessionCopy, SessionCopyMessage};
 use staircross_types::{NodeId, SessionToken};
 use std::net::SocketAddr;
 
 impl ClusterEngine {
-    pub(super) fn on_replica_message(
+    pub(super) fn on_session_copy_message(
         &mut self,
         from: NodeId,
         from_address: SocketAddr,
-        message: ReplicaMessage,
+        message: SessionCopyMessage,
         actions: &mut Vec<ClusterAction>,
     ) {
         match message {
-            ReplicaMessage::Store { token, copy } => {
+            SessionCopyMessage::Store { token, copy } => {
                 let version = copy.version;
                 let is_overtaken = self.copies.store(token, copy);
-                let reply = ReplicaMessage::Stored { token, version, is_overtaken };
+                let reply = SessionCopyMessage::Stored { token, version, is_overtaken };
                 self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
             }
-            ReplicaMessage::Stored { token, version, is_overtaken } => {
+            SessionCopyMessage::Stored { token, version, is_overtaken } => {
                 actions.push(ClusterAction::SessionStored { token, version, keeper: from, is_overtaken });
             }
-            ReplicaMessage::Fetch { token, ask } => {
+            SessionCopyMessage::Fetch { token, ask } => {
                 let copy = self.copies.get(token).cloned();
-                let reply = ReplicaMessage::Fetched { token, ask, copy };
+                let reply = SessionCopyMessage::Fetched { token, ask, copy };
                 self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
             }
-            ReplicaMessage::Fetched { token, ask, copy } => {
+            SessionCopyMessage::Fetched { token, ask, copy } => {
                 actions.push(ClusterAction::SessionFetched { token, ask, copy });
             }
-            ReplicaMessage::Forget { token } => self.copies.forget(token),
-            ReplicaMessage::Moved { token } => actions.push(ClusterAction::SessionMoved { token }),
+            SessionCopyMessage::Forget { token } => self.copies.forget(token),
+            SessionCopyMessage::Moved { token } => actions.push(ClusterAction::SessionMoved { token }),
         }
     }
 
-    /// Members that keep copies of a session held here, best first: other zones before the own.
+    /// Members that keep copies of a session held here, in order of rank; members of other zones than this node's
+    /// come first.
     fn keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let own_zone = self.membership.own().zone.clone();
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), Some(&own_zone));
         let others = ranked.into_iter().filter(|member| member.node != self.me);
-        others.take(COPIES).map(|member| (member.node, member.peer_address)).collect()
+        others.take(COPIES_PER_SESSION).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Nodes that are to keep copies of a session held here.
+    /// Ids of the nodes that keep copies of a session held here.
     pub fn session_keepers(&self, token: SessionToken) -> Vec<NodeId> {
         self.keepers(token).into_iter().map(|(node, _)| node).collect()
     }
 
-    /// Number of copies that a session held here should have.
+    /// Number of copies that a session held here should have: fewer than [`COPIES_PER_SESSION`] in a very small fleet.
     pub fn wanted_copies(&self) -> usize {
-        self.membership.others().filter(|member| member.takes_work()).count().min(COPIES)
+        self.membership.others().filter(|member| member.takes_work()).count().min(COPIES_PER_SESSION)
     }
 
+    /// Sends a new version of a session held here to its keepers.
     pub(super) fn store_session(
         &mut self,
         token: SessionToken,
@@ -64,37 +66,40 @@
     ) {
         let copy = SessionCopy { version, holder: self.me, state };
         for (node, address) in self.keepers(token) {
-            let message = ReplicaMessage::Store { token, copy: copy.clone() };
+            let message = SessionCopyMessage::Store { token, copy: copy.clone() };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
 
+    /// Asks for the copies of a session that other nodes keep, and returns the one kept here at once.
     pub(super) fn fetch_session(&mut self, token: SessionToken, ask: u64, actions: &mut Vec<ClusterAction>) {
-        // The holder chose by its own zone, which isn't known here; a copy in this node counts too.
+        // The holder chose the keepers by its own zone, which isn't known here, so this node may keep a copy itself.
         if let Some(copy) = self.copies.get(token) {
             actions.push(ClusterAction::SessionFetched { token, ask, copy: Some(copy.clone()) });
         }
-        for (node, address) in self.likely_keepers(token) {
-            let message = ReplicaMessage::Fetch { token, ask };
+        for (node, address) in self.possible_keepers(token) {
+            let message = SessionCopyMessage::Fetch { token, ask };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
 
-    fn likely_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
+    /// Members that may keep a copy of the session, whichever zone its holder is in.
+    fn possible_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), None);
         let others = ranked.into_iter().filter(|member| member.node != self.me);
-        others.take(ASKED).map(|member| (member.node, member.peer_address)).collect()
+        others.take(FETCH_FANOUT).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Number of members asked for a session that isn't here.
-    pub fn asked_for_session(&self, token: SessionToken) -> usize {
-        self.likely_keepers(token).len() + usize::from(self.copies.get(token).is_some())
+    /// Number of answers to expect from a fetch of the session; a copy kept by this node counts as one.
+    pub fn expected_fetch_answers(&self, token: SessionToken) -> usize {
+        self.possible_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
 
+    /// Drops the copies of a closed session here and on other nodes.
     pub(super) fn forget_session(&mut self, token: SessionToken, actions: &mut Vec<ClusterAction>) {
         self.copies.forget(token);
-        for (node, address) in self.likely_keepers(token) {
-            let message = ReplicaMessage::Forget { token };
+        for (node, address) in self.possible_keepers(token) {
+            let message = SessionCopyMessage::Forget { token };
             self.send(Some(node), address, ClusterMessage::Replica(message), actions);
         }
     }
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -1,9 +1,13 @@
-//! Who is in the fleet.
+//! Membership of the fleet: failure detection and gossip in the manner of SWIM.
 //!
-//! Each node probes one other at a time; one that doesn't answer is probed through others, then
-//! suspected, then, if it doesn't refute in time, declared dead. Updates ride on probes. Inputs:
-//! probes and their answers, gossip, time. Invariants: only a node itself clears a suspicion of
-//! it; a node that was paused doesn't judge others by answers it slept through.
+//! Each node probes one member at a time. A member that doesn't answer is probed through other members, then
+//! suspected, and declared dead if it doesn't refute the suspicion in time. Membership updates are piggybacked
+//! on probes and their answers.
+//!
+//! Invariants: only the suspected node itself clears a suspicion; a node that was paused doesn't suspect
+//! members whose answers it may have missed during the pause.
+//!
+//! In this module, a *local* member is in the same region as this node and a *remote* member is in another one.
 
 mod message;
 mod probing;
@@ -16,27 +20,29 @@
 
 use crate::member::{Member, MemberState};
 use crate::ownership::rendezvous_weight;
-use probing::{HelpedProbe, OutstandingProbe};
+use probing::{IndirectProbe, OutstandingProbe};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
-use regions::RELAY_PUSHES;
+use regions::RELAY_PUSH_FANOUT;
 use staircross_types::{BootTime, NodeId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use suspicion::Suspicion;
 
-struct Rumor {
+/// A member whose record this node still sends with its probes and answers.
+struct PendingUpdate {
     node: NodeId,
-    /// How often it was sent within the region, and to other regions.
-    times_sent: u32,
-    times_sent_far: u32,
+    /// Number of times that the record was sent to local members.
+    times_sent_locally: u32,
+    /// Number of times that the record was sent to remote members.
+    times_sent_remotely: u32,
 }
 
-impl Rumor {
+impl PendingUpdate {
     fn new(node: NodeId) -> Self {
-        Rumor { node, times_sent: 0, times_sent_far: 0 }
+        PendingUpdate { node, times_sent_locally: 0, times_sent_remotely: 0 }
     }
 }
 
@@ -46,60 +52,63 @@
     me: NodeId,
     members: BTreeMap<NodeId, Member>,
     suspicions: BTreeMap<NodeId, Suspicion>,
+    /// Times at which gone members became so, until their records are dropped.
     gone_at: BTreeMap<NodeId, BootTime>,
-    rumors: Vec<Rumor>,
+    pending_updates: Vec<PendingUpdate>,
     probe: Option<OutstandingProbe>,
-    helped: Vec<HelpedProbe>,
+    indirect_probes: Vec<IndirectProbe>,
+    /// Members still to be probed in the present round; the last one is next.
     round: Vec<NodeId>,
     next_probe: BootTime,
-    next_number: u64,
+    /// Number of the probe sent last.
+    last_probe_number: u64,
     last_tick: Option<BootTime>,
     seeds: Vec<SocketAddr>,
     next_seed_contact: BootTime,
-    next_dead_contact: BootTime,
+    next_dead_probe: BootTime,
     next_compare: BootTime,
-    /// When a listing last brought something new.
-    learned_at: Option<BootTime>,
-    /// Deaths that this node itself declared, for metrics.
+    /// Time at which a member list last contained something new.
+    last_learned_at: Option<BootTime>,
+    /// Number of members that this node itself declared dead, for metrics.
     pub declared_dead: u64,
 }
 
-/// Time between contacts to seed addresses at which no member is known.
+/// Time between messages to seed addresses at which no member is known.
 const SEED_CONTACT_EVERY: Duration = Duration::from_secs(1);
 
 impl Membership {
-    /// A fleet of one.
+    /// Creates a membership that knows only this node.
     pub fn new(settings: MembershipSettings, me: Member, seeds: Vec<SocketAddr>) -> Self {
         let node = me.node;
-        let own_start = Rumor::new(node);
+        let own_update = PendingUpdate::new(node);
         Membership {
             settings,
             me: node,
             members: BTreeMap::from([(node, me)]),
             suspicions: BTreeMap::new(),
             gone_at: BTreeMap::new(),
-            rumors: vec![own_start],
+            pending_updates: vec![own_update],
             probe: None,
-            helped: Vec::new(),
+            indirect_probes: Vec::new(),
             round: Vec::new(),
             next_probe: BootTime::default(),
-            next_number: 1,
+            last_probe_number: 1,
             last_tick: None,
             seeds,
             next_seed_contact: BootTime::default(),
-            next_dead_contact: BootTime::default(),
+            next_dead_probe: BootTime::default(),
             next_compare: BootTime::default(),
-            learned_at: None,
+            last_learned_at: None,
             declared_dead: 0,
         }
     }
 
-    /// All records, gone ones included.
+    /// All member records, including this node's own and those of gone members.
     pub fn members(&self) -> &BTreeMap<NodeId, Member> {
         &self.members
     }
 
-    /// One record.
+    /// The record of one member, gone or not.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
@@ -112,7 +121,7 @@
         }
     }
 
-    /// Members that aren't gone, besides this node.
+    /// All members that aren't gone, except this node.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.node != self.me && !member.is_gone())
     }
@@ -122,44 +131,45 @@
         self.members.get(&node).is_some_and(Member::is_gone)
     }
 
-    /// Announces that this node is in a planned stop.
+    /// Sets this node's own state to a state of a planned stop, and queues the change for gossip.
     pub fn leave(&mut self, state: MemberState, actions: &mut Vec<MembershipAction>) {
         let Some(own) = self.members.get_mut(&self.me) else {
             return;
         };
         own.state = state;
         own.version += 1;
-        self.spread(self.me);
+        self.queue_update(self.me);
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Says whether callers may be sent to this node.
+    /// Sets whether callers may be sent to this node, and queues a change for gossip.
     pub fn set_ready(&mut self, is_ready: bool, actions: &mut Vec<MembershipAction>) {
         let Some(own) = self.members.get_mut(&self.me).filter(|own| own.is_ready != is_ready) else {
             return;
         };
         own.is_ready = is_ready;
         own.version += 1;
-        self.spread(self.me);
+        self.queue_update(self.me);
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Pushes the present updates to some members of the region at once, without waiting for the next probe; a relay pushes them to some
-    /// of other regions too.
+    /// Sends the pending updates to up to `count` local members at once, without waiting for the next probe.
+    ///
+    /// A relay, or a node without local members, sends them to [`RELAY_PUSH_FANOUT`] remote members too.
     pub fn push_updates(&mut self, random: &mut ChaCha8Rng, count: usize, actions: &mut Vec<MembershipAction>) {
-        let (near, far) = self.near_and_far();
-        let far_count = if self.is_relay() || near.is_empty() { RELAY_PUSHES } else { 0 };
-        let chosen = near.choose_multiple(random, count).chain(far.choose_multiple(random, far_count));
+        let (local, remote) = self.local_and_remote();
+        let remote_count = if self.is_relay() || local.is_empty() { RELAY_PUSH_FANOUT } else { 0 };
+        let chosen = local.choose_multiple(random, count).chain(remote.choose_multiple(random, remote_count));
         let targets: Vec<(NodeId, SocketAddr)> = chosen.map(|member| (member.node, member.peer_address)).collect();
         for (node, address) in targets {
-            let number = self.take_number();
-            let updates = self.take_updates(node);
+            let number = self.next_probe_number();
+            let updates = self.choose_updates(node);
             let message = MembershipMessage::Probe { number, updates };
             actions.push(MembershipAction::Send { to: Some(node), address, message });
         }
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn on_message(
         &mut self,
         now: BootTime,
@@ -170,15 +180,15 @@
     ) {
         match message {
             MembershipMessage::Probe { number, updates } => {
-                let names_us = updates.iter().any(|record| record.node == self.me);
-                let is_stranger = !self.members.contains_key(&from);
-                let known = self.take_probe_updates(now, updates, actions);
-                let mut updates = self.take_updates(from);
-                // A member that is wrongly thought gone must hear of it to refute it.
-                let slandered = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
-                updates.extend(slandered.cloned());
-                // A node that says what it thinks of this one, or knows it by its address only, must hear how it is.
-                if (names_us || is_stranger) && !updates.iter().any(|record| record.node == self.me) {
+                let mentions_self = updates.iter().any(|record| record.node == self.me);
+                let is_unknown_sender = !self.members.contains_key(&from);
+                let known = self.merge_probe_updates(now, updates, actions);
+                let mut updates = self.choose_updates(from);
+                // A member that is wrongly held for suspect or dead must receive that record to refute it.
+                let suspected = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
+                updates.extend(suspected.cloned());
+                // A node that sent a record of this one, or knows only its address, needs its current record.
+                if (mentions_self || is_unknown_sender) && !updates.iter().any(|record| record.node == self.me) {
                     updates.push(self.own().clone());
                 }
                 let message = MembershipMessage::ProbeAnswer { number, updates, known };
@@ -186,48 +196,50 @@
             }
             MembershipMessage::ProbeAnswer { number, updates, known } => {
                 for record in updates {
-                    self.take(now, record, actions);
+                    self.merge_and_gossip(now, record, actions);
                 }
-                self.on_answer(number, known, actions);
+                self.on_probe_answer(number, known, actions);
             }
             MembershipMessage::ProbeFor { number, target, target_address } => {
-                self.help(now, number, from, from_address, target, target_address, actions);
+                self.probe_on_behalf(now, number, from, from_address, target, target_address, actions);
             }
             MembershipMessage::Join { member } => {
                 self.answer_joiner(now, member, from_address, actions);
             }
-            MembershipMessage::Everyone { members, span } => self.take_listing(now, members, span, actions),
-            MembershipMessage::Compare { fingerprints } => self.compare(from, from_address, &fingerprints, actions),
+            MembershipMessage::Everyone { members, span } => self.merge_member_list(now, members, span, actions),
+            MembershipMessage::Compare { fingerprints } => self.on_compare(from, from_address, &fingerprints, actions),
         }
     }
 
-    /// Lets time pass.
+    /// Runs everything that is due at `now`: probes, suspicions, contacts to seeds and dead members, comparisons.
     pub fn on_tick(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         let was_paused = self.last_tick.is_some_and(|last| now.since(last) > self.settings.pause_gap);
         self.last_tick = Some(now);
         if was_paused {
-            self.excuse_all(now);
+            self.reset_failure_detection(now);
         }
         self.check_probe(now, random, actions);
-        self.remind_suspects(now, actions);
+        self.notify_suspects(now, actions);
         self.expire_suspects(now, actions);
-        self.forget_gone(now);
+        self.drop_gone_members(now);
         self.contact_seeds(now, random, actions);
-        self.contact_dead(now, random, actions);
-        self.ask_to_compare(now, random, actions);
-        self.helped.retain(|helped| now.since(helped.sent_at) < self.settings.probe_timeout);
+        self.probe_dead_member(now, random, actions);
+        self.start_comparison(now, random, actions);
+        self.indirect_probes.retain(|indirect| now.since(indirect.sent_at) < self.settings.probe_timeout);
         if now >= self.next_probe && self.probe.is_none() {
             self.start_probe(now, random, actions);
         }
     }
 
-    /// After a pause of this process, silence of others proves nothing.
-    fn excuse_all(&mut self, now: BootTime) {
+    /// Drops the outstanding probe and restarts all suspicions. After a pause of this process, missing answers prove
+    /// nothing.
+    fn reset_failure_detection(&mut self, now: BootTime) {
         self.probe = None;
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
     }
 
-    /// Joins through seeds, and keeps announcing the fleet to seeds that have restarted.
+    /// Contacts seed addresses at which no live member is known: to join the fleet, and to reach seeds that have
+    /// restarted.
     fn contact_seeds(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         if now < self.next_seed_contact {
             return;
@@ -240,43 +252,46 @@
             shuffle(&mut unknown, random);
             unknown.truncate(1);
         }
-        unknown.into_iter().for_each(|seed| self.introduce_to(seed, actions));
+        unknown.into_iter().for_each(|seed| self.announce_to(seed, actions));
     }
 
-    /// Has a node be known at an address where it is unknown who listens. One that knows somebody near gets the rest there, and only has to be
-    /// known.
-    fn introduce_to(&mut self, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
+    /// Sends this node's record to an address at which no member is known.
+    ///
+    /// A node that knows no local member asks for a member list; a node that knows one learns the others
+    /// from it, and only announces itself.
+    fn announce_to(&mut self, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let member = self.own().clone();
-        let has_mates = !self.near_and_far().0.is_empty();
-        let message = match has_mates {
-            true => MembershipMessage::Probe { number: self.take_number(), updates: vec![member] },
+        let knows_local_members = !self.local_and_remote().0.is_empty();
+        let message = match knows_local_members {
+            true => MembershipMessage::Probe { number: self.next_probe_number(), updates: vec![member] },
             false => MembershipMessage::Join { member },
         };
         actions.push(MembershipAction::Send { to: None, address, message });
     }
 
-    /// A peer sent something to an earlier incarnation at this node's address, which nobody may take for this one's.
+    /// Handles a message that a peer sent to an earlier incarnation at this node's address.
     ///
-    /// Whoever sends that is alive and doesn't know this incarnation. It may be the only way for both to meet: seeds of a node that starts again
-    /// may all be gone.
+    /// The content of the message is ignored, but its sender is alive and doesn't know this incarnation, so this
+    /// node announces itself to the sender unless it knows the sender already. It may be the only contact between the
+    /// two: the seeds of a restarted node may all be gone.
     pub fn on_misaddressed(&mut self, from: NodeId, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_known = self.members.get(&from).is_some_and(|member| !member.is_gone());
         if !is_known {
-            self.introduce_to(address, actions);
+            self.announce_to(address, actions);
         }
     }
 
-    /// Merges one record and passes it on if it was new. Returns whether it was.
-    fn take(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
+    /// Merges one record and queues it for gossip if it was new. Returns whether it was new.
+    fn merge_and_gossip(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         let is_new = self.merge(now, record, actions);
         if is_new && node != self.me {
-            self.spread(node);
+            self.queue_update(node);
         }
         is_new
     }
 
-    /// Merges one record. Returns whether it was new.
+    /// Merges one record without gossiping it. Returns whether it was new.
     fn merge(&mut self, now: BootTime, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let node = record.node;
         if node == self.me {
@@ -284,7 +299,7 @@
         }
         let is_new = match self.members.get(&node) {
             Some(known) => known.is_superseded_by(&record),
-            // The end of an incarnation never met, or forgotten, is nothing new.
+            // The end of an incarnation that this node never knew, or has forgotten, isn't stored.
             None => !record.is_gone(),
         };
         if !is_new {
@@ -292,7 +307,7 @@
         }
         match record.state {
             MemberState::Suspect => {
-                let suspicion = Suspicion { since: now, is_first_hand: false, next_reminder: now };
+                let suspicion = Suspicion { since: now, is_first_hand: false, next_notification: now };
                 self.suspicions.insert(node, suspicion);
             }
             MemberState::Dead | MemberState::Left => {
@@ -309,17 +324,18 @@
         true
     }
 
-    fn spread(&mut self, node: NodeId) {
-        self.rumors.retain(|rumor| rumor.node != node);
-        self.rumors.push(Rumor::new(node));
+    /// Queues a member's current record for gossip, in place of an earlier update about that member.
+    fn queue_update(&mut self, node: NodeId) {
+        self.pending_updates.retain(|update| update.node != node);
+        self.pending_updates.push(PendingUpdate::new(node));
     }
 
-    fn take_number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_probe_number(&mut self) -> u64 {
+        self.last_probe_number += 1;
+        self.last_probe_number
     }
 
-    /// Live members ranked for a key by rendezvous hashing, those of other zones than `zone` first.
+    /// Members that take work, ranked for a key by rendezvous hashing; those outside `zone` come first.
     pub fn ranked_for(&self, key: &[u8], zone: Option<&staircross_types::ZoneName>) -> Vec<&Member> {
         let mut ranked: Vec<&Member> = self.members.values().filter(|member| member.takes_work()).collect();
         ranked.sort_by_cached_key(|member| {
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: one other at a time, through helpers where it doesn't answer.
+//! Direct probes of one member at a time, and indirect probes through helpers when it doesn't answer.
 
 use super::{Membership, MembershipAction, MembershipMessage, shuffle};
 use crate::member::Member;
@@ -8,42 +8,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Members of each other region that are probed in a round: a part of those of the own region, but some.
-const FAR_DIVISOR: usize = 8;
-const MIN_FAR: usize = 3;
+/// In each round, a relay probes as many members of each other region as it has local members, divided by this.
+const REMOTE_TARGET_DIVISOR: usize = 8;
+/// Fewest members of each other region that a round contains, as far as the region has them.
+const MIN_REMOTE_TARGETS: usize = 3;
 
+/// The direct probe that this node awaits an answer to.
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
-    /// Whom its updates were about.
-    pub(super) sent: Vec<NodeId>,
+    /// Members whose records the probe carried, in the order of the records.
+    pub(super) sent_updates: Vec<NodeId>,
     pub(super) sent_at: BootTime,
+    /// Whether other members have been asked to probe the target, too.
     pub(super) asked_helpers: bool,
 }
 
-pub(super) struct HelpedProbe {
+/// A probe that this node sent on behalf of another.
+pub(super) struct IndirectProbe {
     pub(super) number: u64,
-    pub(super) for_number: u64,
-    pub(super) for_node: NodeId,
-    pub(super) for_address: SocketAddr,
+    /// Number of the requester's own probe, which the answer to it must carry.
+    pub(super) requester_number: u64,
+    pub(super) requester: NodeId,
+    pub(super) requester_address: SocketAddr,
     pub(super) sent_at: BootTime,
 }
 
 impl Membership {
+    /// Sends a probe to the next target.
     pub(super) fn start_probe(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         self.next_probe = now + self.settings.probe_every;
         let Some(target) = self.next_target(random) else {
             return;
         };
-        let number = self.take_number();
-        let updates = self.take_updates(target.node);
-        let sent = updates.iter().map(|member| member.node).collect();
+        let number = self.next_probe_number();
+        let updates = self.choose_updates(target.node);
+        let sent_updates = updates.iter().map(|member| member.node).collect();
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target.node), address: target.peer_address, message });
-        self.probe = Some(OutstandingProbe { number, target: target.node, sent, sent_at: now, asked_helpers: false });
+        self.probe =
+            Some(OutstandingProbe { number, target: target.node, sent_updates, sent_at: now, asked_helpers: false });
     }
 
-    /// Goes through a round in random order before beginning the next, so each is probed in bounded time.
+    /// The next member to probe. A round is completed in random order before the next begins, so each local member is
+    /// probed within a bounded time.
     fn next_target(&mut self, random: &mut ChaCha8Rng) -> Option<Member> {
         loop {
             if self.round.is_empty() {
@@ -59,22 +67,27 @@
         }
     }
 
-    /// All others of the region, and some of each other region, more by relays. Of a small region all are in every
-    /// round.
+    /// Targets of a new round in random order: all local members and a few members of each other region, of which a
+    /// relay includes more. Of a region with at most [`MIN_REMOTE_TARGETS`] members, all are in every round.
     fn new_round(&self, random: &mut ChaCha8Rng) -> Vec<NodeId> {
         let mut by_region: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for member in self.others() {
             by_region.entry(&member.region).or_default().push(member.node);
         }
         let mut round = by_region.remove(self.own().region.as_str()).unwrap_or_default();
-        let far_count = if self.is_relay() { MIN_FAR.max(round.len() / FAR_DIVISOR) } else { MIN_FAR };
-        for far in by_region.values() {
-            round.extend(far.choose_multiple(random, far_count));
+        let remote_count = if self.is_relay() {
+            MIN_REMOTE_TARGETS.max(round.len() / REMOTE_TARGET_DIVISOR)
+        } else {
+            MIN_REMOTE_TARGETS
+        };
+        for remote in by_region.values() {
+            round.extend(remote.choose_multiple(random, remote_count));
         }
         shuffle(&mut round, random);
         round
     }
 
+    /// Asks helpers when the outstanding probe isn't answered in time, and suspects its target when it has failed.
     pub(super) fn check_probe(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         let Some(probe) = &mut self.probe else {
             return;
@@ -93,6 +106,7 @@
         }
     }
 
+    /// Asks random members to probe `target` on this node's behalf.
     fn ask_helpers(
         &mut self,
         target: NodeId,
@@ -114,35 +128,47 @@
         }
     }
 
+    /// Probes `target` for another node; the target's answer is passed on to that node.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn help(
+    pub(super) fn probe_on_behalf(
         &mut self,
         now: BootTime,
-        for_number: u64,
-        for_node: NodeId,
-        for_address: SocketAddr,
+        requester_number: u64,
+        requester: NodeId,
+        requester_address: SocketAddr,
         target: NodeId,
         target_address: SocketAddr,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let number = self.take_number();
-        self.helped.push(HelpedProbe { number, for_number, for_node, for_address, sent_at: now });
-        let updates = self.take_updates(target);
+        let number = self.next_probe_number();
+        self.indirect_probes.push(IndirectProbe {
+            number,
+            requester_number,
+            requester,
+            requester_address,
+            sent_at: now,
+        });
+        let updates = self.choose_updates(target);
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(target), address: target_address, message });
     }
 
-    pub(super) fn on_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
+    /// Handles the answer to this node's outstanding probe, or to a probe sent on behalf of another node.
+    pub(super) fn on_probe_answer(&mut self, number: u64, known: u32, actions: &mut Vec<MembershipAction>) {
         if let Some(probe) = self.probe.take_if(|probe| probe.number == number) {
-            self.note_redundant_sends(&probe.sent, known, self.is_far(probe.target));
+            self.count_redundant_sends(&probe.sent_updates, known, self.is_remote(probe.target));
             return;
         }
-        let Some(index) = self.helped.iter().position(|helped| helped.number == number) else {
+        let Some(index) = self.indirect_probes.iter().position(|indirect| indirect.number == number) else {
             return;
         };
-        let helped = self.helped.swap_remove(index);
-        let updates = self.take_updates(helped.for_node);
-        let message = MembershipMessage::ProbeAnswer { number: helped.for_number, updates, known: 0 };
-        actions.push(MembershipAction::Send { to: Some(helped.for_node), address: helped.for_address, message });
+        let indirect = self.indirect_probes.swap_remove(index);
+        let updates = self.choose_updates(indirect.requester);
+        let message = MembershipMessage::ProbeAnswer { number: indirect.requester_number, updates, known: 0 };
+        actions.push(MembershipAction::Send {
+            to: Some(indirect.requester),
+            address: indirect.requester_address,
+            message,
+        });
     }
 }
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion, refutation and death: how a member that doesn't answer is judged, and comes back.
+//! Suspicion, refutation and death of members that don't answer probes.
 
 use super::{Membership, MembershipAction, MembershipMessage};
 use crate::member::{Member, MemberState};
@@ -7,63 +7,65 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time between reminders to a suspect.
-const REMINDER_EVERY: Duration = Duration::from_millis(400);
-/// Time between probes of members declared dead.
-const DEAD_CONTACT_EVERY: Duration = Duration::from_secs(2);
+/// Time between notifications to a suspect that it is suspected.
+const NOTIFY_SUSPECT_EVERY: Duration = Duration::from_millis(400);
+/// Time between probes that this node sends to dead members.
+const PROBE_DEAD_EVERY: Duration = Duration::from_secs(2);
 
-/// A suspicion that this node holds.
+/// State of the suspicion of one member.
 pub(super) struct Suspicion {
     pub(super) since: BootTime,
-    /// Whether this node itself got no answer. Those who only heard of it wait twice as long, so
-    /// that a refutation heard by the first can reach them.
+    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits
+    /// twice as long, so that a refutation that reached the suspecting node can reach it too.
     pub(super) is_first_hand: bool,
-    pub(super) next_reminder: BootTime,
+    pub(super) next_notification: BootTime,
 }
 
 impl Membership {
+    /// Marks a member as suspect after this node's own probe failed.
     pub(super) fn suspect(&mut self, now: BootTime, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).filter(|member| !member.is_gone()) else {
             return;
         };
         let mut record = member.clone();
         record.state = MemberState::Suspect;
-        self.take(now, record, actions);
+        self.merge_and_gossip(now, record, actions);
         if let Some(suspicion) = self.suspicions.get_mut(&node) {
             suspicion.is_first_hand = true;
         }
     }
 
-    /// Notifies suspects that they are suspected, so that a member that was only paused refutes at once.
-    pub(super) fn remind_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
+    /// Notifies suspects of their suspicion, so that a member that was only paused refutes it at once.
+    pub(super) fn notify_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
-            if suspicion.is_first_hand && now >= suspicion.next_reminder {
-                suspicion.next_reminder = now + REMINDER_EVERY;
+            if suspicion.is_first_hand && now >= suspicion.next_notification {
+                suspicion.next_notification = now + NOTIFY_SUSPECT_EVERY;
                 due.push(*node);
             }
         }
         for node in due {
-            self.send_its_record(node, actions);
+            self.probe_with_known_record(node, actions);
         }
     }
 
-    /// Probes a member with what is thought of it; if it is alive, it refutes.
-    pub(super) fn send_its_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
+    /// Probes a member and includes the record that this node has of it; a live member refutes that record.
+    pub(super) fn probe_with_known_record(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let Some(member) = self.members.get(&node).cloned() else {
             return;
         };
-        let number = self.take_number();
+        let number = self.next_probe_number();
         let updates = vec![self.own().clone(), member.clone()];
         let message = MembershipMessage::Probe { number, updates };
         actions.push(MembershipAction::Send { to: Some(node), address: member.peer_address, message });
     }
 
+    /// Declares the suspects dead that didn't refute in time.
     pub(super) fn expire_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
-        let span = self.settings.suspicion;
+        let first_hand_timeout = self.settings.suspicion;
         let is_expired = |suspicion: &Suspicion| {
-            let patience = if suspicion.is_first_hand { span } else { span * 2 };
-            now.since(suspicion.since) >= patience
+            let timeout = if suspicion.is_first_hand { first_hand_timeout } else { first_hand_timeout * 2 };
+            now.since(suspicion.since) >= timeout
         };
         let expired: Vec<NodeId> =
             self.suspicions.iter().filter(|(_, suspicion)| is_expired(suspicion)).map(|(node, _)| *node).collect();
@@ -75,44 +77,56 @@
             let mut record = member.clone();
             record.state = MemberState::Dead;
             self.declared_dead += 1;
-            self.take(now, record, actions);
+            self.merge_and_gossip(now, record, actions);
         }
     }
 
-    pub(super) fn forget_gone(&mut self, now: BootTime) {
-        let span = self.settings.forget_after;
-        let forgotten: Vec<NodeId> =
-            self.gone_at.iter().filter(|(_, since)| now.since(**since) >= span).map(|(node, _)| *node).collect();
+    /// Drops the records of members that have been gone for `forget_after`.
+    pub(super) fn drop_gone_members(&mut self, now: BootTime) {
+        let forget_after = self.settings.forget_after;
+        let forgotten: Vec<NodeId> = self
+            .gone_at
+            .iter()
+            .filter(|(_, since)| now.since(**since) >= forget_after)
+            .map(|(node, _)| *node)
+            .collect();
         for node in forgotten {
             self.gone_at.remove(&node);
             self.members.remove(&node);
         }
     }
 
-    /// Probes somebody who was declared dead: after a cut has healed, this brings the sides together.
-    pub(super) fn contact_dead(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
-        if now < self.next_dead_contact {
+    /// Probes a random dead member when that is due, so that the sides of a network partition find each other after it
+    /// has healed.
+    pub(super) fn probe_dead_member(
+        &mut self,
+        now: BootTime,
+        random: &mut ChaCha8Rng,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        if now < self.next_dead_probe {
             return;
         }
-        self.next_dead_contact = now + DEAD_CONTACT_EVERY;
+        self.next_dead_probe = now + PROBE_DEAD_EVERY;
         let dead: Vec<Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).cloned().collect();
         if let Some(member) = dead.choose(random) {
-            self.send_its_record(member.node, actions);
+            self.probe_with_known_record(member.node, actions);
         }
     }
 
-    /// Raises its own version where somebody thinks worse of this node. Returns whether somebody did.
+    /// Raises this node's version above that of a record that shows it in a worse state than its own. Returns
+    /// whether it did so.
     pub(super) fn refute(&mut self, record: Member, actions: &mut Vec<MembershipAction>) -> bool {
         let Some(own) = self.members.get_mut(&self.me) else {
             return false;
         };
-        let is_slander = record.state > own.state && record.version >= own.version;
-        if is_slander {
+        let needs_refutation = record.state > own.state && record.version >= own.version;
+        if needs_refutation {
             own.version = record.version + 1;
-            self.spread(self.me);
+            self.queue_update(self.me);
             actions.push(MembershipAction::Changed(self.me));
         }
-        is_slander
+        needs_refutation
     }
 }
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -1,8 +1,8 @@
-//! What owners know of searchers, spread to all nodes.
+//! Gossip of the searcher states that owners observe.
 //!
-//! Each record carries a version that rises with every change anywhere; the highest wins.
-//! Updates are pushed to a few random members and sent a bounded number of times; now and then two
-//! nodes compare fingerprints and fill each other's gaps.
+//! Each searcher has one record with a version. An owner that observes a change raises the version; of two records
+//! the one with the higher version wins. New records are pushed to a few random members, a bounded number of
+//! times. Periodically, two nodes compare fingerprints and send each other the records that one of them lacks.
 
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -13,122 +13,125 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between pushes while there are updates.
+/// Time between pushes while there are records to push.
 const PUSH_EVERY: Duration = Duration::from_millis(200);
-/// Members that a push goes to.
+/// Number of members that a push goes to.
 const PUSH_FANOUT: usize = 2;
-/// Records in one push.
-const PUSH_RECORDS: usize = 12;
-/// Times each record is pushed by each node, per doubling of the fleet.
+/// Most records in one push.
+const MAX_PUSH_RECORDS: usize = 12;
+/// Number of times that each node pushes a record, per doubling of the fleet's size; two more are added.
 const RETRANSMITS_PER_DOUBLING: u32 = 1;
-/// Time between comparisons with a random member.
+/// Time between comparisons that this node starts with a random member.
 const COMPARE_EVERY: Duration = Duration::from_secs(5);
-/// Time between comparisons while no record is known.
+/// Time between comparisons while this node knows no record.
 const NEWCOMER_COMPARE_EVERY: Duration = Duration::from_millis(200);
-/// Buckets of a comparison: only those that differ are listed.
+/// Number of buckets of a comparison; only records of buckets that differ are listed.
 const BUCKETS: usize = 64;
 
-/// What a searcher last said.
+/// What a searcher last reported of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpreadEvidence {
-    /// Run of the searcher.
+pub struct GossipedEvidence {
+    /// Incarnation of the searcher.
     #[serde(rename = "i")]
     pub incarnation: SearcherIncarnation,
-    /// Snapshots held.
+    /// Snapshots that the searcher holds.
     #[serde(rename = "s")]
     pub snapshots: Vec<Snapshot>,
 }
 
-/// One searcher's record.
+/// Record of one searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRecord {
-    /// The searcher.
+    /// Id of the searcher.
     #[serde(rename = "r")]
     pub searcher: SearcherId,
-    /// What it last said; `None` when it doesn't answer.
+    /// What the searcher last reported; `None` when it doesn't answer.
     #[serde(rename = "e")]
-    pub evidence: Option<SpreadEvidence>,
-    /// Whether it is leaving, by any source.
+    pub evidence: Option<GossipedEvidence>,
+    /// Whether the searcher is leaving, whichever source says so.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// Version of the record.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The owner that made it; settles equal versions.
+    /// Owner that created the record; at equal versions the record with the higher owner id wins.
     #[serde(rename = "o")]
     pub origin: NodeId,
 }
 
-/// Version of one searcher's record, for a comparison.
+/// Version of one searcher's record, as listed in a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewVersion {
-    /// The searcher.
+    /// Id of the searcher.
     pub searcher: SearcherId,
-    /// Version held.
+    /// Version that the sender holds.
     pub version: u64,
 }
 
-/// Messages about views.
+/// Messages about searcher views.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ViewMessage {
-    /// Records that may be new.
+    /// Carries records that may be new to the receiver.
     #[serde(rename = "News")]
     Updates { records: Vec<ViewRecord> },
-    /// Fingerprints of all records, by bucket.
+    /// Starts a comparison with the fingerprints of all buckets.
     Compare { fingerprints: Vec<u64> },
-    /// Versions held in the buckets that differ. The receiver sends what is newer.
+    /// Lists the versions that the sender holds in the buckets that differ. The receiver answers with its newer
+    /// records.
     Versions { buckets: Vec<u8>, versions: Vec<ViewVersion> },
 }
 
-/// What the views want done.
+/// What the caller of the view logic must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewAction {
     /// Send a message.
     Send { to: NodeId, address: SocketAddr, message: ViewMessage },
-    /// A record changed.
+    /// Take note that a record has changed.
     Changed(ViewRecord),
 }
 
-/// The view logic of one node.
+/// Searcher records of one node, and those that it still pushes.
 pub struct Views {
     me: NodeId,
     records: BTreeMap<SearcherId, ViewRecord>,
-    rumors: Vec<(SearcherId, u32)>,
+    /// Searchers whose records are still pushed, each with the number of its pushes so far.
+    pending_pushes: Vec<(SearcherId, u32)>,
     next_push: BootTime,
     next_compare: BootTime,
 }
 
 impl Views {
-    /// Knows nothing.
+    /// Creates the state of a node that knows no record.
     pub fn new(me: NodeId) -> Self {
         Views {
             me,
             records: BTreeMap::new(),
-            rumors: Vec::new(),
+            pending_pushes: Vec::new(),
             next_push: BootTime::default(),
             next_compare: BootTime::default(),
         }
     }
 
-    /// All records.
+    /// All known records.
     pub fn records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.records.values()
     }
 
-    /// Takes what this node, an owner, found out itself.
+    /// Records what this node, an owner, has observed of a searcher, under a new version.
     pub fn observe(
         &mut self,
         searcher: SearcherId,
-        evidence: Option<SpreadEvidence>,
+        evidence: Option<GossipedEvidence>,
         leaving: bool,
         actions: &mut Vec<ViewAction>,
     ) {
         let version = self.records.get(&searcher).map_or(0, |record| record.version) + 1;
         let record = ViewRecord { searcher, evidence, leaving, version, origin: self.me };
-        self.take(record, actions);
+        self.store_if_newer(record, actions);
     }
 
-    fn take(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
+    /// Stores a record and queues it for pushes, if it is newer than the one known.
+    fn store_if_newer(&mut self, record: ViewRecord, actions: &mut Vec<ViewAction>) {
         let is_new = self
             .records
             .get(&record.searcher)
@@ -136,13 +139,13 @@
         if !is_new {
             return;
         }
-        self.rumors.retain(|(searcher, _)| *searcher != record.searcher);
-        self.rumors.push((record.searcher, 0));
+        self.pending_pushes.retain(|(searcher, _)| *searcher != record.searcher);
+        self.pending_pushes.push((record.searcher, 0));
         self.records.insert(record.searcher, record.clone());
         actions.push(ViewAction::Changed(record));
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn on_message(
         &mut self,
         from: NodeId,
@@ -153,12 +156,13 @@
         match message {
             ViewMessage::Updates { records } => {
                 for record in records {
-                    self.take(record, actions);
+                    self.store_if_newer(record, actions);
                 }
             }
             ViewMessage::Compare { fingerprints } => {
-                let own = self.fingerprints();
-                let differs = |bucket: &u8| fingerprints.get(usize::from(*bucket)) != own.get(usize::from(*bucket));
+                let own_fingerprints = self.fingerprints();
+                let differs =
+                    |bucket: &u8| fingerprints.get(usize::from(*bucket)) != own_fingerprints.get(usize::from(*bucket));
                 let buckets: Vec<u8> = (0..BUCKETS as u8).filter(differs).collect();
                 if !buckets.is_empty() {
                     let versions = self.versions_in(&buckets);
@@ -172,7 +176,8 @@
         }
     }
 
-    /// Sends what the other lacks, and asks for what this node lacks.
+    /// Sends the records that are newer here than at the peer. If the peer has newer ones, sends this node's own
+    /// versions, which the peer answers with them.
     fn answer_versions(
         &self,
         from: NodeId,
@@ -181,16 +186,18 @@
         versions: &[ViewVersion],
         actions: &mut Vec<ViewAction>,
     ) {
-        let theirs: BTreeMap<SearcherId, u64> =
+        let peer_versions: BTreeMap<SearcherId, u64> =
             versions.iter().map(|version| (version.searcher, version.version)).collect();
-        let in_buckets = |record: &&ViewRecord| buckets.contains(&bucket_of(record.searcher));
-        let is_newer = |record: &&ViewRecord| theirs.get(&record.searcher).is_none_or(|held| record.version > *held);
-        let records: Vec<ViewRecord> = self.records.values().filter(in_buckets).filter(is_newer).cloned().collect();
+        let is_in_buckets = |record: &&ViewRecord| buckets.contains(&bucket_of(record.searcher));
+        let is_newer_here =
+            |record: &&ViewRecord| peer_versions.get(&record.searcher).is_none_or(|held| record.version > *held);
+        let records: Vec<ViewRecord> =
+            self.records.values().filter(is_in_buckets).filter(is_newer_here).cloned().collect();
         if !records.is_empty() {
             let message = ViewMessage::Updates { records };
             actions.push(ViewAction::Send { to: from, address: from_address, message });
         }
-        let is_behind = theirs
+        let is_behind = peer_versions
             .iter()
             .any(|(searcher, version)| self.records.get(searcher).is_none_or(|record| record.version < *version));
         if is_behind {
@@ -200,11 +207,13 @@
         }
     }
 
+    /// Versions of the records in the given buckets.
     fn versions_in(&self, buckets: &[u8]) -> Vec<ViewVersion> {
         let records = self.records.values().filter(|record| buckets.contains(&bucket_of(record.searcher)));
         records.map(|record| ViewVersion { searcher: record.searcher, version: record.version }).collect()
     }
 
+    /// Computes one checksum for each bucket, over the searchers, versions and owners of its records.
     fn fingerprints(&self) -> Vec<u64> {
         let mut fingerprints = vec![0_u64; BUCKETS];
         for record in self.records.values() {
@@ -217,7 +226,7 @@
         fingerprints
     }
 
-    /// Lets time pass; `others` are the live members.
+    /// Pushes records and starts a comparison when they are due; `others` are the live members.
     pub fn on_tick(
         &mut self,
         now: BootTime,
@@ -225,14 +234,14 @@
         random: &mut ChaCha8Rng,
         actions: &mut Vec<ViewAction>,
     ) {
-        if now >= self.next_push && !self.rumors.is_empty() {
+        if now >= self.next_push && !self.pending_pushes.is_empty() {
             self.next_push = now + PUSH_EVERY;
             self.push(others, random, actions);
         }
         if now >= self.next_compare
             && let Some((node, address)) = others.choose(random)
         {
-            // A newcomer asks again soon: it must not act long on what it doesn't know.
+            // A new node asks again soon, so that it doesn't act without searcher records for long.
             let is_newcomer = self.records.is_empty();
             self.next_compare = now + if is_newcomer { NEWCOMER_COMPARE_EVERY } else { COMPARE_EVERY };
             let message = ViewMessage::Compare { fingerprints: self.fingerprints() };
@@ -240,15 +249,16 @@
         }
     }
 
+    /// Sends the least often pushed records to random members.
     fn push(&mut self, others: &[(NodeId, SocketAddr)], random: &mut ChaCha8Rng, actions: &mut Vec<ViewAction>) {
         let max_sends = RETRANSMITS_PER_DOUBLING * (others.len() as u32 + 1).ilog2() + 2;
-        self.rumors.sort_by_key(|(_, sent)| *sent);
+        self.pending_pushes.sort_by_key(|(_, times_sent)| *times_sent);
         let mut records = Vec::new();
-        for (searcher, sent) in self.rumors.iter_mut().take(PUSH_RECORDS) {
-            *sent += 1;
+        for (searcher, times_sent) in self.pending_pushes.iter_mut().take(MAX_PUSH_RECORDS) {
+            *times_sent += 1;
             records.extend(self.records.get(searcher).cloned());
         }
-        self.rumors.retain(|(_, sent)| *sent < max_sends);
+        self.pending_pushes.retain(|(_, times_sent)| *times_sent < max_sends);
         for (node, address) in others.choose_multiple(random, PUSH_FANOUT) {
             let message = ViewMessage::Updates { records: records.clone() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes of the cluster logic on a simulated network, with a platform that some of them can read.
+//! Cluster engines on a simulated network, with a simulated platform that some of the nodes can read.
 #![allow(dead_code)]
 
 use rand::Rng;
@@ -16,18 +16,19 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(20);
-const POLL: Duration = Duration::from_millis(500);
-const DELAY: Duration = Duration::from_millis(5);
+const POLL_EVERY: Duration = Duration::from_millis(500);
+const NETWORK_DELAY: Duration = Duration::from_millis(5);
 
-/// One process: its engine, and what was ever wrong with what it held.
+/// One simulated process.
 struct Node {
     engine: ClusterEngine,
     paused_until: BootTime,
     next_poll: BootTime,
-    held: u64,
+    /// Revision that the node held after its last tick.
+    last_revision: u64,
 }
 
-/// A message that arrives at a time.
+/// A message in flight.
 struct Arrival {
     due: BootTime,
     to: SocketAddr,
@@ -42,28 +43,29 @@
     arrivals: Vec<Arrival>,
     rng: ChaCha8Rng,
     next_run: u128,
-    /// Messages lost, per thousand.
+    /// Number of messages in a thousand that are lost.
     pub loss_per_mille: u32,
-    /// Pairs of sides between which nothing passes: nodes in the set and the others.
-    pub cut_off: BTreeSet<usize>,
-    /// Nodes that the platform serves.
-    pub served: BTreeSet<usize>,
-    /// All documents ever published; the platform shows the one at `shown`.
+    /// Nodes that are partitioned from all nodes that aren't in the set.
+    pub partitioned: BTreeSet<usize>,
+    /// Nodes that can read the platform.
+    pub platform_readers: BTreeSet<usize>,
+    /// All documents ever published. The platform serves the one at index `served_document`.
     pub documents: Vec<Arc<PlatformDocument>>,
-    pub shown: usize,
+    pub served_document: usize,
     pub violations: Vec<String>,
-    pub sent: Sent,
+    pub sent: SentCounts,
 }
 
-/// What membership messages carried.
+/// Counts of the membership messages sent and of the records in them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sent {
+pub struct SentCounts {
     pub messages: usize,
     pub between_regions: usize,
-    /// Members' records, sent as updates or listed for a joiner.
+    /// Member records sent as updates.
     pub updates: usize,
+    /// Member records sent in member lists.
     pub listed: usize,
-    /// Those of them that went to another region.
+    /// Member records of both kinds that went to another region.
     pub records_between_regions: usize,
 }
 
@@ -77,14 +79,14 @@
     Arc::new(PlatformDocument::new(revision, vec![service]))
 }
 
-/// Times as a gateway has them.
-fn quick_settings() -> MembershipSettings {
+/// Settings with the times of a gateway.
+fn gateway_settings() -> MembershipSettings {
     MembershipSettings {
         probe_every: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
         updates_per_message: 5,
-        retransmits: Retransmits { per_doubling: 1, besides: 3 },
+        retransmits: Retransmits { per_doubling: 1, additional: 3 },
         asks_one_seed: true,
         members_per_message: 6,
         ..MembershipSettings::default()
@@ -100,7 +102,7 @@
 }
 
 impl Fleet {
-    /// `count` nodes that have just started, all served by a platform with one document.
+    /// Starts `count` nodes, all of which can read a platform with one document.
     pub fn new(count: usize, seed: u64) -> Self {
         let mut fleet = Fleet {
             now: BootTime::from_millis(1000),
@@ -109,12 +111,12 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             next_run: 1,
             loss_per_mille: 0,
-            cut_off: BTreeSet::new(),
-            served: (0..count).collect(),
+            partitioned: BTreeSet::new(),
+            platform_readers: (0..count).collect(),
             documents: vec![document(1)],
-            shown: 0,
+            served_document: 0,
             violations: Vec::new(),
-            sent: Sent::default(),
+            sent: SentCounts::default(),
         };
         (0..count).for_each(|index| fleet.start(index));
         fleet
@@ -124,12 +126,12 @@
         self.nodes.len()
     }
 
-    /// Starts a node, as a new incarnation without memory.
+    /// Starts a node as a new incarnation without state.
     pub fn start(&mut self, index: usize) {
         self.start_with_seeds(index, vec![address(0), address(1), address(2)]);
     }
 
-    /// The same for one whose seeds are all gone.
+    /// Starts a node as [`start`](Self::start) does, but without seeds.
     pub fn start_without_seeds(&mut self, index: usize) {
         self.start_with_seeds(index, Vec::new());
     }
@@ -146,10 +148,10 @@
             is_ready: true,
         };
         self.next_run += 1;
-        let settings = ClusterSettings { membership: quick_settings(), ..ClusterSettings::new(me, seeds) };
+        let settings = ClusterSettings { membership: gateway_settings(), ..ClusterSettings::new(me, seeds) };
         let engine = ClusterEngine::new(settings, self.rng.random());
         let next_poll = self.now;
-        self.nodes[index] = Some(Node { engine, paused_until: BootTime::default(), next_poll, held: 0 });
+        self.nodes[index] = Some(Node { engine, paused_until: BootTime::default(), next_poll, last_revision: 0 });
     }
 
     pub fn crash(&mut self, index: usize) {
@@ -163,10 +165,10 @@
         }
     }
 
-    /// Publishes the next document.
+    /// Publishes a document with the next revision.
     pub fn publish(&mut self) {
         self.documents.push(document(self.documents.len() as u64 + 1));
-        self.shown = self.documents.len() - 1;
+        self.served_document = self.documents.len() - 1;
     }
 
     pub fn newest(&self) -> u64 {
@@ -185,7 +187,7 @@
         self.nodes.iter().flatten().map(|node| node.engine.declared_dead()).sum()
     }
 
-    /// Whether `one` takes the present run of `other` for alive.
+    /// Whether `one` has the current incarnation of `other` as alive.
     pub fn sees_alive(&self, one: usize, other: usize) -> bool {
         let (Some(one), Some(other)) = (&self.nodes[one], &self.nodes[other]) else {
             return false;
@@ -193,7 +195,7 @@
         one.engine.member(other.engine.node()).is_some_and(|member| member.state == MemberState::Alive)
     }
 
-    /// Members that a node takes for live.
+    /// Number of members, itself included, that a node doesn't have as gone; 0 for a node that isn't running.
     pub fn live_count(&self, index: usize) -> usize {
         let node = self.nodes[index].as_ref();
         node.map_or(0, |node| node.engine.members().filter(|member| !member.is_gone()).count())
@@ -210,7 +212,7 @@
             self.now = self.now + TICK;
             self.deliver();
             for index in 0..self.nodes.len() {
-                self.turn(index);
+                self.tick_node(index);
             }
         }
     }
@@ -231,19 +233,19 @@
         };
         let is_paused = self.nodes[index].as_ref().is_some_and(|node| node.paused_until > self.now);
         if is_paused {
-            // It waits in the socket.
+            // The message waits in the receiver's socket.
             self.arrivals.push(Arrival { due: self.now + TICK, ..arrival });
             return;
         }
         let from = (0..self.len()).find(|index| address(*index) == arrival.from);
-        let is_cut = from.is_some_and(|from| self.cut_off.contains(&from) != self.cut_off.contains(&index));
+        let is_cut = from.is_some_and(|from| self.partitioned.contains(&from) != self.partitioned.contains(&index));
         if is_cut || self.rng.random_range(0..1000) < self.loss_per_mille {
             return;
         }
-        self.tell(index, ClusterEvent::Message(Box::new(arrival.envelope)));
+        self.handle_event(index, ClusterEvent::Message(Box::new(arrival.envelope)));
     }
 
-    fn turn(&mut self, index: usize) {
+    fn tick_node(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
@@ -252,32 +254,32 @@
         }
         let polls = node.next_poll <= self.now;
         if polls {
-            node.next_poll = self.now + POLL;
+            node.next_poll = self.now + POLL_EVERY;
         }
-        if polls && self.served.contains(&index) {
-            let shown = self.documents[self.shown].clone();
-            self.tell(index, ClusterEvent::Platform(shown));
+        if polls && self.platform_readers.contains(&index) {
+            let served = self.documents[self.served_document].clone();
+            self.handle_event(index, ClusterEvent::Platform(served));
         }
-        self.tell(index, ClusterEvent::Tick);
-        self.judge(index);
+        self.handle_event(index, ClusterEvent::Tick);
+        self.check_document(index);
     }
 
-    fn tell(&mut self, index: usize, event: ClusterEvent) {
+    fn handle_event(&mut self, index: usize, event: ClusterEvent) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
         let mut actions = Vec::new();
         node.engine.on_event(self.now, event, &mut actions);
-        let due = self.now + DELAY;
+        let due = self.now + NETWORK_DELAY;
         for action in actions {
             if let ClusterAction::Send(envelope) = action {
-                self.count(index, &envelope);
+                self.count_sent(index, &envelope);
                 self.arrivals.push(Arrival { due, to: envelope.to_address, from: address(index), envelope });
             }
         }
     }
 
-    fn count(&mut self, index: usize, envelope: &Envelope) {
+    fn count_sent(&mut self, index: usize, envelope: &Envelope) {
         let ClusterMessage::Membership(message) = &envelope.message else {
             return;
         };
@@ -301,16 +303,16 @@
         self.sent.records_between_regions += if is_far { records } else { 0 };
     }
 
-    /// What must hold at every moment: only what was published, and never an older one.
-    fn judge(&mut self, index: usize) {
+    /// Records a violation unless the node holds a published document that isn't older than the one it held before.
+    fn check_document(&mut self, index: usize) {
         let Some(node) = &mut self.nodes[index] else {
             return;
         };
         let revision = node.engine.revision();
-        if revision < node.held {
-            self.violations.push(format!("node {index} fell back from {} to {revision}", node.held));
+        if revision < node.last_revision {
+            self.violations.push(format!("node {index} returned from revision {} to {revision}", node.last_revision));
         }
-        node.held = revision;
+        node.last_revision = revision;
         let published = revision.checked_sub(1).map(|before| self.documents.get(before as usize));
         let is_as_published = match (published, node.engine.config()) {
             (None, None) => true,
@@ -318,7 +320,8 @@
             _ => false,
         };
         if !is_as_published {
-            self.violations.push(format!("node {index} holds something never published as {revision}"));
+            self.violations
+                .push(format!("node {index} holds a document as revision {revision} that was never published"));
         }
     }
 }
--- a/crates/staircross-cluster/tests/membership.rs
+++ b/crates/staircross-cluster/tests/membership.rs
@@ -1,24 +1,24 @@
-//! What membership tells whom, in fleets of some size.
+//! Tests of membership in simulated fleets: convergence, and the number of records sent for it.
 
 mod common;
 
-use common::{Fleet, Sent};
+use common::{Fleet, SentCounts};
 use std::time::Duration;
 
 const NODES: usize = 60;
 
-/// A fleet whose nodes all start at once, after it has found itself.
-fn started(seed: u64) -> Fleet {
+/// A fleet whose nodes all started at once, 15 seconds later.
+fn converged_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(NODES, seed);
     fleet.run_for(Duration::from_secs(15));
     fleet
 }
 
-/// What is sent in a while.
-fn sent_in(fleet: &mut Fleet, span: Duration) -> Sent {
+/// Runs the fleet for `span` and returns what was sent meanwhile.
+fn run_and_count(fleet: &mut Fleet, span: Duration) -> SentCounts {
     let before = fleet.sent;
     fleet.run_for(span);
-    Sent {
+    SentCounts {
         messages: fleet.sent.messages - before.messages,
         between_regions: fleet.sent.between_regions - before.between_regions,
         updates: fleet.sent.updates - before.updates,
@@ -29,37 +29,37 @@
 
 #[test]
 fn a_fleet_that_starts_at_once_finds_itself_without_telling_everything_many_times() {
-    let fleet = started(1);
+    let fleet = converged_fleet(1);
     assert!(fleet.all_see_all());
-    // Each of 60 nodes must hear of 59 others: 3540 records are the least, by listing or as updates.
+    // Each of 60 nodes must learn of 59 others, so at least 3540 records must be sent in lists or as updates.
     let sent = fleet.sent.updates + fleet.sent.listed;
     assert!(sent < 12 * NODES * (NODES - 1), "{:?}", fleet.sent);
 }
 
 #[test]
 fn most_probes_stay_within_the_region() {
-    let mut fleet = started(2);
-    let sent = sent_in(&mut fleet, Duration::from_secs(20));
+    let mut fleet = converged_fleet(2);
+    let sent = run_and_count(&mut fleet, Duration::from_secs(20));
     assert!(sent.between_regions * 3 < sent.messages, "{sent:?}");
-    assert!(sent.between_regions > 0, "regions hear of each other");
+    assert!(sent.between_regions > 0, "no probe went to another region");
 }
 
 #[test]
 fn a_death_is_known_in_all_regions_soon_and_then_told_no_more() {
-    let mut fleet = started(3);
+    let mut fleet = converged_fleet(3);
     fleet.crash(7);
     fleet.run_for(Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 7);
-    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
+    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "a survivor doesn't know of the death");
     fleet.run_for(Duration::from_secs(30));
-    let sent = sent_in(&mut fleet, Duration::from_secs(10));
-    // What is left: each node reminds one dead member of itself each second, so that cuts heal.
-    assert!(sent.updates < sent.messages / 8, "old news is told no more: {sent:?}");
+    let sent = run_and_count(&mut fleet, Duration::from_secs(10));
+    // What is still sent: each node probes one dead member every two seconds, so that partitions heal.
+    assert!(sent.updates < sent.messages / 8, "old updates are still sent: {sent:?}");
 }
 
 #[test]
 fn a_newcomer_is_known_everywhere_soon() {
-    let mut fleet = started(4);
+    let mut fleet = converged_fleet(4);
     fleet.crash(9);
     fleet.run_for(Duration::from_secs(12));
     fleet.start(9);
@@ -67,10 +67,12 @@
     assert!(fleet.all_see_all());
 }
 
-/// Time after which a starting node that knows nobody takes itself for alone, and a tenant's whole quota for its own.
-const TAKEN_FOR_ALONE: Duration = Duration::from_millis(600);
+/// Time after which a starting node that knows no other member assumes that it is the only one, and grants itself a
+/// tenant's whole quota.
+const ASSUMED_ALONE_AFTER: Duration = Duration::from_millis(600);
 
-/// Its peers go on probing the address of its predecessor.
+/// Guards against a restarted node without live seeds staying alone: its peers go on probing the address of its
+/// predecessor, and it must announce itself to them.
 #[test]
 fn a_node_that_starts_again_is_found_though_all_its_seeds_are_gone() {
     for seed in 0..20 {
@@ -79,8 +81,8 @@
         fleet.crash(0);
         fleet.run_for(Duration::from_millis(seed * 100));
         fleet.start_without_seeds(0);
-        fleet.run_for(TAKEN_FOR_ALONE);
-        assert!(fleet.live_count(0) > 1, "seed {seed}: it knows nobody");
+        fleet.run_for(ASSUMED_ALONE_AFTER);
+        assert!(fleet.live_count(0) > 1, "seed {seed}: the restarted node knows no other member");
         fleet.run_for(Duration::from_secs(2));
         assert!(fleet.all_see_all(), "seed {seed}");
     }
@@ -102,46 +104,51 @@
     let mut fleet = Fleet::new(LARGE, 6);
     fleet.run_for(Duration::from_secs(10));
     assert!(fleet.all_see_all(), "{:?}", fleet.sent);
-    // Two other regions must hear of each member; joiners ask seeds of any region, who tell them of their own.
+    // Two other regions must learn of each member; joiners ask seeds of any region, which list the members of the
+    // joiner's region.
     assert!(fleet.sent.records_between_regions < 40 * LARGE, "{:?}", fleet.sent);
 }
 
 #[test]
 fn a_death_is_told_to_other_regions_by_a_few() {
-    let mut fleet = started(8);
+    let mut fleet = converged_fleet(8);
     fleet.crash(11);
-    let sent = sent_in(&mut fleet, Duration::from_secs(12));
+    let sent = run_and_count(&mut fleet, Duration::from_secs(12));
     let survivors = || (0..NODES).filter(|index| *index != 11);
-    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "the death is known to all");
-    // Suspicion, and death; besides, dead members are reminded of themselves, once each two seconds by each node.
+    assert!(survivors().all(|index| fleet.live_count(index) == NODES - 1), "a survivor doesn't know of the death");
+    // The suspicion and the death are sent; besides, each node probes a dead member every two seconds.
     assert!(sent.records_between_regions < 1000, "{sent:?}");
 }
 
 #[test]
 fn regions_learn_of_each_other_when_the_first_relays_are_gone() {
-    let mut fleet = started(9);
-    // Whoever the relays of a region were, most of it is gone now.
+    let mut fleet = converged_fleet(9);
+    // Half of the nodes of one region are gone now, whichever of them were relays.
     (0..NODES).filter(|index| index % 3 == 0 && index % 2 == 0).for_each(|index| fleet.crash(index));
     fleet.run_for(Duration::from_secs(15));
     fleet.crash(3);
     fleet.run_for(Duration::from_secs(12));
     let live = (0..NODES).filter(|index| fleet.live_count(*index) > 0).count();
     let survivors = (0..NODES).filter(|index| fleet.live_count(*index) > 0);
-    assert!(survivors.into_iter().all(|index| fleet.live_count(index) == live), "all know who is left");
+    assert!(
+        survivors.into_iter().all(|index| fleet.live_count(index) == live),
+        "a node doesn't know exactly the nodes that are left"
+    );
 }
 
 #[test]
 fn a_listing_in_pieces_does_not_make_its_reader_tell_of_everybody() {
-    let mut fleet = started(6);
+    let mut fleet = converged_fleet(6);
     fleet.run_for(Duration::from_secs(20));
-    let calm = sent_in(&mut fleet, Duration::from_secs(5));
-    // A run that is gone and comes back as another has the fleet listed to it, six members a message.
+    let baseline = run_and_count(&mut fleet, Duration::from_secs(5));
+    // A node that crashes and restarts as a new incarnation gets a member list, with six members in each message.
     fleet.crash(9);
     fleet.start(9);
-    let joined = sent_in(&mut fleet, Duration::from_secs(5));
+    let after_restart = run_and_count(&mut fleet, Duration::from_secs(5));
     assert!(fleet.all_see_all());
-    assert!(joined.listed >= NODES - 1, "{joined:?}");
-    let besides = joined.updates.saturating_sub(calm.updates);
-    // A start, a suspicion and an end, told up to nine times by each; all 60 records by some would be 3600.
-    assert!(besides < 30 * NODES, "{besides} after {calm:?}");
+    assert!(after_restart.listed >= NODES - 1, "{after_restart:?}");
+    let additional = after_restart.updates.saturating_sub(baseline.updates);
+    // A start, a suspicion and a death are each sent up to nine times by each node. If the readers of the list
+    // gossiped all 60 records, there would be 3600.
+    assert!(additional < 30 * NODES, "{additional} after {baseline:?}");
 }
--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -1,76 +1,77 @@
-//! One connection that requests go out on.
+//! The client's side of one connection: reads responses and matches them to the outstanding request.
 //!
-//! Invariants: an answer counts only if it repeats the id of the request that waits; one with
-//! another id is skipped whole. A connection that has said anything that is no answer, or that
-//! ended within one, is never used again. Nothing is ever sent twice.
+//! Invariants: where the protocol has request ids, a response counts only if it repeats the id of the outstanding
+//! request; a response with another id is skipped. A connection that delivered bytes that are no HTTP response, or
+//! that ended within a response, is never used again. No request is sent twice.
 
 use crate::framing::{BodyDecoder, Framing};
 use crate::head::{HeadError, ResponseHead};
 
-/// Longest head of an answer, in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
-/// Largest buffer that is kept between answers, in bytes.
-const KEPT_BUFFER: usize = 4096;
+/// Longest head of a response, in bytes.
+const MAX_RESPONSE_HEAD: usize = 64 * 1024;
+/// Largest input buffer that is kept for reuse once all its bytes are consumed, in bytes.
+const MAX_KEPT_BUFFER: usize = 4096;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Head.
+    /// Status line and header fields.
     pub head: ResponseHead,
-    /// Body, decoded.
+    /// Decoded body.
     pub body: Vec<u8>,
     /// Whether the connection may carry another request.
     pub is_reusable: bool,
 }
 
-/// Why a connection is over.
+/// Why a connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientFault {
-    /// Bytes that are no answer.
+    /// The peer sent bytes that are no valid response.
     Malformed,
-    /// The answer is longer than allowed.
+    /// The head or the body of a response is longer than allowed.
     TooLong,
-    /// Closed before the answer was whole.
+    /// The peer closed the connection before the response was complete.
     Truncated,
-    /// Closed before any byte of an answer came.
+    /// The peer closed the connection without a response to the outstanding request.
     ClosedUnanswered,
-    /// Reset.
+    /// The connection was reset.
     Reset,
 }
 
-/// What the bytes so far amount to.
+/// Result of looking for a response in the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientProgress {
     /// More bytes are needed.
     NeedMore,
-    /// The answer to the waiting request.
+    /// The response to the outstanding request is complete.
     Answered(Box<Answer>),
-    /// An answer to something else was skipped.
+    /// A response that doesn't belong to the outstanding request was skipped.
     Skipped,
     /// The connection can't be used any more.
     Broken(ClientFault),
 }
 
-/// The request that waits for an answer.
+/// The outstanding request, as far as it is needed to recognise and read its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// Its method: answers to `HEAD` have no body.
+    /// Method of the request. Responses to `HEAD` have no body.
     pub method: String,
-    /// Its id, and the field in which answers repeat it; `None` where the protocol has no ids.
+    /// Id that the response must repeat; `None` where the protocol has no request ids.
     pub id: Option<ExpectedId>,
 }
 
-/// How an answer shows which request it belongs to.
+/// The header field that ties a response to its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedId {
-    /// Name of the field.
+    /// Name of the header field.
     pub field: &'static str,
-    /// Value that the answer must repeat.
+    /// Value that the field must have in the response.
     pub value: Vec<u8>,
 }
 
+/// A response whose head has been read and whose body is being read.
 #[derive(Debug)]
-struct PendingAnswer {
+struct PendingResponse {
     head: ResponseHead,
     decoder: BodyDecoder,
     body: Vec<u8>,
@@ -78,38 +79,39 @@
     is_close_delimited: bool,
 }
 
-/// Reads answers from one connection.
+/// Reads the responses of one connection.
 #[derive(Debug)]
 pub struct ClientConnection {
     input: Vec<u8>,
-    pending: Option<Box<PendingAnswer>>,
+    pending: Option<Box<PendingResponse>>,
     expected: Option<Expected>,
     max_body: usize,
-    seen_close: bool,
+    peer_closed: bool,
 }
 
 impl ClientConnection {
-    /// A connection whose answers have bodies of at most `max_body` bytes.
+    /// Creates the state of a new connection; response bodies of more than `max_body` bytes are refused.
     pub fn new(max_body: usize) -> Self {
-        ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, seen_close: false }
+        ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, peer_closed: false }
     }
 
-    /// Notes that a request was sent.
+    /// Sets the outstanding request. Called when a request is sent.
     pub fn expect(&mut self, expected: Expected) {
         self.expected = Some(expected);
     }
 
-    /// Whether a request waits for its answer.
+    /// Whether a request is outstanding.
     pub fn is_waiting(&self) -> bool {
         self.expected.is_some()
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes to the input buffer.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Looks for the next whole answer. Call until it needs more.
+    /// Reads the next response from the buffered bytes. Must be called until it returns [`ClientProgress::NeedMore`] or
+    /// [`ClientProgress::Broken`].
     pub fn advance(&mut self) -> ClientProgress {
         if self.pending.is_none() {
             match self.read_head() {
@@ -121,9 +123,9 @@
         self.read_body()
     }
 
-    /// The peer closed its side cleanly.
+    /// Handles a clean close by the peer; it completes a response whose body ends with the connection.
     pub fn on_close(&mut self) -> ClientProgress {
-        self.seen_close = true;
+        self.peer_closed = true;
         match self.pending.take() {
             Some(pending) if pending.decoder.ends_at_close() => self.finish(*pending),
             Some(_) => ClientProgress::Broken(ClientFault::Truncated),
@@ -139,21 +141,21 @@
             }
             let (head, length) = match ResponseHead::parse(&self.input) {
                 Ok(Some(parsed)) => parsed,
-                Ok(None) if self.input.len() > MAX_ANSWER_HEAD => return Err(ClientFault::TooLong),
+                Ok(None) if self.input.len() > MAX_RESPONSE_HEAD => return Err(ClientFault::TooLong),
                 Ok(None) => return Ok(false),
                 Err(_) => return Err(ClientFault::Malformed),
             };
             self.consume(length);
-            let is_interim = head.status < 200 && head.status != 101;
-            if is_interim {
+            let is_informational = head.status < 200 && head.status != 101;
+            if is_informational {
                 continue;
             }
-            self.pending = Some(Box::new(self.begin(head)?));
+            self.pending = Some(Box::new(self.start_response(head)?));
             return Ok(true);
         }
     }
 
-    fn begin(&self, head: ResponseHead) -> Result<PendingAnswer, ClientFault> {
+    fn start_response(&self, head: ResponseHead) -> Result<PendingResponse, ClientFault> {
         let is_expected = self.expected.as_ref().is_some_and(|expected| expected.matches(&head));
         let method = match &self.expected {
             Some(expected) if is_expected => expected.method.as_str(),
@@ -162,7 +164,7 @@
         let framing = Framing::of_response(&head, method).map_err(|_| ClientFault::Malformed)?;
         let decoder = BodyDecoder::new(framing, self.max_body).map_err(|_| ClientFault::TooLong)?;
         let is_close_delimited = framing == Framing::UntilClose;
-        Ok(PendingAnswer { head, decoder, body: Vec::new(), is_expected, is_close_delimited })
+        Ok(PendingResponse { head, decoder, body: Vec::new(), is_expected, is_close_delimited })
     }
 
     fn read_body(&mut self) -> ClientProgress {
@@ -182,24 +184,24 @@
         self.finish(*pending)
     }
 
-    fn finish(&mut self, pending: PendingAnswer) -> ClientProgress {
+    fn finish(&mut self, pending: PendingResponse) -> ClientProgress {
         if !pending.is_expected {
-            // Whoever closes after an unasked answer leaves the waiting request unanswered.
-            if self.seen_close || pending.is_close_delimited || !pending.head.keeps_alive() {
+            // A peer that closes after a response to another request leaves the outstanding request unanswered.
+            if self.peer_closed || pending.is_close_delimited || !pending.head.keeps_alive() {
                 return ClientProgress::Broken(ClientFault::ClosedUnanswered);
             }
             return ClientProgress::Skipped;
         }
         self.expected = None;
-        let is_reusable = pending.head.keeps_alive() && !pending.is_close_delimited && !self.seen_close;
+        let is_reusable = pending.head.keeps_alive() && !pending.is_close_delimited && !self.peer_closed;
         ClientProgress::Answered(Box::new(Answer { head: pending.head, body: pending.body, is_reusable }))
     }
 
     fn consume(&mut self, count: usize) {
         if count == self.input.len() {
             self.input.clear();
-            // A buffer that one long answer made large isn't kept for the short ones.
-            if self.input.capacity() > KEPT_BUFFER {
+            // A buffer that has grown for one long response isn't kept for the short ones.
+            if self.input.capacity() > MAX_KEPT_BUFFER {
                 self.input = Vec::new();
             }
         } else {
@@ -209,7 +211,7 @@
 }
 
 impl Expected {
-    /// Whether an answer belongs to this request. Where ids are used, one without an id is nobody's.
+    /// Whether a response belongs to this request. Where ids are used, a response without an id belongs to none.
     fn matches(&self, head: &ResponseHead) -> bool {
         match &self.id {
             Some(id) => head.headers.first(id.field).is_some_and(|value| value.trim_ascii() == id.value),
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other about the fleet itself, as encoded bytes.
+//! Snapshots of the encoded messages of the cluster protocol.
 
 mod notation;
 mod pinning;
@@ -6,8 +6,8 @@
 use pinning::pin;
 use staircross_cluster::membership::{Fingerprints, IdSpan, MembershipMessage};
 use staircross_cluster::published::PublishedMessage;
-use staircross_cluster::replicas::{ReplicaMessage, SessionCopy};
-use staircross_cluster::views::{SpreadEvidence, ViewMessage, ViewRecord, ViewVersion};
+use staircross_cluster::replicas::{SessionCopy, SessionCopyMessage};
+use staircross_cluster::views::{GossipedEvidence, ViewMessage, ViewRecord, ViewVersion};
 use staircross_cluster::{ClusterMessage, Envelope, Member, MemberState};
 use staircross_config::PlatformDocument;
 use staircross_types::{NodeId, SearcherId, SearcherIncarnation, SessionToken, Snapshot, ZoneName};
@@ -29,7 +29,7 @@
         from: SENDER,
         from_address: address("10.0.0.1:7101"),
         to,
-        // Isn't sent, and is read back as this.
+        // The address isn't encoded, and is decoded as this one.
         to_address: address("0.0.0.0:0"),
         message,
     };
@@ -48,7 +48,7 @@
     envelope_to(Some(RECEIVER), ClusterMessage::Views(message))
 }
 
-fn replica(message: ReplicaMessage) -> PeerMessage {
+fn session_copy(message: SessionCopyMessage) -> PeerMessage {
     envelope_to(Some(RECEIVER), ClusterMessage::Replica(message))
 }
 
@@ -105,7 +105,7 @@
     insta::assert_snapshot!(pins.join("\n"));
 }
 
-/// A document with every key.
+/// A document that sets every key.
 const DOCUMENT: &str = r#"{
     "revision": 12,
     "services": [{
@@ -147,14 +147,14 @@
     insta::assert_snapshot!(pins.join("\n"));
 }
 
-fn record(evidence: Option<SpreadEvidence>) -> ViewRecord {
+fn record(evidence: Option<GossipedEvidence>) -> ViewRecord {
     ViewRecord { searcher: SearcherId(9), evidence, leaving: true, version: 300, origin: SENDER }
 }
 
 #[test]
 fn searcher_views_are_pinned() {
     let snapshots = vec![Snapshot { version: 7, epoch: 300, build: 70_000 }];
-    let evidence = SpreadEvidence { incarnation: SearcherIncarnation(77), snapshots };
+    let evidence = GossipedEvidence { incarnation: SearcherIncarnation(77), snapshots };
     let records = vec![record(Some(evidence)), record(None)];
     let versions = vec![ViewVersion { searcher: SearcherId(9), version: 300 }];
     let pins = [
@@ -170,13 +170,13 @@
     let token = TOKEN;
     let copy = SessionCopy { version: 4, holder: SENDER, state: vec![1, 2, 255] };
     let pins = [
-        pin("store", &replica(ReplicaMessage::Store { token, copy: copy.clone() })),
-        pin("stored", &replica(ReplicaMessage::Stored { token, version: 4, is_overtaken: true })),
-        pin("fetch", &replica(ReplicaMessage::Fetch { token, ask: 8 })),
-        pin("fetched", &replica(ReplicaMessage::Fetched { token, ask: 8, copy: Some(copy) })),
-        pin("fetched nothing", &replica(ReplicaMessage::Fetched { token, ask: 8, copy: None })),
-        pin("forget", &replica(ReplicaMessage::Forget { token })),
-        pin("moved", &replica(ReplicaMessage::Moved { token })),
+        pin("store", &session_copy(SessionCopyMessage::Store { token, copy: copy.clone() })),
+        pin("stored", &session_copy(SessionCopyMessage::Stored { token, version: 4, is_overtaken: true })),
+        pin("fetch", &session_copy(SessionCopyMessage::Fetch { token, ask: 8 })),
+        pin("fetched", &session_copy(SessionCopyMessage::Fetched { token, ask: 8, copy: Some(copy) })),
+        pin("fetched nothing", &session_copy(SessionCopyMessage::Fetched { token, ask: 8, copy: None })),
+        pin("forget", &session_copy(SessionCopyMessage::Forget { token })),
+        pin("moved", &session_copy(SessionCopyMessage::Moved { token })),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
--- a/crates/staircross-wire/tests/pinned_handshake.rs
+++ b/crates/staircross-wire/tests/pinned_handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake's frames, a frame and a datagram, as bytes.
+//! Snapshots of the encoded frames of a handshake, of a frame and of a datagram.
 
 mod notation;
 
@@ -9,25 +9,25 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A stream that keeps what is written to it.
-struct Kept {
+/// A stream that records the bytes written to it.
+struct RecordingStream {
     stream: UnixStream,
     written: Vec<u8>,
 }
 
-impl Kept {
+impl RecordingStream {
     fn new(stream: UnixStream) -> Self {
-        Kept { stream, written: Vec::new() }
+        RecordingStream { stream, written: Vec::new() }
     }
 }
 
-impl Read for Kept {
+impl Read for RecordingStream {
     fn read(&mut self, buf: &mut [u8]) -> std::io::Result<usize> {
         self.stream.read(buf)
     }
 }
 
-impl Write for Kept {
+impl Write for RecordingStream {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         let count = self.stream.write(buf)?;
         self.written.extend_from_slice(&buf[..count]);
@@ -48,7 +48,7 @@
     PeerMessage::Cancel { from: NodeId(3), attempt: AttemptId { request, attempt: 7 } }
 }
 
-/// Frames as their lengths, trees and bytes.
+/// Renders each frame as the notation of its body, and its length prefix and body in hexadecimal.
 fn frames(name: &str, mut bytes: &[u8]) -> String {
     let mut text = String::new();
     while let Some((prefix, rest)) = bytes.split_first_chunk::<4>() {
@@ -63,12 +63,12 @@
 fn handshake_is_pinned() {
     let (near, far) = UnixStream::pair().expect("a pair");
     let accepting = std::thread::spawn(move || {
-        let mut stream = Kept::new(far);
+        let mut stream = RecordingStream::new(far);
         let node = accept(&mut stream, &key(), 0x22).expect("accepts");
         assert_eq!(node, NodeId(42));
         stream.written
     });
-    let mut stream = Kept::new(near);
+    let mut stream = RecordingStream::new(near);
     connect(&mut stream, &key(), NodeId(42), 0x11).expect("connects");
     let accepted = accepting.join().expect("ends");
     insta::assert_snapshot!(frames("connector", &stream.written) + &frames("acceptor", &accepted));
--- a/crates/staircross/src/explain.rs
+++ b/crates/staircross/src/explain.rs
@@ -1,15 +1,17 @@
-//! `staircross explain`: one request's way through the logs of gateway nodes.
+//! `staircross explain`: the timeline of one request from the logs of gateway nodes.
 //!
-//! Beside the request's own lines it shows what the node believed at that time and how old that was:
-//! the configuration, the store's state, its load, and the entries of the searchers that are named.
+//! In addition to the request's own log lines, the timeline shows the state that the node had at that time and its
+//! age: the configuration, the state of the store, the load, and the entries of the searchers that the request's lines
+//! name.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::flags;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// A belief this much older than the request's first line is still shown if it is the last of its kind.
-const BELIEFS: &[&str] = &[
+/// Events that state what the node knows. The last event of each kind before the request's end is shown, however old
+/// it is, with the exceptions in [`last_state_events`].
+const STATE_EVENTS: &[&str] = &[
     "configuration",
     "configuration_view",
     "searchers",
@@ -24,26 +26,27 @@
     "suspicion",
     "alarm",
 ];
-/// Field of a line on a store's lane, a group of services or a content: the last word of each counts.
-const SUBJECTS: &[&str] = &["lane", "group", "content", "route"];
-/// Value of `level` where a group is limited no more.
-const UNLIMITED: &str = "1.00";
+/// Fields that name the subject of an event: a lane of the store, a group of services, a content or a route. The last
+/// event of each subject is shown.
+const SUBJECT_FIELDS: &[&str] = &["lane", "group", "content", "route"];
+/// Value of `level` in an `admission` event when a group is no longer limited.
+const UNLIMITED_LEVEL: &str = "1.00";
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Seconds on the node's own clock.
+    /// Time of the event in seconds, on the node's own clock.
     pub time: f64,
-    /// The node.
+    /// Name of the node that wrote the line.
     pub node: String,
-    /// What happened.
+    /// Kind of the event.
     pub event: String,
-    /// All further fields, in order.
+    /// Names and values of the other fields, in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its time is passed over. `None` when it is no such line.
+    /// Parses a line; text before its time field is ignored. Returns `None` if it isn't a line of a node's log.
     pub fn parse(text: &str) -> Option<LogLine> {
         let start = text.find("t=").filter(|start| *start == 0 || text.as_bytes()[start - 1] == b' ')?;
         let mut fields = text[start..].split_whitespace().filter_map(|word| word.split_once('='));
@@ -54,11 +57,12 @@
         Some(LogLine { time, node, event, fields })
     }
 
-    /// Value of a field.
+    /// Value of the field named `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 
+    /// Renders the line with its time in milliseconds since `since`, and without the field `request`.
     fn render(&self, since: f64) -> String {
         let fields: Vec<String> = self
             .fields
@@ -70,23 +74,23 @@
     }
 }
 
-/// Runs `explain`.
-pub fn run(command: &flags::Explain) -> Result<Verdict, String> {
+/// Runs `explain`: prints the timeline, and fails if no line names the request.
+pub fn run(command: &flags::Explain) -> Result<CommandOutcome, String> {
     let text =
         std::fs::read_to_string(&command.file).map_err(|error| format!("{}: {error}", command.file.display()))?;
     match explain(&text, &command.request) {
         Some(report) => {
             print!("{report}");
-            Ok(Verdict::Done)
+            Ok(CommandOutcome::Done)
         }
         None => {
-            println!("{}", nothing_found(&command.file, &command.request));
-            Ok(Verdict::Failed)
+            println!("{}", not_found_message(&command.file, &command.request));
+            Ok(CommandOutcome::Failed)
         }
     }
 }
 
-fn nothing_found(file: &Path, request: &str) -> String {
+fn not_found_message(file: &Path, request: &str) -> String {
     format!(
         "{}: no line names request {request}; it may not have reached a node (see the caller), its node may have \
          died or stalled before it wrote, or lines were held back (look for event=lines_held_back)",
@@ -94,7 +98,7 @@
     )
 }
 
-/// The timeline of a request, or `None` when no line names it.
+/// Renders the timeline of a request at each node; `None` if no line names the request.
 pub fn explain(text: &str, request: &str) -> Option<String> {
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     let nodes: BTreeSet<&str> =
@@ -102,41 +106,44 @@
     if nodes.is_empty() {
         return None;
     }
-    let parts = nodes.into_iter().map(|node| explain_at(&lines, node, request));
+    let parts = nodes.into_iter().map(|node| render_node_timeline(&lines, node, request));
     Some(parts.collect())
 }
 
-fn explain_at(lines: &[LogLine], node: &str, request: &str) -> String {
-    let here = lines_of_run(lines, node, request);
-    let own: Vec<&LogLine> = here.iter().copied().filter(|line| line.get("request") == Some(request)).collect();
-    let arrived = own.iter().map(|line| arrival_of(line)).fold(f64::INFINITY, f64::min);
-    let ended = own.iter().map(|line| line.time).fold(arrived, f64::max);
+/// Renders the timeline of a request at one node.
+fn render_node_timeline(lines: &[LogLine], node: &str, request: &str) -> String {
+    let run_lines = lines_of_run(lines, node, request);
+    let request_lines: Vec<&LogLine> =
+        run_lines.iter().copied().filter(|line| line.get("request") == Some(request)).collect();
+    let arrived_at = request_lines.iter().map(|line| arrival_time(line)).fold(f64::INFINITY, f64::min);
+    let ended_at = request_lines.iter().map(|line| line.time).fold(arrived_at, f64::max);
     let mut report = format!("request {request} at {node}\n\nwhat the node believed when it arrived\n");
-    let content = own.iter().find_map(|line| line.get("content"));
-    for belief in last_beliefs(&here, arrived, ended, content) {
-        report.push_str(&format!("{}\n", belief.render(arrived)));
+    let content = request_lines.iter().find_map(|line| line.get("content"));
+    for state_event in last_state_events(&run_lines, arrived_at, ended_at, content) {
+        report.push_str(&format!("{}\n", state_event.render(arrived_at)));
     }
     report.push_str("\nwhat it decided\n");
-    for line in &own {
-        report.push_str(&format!("{}\n", line.render(arrived)));
+    for line in &request_lines {
+        report.push_str(&format!("{}\n", line.render(arrived_at)));
     }
-    let named = named_searchers(&own);
-    if !named.is_empty() {
+    let instances = named_searchers(&request_lines);
+    if !instances.is_empty() {
         report.push_str("\nwhat it knew of the searchers named\n");
     }
-    for instance in named {
-        match here.iter().rfind(|line| line.time <= ended && line.get("instance") == Some(instance.as_str())) {
-            Some(entry) => report.push_str(&format!("{}\n", entry.render(arrived))),
-            None => report.push_str(&entry_among_many(&here, ended, &instance)),
+    for instance in instances {
+        match run_lines.iter().rfind(|line| line.time <= ended_at && line.get("instance") == Some(instance.as_str())) {
+            Some(entry) => report.push_str(&format!("{}\n", entry.render(arrived_at))),
+            None => report.push_str(&describe_unlogged_searcher(&run_lines, ended_at, &instance)),
         }
     }
     report.push('\n');
     report
 }
 
-/// A searcher without a line of its own was learned of together with others.
-fn entry_among_many(here: &[&LogLine], ended: f64, instance: &str) -> String {
-    match here.iter().find(|line| line.time <= ended && line.event == "searchers") {
+/// Describes a searcher that has no log line of its own. If the node had logged by the request's end that it learned
+/// of several searchers at once, the searcher may be one of them.
+fn describe_unlogged_searcher(run_lines: &[&LogLine], ended_at: f64, instance: &str) -> String {
+    match run_lines.iter().find(|line| line.time <= ended_at && line.event == "searchers") {
         Some(listing) => {
             let (changed, source) = (listing.get("changed").unwrap_or("?"), listing.get("source").unwrap_or("?"));
             format!(
@@ -148,7 +155,8 @@
     }
 }
 
-/// Lines of the one run of the node that the request came to: clocks of two runs can't be compared.
+/// Lines of the run of the node that received the request. Other runs are left out because the clocks of two runs can't
+/// be compared.
 fn lines_of_run<'a>(lines: &'a [LogLine], node: &str, request: &str) -> Vec<&'a LogLine> {
     let mut run: Vec<&LogLine> = Vec::new();
     let mut is_found = false;
@@ -165,33 +173,40 @@
     run
 }
 
-/// When the request arrived, as a line of it tells: its own time less what it says has passed.
-fn arrival_of(line: &LogLine) -> f64 {
-    let passed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
-    line.time - passed.unwrap_or(0.0) / 1000.0
+/// Arrival time of the request: the time of one of its lines minus the elapsed time that the line states.
+fn arrival_time(line: &LogLine) -> f64 {
+    let elapsed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
+    line.time - elapsed.unwrap_or(0.0) / 1000.0
 }
 
-/// The last word of each kind before the request's end, oldest first.
-fn last_beliefs<'a>(here: &[&'a LogLine], arrived: f64, ended: f64, content: Option<&str>) -> Vec<&'a LogLine> {
+/// The last event of each kind and subject before the request's end, oldest first.
+fn last_state_events<'a>(
+    run_lines: &[&'a LogLine],
+    arrived_at: f64,
+    ended_at: f64,
+    content: Option<&str>,
+) -> Vec<&'a LogLine> {
     let mut last: BTreeMap<String, &LogLine> = BTreeMap::new();
-    for line in here.iter().filter(|line| BELIEFS.contains(&line.event.as_str()) && line.time <= ended) {
-        let subject = SUBJECTS.iter().find_map(|field| line.get(field)).unwrap_or_default();
+    for line in run_lines.iter().filter(|line| STATE_EVENTS.contains(&line.event.as_str()) && line.time <= ended_at) {
+        let subject = SUBJECT_FIELDS.iter().find_map(|field| line.get(field)).unwrap_or_default();
         last.insert(format!("{} {subject}", line.event), line);
     }
-    // A late wake-up long ago says nothing, nor does a limit that is lifted, nor what is thought of another content.
-    let is_telling = |line: &&LogLine| match line.event.as_str() {
-        "woke_late" => arrived - line.time < 5.0,
-        "admission" => line.get("level") != Some(UNLIMITED),
+    // Left out: a late wake-up five seconds or more before the request, a lifted limit, the suspicion of another
+    // content, and a cleared alarm.
+    let is_relevant = |line: &&LogLine| match line.event.as_str() {
+        "woke_late" => arrived_at - line.time < 5.0,
+        "admission" => line.get("level") != Some(UNLIMITED_LEVEL),
         "suspicion" => line.get("content") == content,
         "alarm" => line.get("raised") == Some("true"),
         _ => true,
     };
-    let mut beliefs: Vec<&LogLine> = last.into_values().filter(is_telling).collect();
-    beliefs.sort_by(|left, right| left.time.total_cmp(&right.time));
-    beliefs
+    let mut state_events: Vec<&LogLine> = last.into_values().filter(is_relevant).collect();
+    state_events.sort_by(|left, right| left.time.total_cmp(&right.time));
+    state_events
 }
 
-fn named_searchers(own: &[&LogLine]) -> BTreeSet<String> {
-    let lists = own.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
+/// Instances of the searchers that the request's lines name.
+fn named_searchers(request_lines: &[&LogLine]) -> BTreeSet<String> {
+    let lists = request_lines.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
     lists.flat_map(|list| list.split(',')).filter(|name| !name.is_empty()).map(str::to_owned).collect()
 }
--- a/crates/staircross/src/run_node.rs
+++ b/crates/staircross/src/run_node.rs
@@ -1,6 +1,6 @@
-//! `staircross node`: runs a node until it is told to stop.
+//! `staircross node`: runs a node until a signal stops it.
 
-use crate::Verdict;
+use crate::CommandOutcome;
 use crate::check::read_settings;
 use crate::flags;
 use crate::query::parse_address;
@@ -11,27 +11,28 @@
 use staircross_types::ZoneName;
 use std::time::Duration;
 
-/// How often a stopping node looks whether it is done.
-const DONE_CHECK: Duration = Duration::from_millis(20);
+/// Time between checks for signals and for the end of a stop.
+const DONE_CHECK_EVERY: Duration = Duration::from_millis(20);
 
-/// Runs `node`.
-pub fn run(command: &flags::Node) -> Result<Verdict, String> {
-    let settings = settings_of(command)?;
+/// Runs `node`. SIGTERM or SIGINT begins a planned stop.
+pub fn run(command: &flags::Node) -> Result<CommandOutcome, String> {
+    let settings = load_settings(command)?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|error| format!("signals: {error}"))?;
     let node = Node::start(settings).map_err(|error| error.to_string())?;
     println!("node {}", node.id());
     while !node.is_done() {
         if signals.pending().next().is_some() {
-            // A second signal changes nothing: what is in flight still finishes.
+            // A second signal changes nothing: requests in flight still finish.
             node.begin_stop();
         }
-        std::thread::sleep(DONE_CHECK);
+        std::thread::sleep(DONE_CHECK_EVERY);
     }
     node.wait();
-    Ok(Verdict::Done)
+    Ok(CommandOutcome::Done)
 }
 
-fn settings_of(command: &flags::Node) -> Result<Settings, String> {
+/// Reads the settings file, replaces what the flags override, and checks the result.
+fn load_settings(command: &flags::Node) -> Result<Settings, String> {
     let mut settings = read_settings(&command.settings)?;
     if let Some(listen) = &command.listen {
         settings.node.listen = parse_address("--listen", listen)?;
