--- a/crates/session/staircross-config/src/document.rs
+++ b/crates/session/staircross-config/src/document.rs
@@ -1,4 +1,4 @@
-//! What the platform publishes: a revisioned service document and a lagging machine list.
+//! What the platform publishes: a service document with a revision, and a machine list that lags behind the machines.
 
 use crate::invalid::InvalidSetting;
 use crate::service::{SearcherDefinition, ServiceDefinition};
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The platform's service document.
+/// The platform's service document, which defines all services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformDocument {
-    /// Rises with each change; a lower one is never taken over a higher one.
+    /// Number that rises with each change. A document never replaces one of a higher revision.
     pub revision: u64,
     /// All services.
     pub services: Vec<ServiceDefinition>,
@@ -21,12 +21,12 @@
 }
 
 impl PlatformDocument {
-    /// A document with these services, none of whose searchers is drained.
+    /// Creates a document with these services, without drained searchers.
     pub fn new(revision: u64, services: Vec<ServiceDefinition>) -> Self {
         PlatformDocument { revision, services, drained: BTreeSet::new() }
     }
 
-    /// Reads a document from JSON and checks it; `origin` names the source in errors.
+    /// Parses a document from JSON and checks it. `origin` names the source in errors.
     pub fn from_json(origin: &str, text: &str) -> Result<Self, InvalidSetting> {
         let document: PlatformDocument = serde_json::from_str(text)
             .map_err(|error| InvalidSetting::Unreadable { origin: origin.to_owned(), reason: error.to_string() })?;
@@ -34,7 +34,8 @@
         Ok(document)
     }
 
-    /// Checks every service, that names occur once, and that a searcher is the same wherever it is listed.
+    /// Checks every service, that no service name occurs twice, and that a searcher that several services list is defined
+    /// the same in each.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let mut names = BTreeSet::new();
         let mut searchers: BTreeMap<SearcherId, &SearcherDefinition> = BTreeMap::new();
@@ -56,13 +57,13 @@
     }
 }
 
-/// State of a machine in the platform's list.
+/// State of a machine according to the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// In service.
+    /// The machine is in service.
     Live,
-    /// About to go.
+    /// The machine is about to be taken out of service.
     Leaving,
 }
 
@@ -70,16 +71,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineEntry {
-    /// Where the machine's process listens.
+    /// Address at which the process of the machine listens.
     pub address: SocketAddr,
-    /// Its state; it lags.
+    /// State of the machine. It may be out of date.
     pub state: MachineState,
 }
 
-/// The platform's list of machines. It lags and is a hint only, except that `leaving` counts.
+/// The platform's list of machines. It may be out of date and is only a hint, except that a machine listed as leaving
+/// is treated as leaving.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineList {
-    /// All machines known to the platform.
+    /// All machines that the platform knows.
     pub machines: Vec<MachineEntry>,
 }
--- a/crates/session/staircross-config/src/edit.rs
+++ b/crates/session/staircross-config/src/edit.rs
@@ -1,7 +1,7 @@
 //! Operators' edits of the platform's document.
 //!
-//! Nothing here puts anything in force: an edit makes a new document, checked as a whole, for the
-//! operator to publish. A node follows the platform only.
+//! An edit creates a new document, which is checked as a whole and has to be published on the platform by the operator.
+//! It doesn't come into force before, because nodes take their configuration only from the platform.
 
 use crate::document::PlatformDocument;
 use crate::invalid::InvalidSetting;
@@ -9,50 +9,50 @@
 use quick_error::quick_error;
 use staircross_types::{SearcherId, ServiceName};
 
-/// One edit.
+/// One edit of the service document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceEdit {
-    /// A new service over the searchers and shards of another.
+    /// Creates a service with the searchers and shard maps of another service.
     Create {
-        /// Its name.
+        /// Name of the new service.
         service: ServiceName,
-        /// The other.
+        /// Name of the other service.
         like: ServiceName,
-        /// What differs.
+        /// Policy values that differ from the other service's.
         policy: PolicyChange,
     },
-    /// New policy values.
+    /// Changes the policy of a service.
     Alter {
-        /// Of which service.
+        /// Name of the service.
         service: ServiceName,
-        /// The values.
+        /// The new policy values.
         policy: PolicyChange,
     },
-    /// Remove a service.
+    /// Removes a service.
     Drop {
-        /// Which.
+        /// Name of the service.
         service: ServiceName,
     },
-    /// Give a searcher no new work.
+    /// Drains a searcher, which gets no new work from then on.
     Drain {
-        /// Which.
+        /// Id of the searcher.
         searcher: SearcherId,
     },
 }
 
 quick_error! {
-    /// Why an edit can't be made.
+    /// Why an edit is refused.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum EditError {
-        /// The document has another revision than the edit is based on.
+        /// The document's revision is not the one that the edit is based on.
         Conflict { based_on: u64, revision: u64 } {
             display("based on revision {based_on}, but {revision} is in force")
         }
-        /// No service has the name.
+        /// No service has this name.
         UnknownService { name: String } {
             display("no service is named {name}")
         }
-        /// No service lists the searcher.
+        /// No service lists this searcher.
         UnknownSearcher { id: SearcherId } {
             display("no service lists searcher {id}")
         }
@@ -65,7 +65,8 @@
 }
 
 impl PlatformDocument {
-    /// The document after an edit, with the next revision. `based_on`, if given, must be this one's.
+    /// Returns the document after an edit, with the next revision. Fails if `based_on` is given and isn't the revision of
+    /// this document.
     pub fn edited(&self, edit: &ServiceEdit, based_on: Option<u64>) -> Result<PlatformDocument, EditError> {
         if let Some(based_on) = based_on.filter(|based_on| *based_on != self.revision) {
             return Err(EditError::Conflict { based_on, revision: self.revision });
--- a/crates/session/staircross-config/src/invalid.rs
+++ b/crates/session/staircross-config/src/invalid.rs
@@ -1,16 +1,16 @@
-//! The one error of configuration checks.
+//! The error that all configuration checks return.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A setting or definition that can't be accepted.
+    /// A setting or definition that is not accepted.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidSetting {
-        /// A value is outside what is allowed.
+        /// The value of a key is not allowed.
         Value { key: String, value: String, allowed: String } {
             display("{key}: {value} is not allowed; allowed: {allowed}")
         }
-        /// The text can't be read as settings at all.
+        /// The text can't be parsed. `origin` names its source.
         Unreadable { origin: String, reason: String } {
             display("{origin}: {reason}")
         }
@@ -18,7 +18,7 @@
 }
 
 impl InvalidSetting {
-    /// Builds the error for `key`, which holds `value` where only `allowed` may stand.
+    /// Builds the error for `key`, whose `value` is not among those that `allowed` describes.
     pub fn value(key: impl Into<String>, value: impl ToString, allowed: impl Into<String>) -> Self {
         InvalidSetting::Value { key: key.into(), value: value.to_string(), allowed: allowed.into() }
     }
--- a/crates/session/staircross-config/src/lib.rs
+++ b/crates/session/staircross-config/src/lib.rs
@@ -1,12 +1,12 @@
-//! Configuration: what operators declare and how it is checked.
+//! Configuration: the settings and definitions that operators write, and their checks.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`service`] | service definitions and their request policy |
-//! | [`document`] | the platform's document and machine list |
-//! | [`edit`] | operators' edits: from one document to the next |
-//! | [`settings`] | a node's own settings file |
-//! | [`invalid`] | the error that names key, value and what is allowed |
+//! | [`service`] | service definitions and how their requests are treated |
+//! | [`document`] | the platform's service document and machine list |
+//! | [`edit`] | operators' edits of the service document |
+//! | [`settings`] | the settings file of a node |
+//! | [`invalid`] | the error that names the key, its value and the allowed values |
 
 pub mod document;
 pub mod edit;
--- a/crates/session/staircross-config/src/service.rs
+++ b/crates/session/staircross-config/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: which searchers they have and how their requests may be treated.
+//! Definitions of services: their searchers, their shard maps and how their requests are treated.
 
 use crate::invalid::{InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a service prefers when it can't have both.
+/// Whether a service prefers complete answers or early ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Wait until the wait bound for the last shards.
+    /// Waits for all shards until the wait bound.
     Coverage,
-    /// Answer as soon as the least coverage is reached and the rest is unlikely to come soon.
+    /// Answers once the least coverage is reached and the other shards are late.
     Latency,
 }
 
-/// How the requests of one service may be treated.
+/// How the requests of one service are treated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServicePolicy {
@@ -25,13 +25,14 @@
     pub wait_ms: u64,
     /// Least acceptable coverage, in shards per thousand.
     pub least_coverage_per_mille: u32,
-    /// What to prefer.
+    /// Whether complete or early answers are preferred.
     pub priority: Priority,
-    /// Whether a request may be sent twice. Services with `false` take actions only.
+    /// Whether a request may be executed more than once. A repeatable service takes only searches, any other only
+    /// actions.
     pub repeatable: bool,
-    /// Most hedges, per thousand primary sub-requests.
+    /// Upper bound of hedges per thousand primary sub-requests.
     pub hedge_per_mille: u32,
-    /// Most retries, per thousand primary sub-requests.
+    /// Upper bound of retries per thousand primary sub-requests.
     pub retry_per_mille: u32,
 }
 
@@ -48,16 +49,17 @@
     }
 }
 
-/// Longest wait bound a service may declare.
+/// Longest wait bound that a service may have, in milliseconds.
 const MAX_WAIT_MS: u64 = 600_000;
 
 impl ServicePolicy {
-    /// The wait bound.
+    /// Returns the wait bound.
     pub fn wait(&self) -> Duration {
         Duration::from_millis(self.wait_ms)
     }
 
-    /// Checks every value; `prefix` names the policy in errors.
+    /// Checks every value, and that a service whose requests aren't repeatable allows no hedges and retries. `prefix` is
+    /// the key of the policy in errors.
     pub fn check(&self, prefix: &str) -> Result<(), InvalidSetting> {
         check_range(&format!("{prefix}.wait_ms"), self.wait_ms, 1..=MAX_WAIT_MS)?;
         check_range(&format!("{prefix}.least_coverage_per_mille"), self.least_coverage_per_mille, 0..=1000)?;
@@ -72,7 +74,7 @@
         Ok(())
     }
 
-    /// Applies a change and returns the new policy.
+    /// Returns the policy with the values that `change` sets.
     pub fn with(&self, change: &PolicyChange) -> ServicePolicy {
         ServicePolicy {
             wait_ms: change.wait_ms.unwrap_or(self.wait_ms),
@@ -85,7 +87,7 @@
     }
 }
 
-/// Values of a policy that an operator sets; the others stay as they are.
+/// Policy values that an operator changes. Those that are `None` stay as they are.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyChange {
     /// New [`ServicePolicy::wait_ms`].
@@ -103,7 +105,7 @@
 }
 
 impl PolicyChange {
-    /// Takes each value that `later` sets, keeps the others.
+    /// Replaces each value that `later` sets and keeps the others.
     pub fn merge(&mut self, later: &PolicyChange) {
         self.wait_ms = later.wait_ms.or(self.wait_ms);
         self.least_coverage_per_mille = later.least_coverage_per_mille.or(self.least_coverage_per_mille);
@@ -114,44 +116,44 @@
     }
 }
 
-/// One searcher of a service.
+/// Definition of one searcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SearcherDefinition {
-    /// Number of the searcher, unique over all services.
+    /// Id of the searcher. Services that list the same id share the searcher.
     pub id: SearcherId,
-    /// Where it listens.
+    /// Address at which the searcher listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the searcher.
     pub zone: ZoneName,
-    /// The group it belongs to (its deployment).
+    /// Group, that is deployment, that the searcher belongs to.
     pub group: GroupId,
-    /// Sub-requests it runs at once.
+    /// Number of sub-requests that the searcher executes at once.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Number of connections that the searcher accepts.
     pub connections: u32,
 }
 
-/// One service.
+/// Definition of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDefinition {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// How its requests are treated.
+    /// How the requests of the service are treated.
     pub policy: ServicePolicy,
-    /// Its searchers.
+    /// Searchers of the service.
     pub searchers: Vec<SearcherDefinition>,
     /// Shard maps of the snapshots that may be served, in any order.
     pub shard_maps: Vec<ShardMap>,
 }
 
-/// Longest service name.
+/// Longest service name, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// Most slots and connections a searcher may declare.
+/// Most slots, and most connections, that a searcher may have.
 const MAX_SEARCHER_CAPACITY: u32 = 65_535;
 
-/// Checks that `name` can be written in the query language.
+/// Checks that `name` is not too long and is a name of the query language.
 pub fn check_service_name(name: &ServiceName) -> Result<(), InvalidSetting> {
     let text = &name.0;
     let starts_well = text.starts_with(|first: char| first.is_ascii_lowercase());
@@ -164,7 +166,7 @@
 }
 
 impl ServiceDefinition {
-    /// Checks the definition as a whole.
+    /// Checks the name, the policy, the searchers and the shard maps.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         check_service_name(&self.name)?;
         let prefix = format!("services.{}", self.name);
@@ -173,6 +175,7 @@
         self.check_shard_maps(&prefix, &known)
     }
 
+    /// Checks the searchers and returns their ids.
     fn check_searchers(&self, prefix: &str) -> Result<BTreeSet<SearcherId>, InvalidSetting> {
         let mut known = BTreeSet::new();
         for searcher in &self.searchers {
@@ -186,6 +189,7 @@
         Ok(known)
     }
 
+    /// Checks that no snapshot and no shard of a map occurs twice, and that all replicas are in `known`.
     fn check_shard_maps(&self, prefix: &str, known: &BTreeSet<SearcherId>) -> Result<(), InvalidSetting> {
         let mut snapshots = BTreeSet::new();
         for map in &self.shard_maps {
--- a/crates/session/staircross-config/src/settings.rs
+++ b/crates/session/staircross-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's own settings (TOML). Unknown keys are refused.
+//! The settings file of a node, in TOML. Unknown keys are refused.
 
 use crate::invalid::{InvalidSetting, check_range};
 use serde::{Deserialize, Serialize};
@@ -9,31 +9,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who and where the node is.
+    /// Location, addresses and fleet of the node.
     pub node: NodeSettings,
-    /// Where the platform is.
+    /// Address of the platform and how often it is read.
     pub platform: PlatformSettings,
-    /// Bounds.
+    /// Bounds on what callers may use.
     #[serde(default)]
     pub limits: LimitSettings,
 }
 
-/// Who and where the node is.
+/// Location, addresses and fleet of the node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Region of the machine.
+    /// Region that the node's machine is in.
     pub region: String,
-    /// Zone of the machine.
+    /// Zone that the node's machine is in.
     pub zone: ZoneName,
-    /// Address for callers and operators (HTTP).
+    /// Address at which the node listens for callers and operators (HTTP).
     pub listen: SocketAddr,
-    /// Address for other nodes (framed CBOR over TCP).
+    /// Address at which the node listens for other nodes (framed CBOR over TCP).
     pub peer_listen: SocketAddr,
-    /// Peer addresses to join through; they also found the fleet at its first start.
+    /// Addresses of peers through which the node joins the fleet. They also form the fleet at its first start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Name of the fleet; nodes of another name are rejected.
+    /// Name of the fleet. Nodes with another fleet name are rejected.
     pub cluster: String,
     /// Secret that all nodes of the fleet share.
     pub cluster_key: String,
@@ -46,13 +46,13 @@
     "info".to_owned()
 }
 
-/// Where the platform is and how often it is read.
+/// Address of the platform and how often it is read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of its HTTP service.
+    /// Address of the platform's HTTP service.
     pub address: SocketAddr,
-    /// Milliseconds between reads.
+    /// Time between two reads, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
 }
@@ -61,19 +61,19 @@
     1000
 }
 
-/// Bounds on what callers may use up.
+/// Bounds on what callers may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Sessions held at most.
+    /// Most sessions that the node holds.
     pub sessions: usize,
-    /// Caller connections held at most.
+    /// Most connections of callers that the node holds.
     pub caller_connections: usize,
     /// Longest request body, in bytes.
     pub request_bytes: usize,
     /// Longest searcher reply, in bytes.
     pub reply_bytes: usize,
-    /// Time for a caller to send a whole request, in milliseconds.
+    /// Time in which a caller must send a whole request, in milliseconds.
     pub caller_timeout_ms: u64,
 }
 
@@ -89,11 +89,11 @@
     }
 }
 
-/// Least length of the shared secret.
+/// Shortest shared secret that is accepted, in bytes.
 const MIN_KEY_LENGTH: usize = 16;
 
 impl Settings {
-    /// Reads settings from TOML and checks them; `origin` names the source in errors.
+    /// Parses settings from TOML and checks them. `origin` names the source in errors.
     pub fn from_toml(origin: &str, text: &str) -> Result<Self, InvalidSetting> {
         let settings: Settings = toml::from_str(text)
             .map_err(|error| InvalidSetting::Unreadable { origin: origin.to_owned(), reason: error.to_string() })?;
@@ -101,7 +101,7 @@
         Ok(settings)
     }
 
-    /// Checks every value.
+    /// Checks the length of the shared secret, that the two addresses differ, and the ranges of all numbers.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         if self.node.cluster_key.len() < MIN_KEY_LENGTH {
             let allowed = format!("{MIN_KEY_LENGTH} bytes or more");
--- a/crates/session/staircross-config/tests/checks.rs
+++ b/crates/session/staircross-config/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Checks at load name key, value and what is allowed.
+//! Errors of the checks at load, which name the key, its value and the allowed values.
 
 use staircross_config::{PlatformDocument, Settings};
 
--- a/crates/session/staircross-config/tests/edits.rs
+++ b/crates/session/staircross-config/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits: from one document to the next, checked as a whole.
+//! Operators' edits of the service document, each of which is checked as a whole.
 
 use staircross_config::{EditError, PlatformDocument, PolicyChange, ServiceEdit};
 use staircross_types::{SearcherId, ServiceName};
--- a/crates/session/staircross-config/tests/pinned_settings.rs
+++ b/crates/session/staircross-config/tests/pinned_settings.rs
@@ -1,4 +1,5 @@
-//! A settings file of every key as it is read, its defaults, and the errors that list the keys expected.
+//! Snapshots of a settings file with every key, of the defaults, and of the errors for unknown, missing and invalid
+//! keys.
 
 use staircross_config::Settings;
 
--- a/crates/session/staircross-language/src/lib.rs
+++ b/crates/session/staircross-language/src/lib.rs
@@ -1,10 +1,10 @@
-//! The query and command language.
+//! The query and command language: parses text into typed statements.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`statement`] | typed statements |
-//! | [`parse`] | text to statement, by the grammar in `grammar.pest` |
-//! | [`error`] | the error with line, column, what was found and what was expected |
+//! | [`statement`] | the typed statements |
+//! | [`parse`] | the parser, which follows the grammar in `grammar.pest` |
+//! | [`error`] | the error that names the line, the column, what was found and what was expected |
 
 pub mod error;
 pub mod parse;
--- a/crates/session/staircross-language/src/parse.rs
+++ b/crates/session/staircross-language/src/parse.rs
@@ -1,6 +1,6 @@
-//! Turns text into a [`Statement`].
+//! Parses text into a [`Statement`].
 //!
-//! Invariant: every text yields a statement or an error that names a place; nothing panics.
+//! Invariant: parsing any text returns a statement or an error that names a place, and never panics.
 
 use crate::error::LanguageError;
 use crate::statement::{
@@ -17,9 +17,10 @@
 #[grammar = "grammar.pest"]
 struct StatementParser;
 
+/// A node of the parse tree.
 type Node<'text> = Pair<'text, Rule>;
 
-/// Parses one statement; a closing `;` is optional.
+/// Parses one statement, which may end with `;`.
 pub fn parse_statement(text: &str) -> Result<Statement, LanguageError> {
     let mut parsed = StatementParser::parse(Rule::statement, text).map_err(|error| syntax_error(text, error))?;
     let body = parsed.next().and_then(|statement| statement.into_inner().next());
@@ -38,10 +39,12 @@
     }
 }
 
+/// Returns the error for a statement, or a part of one, that is missing from the parse tree.
 fn empty_statement() -> LanguageError {
     LanguageError::Syntax { line: 1, column: 1, found: "end of text".into(), expected: vec!["a statement".into()] }
 }
 
+/// Converts an error of the grammar's parser.
 fn syntax_error(text: &str, error: pest::error::Error<Rule>) -> LanguageError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(place) => place,
@@ -54,7 +57,7 @@
     LanguageError::Syntax { line, column, found: word_at(text, line, column), expected }
 }
 
-/// Returns the word that starts at a place, for an error message.
+/// Returns the word that starts at a place, in backquotes, for an error message.
 fn word_at(text: &str, line: usize, column: usize) -> String {
     let line_text = text.lines().nth(line.saturating_sub(1)).unwrap_or("");
     let rest: String = line_text.chars().skip(column.saturating_sub(1)).collect();
@@ -64,6 +67,7 @@
     }
 }
 
+/// Returns the descriptions of the rules that would have matched, sorted and without duplicates.
 fn expected_names(rules: &[Rule]) -> Vec<String> {
     let mut names: Vec<String> = rules.iter().map(|rule| rule_name(*rule).to_owned()).collect();
     names.sort();
@@ -71,6 +75,7 @@
     names
 }
 
+/// Describes what a rule matches, for error messages.
 fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::statement => "SEARCH, PULL, RUN, SHOW, CREATE, ALTER, DROP or DRAIN",
@@ -217,7 +222,7 @@
     Ok(ConfigStatement { change: ServiceEdit::Drain { searcher }, based_on: tail.based_on })
 }
 
-/// What may stand at the end of each configuration statement.
+/// The optional parts at the end of a configuration statement.
 #[derive(Default)]
 struct ConfigTail {
     policy: PolicyChange,
@@ -235,6 +240,7 @@
     Ok(tail)
 }
 
+/// Reads the assignments of a `SET` part.
 fn policy_change(set: Node<'_>) -> Result<PolicyChange, LanguageError> {
     let mut change = PolicyChange::default();
     for assignment in set.into_inner().flat_map(Pair::into_inner) {
@@ -257,6 +263,7 @@
     }
 }
 
+/// Returns the value of an assignment, as it is written.
 fn last_word(assignment: Node<'_>) -> String {
     assignment.into_inner().next().map_or(String::new(), |word| word.as_str().to_owned())
 }
@@ -265,11 +272,13 @@
     ServiceName::new(node.map_or("", |node| node.as_str()))
 }
 
+/// Returns the words of a quoted text in lower case.
 fn terms(node: Option<Node<'_>>) -> Vec<String> {
     let text = node.map_or(String::new(), unquote);
     text.split_whitespace().map(str::to_lowercase).collect()
 }
 
+/// Returns the content of a quoted text, in which two quotes stand for one.
 fn unquote(text: Node<'_>) -> String {
     text.into_inner().next().map_or(String::new(), |characters| characters.as_str().replace("''", "'"))
 }
@@ -292,6 +301,7 @@
     }
 }
 
+/// Parses a whole number that must not be above `most`.
 fn bounded_number(number: Node<'_>, most: u64) -> Result<u64, LanguageError> {
     match number.as_str().parse::<u64>() {
         Ok(value) if value <= most => Ok(value),
@@ -299,6 +309,7 @@
     }
 }
 
+/// Parses a percentage, which may have one decimal, into parts per thousand.
 fn inner_per_mille(option: Node<'_>) -> Result<u32, LanguageError> {
     let Some(percent) = option.into_inner().next() else {
         return Err(empty_statement());
--- a/crates/session/staircross-language/src/statement.rs
+++ b/crates/session/staircross-language/src/statement.rs
@@ -1,4 +1,4 @@
-//! Typed statements.
+//! The typed statements of the language.
 
 use staircross_config::ServiceEdit;
 use staircross_types::ServiceName;
@@ -6,92 +6,94 @@
 /// One statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Ranked search.
+    /// A ranked search.
     Search(SearchStatement),
-    /// One page of a paged pull.
+    /// One page of a pull, which returns all matching documents page by page.
     Pull(PullStatement),
-    /// A non-repeatable action.
+    /// An action, which must not be executed more than once.
     Run(RunStatement),
-    /// Looking at state.
+    /// A display of state.
     Show(ShowStatement),
-    /// Changing configuration.
+    /// A change of the configuration.
     Config(ConfigStatement),
 }
 
 /// `SEARCH 'terms' IN SERVICE name [WAIT n MS] [COVERAGE p%] [LIMIT n]`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchStatement {
-    /// Terms that must all occur.
+    /// Terms, all of which must occur in a hit.
     pub terms: Vec<String>,
-    /// The service asked.
+    /// The service that is asked.
     pub service: ServiceName,
-    /// Own wait bound in milliseconds; never longer than the service's.
+    /// Wait bound of the request in milliseconds. The service's bound applies too.
     pub wait_ms: Option<u64>,
-    /// Own least coverage per thousand; never below the service's.
+    /// Least coverage of the request, in shards per thousand. The service's least coverage applies too.
     pub coverage_per_mille: Option<u32>,
-    /// Most hits.
+    /// Most hits to return.
     pub limit: u32,
 }
 
-/// `PULL 'terms' IN SERVICE name [AFTER 'cursor'] [LIMIT n]`
+/// `PULL 'terms' IN SERVICE name [AFTER 'cursor'] [WAIT n MS] [LIMIT n]`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PullStatement {
-    /// Terms that must all occur; none pulls everything.
+    /// Terms, all of which must occur in a document. Without terms, all documents are returned.
     pub terms: Vec<String>,
-    /// The service asked.
+    /// The service that is asked.
     pub service: ServiceName,
-    /// Cursor of the page before; `None` starts the pull.
+    /// Cursor that the previous page returned; `None` for the first page.
     pub after: Option<String>,
-    /// Own wait bound in milliseconds.
+    /// Wait bound of the page or action in milliseconds.
     pub wait_ms: Option<u64>,
-    /// Documents per page.
+    /// Most documents of the page.
     pub limit: u32,
 }
 
 /// `RUN verb ON 'target' IN SERVICE name [NOTE 'text'] [WAIT n MS] TICKET 'ticket'`
+///
+/// The grammar accepts the statement without a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunStatement {
-    /// What to do.
+    /// Name of the action.
     pub verb: String,
-    /// The document acted on.
+    /// Document that the action changes.
     pub target: String,
-    /// The service asked.
+    /// The service that is asked.
     pub service: ServiceName,
-    /// Text for the audit trail.
+    /// Text for the searcher's audit trail.
     pub note: String,
-    /// Own wait bound in milliseconds.
+    /// Wait bound of the page or action in milliseconds.
     pub wait_ms: Option<u64>,
-    /// The ticket, as text; absent when the caller forgot it.
+    /// The ticket as text; `None` if the statement has none.
     pub ticket: Option<String>,
 }
 
 /// `SHOW …`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShowStatement {
-    /// Services and their policies.
+    /// The services and their policies.
     Services,
-    /// Searchers as the node sees them.
+    /// The searchers as this node sees them.
     Searchers,
-    /// Nodes of the fleet.
+    /// The nodes of the fleet.
     Members,
-    /// Configuration in force.
+    /// The configuration that is in force.
     Config,
-    /// The document in force.
+    /// The service document that is in force.
     ConfigExport,
-    /// Shard map that a service is served from.
+    /// The shard map that a service is served from.
     Shards(ServiceName),
 }
 
 /// An edit of the configuration, with the revision it is based on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigStatement {
-    /// What to change.
+    /// The edit.
     pub change: ServiceEdit,
-    /// Refuse unless this revision is in force.
+    /// Revision that must be in force for the edit to be accepted.
     pub based_on: Option<u64>,
 }
 
-/// Hits returned when a statement names no limit.
+/// Limit of a statement that names none.
 pub const DEFAULT_LIMIT: u32 = 10;
-/// Most hits a statement may ask for.
+/// Highest limit that a statement may name.
 pub const MAX_LIMIT: u32 = 1000;
--- a/crates/session/staircross-language/tests/language.rs
+++ b/crates/session/staircross-language/tests/language.rs
@@ -1,4 +1,4 @@
-//! Statements, and errors that name the place.
+//! Parsing of statements, and errors that name the place.
 
 use proptest::prelude::*;
 use staircross_language::{Statement, parse_statement};
--- a/crates/session/staircross-search/src/budget.rs
+++ b/crates/session/staircross-search/src/budget.rs
@@ -24,7 +24,7 @@
 impl ExtraWorkBudget {
     /// Creates a budget of `per_mille` extra sub-requests per thousand primaries.
     pub fn new(per_mille: u32) -> Self {
-        // One hedge or retry is allowed before the first primaries, unless the budget is zero.
+        // One hedge or retry is allowed before primaries have earned a token, unless the fraction is zero.
         let saved_milli = if per_mille > 0 { 1000 } else { 0 };
         ExtraWorkBudget { per_mille, saved_milli, paused_until: BootTime::default() }
     }
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -19,7 +19,8 @@
 /// Settings of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafSettings {
-    /// Time after a probe was sent during which its reply allows work to be sent to the searcher.
+    /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a probe
+    /// without a reply counts as lost.
     pub evidence_bound: Duration,
     /// Time between the probes of a searcher.
     pub probe_every: Duration,
@@ -326,8 +327,9 @@
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             searcher.expire_queue(now, actions);
-            // Whoever sends a sub-request reports its end by the deadline, with or without a reply. Dropping one sooner
-            // would let a planned stop end before it; later, only a report that was lost is left to guard against.
+            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here sooner,
+            // a planned stop could finish while the call is still in flight. This late, dropping it only guards against
+            // a lost worker thread.
             searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_LIFE);
             let patience = self.settings.evidence_bound;
             let unanswered = searcher.probe_outstanding.is_some_and(|asked| now.since(asked) > patience);
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -39,14 +39,14 @@
     /// Positions of its shards in the shard map.
     pub shards: Vec<u32>,
     pub sent_at: BootTime,
-    /// Whether the attempt has not ended: no reply has come and it has not been cancelled.
+    /// Whether a reply to the attempt is still expected.
     pub open: bool,
     /// Whether the attempt was late and a hedge has been tried for it.
     pub hedged: bool,
 }
 
 impl Attempt {
-    /// Marks the attempt as ended and returns a copy of it, with its shards.
+    /// Marks the attempt as ended. Returns a copy of it, to which its shards are moved.
     pub fn close(&mut self) -> Attempt {
         self.open = false;
         let shards = std::mem::take(&mut self.shards);
--- a/crates/session/staircross-search/tests/common/mod.rs
+++ b/crates/session/staircross-search/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of the root share.
+//! Fixtures that the tests of the root share.
 #![allow(dead_code)]
 
 pub mod root;
--- a/crates/session/staircross-search/tests/common/root.rs
+++ b/crates/session/staircross-search/tests/common/root.rs
@@ -1,4 +1,4 @@
-//! A root over two searchers, driven by the test.
+//! A root with two searchers, to which a test sends events.
 
 use staircross_config::{Priority, SearcherDefinition, ServiceDefinition, ServicePolicy};
 use staircross_search::view::Evidence;
@@ -13,19 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The node of the root.
+/// The node that the root runs on.
 pub const NODE: NodeId = NodeId(9);
 
-/// The session that all requests belong to.
+/// The session of all requests.
 pub const SESSION: SessionToken = SessionToken(77);
 
 /// The snapshot that searchers hold at first.
 pub const OLD: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
 
-/// The snapshot that follows it.
+/// The snapshot that follows [`OLD`].
 pub const NEW: Snapshot = Snapshot { version: 2, epoch: 1, build: 1 };
 
-/// A root over two searchers that each hold both shards of both snapshots.
+/// A root with two searchers, each of which has both shards. It collects the sub-requests and outcomes that the root
+/// produces.
 pub struct Bench {
     pub root: RootEngine,
     pub now: BootTime,
@@ -34,7 +35,7 @@
     pub next: u64,
 }
 
-/// The policy of service `s`, whose requests may be repeated.
+/// The policy of service `s`, which takes searches.
 pub fn policy() -> ServicePolicy {
     ServicePolicy {
         wait_ms: 300,
@@ -46,12 +47,12 @@
     }
 }
 
-/// The policy of service `a`, whose actions are sent once.
+/// The policy of service `a`, which takes actions.
 pub fn action_policy() -> ServicePolicy {
     ServicePolicy { repeatable: false, hedge_per_mille: 0, retry_per_mille: 0, ..policy() }
 }
 
-/// A service of both searchers, each with both shards of the snapshots.
+/// Defines a service of both searchers, each with both shards of the snapshots.
 pub fn definition(name: &str, policy: ServicePolicy, snapshots: &[Snapshot]) -> Arc<ServiceDefinition> {
     let searcher = |id: u32| SearcherDefinition {
         id: SearcherId(id),
@@ -76,6 +77,7 @@
 }
 
 impl Bench {
+    /// Creates a root whose searchers hold the snapshot `OLD`.
     pub fn new() -> Self {
         let root = RootEngine::new(NODE, RootSettings::default(), 1);
         let now = BootTime::from_millis(1000);
@@ -87,17 +89,20 @@
         bench
     }
 
+    /// Defines both services with these snapshots.
     pub fn serve(&mut self, snapshots: &[Snapshot]) {
         let services = vec![definition("s", policy(), snapshots), definition("a", action_policy(), snapshots)];
         self.tell(RootEvent::Services(services));
     }
 
+    /// Reports that a searcher holds these snapshots.
     pub fn view(&mut self, searcher: u32, snapshots: &[Snapshot]) {
         let incarnation = SearcherIncarnation(u128::from(searcher));
         let evidence = Some(Evidence { incarnation, snapshots: snapshots.to_vec(), draining: false });
         self.tell(RootEvent::View(SearcherView { searcher: SearcherId(searcher), evidence, leaving: false }));
     }
 
+    /// Sends an event to the root and collects the resulting actions.
     pub fn tell(&mut self, event: RootEvent) {
         let mut actions = Vec::new();
         self.root.on_event(self.now, event, &mut actions);
@@ -110,6 +115,7 @@
         }
     }
 
+    /// Advances the clock and lets due timers run.
     pub fn pass(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         self.tell(RootEvent::Tick);
@@ -134,6 +140,7 @@
         self.submit("s", Work::Search(SearchQuery { terms: vec!["x".into()], limit: 10, after: None }), None);
     }
 
+    /// Adds a new ticket to the session.
     pub fn ticket(&mut self) -> Ticket {
         let ticket = Ticket { node: NODE, serial: self.next };
         if let Some(session) = self.root.sessions.touch(self.now, SESSION) {
@@ -147,6 +154,7 @@
         self.submit("a", Work::Act(command), Some(ticket));
     }
 
+    /// Replies to the sub-request at this index of `sent`.
     pub fn answer(&mut self, index: usize, outcome: SubOutcome) {
         let request = self.sent[index].clone();
         let reply = SubReply {
@@ -159,6 +167,7 @@
         self.tell(RootEvent::Reply(reply));
     }
 
+    /// Replies to the sub-request at this index of `sent` with one hit for each of its shards.
     pub fn found(&mut self, index: usize) {
         let outcome = SubOutcome::Found(self.sent[index].shards.iter().map(|shard| hits(*shard)).collect());
         self.answer(index, outcome);
@@ -179,7 +188,7 @@
     }
 }
 
-/// One hit of a shard.
+/// Builds the result of a shard with one hit.
 pub fn hits(shard: ShardId) -> ShardHits {
     let hit = Hit { document: format!("d{shard}"), shard, score: 1.0, title: String::new() };
     ShardHits { shard, matched: 1, hits: vec![hit] }
--- a/crates/session/staircross-search/tests/copies.rs
+++ b/crates/session/staircross-search/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Slow copies: suspicion, avoidance, innocence.
+//! Detection of slow copies: when a copy is suspected, avoided, tried again and cleared.
 
 use staircross_latency::LatencyTracker;
 use staircross_search::copies::CopyHealth;
@@ -19,7 +19,7 @@
     let mut health = CopyHealth::new();
     let now = BootTime::from_millis(1000);
     reply(&mut health, now, &[1, 2], SLOW);
-    assert!(!health.is_avoided(now, SEARCHER, ShardId(1)), "once is chance");
+    assert!(!health.is_avoided(now, SEARCHER, ShardId(1)), "one slow reply is not enough");
     reply(&mut health, now, &[1, 2], SLOW);
     assert!(health.is_avoided(now, SEARCHER, ShardId(1)));
     assert!(health.is_avoided(now, SEARCHER, ShardId(2)));
@@ -41,17 +41,18 @@
             now = now + Duration::from_millis(100);
         }
         let wait = now.since(started);
-        // Longer each time, up to about a minute.
+        // The avoidance grows each time, up to 64 seconds.
         let is_bounded = wait <= Duration::from_secs(64);
         let is_longer = wait > last_wait || round >= 4 && wait == last_wait;
         assert!(is_bounded && is_longer, "round {round}: {wait:?} after {last_wait:?}");
         last_wait = wait;
         health.note_asked(now, SEARCHER, ShardId(1));
-        assert!(health.is_avoided(now, SEARCHER, ShardId(1)), "one trial at a time");
+        assert!(health.is_avoided(now, SEARCHER, ShardId(1)), "one request at a time tries the copy");
     }
 }
 
-/// Found by the tail experiment: with five slow copies the usual tail was theirs, and none was suspected.
+/// Guards against a hedge delay that slow replies raise to their own latency. That happened with five slow copies, none
+/// of which was suspected.
 #[test]
 fn late_point_is_not_drawn_up_by_many_slow_replies() {
     let mut tracker = LatencyTracker::new(Duration::from_millis(1));
--- a/crates/session/staircross-search/tests/leaf.rs
+++ b/crates/session/staircross-search/tests/leaf.rs
@@ -1,4 +1,4 @@
-//! Leaf decisions: when work may be sent, and what is remembered of leaving searchers.
+//! Decisions of the leaf: when it sends work to a searcher, and what it keeps about leaving searchers.
 
 use staircross_search::view::Evidence;
 use staircross_search::{
@@ -17,7 +17,7 @@
 const FIRST_RUN: SearcherIncarnation = SearcherIncarnation(1);
 const SECOND_RUN: SearcherIncarnation = SearcherIncarnation(2);
 
-/// A leaf with a clock and all that it has asked for so far.
+/// A leaf with a clock, and all actions that it has asked for so far.
 struct Bench {
     leaf: LeafEngine,
     now: BootTime,
@@ -25,13 +25,14 @@
 }
 
 impl Bench {
-    /// A leaf that owns the searcher with two slots and is no newcomer any more.
+    /// Creates a leaf that has owned two slots of the searcher for long enough to take work.
     fn new() -> Self {
         let mut bench = Bench::newcomer();
         bench.wait(LeafSettings::default().newcomer_wait.as_millis() as u64);
         bench
     }
 
+    /// Creates a leaf that has just come to own two slots of the searcher.
     fn newcomer() -> Self {
         let leaf = LeafEngine::new(LeafSettings::default());
         let mut bench = Bench { leaf, now: BootTime::from_millis(1000), actions: Vec::new() };
@@ -107,12 +108,12 @@
 fn sends_only_with_fresh_evidence() {
     let mut bench = Bench::new();
     bench.ask(1);
-    assert_eq!(bench.sent(), 0, "nothing is known of the searcher");
+    assert_eq!(bench.sent(), 0, "the searcher has not answered a probe");
     bench.serving(FIRST_RUN);
     assert_eq!(bench.sent(), 1);
     bench.wait(2001);
     bench.ask(2);
-    assert_eq!(bench.sent(), 1, "the evidence is older than its bound, as after a pause");
+    assert_eq!(bench.sent(), 1, "the last probe reply is older than the bound, as after a pause");
     bench.serving(FIRST_RUN);
     assert_eq!(bench.sent(), 2);
 }
@@ -165,7 +166,8 @@
     assert_eq!(bench.sent(), 1);
 }
 
-/// Found by fuzzing: the refusal was booked on the run probed last, and forgotten with it.
+/// Guards against recording a refusal for the run that was probed last instead of the run that refused. The leaf then
+/// sent work to the leaving run once it had probed it.
 #[test]
 fn refusal_by_a_run_not_probed_yet_is_remembered_for_that_run() {
     let mut bench = Bench::new();
@@ -178,7 +180,8 @@
     assert_eq!(bench.last_refusal(), Some(NotRunReason::Draining));
 }
 
-/// Found by fuzzing: an owner that came in later knew nothing of what its peers had found out.
+/// Guards against dropping a peer's report about a searcher that the leaf doesn't own or hasn't probed. A later owner
+/// then sent work to a run that its peers knew to be leaving.
 #[test]
 fn peers_word_of_leaving_counts_before_the_searcher_is_owned_or_met() {
     let mut bench = Bench::new();
@@ -190,7 +193,7 @@
     assert_eq!(bench.sent(), 0);
 }
 
-/// Found by fuzzing: a newcomer's view "serving" overwrote what the others knew.
+/// Guards against the view of a node that has just started replacing, at its peers, what they know of a leaving run.
 #[test]
 fn outdated_view_of_a_peer_is_contradicted() {
     let mut bench = Bench::new();
@@ -201,7 +204,8 @@
     assert!(bench.actions.iter().any(contradicts));
 }
 
-/// Found by fuzzing: a node that had just started sent work before it had heard from its peers.
+/// Guards against a node that has just started sending work to a searcher before its peers have reported which ones are
+/// leaving.
 #[test]
 fn newcomer_takes_no_work_until_it_has_listened() {
     let mut bench = Bench::newcomer();
@@ -214,7 +218,8 @@
     assert_eq!(bench.sent(), 1);
 }
 
-/// Found by fuzzing: a planned stop ended two seconds after the deadline of a call that hadn't ended.
+/// Guards against dropping a call before it has ended: a planned stop finished two seconds after the deadline of a call
+/// that was still in flight.
 #[test]
 fn call_is_in_flight_until_it_ends() {
     let mut bench = Bench::new();
--- a/crates/session/staircross-search/tests/root.rs
+++ b/crates/session/staircross-search/tests/root.rs
@@ -1,4 +1,4 @@
-//! Root decisions for single searches: refusal honesty, coverage, identity, admission, re-planning.
+//! Decisions of the root about single searches: coverage, matching of replies, refusals, admission and later plans.
 
 mod common;
 
@@ -163,8 +163,7 @@
     assert!(answer.sent > answer.needed, "the second plan counts as extra load");
 }
 
-/// Found by fuzzing: sub-requests of an abandoned plan were still out when the request was refused
-/// as never run.
+/// Guards against refusing a request as never run while sub-requests of an abandoned plan may still be executed.
 #[test]
 fn abandoned_plan_counts_as_may_have_run() {
     let mut bench = Bench::new();
@@ -179,8 +178,8 @@
     assert_eq!(bench.sent.len(), 2, "one for each searcher");
     bench.view(2, &[OLD, NEW]);
     bench.answer(0, SubOutcome::NotRun(NotRunReason::SnapshotGone));
-    assert_eq!(bench.sent.len(), 2, "the new snapshot can't be covered");
-    assert_eq!(bench.last_refusal().executed(), Executed::Maybe, "the second sub-request was still out");
+    assert_eq!(bench.sent.len(), 2, "the new snapshot's coverage is too low");
+    assert_eq!(bench.last_refusal().executed(), Executed::Maybe, "the second sub-request was in flight");
 }
 
 #[test]
--- a/crates/session/staircross-search/tests/root_actions.rs
+++ b/crates/session/staircross-search/tests/root_actions.rs
@@ -1,4 +1,4 @@
-//! Root decisions for actions: sent once, and what their tickets say after.
+//! Decisions of the root about actions: they are sent once, and their tickets keep the outcome.
 
 mod common;
 
--- a/crates/session/staircross-search/tests/sessions.rs
+++ b/crates/session/staircross-search/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! What counts as a change of a session.
+//! Which uses of a session change its state.
 
 use staircross_search::SessionTable;
 use staircross_types::{BootTime, ServiceName, SessionToken, Snapshot};
@@ -7,7 +7,8 @@
     Snapshot { version, epoch: 1, build: 1 }
 }
 
-/// A use that shows nothing new needs no copy at other nodes. Seen: each reply copied its session's state to two nodes, since the time of last use was a part of what was compared.
+/// Guards against copying the state of a session to other nodes after a use that shows it no new snapshot. Each reply
+/// copied the state to two nodes while the time of the last use was part of the state that is compared.
 #[test]
 fn a_use_that_shows_nothing_new_is_no_change() {
     let token = SessionToken(7);
