--- a/crates/session/staircross-lab/src/sim/world/between.rs
+++ b/crates/session/staircross-lab/src/sim/world/between.rs
@@ -96,7 +96,7 @@
                         self.reply_to_root(node, target, reply);
                     }
                 }
-                LeafAction::Spread(view) => {
+                LeafAction::PublishView(view) => {
                     for other in 0..self.nodes.len() {
                         let at_most = self.settings.update_delay;
                         let delay = if other == node { Duration::ZERO } else { self.random_up_to(at_most) };
--- a/crates/session/staircross-lab/src/sim/world/events.rs
+++ b/crates/session/staircross-lab/src/sim/world/events.rs
@@ -85,7 +85,7 @@
             SimEvent::ReadList { node } => {
                 if self.nodes[node].is_up {
                     let listed = self.listed.clone();
-                    self.leaf_event(node, LeafEvent::Listed(listed));
+                    self.leaf_event(node, LeafEvent::ListedAsLeaving(listed));
                 }
             }
         }
@@ -115,6 +115,6 @@
         self.nodes[node].ownership = ownership;
         self.leaf_event(node, LeafEvent::Owned(shares));
         let listed = self.listed.clone();
-        self.leaf_event(node, LeafEvent::Listed(listed));
+        self.leaf_event(node, LeafEvent::ListedAsLeaving(listed));
     }
 }
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -287,7 +287,7 @@
         let searchers = document.services.iter().flat_map(|service| &service.searchers);
         let on_leaving = searchers.filter(|searcher| leaving.contains(&searcher.address));
         listed.extend(on_leaving.map(|searcher| searcher.id));
-        self.leaf_event(now, LeafEvent::Listed(listed));
+        self.leaf_event(now, LeafEvent::ListedAsLeaving(listed));
     }
 
     fn update_metrics(&mut self) {
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -65,7 +65,7 @@
     /// A peer published its view of a searcher.
     PeerView(SearcherView),
     /// The searchers that the platform lists as leaving or that operators drain. The list applies to any run of them.
-    Listed(BTreeSet<SearcherId>),
+    ListedAsLeaving(BTreeSet<SearcherId>),
     /// The leaf is stopping and takes no new work.
     Stop,
     /// Timers may be due.
@@ -84,7 +84,7 @@
     /// Ask the searcher for its state: see [`Evidence`].
     Probe { searcher: SearcherId },
     /// Publish the new view of a searcher to the other nodes.
-    Spread(SearcherView),
+    PublishView(SearcherView),
 }
 
 /// The leaf's state and decisions for all searchers that it owns.
@@ -121,7 +121,7 @@
                 self.on_probed(now, searcher, asked_at, evidence, actions);
             }
             LeafEvent::PeerView(view) => self.on_peer_view(view, actions),
-            LeafEvent::Listed(listed) => self.set_listed(&listed, actions),
+            LeafEvent::ListedAsLeaving(listed) => self.set_listed(&listed, actions),
             LeafEvent::Stop => self.stopping = true,
             LeafEvent::Tick => self.on_tick(now, actions),
         }
@@ -275,7 +275,7 @@
         }
         let after = searcher.view(id);
         if after != before {
-            actions.push(LeafAction::Spread(after));
+            actions.push(LeafAction::PublishView(after));
         }
         if searcher.is_leaving() {
             searcher.refuse_queue(NotRunReason::Draining, actions);
@@ -295,7 +295,7 @@
         if view.leaving {
             self.mark_run_leaving(view.searcher, incarnation, actions);
         } else if self.leaving_runs.get(&view.searcher) == Some(&incarnation) {
-            actions.push(LeafAction::Spread(SearcherView { leaving: true, ..view }));
+            actions.push(LeafAction::PublishView(SearcherView { leaving: true, ..view }));
         }
     }
 
@@ -324,7 +324,7 @@
             searcher.run_leaving |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
-                actions.push(LeafAction::Spread(after));
+                actions.push(LeafAction::PublishView(after));
             }
             if searcher.is_leaving() {
                 searcher.refuse_queue(NotRunReason::Draining, actions);
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -58,7 +58,7 @@
     pub(super) fn mark_leaving(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
         if !self.run_leaving {
             self.run_leaving = true;
-            actions.push(LeafAction::Spread(self.view(id)));
+            actions.push(LeafAction::PublishView(self.view(id)));
         }
     }
 
--- a/crates/session/staircross-search/tests/leaf.rs
+++ b/crates/session/staircross-search/tests/leaf.rs
@@ -200,7 +200,7 @@
     fixture.send_event(LeafEvent::PeerView(peer_view(FIRST_RUN, true)));
     fixture.actions.clear();
     fixture.send_event(LeafEvent::PeerView(peer_view(FIRST_RUN, false)));
-    let contradicts = |action: &LeafAction| matches!(action, LeafAction::Spread(view) if view.leaving);
+    let contradicts = |action: &LeafAction| matches!(action, LeafAction::PublishView(view) if view.leaving);
     assert!(fixture.actions.iter().any(contradicts));
 }
 
@@ -236,8 +236,8 @@
 fn listed_as_leaving_by_platform_or_operator_takes_no_work_even_if_the_list_flickers() {
     let mut fixture = LeafFixture::new();
     fixture.report_serving(FIRST_RUN);
-    fixture.send_event(LeafEvent::Listed([SEARCHER].into()));
-    fixture.send_event(LeafEvent::Listed([].into()));
+    fixture.send_event(LeafEvent::ListedAsLeaving([SEARCHER].into()));
+    fixture.send_event(LeafEvent::ListedAsLeaving([].into()));
     fixture.report_serving(FIRST_RUN);
     fixture.send_request(1);
     assert_eq!(fixture.last_refusal(), Some(NotRunReason::Draining));
