--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -1,6 +1,6 @@
 //! The leaf: decides whether work may be sent to a searcher now.
 //!
-//! A leaf owns searchers: it probes them and sends them the sub-requests of the roots.
+//! A leaf owns searchers, or a share of their slots: it probes them and sends them the sub-requests of the roots.
 //!
 //! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
 //! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
--- a/crates/session/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -1,5 +1,11 @@
 //! Decisions of the query tier about requests. The modules do no input or output themselves.
 //!
+//! Each node has a root and a leaf. The root takes the requests of callers, splits each into sub-requests for the
+//! shards of a snapshot, and merges the replies. Searchers are the back ends that hold the shards. A leaf owns some of
+//! the searchers, or a share of their slots, and passes the sub-requests of all roots on to them. A searcher gets a new
+//! incarnation each time that it starts. Comments call the time of one incarnation a run: one run can leave and the
+//! next serve.
+//!
 //! | module | decides or holds |
 //! | --- | --- |
 //! | [`root`] | the snapshot, plan, hedges and retries of each request, and when it is answered or refused |
