--- a/crates/session/staircross-node/src/api.rs
+++ b/crates/session/staircross-node/src/api.rs
@@ -1,4 +1,4 @@
-//! Typed JSON answers to callers and operators; see `docs/PROTOCOLS.md`.
+//! JSON messages exchanged with callers and operators. `docs/PROTOCOLS.md` describes the protocol.
 
 use serde::{Deserialize, Serialize};
 use staircross_config::{PlatformDocument, ServiceDefinition};
@@ -6,19 +6,19 @@
 use staircross_types::{ErrorKind, Executed, Hit, MissingShard, NodeId, SessionToken, Ticket};
 use std::net::SocketAddr;
 
-/// A new session.
+/// Reply to the opening of a session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionReply {
-    /// Its token.
+    /// Token of the session.
     pub session: SessionToken,
-    /// The node that holds it.
+    /// The node that holds the session.
     pub node: NodeId,
 }
 
-/// A fresh ticket.
+/// Reply to a request for a ticket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TicketReply {
-    /// The ticket, as text for `RUN … TICKET '…'`.
+    /// Text of the ticket, for use in `RUN … TICKET '…'`.
     pub ticket: String,
 }
 
@@ -28,23 +28,24 @@
     }
 }
 
-/// A statement to execute.
+/// Body of a request to execute a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StatementCall {
-    /// The statement.
+    /// Text of the statement.
     pub statement: String,
 }
 
 /// The reply to a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatementReply {
-    /// Id of the request, as in logs; empty when none was made.
+    /// Id of the request as logs show it, or empty if the statement didn't become a request.
     pub request: String,
-    /// What it is, and its content.
+    /// Kind and content of the reply.
     #[serde(flatten)]
     pub body: ReplyBody,
-    /// Set while the node is stopping: send the next request of the session here.
+    /// Address of the node to which the caller should send the next request of the session. Set only while the
+    /// node that replies is stopping.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub moved_to: Option<SocketAddr>,
 }
@@ -53,62 +54,62 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ReplyBody {
-    /// An answer to a search or a page of a pull.
+    /// Answer to a search, or one page of a pull.
     Answer(AnswerBody),
-    /// The action ran.
+    /// The action was executed.
     Acted {
-        /// The searcher's entry number.
+        /// Number of the action's entry in the searcher's audit trail.
         entry: u64,
-        /// What it says.
+        /// Message of the searcher about the action.
         message: String,
     },
-    /// Refused.
+    /// The statement was refused.
     Refusal(RefusalBody),
     /// Rows of a `SHOW` statement.
     Listing(Listing),
-    /// What an edit makes of the document in force. It is in force once the platform publishes it.
+    /// Result of an edit of the document in force. The edit takes effect once the platform publishes the new document.
     Planned {
-        /// The new document.
+        /// The edited document.
         document: Box<PlatformDocument>,
     },
 }
 
-/// An answer.
+/// Answer to a search or a pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnswerBody {
-    /// The snapshot that all of it comes from, as `version.epoch.build`.
+    /// The snapshot from which all hits come, as `version.epoch.build`.
     pub snapshot: String,
-    /// Shards of the snapshot.
+    /// Number of shards of the snapshot.
     pub shards_total: usize,
-    /// Shards included.
+    /// Number of shards that the answer includes.
     pub shards_included: usize,
-    /// Shards lacking, each with its cause.
+    /// Shards that the answer lacks, each with the cause.
     pub shards_missing: Vec<MissingShard>,
-    /// Matching documents in the included shards.
+    /// Number of matching documents in the included shards.
     pub matched: u64,
-    /// Time to the answer, in milliseconds.
+    /// Time from the request to the answer, in milliseconds.
     pub elapsed_ms: f64,
-    /// Sub-requests sent.
+    /// Number of sub-requests sent.
     pub sub_requests: u32,
-    /// Sub-requests that were strictly needed.
+    /// Number of sub-requests that were strictly needed.
     pub sub_requests_needed: u32,
-    /// Cursor for `PULL … AFTER`.
+    /// Cursor of the next page, for use in `PULL … AFTER`.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub next: Option<String>,
-    /// Best hits.
+    /// The hits.
     pub hits: Vec<Hit>,
 }
 
-/// A refusal.
+/// Refusal of a statement or a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// Kind of the closed list.
+    /// Kind of the error, from a closed list.
     pub error: ErrorKind,
-    /// Whether it may have run.
+    /// Whether the request may have been executed.
     pub executed: Executed,
-    /// What exactly.
+    /// Details of the error for people to read.
     pub detail: String,
-    /// When to come back; absent when coming back won't help.
+    /// Time after which to try again, in milliseconds. Absent if trying again won't help.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
@@ -118,54 +119,54 @@
 pub struct Listing {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// One vector per row, a text per column.
+    /// Rows, each with one text per column.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Listing {
-    /// A listing with these columns and no row.
+    /// Creates a listing with these columns and no rows.
     pub fn new(columns: &[&str]) -> Self {
         Listing { columns: columns.iter().map(|name| (*name).to_owned()).collect(), rows: Vec::new() }
     }
 }
 
-/// State of a node, at a glance.
+/// State of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// This run.
+    /// Id of this run of the node.
     pub node: NodeId,
-    /// Whether it is stopping.
+    /// Whether the node is stopping.
     pub leaving: bool,
-    /// Whether it knows a document of the platform.
+    /// Whether the node has a document of the platform.
     pub has_config: bool,
-    /// Whether it should get traffic: it knows a document, isn't leaving and takes work for its searchers.
+    /// Whether the node should get traffic: it has a document, isn't stopping and accepts work for its searchers.
     pub ready: bool,
-    /// Revision of the document in force here; 0 when none is known.
+    /// Revision of the document in force at this node, or 0 if it has none.
     pub revision: u64,
-    /// Sessions held.
+    /// Number of sessions that the node holds.
     pub sessions: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests_in_flight: usize,
-    /// Searchers owned.
+    /// Number of searchers that the node owns.
     pub owned_searchers: usize,
-    /// All members as this node sees them.
+    /// All members of the cluster as this node knows them.
     pub members: Vec<MemberStatus>,
 }
 
-/// One member in a status.
+/// State of one member of the cluster as the replying node knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its run.
+    /// Id of the member's run.
     pub node: NodeId,
-    /// Where callers reach it.
+    /// Address at which callers reach the member.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Its state.
+    /// Membership state of the member, in lower case.
     pub state: String,
-    /// Revision that it holds, as far as it said so.
+    /// Revision of the document that the member holds, if it has told this node.
     pub revision: Option<u64>,
 }
 
@@ -209,12 +210,12 @@
 }
 
 impl StatementReply {
-    /// A refusal without a request.
+    /// Creates the reply to a statement that was refused before it became a request.
     pub fn refused(refusal: &Refusal) -> Self {
         StatementReply { request: String::new(), body: ReplyBody::Refusal(refusal.into()), moved_to: None }
     }
 
-    /// HTTP status of the reply.
+    /// Returns the HTTP status of the reply.
     pub fn http_status(&self) -> u16 {
         match &self.body {
             ReplyBody::Refusal(refusal) => refusal.error.http_status(),
@@ -223,22 +224,22 @@
     }
 }
 
-/// Where a paged pull goes on; names its snapshot, from which all pages come.
+/// Position after which the next page of a pull starts. It names the snapshot from which all pages of the pull come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cursor {
-    /// The snapshot.
+    /// Snapshot from which all pages of the pull come.
     pub snapshot: staircross_types::Snapshot,
-    /// The last document of the page before.
+    /// Position of the last document of the previous page.
     pub position: staircross_types::query::PagePosition,
 }
 
 impl Cursor {
-    /// Writes a cursor as text.
+    /// Formats a cursor as text.
     pub fn encode(snapshot: staircross_types::Snapshot, position: &staircross_types::query::PagePosition) -> String {
         format!("{snapshot}:{}:{}", position.shard, position.document)
     }
 
-    /// Reads a cursor; `None` when it is malformed.
+    /// Parses a cursor. Returns `None` if the text is malformed.
     pub fn decode(text: &str) -> Option<Cursor> {
         let mut parts = text.splitn(3, ':');
         let snapshot = parts.next()?;
@@ -252,7 +253,7 @@
     }
 }
 
-/// The configuration in force as a listing.
+/// Formats service definitions as a listing with one row per service.
 pub fn config_listing(services: &[ServiceDefinition]) -> Listing {
     let mut listing =
         Listing::new(&["service", "wait_ms", "coverage", "priority", "repeatable", "hedge", "retry", "searchers"]);
--- a/crates/session/staircross-node/src/client.rs
+++ b/crates/session/staircross-node/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller's and operator's client, as the command line and the lab use it.
+//! HTTP client of a node for callers and operators, used by the command line and the lab.
 
 use crate::api::{SessionReply, StatementReply, StatusReply, TicketReply};
 use quick_error::quick_error;
@@ -7,31 +7,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a reply; above every wait bound in usual use.
+/// Longest wait for a reply. It exceeds the wait bounds of requests that are in usual use.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 /// Longest reply, in bytes.
 const MAX_REPLY: u64 = 64 * 1024 * 1024;
 
 quick_error! {
-    /// Why a call brought no reply.
+    /// Reason why a call failed.
     #[derive(Debug)]
     pub enum ClientError {
-        /// The node can't be reached, or the connection broke.
+        /// The node can't be reached, or the connection broke before the reply was complete.
         Http { address: SocketAddr, error: ureq::Error } {
             display("{address}: {error}")
         }
-        /// The reply isn't what was expected.
+        /// The reply can't be decoded as the expected type.
         Unexpected { address: SocketAddr, text: String } {
             display("{address}: unexpected reply: {text}")
         }
-        /// The node refused.
+        /// The node replied with a statement reply, usually a refusal, instead of the expected type.
         Refused { reply: Box<StatementReply> } {
             display("refused: {reply:?}")
         }
     }
 }
 
-/// Calls one node.
+/// Client of one node.
 #[derive(Clone)]
 pub struct NodeClient {
     address: SocketAddr,
@@ -39,7 +39,7 @@
 }
 
 impl NodeClient {
-    /// A client of the node that listens for callers at `address`.
+    /// Creates a client of the node that listens for callers at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let config = ureq::Agent::config_builder()
             .proxy(None)
@@ -49,7 +49,7 @@
         NodeClient { address, agent: config.build().into() }
     }
 
-    /// The node's address.
+    /// Returns the address at which the node listens for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -67,23 +67,23 @@
         Ok(())
     }
 
-    /// Mints a ticket.
+    /// Requests a new ticket of a session.
     pub fn mint_ticket(&self, session: SessionToken) -> Result<String, ClientError> {
         let reply: TicketReply = self.post_expecting(&format!("/v1/sessions/{session}/tickets"), "")?;
         Ok(reply.ticket)
     }
 
-    /// Executes a caller's statement. Refusals are replies, not errors.
+    /// Executes a caller's statement. A refusal is returned as a reply and not as an error.
     pub fn query(&self, session: SessionToken, statement: &str) -> Result<StatementReply, ClientError> {
         self.post_statement(&format!("/v1/sessions/{session}/query"), statement)
     }
 
-    /// Executes an operator's statement. Refusals are replies, not errors.
+    /// Executes an operator's statement. A refusal is returned as a reply and not as an error.
     pub fn command(&self, statement: &str) -> Result<StatementReply, ClientError> {
         self.post_statement("/v1/command", statement)
     }
 
-    /// The node's state.
+    /// Requests the node's state.
     pub fn status(&self) -> Result<StatusReply, ClientError> {
         let response = self.agent.get(self.url("/v1/status")).call();
         let text = self.read(response)?;
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -1,8 +1,8 @@
-//! The thread that owns the engines.
+//! The core thread, which owns the sans-IO engines of a node.
 //!
-//! All decisions of a node are made here, one event at a time, by the sans-IO engines. This
-//! module only carries events to them and actions from them; it decides nothing about requests
-//! or configuration itself.
+//! The engines make all decisions of the node, one event at a time, on this single thread. This
+//! module only passes events to the engines and executes the actions that they return; it makes
+//! no decisions about requests or configuration.
 
 mod callers;
 mod config;
@@ -34,19 +34,22 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time between ticks of the engines.
+/// Interval between ticks of the engines.
 const TICK: Duration = Duration::from_millis(20);
-/// Time without a tick after which other nodes may have taken this one for gone. Shorter than they need for that.
+/// Delay of a tick that shows that this process was paused, so that other nodes may have declared this node dead.
+/// The delay is shorter than the time that they take to do so.
 const PAUSE: Duration = Duration::from_secs(1);
-/// Events handled before time is looked at again.
+/// Events handled in a row before the timers are checked again.
 const EVENTS_PER_TURN: usize = 256;
-/// Time during which a stopping node goes on taking requests of its sessions, so that callers learn where to go.
+/// Time during which a stopping node still accepts requests of its sessions, so that callers learn from the
+/// replies which node to use next.
 const STOP_LINGER: Duration = Duration::from_millis(1500);
-/// Ticks in a row without anything in flight before a stopping node ends. Ticks and not time: after
-/// a pause of this process, requests may wait in its sockets that it has not even read.
+/// Consecutive ticks without any work in flight after which a stopping node exits. Ticks are counted
+/// instead of time because after a pause of this process, its sockets may hold requests that it has
+/// not read yet.
 const IDLE_TICKS_TO_END: u32 = 6;
 
-/// A node's engines and what connects them.
+/// The engines of a node, the connections that they use, and the requests and sessions in progress.
 pub struct Core {
     node: NodeId,
     settings: Settings,
@@ -70,35 +73,35 @@
     stopping_since: Option<BootTime>,
     idle_ticks: u32,
     last_counters: RootCounters,
-    /// Callers being served by the HTTP front.
+    /// Number of HTTP requests that the front is serving.
     serving: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
-/// What a core is started with.
+/// Arguments of [`Core::new`].
 pub struct CoreParts {
-    /// This run.
+    /// Id of this run of the node.
     pub node: NodeId,
-    /// Settings.
+    /// Settings of the node.
     pub settings: Settings,
-    /// Loggers.
+    /// Loggers of the node.
     pub logs: Logs,
-    /// Metrics.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// Events to handle.
+    /// Channel from which the core receives its events.
     pub events: Receiver<CoreEvent>,
-    /// The way to other nodes.
+    /// Connections to other nodes.
     pub peers: PeerTransport,
-    /// The way to searchers.
+    /// Connections to searchers.
     pub searchers: SearcherConnections,
-    /// Callers being served by the HTTP front.
+    /// Number of HTTP requests that the front is serving.
     pub serving: Arc<AtomicUsize>,
-    /// Set when the core has ended.
+    /// Flag that the core sets when it has ended, so that the node's other threads end too.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Core {
-    /// Builds the engines.
+    /// Creates the engines with the node's settings and random seeds.
     pub fn new(parts: CoreParts) -> Self {
         let me = Member {
             node: parts.node,
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Handles events until a planned stop is done.
+    /// Handles events until a planned stop is complete, then tells the other nodes that this one has left.
     pub fn run(mut self) {
         while !self.is_done() {
             let wait = self.time_to_wait();
@@ -179,7 +182,7 @@
     }
 
     fn on_event(&mut self, event: CoreEvent) {
-        // Read anew for each event: a pause may lie between two.
+        // The clock is read for each event because the process may have been paused since the previous one.
         let now = clock::now();
         match event {
             CoreEvent::Caller { command, reply } => self.on_caller(now, command, reply),
@@ -251,14 +254,14 @@
         self.stopping_since.is_some_and(|since| now.since(since) >= STOP_LINGER)
     }
 
-    /// Whether a planned stop is done.
+    /// Whether a planned stop is complete.
     fn is_done(&self) -> bool {
         self.idle_ticks >= IDLE_TICKS_TO_END
     }
 
-    /// Whether a planned stop has nothing to wait for at this moment.
+    /// Whether the node is stopping and has nothing left to wait for at this moment.
     ///
-    /// Requests have wait bounds of their own, so waiting for them ends.
+    /// The wait for requests in flight ends because each request has a bounded wait time.
     fn is_idle(&self, now: BootTime) -> bool {
         if self.stopping_since.is_none() {
             return false;
@@ -271,7 +274,7 @@
         !is_busy && self.is_lingering_over(now)
     }
 
-    /// Searchers that the platform lists as leaving or that operators drain.
+    /// Tells the leaf engine which searchers the machine list marks as leaving or operators have drained.
     fn update_listed(&mut self, now: BootTime) {
         let leaving: BTreeSet<SocketAddr> = self
             .machines
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask.
+//! Commands and statements of callers and operators.
 
 use super::Core;
 use super::pending::PendingRequest;
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a statement asks of the root.
+/// A statement converted into work for the root engine.
 struct RootWork {
     service: ServiceName,
     work: Work,
@@ -152,7 +152,8 @@
         send_reply(reply, CallerReply::Statement(StatementReply { request: String::new(), body, moved_to }));
     }
 
-    /// While stopping: the node that callers should turn to, the same zone before others.
+    /// Returns, while this node is stopping, the address of the live node that callers should use next. Nodes
+    /// in the zone of this node are preferred.
     pub(super) fn successor(&self) -> Option<SocketAddr> {
         self.stopping_since?;
         let own_zone = &self.settings.node.zone;
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: from the platform's documents to the engines, and operators' edits of it.
+//! Execution of the cluster engine's actions, and operators' edits of the configuration.
 
 use super::Core;
 use crate::api::ReplyBody;
@@ -61,7 +61,7 @@
             .collect();
         self.searchers.set_owned(&owned);
         self.leaf_event(now, LeafEvent::Owned(shares));
-        // Owners that have just come in know nothing of marks made before.
+        // The leaf engine doesn't know yet whether searchers that it has just come to own are leaving or drained.
         self.update_listed(now);
     }
 
@@ -86,7 +86,8 @@
         self.leaf_event(now, LeafEvent::PeerView(view));
     }
 
-    /// The document that an edit would make of the one in force. Only the platform puts it in force.
+    /// Returns the document that an edit of the one in force would give. The edit takes effect only when the
+    /// platform publishes that document.
     pub(super) fn plan_edit(&self, statement: &ConfigStatement) -> ReplyBody {
         let Some(document) = self.cluster.config() else {
             let refusal = Refusal::new(ErrorKind::NoConfiguration, "there is no document to edit yet");
--- a/crates/session/staircross-node/src/core/held_sessions.rs
+++ b/crates/session/staircross-node/src/core/held_sessions.rs
@@ -1,37 +1,40 @@
-//! Which nodes have confirmed a copy of each session that this node holds.
+//! Tracks which nodes have confirmed a copy of each session that this node holds.
 //!
-//! A copy is sent when a session changes, to the nodes that are to keep it then. These leave and others come in their place, messages are lost, and another node may take a
-//! session over while this one is paused or cut off. So each session is looked at about once a second, and what a keeper hasn't confirmed is sent to it; one that knows of a newer holder says so.
+//! When a session changes, a copy is sent to the nodes that are its keepers at that time. Keepers may leave and
+//! be replaced, messages may be lost, and another node may take a session over while this node is paused or
+//! partitioned. Each session is therefore checked about once a second, and its copy is sent again while a
+//! keeper hasn't confirmed it. A keeper that knows a newer holder of the session replies with that fact.
 
 use hashbrown::HashMap;
 use staircross_types::{BootTime, NodeId, SessionToken};
 use std::time::Duration;
 
-/// Time between two looks at a session.
+/// Shortest time between the starts of two rounds of checks. Each round checks all sessions once.
 const LOOK: Duration = Duration::from_secs(1);
-/// Sessions looked at in one tick; bounds what is sent at once when many keepers have changed.
+/// Largest number of sessions checked in one tick. It bounds how many copies are sent at once when many keepers
+/// have changed.
 const LOOKED_AT_PER_TICK: usize = 256;
 
-/// A session that this node holds.
+/// Copies of one session that this node holds.
 #[derive(Default)]
 struct HeldSession {
-    /// Rises with each change.
+    /// Version of the session, which each change increments.
     version: u64,
-    /// Nodes that have confirmed a copy of this version.
+    /// Nodes that have confirmed a copy of `version`.
     kept_by: Vec<NodeId>,
 }
 
-/// The sessions that this node holds.
+/// Copies of all sessions that this node holds.
 #[derive(Default)]
 pub(super) struct HeldSessions {
     sessions: HashMap<SessionToken, HeldSession>,
-    /// Those still to be looked at in this round.
+    /// Sessions still to be checked in the current round.
     to_look_at: Vec<SessionToken>,
     next_round: BootTime,
 }
 
 impl HeldSessions {
-    /// Notes a change; returns the version that it made.
+    /// Records a change of a session and returns its new version.
     pub(super) fn change(&mut self, token: SessionToken) -> u64 {
         let session = self.sessions.entry(token).or_default();
         session.version += 1;
@@ -39,13 +42,14 @@
         session.version
     }
 
-    /// Notes a session that this node has taken over, with the version that it continues.
+    /// Records a session that this node has taken over at version `continued`, and returns its new version.
     pub(super) fn adopt(&mut self, token: SessionToken, continued: u64) -> u64 {
         self.sessions.insert(token, HeldSession { version: continued, kept_by: Vec::new() });
         self.change(token)
     }
 
-    /// Notes that a node keeps a copy of a version.
+    /// Records that `keeper` has confirmed a copy of `version`. Confirmations of other versions than the current
+    /// one are ignored.
     pub(super) fn note_kept(&mut self, token: SessionToken, version: u64, keeper: NodeId) {
         let session = self.sessions.get_mut(&token).filter(|session| session.version == version);
         if let Some(session) = session.filter(|session| !session.kept_by.contains(&keeper)) {
@@ -53,17 +57,18 @@
         }
     }
 
-    /// Forgets a session that is closed or held by another node.
+    /// Removes a session that is closed or that another node holds now.
     pub(super) fn remove(&mut self, token: SessionToken) {
         self.sessions.remove(&token);
     }
 
-    /// Forgets all confirmations: another node may have taken sessions over meanwhile.
+    /// Clears all confirmations, so that every copy is sent again. Used after a pause of this process, during which
+    /// another node may have taken sessions over.
     pub(super) fn doubt_all(&mut self) {
         self.sessions.values_mut().for_each(|session| session.kept_by.clear());
     }
 
-    /// The sessions to look at in this tick.
+    /// Returns the sessions to check in this tick.
     pub(super) fn due(&mut self, now: BootTime) -> Vec<SessionToken> {
         if self.to_look_at.is_empty() && now >= self.next_round {
             self.next_round = now + LOOK;
@@ -73,7 +78,10 @@
         self.to_look_at.split_off(rest)
     }
 
-    /// The version that some of `keepers` haven't confirmed. Confirmations of other nodes are dropped: they may be gone when they are to keep it again.
+    /// Returns the version of a session if some of `keepers` haven't confirmed it.
+    ///
+    /// Confirmations of nodes that aren't keepers are dropped, because such a node may no longer have the copy
+    /// when it becomes a keeper again.
     pub(super) fn unconfirmed(&mut self, token: SessionToken, keepers: &[NodeId]) -> Option<u64> {
         let session = self.sessions.get_mut(&token)?;
         session.kept_by.retain(|keeper| keepers.contains(keeper));
--- a/crates/session/staircross-node/src/core/pending.rs
+++ b/crates/session/staircross-node/src/core/pending.rs
@@ -1,11 +1,11 @@
-//! Requests that the root has.
+//! Requests in progress at the root engine.
 
 use crate::event::CallerReply;
 use crossbeam::channel::Sender;
 use staircross_search::SessionState;
 use staircross_types::{BootTime, ServiceName, SessionToken};
 
-/// A request that the root has and a caller waits for.
+/// A request in progress at the root engine, with the channel on which its caller waits for the reply.
 pub(super) struct PendingRequest {
     pub session: SessionToken,
     pub session_tag: String,
--- a/crates/session/staircross-node/src/core/requests.rs
+++ b/crates/session/staircross-node/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! From root to leaf to searcher and back.
+//! Path of a request from the root engine to a leaf engine and a searcher, and of its reply back.
 
 use super::Core;
 use spdlog::{debug, info};
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sends a sub-request through one of the searcher's owners.
+    /// Sends a sub-request to one of the searcher's owners: the leaf engine of this node or of another one.
     fn route(&mut self, now: BootTime, request: SubRequest) {
         let turn = request.attempt.request.sequence + u64::from(request.attempt.attempt);
         let owners = self.cluster.ownership().owners_in_turn(request.searcher, turn);
@@ -89,7 +89,7 @@
                 if to == self.node {
                     self.leaf_event(now, LeafEvent::Request { from, request });
                 } else if let Some(address) = self.cluster.member(from).map(|member| member.peer_address) {
-                    // Meant for the run before this one.
+                    // The request is meant for an earlier run of the node at this address.
                     let reply = not_run(&request, NotRunReason::NotOwner);
                     self.peers.send(address, PeerMessage::Reply { to: from, reply });
                 }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// A leaf that can't be reached any more may have run what it was sent.
+    /// Reports an unknown outcome for each sub-request sent to a node whose connection broke: its leaf engine may
+    /// have run them.
     pub(super) fn on_peer_broken(&mut self, now: BootTime, address: SocketAddr) {
         let lost: Vec<AttemptId> =
             self.routes.iter().filter(|(_, route)| **route == address).map(|(attempt, _)| *attempt).collect();
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions across nodes: copies before replies, and taking over by token.
+//! Replication of sessions: copies are sent to other nodes before a reply, and a node that is asked for a session
+//! it doesn't hold takes it over from a copy.
 
 use super::Core;
 use super::pending::PendingRequest;
@@ -12,14 +13,15 @@
 use staircross_types::{BootTime, ErrorKind, NodeId, RequestId, SessionToken};
 use std::time::Duration;
 
-/// Longest time a reply is held for its session's copies. After it the session is at risk, not the reply.
+/// Longest time that a reply waits until copies of its session are confirmed. After it the reply is sent anyway,
+/// and the session's latest state may be lost if this node fails.
 const COPY_WAIT: Duration = Duration::from_millis(150);
-/// Longest wait for other nodes' copies of a session.
+/// Longest wait for other nodes to answer whether they have a copy of a session.
 const RESUME_WAIT: Duration = Duration::from_millis(400);
-/// Commands that may wait for one session to be found.
+/// Largest number of commands that may wait for the same session to be found.
 const MAX_WAITING: usize = 64;
 
-/// A reply that waits until its session's state is copied.
+/// A reply that is held until copies of its session are confirmed.
 pub(super) struct HeldReply {
     token: SessionToken,
     version: u64,
@@ -29,7 +31,7 @@
     content: CallerReply,
 }
 
-/// A session that is being looked for at other nodes.
+/// A search of other nodes for a copy of a session that this node doesn't hold.
 pub(super) struct PendingResume {
     ask: u64,
     answers_left: usize,
@@ -39,7 +41,8 @@
 }
 
 impl Core {
-    /// Copies a session's state to other nodes and sends `content` when that is done.
+    /// Sends copies of a session's state to other nodes, and `content` to the caller once the copies are confirmed
+    /// or [`COPY_WAIT`] has passed.
     pub(super) fn copy_then_reply(
         &mut self,
         now: BootTime,
@@ -72,7 +75,8 @@
         let moved_to = self.successor();
         let content = CallerReply::Statement(StatementReply { request: request.to_string(), body, moved_to });
         let after = self.root.sessions.get(pending.session);
-        // Only what changed needs a copy; most searches see the snapshot seen before.
+        // Only a changed session needs new copies. Most searches leave the session unchanged because they see the
+        // same snapshot as the one before.
         if after.is_some() && after != pending.session_before.as_ref() {
             self.copy_then_reply(now, pending.session, pending.reply, content);
         } else {
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Sends copies to those that are to keep one and haven't confirmed it.
+    /// Sends copies of the sessions due for a check that some of their keepers haven't confirmed.
     pub(super) fn copy_unconfirmed(&mut self, now: BootTime) {
         for token in self.held_sessions.due(now) {
             let keepers = self.cluster.session_keepers(token);
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Looks for a session at other nodes; the command goes on when it is found.
+    /// Looks for a session at other nodes, and executes `command` when it is found.
     pub(super) fn resume_then(
         &mut self,
         now: BootTime,
@@ -213,14 +217,15 @@
         true
     }
 
-    /// Another node holds the session now: the next request here looks for it anew.
+    /// Drops a session that is closed or that another node holds now. A later request with its token looks for it
+    /// at the other nodes.
     pub(super) fn drop_session(&mut self, token: SessionToken) {
         self.root.sessions.close(token);
         self.held_sessions.remove(token);
     }
 }
 
-/// What logs call a session: the token itself is a secret.
+/// Returns the name of a session in logs. It is a digest because the token itself is a secret.
 pub(super) fn session_tag(token: SessionToken) -> String {
     staircross_types::body_digest(&token.0.to_be_bytes())[..8].to_owned()
 }
@@ -239,12 +244,15 @@
     Refusal::new(ErrorKind::UnknownSession, "no session has this token here or at the nodes that would hold a copy")
 }
 
-/// A node that is silent may be paused, busy or gone; until the members agree that it is gone, it may hold the session.
+/// Refusal for a session that wasn't found while `silent` nodes haven't answered.
+///
+/// A node that doesn't answer may be paused, busy or dead. It may hold the session until the members agree that
+/// it is dead.
 fn session_sought(silent: usize) -> Refusal {
     Refusal::new(ErrorKind::SessionSought, format!("{silent} nodes that may hold the session haven't answered yet"))
 }
 
 pub(super) fn send_reply(reply: &Sender<CallerReply>, content: CallerReply) {
-    // The caller may have gone; then nobody wants the reply.
+    // Sending fails only if the caller's thread no longer waits; the reply is then dropped.
     let _caller_may_be_gone = reply.send(content);
 }
--- a/crates/session/staircross-node/src/core/show.rs
+++ b/crates/session/staircross-node/src/core/show.rs
@@ -1,4 +1,4 @@
-//! `SHOW` statements.
+//! Execution of `SHOW` statements.
 
 use super::Core;
 use crate::api::{Listing, ReplyBody, config_listing};
--- a/crates/session/staircross-node/src/event.rs
+++ b/crates/session/staircross-node/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node: the messages that its threads send to the one that decides.
+//! Events that the threads of a node send to its core thread, and the commands and replies of callers.
 
 use crate::api::{SessionReply, StatementReply, StatusReply, TicketReply};
 use crossbeam::channel::Sender;
@@ -10,85 +10,85 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What happens to a node.
+/// An event that the core thread handles.
 pub enum CoreEvent {
-    /// A caller or operator asks.
+    /// A caller or operator sent a command.
     Caller {
-        /// What.
+        /// The command.
         command: CallerCommand,
-        /// Where the reply goes.
+        /// Channel on which the sender waits for the reply.
         reply: Sender<CallerReply>,
     },
-    /// Another node says something.
+    /// A message of another node arrived.
     Peer(PeerMessage),
-    /// A connection to another node broke after something was written.
+    /// A connection to the node at this address broke while a message was written to it.
     PeerBroken(SocketAddr),
-    /// A sub-request didn't reach its leaf, or perhaps not.
+    /// A sub-request certainly didn't reach the owner to which it was sent, or may not have reached it.
     Undelivered {
         /// The sub-request.
         request: SubRequest,
-        /// Whether some of its bytes may have left.
+        /// Whether some of its bytes may have been sent. If so, it may have arrived.
         partly_written: bool,
     },
     /// A call to a searcher ended.
     SearcherReplied {
-        /// The reply, true or made up for one that didn't come.
+        /// The searcher's reply, or one made by this node that says how the call failed.
         reply: SubReply,
-        /// The run of the searcher that replied, if one did.
+        /// Incarnation of the searcher that replied, if one did.
         run: Option<SearcherIncarnation>,
     },
     /// A probe of a searcher ended.
     Probed {
-        /// The searcher.
+        /// The searcher that was probed.
         searcher: SearcherId,
-        /// When it was asked.
+        /// Time at which the probe was sent.
         asked_at: BootTime,
-        /// What it said.
+        /// State that the searcher reported, or `None` if the probe failed.
         evidence: Option<Evidence>,
     },
-    /// The platform's document was read.
+    /// The service document was read from the platform.
     Platform(Arc<PlatformDocument>),
-    /// The platform's machine list was read.
+    /// The machine list was read from the platform.
     Machines(MachineList),
-    /// A planned stop begins.
+    /// A planned stop was requested.
     Stop,
 }
 
-/// What a caller or operator asks.
+/// A command of a caller or operator.
 #[derive(Clone, Debug)]
 pub enum CallerCommand {
     /// Open a session.
     OpenSession,
-    /// Close one.
+    /// Close a session.
     CloseSession(SessionToken),
     /// Mint a ticket for a non-repeatable request.
     MintTicket(SessionToken),
     /// Execute a caller's statement.
     Execute {
-        /// The session.
+        /// Token of the session.
         token: SessionToken,
         /// The statement.
         statement: Statement,
     },
     /// Execute an operator's statement.
     Operate(Statement),
-    /// Tell the node's state.
+    /// Report the node's state.
     Status,
 }
 
-/// The reply.
+/// The reply to a [`CallerCommand`].
 #[derive(Clone, Debug)]
 pub enum CallerReply {
-    /// To [`CallerCommand::OpenSession`].
+    /// Reply to [`CallerCommand::OpenSession`].
     Session(SessionReply),
-    /// To [`CallerCommand::CloseSession`].
+    /// Reply to [`CallerCommand::CloseSession`].
     Closed,
-    /// To [`CallerCommand::MintTicket`].
+    /// Reply to [`CallerCommand::MintTicket`].
     Ticket(TicketReply),
-    /// To a statement.
+    /// Reply to [`CallerCommand::Execute`] or [`CallerCommand::Operate`].
     Statement(StatementReply),
-    /// To [`CallerCommand::Status`].
+    /// Reply to [`CallerCommand::Status`].
     Status(Box<StatusReply>),
-    /// Refused.
+    /// The command was refused.
     Refused(Refusal),
 }
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -1,7 +1,8 @@
-//! HTTP for callers and operators.
+//! HTTP server for callers and operators.
 //!
-//! One thread per connection (the server library's way). Each request is turned into a typed
-//! command for the core; the thread waits for the reply. Everything that a caller sends is bounded.
+//! The server library runs one thread per connection. The thread converts each request into a typed
+//! command for the core and waits for the reply. The number of connections, the length of a request
+//! and the time that a connection may take are bounded.
 
 use crate::api::{StatementCall, StatementReply};
 use crate::event::{CallerCommand, CallerReply, CoreEvent};
@@ -19,11 +20,11 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Longest wait for the core; beyond every wait bound that a service may declare, so it only ends
-/// a wait if the core is stuck.
+/// Longest wait for a reply of the core. It exceeds every wait bound that a service may declare, so it passes
+/// only if the core is stuck.
 const CORE_WAIT: Duration = Duration::from_secs(620);
 
-/// The HTTP front of a node.
+/// State shared by all connections of the HTTP server.
 struct Front {
     events: Sender<CoreEvent>,
     limits: LimitSettings,
@@ -32,7 +33,7 @@
     leaving: Arc<AtomicBool>,
 }
 
-/// Starts the front. It ends with the process: the server library has no way to stop it.
+/// Starts the HTTP server. It runs until the process ends because the server library can't stop a server.
 pub fn start(
     settings: &Settings,
     events: Sender<CoreEvent>,
@@ -48,7 +49,7 @@
     server.spawn().map(|_| ())
 }
 
-/// What a path asks for.
+/// Endpoint that a method and a path select.
 enum Route {
     OpenSession,
     CloseSession(SessionToken),
@@ -81,7 +82,7 @@
     }
 }
 
-/// Counts a request as being served until dropped.
+/// Counts a request as being served until the guard is dropped.
 struct ServingGuard<'a>(&'a AtomicUsize);
 
 impl Drop for ServingGuard<'_> {
@@ -100,7 +101,7 @@
             Err(refusal) => refusal_response(&refusal),
         };
         if self.leaving.load(Ordering::Acquire) {
-            // Callers should not reuse a connection that is about to go.
+            // Callers should not reuse a connection to a node that is about to exit.
             response.headers_mut().insert("connection", oxhttp::model::HeaderValue::from_static("close"));
         }
         response
@@ -198,7 +199,7 @@
     };
     let mut builder = Response::builder().status(status).header("content-type", "application/json");
     if let Some(delay) = retry_after_ms {
-        // The header counts whole seconds; the body has the milliseconds.
+        // The header holds whole seconds, rounded up. The body holds the milliseconds.
         builder = builder.header("retry-after", delay.div_ceil(1000).to_string());
     }
     let response = builder.body(Body::from(bytes));
--- a/crates/session/staircross-node/src/lib.rs
+++ b/crates/session/staircross-node/src/lib.rs
@@ -1,16 +1,16 @@
-//! The runtime of a node: threads, sockets and clocks around the sans-IO engines.
+//! The runtime of a node: the threads, sockets and clocks that drive the sans-IO engines.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | [`node`] | starts and stops all of it |
-//! | [`core`] | one thread that owns the engines and carries events and actions between them |
-//! | [`event`] | what its threads tell the one that decides |
-//! | [`front`] | HTTP for callers and operators |
+//! | [`node`] | start and stop of a node |
+//! | [`core`] | the thread that owns the engines and passes events and actions between them |
+//! | [`event`] | events that the other threads send to the core thread |
+//! | [`front`] | HTTP server for callers and operators |
 //! | [`searchers`] | connections to searchers |
 //! | [`peers`] | connections to other nodes |
-//! | [`platform`] | reads the platform |
-//! | [`api`] | typed JSON answers |
-//! | [`client`] | a caller's client, for the command line and the lab |
+//! | [`platform`] | reader of the service document and the machine list |
+//! | [`api`] | JSON messages exchanged with callers and operators |
+//! | [`client`] | HTTP client for the command line and the lab |
 //! | [`logs`], [`metrics`] | structured logs, Prometheus metrics |
 
 pub mod api;
--- a/crates/session/staircross-node/src/logs.rs
+++ b/crates/session/staircross-node/src/logs.rs
@@ -1,32 +1,32 @@
-//! Structured logs: one `key=value` line per event, a level per module.
+//! Structured logs with one line of `key=value` pairs per event and a log level per module.
 
 use spdlog::sink::{Sink, StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 use staircross_config::InvalidSetting;
 use std::sync::Arc;
 
-/// Modules with a level of their own.
+/// Names of the modules whose log level can be set separately.
 pub const MODULES: &[&str] = &["front", "search", "cluster", "peers", "searchers", "platform"];
 
-/// One logger per module.
+/// Loggers, one per module.
 #[derive(Clone)]
 pub struct Logs {
-    /// Callers and operators.
+    /// Logger of the HTTP server and of sessions.
     pub front: Arc<Logger>,
-    /// Requests: plans, hedges, answers.
+    /// Logger of requests, sub-requests and answers.
     pub search: Arc<Logger>,
-    /// Members, leases, configuration.
+    /// Logger of the configuration and of planned stops.
     pub cluster: Arc<Logger>,
-    /// Connections to other nodes.
+    /// Logger of connections to other nodes.
     pub peers: Arc<Logger>,
-    /// Connections to searchers.
+    /// Logger of connections to searchers.
     pub searchers: Arc<Logger>,
-    /// Reads of the platform.
+    /// Logger of reads from the platform.
     pub platform: Arc<Logger>,
 }
 
 impl Logs {
-    /// Builds loggers by a filter such as `info` or `warn,search=debug`, writing to standard error.
+    /// Creates loggers that write to standard error, with levels by a filter such as `info` or `warn,search=debug`.
     pub fn from_filter(filter: &str) -> Result<Self, InvalidSetting> {
         let levels = Levels::parse(filter)?;
         let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build_arc();
@@ -87,7 +87,7 @@
     }
 }
 
-/// Checks a filter without building loggers.
+/// Checks a filter without creating loggers.
 pub fn check_filter(filter: &str) -> Result<(), InvalidSetting> {
     Levels::parse(filter).map(|_| ())
 }
--- a/crates/session/staircross-node/src/metrics.rs
+++ b/crates/session/staircross-node/src/metrics.rs
@@ -3,39 +3,40 @@
 use prometheus::{Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use staircross_search::root::RootCounters;
 
-/// All metrics.
+/// All metrics of a node.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests ended, by outcome: `answer`, `acted` or an error kind.
+    /// Number of requests ended, by outcome: `answer`, `acted` or an error kind.
     pub requests: IntCounterVec,
-    /// Sub-requests sent, by reason.
+    /// Number of sub-requests sent, by reason.
     pub sub_requests: IntCounterVec,
-    /// Shards missing from answers, by cause.
+    /// Number of shards missing from answers, by cause.
     pub missing_shards: IntCounterVec,
-    /// Things dropped: replies, frames, datagrams.
+    /// Number of replies, messages, frames, datagrams and connections dropped, and of session copies that weren't
+    /// confirmed in time, by kind.
     pub dropped: IntCounterVec,
-    /// Time to an answer, in seconds.
+    /// Time from a request to its answer, in seconds.
     pub answer_seconds: Histogram,
-    /// Sessions held.
+    /// Number of sessions that the node holds.
     pub sessions: IntGauge,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: IntGauge,
-    /// Members that take work.
+    /// Number of members that accept work.
     pub members: IntGauge,
-    /// Searchers owned.
+    /// Number of searchers that the node owns.
     pub owned_searchers: IntGauge,
-    /// Revision of the configuration held.
+    /// Revision of the document that the node holds.
     pub revision: IntGauge,
-    /// Bytes sent to other nodes, by transport.
+    /// Number of bytes sent to other nodes, by transport.
     pub peer_bytes: IntCounterVec,
 }
 
-/// Upper bounds of the answer histogram, in seconds.
+/// Upper bounds of the buckets of the answer time histogram, in seconds.
 const ANSWER_BUCKETS: &[f64] = &[0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.33, 0.5, 1.0, 2.0, 5.0];
 
 impl Metrics {
-    /// Builds and registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, label: &str| -> Result<IntCounterVec, prometheus::Error> {
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Adds what a root has counted since `before`.
+    /// Adds the differences between two states of the root engine's counters to the metrics.
     pub fn add_root_counters(&self, before: RootCounters, after: RootCounters) {
         let add = |counter: &IntCounterVec, label: &str, before: u64, after: u64| {
             counter.with_label_values(&[label]).inc_by(after - before);
@@ -81,7 +82,7 @@
         add(&self.dropped, "late_reply", before.late_replies, after.late_replies);
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/session/staircross-node/src/node.rs
+++ b/crates/session/staircross-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Start and stop of a node.
 
 use crate::core::{Core, CoreParts};
 use crate::event::CoreEvent;
@@ -19,7 +19,7 @@
 use std::thread::JoinHandle;
 
 quick_error! {
-    /// Why a node can't start.
+    /// Reason why a node can't start.
     #[derive(Debug)]
     pub enum NodeError {
         /// A setting is invalid.
@@ -27,11 +27,11 @@
             from()
             display("{error}")
         }
-        /// An address can't be listened on, or a thread not be started.
+        /// Listening on an address or starting a thread failed.
         Io { what: String, error: std::io::Error } {
             display("{what}: {error}")
         }
-        /// The metrics can't be registered.
+        /// Registering the metrics failed.
         Metrics(error: prometheus::Error) {
             from()
             display("metrics: {error}")
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    /// Starts a node with checked settings.
+    /// Checks the settings and starts a node with them.
     pub fn start(settings: Settings) -> Result<Node, NodeError> {
         settings.check()?;
         let logs = Logs::from_filter(&settings.node.log)?;
@@ -94,26 +94,26 @@
         Ok(Node { id, events, leaving, core })
     }
 
-    /// This run.
+    /// Returns the id of this run of the node.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Begins a planned stop; may be called again.
+    /// Begins a planned stop. Further calls only write a log line.
     pub fn begin_stop(&self) {
         self.leaving.store(true, Ordering::Release);
-        // The core is gone only when the stop is done.
+        // Sending fails only if the core has ended, which it does when a planned stop is complete.
         let _already_done = self.events.send(CoreEvent::Stop);
     }
 
-    /// Whether the planned stop is done.
+    /// Whether the planned stop is complete.
     pub fn is_done(&self) -> bool {
         self.core.is_finished()
     }
 
-    /// Waits until a planned stop is done.
+    /// Waits until a planned stop is complete.
     pub fn wait(self) {
-        // A panic of the core has been printed by its thread.
+        // If the core panicked, its thread has printed the panic.
         let _core_result = self.core.join();
     }
 }
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -1,8 +1,9 @@
 //! Connections to other nodes.
 //!
-//! Small control messages go over one UDP socket. Everything else goes over TCP: each node writes
-//! on the connections it opened and reads on those it accepted. Queues are bounded; a peer that
-//! doesn't keep up loses messages, not this node its memory. A malformed frame ends its connection only.
+//! Small control messages are sent over one UDP socket. Everything else is sent over TCP: each node writes
+//! to the connections that it opened and reads from those that it accepted. Queues are bounded, so that
+//! messages to a peer that doesn't keep up are dropped instead of filling this node's memory. A malformed
+//! frame closes only the connection on which it arrived.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
@@ -21,18 +22,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Messages that may wait for one peer.
+/// Largest number of messages that may wait to be sent to one peer.
 const QUEUE_LENGTH: usize = 8192;
-/// Longest wait for a connection to a peer.
+/// Longest wait for a connection to a peer to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a peer to take what is written, or to end its handshake.
+/// Longest wait for a peer to accept written bytes, or for the next bytes of its handshake.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an idle connection is closed.
+/// Time without messages after which this node closes a connection that it opened.
 const IDLE_LIFE: Duration = Duration::from_secs(60);
-/// Longest silence of a peer on a connection that it opened.
+/// Time without bytes after which this node closes a connection that the peer opened.
 const READ_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// The way to all other nodes.
+/// Connections to all other nodes.
 pub struct PeerTransport {
     queues: HashMap<SocketAddr, Sender<PeerMessage>>,
     shared: Arc<Shared>,
@@ -48,26 +49,26 @@
     stop: Arc<AtomicBool>,
 }
 
-/// What the transport is started with.
+/// Arguments of [`PeerTransport::start`].
 pub struct PeerTransportParts {
-    /// This run.
+    /// Id of this run of the node.
     pub node: NodeId,
-    /// Where to listen, TCP and UDP.
+    /// Address on which to listen over TCP and UDP.
     pub listen: SocketAddr,
-    /// The fleet's key.
+    /// Secret key of the cluster.
     pub key: ClusterKey,
-    /// Where received messages go.
+    /// Channel to the core for received messages and failures.
     pub events: Sender<CoreEvent>,
-    /// Loggers.
+    /// Loggers of the node.
     pub logs: Logs,
-    /// Metrics.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// Set when the node ends.
+    /// Flag that is set when the node ends.
     pub stop: Arc<AtomicBool>,
 }
 
 impl PeerTransport {
-    /// Listens and starts the receiving threads.
+    /// Starts to listen, and starts the threads that receive messages.
     pub fn start(parts: PeerTransportParts) -> std::io::Result<Self> {
         let listener = TcpListener::bind(parts.listen)?;
         let udp = UdpSocket::bind(parts.listen)?;
@@ -88,7 +89,7 @@
         Ok(PeerTransport { queues: HashMap::new(), shared })
     }
 
-    /// Sends a message, or drops it when the peer doesn't keep up.
+    /// Queues a message for sending, or drops it if the peer's queue is full.
     pub fn send(&mut self, to: SocketAddr, message: PeerMessage) {
         if is_datagram(&message) && self.shared.send_datagram(to, &message) {
             return;
@@ -105,7 +106,7 @@
             },
         };
         let (queue, source) = bounded(QUEUE_LENGTH);
-        // The queue is fresh, so there is room.
+        // The queue is new, so it has room for the message.
         let _room_for_one = queue.try_send(message);
         self.queues.insert(to, queue);
         let writer = self.shared.clone();
@@ -117,7 +118,7 @@
     }
 }
 
-/// Messages of protocols that expect loss.
+/// Whether the message belongs to a protocol that tolerates loss and may be sent as a datagram.
 fn is_datagram(message: &PeerMessage) -> bool {
     let PeerMessage::Cluster(envelope) = message else {
         return false;
@@ -132,7 +133,7 @@
 
 impl Shared {
     fn notify_core(&self, event: CoreEvent) {
-        // The core is gone only while the node stops.
+        // Sending fails only if the core has ended, at the end of a planned stop.
         let _ignored_while_stopping = self.events.send(event);
     }
 
@@ -140,7 +141,7 @@
         self.metrics.dropped.with_label_values(&[what]).inc();
     }
 
-    /// Returns whether the message went out as a datagram.
+    /// Sends a message as a datagram. Returns `false` if the message is too long for one and must be sent over TCP.
     fn send_datagram(&self, to: SocketAddr, message: &PeerMessage) -> bool {
         let sealed = match datagram::seal(&self.key, message) {
             Ok(Some(sealed)) => sealed,
@@ -228,7 +229,7 @@
             Ok(stream) => BufWriter::new(stream),
             Err(error) => {
                 info!(logger: self.logs.peers, "event=unreachable peer={to} error={error:?}");
-                // Nothing was written: whatever waits was certainly not delivered.
+                // Nothing was written, so none of the queued messages was delivered.
                 while let Ok(message) = source.try_recv() {
                     self.undelivered(message, false);
                 }
@@ -240,7 +241,7 @@
             let flushed = match written {
                 Ok(count) => {
                     self.metrics.peer_bytes.with_label_values(&["tcp"]).inc_by(count as u64);
-                    // A batch goes out in one write when more is waiting.
+                    // If more messages are queued, the buffer is flushed after the last of them.
                     if source.is_empty() { stream.flush() } else { Ok(()) }
                 }
                 Err(error) => {
@@ -268,7 +269,7 @@
         Ok(stream)
     }
 
-    /// Reports a sub-request that wasn't delivered, or of which some bytes may have been.
+    /// Counts a message that wasn't delivered, or not certainly, and reports it to the core if it is a sub-request.
     fn undelivered(&self, message: PeerMessage, partly_written: bool) {
         self.drop_one("peer_message");
         if let PeerMessage::Request { request, .. } = message {
--- a/crates/session/staircross-node/src/platform.rs
+++ b/crates/session/staircross-node/src/platform.rs
@@ -1,6 +1,6 @@
-//! Reads the platform: the service document and the machine list.
+//! Reads the service document and the machine list from the platform.
 //!
-//! A failed or malformed read changes nothing: what is in force stays in force.
+//! After a failed read or a malformed reply, the document and the machine list in force stay in force.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
@@ -12,11 +12,11 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Longest document, in bytes.
+/// Longest reply of the platform, in bytes.
 const MAX_DOCUMENT: u64 = 64 * 1024 * 1024;
-/// Longest wait for the platform.
+/// Longest wait for a reply of the platform.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the reader looks whether it should stop.
+/// Interval at which the reader checks whether it should stop.
 const STOP_CHECK: Duration = Duration::from_millis(50);
 
 /// Starts the thread that reads the platform.
@@ -86,7 +86,7 @@
     }
 
     fn notify_core(&self, event: CoreEvent) {
-        // The core is gone only while the node stops.
+        // Sending fails only if the core has ended, at the end of a planned stop.
         let _ignored_while_stopping = self.events.send(event);
     }
 
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -1,11 +1,17 @@
 //! Connections to searchers.
 //!
-//! Each owned searcher has a few worker threads, each with one kept-alive connection, and one
-//! more thread for probes and cancellations. The leaf engine bounds what is in flight; this module
-//! bounds connections. Invariants: nothing is ever sent twice; an action goes out on a fresh
-//! connection, so that a stale kept-alive one can't leave its outcome in doubt; work is not
-//! written after its `send_before`; "not run" is reported only when no connection was made or the
-//! searcher itself said so.
+//! Each owned searcher has a few worker threads with one keep-alive connection each, and one more
+//! thread for probes and cancellations. The leaf engine bounds the number of calls in flight; this
+//! module bounds the number of connections.
+//!
+//! Invariants:
+//!
+//! - No call is ever sent twice.
+//! - An action is sent on a new connection. On a keep-alive connection that the searcher has just
+//!   closed, it would be unknown whether the action was executed.
+//! - No call is started after its `send_before`.
+//! - "Not run" is reported only if the call wasn't started, if no connection was made, or if the
+//!   searcher itself said so.
 
 mod call;
 
@@ -23,24 +29,25 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time after which an idle worker ends and closes its connection.
+/// Time without work after which a worker thread ends and closes its connection.
 const IDLE_LIFE: Duration = Duration::from_secs(20);
-/// Control jobs that may wait; more are dropped, since probes repeat and cancellations are hints.
+/// Largest number of control jobs that may wait. Further ones are dropped, because probes are repeated and
+/// cancellations are only hints.
 const CONTROL_QUEUE: usize = 256;
 
-/// Work to be sent to a searcher.
+/// A sub-request to be sent to a searcher.
 struct Job {
     request: SubRequest,
     send_before: BootTime,
 }
 
-/// A probe or a cancellation.
+/// A probe or a cancellation to be sent to a searcher.
 enum ControlJob {
     Probe,
     Cancel(AttemptId),
 }
 
-/// Connections to one searcher.
+/// Worker threads and queues of one searcher.
 struct Pool {
     address: SocketAddr,
     jobs: Sender<Job>,
@@ -60,12 +67,12 @@
 }
 
 impl SearcherConnections {
-    /// No connections yet. Replies longer than `reply_limit` bytes count as damaged.
+    /// Creates an empty set of connections. Replies longer than `reply_limit` bytes count as damaged.
     pub fn new(events: Sender<CoreEvent>, logs: Logs, reply_limit: usize) -> Self {
         SearcherConnections { pools: HashMap::new(), events, logs, reply_limit: reply_limit as u64 }
     }
 
-    /// Sets which searchers are owned; the others' threads end when their work is done.
+    /// Sets which searchers this node owns. The threads of other searchers end when their queued work is done.
     pub fn set_owned(&mut self, owned: &[OwnedAddress]) {
         let is_kept = |id: &SearcherId, pool: &Pool| {
             owned.iter().any(|owned| owned.searcher == *id && owned.address == pool.address)
@@ -108,7 +115,7 @@
         }
     }
 
-    /// Sends work to a searcher.
+    /// Queues a sub-request for a searcher, and starts another worker if none is idle and the limit allows it.
     pub fn send(&self, request: SubRequest, send_before: BootTime) {
         let Some(pool) = self.pools.get(&request.searcher) else {
             let reply = not_run(&request, NotRunReason::NotOwner);
@@ -145,12 +152,12 @@
         }
     }
 
-    /// Asks a searcher for its state.
+    /// Queues a request for the state of a searcher.
     pub fn probe(&self, searcher: SearcherId) {
         self.control(searcher, ControlJob::Probe);
     }
 
-    /// Tells a searcher that an attempt is no longer wanted.
+    /// Queues a message that tells a searcher that an attempt is no longer wanted.
     pub fn cancel(&self, searcher: SearcherId, attempt: AttemptId) {
         self.control(searcher, ControlJob::Cancel(attempt));
     }
@@ -165,19 +172,19 @@
     }
 
     fn notify_core(&self, event: CoreEvent) {
-        // The core is gone only while the node stops.
+        // Sending fails only if the core has ended, at the end of a planned stop.
         let _ignored_while_stopping = self.events.send(event);
     }
 }
 
-/// Where an owned searcher listens and how many connections to it are this owner's.
+/// Address of an owned searcher, and the number of connections that this owner may open to it.
 #[derive(Clone, Debug)]
 pub struct OwnedAddress {
-    /// The searcher.
+    /// Id of the searcher.
     pub searcher: SearcherId,
-    /// Where it listens.
+    /// Address on which the searcher listens.
     pub address: SocketAddr,
-    /// Connections for work; one more is used for probes.
+    /// Largest number of connections for sub-requests. One more connection is used for probes and cancellations.
     pub connections: usize,
 }
 
@@ -189,7 +196,7 @@
         let Ok(job) = received else {
             return;
         };
-        // The evidence on which the leaf decided may have grown old while this thread was paused.
+        // The leaf engine decided on evidence that may be too old now, for example after a pause of this thread.
         let CallEnd { reply, run } = if clock::now() >= job.send_before {
             CallEnd::without_run(not_run(&job.request, NotRunReason::Unconnected))
         } else {
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -1,4 +1,4 @@
-//! One call to a searcher over HTTP, and what its end means.
+//! HTTP calls to a searcher, and the outcome that each way of failing implies.
 
 use crate::logs::Logs;
 use spdlog::{debug, warn};
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a connection.
+/// Longest wait for a connection to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a probe or a cancellation.
+/// Longest wait for the reply to a probe or a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Extra time for a reply that the searcher sent at its deadline.
+/// Time added to the wait for a reply, so that one sent at the deadline still arrives.
 const REPLY_GRACE: Duration = Duration::from_millis(50);
 
-/// Calls one searcher. Each caller keeps one connection alive.
+/// HTTP client of one searcher, with one keep-alive connection.
 pub(super) struct SearcherCaller {
     searcher: SearcherId,
     base: String,
@@ -29,28 +29,28 @@
     logs: Logs,
 }
 
-/// How a call ended.
+/// Result of a call.
 pub(super) struct CallEnd {
-    /// The reply, true or made up for one that didn't come.
+    /// The searcher's reply, or one made by this node that says how the call failed.
     pub reply: SubReply,
-    /// The run of the searcher that replied, if one did.
+    /// Incarnation of the searcher that replied, if one did.
     pub run: Option<SearcherIncarnation>,
 }
 
 impl CallEnd {
-    /// An end without a reply.
+    /// Creates the result of a call to which no searcher replied.
     pub fn without_run(reply: SubReply) -> Self {
         CallEnd { reply, run: None }
     }
 }
 
-/// Why a call brought no reply.
+/// Reason why a call failed.
 enum CallFailure {
-    /// No connection was made; no byte left.
+    /// No connection was made, so no byte was sent.
     NotConnected,
-    /// Anything after that.
+    /// The call failed after a connection may have been made.
     Broken(String),
-    /// The time passed.
+    /// The wait for the reply ended after a connection may have been made.
     TimedOut,
 }
 
@@ -70,7 +70,7 @@
         self.searcher
     }
 
-    /// Carries out a sub-request.
+    /// Sends a sub-request to the searcher and waits for its reply.
     pub fn call(&self, request: &SubRequest) -> CallEnd {
         let reply = match &request.work {
             Work::Search(query) => {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Checks that a reply is for this request before anything of it is used.
+    /// Checks that a reply is for this request, and converts it for the leaf engine.
     fn judge(&self, request: &SubRequest, reply: CallReply) -> SubReply {
         if reply.attempt != request.attempt {
             warn!(logger: self.logs.searchers,
@@ -150,7 +150,7 @@
     fn read_checked(&self, mut response: ureq::http::Response<ureq::Body>) -> Result<Vec<u8>, CallFailure> {
         let digest = response.headers().get(DIGEST_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let body = response.body_mut().with_config().limit(self.reply_limit);
-        // A reply that has begun has left the searcher: whatever fails now, it may have run.
+        // The searcher has begun to reply, so it may have executed the call whatever fails from here on.
         let bytes = body.read_to_vec().map_err(after_connecting)?;
         match digest {
             Some(digest) if digest == body_digest(&bytes) => Ok(bytes),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Asks for the searcher's state; `None` when it doesn't answer as itself.
+    /// Requests the searcher's state. Returns `None` if the request fails or another searcher answers.
     pub fn probe(&self) -> Option<Evidence> {
         let request = self.kept.get(format!("{}{STATE_PATH}", self.base));
         let response = request.config().timeout_global(Some(CONTROL_TIMEOUT)).build().call().ok()?;
@@ -173,7 +173,7 @@
         Some(Evidence { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
     }
 
-    /// Tells the searcher that an attempt is no longer wanted. A hint: failure doesn't matter.
+    /// Tells the searcher that an attempt is no longer wanted. This is only a hint, so a failure is only logged.
     pub fn cancel(&self, attempt: AttemptId) {
         let Ok(body) = serde_json::to_vec(&CancelCall { attempt }) else {
             return;
@@ -199,7 +199,8 @@
         .into()
 }
 
-/// What a failed call means. Only what certainly happened before the first byte left counts as not connected.
+/// Converts an error of the HTTP client. Only errors that certainly occurred before the first byte was sent count
+/// as [`CallFailure::NotConnected`].
 fn classify(error: ureq::Error) -> CallFailure {
     match &error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => CallFailure::NotConnected,
--- a/crates/session/staircross-node/tests/pinned_api.rs
+++ b/crates/session/staircross-node/tests/pinned_api.rs
@@ -1,4 +1,4 @@
-//! What callers and operators send and get, as JSON.
+//! Checks the JSON messages exchanged with callers and operators against snapshots.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -17,7 +17,7 @@
 const NODE: NodeId = NodeId(0x0102_0304);
 const SNAPSHOT: Snapshot = Snapshot { version: 7, epoch: 300, build: 70_000 };
 
-/// A message's name and its JSON; checks that the JSON is read back as the same message.
+/// Returns a message's name and JSON, and checks that the JSON decodes to the same message.
 fn pin<T: Serialize + DeserializeOwned + PartialEq>(name: &str, message: &T) -> String {
     let json = serde_json::to_string(message).expect("encodes");
     let back: T = serde_json::from_str(&json).expect("decodes");
--- a/crates/session/staircross-node/tests/pinned_front.rs
+++ b/crates/session/staircross-node/tests/pinned_front.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies that callers get over HTTP, whatever the core decides.
+//! Checks the heads and bodies of HTTP responses against snapshots, with scripted replies in place of a core.
 
 use crossbeam::channel::{Receiver, Sender, unbounded};
 use staircross_config::Settings;
@@ -16,7 +16,7 @@
 const NODE: NodeId = NodeId(0x0102_0304);
 const TOKEN: SessionToken = SessionToken(5);
 
-/// An address of this machine whose port was free a moment ago.
+/// Returns a loopback address whose port was free when it was checked.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     listener.local_addr().expect("has an address")
@@ -55,7 +55,7 @@
     CallerReply::Refused(Refusal::new(kind, "why"))
 }
 
-/// A front whose core gives each command the next reply of a list.
+/// An HTTP server whose core answers each command with the next queued reply.
 struct Served {
     address: SocketAddr,
     replies: Sender<CallerReply>,
@@ -83,7 +83,8 @@
         Served { address, replies }
     }
 
-    /// A request's first line and the whole response.
+    /// Sends a request and returns its first line and the whole response. If `reply` is given, it is queued as the
+    /// core's reply.
     fn exchange(&self, first_line: &str, body: &[u8], reply: Option<CallerReply>) -> String {
         if let Some(reply) = reply {
             self.replies.send(reply).expect("the core listens");
@@ -155,7 +156,7 @@
     insta::assert_snapshot!(served.exchange("GET /livez", b"", None));
 }
 
-/// Which command each path becomes; replies alone would not tell.
+/// Checks which command the core receives for each path, which the responses don't show.
 #[test]
 fn paths_select_commands() {
     let (events, received) = unbounded();
--- a/crates/session/staircross-node/tests/pinned_metrics.rs
+++ b/crates/session/staircross-node/tests/pinned_metrics.rs
@@ -1,4 +1,4 @@
-//! Names, labels and help of the metrics.
+//! Checks the names, labels and help texts of the metrics against a snapshot.
 
 use staircross_node::metrics::Metrics;
 use staircross_search::root::RootCounters;
@@ -6,7 +6,7 @@
 #[test]
 fn metrics_page_is_pinned() {
     let metrics = Metrics::new().expect("registers");
-    // Families show once one of their label values does.
+    // A metric with labels is rendered only once one of its label values has been used.
     metrics.requests.with_label_values(&["answer"]).inc();
     metrics.missing_shards.with_label_values(&["late"]).inc();
     metrics.dropped.with_label_values(&["session_copy"]).inc();
