--- a/crates/session/staircross-standin/src/bin/staircross-standin.rs
+++ b/crates/session/staircross-standin/src/bin/staircross-standin.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in as a process of its own.
+//! Runs a stand-in for a searcher or for the platform as a separate process.
 
 use staircross_config::PlatformDocument;
 use staircross_standin::{Corpus, PlatformStandin, SearcherSettings, SearcherStandin};
--- a/crates/session/staircross-standin/src/corpus.rs
+++ b/crates/session/staircross-standin/src/corpus.rs
@@ -1,4 +1,4 @@
-//! Documents, one JSON object a line.
+//! Corpus of documents, read from a file with one JSON object per line.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -8,15 +8,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Unique id.
+    /// Unique id of the document.
     pub id: String,
-    /// Text to show.
+    /// Title, which is shown with hits and also searched.
     pub title: String,
-    /// Text to search, besides the title.
+    /// Body, which is searched besides the title.
     pub body: String,
 }
 
-/// All documents of one index version.
+/// All documents from which the index of a snapshot is built.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Corpus {
     /// The documents.
@@ -24,14 +24,14 @@
 }
 
 quick_error! {
-    /// Why a corpus can't be read.
+    /// Reason why a corpus can't be read.
     #[derive(Debug)]
     pub enum CorpusError {
         /// The file can't be read.
         Unreadable { path: String, error: std::io::Error } {
             display("{path}: {error}")
         }
-        /// A line is no document.
+        /// A line can't be decoded as a document.
         BadLine { origin: String, line: usize, reason: String } {
             display("{origin}, line {line}: {reason}")
         }
@@ -39,7 +39,7 @@
 }
 
 impl Corpus {
-    /// Reads a file of JSON lines.
+    /// Reads a file with one JSON document per line.
     pub fn read(path: &Path) -> Result<Self, CorpusError> {
         let origin = path.display().to_string();
         let text =
@@ -47,7 +47,7 @@
         Self::parse(&origin, &text)
     }
 
-    /// Reads JSON lines; empty lines are skipped.
+    /// Parses one JSON document per line and skips empty lines.
     pub fn parse(origin: &str, text: &str) -> Result<Self, CorpusError> {
         let mut documents = Vec::new();
         for (index, line) in text.lines().enumerate() {
--- a/crates/session/staircross-standin/src/faults.rs
+++ b/crates/session/staircross-standin/src/faults.rs
@@ -1,15 +1,15 @@
-//! Scripted faults of a searcher.
+//! Faults that tests can inject into a searcher stand-in.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::ShardId;
 
-/// One way to misbehave.
+/// A fault of a searcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// Calls that touch this shard take longer.
+    /// Calls that read this shard take longer.
     SlowShard {
-        /// The shard.
+        /// The slow shard.
         shard: ShardId,
         /// Extra milliseconds.
         delay_ms: u64,
@@ -19,29 +19,29 @@
         /// Extra milliseconds.
         delay_ms: u64,
     },
-    /// Calls run and the connection closes without a reply.
+    /// Calls are executed, then the connection closes without a reply.
     LoseReply,
-    /// The reply is cut in the middle.
+    /// The reply is cut off in the middle of its body.
     TruncateReply,
-    /// The reply's body is damaged but whole in length.
+    /// The reply's body is corrupted but has its full length.
     DamageReply,
-    /// The reply names another attempt and holds another's hits.
+    /// The reply names another attempt.
     CrossReply,
     /// The reply names another snapshot.
     WrongSnapshot,
     /// The reply leaves out its last shard.
     OmitShard,
-    /// The reply holds a shard that wasn't asked for.
+    /// The reply includes a shard that wasn't requested.
     AddShard,
-    /// The state endpoint tells of no load and health whatever is true.
+    /// The state endpoint always reports no load and no drain.
     MisleadingState,
-    /// Every call is refused for lack of room.
+    /// Every call is refused as if all slots and the queue were full.
     Shed,
-    /// Every connection closes without a word, as if the machine were gone.
+    /// Every connection closes without a reply, as if the machine had failed.
     Dead,
 }
 
-/// The faults in force; a fault may be limited to a number of calls.
+/// The active faults. Each may be limited to a number of calls.
 #[derive(Clone, Debug, Default)]
 pub struct FaultScript {
     active: Vec<ActiveFault>,
@@ -54,7 +54,7 @@
 }
 
 impl FaultScript {
-    /// Adds a fault; with `calls`, for so many calls only.
+    /// Adds a fault. If `calls` is given, the fault ends after that number of calls.
     pub fn add(&mut self, fault: Fault, calls: Option<u32>) {
         self.active.push(ActiveFault { fault, calls_left: calls });
     }
@@ -64,7 +64,7 @@
         self.active.clear();
     }
 
-    /// The faults that apply to the next call, which is counted.
+    /// Returns the faults that apply to the next call, and counts this call.
     pub fn take_for_call(&mut self) -> Vec<Fault> {
         let faults = self.active.iter().map(|active| active.fault.clone()).collect();
         for active in &mut self.active {
@@ -74,7 +74,7 @@
         faults
     }
 
-    /// Whether a fault is in force, without counting a call.
+    /// Whether a fault is active. No call is counted.
     pub fn contains(&self, fault: &Fault) -> bool {
         self.active.iter().any(|active| active.fault == *fault)
     }
--- a/crates/session/staircross-standin/src/http.rs
+++ b/crates/session/staircross-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Helpers for the stand-ins' HTTP servers.
+//! Helper functions of the stand-ins' HTTP servers.
 
 use oxhttp::model::{Body, Request, Response, StatusCode};
 use serde::Serialize;
@@ -7,11 +7,11 @@
 use staircross_types::searcher_api::DIGEST_HEADER;
 use std::io::Read;
 
-/// Longest request body that a stand-in reads.
+/// Longest request body that a stand-in reads, in bytes.
 const MAX_BODY: u64 = 16 * 1024 * 1024;
 
-/// Reads a JSON body; the error is the response to give.
-// The response is as large as the body type of the library; it is built once per bad request.
+/// Decodes a JSON request body. The error is the response to send.
+// The large error type is accepted because it is only built for a bad request.
 #[allow(clippy::result_large_err)]
 pub fn read_json<T: DeserializeOwned>(request: &mut Request<Body>) -> Result<T, Response<Body>> {
     let mut bytes = Vec::new();
@@ -22,7 +22,7 @@
     serde_json::from_slice(&bytes).map_err(|error| text_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// A JSON response with its digest.
+/// Creates a JSON response with the digest of its body.
 pub fn json_response(value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(bytes) => bytes_response(&body_digest(&bytes), bytes),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A response of `bytes` that claims `digest`.
+/// Creates a response with the body `bytes` and `digest` in its digest header, whether or not they match.
 pub fn bytes_response(digest: &str, bytes: Vec<u8>) -> Response<Body> {
     let response = Response::builder()
         .header("content-type", "application/json")
@@ -39,7 +39,7 @@
     response.unwrap_or_else(|error| text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()))
 }
 
-/// A plain-text response.
+/// Creates a plain-text response.
 pub fn text_response(status: StatusCode, text: &str) -> Response<Body> {
     let mut response = Response::new(Body::from(text.to_owned()));
     *response.status_mut() = status;
@@ -48,13 +48,13 @@
 
 /// Closes the connection of the request being handled without a response.
 ///
-/// The server library has no call for this. Unwinding ends the connection's own thread only, and
-/// `resume_unwind` prints nothing.
+/// The server library has no function for this. Unwinding ends only the connection's own thread, and
+/// `resume_unwind` prints no message.
 pub fn close_without_reply() -> ! {
     std::panic::resume_unwind(Box::new("connection closed by a scripted fault"))
 }
 
-/// A response that breaks off half-way through `bytes`: its connection closes in mid-chunk.
+/// Creates a response that ends half-way through `bytes`, because its connection closes in the middle of a chunk.
 pub fn truncated_response(digest: &str, bytes: Vec<u8>) -> Response<Body> {
     let half = bytes[..bytes.len() / 2].to_vec();
     let mut response = bytes_response(digest, Vec::new());
@@ -63,7 +63,7 @@
 }
 
 trait ChainError: std::io::Read + Sized {
-    /// Reads on into an error, where a file would end.
+    /// Returns a reader that fails at the end of `self` instead of reporting the end.
     fn chain_error(self) -> std::io::Chain<Self, BrokenOff> {
         self.chain(BrokenOff)
     }
--- a/crates/session/staircross-standin/src/index.rs
+++ b/crates/session/staircross-standin/src/index.rs
@@ -1,18 +1,18 @@
-//! An inverted index of one snapshot's shards, with term search and a score.
+//! Inverted index of a snapshot's shards, with term search and scoring.
 
 use crate::corpus::{Corpus, Document};
 use staircross_types::query::shard_of;
 use staircross_types::{Hit, SearchQuery, ShardHits, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
-/// One occurrence list entry.
+/// Entry of a posting list: a document and the number of times that the term occurs in it.
 #[derive(Clone, Copy, Debug)]
 struct Posting {
     document: u32,
     count: u32,
 }
 
-/// One shard.
+/// Index of one shard.
 #[derive(Default)]
 pub struct ShardIndex {
     documents: Vec<Document>,
@@ -20,7 +20,7 @@
     postings: HashMap<String, Vec<Posting>>,
 }
 
-/// All shards of one snapshot that a searcher holds.
+/// Indexes of all shards of one snapshot that a searcher holds.
 #[derive(Default)]
 pub struct SnapshotIndex {
     shards: BTreeMap<ShardId, ShardIndex>,
@@ -32,7 +32,7 @@
 }
 
 impl SnapshotIndex {
-    /// Indexes those documents of `corpus` that fall into `held`, of `shard_count` shards.
+    /// Indexes the documents of `corpus` that belong to the shards in `held`. The snapshot has `shard_count` shards.
     pub fn build(corpus: &Corpus, held: &[ShardId], shard_count: usize) -> Self {
         let mut shards: BTreeMap<ShardId, ShardIndex> =
             held.iter().map(|shard| (*shard, ShardIndex::default())).collect();
@@ -46,7 +46,7 @@
         SnapshotIndex { shards }
     }
 
-    /// Searches one shard; `None` when it isn't held.
+    /// Searches one shard. Returns `None` if the shard isn't held.
     pub fn search(&self, shard: ShardId, query: &SearchQuery) -> Option<ShardHits> {
         self.shards.get(&shard).map(|index| index.search(shard, query))
     }
@@ -62,7 +62,7 @@
         self.documents.push(document);
     }
 
-    /// Orders documents by id, as pulls need them, and builds the lists.
+    /// Sorts the documents by id, which is the order that pulls need, and builds the posting lists.
     fn sort(&mut self) {
         self.documents.sort_by(|left, right| left.id.cmp(&right.id));
         for (number, document) in self.documents.iter().enumerate() {
@@ -100,7 +100,10 @@
         ShardHits { shard, matched, hits }
     }
 
-    /// Scores of documents with a term: term frequency, dampened, over length; rare terms weigh more.
+    /// Returns the documents that contain a term, each with its score.
+    ///
+    /// The score rises with the term's frequency in the document, less than in proportion, and falls with the
+    /// document's length. Rare terms have more weight.
     fn term_scores<'a>(&'a self, term: &str) -> impl Iterator<Item = (u32, f32)> + 'a {
         let postings = self.postings.get(term).map_or(&[][..], Vec::as_slice);
         let rarity = (1.0 + self.documents.len() as f32 / (1.0 + postings.len() as f32)).ln();
--- a/crates/session/staircross-standin/src/ledger.rs
+++ b/crates/session/staircross-standin/src/ledger.rs
@@ -1,37 +1,38 @@
-//! What truly ran at a searcher, for tests to compare answers with.
+//! Record of the calls that a searcher executed, with which tests compare the answers.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{ActionCommand, AttemptId, SearcherId, ShardId, Snapshot};
 
-/// One call that ran.
+/// A call that a searcher executed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The searcher.
+    /// The searcher that executed the call.
     pub searcher: SearcherId,
-    /// The call's identity.
+    /// Id of the attempt that made the call.
     pub attempt: AttemptId,
-    /// The snapshot it ran on.
+    /// Snapshot on which the call was executed.
     pub snapshot: Snapshot,
-    /// Shards it touched.
+    /// Shards that the call named.
     pub shards: Vec<ShardId>,
-    /// For an action: what was done.
+    /// The action, or `None` for a search.
     pub action: Option<ActionCommand>,
-    /// Whether the searcher was leaving when it ran.
+    /// Whether the searcher was draining when it executed the call.
     pub while_draining: bool,
 }
 
-/// All calls that ran, in order.
+/// All calls that a searcher executed, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The entries.
+    /// One entry per call.
     pub entries: Vec<LedgerEntry>,
 }
 
-/// Entries kept; older ones are dropped.
+/// Largest number of entries kept. The oldest ones are dropped beyond it.
 const MAX_ENTRIES: usize = 1_000_000;
 
 impl Ledger {
-    /// Adds an entry and returns its number, from one.
+    /// Adds an entry and returns the number of entries, which is its number counted from one as long as none was
+    /// dropped.
     pub fn add(&mut self, entry: LedgerEntry) -> u64 {
         if self.entries.len() >= MAX_ENTRIES {
             self.entries.remove(0);
@@ -40,7 +41,7 @@
         self.entries.len() as u64
     }
 
-    /// How often an action with this note ran.
+    /// Returns how many times an action with this note was executed.
     pub fn count_actions(&self, note: &str) -> usize {
         let matches = |entry: &&LedgerEntry| entry.action.as_ref().is_some_and(|action| action.note == note);
         self.entries.iter().filter(matches).count()
--- a/crates/session/staircross-standin/src/lib.rs
+++ b/crates/session/staircross-standin/src/lib.rs
@@ -1,15 +1,16 @@
-//! Stand-ins for the session tier's searchers and platform, which speak the project's own interface (`staircross-node`).
+//! Stand-ins for the session tier's searchers and platform, which implement the interfaces that
+//! `staircross-node` uses.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
-//! | [`corpus`] | documents from JSON lines |
-//! | [`index`] | a real inverted index per shard |
-//! | [`faults`] | scripted faults |
-//! | [`ledger`] | what truly ran |
-//! | [`searcher`] | the searcher stand-in (HTTP) |
-//! | [`platform`] | the platform stand-in (HTTP) |
-//! | [`loopback`] | free addresses |
-//! | [`http`] | helpers for both servers |
+//! | [`corpus`] | documents read from JSON lines |
+//! | [`index`] | inverted index of each shard |
+//! | [`faults`] | faults that can be injected |
+//! | [`ledger`] | record of executed calls |
+//! | [`searcher`] | HTTP server of the searcher stand-in |
+//! | [`platform`] | HTTP server of the platform stand-in |
+//! | [`loopback`] | choice of free loopback addresses |
+//! | [`http`] | helper functions of both servers |
 
 pub mod corpus;
 pub mod faults;
--- a/crates/session/staircross-standin/src/loopback.rs
+++ b/crates/session/staircross-standin/src/loopback.rs
@@ -1,4 +1,4 @@
-//! Free addresses for processes on this machine.
+//! Choice of free loopback addresses for processes on this machine.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -6,19 +6,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Ports below those that the system gives to outgoing connections, so that none of these takes one
-/// between its choice here and its use by a process.
+/// First of the ports to choose from. All of them are below the range that the system uses for outgoing
+/// connections, so that no such connection takes a port after it was chosen and before a process listens on it.
 const FIRST_PORT: u16 = 10_240;
+/// Number of ports to choose from.
 const PORTS: u64 = 20_000;
-/// Spreads processes that choose at the same time.
+/// Distance between the first ports that processes with consecutive ids try, so that processes that choose at the
+/// same time rarely try the same port.
 const PROCESS_STEP: u64 = 97;
 
 static NEXT_PORT: AtomicU64 = AtomicU64::new(0);
-/// Held while a port is looked at and while a process is started. One that has just been forked holds copies of all open sockets until it runs its
-/// own program: a port that was found free would be taken for as long (5 of 2,000 beside four threads that start processes).
+/// Lock held while a port is checked and while a process is started.
+///
+/// A process that has just been forked holds copies of all open sockets until it executes its own program.
+/// Without the lock, such a copy of the socket that was opened for the check could keep the port in use after it
+/// was found free. This happened for 5 of 2,000 ports beside four threads that started processes.
 static LOOKING_OR_STARTING: Mutex<()> = Mutex::new(());
 
-/// An address that is free, for TCP and UDP.
+/// Returns a loopback address whose port is free for TCP and UDP.
 pub fn free_address() -> io::Result<SocketAddr> {
     let begin = u64::from(std::process::id()) * PROCESS_STEP;
     for _ in 0..PORTS {
@@ -33,7 +38,7 @@
     Err(io::Error::other("no port is free"))
 }
 
-/// Starts a process while nobody here looks for a free port.
+/// Starts a process while no other thread of this process checks whether a port is free.
 pub fn spawn(command: &mut Command) -> io::Result<Child> {
     let _alone = LOOKING_OR_STARTING.lock().unwrap_or_else(PoisonError::into_inner);
     command.spawn()
--- a/crates/session/staircross-standin/src/platform.rs
+++ b/crates/session/staircross-standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform stand-in: a revisioned service document and a lagging machine list, read only.
+//! Platform stand-in: an HTTP server for a service document with revisions and for a machine list. Nodes only read
+//! them; tests set them through control endpoints.
 
 use crate::http::{json_response, read_json, text_response};
 use oxhttp::Server;
@@ -9,18 +10,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How the platform behaves.
+/// Behaviour of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformMode {
     /// Serves the newest document.
     #[default]
     Up,
-    /// Answers every read with an error.
+    /// Answers every read with the status 503.
     Down,
-    /// Goes on serving what it had when it became stale.
+    /// Serves the document that was the newest one when this mode was set.
     Stale,
-    /// Serves the document before the newest one.
+    /// Serves the document published before the newest one.
     SteppedBack,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl PlatformStandin {
-    /// Starts the platform with a first document.
+    /// Starts the platform with its first document.
     pub fn start(listen: SocketAddr, document: PlatformDocument) -> std::io::Result<Self> {
         let first = State { documents: vec![document], ..State::default() };
         let platform = PlatformStandin { state: Arc::new(Mutex::new(first)) };
--- a/crates/session/staircross-standin/src/searcher.rs
+++ b/crates/session/staircross-standin/src/searcher.rs
@@ -1,4 +1,4 @@
-//! The searcher stand-in: real term search over HTTP, with slots, drain, cold start and faults.
+//! Searcher stand-in: an HTTP server for term search with call slots, drain, cold start and injected faults.
 
 use crate::corpus::Corpus;
 use crate::faults::{Fault, FaultScript};
@@ -19,50 +19,51 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How a searcher is set up.
+/// Settings of a searcher stand-in.
 #[derive(Clone, Debug)]
 pub struct SearcherSettings {
-    /// Its number.
+    /// Id of the searcher.
     pub id: SearcherId,
-    /// Where it listens.
+    /// Address on which the searcher listens.
     pub listen: SocketAddr,
-    /// Calls it runs at once.
+    /// Largest number of calls executed at once.
     pub slots: u32,
-    /// Calls that may wait for a slot before it sheds.
+    /// Largest number of calls that may wait for a slot. Further calls are shed.
     pub queue: u32,
-    /// Connections it accepts.
+    /// Largest number of connections accepted at once.
     pub connections: u32,
-    /// Time that each call takes besides the search itself.
+    /// Time that each call takes in addition to the search itself.
     pub work: Duration,
-    /// Time after its start during which calls take [`COLD_FACTOR`] times as long.
+    /// Time after the start of the searcher during which `work` takes [`COLD_FACTOR`] times as long.
     pub cold: Duration,
 }
 
-/// How much slower a cold searcher is.
+/// Factor by which [`SearcherSettings::work`] takes longer during a cold start.
 const COLD_FACTOR: u32 = 4;
-/// How often a waiting call looks whether it was cancelled.
+/// Interval at which a call at work checks whether it was cancelled. A call that waits for a slot checks at five
+/// times this interval, and when a slot is freed.
 const CANCEL_CHECK: Duration = Duration::from_millis(2);
-/// Cancelled attempts remembered.
+/// Largest number of cancelled attempts remembered. Beyond it, all of them are forgotten.
 const MAX_CANCELLED: usize = 10_000;
 
-/// Commands of the control endpoint.
+/// Command of the control endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum ControlCommand {
-    /// Stop taking new work.
+    /// Refuse new calls.
     Drain,
     /// Add a fault.
     AddFault {
-        /// The fault.
+        /// The fault to add.
         fault: Fault,
-        /// For so many calls only.
+        /// Number of calls after which the fault ends, or `None` for no end.
         calls: Option<u32>,
     },
     /// Remove all faults.
     ClearFaults,
-    /// Forget a snapshot.
+    /// Remove a snapshot.
     Retire {
-        /// The snapshot.
+        /// The snapshot to remove.
         snapshot: Snapshot,
     },
 }
@@ -93,7 +94,7 @@
 }
 
 impl SearcherStandin {
-    /// Starts a searcher without any snapshot.
+    /// Starts a searcher that has no snapshot yet.
     pub fn start(settings: SearcherSettings) -> std::io::Result<Self> {
         let shared = Arc::new(Shared {
             incarnation: SearcherIncarnation(rand::random()),
@@ -111,23 +112,23 @@
         Ok(SearcherStandin { shared })
     }
 
-    /// Takes up a snapshot: indexes the documents of `held`, of `shard_count` shards.
+    /// Adds a snapshot of `shard_count` shards by indexing the documents that belong to the shards in `held`.
     pub fn publish(&self, snapshot: Snapshot, corpus: &Corpus, held: &[ShardId], shard_count: usize) {
         let index = Arc::new(SnapshotIndex::build(corpus, held, shard_count));
         self.shared.lock().indexes.insert(snapshot, index);
     }
 
-    /// Carries out a control command.
+    /// Executes a control command.
     pub fn control(&self, command: ControlCommand) {
         self.shared.control(command);
     }
 
-    /// A copy of the ledger.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.shared.lock().ledger.clone()
     }
 
-    /// The searcher's number.
+    /// Returns the searcher's id.
     pub fn id(&self) -> SearcherId {
         self.shared.settings.id
     }
@@ -135,7 +136,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A scripted fault may end a connection's thread; the state itself stays sound.
+        // An injected fault may unwind a connection's thread and poison the lock. The state itself stays valid.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -237,7 +238,7 @@
         let status = if slot.index.holds(call.shard) {
             let message = format!("{} {}", call.command.verb, call.command.target);
             let entry = self.record(call.attempt, call.snapshot, vec![call.shard], Some(call.command));
-            // Once entered in the audit trail an action is finished, cancelled or not.
+            // The action is in the ledger, so it is reported as executed even if it was cancelled meanwhile.
             let _finished_in_time = self.work(call.attempt, &[call.shard], &faults, deadline);
             CallStatus::Acted { entry, message }
         } else {
@@ -247,7 +248,7 @@
         self.reply(&faults, call.attempt, call.snapshot, status)
     }
 
-    /// Waits for a slot; the error is the "not run" answer.
+    /// Waits for a slot. The error is the status with which a call that isn't executed is answered.
     fn enter(
         &self,
         faults: &[Fault],
@@ -294,7 +295,7 @@
         state.ledger.add(LedgerEntry { searcher, attempt, snapshot, shards, action, while_draining })
     }
 
-    /// Spends the time that a call takes; `false` when it was cancelled or its deadline passed.
+    /// Waits for as long as a call takes. Returns `false` if the call was cancelled or its deadline passed.
     fn work(&self, attempt: AttemptId, shards: &[ShardId], faults: &[Fault], deadline: Instant) -> bool {
         let mut span = self.settings.work;
         if self.started.elapsed() < self.settings.cold {
@@ -323,7 +324,7 @@
     }
 }
 
-/// A slot in use; freed when dropped.
+/// A slot in use, which is freed when it is dropped, and the index of the call's snapshot.
 struct Slot<'a> {
     shared: &'a Shared,
     index: Arc<SnapshotIndex>,
--- a/crates/session/staircross-standin/tests/loopback.rs
+++ b/crates/session/staircross-standin/tests/loopback.rs
@@ -1,7 +1,8 @@
-//! Ports for processes, chosen while other threads start processes.
+//! Checks that free ports can be chosen while other threads start processes.
 //!
-//! Seen: beside load, a node of a test never became ready: "Address already in use". A process that has just been forked holds copies of all open
-//! sockets until it runs its own program, so also of the one by which a port was found free a moment ago.
+//! Guards against a node that can't start under load, because of "Address already in use". A process that has just
+//! been forked holds copies of all open sockets until it executes its own program, among them a copy of the socket
+//! by which a port was found free.
 
 use staircross_standin::loopback::{free_address, spawn};
 use std::net::TcpListener;
--- a/crates/session/staircross-standin/tests/pinned_help.rs
+++ b/crates/session/staircross-standin/tests/pinned_help.rs
@@ -1,4 +1,4 @@
-//! The help of the program.
+//! Checks the program's help text against a snapshot.
 
 use std::process::Command;
 
