--- a/crates/session/staircross-node/src/client.rs
+++ b/crates/session/staircross-node/src/client.rs
@@ -10,7 +10,7 @@
 /// Longest wait for a reply. It exceeds the wait bounds of requests that are in usual use.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 /// Longest reply, in bytes.
-const MAX_REPLY: u64 = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
 
 quick_error! {
     /// Reason why a call failed.
@@ -86,7 +86,7 @@
     /// Requests the node's state.
     pub fn status(&self) -> Result<StatusReply, ClientError> {
         let response = self.agent.get(self.url("/v1/status")).call();
-        let text = self.read(response)?;
+        let text = self.read_text(response)?;
         self.decode(&text)
     }
 
@@ -105,12 +105,15 @@
 
     fn post(&self, path: &str, body: &str) -> Result<String, ClientError> {
         let response = self.agent.post(self.url(path)).content_type("text/plain").send(body);
-        self.read(response)
+        self.read_text(response)
     }
 
-    fn read(&self, response: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Result<String, ClientError> {
+    fn read_text(
+        &self,
+        response: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+    ) -> Result<String, ClientError> {
         let mut response = response.map_err(|error| self.http_error(error))?;
-        let body = response.body_mut().with_config().limit(MAX_REPLY).read_to_string();
+        let body = response.body_mut().with_config().limit(MAX_REPLY_BYTES).read_to_string();
         body.map_err(|error| self.http_error(error))
     }
 
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -21,7 +21,7 @@
 use hashbrown::HashMap;
 use held_sessions::HeldSessions;
 use pending::PendingRequest;
-use sessions::{HeldReply, PendingResume};
+use sessions::{HeldReply, SessionLookup};
 use staircross_cluster::{ClusterEngine, ClusterEvent, ClusterSettings, Member, MemberState};
 use staircross_config::{MachineList, MachineState, Settings};
 use staircross_search::root::RootCounters;
@@ -35,12 +35,12 @@
 use std::time::Duration;
 
 /// Interval between ticks of the engines.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay of a tick that shows that this process was paused, so that other nodes may have declared this node dead.
 /// The delay is shorter than the time that they take to do so.
-const PAUSE: Duration = Duration::from_secs(1);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Events handled in a row before the timers are checked again.
-const EVENTS_PER_TURN: usize = 256;
+const MAX_EVENTS_PER_TURN: usize = 256;
 /// Time during which a stopping node still accepts requests of its sessions, so that callers learn from the
 /// replies which node to use next.
 const STOP_LINGER: Duration = Duration::from_millis(1500);
@@ -63,18 +63,18 @@
     cluster: ClusterEngine,
     next_sequence: u64,
     pending: HashMap<u64, PendingRequest>,
-    held: Vec<HeldReply>,
-    resumes: HashMap<SessionToken, PendingResume>,
+    held_replies: Vec<HeldReply>,
+    session_lookups: HashMap<SessionToken, SessionLookup>,
     held_sessions: HeldSessions,
     next_ask: u64,
-    routes: HashMap<AttemptId, SocketAddr>,
+    remote_attempts: HashMap<AttemptId, SocketAddr>,
     machines: MachineList,
     next_tick: BootTime,
     stopping_since: Option<BootTime>,
     idle_ticks: u32,
     last_counters: RootCounters,
     /// Number of HTTP requests that the front is serving.
-    serving: Arc<AtomicUsize>,
+    active_http_requests: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
@@ -95,7 +95,7 @@
     /// Connections to searchers.
     pub searchers: SearcherConnections,
     /// Number of HTTP requests that the front is serving.
-    pub serving: Arc<AtomicUsize>,
+    pub active_http_requests: Arc<AtomicUsize>,
     /// Flag that the core sets when it has ended, so that the node's other threads end too.
     pub stop: Arc<AtomicBool>,
 }
@@ -131,17 +131,17 @@
             searchers: parts.searchers,
             next_sequence: 1,
             pending: HashMap::new(),
-            held: Vec::new(),
-            resumes: HashMap::new(),
+            held_replies: Vec::new(),
+            session_lookups: HashMap::new(),
             held_sessions: HeldSessions::default(),
             next_ask: 1,
-            routes: HashMap::new(),
+            remote_attempts: HashMap::new(),
             machines: MachineList::default(),
             next_tick: BootTime::default(),
             stopping_since: None,
             idle_ticks: 0,
             last_counters: RootCounters::default(),
-            serving: parts.serving,
+            active_http_requests: parts.active_http_requests,
             stop: parts.stop,
         }
     }
@@ -149,25 +149,25 @@
     /// Handles events until a planned stop is complete, then tells the other nodes that this one has left.
     pub fn run(mut self) {
         while !self.is_done() {
-            let wait = self.time_to_wait();
+            let wait = self.time_until_wake();
             match self.events.recv_timeout(wait) {
                 Ok(event) => {
                     self.on_event(event);
-                    self.drain_events();
+                    self.handle_queued_events();
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => break,
             }
-            self.on_time();
+            self.run_timers();
         }
         let mut actions = Vec::new();
         self.cluster.on_event(clock::now(), ClusterEvent::Left, &mut actions);
-        self.do_cluster(actions);
+        self.execute_cluster_actions(actions);
         self.stop.store(true, Ordering::Release);
     }
 
-    fn drain_events(&mut self) {
-        for _ in 0..EVENTS_PER_TURN {
+    fn handle_queued_events(&mut self) {
+        for _ in 0..MAX_EVENTS_PER_TURN {
             let Ok(event) = self.events.try_recv() else {
                 return;
             };
@@ -175,7 +175,7 @@
         }
     }
 
-    fn time_to_wait(&self) -> Duration {
+    fn time_until_wake(&self) -> Duration {
         let now = clock::now();
         let tick = now.until(self.next_tick);
         self.root.next_wake().map_or(tick, |wake| now.until(wake).min(tick))
@@ -186,57 +186,57 @@
         let now = clock::now();
         match event {
             CoreEvent::Caller { command, reply } => self.on_caller(now, command, reply),
-            CoreEvent::Peer(message) => self.on_peer(now, message),
+            CoreEvent::Peer(message) => self.on_peer_message(now, message),
             CoreEvent::PeerBroken(address) => self.on_peer_broken(now, address),
             CoreEvent::Undelivered { request, partly_written } => self.on_undelivered(now, &request, partly_written),
-            CoreEvent::SearcherReplied { reply, run } => self.leaf_event(now, LeafEvent::Reply { reply, run }),
+            CoreEvent::SearcherReplied { reply, run } => self.handle_leaf_event(now, LeafEvent::Reply { reply, run }),
             CoreEvent::Probed { searcher, asked_at, evidence } => {
-                self.leaf_event(now, LeafEvent::Probed { searcher, asked_at, evidence });
+                self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, evidence });
             }
-            CoreEvent::Platform(document) => self.cluster_event(now, ClusterEvent::Platform(document)),
+            CoreEvent::Platform(document) => self.handle_cluster_event(now, ClusterEvent::Platform(document)),
             CoreEvent::Machines(machines) => {
                 self.machines = machines;
-                self.update_listed(now);
+                self.update_leaving_searchers(now);
             }
             CoreEvent::Stop => self.begin_stop(now),
         }
     }
 
-    fn on_time(&mut self) {
+    fn run_timers(&mut self) {
         let now = clock::now();
-        self.root_event(now, RootEvent::Tick);
+        self.handle_root_event(now, RootEvent::Tick);
         if now < self.next_tick {
             return;
         }
-        if self.next_tick != BootTime::default() && now.since(self.next_tick) >= PAUSE {
-            self.held_sessions.doubt_all();
+        if self.next_tick != BootTime::default() && now.since(self.next_tick) >= PAUSE_THRESHOLD {
+            self.held_sessions.clear_confirmations();
         }
-        self.next_tick = now + TICK;
-        self.cluster_event(now, ClusterEvent::Tick);
-        self.leaf_event(now, LeafEvent::Tick);
-        self.expire_held(now);
-        self.expire_resumes(now);
-        self.copy_unconfirmed(now);
+        self.next_tick = now + TICK_INTERVAL;
+        self.handle_cluster_event(now, ClusterEvent::Tick);
+        self.handle_leaf_event(now, LeafEvent::Tick);
+        self.expire_held_replies(now);
+        self.expire_session_lookups(now);
+        self.resend_unconfirmed_copies(now);
         self.update_metrics();
         self.idle_ticks = if self.is_idle(now) { self.idle_ticks + 1 } else { 0 };
     }
 
-    fn root_event(&mut self, now: BootTime, event: RootEvent) {
+    fn handle_root_event(&mut self, now: BootTime, event: RootEvent) {
         let mut actions = Vec::new();
         self.root.on_event(now, event, &mut actions);
-        self.do_root(now, actions);
+        self.execute_root_actions(now, actions);
     }
 
-    fn leaf_event(&mut self, now: BootTime, event: LeafEvent) {
+    fn handle_leaf_event(&mut self, now: BootTime, event: LeafEvent) {
         let mut actions = Vec::new();
         self.leaf.on_event(now, event, &mut actions);
-        self.do_leaf(now, actions);
+        self.execute_leaf_actions(now, actions);
     }
 
-    fn cluster_event(&mut self, now: BootTime, event: ClusterEvent) {
+    fn handle_cluster_event(&mut self, now: BootTime, event: ClusterEvent) {
         let mut actions = Vec::new();
         self.cluster.on_event(now, event, &mut actions);
-        self.do_cluster(actions);
+        self.execute_cluster_actions(actions);
     }
 
     fn begin_stop(&mut self, now: BootTime) {
@@ -246,8 +246,8 @@
         }
         spdlog::info!(logger: self.logs.cluster, "event=stop_begins in_flight={}", self.root.in_flight());
         self.stopping_since = Some(now);
-        self.cluster_event(now, ClusterEvent::Leave);
-        self.leaf_event(now, LeafEvent::Stop);
+        self.handle_cluster_event(now, ClusterEvent::Leave);
+        self.handle_leaf_event(now, LeafEvent::Stop);
     }
 
     fn is_lingering_over(&self, now: BootTime) -> bool {
@@ -268,15 +268,15 @@
         }
         let is_busy = self.root.in_flight() > 0
             || self.leaf.in_flight() > 0
-            || !self.held.is_empty()
-            || !self.resumes.is_empty()
-            || self.serving.load(Ordering::Acquire) > 0;
+            || !self.held_replies.is_empty()
+            || !self.session_lookups.is_empty()
+            || self.active_http_requests.load(Ordering::Acquire) > 0;
         !is_busy && self.is_lingering_over(now)
     }
 
     /// Tells the leaf engine which searchers the machine list marks as leaving or operators have drained.
-    fn update_listed(&mut self, now: BootTime) {
-        let leaving: BTreeSet<SocketAddr> = self
+    fn update_leaving_searchers(&mut self, now: BootTime) {
+        let leaving_addresses: BTreeSet<SocketAddr> = self
             .machines
             .machines
             .iter()
@@ -286,11 +286,11 @@
         let Some(document) = self.cluster.config() else {
             return;
         };
-        let mut listed = document.drained.clone();
+        let mut leaving_or_drained = document.drained.clone();
         let searchers = document.services.iter().flat_map(|service| &service.searchers);
-        let on_leaving = searchers.filter(|searcher| leaving.contains(&searcher.address));
-        listed.extend(on_leaving.map(|searcher| searcher.id));
-        self.leaf_event(now, LeafEvent::Listed(listed));
+        let on_leaving_machines = searchers.filter(|searcher| leaving_addresses.contains(&searcher.address));
+        leaving_or_drained.extend(on_leaving_machines.map(|searcher| searcher.id));
+        self.handle_leaf_event(now, LeafEvent::Listed(leaving_or_drained));
     }
 
     fn update_metrics(&mut self) {
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// A statement converted into work for the root engine.
-struct RootWork {
+struct PreparedRequest {
     service: ServiceName,
     work: Work,
     wait_ms: Option<u64>,
@@ -30,22 +30,22 @@
     pub(super) fn on_caller(&mut self, now: BootTime, command: CallerCommand, reply: Sender<CallerReply>) {
         match command {
             CallerCommand::OpenSession => self.open_session(now, reply),
-            CallerCommand::Operate(statement) => self.operate(statement, reply),
+            CallerCommand::Operate(statement) => self.execute_operator_statement(statement, reply),
             CallerCommand::Status => send_reply(&reply, CallerReply::Status(Box::new(self.status(now)))),
             CallerCommand::CloseSession(token)
             | CallerCommand::MintTicket(token)
             | CallerCommand::Execute { token, .. }
                 if self.root.sessions.get(token).is_none() =>
             {
-                self.resume_then(now, token, command, reply);
+                self.look_up_session_then(now, token, command, reply);
             }
             CallerCommand::CloseSession(token) => {
                 self.drop_session(token);
-                self.cluster_event(now, ClusterEvent::ForgetSession { token });
+                self.handle_cluster_event(now, ClusterEvent::ForgetSession { token });
                 send_reply(&reply, CallerReply::Closed);
             }
             CallerCommand::MintTicket(token) => self.mint_ticket(now, token, reply),
-            CallerCommand::Execute { token, statement } => self.execute(now, token, statement, reply),
+            CallerCommand::Execute { token, statement } => self.execute_caller_statement(now, token, statement, reply),
         }
     }
 
@@ -73,14 +73,20 @@
         self.copy_then_reply(now, token, reply, CallerReply::Ticket(ticket.into()));
     }
 
-    fn execute(&mut self, now: BootTime, token: SessionToken, statement: Statement, reply: Sender<CallerReply>) {
+    fn execute_caller_statement(
+        &mut self,
+        now: BootTime,
+        token: SessionToken,
+        statement: Statement,
+        reply: Sender<CallerReply>,
+    ) {
         let prepared = match statement {
             Statement::Search(search) => Ok(prepare_search(search)),
             Statement::Pull(pull) => prepare_pull(pull),
             Statement::Run(run) => prepare_run(run),
             Statement::Show(show) => {
-                let body = self.show(&show);
-                self.reply_body(&reply, body);
+                let body = self.execute_show(&show);
+                self.send_body(&reply, body);
                 return;
             }
             Statement::Config(_) => {
@@ -88,13 +94,13 @@
                 Err(Refusal::new(ErrorKind::BadRequest, detail))
             }
         };
-        match prepared.and_then(|work| self.check_may_act(now).map(|()| work)) {
-            Ok(work) => self.submit(now, token, work, reply),
-            Err(refusal) => self.reply_body(&reply, ReplyBody::Refusal((&refusal).into())),
+        match prepared.and_then(|prepared| self.check_accepts_requests(now).map(|()| prepared)) {
+            Ok(prepared) => self.submit(now, token, prepared, reply),
+            Err(refusal) => self.send_body(&reply, ReplyBody::Refusal((&refusal).into())),
         }
     }
 
-    fn check_may_act(&self, now: BootTime) -> Result<(), Refusal> {
+    fn check_accepts_requests(&self, now: BootTime) -> Result<(), Refusal> {
         if self.is_lingering_over(now) {
             return Err(Refusal::new(ErrorKind::Leaving, "this node is stopping; the session lives on at the others"));
         }
@@ -105,14 +111,14 @@
         Ok(())
     }
 
-    fn submit(&mut self, now: BootTime, token: SessionToken, work: RootWork, reply: Sender<CallerReply>) {
+    fn submit(&mut self, now: BootTime, token: SessionToken, prepared: PreparedRequest, reply: Sender<CallerReply>) {
         let request = RequestId { node: self.node, sequence: self.next_sequence };
         self.next_sequence += 1;
         let pending = PendingRequest {
             session: token,
             session_tag: session_tag(token),
             session_before: self.root.sessions.get(token).cloned(),
-            service: work.service.clone(),
+            service: prepared.service.clone(),
             started: now,
             reply,
         };
@@ -120,34 +126,34 @@
         let submission = Submission {
             request,
             session: token,
-            service: work.service,
-            work: work.work,
-            wait: work.wait_ms.map(Duration::from_millis),
-            least_per_mille: work.least_per_mille,
-            pinned: work.pinned,
-            ticket: work.ticket,
+            service: prepared.service,
+            work: prepared.work,
+            wait: prepared.wait_ms.map(Duration::from_millis),
+            least_per_mille: prepared.least_per_mille,
+            pinned: prepared.pinned,
+            ticket: prepared.ticket,
         };
-        self.root_event(now, RootEvent::Submit(submission));
+        self.handle_root_event(now, RootEvent::Submit(submission));
     }
 
-    fn operate(&mut self, statement: Statement, reply: Sender<CallerReply>) {
+    fn execute_operator_statement(&mut self, statement: Statement, reply: Sender<CallerReply>) {
         match statement {
             Statement::Show(show) => {
-                let body = self.show(&show);
-                self.reply_body(&reply, body);
+                let body = self.execute_show(&show);
+                self.send_body(&reply, body);
             }
             Statement::Config(change) => {
                 let body = self.plan_edit(&change);
-                self.reply_body(&reply, body);
+                self.send_body(&reply, body);
             }
             Statement::Search(_) | Statement::Pull(_) | Statement::Run(_) => {
                 let refusal = Refusal::new(ErrorKind::BadRequest, "reading and acting need a session");
-                self.reply_body(&reply, ReplyBody::Refusal((&refusal).into()));
+                self.send_body(&reply, ReplyBody::Refusal((&refusal).into()));
             }
         }
     }
 
-    pub(super) fn reply_body(&self, reply: &Sender<CallerReply>, body: ReplyBody) {
+    pub(super) fn send_body(&self, reply: &Sender<CallerReply>, body: ReplyBody) {
         let moved_to = self.successor();
         send_reply(reply, CallerReply::Statement(StatementReply { request: String::new(), body, moved_to }));
     }
@@ -186,8 +192,8 @@
     }
 }
 
-fn prepare_search(search: SearchStatement) -> RootWork {
-    RootWork {
+fn prepare_search(search: SearchStatement) -> PreparedRequest {
+    PreparedRequest {
         service: search.service,
         work: Work::Search(SearchQuery { terms: search.terms, limit: search.limit, after: None }),
         wait_ms: search.wait_ms,
@@ -197,7 +203,7 @@
     }
 }
 
-fn prepare_pull(pull: PullStatement) -> Result<RootWork, Refusal> {
+fn prepare_pull(pull: PullStatement) -> Result<PreparedRequest, Refusal> {
     let cursor = match &pull.after {
         None => None,
         Some(text) => Some(Cursor::decode(text).ok_or_else(|| {
@@ -206,7 +212,7 @@
     };
     let start = PagePosition { shard: ShardId(0), document: String::new() };
     let after = cursor.as_ref().map_or(start, |cursor| cursor.position.clone());
-    Ok(RootWork {
+    Ok(PreparedRequest {
         service: pull.service,
         work: Work::Search(SearchQuery { terms: pull.terms, limit: pull.limit, after: Some(after) }),
         wait_ms: pull.wait_ms,
@@ -216,14 +222,14 @@
     })
 }
 
-fn prepare_run(run: RunStatement) -> Result<RootWork, Refusal> {
+fn prepare_run(run: RunStatement) -> Result<PreparedRequest, Refusal> {
     let Some(text) = run.ticket else {
         let detail = "RUN needs TICKET '…', so that it runs at most once; get one from the session's tickets";
         return Err(Refusal::new(ErrorKind::NotRepeatable, detail));
     };
     let ticket =
         text.parse().map_err(|error| Refusal::new(ErrorKind::BadTicket, format!("TICKET '{text}': {error}")))?;
-    Ok(RootWork {
+    Ok(PreparedRequest {
         service: run.service,
         work: Work::Act(ActionCommand { verb: run.verb, target: run.target, note: run.note }),
         wait_ms: run.wait_ms,
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -15,18 +15,18 @@
 use std::sync::Arc;
 
 impl Core {
-    pub(super) fn do_cluster(&mut self, actions: Vec<ClusterAction>) {
+    pub(super) fn execute_cluster_actions(&mut self, actions: Vec<ClusterAction>) {
         let mut members_changed = false;
         for action in actions {
             let now = clock::now();
             match action {
                 ClusterAction::Send(envelope) => self.peers.send(envelope.to_address, PeerMessage::Cluster(envelope)),
                 ClusterAction::ConfigChanged(document) => {
-                    self.take_config(now, &document);
+                    self.apply_document(now, &document);
                     members_changed = true;
                 }
                 ClusterAction::MembersChanged => members_changed = true,
-                ClusterAction::ViewChanged(record) => self.take_view(now, record),
+                ClusterAction::ViewChanged(record) => self.apply_view(now, record),
                 ClusterAction::SessionStored { token, version, keeper, is_overtaken } => {
                     self.on_session_stored(token, version, keeper, is_overtaken);
                 }
@@ -39,12 +39,12 @@
         }
     }
 
-    fn take_config(&mut self, now: BootTime, document: &PlatformDocument) {
+    fn apply_document(&mut self, now: BootTime, document: &PlatformDocument) {
         info!(logger: self.logs.cluster, "event=config revision={} services={} drained={}",
             document.revision, document.services.len(), document.drained.len());
         let definitions = document.services.iter().cloned().map(Arc::new).collect();
-        self.root_event(now, RootEvent::Services(definitions));
-        self.update_listed(now);
+        self.handle_root_event(now, RootEvent::Services(definitions));
+        self.update_leaving_searchers(now);
     }
 
     fn update_ownership(&mut self, now: BootTime) {
@@ -60,9 +60,9 @@
             })
             .collect();
         self.searchers.set_owned(&owned);
-        self.leaf_event(now, LeafEvent::Owned(shares));
+        self.handle_leaf_event(now, LeafEvent::Owned(shares));
         // The leaf engine doesn't know yet whether searchers that it has just come to own are leaving or drained.
-        self.update_listed(now);
+        self.update_leaving_searchers(now);
     }
 
     pub(super) fn spread_view(&mut self, now: BootTime, view: &SearcherView) {
@@ -71,10 +71,10 @@
             snapshots: evidence.snapshots.clone(),
         });
         let event = ClusterEvent::Observed { searcher: view.searcher, evidence, leaving: view.leaving };
-        self.cluster_event(now, event);
+        self.handle_cluster_event(now, event);
     }
 
-    fn take_view(&mut self, now: BootTime, record: ViewRecord) {
+    fn apply_view(&mut self, now: BootTime, record: ViewRecord) {
         let searcher = record.searcher;
         let evidence = record.evidence.map(|evidence| Evidence {
             incarnation: evidence.incarnation,
@@ -82,8 +82,8 @@
             draining: record.leaving,
         });
         let view = SearcherView { searcher, evidence, leaving: record.leaving };
-        self.root_event(now, RootEvent::View(view.clone()));
-        self.leaf_event(now, LeafEvent::PeerView(view));
+        self.handle_root_event(now, RootEvent::View(view.clone()));
+        self.handle_leaf_event(now, LeafEvent::PeerView(view));
     }
 
     /// Returns the document that an edit of the one in force would give. The edit takes effect only when the
@@ -96,14 +96,14 @@
         match document.edited(&statement.change, statement.based_on) {
             Ok(next) => ReplyBody::Planned { document: Box::new(next) },
             Err(error) => {
-                let refusal = Refusal::new(kind_of(&error), error.to_string());
+                let refusal = Refusal::new(error_kind(&error), error.to_string());
                 ReplyBody::Refusal((&refusal).into())
             }
         }
     }
 }
 
-fn kind_of(error: &EditError) -> ErrorKind {
+fn error_kind(error: &EditError) -> ErrorKind {
     match error {
         EditError::Conflict { .. } => ErrorKind::RevisionConflict,
         EditError::UnknownService { .. } => ErrorKind::UnknownService,
--- a/crates/session/staircross-node/src/core/held_sessions.rs
+++ b/crates/session/staircross-node/src/core/held_sessions.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Shortest time between the starts of two rounds of checks. Each round checks all sessions once.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Largest number of sessions checked in one tick. It bounds how many copies are sent at once when many keepers
 /// have changed.
-const LOOKED_AT_PER_TICK: usize = 256;
+const MAX_CHECKED_PER_TICK: usize = 256;
 
 /// Copies of one session that this node holds.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     /// Version of the session, which each change increments.
     version: u64,
     /// Nodes that have confirmed a copy of `version`.
-    kept_by: Vec<NodeId>,
+    confirmed_by: Vec<NodeId>,
 }
 
 /// Copies of all sessions that this node holds.
@@ -29,31 +29,31 @@
 pub(super) struct HeldSessions {
     sessions: HashMap<SessionToken, HeldSession>,
     /// Sessions still to be checked in the current round.
-    to_look_at: Vec<SessionToken>,
+    unchecked: Vec<SessionToken>,
     next_round: BootTime,
 }
 
 impl HeldSessions {
     /// Records a change of a session and returns its new version.
-    pub(super) fn change(&mut self, token: SessionToken) -> u64 {
+    pub(super) fn record_change(&mut self, token: SessionToken) -> u64 {
         let session = self.sessions.entry(token).or_default();
         session.version += 1;
-        session.kept_by.clear();
+        session.confirmed_by.clear();
         session.version
     }
 
     /// Records a session that this node has taken over at version `continued`, and returns its new version.
-    pub(super) fn adopt(&mut self, token: SessionToken, continued: u64) -> u64 {
-        self.sessions.insert(token, HeldSession { version: continued, kept_by: Vec::new() });
-        self.change(token)
+    pub(super) fn record_adoption(&mut self, token: SessionToken, continued: u64) -> u64 {
+        self.sessions.insert(token, HeldSession { version: continued, confirmed_by: Vec::new() });
+        self.record_change(token)
     }
 
     /// Records that `keeper` has confirmed a copy of `version`. Confirmations of other versions than the current
     /// one are ignored.
-    pub(super) fn note_kept(&mut self, token: SessionToken, version: u64, keeper: NodeId) {
+    pub(super) fn record_confirmation(&mut self, token: SessionToken, version: u64, keeper: NodeId) {
         let session = self.sessions.get_mut(&token).filter(|session| session.version == version);
-        if let Some(session) = session.filter(|session| !session.kept_by.contains(&keeper)) {
-            session.kept_by.push(keeper);
+        if let Some(session) = session.filter(|session| !session.confirmed_by.contains(&keeper)) {
+            session.confirmed_by.push(keeper);
         }
     }
 
@@ -64,27 +64,27 @@
 
     /// Clears all confirmations, so that every copy is sent again. Used after a pause of this process, during which
     /// another node may have taken sessions over.
-    pub(super) fn doubt_all(&mut self) {
-        self.sessions.values_mut().for_each(|session| session.kept_by.clear());
+    pub(super) fn clear_confirmations(&mut self) {
+        self.sessions.values_mut().for_each(|session| session.confirmed_by.clear());
     }
 
     /// Returns the sessions to check in this tick.
-    pub(super) fn due(&mut self, now: BootTime) -> Vec<SessionToken> {
-        if self.to_look_at.is_empty() && now >= self.next_round {
-            self.next_round = now + LOOK;
-            self.to_look_at = self.sessions.keys().copied().collect();
+    pub(super) fn take_due(&mut self, now: BootTime) -> Vec<SessionToken> {
+        if self.unchecked.is_empty() && now >= self.next_round {
+            self.next_round = now + CHECK_INTERVAL;
+            self.unchecked = self.sessions.keys().copied().collect();
         }
-        let rest = self.to_look_at.len().saturating_sub(LOOKED_AT_PER_TICK);
-        self.to_look_at.split_off(rest)
+        let rest = self.unchecked.len().saturating_sub(MAX_CHECKED_PER_TICK);
+        self.unchecked.split_off(rest)
     }
 
     /// Returns the version of a session if some of `keepers` haven't confirmed it.
     ///
     /// Confirmations of nodes that aren't keepers are dropped, because such a node may no longer have the copy
     /// when it becomes a keeper again.
-    pub(super) fn unconfirmed(&mut self, token: SessionToken, keepers: &[NodeId]) -> Option<u64> {
+    pub(super) fn unconfirmed_version(&mut self, token: SessionToken, keepers: &[NodeId]) -> Option<u64> {
         let session = self.sessions.get_mut(&token)?;
-        session.kept_by.retain(|keeper| keepers.contains(keeper));
-        (session.kept_by.len() < keepers.len()).then_some(session.version)
+        session.confirmed_by.retain(|keeper| keepers.contains(keeper));
+        (session.confirmed_by.len() < keepers.len()).then_some(session.version)
     }
 }
--- a/crates/session/staircross-node/src/core/requests.rs
+++ b/crates/session/staircross-node/src/core/requests.rs
@@ -13,18 +13,18 @@
 use std::net::SocketAddr;
 
 impl Core {
-    pub(super) fn do_root(&mut self, now: BootTime, actions: Vec<RootAction>) {
+    pub(super) fn execute_root_actions(&mut self, now: BootTime, actions: Vec<RootAction>) {
         for action in actions {
             match action {
-                RootAction::Send(request) => self.route(now, request),
-                RootAction::Cancel { attempt, searcher } => self.route_cancel(now, attempt, searcher),
+                RootAction::Send(request) => self.send_sub_request(now, request),
+                RootAction::Cancel { attempt, searcher } => self.send_cancel(now, attempt, searcher),
                 RootAction::Finish { request, outcome } => self.on_finished(now, request, outcome),
             }
         }
     }
 
     /// Sends a sub-request to one of the searcher's owners: the leaf engine of this node or of another one.
-    fn route(&mut self, now: BootTime, request: SubRequest) {
+    fn send_sub_request(&mut self, now: BootTime, request: SubRequest) {
         let turn = request.attempt.request.sequence + u64::from(request.attempt.attempt);
         let owners = self.cluster.ownership().owners_in_turn(request.searcher, turn);
         let owner = owners.into_iter().find_map(|owner| {
@@ -35,30 +35,30 @@
             request.attempt, request.searcher, request.snapshot, request.shards.len(), owner.map(|(node, _)| node));
         match owner {
             Some((owner, _)) if owner == self.node => {
-                self.leaf_event(now, LeafEvent::Request { from: self.node, request });
+                self.handle_leaf_event(now, LeafEvent::Request { from: self.node, request });
             }
             Some((owner, address)) => {
-                self.routes.insert(request.attempt, address);
+                self.remote_attempts.insert(request.attempt, address);
                 self.peers.send(address, PeerMessage::Request { from: self.node, to: owner, request });
             }
             None => {
                 let reply = not_run(&request, NotRunReason::NotOwner);
-                self.root_event(now, RootEvent::Reply(reply));
+                self.handle_root_event(now, RootEvent::Reply(reply));
             }
         }
     }
 
-    fn route_cancel(&mut self, now: BootTime, attempt: AttemptId, searcher: SearcherId) {
-        match self.routes.remove(&attempt) {
+    fn send_cancel(&mut self, now: BootTime, attempt: AttemptId, searcher: SearcherId) {
+        match self.remote_attempts.remove(&attempt) {
             Some(address) => self.peers.send(address, PeerMessage::Cancel { from: self.node, attempt }),
             None => {
                 debug!(logger: self.logs.search, "event=cancel attempt={attempt} searcher={searcher}");
-                self.leaf_event(now, LeafEvent::Cancel { from: self.node, attempt });
+                self.handle_leaf_event(now, LeafEvent::Cancel { from: self.node, attempt });
             }
         }
     }
 
-    pub(super) fn do_leaf(&mut self, now: BootTime, actions: Vec<LeafAction>) {
+    pub(super) fn execute_leaf_actions(&mut self, now: BootTime, actions: Vec<LeafAction>) {
         for action in actions {
             match action {
                 LeafAction::Send { request, send_before } => self.searchers.send(request, send_before),
@@ -72,7 +72,7 @@
 
     fn reply_to_root(&mut self, now: BootTime, to: NodeId, reply: SubReply) {
         if to == self.node {
-            self.root_event(now, RootEvent::Reply(reply));
+            self.handle_root_event(now, RootEvent::Reply(reply));
             return;
         }
         if let Some(address) = self.cluster.member(to).map(|member| member.peer_address) {
@@ -80,14 +80,14 @@
         }
     }
 
-    pub(super) fn on_peer(&mut self, now: BootTime, message: PeerMessage) {
+    pub(super) fn on_peer_message(&mut self, now: BootTime, message: PeerMessage) {
         match message {
             PeerMessage::Cluster(envelope) => {
-                self.cluster_event(now, staircross_cluster::ClusterEvent::Message(Box::new(envelope)));
+                self.handle_cluster_event(now, staircross_cluster::ClusterEvent::Message(Box::new(envelope)));
             }
             PeerMessage::Request { from, to, request } => {
                 if to == self.node {
-                    self.leaf_event(now, LeafEvent::Request { from, request });
+                    self.handle_leaf_event(now, LeafEvent::Request { from, request });
                 } else if let Some(address) = self.cluster.member(from).map(|member| member.peer_address) {
                     // The request is meant for an earlier run of the node at this address.
                     let reply = not_run(&request, NotRunReason::NotOwner);
@@ -96,24 +96,28 @@
             }
             PeerMessage::Reply { to, reply } => {
                 if to == self.node {
-                    self.routes.remove(&reply.attempt);
-                    self.root_event(now, RootEvent::Reply(reply));
+                    self.remote_attempts.remove(&reply.attempt);
+                    self.handle_root_event(now, RootEvent::Reply(reply));
                 }
             }
-            PeerMessage::Cancel { from, attempt } => self.leaf_event(now, LeafEvent::Cancel { from, attempt }),
+            PeerMessage::Cancel { from, attempt } => self.handle_leaf_event(now, LeafEvent::Cancel { from, attempt }),
         }
     }
 
     /// Reports an unknown outcome for each sub-request sent to a node whose connection broke: its leaf engine may
     /// have run them.
     pub(super) fn on_peer_broken(&mut self, now: BootTime, address: SocketAddr) {
-        let lost: Vec<AttemptId> =
-            self.routes.iter().filter(|(_, route)| **route == address).map(|(attempt, _)| *attempt).collect();
+        let lost: Vec<AttemptId> = self
+            .remote_attempts
+            .iter()
+            .filter(|(_, peer_address)| **peer_address == address)
+            .map(|(attempt, _)| *attempt)
+            .collect();
         for attempt in lost {
-            self.routes.remove(&attempt);
+            self.remote_attempts.remove(&attempt);
             if let Some((searcher, snapshot)) = self.root.attempt_target(attempt) {
                 let outcome = SubOutcome::Unknown(UnknownReason::Broken);
-                self.root_event(
+                self.handle_root_event(
                     now,
                     RootEvent::Reply(SubReply { attempt, searcher, snapshot, outcome, worked: Default::default() }),
                 );
@@ -122,16 +126,16 @@
     }
 
     pub(super) fn on_undelivered(&mut self, now: BootTime, request: &SubRequest, partly_written: bool) {
-        self.routes.remove(&request.attempt);
+        self.remote_attempts.remove(&request.attempt);
         let mut reply = not_run(request, NotRunReason::NotOwner);
         if partly_written {
             reply.outcome = SubOutcome::Unknown(UnknownReason::Broken);
         }
-        self.root_event(now, RootEvent::Reply(reply));
+        self.handle_root_event(now, RootEvent::Reply(reply));
     }
 
     fn on_finished(&mut self, now: BootTime, request: RequestId, outcome: Outcome) {
-        self.routes.retain(|attempt, _| attempt.request != request);
+        self.remote_attempts.retain(|attempt, _| attempt.request != request);
         let Some(pending) = self.pending.remove(&request.sequence) else {
             return;
         };
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -15,34 +15,34 @@
 
 /// Longest time that a reply waits until copies of its session are confirmed. After it the reply is sent anyway,
 /// and the session's latest state may be lost if this node fails.
-const COPY_WAIT: Duration = Duration::from_millis(150);
+const COPY_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 /// Longest wait for other nodes to answer whether they have a copy of a session.
-const RESUME_WAIT: Duration = Duration::from_millis(400);
+const SESSION_LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest number of commands that may wait for the same session to be found.
-const MAX_WAITING: usize = 64;
+const MAX_WAITING_COMMANDS: usize = 64;
 
 /// A reply that is held until copies of its session are confirmed.
 pub(super) struct HeldReply {
     token: SessionToken,
     version: u64,
-    missing: usize,
-    due: BootTime,
+    missing_confirmations: usize,
+    deadline: BootTime,
     reply: Sender<CallerReply>,
     content: CallerReply,
 }
 
 /// A search of other nodes for a copy of a session that this node doesn't hold.
-pub(super) struct PendingResume {
+pub(super) struct SessionLookup {
     ask: u64,
-    answers_left: usize,
-    best: Option<SessionCopy>,
-    due: BootTime,
+    pending_answers: usize,
+    newest_copy: Option<SessionCopy>,
+    deadline: BootTime,
     waiting: Vec<(CallerCommand, Sender<CallerReply>)>,
 }
 
 impl Core {
     /// Sends copies of a session's state to other nodes, and `content` to the caller once the copies are confirmed
-    /// or [`COPY_WAIT`] has passed.
+    /// or [`COPY_CONFIRMATION_TIMEOUT`] has passed.
     pub(super) fn copy_then_reply(
         &mut self,
         now: BootTime,
@@ -54,14 +54,21 @@
             send_reply(&reply, content);
             return;
         };
-        let version = self.held_sessions.change(token);
-        let missing = self.cluster.wanted_copies();
-        if missing == 0 {
+        let version = self.held_sessions.record_change(token);
+        let missing_confirmations = self.cluster.wanted_copies();
+        if missing_confirmations == 0 {
             send_reply(&reply, content);
             return;
         }
-        self.held.push(HeldReply { token, version, missing, due: now + COPY_WAIT, reply, content });
-        self.cluster_event(now, ClusterEvent::StoreSession { token, version, state });
+        self.held_replies.push(HeldReply {
+            token,
+            version,
+            missing_confirmations,
+            deadline: now + COPY_CONFIRMATION_TIMEOUT,
+            reply,
+            content,
+        });
+        self.handle_cluster_event(now, ClusterEvent::StoreSession { token, version, state });
     }
 
     pub(super) fn reply_after_copies(
@@ -85,10 +92,10 @@
     }
 
     /// Sends copies of the sessions due for a check that some of their keepers haven't confirmed.
-    pub(super) fn copy_unconfirmed(&mut self, now: BootTime) {
-        for token in self.held_sessions.due(now) {
+    pub(super) fn resend_unconfirmed_copies(&mut self, now: BootTime) {
+        for token in self.held_sessions.take_due(now) {
             let keepers = self.cluster.session_keepers(token);
-            if let Some(version) = self.held_sessions.unconfirmed(token, &keepers) {
+            if let Some(version) = self.held_sessions.unconfirmed_version(token, &keepers) {
                 self.send_copies(now, token, version);
             }
         }
@@ -96,68 +103,69 @@
 
     fn send_copies(&mut self, now: BootTime, token: SessionToken, version: u64) {
         if let Some(state) = self.root.sessions.get(token).and_then(encode_session) {
-            self.cluster_event(now, ClusterEvent::StoreSession { token, version, state });
+            self.handle_cluster_event(now, ClusterEvent::StoreSession { token, version, state });
         }
     }
 
     pub(super) fn on_session_stored(&mut self, token: SessionToken, version: u64, keeper: NodeId, is_overtaken: bool) {
-        self.held_sessions.note_kept(token, version, keeper);
+        self.held_sessions.record_confirmation(token, version, keeper);
         if is_overtaken {
             info!(logger: self.logs.front, "event=session_overtaken session={}", session_tag(token));
             self.drop_session(token);
         }
-        for held in &mut self.held {
+        for held in &mut self.held_replies {
             if held.token == token && held.version <= version {
-                held.missing = held.missing.saturating_sub(1);
+                held.missing_confirmations = held.missing_confirmations.saturating_sub(1);
             }
         }
-        self.release_held(|held| held.missing == 0);
+        self.release_held_replies(|held| held.missing_confirmations == 0);
     }
 
-    pub(super) fn expire_held(&mut self, now: BootTime) {
-        let late = self.held.iter().filter(|held| now >= held.due).count();
+    pub(super) fn expire_held_replies(&mut self, now: BootTime) {
+        let late = self.held_replies.iter().filter(|held| now >= held.deadline).count();
         if late > 0 {
             warn!(logger: self.logs.front, "event=session_copy_late replies={late}");
             self.metrics.dropped.with_label_values(&["session_copy"]).inc_by(late as u64);
         }
-        self.release_held(|held| now >= held.due);
+        self.release_held_replies(|held| now >= held.deadline);
     }
 
-    fn release_held(&mut self, is_ready: impl Fn(&HeldReply) -> bool) {
-        let (ready, waiting): (Vec<HeldReply>, Vec<HeldReply>) = self.held.drain(..).partition(is_ready);
-        self.held = waiting;
+    fn release_held_replies(&mut self, is_ready: impl Fn(&HeldReply) -> bool) {
+        let (ready, waiting): (Vec<HeldReply>, Vec<HeldReply>) = self.held_replies.drain(..).partition(is_ready);
+        self.held_replies = waiting;
         for held in ready {
             send_reply(&held.reply, held.content);
         }
     }
 
     /// Looks for a session at other nodes, and executes `command` when it is found.
-    pub(super) fn resume_then(
+    pub(super) fn look_up_session_then(
         &mut self,
         now: BootTime,
         token: SessionToken,
         command: CallerCommand,
         reply: Sender<CallerReply>,
     ) {
-        if let Some(resume) = self.resumes.get_mut(&token) {
-            if resume.waiting.len() < MAX_WAITING {
-                resume.waiting.push((command, reply));
+        if let Some(lookup) = self.session_lookups.get_mut(&token) {
+            if lookup.waiting.len() < MAX_WAITING_COMMANDS {
+                lookup.waiting.push((command, reply));
             } else {
                 send_reply(&reply, CallerReply::Refused(unknown_session()));
             }
             return;
         }
-        let answers_left = self.cluster.asked_for_session(token);
-        if answers_left == 0 {
+        let pending_answers = self.cluster.asked_for_session(token);
+        if pending_answers == 0 {
             send_reply(&reply, CallerReply::Refused(unknown_session()));
             return;
         }
         let ask = self.next_ask;
         self.next_ask += 1;
         let waiting = vec![(command, reply)];
-        let resume = PendingResume { ask, answers_left, best: None, due: now + RESUME_WAIT, waiting };
-        self.resumes.insert(token, resume);
-        self.cluster_event(now, ClusterEvent::FetchSession { token, ask });
+        let lookup =
+            SessionLookup { ask, pending_answers, newest_copy: None, deadline: now + SESSION_LOOKUP_TIMEOUT, waiting };
+        self.session_lookups.insert(token, lookup);
+        self.handle_cluster_event(now, ClusterEvent::FetchSession { token, ask });
     }
 
     pub(super) fn on_session_fetched(
@@ -167,34 +175,35 @@
         ask: u64,
         copy: Option<SessionCopy>,
     ) {
-        let Some(resume) = self.resumes.get_mut(&token).filter(|resume| resume.ask == ask) else {
+        let Some(lookup) = self.session_lookups.get_mut(&token).filter(|lookup| lookup.ask == ask) else {
             return;
         };
-        resume.answers_left = resume.answers_left.saturating_sub(1);
-        let best_version = resume.best.as_ref().map_or(0, |best| best.version);
-        if let Some(copy) = copy.filter(|copy| copy.version > best_version) {
-            resume.best = Some(copy);
+        lookup.pending_answers = lookup.pending_answers.saturating_sub(1);
+        let newest_version = lookup.newest_copy.as_ref().map_or(0, |newest_copy| newest_copy.version);
+        if let Some(copy) = copy.filter(|copy| copy.version > newest_version) {
+            lookup.newest_copy = Some(copy);
         }
-        if resume.answers_left == 0 {
-            self.finish_resume(now, token);
+        if lookup.pending_answers == 0 {
+            self.finish_session_lookup(now, token);
         }
     }
 
-    pub(super) fn expire_resumes(&mut self, now: BootTime) {
-        let due: Vec<SessionToken> =
-            self.resumes.iter().filter(|(_, resume)| now >= resume.due).map(|(token, _)| *token).collect();
-        for token in due {
-            self.finish_resume(now, token);
+    pub(super) fn expire_session_lookups(&mut self, now: BootTime) {
+        let expired: Vec<SessionToken> =
+            self.session_lookups.iter().filter(|(_, lookup)| now >= lookup.deadline).map(|(token, _)| *token).collect();
+        for token in expired {
+            self.finish_session_lookup(now, token);
         }
     }
 
-    fn finish_resume(&mut self, now: BootTime, token: SessionToken) {
-        let Some(resume) = self.resumes.remove(&token) else {
+    fn finish_session_lookup(&mut self, now: BootTime, token: SessionToken) {
+        let Some(lookup) = self.session_lookups.remove(&token) else {
             return;
         };
-        let refusal = if resume.answers_left == 0 { unknown_session() } else { session_sought(resume.answers_left) };
-        let adopted = resume.best.is_some_and(|copy| self.adopt(now, token, &copy));
-        for (command, reply) in resume.waiting {
+        let refusal =
+            if lookup.pending_answers == 0 { unknown_session() } else { session_sought(lookup.pending_answers) };
+        let adopted = lookup.newest_copy.is_some_and(|copy| self.adopt_session(now, token, &copy));
+        for (command, reply) in lookup.waiting {
             if adopted {
                 self.on_caller(now, command, reply);
             } else {
@@ -203,7 +212,7 @@
         }
     }
 
-    fn adopt(&mut self, now: BootTime, token: SessionToken, copy: &SessionCopy) -> bool {
+    fn adopt_session(&mut self, now: BootTime, token: SessionToken, copy: &SessionCopy) -> bool {
         let Some(state) = decode_session(&copy.state) else {
             return false;
         };
@@ -211,9 +220,9 @@
             return false;
         }
         info!(logger: self.logs.front, "event=session_adopted session={} from={}", session_tag(token), copy.holder);
-        let version = self.held_sessions.adopt(token, copy.version);
+        let version = self.held_sessions.record_adoption(token, copy.version);
         self.send_copies(now, token, version);
-        self.cluster_event(now, ClusterEvent::TakeOver { token, holder: copy.holder });
+        self.handle_cluster_event(now, ClusterEvent::TakeOver { token, holder: copy.holder });
         true
     }
 
--- a/crates/session/staircross-node/src/core/show.rs
+++ b/crates/session/staircross-node/src/core/show.rs
@@ -7,15 +7,15 @@
 use staircross_types::{ErrorKind, ServiceName};
 
 impl Core {
-    pub(super) fn show(&mut self, what: &ShowStatement) -> ReplyBody {
+    pub(super) fn execute_show(&mut self, what: &ShowStatement) -> ReplyBody {
         let listing = match what {
             ShowStatement::Services | ShowStatement::Config => {
                 Ok(config_listing(self.cluster.config().map_or(&[][..], |document| &document.services)))
             }
-            ShowStatement::Searchers => Ok(self.show_searchers()),
-            ShowStatement::Members => Ok(self.show_members()),
-            ShowStatement::ConfigExport => self.show_export(),
-            ShowStatement::Shards(service) => self.show_shards(service),
+            ShowStatement::Searchers => Ok(self.list_searchers()),
+            ShowStatement::Members => Ok(self.list_members()),
+            ShowStatement::ConfigExport => self.export_document(),
+            ShowStatement::Shards(service) => self.list_shards(service),
         };
         match listing {
             Ok(listing) => ReplyBody::Listing(listing),
@@ -23,7 +23,7 @@
         }
     }
 
-    fn show_searchers(&mut self) -> Listing {
+    fn list_searchers(&mut self) -> Listing {
         let mut listing = Listing::new(&["searcher", "service", "zone", "address", "state", "snapshots", "owners"]);
         let services = self.cluster.config().map_or_else(Vec::new, |document| document.services.clone());
         for service in &services {
@@ -59,7 +59,7 @@
         listing
     }
 
-    fn show_members(&self) -> Listing {
+    fn list_members(&self) -> Listing {
         let mut listing = Listing::new(&["node", "region", "zone", "callers", "peers", "state", "revision"]);
         for member in self.cluster.members() {
             listing.rows.push(vec![
@@ -75,7 +75,7 @@
         listing
     }
 
-    fn show_export(&self) -> Result<Listing, Refusal> {
+    fn export_document(&self) -> Result<Listing, Refusal> {
         let document = self.cluster.config();
         let document = document.ok_or_else(|| Refusal::new(ErrorKind::NoConfiguration, "no document is known yet"))?;
         let document = serde_json::to_string_pretty(&**document)
@@ -85,7 +85,7 @@
         Ok(listing)
     }
 
-    fn show_shards(&mut self, service: &ServiceName) -> Result<Listing, Refusal> {
+    fn list_shards(&mut self, service: &ServiceName) -> Result<Listing, Refusal> {
         let Some(definition) = self.root.service(service).cloned() else {
             return Err(Refusal::new(ErrorKind::UnknownService, format!("no service is named {service}")));
         };
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -22,14 +22,14 @@
 
 /// Longest wait for a reply of the core. It exceeds every wait bound that a service may declare, so it passes
 /// only if the core is stuck.
-const CORE_WAIT: Duration = Duration::from_secs(620);
+const CORE_REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 
 /// State shared by all connections of the HTTP server.
 struct Front {
     events: Sender<CoreEvent>,
     limits: LimitSettings,
     metrics: Metrics,
-    serving: Arc<AtomicUsize>,
+    active_http_requests: Arc<AtomicUsize>,
     leaving: Arc<AtomicBool>,
 }
 
@@ -38,10 +38,10 @@
     settings: &Settings,
     events: Sender<CoreEvent>,
     metrics: Metrics,
-    serving: Arc<AtomicUsize>,
+    active_http_requests: Arc<AtomicUsize>,
     leaving: Arc<AtomicBool>,
 ) -> std::io::Result<()> {
-    let front = Front { events, limits: settings.limits.clone(), metrics, serving, leaving };
+    let front = Front { events, limits: settings.limits.clone(), metrics, active_http_requests, leaving };
     let server = Server::new(move |request| front.handle(request))
         .bind(settings.node.listen)
         .with_max_concurrent_connections(settings.limits.caller_connections)
@@ -83,9 +83,9 @@
 }
 
 /// Counts a request as being served until the guard is dropped.
-struct ServingGuard<'a>(&'a AtomicUsize);
+struct ActiveRequestGuard<'a>(&'a AtomicUsize);
 
-impl Drop for ServingGuard<'_> {
+impl Drop for ActiveRequestGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -93,8 +93,8 @@
 
 impl Front {
     fn handle(&self, request: &mut Request<Body>) -> Response<Body> {
-        self.serving.fetch_add(1, Ordering::AcqRel);
-        let _guard = ServingGuard(&self.serving);
+        self.active_http_requests.fetch_add(1, Ordering::AcqRel);
+        let _guard = ActiveRequestGuard(&self.active_http_requests);
         let route = find_route(request.method(), request.uri().path());
         let mut response = match route.and_then(|route| self.serve(route, request)) {
             Ok(response) => response,
@@ -111,7 +111,7 @@
         let command = match route {
             Route::Metrics => return Ok(text_response(StatusCode::OK, self.metrics.render())),
             Route::Alive => return Ok(text_response(StatusCode::OK, "alive\n".to_owned())),
-            Route::Ready => return self.ready(),
+            Route::Ready => return self.readiness_response(),
             Route::OpenSession => CallerCommand::OpenSession,
             Route::CloseSession(token) => CallerCommand::CloseSession(token),
             Route::Tickets(token) => CallerCommand::MintTicket(token),
@@ -119,11 +119,11 @@
             Route::Query(token) => CallerCommand::Execute { token, statement: self.read_statement(request)? },
             Route::Command => CallerCommand::Operate(self.read_statement(request)?),
         };
-        self.ask(command).map(reply_response)
+        self.ask_core(command).map(reply_response)
     }
 
-    fn ready(&self) -> Result<Response<Body>, Refusal> {
-        let CallerReply::Status(status) = self.ask(CallerCommand::Status)? else {
+    fn readiness_response(&self) -> Result<Response<Body>, Refusal> {
+        let CallerReply::Status(status) = self.ask_core(CallerCommand::Status)? else {
             return Err(Refusal::new(ErrorKind::Internal, "unexpected reply"));
         };
         let (code, text) = match (status.ready, status.leaving, status.has_config) {
@@ -135,12 +135,12 @@
         Ok(text_response(code, text.to_owned()))
     }
 
-    fn ask(&self, command: CallerCommand) -> Result<CallerReply, Refusal> {
+    fn ask_core(&self, command: CallerCommand) -> Result<CallerReply, Refusal> {
         let (reply, answer) = bounded(1);
         let unreachable = || Refusal::new(ErrorKind::Leaving, "the node is about to exit; nothing was run");
         self.events.send(CoreEvent::Caller { command, reply }).map_err(|_| unreachable())?;
         answer
-            .recv_timeout(CORE_WAIT)
+            .recv_timeout(CORE_REPLY_TIMEOUT)
             .map_err(|_| Refusal::new(ErrorKind::Internal, "no reply from the node's core; it may have run"))
     }
 
--- a/crates/session/staircross-node/src/logs.rs
+++ b/crates/session/staircross-node/src/logs.rs
@@ -33,7 +33,7 @@
         let sink: Arc<dyn Sink> = sink.map_err(|error| InvalidSetting::value("node.log", filter, error.to_string()))?;
         let logger = |module: &str| {
             let built =
-                Logger::builder().name(module).sink(sink.clone()).level_filter(levels.filter_of(module)).build_arc();
+                Logger::builder().name(module).sink(sink.clone()).level_filter(levels.filter_for(module)).build_arc();
             built.map_err(|error| InvalidSetting::value("node.log", module, error.to_string()))
         };
         Ok(Logs {
@@ -48,16 +48,16 @@
 }
 
 struct Levels {
-    usual: LevelFilter,
+    default_level: LevelFilter,
     by_module: Vec<(String, LevelFilter)>,
 }
 
 impl Levels {
     fn parse(filter: &str) -> Result<Self, InvalidSetting> {
-        let mut levels = Levels { usual: LevelFilter::MoreSevereEqual(Level::Info), by_module: Vec::new() };
+        let mut levels = Levels { default_level: LevelFilter::MoreSevereEqual(Level::Info), by_module: Vec::new() };
         for part in filter.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             match part.split_once('=') {
-                None => levels.usual = parse_level(part)?,
+                None => levels.default_level = parse_level(part)?,
                 Some((module, level)) if MODULES.contains(&module) => {
                     levels.by_module.push((module.to_owned(), parse_level(level)?));
                 }
@@ -69,9 +69,9 @@
         Ok(levels)
     }
 
-    fn filter_of(&self, module: &str) -> LevelFilter {
+    fn filter_for(&self, module: &str) -> LevelFilter {
         let own = self.by_module.iter().find(|(name, _)| name == module);
-        own.map_or(self.usual, |(_, filter)| *filter)
+        own.map_or(self.default_level, |(_, filter)| *filter)
     }
 }
 
--- a/crates/session/staircross-node/src/node.rs
+++ b/crates/session/staircross-node/src/node.rs
@@ -54,10 +54,10 @@
         let logs = Logs::from_filter(&settings.node.log)?;
         let metrics = Metrics::new()?;
         let id = NodeId(rand::random());
-        let (events, event_source) = unbounded();
+        let (events, event_receiver) = unbounded();
         let stop = Arc::new(AtomicBool::new(false));
         let leaving = Arc::new(AtomicBool::new(false));
-        let serving = Arc::new(AtomicUsize::new(0));
+        let active_http_requests = Arc::new(AtomicUsize::new(0));
 
         let peers = PeerTransport::start(PeerTransportParts {
             node: id,
@@ -75,10 +75,10 @@
             settings: settings.clone(),
             logs: logs.clone(),
             metrics: metrics.clone(),
-            events: event_source,
+            events: event_receiver,
             peers,
             searchers,
-            serving: serving.clone(),
+            active_http_requests: active_http_requests.clone(),
             stop: stop.clone(),
         });
         let core = std::thread::Builder::new()
@@ -87,7 +87,7 @@
             .map_err(|error| io_error("core thread".to_owned(), error))?;
         platform::start_reader(&settings.platform, events.clone(), logs.clone(), stop)
             .map_err(|error| io_error("platform thread".to_owned(), error))?;
-        front::start(&settings, events.clone(), metrics, serving, leaving.clone())
+        front::start(&settings, events.clone(), metrics, active_http_requests, leaving.clone())
             .map_err(|error| io_error(format!("node.listen {}", settings.node.listen), error))?;
         info!(logger: logs.front, "event=started node={id} callers={} peers={}",
             settings.node.listen, settings.node.peer_listen);
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -29,7 +29,7 @@
 /// Longest wait for a peer to accept written bytes, or for the next bytes of its handshake.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without messages after which this node closes a connection that it opened.
-const IDLE_LIFE: Duration = Duration::from_secs(60);
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time without bytes after which this node closes a connection that the peer opened.
 const READ_TIMEOUT: Duration = Duration::from_secs(90);
 
@@ -83,7 +83,7 @@
             stop: parts.stop,
         });
         let acceptor = shared.clone();
-        std::thread::Builder::new().name("peer accept".to_owned()).spawn(move || acceptor.accept_all(&listener))?;
+        std::thread::Builder::new().name("peer accept".to_owned()).spawn(move || acceptor.run_acceptor(&listener))?;
         let receiver = shared.clone();
         std::thread::Builder::new().name("peer datagrams".to_owned()).spawn(move || receiver.receive_datagrams())?;
         Ok(PeerTransport { queues: HashMap::new(), shared })
@@ -91,7 +91,7 @@
 
     /// Queues a message for sending, or drops it if the peer's queue is full.
     pub fn send(&mut self, to: SocketAddr, message: PeerMessage) {
-        if is_datagram(&message) && self.shared.send_datagram(to, &message) {
+        if tolerates_loss(&message) && self.shared.send_datagram(to, &message) {
             return;
         }
         let message = match self.queues.get(&to) {
@@ -99,19 +99,20 @@
             Some(queue) => match queue.try_send(message) {
                 Ok(()) => return,
                 Err(TrySendError::Full(message)) => {
-                    self.shared.undelivered(message, false);
+                    self.shared.report_undelivered(message, false);
                     return;
                 }
                 Err(TrySendError::Disconnected(message)) => message,
             },
         };
-        let (queue, source) = bounded(QUEUE_LENGTH);
+        let (queue, queued_messages) = bounded(QUEUE_LENGTH);
         // The queue is new, so it has room for the message.
         let _room_for_one = queue.try_send(message);
         self.queues.insert(to, queue);
         let writer = self.shared.clone();
-        let started =
-            std::thread::Builder::new().name(format!("peer {to}")).spawn(move || writer.write_all(to, &source));
+        let started = std::thread::Builder::new()
+            .name(format!("peer {to}"))
+            .spawn(move || writer.run_writer(to, &queued_messages));
         if let Err(error) = started {
             warn!(logger: self.shared.logs.peers, "event=no_thread peer={to} error={error:?}");
         }
@@ -119,7 +120,7 @@
 }
 
 /// Whether the message belongs to a protocol that tolerates loss and may be sent as a datagram.
-fn is_datagram(message: &PeerMessage) -> bool {
+fn tolerates_loss(message: &PeerMessage) -> bool {
     let PeerMessage::Cluster(envelope) = message else {
         return false;
     };
@@ -137,7 +138,7 @@
         let _ignored_while_stopping = self.events.send(event);
     }
 
-    fn drop_one(&self, what: &str) {
+    fn count_dropped(&self, what: &str) {
         self.metrics.dropped.with_label_values(&[what]).inc();
     }
 
@@ -167,14 +168,14 @@
             match datagram::open(&self.key, &buffer[..length]) {
                 Ok(message) => self.notify_core(CoreEvent::Peer(message)),
                 Err(error) => {
-                    self.drop_one("datagram");
+                    self.count_dropped("datagram");
                     debug!(logger: self.logs.peers, "event=bad_datagram peer={from} error={error:?}");
                 }
             }
         }
     }
 
-    fn accept_all(self: &Arc<Self>, listener: &TcpListener) {
+    fn run_acceptor(self: &Arc<Self>, listener: &TcpListener) {
         for stream in listener.incoming() {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -184,17 +185,17 @@
             };
             let reader = self.clone();
             let started =
-                std::thread::Builder::new().name("peer read".to_owned()).spawn(move || reader.read_all(stream));
+                std::thread::Builder::new().name("peer read".to_owned()).spawn(move || reader.run_reader(stream));
             if let Err(error) = started {
                 warn!(logger: self.logs.peers, "event=no_thread error={error:?}");
             }
         }
     }
 
-    fn read_all(&self, mut stream: TcpStream) {
+    fn run_reader(&self, mut stream: TcpStream) {
         let peer = stream.peer_addr().map_or("unknown".to_owned(), |address| address.to_string());
         if let Err(error) = self.accept_handshake(&mut stream) {
-            self.drop_one("connection");
+            self.count_dropped("connection");
             warn!(logger: self.logs.peers, "event=turned_away peer={peer} error={error:?}");
             return;
         }
@@ -207,7 +208,7 @@
                     return;
                 }
                 Err(error) => {
-                    self.drop_one("frame");
+                    self.count_dropped("frame");
                     warn!(logger: self.logs.peers, "event=bad_frame peer={peer} error={error:?}");
                     return;
                 }
@@ -224,25 +225,25 @@
         Ok(())
     }
 
-    fn write_all(&self, to: SocketAddr, source: &Receiver<PeerMessage>) {
-        let mut stream = match self.open(to) {
+    fn run_writer(&self, to: SocketAddr, queued_messages: &Receiver<PeerMessage>) {
+        let mut stream = match self.connect(to) {
             Ok(stream) => BufWriter::new(stream),
             Err(error) => {
                 info!(logger: self.logs.peers, "event=unreachable peer={to} error={error:?}");
                 // Nothing was written, so none of the queued messages was delivered.
-                while let Ok(message) = source.try_recv() {
-                    self.undelivered(message, false);
+                while let Ok(message) = queued_messages.try_recv() {
+                    self.report_undelivered(message, false);
                 }
                 return;
             }
         };
-        while let Ok(message) = source.recv_timeout(IDLE_LIFE) {
+        while let Ok(message) = queued_messages.recv_timeout(CONNECTION_IDLE_TIMEOUT) {
             let written = write_frame(&mut stream, &message);
             let flushed = match written {
                 Ok(count) => {
                     self.metrics.peer_bytes.with_label_values(&["tcp"]).inc_by(count as u64);
                     // If more messages are queued, the buffer is flushed after the last of them.
-                    if source.is_empty() { stream.flush() } else { Ok(()) }
+                    if queued_messages.is_empty() { stream.flush() } else { Ok(()) }
                 }
                 Err(error) => {
                     debug!(logger: self.logs.peers, "event=write_failed peer={to} error={error:?}");
@@ -250,17 +251,17 @@
                 }
             };
             if flushed.is_err() {
-                self.undelivered(message, true);
+                self.report_undelivered(message, true);
                 self.notify_core(CoreEvent::PeerBroken(to));
-                while let Ok(message) = source.try_recv() {
-                    self.undelivered(message, false);
+                while let Ok(message) = queued_messages.try_recv() {
+                    self.report_undelivered(message, false);
                 }
                 return;
             }
         }
     }
 
-    fn open(&self, to: SocketAddr) -> Result<TcpStream, staircross_wire::WireError> {
+    fn connect(&self, to: SocketAddr) -> Result<TcpStream, staircross_wire::WireError> {
         let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(IO_TIMEOUT))?;
@@ -270,8 +271,8 @@
     }
 
     /// Counts a message that wasn't delivered, or not certainly, and reports it to the core if it is a sub-request.
-    fn undelivered(&self, message: PeerMessage, partly_written: bool) {
-        self.drop_one("peer_message");
+    fn report_undelivered(&self, message: PeerMessage, partly_written: bool) {
+        self.count_dropped("peer_message");
         if let PeerMessage::Request { request, .. } = message {
             self.notify_core(CoreEvent::Undelivered { request, partly_written });
         }
--- a/crates/session/staircross-node/src/platform.rs
+++ b/crates/session/staircross-node/src/platform.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 /// Longest reply of the platform, in bytes.
-const MAX_DOCUMENT: u64 = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
 /// Longest wait for a reply of the platform.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Interval at which the reader checks whether it should stop.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the thread that reads the platform.
 pub fn start_reader(
@@ -30,7 +30,7 @@
         agent: new_agent(),
         document_url: format!("http://{}/v1/document", settings.address),
         machines_url: format!("http://{}/v1/machines", settings.address),
-        poll: Duration::from_millis(settings.poll_ms),
+        poll_interval: Duration::from_millis(settings.poll_ms),
         events,
         logs,
         stop,
@@ -46,7 +46,7 @@
     agent: ureq::Agent,
     document_url: String,
     machines_url: String,
-    poll: Duration,
+    poll_interval: Duration,
     events: Sender<CoreEvent>,
     logs: Logs,
     stop: Arc<AtomicBool>,
@@ -56,15 +56,15 @@
     fn run(self) {
         while !self.stop.load(Ordering::Relaxed) {
             self.read_once();
-            self.wait();
+            self.wait_for_next_poll();
         }
     }
 
-    fn wait(&self) {
+    fn wait_for_next_poll(&self) {
         let mut waited = Duration::ZERO;
-        while waited < self.poll && !self.stop.load(Ordering::Relaxed) {
-            std::thread::sleep(STOP_CHECK);
-            waited += STOP_CHECK;
+        while waited < self.poll_interval && !self.stop.load(Ordering::Relaxed) {
+            std::thread::sleep(STOP_CHECK_INTERVAL);
+            waited += STOP_CHECK_INTERVAL;
         }
     }
 
@@ -92,6 +92,6 @@
 
     fn read(&self, url: &str) -> Result<String, ureq::Error> {
         let mut response = self.agent.get(url).call()?;
-        response.body_mut().with_config().limit(MAX_DOCUMENT).read_to_string()
+        response.body_mut().with_config().limit(MAX_REPLY_BYTES).read_to_string()
     }
 }
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -17,7 +17,7 @@
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
-use call::{CallEnd, SearcherCaller};
+use call::{CallResult, SearcherClient};
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use staircross_search::leaf::not_run;
 use staircross_search::{NotRunReason, SubRequest};
@@ -30,10 +30,10 @@
 use std::time::Duration;
 
 /// Time without work after which a worker thread ends and closes its connection.
-const IDLE_LIFE: Duration = Duration::from_secs(20);
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Largest number of control jobs that may wait. Further ones are dropped, because probes are repeated and
 /// cancellations are only hints.
-const CONTROL_QUEUE: usize = 256;
+const MAX_CONTROL_JOBS: usize = 256;
 
 /// A sub-request to be sent to a searcher.
 struct Job {
@@ -51,11 +51,11 @@
 struct Pool {
     address: SocketAddr,
     jobs: Sender<Job>,
-    job_source: Receiver<Job>,
+    job_receiver: Receiver<Job>,
     control: Sender<ControlJob>,
-    workers: Arc<AtomicUsize>,
-    idle: Arc<AtomicUsize>,
-    most_workers: usize,
+    worker_count: Arc<AtomicUsize>,
+    idle_workers: Arc<AtomicUsize>,
+    max_workers: usize,
 }
 
 /// Connections to all owned searchers.
@@ -63,13 +63,13 @@
     pools: HashMap<SearcherId, Pool>,
     events: Sender<CoreEvent>,
     logs: Logs,
-    reply_limit: u64,
+    max_reply_bytes: u64,
 }
 
 impl SearcherConnections {
     /// Creates an empty set of connections. Replies longer than `reply_limit` bytes count as damaged.
-    pub fn new(events: Sender<CoreEvent>, logs: Logs, reply_limit: usize) -> Self {
-        SearcherConnections { pools: HashMap::new(), events, logs, reply_limit: reply_limit as u64 }
+    pub fn new(events: Sender<CoreEvent>, logs: Logs, max_reply_bytes: usize) -> Self {
+        SearcherConnections { pools: HashMap::new(), events, logs, max_reply_bytes: max_reply_bytes as u64 }
     }
 
     /// Sets which searchers this node owns. The threads of other searchers end when their queued work is done.
@@ -80,7 +80,7 @@
         self.pools.retain(|id, pool| is_kept(id, pool));
         for owned in owned {
             match self.pools.get_mut(&owned.searcher) {
-                Some(pool) => pool.most_workers = owned.connections,
+                Some(pool) => pool.max_workers = owned.connections,
                 None => {
                     let pool = self.open_pool(owned);
                     self.pools.insert(owned.searcher, pool);
@@ -89,29 +89,29 @@
         }
     }
 
-    fn caller(&self, searcher: SearcherId, address: SocketAddr) -> SearcherCaller {
-        SearcherCaller::new(searcher, address, self.reply_limit, self.logs.clone())
+    fn new_client(&self, searcher: SearcherId, address: SocketAddr) -> SearcherClient {
+        SearcherClient::new(searcher, address, self.max_reply_bytes, self.logs.clone())
     }
 
     fn open_pool(&self, owned: &OwnedAddress) -> Pool {
-        let (jobs, job_source) = unbounded();
-        let (control, control_source) = bounded(CONTROL_QUEUE);
-        let caller = self.caller(owned.searcher, owned.address);
+        let (jobs, job_receiver) = unbounded();
+        let (control, control_receiver) = bounded(MAX_CONTROL_JOBS);
+        let client = self.new_client(owned.searcher, owned.address);
         let events = self.events.clone();
         let name = format!("control {}", owned.searcher);
         let started =
-            std::thread::Builder::new().name(name).spawn(move || run_control(&caller, &control_source, &events));
+            std::thread::Builder::new().name(name).spawn(move || run_control(&client, &control_receiver, &events));
         if let Err(error) = started {
             spdlog::error!(logger: self.logs.searchers, "event=no_thread searcher={} error={error:?}", owned.searcher);
         }
         Pool {
             address: owned.address,
             jobs,
-            job_source,
+            job_receiver,
             control,
-            workers: Arc::new(AtomicUsize::new(0)),
-            idle: Arc::new(AtomicUsize::new(0)),
-            most_workers: owned.connections,
+            worker_count: Arc::new(AtomicUsize::new(0)),
+            idle_workers: Arc::new(AtomicUsize::new(0)),
+            max_workers: owned.connections,
         }
     }
 
@@ -122,9 +122,9 @@
             self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
             return;
         };
-        let waiting = pool.job_source.len();
-        let is_short = pool.idle.load(Ordering::Acquire) <= waiting;
-        if is_short && pool.workers.load(Ordering::Acquire) < pool.most_workers {
+        let queued_jobs = pool.job_receiver.len();
+        let needs_worker = pool.idle_workers.load(Ordering::Acquire) <= queued_jobs;
+        if needs_worker && pool.worker_count.load(Ordering::Acquire) < pool.max_workers {
             self.start_worker(request.searcher, pool);
         }
         if let Err(refused) = pool.jobs.send(Job { request, send_before }) {
@@ -135,34 +135,34 @@
     }
 
     fn start_worker(&self, searcher: SearcherId, pool: &Pool) {
-        let caller = self.caller(searcher, pool.address);
-        let jobs = pool.job_source.clone();
+        let client = self.new_client(searcher, pool.address);
+        let jobs = pool.job_receiver.clone();
         let events = self.events.clone();
-        let workers = pool.workers.clone();
-        let idle = pool.idle.clone();
-        workers.fetch_add(1, Ordering::AcqRel);
+        let worker_count = pool.worker_count.clone();
+        let idle_workers = pool.idle_workers.clone();
+        worker_count.fetch_add(1, Ordering::AcqRel);
         let name = format!("searcher {searcher}");
         let started = std::thread::Builder::new().name(name).spawn(move || {
-            run_worker(&caller, &jobs, &events, &idle);
-            workers.fetch_sub(1, Ordering::AcqRel);
+            run_worker(&client, &jobs, &events, &idle_workers);
+            worker_count.fetch_sub(1, Ordering::AcqRel);
         });
         if let Err(error) = started {
-            pool.workers.fetch_sub(1, Ordering::AcqRel);
+            pool.worker_count.fetch_sub(1, Ordering::AcqRel);
             spdlog::error!(logger: self.logs.searchers, "event=no_thread searcher={searcher} error={error:?}");
         }
     }
 
     /// Queues a request for the state of a searcher.
     pub fn probe(&self, searcher: SearcherId) {
-        self.control(searcher, ControlJob::Probe);
+        self.queue_control_job(searcher, ControlJob::Probe);
     }
 
     /// Queues a message that tells a searcher that an attempt is no longer wanted.
     pub fn cancel(&self, searcher: SearcherId, attempt: AttemptId) {
-        self.control(searcher, ControlJob::Cancel(attempt));
+        self.queue_control_job(searcher, ControlJob::Cancel(attempt));
     }
 
-    fn control(&self, searcher: SearcherId, job: ControlJob) {
+    fn queue_control_job(&self, searcher: SearcherId, job: ControlJob) {
         let Some(pool) = self.pools.get(&searcher) else {
             return;
         };
@@ -188,19 +188,19 @@
     pub connections: usize,
 }
 
-fn run_worker(caller: &SearcherCaller, jobs: &Receiver<Job>, events: &Sender<CoreEvent>, idle: &AtomicUsize) {
+fn run_worker(client: &SearcherClient, jobs: &Receiver<Job>, events: &Sender<CoreEvent>, idle_workers: &AtomicUsize) {
     loop {
-        idle.fetch_add(1, Ordering::AcqRel);
-        let received = jobs.recv_timeout(IDLE_LIFE);
-        idle.fetch_sub(1, Ordering::AcqRel);
+        idle_workers.fetch_add(1, Ordering::AcqRel);
+        let received = jobs.recv_timeout(WORKER_IDLE_TIMEOUT);
+        idle_workers.fetch_sub(1, Ordering::AcqRel);
         let Ok(job) = received else {
             return;
         };
         // The leaf engine decided on evidence that may be too old now, for example after a pause of this thread.
-        let CallEnd { reply, run } = if clock::now() >= job.send_before {
-            CallEnd::without_run(not_run(&job.request, NotRunReason::Unconnected))
+        let CallResult { reply, run } = if clock::now() >= job.send_before {
+            CallResult::without_reply(not_run(&job.request, NotRunReason::Unconnected))
         } else {
-            caller.call(&job.request)
+            client.call(&job.request)
         };
         if events.send(CoreEvent::SearcherReplied { reply, run }).is_err() {
             return;
@@ -208,14 +208,14 @@
     }
 }
 
-fn run_control(caller: &SearcherCaller, jobs: &Receiver<ControlJob>, events: &Sender<CoreEvent>) {
+fn run_control(client: &SearcherClient, jobs: &Receiver<ControlJob>, events: &Sender<CoreEvent>) {
     while let Ok(job) = jobs.recv() {
         match job {
-            ControlJob::Cancel(attempt) => caller.cancel(attempt),
+            ControlJob::Cancel(attempt) => client.cancel(attempt),
             ControlJob::Probe => {
                 let asked_at = clock::now();
-                let evidence = caller.probe();
-                let event = CoreEvent::Probed { searcher: caller.searcher(), asked_at, evidence };
+                let evidence = client.probe();
+                let event = CoreEvent::Probed { searcher: client.searcher(), asked_at, evidence };
                 if events.send(event).is_err() {
                     return;
                 }
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -20,27 +20,27 @@
 const REPLY_GRACE: Duration = Duration::from_millis(50);
 
 /// HTTP client of one searcher, with one keep-alive connection.
-pub(super) struct SearcherCaller {
+pub(super) struct SearcherClient {
     searcher: SearcherId,
-    base: String,
-    kept: ureq::Agent,
-    fresh: ureq::Agent,
-    reply_limit: u64,
+    base_url: String,
+    keep_alive_agent: ureq::Agent,
+    unpooled_agent: ureq::Agent,
+    max_reply_bytes: u64,
     logs: Logs,
 }
 
 /// Result of a call.
-pub(super) struct CallEnd {
+pub(super) struct CallResult {
     /// The searcher's reply, or one made by this node that says how the call failed.
     pub reply: SubReply,
     /// Incarnation of the searcher that replied, if one did.
     pub run: Option<SearcherIncarnation>,
 }
 
-impl CallEnd {
+impl CallResult {
     /// Creates the result of a call to which no searcher replied.
-    pub fn without_run(reply: SubReply) -> Self {
-        CallEnd { reply, run: None }
+    pub fn without_reply(reply: SubReply) -> Self {
+        CallResult { reply, run: None }
     }
 }
 
@@ -54,14 +54,14 @@
     TimedOut,
 }
 
-impl SearcherCaller {
-    pub fn new(searcher: SearcherId, address: SocketAddr, reply_limit: u64, logs: Logs) -> Self {
-        SearcherCaller {
+impl SearcherClient {
+    pub fn new(searcher: SearcherId, address: SocketAddr, max_reply_bytes: u64, logs: Logs) -> Self {
+        SearcherClient {
             searcher,
-            base: format!("http://{address}"),
-            kept: new_agent(1),
-            fresh: new_agent(0),
-            reply_limit,
+            base_url: format!("http://{address}"),
+            keep_alive_agent: new_agent(1),
+            unpooled_agent: new_agent(0),
+            max_reply_bytes,
             logs,
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// Sends a sub-request to the searcher and waits for its reply.
-    pub fn call(&self, request: &SubRequest) -> CallEnd {
+    pub fn call(&self, request: &SubRequest) -> CallResult {
         let reply = match &request.work {
             Work::Search(query) => {
                 let call = SearchCall {
@@ -81,7 +81,7 @@
                     query: query.clone(),
                     remaining_ms: request.remaining.as_millis() as u64,
                 };
-                self.post(&self.kept, SEARCH_PATH, &call, request.remaining + REPLY_GRACE)
+                self.post(&self.keep_alive_agent, SEARCH_PATH, &call, request.remaining + REPLY_GRACE)
             }
             Work::Act(command) => {
                 let call = ActCall {
@@ -91,30 +91,30 @@
                     command: command.clone(),
                     remaining_ms: request.remaining.as_millis() as u64,
                 };
-                self.post(&self.fresh, ACT_PATH, &call, request.remaining + REPLY_GRACE)
+                self.post(&self.unpooled_agent, ACT_PATH, &call, request.remaining + REPLY_GRACE)
             }
         };
         match reply {
             Ok(reply) => {
                 let run = Some(reply.incarnation);
-                CallEnd { reply: self.judge(request, reply), run }
+                CallResult { reply: self.check_reply(request, reply), run }
             }
-            Err(CallFailure::NotConnected) => CallEnd::without_run(not_run(request, NotRunReason::Unconnected)),
-            Err(CallFailure::TimedOut) => CallEnd::without_run(unknown(request, UnknownReason::Late)),
+            Err(CallFailure::NotConnected) => CallResult::without_reply(not_run(request, NotRunReason::Unconnected)),
+            Err(CallFailure::TimedOut) => CallResult::without_reply(unknown_outcome(request, UnknownReason::Late)),
             Err(CallFailure::Broken(reason)) => {
                 debug!(logger: self.logs.searchers,
                     "event=broken_reply searcher={} attempt={} reason={reason:?}", self.searcher, request.attempt);
-                CallEnd::without_run(unknown(request, UnknownReason::Broken))
+                CallResult::without_reply(unknown_outcome(request, UnknownReason::Broken))
             }
         }
     }
 
     /// Checks that a reply is for this request, and converts it for the leaf engine.
-    fn judge(&self, request: &SubRequest, reply: CallReply) -> SubReply {
+    fn check_reply(&self, request: &SubRequest, reply: CallReply) -> SubReply {
         if reply.attempt != request.attempt {
             warn!(logger: self.logs.searchers,
                 "event=foreign_reply searcher={} asked={} got={}", self.searcher, request.attempt, reply.attempt);
-            return unknown(request, UnknownReason::Broken);
+            return unknown_outcome(request, UnknownReason::Broken);
         }
         let outcome = match reply.status {
             CallStatus::Found { shards } => SubOutcome::Found(shards),
@@ -138,20 +138,20 @@
         agent: &ureq::Agent,
         path: &str,
         call: &impl serde::Serialize,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<CallReply, CallFailure> {
         let body = serde_json::to_vec(call).map_err(|error| CallFailure::Broken(error.to_string()))?;
-        let request = agent.post(format!("{}{path}", self.base)).config().timeout_global(Some(wait)).build();
-        let response = request.header("content-type", "application/json").send(&body[..]).map_err(classify)?;
-        let bytes = self.read_checked(response)?;
+        let request = agent.post(format!("{}{path}", self.base_url)).config().timeout_global(Some(timeout)).build();
+        let response = request.header("content-type", "application/json").send(&body[..]).map_err(classify_error)?;
+        let bytes = self.read_verified_body(response)?;
         serde_json::from_slice(&bytes).map_err(|error| CallFailure::Broken(error.to_string()))
     }
 
-    fn read_checked(&self, mut response: ureq::http::Response<ureq::Body>) -> Result<Vec<u8>, CallFailure> {
+    fn read_verified_body(&self, mut response: ureq::http::Response<ureq::Body>) -> Result<Vec<u8>, CallFailure> {
         let digest = response.headers().get(DIGEST_HEADER).and_then(|value| value.to_str().ok()).map(str::to_owned);
-        let body = response.body_mut().with_config().limit(self.reply_limit);
+        let body = response.body_mut().with_config().limit(self.max_reply_bytes);
         // The searcher has begun to reply, so it may have executed the call whatever fails from here on.
-        let bytes = body.read_to_vec().map_err(after_connecting)?;
+        let bytes = body.read_to_vec().map_err(classify_after_connecting)?;
         match digest {
             Some(digest) if digest == body_digest(&bytes) => Ok(bytes),
             Some(_) => Err(CallFailure::Broken("the body doesn't match its digest".to_owned())),
@@ -161,9 +161,9 @@
 
     /// Requests the searcher's state. Returns `None` if the request fails or another searcher answers.
     pub fn probe(&self) -> Option<Evidence> {
-        let request = self.kept.get(format!("{}{STATE_PATH}", self.base));
+        let request = self.keep_alive_agent.get(format!("{}{STATE_PATH}", self.base_url));
         let response = request.config().timeout_global(Some(CONTROL_TIMEOUT)).build().call().ok()?;
-        let bytes = self.read_checked(response).ok()?;
+        let bytes = self.read_verified_body(response).ok()?;
         let state: StateReply = serde_json::from_slice(&bytes).ok()?;
         if state.searcher != self.searcher {
             warn!(logger: self.logs.searchers,
@@ -178,7 +178,7 @@
         let Ok(body) = serde_json::to_vec(&CancelCall { attempt }) else {
             return;
         };
-        let request = self.kept.post(format!("{}{CANCEL_PATH}", self.base));
+        let request = self.keep_alive_agent.post(format!("{}{CANCEL_PATH}", self.base_url));
         let sent = request.config().timeout_global(Some(CONTROL_TIMEOUT)).build().send(&body[..]);
         match sent.and_then(|mut response| response.body_mut().read_to_vec()) {
             Ok(_) => {}
@@ -187,12 +187,12 @@
     }
 }
 
-fn new_agent(kept_connections: usize) -> ureq::Agent {
+fn new_agent(max_idle_connections: usize) -> ureq::Agent {
     ureq::Agent::config_builder()
         .proxy(None)
         .max_redirects(0)
-        .max_idle_connections(kept_connections)
-        .max_idle_connections_per_host(kept_connections)
+        .max_idle_connections(max_idle_connections)
+        .max_idle_connections_per_host(max_idle_connections)
         .max_idle_age(Duration::from_secs(30))
         .timeout_connect(Some(CONNECT_TIMEOUT))
         .build()
@@ -201,23 +201,23 @@
 
 /// Converts an error of the HTTP client. Only errors that certainly occurred before the first byte was sent count
 /// as [`CallFailure::NotConnected`].
-fn classify(error: ureq::Error) -> CallFailure {
+fn classify_error(error: ureq::Error) -> CallFailure {
     match &error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => CallFailure::NotConnected,
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => CallFailure::NotConnected,
         ureq::Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => CallFailure::NotConnected,
-        _ => after_connecting(error),
+        _ => classify_after_connecting(error),
     }
 }
 
-fn after_connecting(error: ureq::Error) -> CallFailure {
+fn classify_after_connecting(error: ureq::Error) -> CallFailure {
     match error {
         ureq::Error::Timeout(_) => CallFailure::TimedOut,
         other => CallFailure::Broken(other.to_string()),
     }
 }
 
-fn unknown(request: &SubRequest, reason: UnknownReason) -> SubReply {
+fn unknown_outcome(request: &SubRequest, reason: UnknownReason) -> SubReply {
     SubReply {
         attempt: request.attempt,
         searcher: request.searcher,
--- a/crates/session/staircross-standin/src/bin/staircross-standin.rs
+++ b/crates/session/staircross-standin/src/bin/staircross-standin.rs
@@ -93,13 +93,13 @@
             let held: Vec<_> = held.map(|placement| placement.shard).collect();
             running.publish(map.snapshot, &corpus, &held, map.shards.len());
         }
-        announce(id, definition.address, &service.name, service.shard_maps.first().map(|map| map.snapshot));
+        print_start_line(id, definition.address, &service.name, service.shard_maps.first().map(|map| map.snapshot));
         searcher = Some(running);
     }
     searcher.map(|_| ()).ok_or_else(|| format!("--id {id}: no service lists this searcher"))
 }
 
-fn announce(id: SearcherId, address: SocketAddr, service: &ServiceName, snapshot: Option<Snapshot>) {
+fn print_start_line(id: SearcherId, address: SocketAddr, service: &ServiceName, snapshot: Option<Snapshot>) {
     let snapshot = snapshot.map_or("none".to_owned(), |snapshot| snapshot.to_string());
     println!("searcher {id} of {service} on {address}, first snapshot {snapshot}");
 }
--- a/crates/session/staircross-standin/src/http.rs
+++ b/crates/session/staircross-standin/src/http.rs
@@ -8,14 +8,14 @@
 use std::io::Read;
 
 /// Longest request body that a stand-in reads, in bytes.
-const MAX_BODY: u64 = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Decodes a JSON request body. The error is the response to send.
 // The large error type is accepted because it is only built for a bad request.
 #[allow(clippy::result_large_err)]
 pub fn read_json<T: DeserializeOwned>(request: &mut Request<Body>) -> Result<T, Response<Body>> {
     let mut bytes = Vec::new();
-    let read = request.body_mut().take(MAX_BODY).read_to_end(&mut bytes);
+    let read = request.body_mut().take(MAX_BODY_BYTES).read_to_end(&mut bytes);
     if let Err(error) = read {
         return Err(text_response(StatusCode::BAD_REQUEST, &error.to_string()));
     }
@@ -64,17 +64,17 @@
 
 trait ChainError: std::io::Read + Sized {
     /// Returns a reader that fails at the end of `self` instead of reporting the end.
-    fn chain_error(self) -> std::io::Chain<Self, BrokenOff> {
-        self.chain(BrokenOff)
+    fn chain_error(self) -> std::io::Chain<Self, FailingReader> {
+        self.chain(FailingReader)
     }
 }
 
 impl<T: std::io::Read> ChainError for T {}
 
 /// A reader that always fails.
-struct BrokenOff;
+struct FailingReader;
 
-impl std::io::Read for BrokenOff {
+impl std::io::Read for FailingReader {
     fn read(&mut self, _: &mut [u8]) -> std::io::Result<usize> {
         Err(std::io::Error::new(std::io::ErrorKind::ConnectionAborted, "broken off by a scripted fault"))
     }
--- a/crates/session/staircross-standin/src/index.rs
+++ b/crates/session/staircross-standin/src/index.rs
@@ -42,7 +42,7 @@
                 index.add(document.clone());
             }
         }
-        shards.values_mut().for_each(ShardIndex::sort);
+        shards.values_mut().for_each(ShardIndex::sort_and_index);
         SnapshotIndex { shards }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Sorts the documents by id, which is the order that pulls need, and builds the posting lists.
-    fn sort(&mut self) {
+    fn sort_and_index(&mut self) {
         self.documents.sort_by(|left, right| left.id.cmp(&right.id));
         for (number, document) in self.documents.iter().enumerate() {
             let mut counts: HashMap<String, u32> = HashMap::new();
@@ -85,7 +85,7 @@
             None => (0..self.documents.len() as u32).map(|number| (number, 0.0)).collect(),
             Some((first, rest)) => {
                 let start = self.term_scores(first).collect();
-                rest.iter().fold(start, |kept, term| self.intersect(kept, term))
+                rest.iter().fold(start, |candidates, term| self.intersect(candidates, term))
             }
         };
         let matched = scores.len() as u64;
@@ -114,9 +114,12 @@
         })
     }
 
-    fn intersect(&self, kept: Vec<(u32, f32)>, term: &str) -> Vec<(u32, f32)> {
+    fn intersect(&self, candidates: Vec<(u32, f32)>, term: &str) -> Vec<(u32, f32)> {
         let scores: HashMap<u32, f32> = self.term_scores(term).collect();
-        kept.into_iter().filter_map(|(number, score)| scores.get(&number).map(|more| (number, score + more))).collect()
+        candidates
+            .into_iter()
+            .filter_map(|(number, score)| scores.get(&number).map(|term_score| (number, score + term_score)))
+            .collect()
     }
 
     fn hit(&self, shard: ShardId, number: u32, score: f32) -> Hit {
--- a/crates/session/staircross-standin/src/platform.rs
+++ b/crates/session/staircross-standin/src/platform.rs
@@ -29,7 +29,7 @@
 struct State {
     mode: PlatformMode,
     documents: Vec<PlatformDocument>,
-    stale_at: usize,
+    stale_index: usize,
     machines: MachineList,
 }
 
@@ -65,7 +65,7 @@
     /// Sets how the platform behaves from now on.
     pub fn set_mode(&self, mode: PlatformMode) {
         let mut state = self.lock();
-        state.stale_at = state.documents.len().saturating_sub(1);
+        state.stale_index = state.documents.len().saturating_sub(1);
         state.mode = mode;
     }
 
@@ -108,7 +108,7 @@
         let newest = state.documents.len().saturating_sub(1);
         let index = match state.mode {
             PlatformMode::Up => newest,
-            PlatformMode::Stale => state.stale_at,
+            PlatformMode::Stale => state.stale_index,
             PlatformMode::SteppedBack => newest.saturating_sub(1),
             PlatformMode::Down => return text_response(StatusCode::SERVICE_UNAVAILABLE, "down\n"),
         };
--- a/crates/session/staircross-standin/src/searcher.rs
+++ b/crates/session/staircross-standin/src/searcher.rs
@@ -42,7 +42,7 @@
 const COLD_FACTOR: u32 = 4;
 /// Interval at which a call at work checks whether it was cancelled. A call that waits for a slot checks at five
 /// times this interval, and when a slot is freed.
-const CANCEL_CHECK: Duration = Duration::from_millis(2);
+const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// Largest number of cancelled attempts remembered. Beyond it, all of them are forgotten.
 const MAX_CANCELLED: usize = 10_000;
 
@@ -210,7 +210,7 @@
     fn search(&self, call: SearchCall) -> Response<Body> {
         let deadline = Instant::now() + Duration::from_millis(call.remaining_ms);
         let faults = self.lock().faults.take_for_call();
-        let slot = match self.enter(&faults, call.snapshot, call.attempt, deadline) {
+        let slot = match self.acquire_slot(&faults, call.snapshot, call.attempt, deadline) {
             Ok(slot) => slot,
             Err(status) => return self.reply(&faults, call.attempt, call.snapshot, status),
         };
@@ -220,26 +220,26 @@
     }
 
     fn run_search(&self, slot: &Slot<'_>, call: &SearchCall, faults: &[Fault], deadline: Instant) -> CallStatus {
-        self.record(call.attempt, call.snapshot, call.shards.clone(), None);
-        if !self.work(call.attempt, &call.shards, faults, deadline) {
+        self.record_call(call.attempt, call.snapshot, call.shards.clone(), None);
+        if !self.simulate_work(call.attempt, &call.shards, faults, deadline) {
             return CallStatus::Stopped;
         }
         let found = call.shards.iter().filter_map(|shard| slot.index.search(*shard, &call.query)).collect();
-        CallStatus::Found { shards: distort(found, faults, &call.query) }
+        CallStatus::Found { shards: apply_shard_faults(found, faults, &call.query) }
     }
 
     fn act(&self, call: ActCall) -> Response<Body> {
         let deadline = Instant::now() + Duration::from_millis(call.remaining_ms);
         let faults = self.lock().faults.take_for_call();
-        let slot = match self.enter(&faults, call.snapshot, call.attempt, deadline) {
+        let slot = match self.acquire_slot(&faults, call.snapshot, call.attempt, deadline) {
             Ok(slot) => slot,
             Err(status) => return self.reply(&faults, call.attempt, call.snapshot, status),
         };
         let status = if slot.index.holds(call.shard) {
             let message = format!("{} {}", call.command.verb, call.command.target);
-            let entry = self.record(call.attempt, call.snapshot, vec![call.shard], Some(call.command));
+            let entry = self.record_call(call.attempt, call.snapshot, vec![call.shard], Some(call.command));
             // The action is in the ledger, so it is reported as executed even if it was cancelled meanwhile.
-            let _finished_in_time = self.work(call.attempt, &[call.shard], &faults, deadline);
+            let _finished_in_time = self.simulate_work(call.attempt, &[call.shard], &faults, deadline);
             CallStatus::Acted { entry, message }
         } else {
             CallStatus::SnapshotGone
@@ -249,7 +249,7 @@
     }
 
     /// Waits for a slot. The error is the status with which a call that isn't executed is answered.
-    fn enter(
+    fn acquire_slot(
         &self,
         faults: &[Fault],
         snapshot: Snapshot,
@@ -274,7 +274,7 @@
                 state.waiting -= 1;
                 return Err(CallStatus::Shed);
             }
-            let waited = self.slot_freed.wait_timeout(state, left.min(CANCEL_CHECK * 5));
+            let waited = self.slot_freed.wait_timeout(state, left.min(CANCEL_CHECK_INTERVAL * 5));
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         state.waiting -= 1;
@@ -282,7 +282,7 @@
         Ok(Slot { shared: self, index })
     }
 
-    fn record(
+    fn record_call(
         &self,
         attempt: AttemptId,
         snapshot: Snapshot,
@@ -296,7 +296,7 @@
     }
 
     /// Waits for as long as a call takes. Returns `false` if the call was cancelled or its deadline passed.
-    fn work(&self, attempt: AttemptId, shards: &[ShardId], faults: &[Fault], deadline: Instant) -> bool {
+    fn simulate_work(&self, attempt: AttemptId, shards: &[ShardId], faults: &[Fault], deadline: Instant) -> bool {
         let mut span = self.settings.work;
         if self.started.elapsed() < self.settings.cold {
             span *= COLD_FACTOR;
@@ -319,7 +319,7 @@
             if now >= deadline || self.lock().cancelled.contains(&attempt) {
                 return false;
             }
-            std::thread::sleep((end - now).min(CANCEL_CHECK));
+            std::thread::sleep((end - now).min(CANCEL_CHECK_INTERVAL));
         }
     }
 }
@@ -337,7 +337,7 @@
     }
 }
 
-fn distort(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
+fn apply_shard_faults(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
     if faults.contains(&Fault::OmitShard) {
         found.pop();
     }
