--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -61,17 +61,23 @@
     root: RootEngine,
     leaf: LeafEngine,
     cluster: ClusterEngine,
+    /// Sequence number of the next request.
     next_sequence: u64,
+    /// Requests in progress, by sequence number.
     pending: HashMap<u64, PendingRequest>,
     held_replies: Vec<HeldReply>,
     session_lookups: HashMap<SessionToken, SessionLookup>,
     held_sessions: HeldSessions,
+    /// Number of the next session lookup.
     next_ask: u64,
+    /// Attempts sent to other nodes, each with the peer address of the node to which it was sent.
     remote_attempts: HashMap<AttemptId, SocketAddr>,
     machines: MachineList,
     next_tick: BootTime,
     stopping_since: Option<BootTime>,
+    /// Consecutive ticks at which a stopping node had nothing to wait for.
     idle_ticks: u32,
+    /// Values of the root engine's counters that the metrics already include.
     last_counters: RootCounters,
     /// Number of HTTP requests that the front is serving.
     active_http_requests: Arc<AtomicUsize>,
@@ -202,6 +208,7 @@
         }
     }
 
+    /// Runs the root engine's timers, and every [`TICK_INTERVAL`] those of the other engines and of this module.
     fn run_timers(&mut self) {
         let now = clock::now();
         self.handle_root_event(now, RootEvent::Tick);
@@ -239,6 +246,7 @@
         self.execute_cluster_actions(actions);
     }
 
+    /// Begins a planned stop. If one has begun, only writes a log line.
     fn begin_stop(&mut self, now: BootTime) {
         if self.stopping_since.is_some() {
             spdlog::info!(logger: self.logs.cluster, "event=stop_again in_flight={}", self.root.in_flight());
@@ -250,6 +258,7 @@
         self.handle_leaf_event(now, LeafEvent::Stop);
     }
 
+    /// Whether a planned stop began at least [`STOP_LINGER`] ago, so that the node refuses further requests.
     fn is_lingering_over(&self, now: BootTime) -> bool {
         self.stopping_since.is_some_and(|since| now.since(since) >= STOP_LINGER)
     }
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Checks that this node isn't about to exit and has a document.
     fn check_accepts_requests(&self, now: BootTime) -> Result<(), Refusal> {
         if self.is_lingering_over(now) {
             return Err(Refusal::new(ErrorKind::Leaving, "this node is stopping; the session lives on at the others"));
@@ -153,6 +154,7 @@
         }
     }
 
+    /// Sends the reply to a statement that didn't become a request.
     pub(super) fn send_body(&self, reply: &Sender<CallerReply>, body: ReplyBody) {
         let moved_to = self.successor();
         send_reply(reply, CallerReply::Statement(StatementReply { request: String::new(), body, moved_to }));
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -47,6 +47,7 @@
         self.update_leaving_searchers(now);
     }
 
+    /// Tells the connections and the leaf engine which searchers this node owns now.
     fn update_ownership(&mut self, now: BootTime) {
         let node = self.node;
         let shares = self.cluster.ownership().shares_of(node);
@@ -65,6 +66,7 @@
         self.update_leaving_searchers(now);
     }
 
+    /// Passes this node's view of an owned searcher to the cluster engine, which sends it to the other nodes.
     pub(super) fn spread_view(&mut self, now: BootTime, view: &SearcherView) {
         let evidence = view.evidence.as_ref().map(|evidence| SpreadEvidence {
             incarnation: evidence.incarnation,
@@ -74,6 +76,7 @@
         self.handle_cluster_event(now, event);
     }
 
+    /// Passes a searcher's state, as the cluster engine knows it, to the root and leaf engines.
     fn apply_view(&mut self, now: BootTime, record: ViewRecord) {
         let searcher = record.searcher;
         let evidence = record.evidence.map(|evidence| Evidence {
--- a/crates/session/staircross-node/src/core/held_sessions.rs
+++ b/crates/session/staircross-node/src/core/held_sessions.rs
@@ -1,6 +1,6 @@
 //! Tracks which nodes have confirmed a copy of each session that this node holds.
 //!
-//! When a session changes, a copy is sent to the nodes that are its keepers at that time. Keepers may leave and
+//! When a session changes, a copy is sent to its keepers, the nodes that store its copies. Keepers may leave and
 //! be replaced, messages may be lost, and another node may take a session over while this node is paused or
 //! partitioned. Each session is therefore checked about once a second, and its copy is sent again while a
 //! keeper hasn't confirmed it. A keeper that knows a newer holder of the session replies with that fact.
@@ -15,7 +15,7 @@
 /// have changed.
 const MAX_CHECKED_PER_TICK: usize = 256;
 
-/// Copies of one session that this node holds.
+/// Replication state of a session that this node holds.
 #[derive(Default)]
 struct HeldSession {
     /// Version of the session, which each change increments.
@@ -24,7 +24,7 @@
     confirmed_by: Vec<NodeId>,
 }
 
-/// Copies of all sessions that this node holds.
+/// Replication state of all sessions that this node holds.
 #[derive(Default)]
 pub(super) struct HeldSessions {
     sessions: HashMap<SessionToken, HeldSession>,
--- a/crates/session/staircross-node/src/core/requests.rs
+++ b/crates/session/staircross-node/src/core/requests.rs
@@ -48,6 +48,7 @@
         }
     }
 
+    /// Cancels an attempt at the leaf engine to which it was sent.
     fn send_cancel(&mut self, now: BootTime, attempt: AttemptId, searcher: SearcherId) {
         match self.remote_attempts.remove(&attempt) {
             Some(address) => self.peers.send(address, PeerMessage::Cancel { from: self.node, attempt }),
@@ -125,6 +126,7 @@
         }
     }
 
+    /// Reports to the root engine that a sub-request wasn't run, or that its outcome is unknown if part of it was sent.
     pub(super) fn on_undelivered(&mut self, now: BootTime, request: &SubRequest, partly_written: bool) {
         self.remote_attempts.remove(&request.attempt);
         let mut reply = not_run(request, NotRunReason::NotOwner);
@@ -134,6 +136,7 @@
         self.handle_root_event(now, RootEvent::Reply(reply));
     }
 
+    /// Logs and counts the outcome of a request, and replies to its caller.
     fn on_finished(&mut self, now: BootTime, request: RequestId, outcome: Outcome) {
         self.remote_attempts.retain(|attempt, _| attempt.request != request);
         let Some(pending) = self.pending.remove(&request.sequence) else {
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -24,6 +24,7 @@
 /// A reply that is held until copies of its session are confirmed.
 pub(super) struct HeldReply {
     token: SessionToken,
+    /// Version of the session whose copies must be confirmed.
     version: u64,
     missing_confirmations: usize,
     deadline: BootTime,
@@ -33,10 +34,13 @@
 
 /// A search of other nodes for a copy of a session that this node doesn't hold.
 pub(super) struct SessionLookup {
+    /// Number of the lookup, by which answers to an earlier lookup of the same session are told apart.
     ask: u64,
+    /// Number of nodes that haven't answered yet.
     pending_answers: usize,
     newest_copy: Option<SessionCopy>,
     deadline: BootTime,
+    /// Commands to execute when the session is found, and the channels for their replies.
     waiting: Vec<(CallerCommand, Sender<CallerReply>)>,
 }
 
@@ -71,6 +75,7 @@
         self.handle_cluster_event(now, ClusterEvent::StoreSession { token, version, state });
     }
 
+    /// Replies to a request. If it changed its session, the reply waits for copies of the session.
     pub(super) fn reply_after_copies(
         &mut self,
         now: BootTime,
@@ -107,6 +112,7 @@
         }
     }
 
+    /// Handles a keeper's confirmation of a copy, or its notice that another node has taken the session over.
     pub(super) fn on_session_stored(&mut self, token: SessionToken, version: u64, keeper: NodeId, is_overtaken: bool) {
         self.held_sessions.record_confirmation(token, version, keeper);
         if is_overtaken {
@@ -196,6 +202,7 @@
         }
     }
 
+    /// Ends a lookup: takes the session over if a copy was found, and executes or refuses the waiting commands.
     fn finish_session_lookup(&mut self, now: BootTime, token: SessionToken) {
         let Some(lookup) = self.session_lookups.remove(&token) else {
             return;
@@ -212,6 +219,7 @@
         }
     }
 
+    /// Takes over a session from a copy. Returns `false` if the copy can't be decoded or this node has no room for it.
     fn adopt_session(&mut self, now: BootTime, token: SessionToken, copy: &SessionCopy) -> bool {
         let Some(state) = decode_session(&copy.state) else {
             return false;
--- a/crates/session/staircross-node/src/node.rs
+++ b/crates/session/staircross-node/src/node.rs
@@ -84,9 +84,9 @@
         let core = std::thread::Builder::new()
             .name("core".to_owned())
             .spawn(move || core.run())
-            .map_err(|error| io_error("core thread".to_owned(), error))?;
+            .map_err(|error| io_error("can't start the core thread".to_owned(), error))?;
         platform::start_reader(&settings.platform, events.clone(), logs.clone(), stop)
-            .map_err(|error| io_error("platform thread".to_owned(), error))?;
+            .map_err(|error| io_error("can't start the platform reader thread".to_owned(), error))?;
         front::start(&settings, events.clone(), metrics, active_http_requests, leaving.clone())
             .map_err(|error| io_error(format!("node.listen {}", settings.node.listen), error))?;
         info!(logger: logs.front, "event=started node={id} callers={} peers={}",
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -67,12 +67,13 @@
 }
 
 impl SearcherConnections {
-    /// Creates an empty set of connections. Replies longer than `reply_limit` bytes count as damaged.
+    /// Creates an empty set of connections. Replies longer than `max_reply_bytes` count as damaged.
     pub fn new(events: Sender<CoreEvent>, logs: Logs, max_reply_bytes: usize) -> Self {
         SearcherConnections { pools: HashMap::new(), events, logs, max_reply_bytes: max_reply_bytes as u64 }
     }
 
-    /// Sets which searchers this node owns. The threads of other searchers end when their queued work is done.
+    /// Sets which searchers this node owns. The threads for
+    /// other searchers end when their queued work is done.
     pub fn set_owned(&mut self, owned: &[OwnedAddress]) {
         let is_kept = |id: &SearcherId, pool: &Pool| {
             owned.iter().any(|owned| owned.searcher == *id && owned.address == pool.address)
@@ -134,6 +135,7 @@
         }
     }
 
+    /// Starts a thread that sends queued sub-requests to a searcher over its own connection.
     fn start_worker(&self, searcher: SearcherId, pool: &Pool) {
         let client = self.new_client(searcher, pool.address);
         let jobs = pool.job_receiver.clone();
--- a/crates/session/staircross-standin/src/bin/staircross-standin.rs
+++ b/crates/session/staircross-standin/src/bin/staircross-standin.rs
@@ -65,7 +65,7 @@
     let listen: SocketAddr = command.listen.parse().map_err(|error| format!("--listen {}: {error}", command.listen))?;
     let document = read_document(&command.document)?;
     PlatformStandin::start(listen, document).map_err(|error| format!("{listen}: {error}"))?;
-    println!("platform on {listen}");
+    println!("platform stand-in listens on {listen}");
     Ok(())
 }
 
@@ -101,5 +101,5 @@
 
 fn print_start_line(id: SearcherId, address: SocketAddr, service: &ServiceName, snapshot: Option<Snapshot>) {
     let snapshot = snapshot.map_or("none".to_owned(), |snapshot| snapshot.to_string());
-    println!("searcher {id} of {service} on {address}, first snapshot {snapshot}");
+    println!("searcher stand-in {id} of service {service} listens on {address}, first snapshot {snapshot}");
 }
--- a/crates/session/staircross-standin/src/http.rs
+++ b/crates/session/staircross-standin/src/http.rs
@@ -51,7 +51,7 @@
 /// The server library has no function for this. Unwinding ends only the connection's own thread, and
 /// `resume_unwind` prints no message.
 pub fn close_without_reply() -> ! {
-    std::panic::resume_unwind(Box::new("connection closed by a scripted fault"))
+    std::panic::resume_unwind(Box::new("connection closed by an injected fault"))
 }
 
 /// Creates a response that ends half-way through `bytes`, because its connection closes in the middle of a chunk.
@@ -76,6 +76,6 @@
 
 impl std::io::Read for FailingReader {
     fn read(&mut self, _: &mut [u8]) -> std::io::Result<usize> {
-        Err(std::io::Error::new(std::io::ErrorKind::ConnectionAborted, "broken off by a scripted fault"))
+        Err(std::io::Error::new(std::io::ErrorKind::ConnectionAborted, "cut off by an injected fault"))
     }
 }
--- a/crates/session/staircross-standin/src/platform.rs
+++ b/crates/session/staircross-standin/src/platform.rs
@@ -29,6 +29,7 @@
 struct State {
     mode: PlatformMode,
     documents: Vec<PlatformDocument>,
+    /// Index of the document served in the mode [`PlatformMode::Stale`].
     stale_index: usize,
     machines: MachineList,
 }
--- a/crates/session/staircross-standin/src/searcher.rs
+++ b/crates/session/staircross-standin/src/searcher.rs
@@ -282,6 +282,7 @@
         Ok(Slot { shared: self, index })
     }
 
+    /// Adds a call to the ledger and returns the number of its entry.
     fn record_call(
         &self,
         attempt: AttemptId,
@@ -337,6 +338,7 @@
     }
 }
 
+/// Removes or adds a shard of a search result as the faults demand.
 fn apply_shard_faults(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
     if faults.contains(&Fault::OmitShard) {
         found.pop();
@@ -349,6 +351,7 @@
 }
 
 impl Shared {
+    /// Creates the reply to a call, with the faults of the call applied.
     fn reply(&self, faults: &[Fault], attempt: AttemptId, snapshot: Snapshot, status: CallStatus) -> Response<Body> {
         if faults.contains(&Fault::LoseReply) {
             close_without_reply();
