--- a/crates/session/staircross-node/src/api.rs
+++ b/crates/session/staircross-node/src/api.rs
@@ -31,7 +31,7 @@
 /// Body of a request to execute a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StatementCall {
+pub struct StatementRequest {
     /// Text of the statement.
     pub statement: String,
 }
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -30,7 +30,7 @@
     pub(super) fn on_caller(&mut self, now: BootTime, command: CallerCommand, reply: Sender<CallerReply>) {
         match command {
             CallerCommand::OpenSession => self.open_session(now, reply),
-            CallerCommand::Operate(statement) => self.execute_operator_statement(statement, reply),
+            CallerCommand::ExecuteOperatorStatement(statement) => self.execute_operator_statement(statement, reply),
             CallerCommand::Status => send_reply(&reply, CallerReply::Status(Box::new(self.status(now)))),
             CallerCommand::CloseSession(token)
             | CallerCommand::MintTicket(token)
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::api::ReplyBody;
-use crate::searchers::OwnedAddress;
+use crate::searchers::SearcherEndpoint;
 use spdlog::info;
 use staircross_cluster::views::{SpreadEvidence, ViewRecord};
 use staircross_cluster::{ClusterAction, ClusterEvent};
@@ -54,10 +54,10 @@
         self.metrics.owned_searchers.set(shares.len() as i64);
         let services = self.cluster.config().map_or(&[][..], |document| &document.services);
         let searchers = services.iter().flat_map(|service| &service.searchers);
-        let owned: Vec<OwnedAddress> = searchers
+        let owned: Vec<SearcherEndpoint> = searchers
             .filter_map(|searcher| {
                 let share = *shares.get(&searcher.id)?;
-                Some(OwnedAddress { searcher: searcher.id, address: searcher.address, connections: share as usize })
+                Some(SearcherEndpoint { searcher: searcher.id, address: searcher.address, connections: share as usize })
             })
             .collect();
         self.searchers.set_owned(&owned);
--- a/crates/session/staircross-node/src/event.rs
+++ b/crates/session/staircross-node/src/event.rs
@@ -71,7 +71,7 @@
         statement: Statement,
     },
     /// Execute an operator's statement.
-    Operate(Statement),
+    ExecuteOperatorStatement(Statement),
     /// Report the node's state.
     Status,
 }
@@ -85,7 +85,7 @@
     Closed,
     /// Reply to [`CallerCommand::MintTicket`].
     Ticket(TicketReply),
-    /// Reply to [`CallerCommand::Execute`] or [`CallerCommand::Operate`].
+    /// Reply to [`CallerCommand::Execute`] or [`CallerCommand::ExecuteOperatorStatement`].
     Statement(StatementReply),
     /// Reply to [`CallerCommand::Status`].
     Status(Box<StatusReply>),
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -4,7 +4,7 @@
 //! command for the core and waits for the reply. The number of connections, the length of a request
 //! and the time that a connection may take are bounded.
 
-use crate::api::{StatementCall, StatementReply};
+use crate::api::{StatementReply, StatementRequest};
 use crate::event::{CallerCommand, CallerReply, CoreEvent};
 use crate::metrics::Metrics;
 use crossbeam::channel::{Sender, bounded};
@@ -117,7 +117,7 @@
             Route::Tickets(token) => CallerCommand::MintTicket(token),
             Route::Status => CallerCommand::Status,
             Route::Query(token) => CallerCommand::Execute { token, statement: self.read_statement(request)? },
-            Route::Command => CallerCommand::Operate(self.read_statement(request)?),
+            Route::Command => CallerCommand::ExecuteOperatorStatement(self.read_statement(request)?),
         };
         self.ask_core(command).map(reply_response)
     }
@@ -148,7 +148,7 @@
         let text = self.read_text(request)?;
         let statement = match text.trim_start().starts_with('{') {
             true => {
-                let call: StatementCall = serde_json::from_str(&text)
+                let call: StatementRequest = serde_json::from_str(&text)
                     .map_err(|error| Refusal::new(ErrorKind::BadRequest, format!("body: {error}")))?;
                 call.statement
             }
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -48,7 +48,7 @@
 }
 
 /// Worker threads and queues of one searcher.
-struct Pool {
+struct WorkerPool {
     address: SocketAddr,
     jobs: Sender<Job>,
     job_receiver: Receiver<Job>,
@@ -60,7 +60,7 @@
 
 /// Connections to all owned searchers.
 pub struct SearcherConnections {
-    pools: HashMap<SearcherId, Pool>,
+    pools: HashMap<SearcherId, WorkerPool>,
     events: Sender<CoreEvent>,
     logs: Logs,
     max_reply_bytes: u64,
@@ -74,8 +74,8 @@
 
     /// Sets which searchers this node owns. The threads for
     /// other searchers end when their queued work is done.
-    pub fn set_owned(&mut self, owned: &[OwnedAddress]) {
-        let is_kept = |id: &SearcherId, pool: &Pool| {
+    pub fn set_owned(&mut self, owned: &[SearcherEndpoint]) {
+        let is_kept = |id: &SearcherId, pool: &WorkerPool| {
             owned.iter().any(|owned| owned.searcher == *id && owned.address == pool.address)
         };
         self.pools.retain(|id, pool| is_kept(id, pool));
@@ -94,7 +94,7 @@
         SearcherClient::new(searcher, address, self.max_reply_bytes, self.logs.clone())
     }
 
-    fn open_pool(&self, owned: &OwnedAddress) -> Pool {
+    fn open_pool(&self, owned: &SearcherEndpoint) -> WorkerPool {
         let (jobs, job_receiver) = unbounded();
         let (control, control_receiver) = bounded(MAX_CONTROL_JOBS);
         let client = self.new_client(owned.searcher, owned.address);
@@ -105,7 +105,7 @@
         if let Err(error) = started {
             spdlog::error!(logger: self.logs.searchers, "event=no_thread searcher={} error={error:?}", owned.searcher);
         }
-        Pool {
+        WorkerPool {
             address: owned.address,
             jobs,
             job_receiver,
@@ -136,7 +136,7 @@
     }
 
     /// Starts a thread that sends queued sub-requests to a searcher over its own connection.
-    fn start_worker(&self, searcher: SearcherId, pool: &Pool) {
+    fn start_worker(&self, searcher: SearcherId, pool: &WorkerPool) {
         let client = self.new_client(searcher, pool.address);
         let jobs = pool.job_receiver.clone();
         let events = self.events.clone();
@@ -181,7 +181,7 @@
 
 /// Address of an owned searcher, and the number of connections that this owner may open to it.
 #[derive(Clone, Debug)]
-pub struct OwnedAddress {
+pub struct SearcherEndpoint {
     /// Id of the searcher.
     pub searcher: SearcherId,
     /// Address on which the searcher listens.
--- a/crates/session/staircross-node/tests/pinned_api.rs
+++ b/crates/session/staircross-node/tests/pinned_api.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 use staircross_config::{PlatformDocument, ServiceDefinition, ServicePolicy};
 use staircross_node::api::{
-    Cursor, Listing, MemberStatus, ReplyBody, SessionReply, StatementCall, StatementReply, StatusReply, TicketReply,
+    Cursor, Listing, MemberStatus, ReplyBody, SessionReply, StatementReply, StatementRequest, StatusReply, TicketReply,
     config_listing,
 };
 use staircross_search::{ActionReceipt, Answer, Outcome, Refusal};
@@ -61,7 +61,7 @@
     let pins = [
         pin("session", &SessionReply { session: SessionToken(5), node: NODE }),
         pin("ticket", &TicketReply::from(Ticket { node: NODE, serial: 77 })),
-        pin("statement", &StatementCall { statement: "SHOW SERVICES".to_owned() }),
+        pin("statement", &StatementRequest { statement: "SHOW SERVICES".to_owned() }),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
--- a/crates/session/staircross-node/tests/pinned_front.rs
+++ b/crates/session/staircross-node/tests/pinned_front.rs
@@ -56,7 +56,7 @@
 }
 
 /// An HTTP server whose core answers each command with the next queued reply.
-struct Served {
+struct TestServer {
     address: SocketAddr,
     replies: Sender<CallerReply>,
 }
@@ -71,7 +71,7 @@
     }
 }
 
-impl Served {
+impl TestServer {
     fn start(is_leaving: bool) -> Self {
         let address = free_address();
         let (events, received) = unbounded();
@@ -80,7 +80,7 @@
         let (serving, leaving) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(is_leaving)));
         front::start(&settings(address), events, metrics, serving, leaving).expect("starts");
         std::thread::spawn(move || answer_in_turn(&received, &listed));
-        Served { address, replies }
+        TestServer { address, replies }
     }
 
     /// Sends a request and returns its first line and the whole response. If `reply` is given, it is queued as the
@@ -102,58 +102,58 @@
 
 #[test]
 fn sessions_and_state_are_pinned() {
-    let served = Served::start(false);
+    let server = TestServer::start(false);
     let session = CallerReply::Session(SessionReply { session: TOKEN, node: NODE });
     let ticket = CallerReply::Ticket(TicketReply::from(Ticket { node: NODE, serial: 77 }));
     let path = format!("/v1/sessions/{TOKEN}");
     let pins = [
-        served.exchange("POST /v1/sessions", b"", Some(session)),
-        served.exchange(&format!("POST {path}/tickets"), b"", Some(ticket)),
-        served.exchange(&format!("DELETE {path}"), b"", Some(CallerReply::Closed)),
-        served.exchange("GET /v1/status", b"", Some(status(true, false, true))),
-        served.exchange("GET /livez", b"", None),
-        served.exchange("GET /readyz", b"", Some(status(true, false, true))),
-        served.exchange("GET /readyz", b"", Some(status(false, true, true))),
-        served.exchange("GET /readyz", b"", Some(status(false, false, false))),
-        served.exchange("GET /readyz", b"", Some(status(false, false, true))),
+        server.exchange("POST /v1/sessions", b"", Some(session)),
+        server.exchange(&format!("POST {path}/tickets"), b"", Some(ticket)),
+        server.exchange(&format!("DELETE {path}"), b"", Some(CallerReply::Closed)),
+        server.exchange("GET /v1/status", b"", Some(status(true, false, true))),
+        server.exchange("GET /livez", b"", None),
+        server.exchange("GET /readyz", b"", Some(status(true, false, true))),
+        server.exchange("GET /readyz", b"", Some(status(false, true, true))),
+        server.exchange("GET /readyz", b"", Some(status(false, false, false))),
+        server.exchange("GET /readyz", b"", Some(status(false, false, true))),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
 
 #[test]
 fn statements_are_pinned() {
-    let served = Served::start(false);
+    let server = TestServer::start(false);
     let query = format!("POST /v1/sessions/{TOKEN}/query");
     let json = br#"{"statement": "SHOW SERVICES"}"#;
     let pins = [
-        served.exchange(&query, b"SHOW SERVICES", Some(listing())),
-        served.exchange("POST /v1/command", json, Some(listing())),
-        served.exchange(&query, b"SHOW SERVICES", Some(refused(ErrorKind::Overloaded))),
-        served.exchange(&query, b"SHOW SERVICES", Some(refused(ErrorKind::OutcomeUnknown))),
+        server.exchange(&query, b"SHOW SERVICES", Some(listing())),
+        server.exchange("POST /v1/command", json, Some(listing())),
+        server.exchange(&query, b"SHOW SERVICES", Some(refused(ErrorKind::Overloaded))),
+        server.exchange(&query, b"SHOW SERVICES", Some(refused(ErrorKind::OutcomeUnknown))),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
 
 #[test]
 fn errors_of_the_front_are_pinned() {
-    let served = Served::start(false);
+    let server = TestServer::start(false);
     let pins = [
-        served.exchange("GET /v1/nothing", b"", None),
-        served.exchange("GET /v1/sessions", b"", None),
-        served.exchange("DELETE /v1/sessions/5", b"", None),
-        served.exchange("POST /v1/command", b"SHOW", None),
-        served.exchange("POST /v1/command", br#"{"statement": 5}"#, None),
-        served.exchange("POST /v1/command", br#"{"query": ""}"#, None),
-        served.exchange("POST /v1/command", &[0xff], None),
-        served.exchange("POST /v1/command", &[b' '; 65], None),
+        server.exchange("GET /v1/nothing", b"", None),
+        server.exchange("GET /v1/sessions", b"", None),
+        server.exchange("DELETE /v1/sessions/5", b"", None),
+        server.exchange("POST /v1/command", b"SHOW", None),
+        server.exchange("POST /v1/command", br#"{"statement": 5}"#, None),
+        server.exchange("POST /v1/command", br#"{"query": ""}"#, None),
+        server.exchange("POST /v1/command", &[0xff], None),
+        server.exchange("POST /v1/command", &[b' '; 65], None),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
 
 #[test]
 fn leaving_front_closes_connections() {
-    let served = Served::start(true);
-    insta::assert_snapshot!(served.exchange("GET /livez", b"", None));
+    let server = TestServer::start(true);
+    insta::assert_snapshot!(server.exchange("GET /livez", b"", None));
 }
 
 /// Checks which command the core receives for each path, which the responses don't show.
@@ -171,7 +171,7 @@
             reply.send(refused(ErrorKind::Leaving)).expect("the front waits");
             names.push(match command {
                 CallerCommand::Execute { token, .. } => format!("execute {token}"),
-                CallerCommand::Operate(_) => "operate".to_owned(),
+                CallerCommand::ExecuteOperatorStatement(_) => "operate".to_owned(),
                 CallerCommand::CloseSession(token) => format!("close {token}"),
                 CallerCommand::MintTicket(token) => format!("mint {token}"),
                 CallerCommand::OpenSession | CallerCommand::Status => "another".to_owned(),
@@ -179,11 +179,11 @@
         }
         names
     });
-    let served = Served { address, replies: unbounded().0 };
-    served.exchange(&format!("POST /v1/sessions/{TOKEN}/query"), b"SHOW SERVICES", None);
-    served.exchange("POST /v1/command", b"SHOW SERVICES", None);
-    served.exchange(&format!("DELETE /v1/sessions/{TOKEN}"), b"", None);
-    served.exchange(&format!("POST /v1/sessions/{TOKEN}/tickets"), b"", None);
+    let server = TestServer { address, replies: unbounded().0 };
+    server.exchange(&format!("POST /v1/sessions/{TOKEN}/query"), b"SHOW SERVICES", None);
+    server.exchange("POST /v1/command", b"SHOW SERVICES", None);
+    server.exchange(&format!("DELETE /v1/sessions/{TOKEN}"), b"", None);
+    server.exchange(&format!("POST /v1/sessions/{TOKEN}/tickets"), b"", None);
     let token = TOKEN.to_string();
     let expected =
         [format!("execute {token}"), "operate".to_owned(), format!("close {token}"), format!("mint {token}")];
