--- a/crates/session/staircross-node/src/event.rs
+++ b/crates/session/staircross-node/src/event.rs
@@ -23,7 +23,7 @@
     Peer(PeerMessage),
     /// A connection to the node at this address broke while a message was written to it.
     PeerBroken(SocketAddr),
-    /// A sub-request certainly didn't reach the owner to which it was sent, or may not have reached it.
+    /// Sending a sub-request to another node failed, before or after some of its bytes were sent.
     Undelivered {
         /// The sub-request.
         request: SubRequest,
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -2,7 +2,7 @@
 //!
 //! The server library runs one thread per connection. The thread converts each request into a typed
 //! command for the core and waits for the reply. The number of connections, the length of a request
-//! and the time that a connection may take are bounded.
+//! and the time spent waiting for a caller are bounded.
 
 use crate::api::{StatementReply, StatementRequest};
 use crate::event::{CallerCommand, CallerReply, CoreEvent};
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -270,7 +270,7 @@
         Ok(stream)
     }
 
-    /// Counts a message that wasn't delivered, or not certainly, and reports it to the core if it is a sub-request.
+    /// Counts a message whose delivery failed or is uncertain, and reports it to the core if it is a sub-request.
     fn report_undelivered(&self, message: PeerMessage, partly_written: bool) {
         self.count_dropped("peer_message");
         if let PeerMessage::Request { request, .. } = message {
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -72,8 +72,7 @@
         SearcherConnections { pools: HashMap::new(), events, logs, max_reply_bytes: max_reply_bytes as u64 }
     }
 
-    /// Sets which searchers this node owns. The threads for
-    /// other searchers end when their queued work is done.
+    /// Sets which searchers this node owns. The threads for other searchers end when their queued work is done.
     pub fn set_owned(&mut self, owned: &[SearcherEndpoint]) {
         let is_kept = |id: &SearcherId, pool: &WorkerPool| {
             owned.iter().any(|owned| owned.searcher == *id && owned.address == pool.address)
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -38,7 +38,7 @@
 }
 
 impl CallResult {
-    /// Creates the result of a call to which no searcher replied.
+    /// Creates the result of a call without a reply of the searcher.
     pub fn without_reply(reply: SubReply) -> Self {
         CallResult { reply, run: None }
     }
