--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -1,8 +1,8 @@
-//! Configuration: from the platform's documents to the engines, and operators' edits of it.
+//! Execution of the cluster engine's actions, and operators' edits of the configuration.
 
 use super::Core;
 use crate::api::ReplyBody;
-use crate::searchers::OwnedAddress;
+use crate::searchers::SearcherEndpoint;
 use spdlog::info;
 use staircross_cluster::views::{GossipedEvidence, ViewRecord};
 use staircross_cluster::{ClusterAction, ClusterEvent};
@@ -15,18 +15,18 @@
 use std::sync::Arc;
 
 impl Core {
-    pub(super) fn do_cluster(&mut self, actions: Vec<ClusterAction>) {
+    pub(super) fn execute_cluster_actions(&mut self, actions: Vec<ClusterAction>) {
         let mut members_changed = false;
         for action in actions {
             let now = clock::now();
             match action {
                 ClusterAction::Send(envelope) => self.peers.send(envelope.to_address, PeerMessage::Cluster(envelope)),
                 ClusterAction::ConfigChanged(document) => {
-                    self.take_config(now, &document);
+                    self.apply_document(now, &document);
                     members_changed = true;
                 }
                 ClusterAction::MembersChanged => members_changed = true,
-                ClusterAction::ViewChanged(record) => self.take_view(now, record),
+                ClusterAction::ViewChanged(record) => self.apply_view(now, record),
                 ClusterAction::SessionStored { token, version, keeper, is_overtaken } => {
                     self.on_session_stored(token, version, keeper, is_overtaken);
                 }
@@ -39,42 +39,45 @@
         }
     }
 
-    fn take_config(&mut self, now: BootTime, document: &PlatformDocument) {
+    fn apply_document(&mut self, now: BootTime, document: &PlatformDocument) {
         info!(logger: self.logs.cluster, "event=config revision={} services={} drained={}",
             document.revision, document.services.len(), document.drained.len());
         let definitions = document.services.iter().cloned().map(Arc::new).collect();
-        self.root_event(now, RootEvent::Services(definitions));
-        self.update_listed(now);
+        self.handle_root_event(now, RootEvent::Services(definitions));
+        self.update_leaving_searchers(now);
     }
 
+    /// Tells the connections and the leaf engine which searchers this node owns now.
     fn update_ownership(&mut self, now: BootTime) {
         let node = self.node;
         let shares = self.cluster.ownership().shares_of(node);
         self.metrics.owned_searchers.set(shares.len() as i64);
         let services = self.cluster.config().map_or(&[][..], |document| &document.services);
         let searchers = services.iter().flat_map(|service| &service.searchers);
-        let owned: Vec<OwnedAddress> = searchers
+        let owned: Vec<SearcherEndpoint> = searchers
             .filter_map(|searcher| {
                 let share = *shares.get(&searcher.id)?;
-                Some(OwnedAddress { searcher: searcher.id, address: searcher.address, connections: share as usize })
+                Some(SearcherEndpoint { searcher: searcher.id, address: searcher.address, connections: share as usize })
             })
             .collect();
         self.searchers.set_owned(&owned);
-        self.leaf_event(now, LeafEvent::Owned(shares));
-        // Owners that have just come in know nothing of marks made before.
-        self.update_listed(now);
+        self.handle_leaf_event(now, LeafEvent::Owned(shares));
+        // The leaf engine doesn't know yet whether searchers that it has just come to own are leaving or drained.
+        self.update_leaving_searchers(now);
     }
 
+    /// Passes this node's view of an owned searcher to the cluster engine, which sends it to the other nodes.
     pub(super) fn spread_view(&mut self, now: BootTime, view: &SearcherView) {
         let evidence = view.evidence.as_ref().map(|evidence| GossipedEvidence {
             incarnation: evidence.incarnation,
             snapshots: evidence.snapshots.clone(),
         });
         let event = ClusterEvent::Observed { searcher: view.searcher, evidence, leaving: view.leaving };
-        self.cluster_event(now, event);
+        self.handle_cluster_event(now, event);
     }
 
-    fn take_view(&mut self, now: BootTime, record: ViewRecord) {
+    /// Passes a searcher's state, as the cluster engine knows it, to the root and leaf engines.
+    fn apply_view(&mut self, now: BootTime, record: ViewRecord) {
         let searcher = record.searcher;
         let evidence = record.evidence.map(|evidence| Evidence {
             incarnation: evidence.incarnation,
@@ -82,11 +85,12 @@
             draining: record.leaving,
         });
         let view = SearcherView { searcher, evidence, leaving: record.leaving };
-        self.root_event(now, RootEvent::View(view.clone()));
-        self.leaf_event(now, LeafEvent::PeerView(view));
+        self.handle_root_event(now, RootEvent::View(view.clone()));
+        self.handle_leaf_event(now, LeafEvent::PeerView(view));
     }
 
-    /// The document that an edit would make of the one in force. Only the platform puts it in force.
+    /// Returns the document that an edit of the one in force would give. The edit takes effect only when the
+    /// platform publishes that document.
     pub(super) fn plan_edit(&self, statement: &ConfigStatement) -> ReplyBody {
         let Some(document) = self.cluster.config() else {
             let refusal = Refusal::new(ErrorKind::NoConfiguration, "there is no document to edit yet");
@@ -95,14 +99,14 @@
         match document.edited(&statement.change, statement.based_on) {
             Ok(next) => ReplyBody::Planned { document: Box::new(next) },
             Err(error) => {
-                let refusal = Refusal::new(kind_of(&error), error.to_string());
+                let refusal = Refusal::new(error_kind(&error), error.to_string());
                 ReplyBody::Refusal((&refusal).into())
             }
         }
     }
 }
 
-fn kind_of(error: &EditError) -> ErrorKind {
+fn error_kind(error: &EditError) -> ErrorKind {
     match error {
         EditError::Conflict { .. } => ErrorKind::RevisionConflict,
         EditError::UnknownService { .. } => ErrorKind::UnknownService,
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -1,9 +1,10 @@
-//! HTTP for callers and operators.
+//! HTTP server for callers and operators.
 //!
-//! One thread per connection (the server library's way). Each request is turned into a typed
-//! command for the core; the thread waits for the reply. Everything that a caller sends is bounded.
+//! The server library runs one thread per connection. The thread converts each request into a typed
+//! command for the core and waits for the reply. The number of connections, the length of a request
+//! and the time spent waiting for a caller are bounded.
 
-use crate::api::{StatementCall, StatementReply};
+use crate::api::{StatementReply, StatementRequest};
 use crate::event::{CallerCommand, CallerReply, CoreEvent};
 use crate::metrics::Metrics;
 use crossbeam::channel::{Sender, bounded};
@@ -19,28 +20,28 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Longest wait for the core; beyond every wait bound that a service may declare, so it only ends
-/// a wait if the core is stuck.
-const CORE_WAIT: Duration = Duration::from_secs(620);
+/// Longest wait for a reply of the core. It exceeds every wait bound that a service may declare, so it passes
+/// only if the core is stuck.
+const CORE_REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 
-/// The HTTP front of a node.
+/// State shared by all connections of the HTTP server.
 struct Front {
     events: Sender<CoreEvent>,
     limits: LimitSettings,
     metrics: Metrics,
-    serving: Arc<AtomicUsize>,
+    active_http_requests: Arc<AtomicUsize>,
     leaving: Arc<AtomicBool>,
 }
 
-/// Starts the front. It ends with the process: the server library has no way to stop it.
+/// Starts the HTTP server. It runs until the process ends because the server library can't stop a server.
 pub fn start(
     settings: &Settings,
     events: Sender<CoreEvent>,
     metrics: Metrics,
-    serving: Arc<AtomicUsize>,
+    active_http_requests: Arc<AtomicUsize>,
     leaving: Arc<AtomicBool>,
 ) -> std::io::Result<()> {
-    let front = Front { events, limits: settings.limits.clone(), metrics, serving, leaving };
+    let front = Front { events, limits: settings.limits.clone(), metrics, active_http_requests, leaving };
     let server = Server::new(move |request| front.handle(request))
         .bind(settings.node.listen)
         .with_max_concurrent_connections(settings.limits.caller_connections)
@@ -48,7 +49,7 @@
     server.spawn().map(|_| ())
 }
 
-/// What a path asks for.
+/// Endpoint that a method and a path select.
 enum Route {
     OpenSession,
     CloseSession(SessionToken),
@@ -81,10 +82,10 @@
     }
 }
 
-/// Counts a request as being served until dropped.
-struct ServingGuard<'a>(&'a AtomicUsize);
+/// Counts a request as being served until the guard is dropped.
+struct ActiveRequestGuard<'a>(&'a AtomicUsize);
 
-impl Drop for ServingGuard<'_> {
+impl Drop for ActiveRequestGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -92,15 +93,15 @@
 
 impl Front {
     fn handle(&self, request: &mut Request<Body>) -> Response<Body> {
-        self.serving.fetch_add(1, Ordering::AcqRel);
-        let _guard = ServingGuard(&self.serving);
+        self.active_http_requests.fetch_add(1, Ordering::AcqRel);
+        let _guard = ActiveRequestGuard(&self.active_http_requests);
         let route = find_route(request.method(), request.uri().path());
         let mut response = match route.and_then(|route| self.serve(route, request)) {
             Ok(response) => response,
             Err(refusal) => refusal_response(&refusal),
         };
         if self.leaving.load(Ordering::Acquire) {
-            // Callers should not reuse a connection that is about to go.
+            // Callers should not reuse a connection to a node that is about to exit.
             response.headers_mut().insert("connection", oxhttp::model::HeaderValue::from_static("close"));
         }
         response
@@ -110,19 +111,19 @@
         let command = match route {
             Route::Metrics => return Ok(text_response(StatusCode::OK, self.metrics.render())),
             Route::Alive => return Ok(text_response(StatusCode::OK, "alive\n".to_owned())),
-            Route::Ready => return self.ready(),
+            Route::Ready => return self.readiness_response(),
             Route::OpenSession => CallerCommand::OpenSession,
             Route::CloseSession(token) => CallerCommand::CloseSession(token),
             Route::Tickets(token) => CallerCommand::MintTicket(token),
             Route::Status => CallerCommand::Status,
             Route::Query(token) => CallerCommand::Execute { token, statement: self.read_statement(request)? },
-            Route::Command => CallerCommand::Operate(self.read_statement(request)?),
+            Route::Command => CallerCommand::ExecuteOperatorStatement(self.read_statement(request)?),
         };
-        self.ask(command).map(reply_response)
+        self.ask_core(command).map(reply_response)
     }
 
-    fn ready(&self) -> Result<Response<Body>, Refusal> {
-        let CallerReply::Status(status) = self.ask(CallerCommand::Status)? else {
+    fn readiness_response(&self) -> Result<Response<Body>, Refusal> {
+        let CallerReply::Status(status) = self.ask_core(CallerCommand::Status)? else {
             return Err(Refusal::new(ErrorKind::Internal, "unexpected reply"));
         };
         let (code, text) = match (status.ready, status.leaving, status.has_config) {
@@ -134,12 +135,12 @@
         Ok(text_response(code, text.to_owned()))
     }
 
-    fn ask(&self, command: CallerCommand) -> Result<CallerReply, Refusal> {
+    fn ask_core(&self, command: CallerCommand) -> Result<CallerReply, Refusal> {
         let (reply, answer) = bounded(1);
         let unreachable = || Refusal::new(ErrorKind::Leaving, "the node is about to exit; nothing was run");
         self.events.send(CoreEvent::Caller { command, reply }).map_err(|_| unreachable())?;
         answer
-            .recv_timeout(CORE_WAIT)
+            .recv_timeout(CORE_REPLY_TIMEOUT)
             .map_err(|_| Refusal::new(ErrorKind::Internal, "no reply from the node's core; it may have run"))
     }
 
@@ -147,7 +148,7 @@
         let text = self.read_text(request)?;
         let statement = match text.trim_start().starts_with('{') {
             true => {
-                let call: StatementCall = serde_json::from_str(&text)
+                let call: StatementRequest = serde_json::from_str(&text)
                     .map_err(|error| Refusal::new(ErrorKind::BadRequest, format!("body: {error}")))?;
                 call.statement
             }
@@ -198,7 +199,7 @@
     };
     let mut builder = Response::builder().status(status).header("content-type", "application/json");
     if let Some(delay) = retry_after_ms {
-        // The header counts whole seconds; the body has the milliseconds.
+        // The header holds whole seconds, rounded up. The body holds the milliseconds.
         builder = builder.header("retry-after", delay.div_ceil(1000).to_string());
     }
     let response = builder.body(Body::from(bytes));
--- a/crates/session/staircross-node/src/logs.rs
+++ b/crates/session/staircross-node/src/logs.rs
@@ -1,39 +1,39 @@
-//! Structured logs: one `key=value` line per event, a level per module.
+//! Structured logs with one line of `key=value` pairs per event and a log level per module.
 
 use spdlog::sink::{Sink, StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 use staircross_config::InvalidSetting;
 use std::sync::Arc;
 
-/// Modules with a level of their own.
+/// Names of the modules whose log level can be set separately.
 pub const MODULES: &[&str] = &["front", "search", "cluster", "peers", "searchers", "platform"];
 
-/// One logger per module.
+/// Loggers, one per module.
 #[derive(Clone)]
 pub struct Logs {
-    /// Callers and operators.
+    /// Logger of the HTTP server and of sessions.
     pub front: Arc<Logger>,
-    /// Requests: plans, hedges, answers.
+    /// Logger of requests, sub-requests and answers.
     pub search: Arc<Logger>,
-    /// Members, leases, configuration.
+    /// Logger of the configuration and of planned stops.
     pub cluster: Arc<Logger>,
-    /// Connections to other nodes.
+    /// Logger of connections to other nodes.
     pub peers: Arc<Logger>,
-    /// Connections to searchers.
+    /// Logger of connections to searchers.
     pub searchers: Arc<Logger>,
-    /// Reads of the platform.
+    /// Logger of reads from the platform.
     pub platform: Arc<Logger>,
 }
 
 impl Logs {
-    /// Builds loggers by a filter such as `info` or `warn,search=debug`, writing to standard error.
+    /// Creates loggers that write to standard error, with levels by a filter such as `info` or `warn,search=debug`.
     pub fn from_filter(filter: &str) -> Result<Self, InvalidSetting> {
         let levels = Levels::parse(filter)?;
         let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build_arc();
         let sink: Arc<dyn Sink> = sink.map_err(|error| InvalidSetting::value("node.log", filter, error.to_string()))?;
         let logger = |module: &str| {
             let built =
-                Logger::builder().name(module).sink(sink.clone()).level_filter(levels.filter_of(module)).build_arc();
+                Logger::builder().name(module).sink(sink.clone()).level_filter(levels.filter_for(module)).build_arc();
             built.map_err(|error| InvalidSetting::value("node.log", module, error.to_string()))
         };
         Ok(Logs {
@@ -48,16 +48,16 @@
 }
 
 struct Levels {
-    usual: LevelFilter,
+    default_level: LevelFilter,
     by_module: Vec<(String, LevelFilter)>,
 }
 
 impl Levels {
     fn parse(filter: &str) -> Result<Self, InvalidSetting> {
-        let mut levels = Levels { usual: LevelFilter::MoreSevereEqual(Level::Info), by_module: Vec::new() };
+        let mut levels = Levels { default_level: LevelFilter::MoreSevereEqual(Level::Info), by_module: Vec::new() };
         for part in filter.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             match part.split_once('=') {
-                None => levels.usual = parse_level(part)?,
+                None => levels.default_level = parse_level(part)?,
                 Some((module, level)) if MODULES.contains(&module) => {
                     levels.by_module.push((module.to_owned(), parse_level(level)?));
                 }
@@ -69,9 +69,9 @@
         Ok(levels)
     }
 
-    fn filter_of(&self, module: &str) -> LevelFilter {
+    fn filter_for(&self, module: &str) -> LevelFilter {
         let own = self.by_module.iter().find(|(name, _)| name == module);
-        own.map_or(self.usual, |(_, filter)| *filter)
+        own.map_or(self.default_level, |(_, filter)| *filter)
     }
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Checks a filter without building loggers.
+/// Checks a filter without creating loggers.
 pub fn check_filter(filter: &str) -> Result<(), InvalidSetting> {
     Levels::parse(filter).map(|_| ())
 }
--- a/crates/session/staircross-node/src/node.rs
+++ b/crates/session/staircross-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Start and stop of a node.
 
 use crate::core::{Core, CoreParts};
 use crate::event::CoreEvent;
@@ -19,7 +19,7 @@
 use std::thread::JoinHandle;
 
 quick_error! {
-    /// Why a node can't start.
+    /// Reason why a node can't start.
     #[derive(Debug)]
     pub enum NodeError {
         /// A setting is invalid.
@@ -27,11 +27,11 @@
             from()
             display("{error}")
         }
-        /// An address can't be listened on, or a thread not be started.
+        /// Listening on an address or starting a thread failed.
         Io { what: String, error: std::io::Error } {
             display("{what}: {error}")
         }
-        /// The metrics can't be registered.
+        /// Registering the metrics failed.
         Metrics(error: prometheus::Error) {
             from()
             display("metrics: {error}")
@@ -48,16 +48,16 @@
 }
 
 impl Node {
-    /// Starts a node with checked settings.
+    /// Checks the settings and starts a node with them.
     pub fn start(settings: Settings) -> Result<Node, NodeError> {
         settings.check()?;
         let logs = Logs::from_filter(&settings.node.log)?;
         let metrics = Metrics::new()?;
         let id = NodeId(rand::random());
-        let (events, event_source) = unbounded();
+        let (events, event_receiver) = unbounded();
         let stop = Arc::new(AtomicBool::new(false));
         let leaving = Arc::new(AtomicBool::new(false));
-        let serving = Arc::new(AtomicUsize::new(0));
+        let active_http_requests = Arc::new(AtomicUsize::new(0));
 
         let peers = PeerTransport::start(PeerTransportParts {
             node: id,
@@ -75,45 +75,45 @@
             settings: settings.clone(),
             logs: logs.clone(),
             metrics: metrics.clone(),
-            events: event_source,
+            events: event_receiver,
             peers,
             searchers,
-            serving: serving.clone(),
+            active_http_requests: active_http_requests.clone(),
             stop: stop.clone(),
         });
         let core = std::thread::Builder::new()
             .name("core".to_owned())
             .spawn(move || core.run())
-            .map_err(|error| io_error("core thread".to_owned(), error))?;
+            .map_err(|error| io_error("can't start the core thread".to_owned(), error))?;
         platform::start_reader(&settings.platform, events.clone(), logs.clone(), stop)
-            .map_err(|error| io_error("platform thread".to_owned(), error))?;
-        front::start(&settings, events.clone(), metrics, serving, leaving.clone())
+            .map_err(|error| io_error("can't start the platform reader thread".to_owned(), error))?;
+        front::start(&settings, events.clone(), metrics, active_http_requests, leaving.clone())
             .map_err(|error| io_error(format!("node.listen {}", settings.node.listen), error))?;
         info!(logger: logs.front, "event=started node={id} callers={} peers={}",
             settings.node.listen, settings.node.peer_listen);
         Ok(Node { id, events, leaving, core })
     }
 
-    /// This run.
+    /// Returns the id of this run of the node.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Begins a planned stop; may be called again.
+    /// Begins a planned stop. Further calls only write a log line.
     pub fn begin_stop(&self) {
         self.leaving.store(true, Ordering::Release);
-        // The core is gone only when the stop is done.
+        // Sending fails only if the core has ended, which it does when a planned stop is complete.
         let _already_done = self.events.send(CoreEvent::Stop);
     }
 
-    /// Whether the planned stop is done.
+    /// Whether the planned stop is complete.
     pub fn is_done(&self) -> bool {
         self.core.is_finished()
     }
 
-    /// Waits until a planned stop is done.
+    /// Waits until a planned stop is complete.
     pub fn wait(self) {
-        // A panic of the core has been printed by its thread.
+        // If the core panicked, its thread has printed the panic.
         let _core_result = self.core.join();
     }
 }
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -1,8 +1,9 @@
 //! Connections to other nodes.
 //!
-//! Small control messages go over one UDP socket. Everything else goes over TCP: each node writes
-//! on the connections it opened and reads on those it accepted. Queues are bounded; a peer that
-//! doesn't keep up loses messages, not this node its memory. A malformed frame ends its connection only.
+//! Small control messages are sent over one UDP socket. Everything else is sent over TCP: each node writes
+//! to the connections that it opened and reads from those that it accepted. Queues are bounded, so that
+//! messages to a peer that doesn't keep up are dropped instead of filling this node's memory. A malformed
+//! frame closes only the connection on which it arrived.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
@@ -21,18 +22,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Messages that may wait for one peer.
+/// Largest number of messages that may wait to be sent to one peer.
 const QUEUE_LENGTH: usize = 8192;
-/// Longest wait for a connection to a peer.
+/// Longest wait for a connection to a peer to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a peer to take what is written, or to end its handshake.
+/// Longest wait for a peer to accept written bytes, or for the next bytes of its handshake.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an idle connection is closed.
-const IDLE_LIFE: Duration = Duration::from_secs(60);
-/// Longest silence of a peer on a connection that it opened.
+/// Time without messages after which this node closes a connection that it opened.
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without bytes after which this node closes a connection that the peer opened.
 const READ_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// The way to all other nodes.
+/// Connections to all other nodes.
 pub struct PeerTransport {
     queues: HashMap<SocketAddr, Sender<PeerMessage>>,
     shared: Arc<Shared>,
@@ -48,26 +49,26 @@
     stop: Arc<AtomicBool>,
 }
 
-/// What the transport is started with.
+/// Arguments of [`PeerTransport::start`].
 pub struct PeerTransportParts {
-    /// This run.
+    /// Id of this run of the node.
     pub node: NodeId,
-    /// Where to listen, TCP and UDP.
+    /// Address on which to listen over TCP and UDP.
     pub listen: SocketAddr,
-    /// The fleet's key.
+    /// Secret key of the cluster.
     pub key: ClusterKey,
-    /// Where received messages go.
+    /// Channel to the core for received messages and failures.
     pub events: Sender<CoreEvent>,
-    /// Loggers.
+    /// Loggers of the node.
     pub logs: Logs,
-    /// Metrics.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// Set when the node ends.
+    /// Flag that is set when the node ends.
     pub stop: Arc<AtomicBool>,
 }
 
 impl PeerTransport {
-    /// Listens and starts the receiving threads.
+    /// Starts to listen, and starts the threads that receive messages.
     pub fn start(parts: PeerTransportParts) -> std::io::Result<Self> {
         let listener = TcpListener::bind(parts.listen)?;
         let udp = UdpSocket::bind(parts.listen)?;
@@ -82,15 +83,15 @@
             stop: parts.stop,
         });
         let acceptor = shared.clone();
-        std::thread::Builder::new().name("peer accept".to_owned()).spawn(move || acceptor.accept_all(&listener))?;
+        std::thread::Builder::new().name("peer accept".to_owned()).spawn(move || acceptor.run_acceptor(&listener))?;
         let receiver = shared.clone();
         std::thread::Builder::new().name("peer datagrams".to_owned()).spawn(move || receiver.receive_datagrams())?;
         Ok(PeerTransport { queues: HashMap::new(), shared })
     }
 
-    /// Sends a message, or drops it when the peer doesn't keep up.
+    /// Queues a message for sending, or drops it if the peer's queue is full.
     pub fn send(&mut self, to: SocketAddr, message: PeerMessage) {
-        if is_datagram(&message) && self.shared.send_datagram(to, &message) {
+        if tolerates_loss(&message) && self.shared.send_datagram(to, &message) {
             return;
         }
         let message = match self.queues.get(&to) {
@@ -98,27 +99,28 @@
             Some(queue) => match queue.try_send(message) {
                 Ok(()) => return,
                 Err(TrySendError::Full(message)) => {
-                    self.shared.undelivered(message, false);
+                    self.shared.report_undelivered(message, false);
                     return;
                 }
                 Err(TrySendError::Disconnected(message)) => message,
             },
         };
-        let (queue, source) = bounded(QUEUE_LENGTH);
-        // The queue is fresh, so there is room.
+        let (queue, queued_messages) = bounded(QUEUE_LENGTH);
+        // The queue is new, so it has room for the message.
         let _room_for_one = queue.try_send(message);
         self.queues.insert(to, queue);
         let writer = self.shared.clone();
-        let started =
-            std::thread::Builder::new().name(format!("peer {to}")).spawn(move || writer.write_all(to, &source));
+        let started = std::thread::Builder::new()
+            .name(format!("peer {to}"))
+            .spawn(move || writer.run_writer(to, &queued_messages));
         if let Err(error) = started {
             warn!(logger: self.shared.logs.peers, "event=no_thread peer={to} error={error:?}");
         }
     }
 }
 
-/// Messages of protocols that expect loss.
-fn is_datagram(message: &PeerMessage) -> bool {
+/// Whether the message belongs to a protocol that tolerates loss and may be sent as a datagram.
+fn tolerates_loss(message: &PeerMessage) -> bool {
     let PeerMessage::Cluster(envelope) = message else {
         return false;
     };
@@ -132,15 +134,15 @@
 
 impl Shared {
     fn notify_core(&self, event: CoreEvent) {
-        // The core is gone only while the node stops.
+        // Sending fails only if the core has ended, at the end of a planned stop.
         let _ignored_while_stopping = self.events.send(event);
     }
 
-    fn drop_one(&self, what: &str) {
+    fn count_dropped(&self, what: &str) {
         self.metrics.dropped.with_label_values(&[what]).inc();
     }
 
-    /// Returns whether the message went out as a datagram.
+    /// Sends a message as a datagram. Returns `false` if the message is too long for one and must be sent over TCP.
     fn send_datagram(&self, to: SocketAddr, message: &PeerMessage) -> bool {
         let sealed = match datagram::seal(&self.key, message) {
             Ok(Some(sealed)) => sealed,
@@ -166,14 +168,14 @@
             match datagram::open(&self.key, &buffer[..length]) {
                 Ok(message) => self.notify_core(CoreEvent::Peer(message)),
                 Err(error) => {
-                    self.drop_one("datagram");
+                    self.count_dropped("datagram");
                     debug!(logger: self.logs.peers, "event=bad_datagram peer={from} error={error:?}");
                 }
             }
         }
     }
 
-    fn accept_all(self: &Arc<Self>, listener: &TcpListener) {
+    fn run_acceptor(self: &Arc<Self>, listener: &TcpListener) {
         for stream in listener.incoming() {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -183,17 +185,17 @@
             };
             let reader = self.clone();
             let started =
-                std::thread::Builder::new().name("peer read".to_owned()).spawn(move || reader.read_all(stream));
+                std::thread::Builder::new().name("peer read".to_owned()).spawn(move || reader.run_reader(stream));
             if let Err(error) = started {
                 warn!(logger: self.logs.peers, "event=no_thread error={error:?}");
             }
         }
     }
 
-    fn read_all(&self, mut stream: TcpStream) {
+    fn run_reader(&self, mut stream: TcpStream) {
         let peer = stream.peer_addr().map_or("unknown".to_owned(), |address| address.to_string());
         if let Err(error) = self.accept_handshake(&mut stream) {
-            self.drop_one("connection");
+            self.count_dropped("connection");
             warn!(logger: self.logs.peers, "event=turned_away peer={peer} error={error:?}");
             return;
         }
@@ -206,7 +208,7 @@
                     return;
                 }
                 Err(error) => {
-                    self.drop_one("frame");
+                    self.count_dropped("frame");
                     warn!(logger: self.logs.peers, "event=bad_frame peer={peer} error={error:?}");
                     return;
                 }
@@ -223,25 +225,25 @@
         Ok(())
     }
 
-    fn write_all(&self, to: SocketAddr, source: &Receiver<PeerMessage>) {
-        let mut stream = match self.open(to) {
+    fn run_writer(&self, to: SocketAddr, queued_messages: &Receiver<PeerMessage>) {
+        let mut stream = match self.connect(to) {
             Ok(stream) => BufWriter::new(stream),
             Err(error) => {
                 info!(logger: self.logs.peers, "event=unreachable peer={to} error={error:?}");
-                // Nothing was written: whatever waits was certainly not delivered.
-                while let Ok(message) = source.try_recv() {
-                    self.undelivered(message, false);
+                // Nothing was written, so none of the queued messages was delivered.
+                while let Ok(message) = queued_messages.try_recv() {
+                    self.report_undelivered(message, false);
                 }
                 return;
             }
         };
-        while let Ok(message) = source.recv_timeout(IDLE_LIFE) {
+        while let Ok(message) = queued_messages.recv_timeout(CONNECTION_IDLE_TIMEOUT) {
             let written = write_frame(&mut stream, &message);
             let flushed = match written {
                 Ok(count) => {
                     self.metrics.peer_bytes.with_label_values(&["tcp"]).inc_by(count as u64);
-                    // A batch goes out in one write when more is waiting.
-                    if source.is_empty() { stream.flush() } else { Ok(()) }
+                    // If more messages are queued, the buffer is flushed after the last of them.
+                    if queued_messages.is_empty() { stream.flush() } else { Ok(()) }
                 }
                 Err(error) => {
                     debug!(logger: self.logs.peers, "event=write_failed peer={to} error={error:?}");
@@ -249,17 +251,17 @@
                 }
             };
             if flushed.is_err() {
-                self.undelivered(message, true);
+                self.report_undelivered(message, true);
                 self.notify_core(CoreEvent::PeerBroken(to));
-                while let Ok(message) = source.try_recv() {
-                    self.undelivered(message, false);
+                while let Ok(message) = queued_messages.try_recv() {
+                    self.report_undelivered(message, false);
                 }
                 return;
             }
         }
     }
 
-    fn open(&self, to: SocketAddr) -> Result<TcpStream, staircross_wire::WireError> {
+    fn connect(&self, to: SocketAddr) -> Result<TcpStream, staircross_wire::WireError> {
         let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(IO_TIMEOUT))?;
@@ -268,9 +270,9 @@
         Ok(stream)
     }
 
-    /// Reports a sub-request that wasn't delivered, or of which some bytes may have been.
-    fn undelivered(&self, message: PeerMessage, partly_written: bool) {
-        self.drop_one("peer_message");
+    /// Counts a message whose delivery failed or is uncertain, and reports it to the core if it is a sub-request.
+    fn report_undelivered(&self, message: PeerMessage, partly_written: bool) {
+        self.count_dropped("peer_message");
         if let PeerMessage::Request { request, .. } = message {
             self.notify_core(CoreEvent::Undelivered { request, partly_written });
         }
--- a/crates/session/staircross-node/src/platform.rs
+++ b/crates/session/staircross-node/src/platform.rs
@@ -1,6 +1,6 @@
-//! Reads the platform: the service document and the machine list.
+//! Reads the service document and the machine list from the platform.
 //!
-//! A failed or malformed read changes nothing: what is in force stays in force.
+//! After a failed read or a malformed reply, the document and the machine list in force stay in force.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
@@ -12,12 +12,12 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Longest document, in bytes.
-const MAX_DOCUMENT: u64 = 64 * 1024 * 1024;
-/// Longest wait for the platform.
+/// Longest reply of the platform, in bytes.
+const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
+/// Longest wait for a reply of the platform.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the reader looks whether it should stop.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which the reader checks whether it should stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the thread that reads the platform.
 pub fn start_reader(
@@ -30,7 +30,7 @@
         agent: new_agent(),
         document_url: format!("http://{}/v1/document", settings.address),
         machines_url: format!("http://{}/v1/machines", settings.address),
-        poll: Duration::from_millis(settings.poll_ms),
+        poll_interval: Duration::from_millis(settings.poll_ms),
         events,
         logs,
         stop,
@@ -46,7 +46,7 @@
     agent: ureq::Agent,
     document_url: String,
     machines_url: String,
-    poll: Duration,
+    poll_interval: Duration,
     events: Sender<CoreEvent>,
     logs: Logs,
     stop: Arc<AtomicBool>,
@@ -56,15 +56,15 @@
     fn run(self) {
         while !self.stop.load(Ordering::Relaxed) {
             self.read_once();
-            self.wait();
+            self.wait_for_next_poll();
         }
     }
 
-    fn wait(&self) {
+    fn wait_for_next_poll(&self) {
         let mut waited = Duration::ZERO;
-        while waited < self.poll && !self.stop.load(Ordering::Relaxed) {
-            std::thread::sleep(STOP_CHECK);
-            waited += STOP_CHECK;
+        while waited < self.poll_interval && !self.stop.load(Ordering::Relaxed) {
+            std::thread::sleep(STOP_CHECK_INTERVAL);
+            waited += STOP_CHECK_INTERVAL;
         }
     }
 
@@ -86,12 +86,12 @@
     }
 
     fn notify_core(&self, event: CoreEvent) {
-        // The core is gone only while the node stops.
+        // Sending fails only if the core has ended, at the end of a planned stop.
         let _ignored_while_stopping = self.events.send(event);
     }
 
     fn read(&self, url: &str) -> Result<String, ureq::Error> {
         let mut response = self.agent.get(url).call()?;
-        response.body_mut().with_config().limit(MAX_DOCUMENT).read_to_string()
+        response.body_mut().with_config().limit(MAX_REPLY_BYTES).read_to_string()
     }
 }
--- a/crates/session/staircross-node/tests/pinned_api.rs
+++ b/crates/session/staircross-node/tests/pinned_api.rs
@@ -1,10 +1,10 @@
-//! What callers and operators send and get, as JSON.
+//! Checks the JSON messages exchanged with callers and operators against snapshots.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use staircross_config::{PlatformDocument, ServiceDefinition, ServicePolicy};
 use staircross_node::api::{
-    Cursor, Listing, MemberStatus, ReplyBody, SessionReply, StatementCall, StatementReply, StatusReply, TicketReply,
+    Cursor, Listing, MemberStatus, ReplyBody, SessionReply, StatementReply, StatementRequest, StatusReply, TicketReply,
     config_listing,
 };
 use staircross_search::{ActionReceipt, Answer, Outcome, Refusal};
@@ -17,7 +17,7 @@
 const NODE: NodeId = NodeId(0x0102_0304);
 const SNAPSHOT: Snapshot = Snapshot { version: 7, epoch: 300, build: 70_000 };
 
-/// A message's name and its JSON; checks that the JSON is read back as the same message.
+/// Returns a message's name and JSON, and checks that the JSON decodes to the same message.
 fn pin<T: Serialize + DeserializeOwned + PartialEq>(name: &str, message: &T) -> String {
     let json = serde_json::to_string(message).expect("encodes");
     let back: T = serde_json::from_str(&json).expect("decodes");
@@ -61,7 +61,7 @@
     let pins = [
         pin("session", &SessionReply { session: SessionToken(5), node: NODE }),
         pin("ticket", &TicketReply::from(Ticket { node: NODE, serial: 77 })),
-        pin("statement", &StatementCall { statement: "SHOW SERVICES".to_owned() }),
+        pin("statement", &StatementRequest { statement: "SHOW SERVICES".to_owned() }),
     ];
     insta::assert_snapshot!(pins.join("\n"));
 }
--- a/crates/session/staircross-standin/src/searcher.rs
+++ b/crates/session/staircross-standin/src/searcher.rs
@@ -1,4 +1,4 @@
-//! The searcher stand-in: real term search over HTTP, with slots, drain, cold start and faults.
+//! Searcher stand-in: an HTTP server for term search with call slots, drain, cold start and injected faults.
 
 use crate::corpus::Corpus;
 use crate::faults::{Fault, FaultScript};
@@ -19,50 +19,51 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How a searcher is set up.
+/// Settings of a searcher stand-in.
 #[derive(Clone, Debug)]
 pub struct SearcherSettings {
-    /// Its number.
+    /// Id of the searcher.
     pub id: SearcherId,
-    /// Where it listens.
+    /// Address on which the searcher listens.
     pub listen: SocketAddr,
-    /// Calls it runs at once.
+    /// Largest number of calls executed at once.
     pub slots: u32,
-    /// Calls that may wait for a slot before it sheds.
+    /// Largest number of calls that may wait for a slot. Further calls are shed.
     pub queue: u32,
-    /// Connections it accepts.
+    /// Largest number of connections accepted at once.
     pub connections: u32,
-    /// Time that each call takes besides the search itself.
+    /// Time that each call takes in addition to the search itself.
     pub work: Duration,
-    /// Time after its start during which calls take [`COLD_FACTOR`] times as long.
+    /// Time after the start of the searcher during which `work` takes [`COLD_FACTOR`] times as long.
     pub cold: Duration,
 }
 
-/// How much slower a cold searcher is.
+/// Factor by which [`SearcherSettings::work`] takes longer during a cold start.
 const COLD_FACTOR: u32 = 4;
-/// How often a waiting call looks whether it was cancelled.
-const CANCEL_CHECK: Duration = Duration::from_millis(2);
-/// Cancelled attempts remembered.
+/// Interval at which a call at work checks whether it was cancelled. A call that waits for a slot checks at five
+/// times this interval, and when a slot is freed.
+const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Largest number of cancelled attempts remembered. Beyond it, all of them are forgotten.
 const MAX_CANCELLED: usize = 10_000;
 
-/// Commands of the control endpoint.
+/// Command of the control endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum ControlCommand {
-    /// Stop taking new work.
+    /// Refuse new calls.
     Drain,
     /// Add a fault.
     AddFault {
-        /// The fault.
+        /// The fault to add.
         fault: Fault,
-        /// For so many calls only.
+        /// Number of calls after which the fault ends, or `None` for no end.
         calls: Option<u32>,
     },
     /// Remove all faults.
     ClearFaults,
-    /// Forget a snapshot.
+    /// Remove a snapshot.
     Retire {
-        /// The snapshot.
+        /// The snapshot to remove.
         snapshot: Snapshot,
     },
 }
@@ -93,7 +94,7 @@
 }
 
 impl SearcherStandin {
-    /// Starts a searcher without any snapshot.
+    /// Starts a searcher that has no snapshot yet.
     pub fn start(settings: SearcherSettings) -> std::io::Result<Self> {
         let shared = Arc::new(Shared {
             incarnation: SearcherIncarnation(rand::random()),
@@ -111,23 +112,23 @@
         Ok(SearcherStandin { shared })
     }
 
-    /// Takes up a snapshot: indexes the documents of `held`, of `shard_count` shards.
+    /// Adds a snapshot of `shard_count` shards by indexing the documents that belong to the shards in `held`.
     pub fn publish(&self, snapshot: Snapshot, corpus: &Corpus, held: &[ShardId], shard_count: usize) {
         let index = Arc::new(SnapshotIndex::build(corpus, held, shard_count));
         self.shared.lock().indexes.insert(snapshot, index);
     }
 
-    /// Carries out a control command.
+    /// Executes a control command.
     pub fn control(&self, command: ControlCommand) {
         self.shared.control(command);
     }
 
-    /// A copy of the ledger.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.shared.lock().ledger.clone()
     }
 
-    /// The searcher's number.
+    /// Returns the searcher's id.
     pub fn id(&self) -> SearcherId {
         self.shared.settings.id
     }
@@ -135,7 +136,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A scripted fault may end a connection's thread; the state itself stays sound.
+        // An injected fault may unwind a connection's thread and poison the lock. The state itself stays valid.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -209,7 +210,7 @@
     fn search(&self, call: SearchCall) -> Response<Body> {
         let deadline = Instant::now() + Duration::from_millis(call.remaining_ms);
         let faults = self.lock().faults.take_for_call();
-        let slot = match self.enter(&faults, call.snapshot, call.attempt, deadline) {
+        let slot = match self.acquire_slot(&faults, call.snapshot, call.attempt, deadline) {
             Ok(slot) => slot,
             Err(status) => return self.reply(&faults, call.attempt, call.snapshot, status),
         };
@@ -219,26 +220,26 @@
     }
 
     fn run_search(&self, slot: &Slot<'_>, call: &SearchCall, faults: &[Fault], deadline: Instant) -> CallStatus {
-        self.record(call.attempt, call.snapshot, call.shards.clone(), None);
-        if !self.work(call.attempt, &call.shards, faults, deadline) {
+        self.record_call(call.attempt, call.snapshot, call.shards.clone(), None);
+        if !self.simulate_work(call.attempt, &call.shards, faults, deadline) {
             return CallStatus::Stopped;
         }
         let found = call.shards.iter().filter_map(|shard| slot.index.search(*shard, &call.query)).collect();
-        CallStatus::Found { shards: distort(found, faults, &call.query) }
+        CallStatus::Found { shards: apply_shard_faults(found, faults, &call.query) }
     }
 
     fn act(&self, call: ActCall) -> Response<Body> {
         let deadline = Instant::now() + Duration::from_millis(call.remaining_ms);
         let faults = self.lock().faults.take_for_call();
-        let slot = match self.enter(&faults, call.snapshot, call.attempt, deadline) {
+        let slot = match self.acquire_slot(&faults, call.snapshot, call.attempt, deadline) {
             Ok(slot) => slot,
             Err(status) => return self.reply(&faults, call.attempt, call.snapshot, status),
         };
         let status = if slot.index.holds(call.shard) {
             let message = format!("{} {}", call.command.verb, call.command.target);
-            let entry = self.record(call.attempt, call.snapshot, vec![call.shard], Some(call.command));
-            // Once entered in the audit trail an action is finished, cancelled or not.
-            let _finished_in_time = self.work(call.attempt, &[call.shard], &faults, deadline);
+            let entry = self.record_call(call.attempt, call.snapshot, vec![call.shard], Some(call.command));
+            // The action is in the ledger, so it is reported as executed even if it was cancelled meanwhile.
+            let _finished_in_time = self.simulate_work(call.attempt, &[call.shard], &faults, deadline);
             CallStatus::Acted { entry, message }
         } else {
             CallStatus::SnapshotGone
@@ -247,8 +248,8 @@
         self.reply(&faults, call.attempt, call.snapshot, status)
     }
 
-    /// Waits for a slot; the error is the "not run" answer.
-    fn enter(
+    /// Waits for a slot. The error is the status with which a call that isn't executed is answered.
+    fn acquire_slot(
         &self,
         faults: &[Fault],
         snapshot: Snapshot,
@@ -273,7 +274,7 @@
                 state.waiting -= 1;
                 return Err(CallStatus::Shed);
             }
-            let waited = self.slot_freed.wait_timeout(state, left.min(CANCEL_CHECK * 5));
+            let waited = self.slot_freed.wait_timeout(state, left.min(CANCEL_CHECK_INTERVAL * 5));
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         state.waiting -= 1;
@@ -281,7 +282,8 @@
         Ok(Slot { shared: self, index })
     }
 
-    fn record(
+    /// Adds a call to the ledger and returns the number of its entry.
+    fn record_call(
         &self,
         attempt: AttemptId,
         snapshot: Snapshot,
@@ -294,8 +296,8 @@
         state.ledger.add(LedgerEntry { searcher, attempt, snapshot, shards, action, while_draining })
     }
 
-    /// Spends the time that a call takes; `false` when it was cancelled or its deadline passed.
-    fn work(&self, attempt: AttemptId, shards: &[ShardId], faults: &[Fault], deadline: Instant) -> bool {
+    /// Waits for as long as a call takes. Returns `false` if the call was cancelled or its deadline passed.
+    fn simulate_work(&self, attempt: AttemptId, shards: &[ShardId], faults: &[Fault], deadline: Instant) -> bool {
         let mut span = self.settings.work;
         if self.started.elapsed() < self.settings.cold {
             span *= COLD_FACTOR;
@@ -318,12 +320,12 @@
             if now >= deadline || self.lock().cancelled.contains(&attempt) {
                 return false;
             }
-            std::thread::sleep((end - now).min(CANCEL_CHECK));
+            std::thread::sleep((end - now).min(CANCEL_CHECK_INTERVAL));
         }
     }
 }
 
-/// A slot in use; freed when dropped.
+/// A slot in use, which is freed when it is dropped, and the index of the call's snapshot.
 struct Slot<'a> {
     shared: &'a Shared,
     index: Arc<SnapshotIndex>,
@@ -336,7 +338,8 @@
     }
 }
 
-fn distort(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
+/// Removes or adds a shard of a search result as the faults demand.
+fn apply_shard_faults(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
     if faults.contains(&Fault::OmitShard) {
         found.pop();
     }
@@ -348,6 +351,7 @@
 }
 
 impl Shared {
+    /// Creates the reply to a call, with the faults of the call applied.
     fn reply(&self, faults: &[Fault], attempt: AttemptId, snapshot: Snapshot, status: CallStatus) -> Response<Body> {
         if faults.contains(&Fault::LoseReply) {
             close_without_reply();
