--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -1,7 +1,7 @@
 //! Decides when a second searcher is asked because the first is late (a hedge).
 //!
 //! The rule decides for each attempt from when on it counts as late ([`HedgeTimes::hedge_at`]) and, at that time,
-//! whether a hedge is sent, postponed, or not sent at all ([`judge`]). [`crate::engine`] calls it at each send and when
+//! whether a hedge is sent, postponed, or not sent at all ([`decide_hedge`]). [`crate::engine`] calls it at each send and when
 //! each hedge is due.
 //!
 //! The inputs are round trips and the work of the route, as durations; times of this machine's boot clock; the unspent
@@ -115,7 +115,7 @@
 
 /// What is done about a late attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HedgeVerdict {
+pub enum HedgeDecision {
     /// A second searcher is asked now. If none can be, the attempt is checked again at `again_at`.
     Hedge {
         /// Time of the next check.
@@ -134,15 +134,20 @@
 }
 
 /// Decides whether an attempt whose hedge is due is hedged. `hedges_paused_until` comes from [`hedges_paused_until`].
-pub fn judge(now: BootTime, late: LateAttempt, hedges_paused_until: BootTime, policy: &RoutingPolicy) -> HedgeVerdict {
+pub fn decide_hedge(
+    now: BootTime,
+    late: LateAttempt,
+    hedges_paused_until: BootTime,
+    policy: &RoutingPolicy,
+) -> HedgeDecision {
     if !policy.hedges || !late.is_idempotent || late.is_key_revoked {
-        return HedgeVerdict::Never;
+        return HedgeDecision::Never;
     }
     if now < hedges_paused_until {
-        return HedgeVerdict::NotBefore(hedges_paused_until);
+        return HedgeDecision::NotBefore(hedges_paused_until);
     }
     match late.is_alone && late.may_be_sent {
-        true => HedgeVerdict::Hedge { again_at: now + HEDGE_RETRY_DELAY },
-        false => HedgeVerdict::Never,
+        true => HedgeDecision::Hedge { again_at: now + HEDGE_RETRY_DELAY },
+        false => HedgeDecision::Never,
     }
 }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -4,7 +4,7 @@
 //! Also owns the time for which attempts go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
-use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
+use crate::decision::hedging::{self, HedgeDecision, LateAttempt};
 use crate::decision::request_lifecycle::{self, FailedRequest, Progress, Refusal, Standing};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
@@ -50,13 +50,13 @@
             let shard = &request.shards[attempt.shard as usize];
             let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
-            attempt.hedge_at = match hedging::judge(now, state, hedges_paused_until, policy) {
-                HedgeVerdict::Hedge { again_at } => {
+            attempt.hedge_at = match hedging::decide_hedge(now, state, hedges_paused_until, policy) {
+                HedgeDecision::Hedge { again_at } => {
                     late_shards.push(attempt.shard as usize);
                     again_at
                 }
-                HedgeVerdict::NotBefore(time) => time,
-                HedgeVerdict::Never => BootTime::FAR_FUTURE,
+                HedgeDecision::NotBefore(time) => time,
+                HedgeDecision::Never => BootTime::FAR_FUTURE,
             };
         }
         for shard_index in late_shards {
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -2,7 +2,7 @@
 
 use staircross_routing::RoutingPolicy;
 use staircross_routing::decision::hedging::{
-    HedgeTimes, HedgeVerdict, LateAttempt, hedge_delay_factor, hedges_paused_until, judge,
+    HedgeDecision, HedgeTimes, LateAttempt, decide_hedge, hedge_delay_factor, hedges_paused_until,
 };
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -61,20 +61,20 @@
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { hedges: false, ..on };
     let (rested, rests) = (BootTime::default(), NOW + ms(700));
-    let hedge = HedgeVerdict::Hedge { again_at: NOW + ms(25) };
+    let hedge = HedgeDecision::Hedge { again_at: NOW + ms(25) };
     let rows = [
         (late, rested, on, hedge),
         (late, NOW, on, hedge),
-        (late, rests, on, HedgeVerdict::NotBefore(rests)),
-        (late, rested, off, HedgeVerdict::Never),
-        (LateAttempt { is_idempotent: false, ..late }, rested, on, HedgeVerdict::Never),
-        (LateAttempt { is_idempotent: false, ..late }, rests, on, HedgeVerdict::Never),
-        (LateAttempt { is_key_revoked: true, ..late }, rested, on, HedgeVerdict::Never),
-        (LateAttempt { is_alone: false, ..late }, rested, on, HedgeVerdict::Never),
-        (LateAttempt { is_alone: false, ..late }, rests, on, HedgeVerdict::NotBefore(rests)),
-        (LateAttempt { may_be_sent: false, ..late }, rested, on, HedgeVerdict::Never),
+        (late, rests, on, HedgeDecision::NotBefore(rests)),
+        (late, rested, off, HedgeDecision::Never),
+        (LateAttempt { is_idempotent: false, ..late }, rested, on, HedgeDecision::Never),
+        (LateAttempt { is_idempotent: false, ..late }, rests, on, HedgeDecision::Never),
+        (LateAttempt { is_key_revoked: true, ..late }, rested, on, HedgeDecision::Never),
+        (LateAttempt { is_alone: false, ..late }, rested, on, HedgeDecision::Never),
+        (LateAttempt { is_alone: false, ..late }, rests, on, HedgeDecision::NotBefore(rests)),
+        (LateAttempt { may_be_sent: false, ..late }, rested, on, HedgeDecision::Never),
     ];
     for (late, until, policy, verdict) in rows {
-        assert_eq!(judge(NOW, late, until, &policy), verdict, "{late:?} {until:?}");
+        assert_eq!(decide_hedge(NOW, late, until, &policy), verdict, "{late:?} {until:?}");
     }
 }
