--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -1,8 +1,8 @@
 //! Decides whether an arriving request is begun, held or refused, and when a request ends: with an answer that is
 //! complete enough, or with a refusal of the error kind that applies.
 //!
-//! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`judge_reach`],
-//! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and carries out
+//! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`decide_start`],
+//! [`hold_until`]) and whenever its state changes ([`decide_end`], [`refuse`]). [`crate::engine`] calls it and carries out
 //! its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a quarantined
 //! content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at the
 //! searchers ([`super::admission`], [`super::fair_share`]).
@@ -115,7 +115,7 @@
 
 /// Number of a request's shards that have a searcher which may be asked before the deadline.
 #[derive(Clone, Copy, Debug)]
-pub struct Reach<'a> {
+pub struct ReachableShards<'a> {
     /// Number of shards that have such a searcher.
     pub reachable: usize,
     /// Minimum number of shards for an answer.
@@ -128,7 +128,7 @@
 
 /// What is done with an arriving request, by the number of its reachable shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReachVerdict {
+pub enum StartDecision {
     /// The request is processed.
     Begin,
     /// The request is refused and nothing is sent, because too few shards can be answered.
@@ -139,15 +139,15 @@
 }
 
 /// Decides whether enough shards can be answered for a request to be processed.
-pub fn judge_reach(reach: Reach<'_>) -> ReachVerdict {
-    if reach.reachable >= reach.least {
-        return ReachVerdict::Begin;
+pub fn decide_start(shards: ReachableShards<'_>) -> StartDecision {
+    if shards.reachable >= shards.least {
+        return StartDecision::Begin;
     }
-    if !reach.knows_searchers && !reach.regions.are_none() {
+    if !shards.knows_searchers && !shards.regions.are_none() {
         let detail = "searchers are only just becoming known";
-        return ReachVerdict::Hold(Refusal::new(ErrorKind::NoReplicaYet, detail));
+        return StartDecision::Hold(Refusal::new(ErrorKind::NoReplicaYet, detail));
     }
-    ReachVerdict::Refuse(match reach.regions.are_all() {
+    StartDecision::Refuse(match shards.regions.are_all() {
         true => Refusal::new(ErrorKind::NoReplica, "too few shards have a searcher that can be asked"),
         false => Refusal::new(
             ErrorKind::NoAllowedReplica,
@@ -186,7 +186,7 @@
     /// Whether the latency goal has passed, after which an answer is worth less.
     pub is_past_goal: bool,
     /// Whether the deadline has passed.
-    pub is_over: bool,
+    pub is_past_deadline: bool,
     /// Whether the request's key was revoked while it is unknown whether any of its attempts ran. The end of the next
     /// attempt will tell.
     pub is_unclear: bool,
@@ -194,9 +194,9 @@
 
 /// Whether and how a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndDecision {
     /// The request continues.
-    GoOn,
+    Continue,
     /// The request is answered with the parts received.
     Answer,
     /// The request fails, with the refusal from [`refuse`] or with a searcher's own failure.
@@ -204,16 +204,16 @@
 }
 
 /// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
-pub fn judge(progress: Progress) -> Standing {
+pub fn decide_end(progress: Progress) -> EndDecision {
     let has_enough = progress.parts >= progress.least;
     let is_hopeless = progress.parts + progress.open < progress.least && !progress.is_unclear;
     let cannot_improve = progress.is_past_goal || !progress.may_grow_in_time;
-    let must_end = progress.is_over || (cannot_improve && has_enough);
+    let must_end = progress.is_past_deadline || (cannot_improve && has_enough);
     let continues = progress.open > 0 && !is_hopeless && !must_end;
     match (continues, has_enough) {
-        (true, _) => Standing::GoOn,
-        (false, true) => Standing::Answer,
-        (false, false) => Standing::Fail,
+        (true, _) => EndDecision::Continue,
+        (false, true) => EndDecision::Answer,
+        (false, false) => EndDecision::Fail,
     }
 }
 
@@ -229,7 +229,7 @@
     /// Whether any attempt ran or may have run, or has an unknown outcome.
     pub may_have_run: bool,
     /// Whether the deadline has passed.
-    pub is_over: bool,
+    pub is_past_deadline: bool,
     /// Whether the request's key was revoked.
     pub is_key_revoked: bool,
 }
@@ -239,7 +239,7 @@
     if failed.is_key_revoked && !failed.may_have_run {
         return Refusal::new(ErrorKind::Unauthorized, KeyRefusal::Revoked.detail());
     }
-    match (failed.may_have_run, failed.is_over) {
+    match (failed.may_have_run, failed.is_past_deadline) {
         (true, true) => Refusal::new(ErrorKind::TimedOut, "the time was over before enough shards had answered"),
         (true, false) => Refusal::new(ErrorKind::BackEndsFailed, "too few shards are left to answer"),
         (false, true) => Refusal::new(ErrorKind::Overloaded, "no searcher had room in time"),
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -11,7 +11,7 @@
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::goal::{answer_by, usable_goal};
 use crate::decision::quarantine::Suspicion;
-use crate::decision::request_lifecycle::{self, NodeLoad, Reach, ReachVerdict, Refusal, TimeBounds};
+use crate::decision::request_lifecycle::{self, NodeLoad, ReachableShards, Refusal, StartDecision, TimeBounds};
 use crate::keys::{ContentKey, RequestKey, TenantKey};
 use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
 use staircross_types::{BootTime, ErrorKind};
@@ -283,10 +283,10 @@
         let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
         let reachable = chances.filter(|chance| !request_lifecycle::is_too_late(*chance, deadline)).count();
         let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
-        match request_lifecycle::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
-            ReachVerdict::Begin => Ok(()),
-            ReachVerdict::Refuse(refusal) => Err(refusal.into()),
-            ReachVerdict::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
+        match request_lifecycle::decide_start(ReachableShards { reachable, least, knows_searchers, regions }) {
+            StartDecision::Begin => Ok(()),
+            StartDecision::Refuse(refusal) => Err(refusal.into()),
+            StartDecision::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
         }
     }
 
@@ -338,7 +338,7 @@
     })
 }
 
-/// Checks that this node's configuration is recent enough to judge keys by. A node that may have missed the
+/// Checks that this node's configuration is recent enough to check keys against. A node that may have missed the
 /// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
 /// expired.
 fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -5,7 +5,7 @@
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::decision::hedging::{self, HedgeDecision, LateAttempt};
-use crate::decision::request_lifecycle::{self, FailedRequest, Progress, Refusal, Standing};
+use crate::decision::request_lifecycle::{self, EndDecision, FailedRequest, Progress, Refusal};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
@@ -71,8 +71,8 @@
             return;
         };
         let progress = progress(now, request);
-        let standing = request_lifecycle::judge(progress);
-        if standing == Standing::GoOn {
+        let decision = request_lifecycle::decide_end(progress);
+        if decision == EndDecision::Continue {
             return;
         }
         self.log_left_out(key, actions);
@@ -80,7 +80,7 @@
         let Some(mut request) = self.requests.remove(&key) else {
             return;
         };
-        let is_answered = standing == Standing::Answer;
+        let is_answered = decision == EndDecision::Answer;
         if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
@@ -128,7 +128,7 @@
         least: request.least_shards(),
         may_grow_in_time: request.may_gain_parts(),
         is_past_goal: now >= request.answer_by,
-        is_over: now >= request.deadline,
+        is_past_deadline: now >= request.deadline,
         is_unclear: request.awaits_outcome_after_revocation(),
     }
 }
@@ -157,6 +157,6 @@
         return Verdict::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
-    let (is_over, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
-    request_lifecycle::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
+    let (is_past_deadline, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
+    request_lifecycle::refuse(FailedRequest { may_have_run, is_past_deadline, is_key_revoked }).into()
 }
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -5,8 +5,8 @@
 use common::{answer, route};
 use staircross_routing::decision::allowed_regions::AllowedRegions;
 use staircross_routing::decision::request_lifecycle::{
-    FailedRequest, NodeLoad, Progress, Reach, ReachVerdict, Standing, TimeBounds, deadline, hold_until, is_passed_on,
-    is_too_late, judge, judge_reach, may_hold, refuse, refuse_if_overloaded,
+    EndDecision, FailedRequest, NodeLoad, Progress, ReachableShards, StartDecision, TimeBounds, deadline, decide_end,
+    decide_start, hold_until, is_passed_on, is_too_late, may_hold, refuse, refuse_if_overloaded,
 };
 use staircross_routing::{AttemptOutcome, RouteDefinition, RouteTarget, RoutingPolicy, TenantDefinition};
 use staircross_types::{BootTime, ErrorKind, Executed};
@@ -85,10 +85,10 @@
         (0, false, none, "refuse no_allowed_replica"),
     ];
     for (reachable, knows_searchers, regions, expected) in rows {
-        let verdict = match judge_reach(Reach { reachable, least: 3, knows_searchers, regions }) {
-            ReachVerdict::Begin => "begin".to_owned(),
-            ReachVerdict::Refuse(refusal) => format!("refuse {}", refusal.kind),
-            ReachVerdict::Hold(refusal) => format!("hold {}", refusal.kind),
+        let verdict = match decide_start(ReachableShards { reachable, least: 3, knows_searchers, regions }) {
+            StartDecision::Begin => "begin".to_owned(),
+            StartDecision::Refuse(refusal) => format!("refuse {}", refusal.kind),
+            StartDecision::Hold(refusal) => format!("hold {}", refusal.kind),
         };
         assert_eq!(verdict, expected, "{reachable} {knows_searchers} {regions:?}");
     }
@@ -122,29 +122,29 @@
         least: 3,
         may_grow_in_time: true,
         is_past_goal: false,
-        is_over: false,
+        is_past_deadline: false,
         is_unclear: false,
     };
     let rows = [
-        (waits, Standing::GoOn),
-        (Progress { parts: 3, open: 1, ..waits }, Standing::GoOn),
-        (Progress { parts: 4, open: 0, ..waits }, Standing::Answer),
-        (Progress { parts: 3, open: 0, ..waits }, Standing::Answer),
-        (Progress { parts: 3, open: 1, is_past_goal: true, ..waits }, Standing::Answer),
-        (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waits }, Standing::Answer),
+        (waits, EndDecision::Continue),
+        (Progress { parts: 3, open: 1, ..waits }, EndDecision::Continue),
+        (Progress { parts: 4, open: 0, ..waits }, EndDecision::Answer),
+        (Progress { parts: 3, open: 0, ..waits }, EndDecision::Answer),
+        (Progress { parts: 3, open: 1, is_past_goal: true, ..waits }, EndDecision::Answer),
+        (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waits }, EndDecision::Answer),
         // Too little for an answer: late is worth something, nothing isn't.
-        (Progress { parts: 2, open: 2, is_past_goal: true, ..waits }, Standing::GoOn),
-        (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waits }, Standing::GoOn),
-        (Progress { parts: 2, open: 2, is_past_goal: true, is_over: true, ..waits }, Standing::Fail),
-        (Progress { parts: 3, open: 1, is_past_goal: true, is_over: true, ..waits }, Standing::Answer),
+        (Progress { parts: 2, open: 2, is_past_goal: true, ..waits }, EndDecision::Continue),
+        (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waits }, EndDecision::Continue),
+        (Progress { parts: 2, open: 2, is_past_goal: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
+        (Progress { parts: 3, open: 1, is_past_goal: true, is_past_deadline: true, ..waits }, EndDecision::Answer),
         // Two are lost.
-        (Progress { parts: 1, open: 1, ..waits }, Standing::Fail),
-        (Progress { parts: 0, open: 1, is_unclear: true, ..waits }, Standing::GoOn),
-        (Progress { parts: 0, open: 0, is_unclear: true, ..waits }, Standing::Fail),
-        (Progress { parts: 0, open: 1, is_unclear: true, is_over: true, ..waits }, Standing::Fail),
+        (Progress { parts: 1, open: 1, ..waits }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, is_unclear: true, ..waits }, EndDecision::Continue),
+        (Progress { parts: 0, open: 0, is_unclear: true, ..waits }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, is_unclear: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
     ];
     for (progress, standing) in rows {
-        assert_eq!(judge(progress), standing, "{progress:?}");
+        assert_eq!(decide_end(progress), standing, "{progress:?}");
     }
 }
 
@@ -172,8 +172,8 @@
         (true, false, true, ErrorKind::BackEndsFailed),
         (true, true, true, ErrorKind::TimedOut),
     ];
-    for (may_have_run, is_over, is_key_revoked, kind) in rows {
-        let refusal = refuse(FailedRequest { may_have_run, is_over, is_key_revoked });
+    for (may_have_run, is_past_deadline, is_key_revoked, kind) in rows {
+        let refusal = refuse(FailedRequest { may_have_run, is_past_deadline, is_key_revoked });
         assert_eq!(refusal.kind, kind);
         assert_eq!(kind.executed() == Executed::Maybe, may_have_run, "{kind}");
     }
