--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -283,8 +283,8 @@
         };
         Reach::Known(match (member.zone == own.zone, member.region == own.region) {
             (true, _) => Distance::OwnZone,
-            (false, true) => Distance::OwnRegion,
-            (false, false) => Distance::Far,
+            (false, true) => Distance::SameRegion,
+            (false, false) => Distance::OtherRegion,
         })
     }
 
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -78,8 +78,8 @@
     /// All values, in the order of their indices.
     pub const ALL: [Reach; 4] = [
         Reach::Known(Distance::OwnZone),
-        Reach::Known(Distance::OwnRegion),
-        Reach::Known(Distance::Far),
+        Reach::Known(Distance::SameRegion),
+        Reach::Known(Distance::OtherRegion),
         Reach::Unknown,
     ];
 
@@ -87,8 +87,8 @@
     pub fn name(self) -> &'static str {
         match self {
             Reach::Known(Distance::OwnZone) => "own_zone",
-            Reach::Known(Distance::OwnRegion) => "own_region",
-            Reach::Known(Distance::Far) => "other_region",
+            Reach::Known(Distance::SameRegion) => "own_region",
+            Reach::Known(Distance::OtherRegion) => "other_region",
             Reach::Unknown => "unknown",
         }
     }
@@ -97,8 +97,8 @@
     fn index(self) -> usize {
         match self {
             Reach::Known(Distance::OwnZone) => 0,
-            Reach::Known(Distance::OwnRegion) => 1,
-            Reach::Known(Distance::Far) => 2,
+            Reach::Known(Distance::SameRegion) => 1,
+            Reach::Known(Distance::OtherRegion) => 2,
             Reach::Unknown => 3,
         }
     }
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -148,7 +148,7 @@
     let states = [MemberState::Alive, MemberState::Leaving, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     let states = states.map(|state| format!("state of member: {state:?}\n")).concat();
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
-    let reaches = [Distance::OwnZone, Distance::OwnRegion, Distance::Far].map(Reach::Known);
+    let reaches = [Distance::OwnZone, Distance::SameRegion, Distance::OtherRegion].map(Reach::Known);
     [
         listed("level of suspicion", levels.map(Suspicion::name)),
         listed("role", roles.map(StoreRole::name)),
--- a/crates/staircross-gateway/tests/traffic.rs
+++ b/crates/staircross-gateway/tests/traffic.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn bytes_are_told_apart_by_purpose_and_reach_and_add_up() {
-    let far = Reach::Known(Distance::Far);
+    let far = Reach::Known(Distance::OtherRegion);
     let mut pool = Traffic::default();
     pool.count(Purpose::of_attempt(SendReason::First), far, 100);
     pool.count(Purpose::of_attempt(SendReason::Hedge), Reach::Known(Distance::OwnZone), 7);
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -63,9 +63,9 @@
 
 fn distance_penalty(searcher: &Searcher, place: &Place) -> Duration {
     match place.distance(&searcher.entry.zone) {
-        Distance::OwnRegion if place.policy.near_first => OTHER_ZONE_PENALTY,
-        Distance::Far if place.policy.near_first => OTHER_REGION_PENALTY,
-        Distance::OwnZone | Distance::OwnRegion | Distance::Far => Duration::ZERO,
+        Distance::SameRegion if place.policy.near_first => OTHER_ZONE_PENALTY,
+        Distance::OtherRegion if place.policy.near_first => OTHER_REGION_PENALTY,
+        Distance::OwnZone | Distance::SameRegion | Distance::OtherRegion => Duration::ZERO,
     }
 }
 
--- a/crates/staircross-routing/src/decision/placement/place.rs
+++ b/crates/staircross-routing/src/decision/placement/place.rs
@@ -46,10 +46,10 @@
 pub enum Distance {
     /// The zone of this node.
     OwnZone,
-    /// Another zone of the same region.
-    OwnRegion,
-    /// Another region.
-    Far,
+    /// Another zone of the region of this node.
+    SameRegion,
+    /// A zone of another region, or of a region that isn't known.
+    OtherRegion,
 }
 
 impl Place {
@@ -62,7 +62,7 @@
             (Some(theirs), Some(ours)) => theirs == ours,
             _ => false,
         };
-        if is_same_region { Distance::OwnRegion } else { Distance::Far }
+        if is_same_region { Distance::SameRegion } else { Distance::OtherRegion }
     }
 
     /// Whether a request may be sent to a searcher, by the region of the searcher.
@@ -88,8 +88,8 @@
     pub fn round_trip(&self, zone: &str) -> Duration {
         let assumed = match self.distance(zone) {
             Distance::OwnZone => OWN_ZONE_ROUND_TRIP,
-            Distance::OwnRegion => OTHER_ZONE_ROUND_TRIP,
-            Distance::Far => OTHER_REGION_ROUND_TRIP,
+            Distance::SameRegion => OTHER_ZONE_ROUND_TRIP,
+            Distance::OtherRegion => OTHER_REGION_ROUND_TRIP,
         };
         self.round_trips.get(zone).copied().unwrap_or(assumed)
     }
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -113,8 +113,8 @@
 fn send(order: &SendOrder) -> String {
     let distance = match order.distance {
         Distance::OwnZone => 0,
-        Distance::OwnRegion => 1,
-        Distance::Far => 2,
+        Distance::SameRegion => 1,
+        Distance::OtherRegion => 2,
     };
     let identity = match &order.identity {
         SentIdentity::Unmanaged => "unmanaged",
