--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -206,7 +206,7 @@
         let mut line = |name: &str, value: u64| render_metric(text, name, "counter", value);
         line("answers_total", self.answers);
         line("callers_gone_total", self.callers_gone);
-        line("attempts_first_total", counters.firsts);
+        line("attempts_first_total", counters.first_attempts);
         line("attempts_hedge_total", counters.hedges);
         line("attempts_retry_total", counters.retries);
         line("attempts_reroute_total", counters.reroutes);
--- a/crates/staircross-routing/src/engine/counters.rs
+++ b/crates/staircross-routing/src/engine/counters.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoutingCounters {
     /// First attempts of shards that were sent.
-    pub firsts: u64,
+    pub first_attempts: u64,
     /// Hedges that were sent.
     pub hedges: u64,
     /// Retries that were sent.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -148,7 +148,7 @@
             return;
         };
         match planned.reason {
-            SendReason::First => self.counters.firsts += 1,
+            SendReason::First => self.counters.first_attempts += 1,
             SendReason::Hedge => self.counters.hedges += 1,
             SendReason::Retry => self.counters.retries += 1,
             SendReason::Reroute => self.counters.reroutes += 1,
