--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -116,7 +116,7 @@
         NoRoom,
         Avoided,
         NoSearcherLeft,
-        Pressed,
+        QueueTooLong,
         Suspect,
         NotRepeatable,
         MaxAttempts,
@@ -124,7 +124,7 @@
         Quarantined,
         Probing,
     ];
-    let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::Nobody];
+    let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::NoSearcher];
     let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
     let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Revoked];
     [
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -7,7 +7,7 @@
 //! The inputs are round trips and the work of the route, as durations; times of this machine's boot clock; the unspent
 //! fraction of the service's budget for extra sends (0 to 1, [`super::extra_budget`]); and whether the request may be
 //! sent twice. Two more checks must pass before a hedge is sent: the queue at the service may not be too long
-//! (`is_pressed` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must permit it
+//! (`is_queue_too_long` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must permit it
 //! ([`super::extra_budget`]).
 //!
 //! Hedges give answers in time when one searcher is slow or has ended, at the cost of extra sends. Without hedges,
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -123,8 +123,8 @@
         service: &Arc<str>,
         reason: SendReason,
     ) -> Result<(), UnsentCause> {
-        if reason == SendReason::Hedge && self.is_pressed(now, key, service) {
-            return Err(UnsentCause::Pressed);
+        if reason == SendReason::Hedge && self.is_queue_too_long(now, key, service) {
+            return Err(UnsentCause::QueueTooLong);
         }
         match !is_paid(reason) || self.spend_extra(now, service) {
             true => Ok(()),
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether sub-requests wait so long at a service that a hedge would only add to its load.
-    pub(super) fn is_pressed(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
+    pub(super) fn is_queue_too_long(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
         let Some(request) = self.requests.get(&key).filter(|_| self.settings.policy.hedge_pressure) else {
             return false;
         };
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -99,7 +99,7 @@
                 (ShardState::Open, true, _) => LeftOutCause::Late,
                 (ShardState::Open, false, _) => LeftOutCause::NoRoom,
                 (ShardState::Failed(_), _, false) => LeftOutCause::Failed,
-                (ShardState::Failed(_), _, true) => LeftOutCause::Nobody,
+                (ShardState::Failed(_), _, true) => LeftOutCause::NoSearcher,
             };
             let instance = |searcher: &SearcherKey| self.searchers[searcher.0 as usize].entry.instance.clone();
             let asked = shard.sent_to.iter().map(instance).collect();
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -256,7 +256,7 @@
     /// Every attempt failed, and no other searcher could be asked.
     Failed,
     /// No searcher could be asked, or none of those asked could be reached.
-    Nobody,
+    NoSearcher,
 }
 
 impl LeftOutCause {
@@ -266,7 +266,7 @@
             LeftOutCause::Late => "late",
             LeftOutCause::NoRoom => "no_room",
             LeftOutCause::Failed => "failed",
-            LeftOutCause::Nobody => "nobody",
+            LeftOutCause::NoSearcher => "nobody",
         }
     }
 }
@@ -306,7 +306,7 @@
     /// No eligible searcher is left.
     NoSearcherLeft,
     /// Sub-requests wait too long at the searchers of the service, and a hedge would only add to their load.
-    Pressed,
+    QueueTooLong,
     /// The content is suspected of crashing searchers, and one is at work on it; the shard waits for that attempt's
     /// end.
     Suspect,
@@ -331,7 +331,7 @@
             UnsentCause::NoRoom => "no_room",
             UnsentCause::Avoided => "avoided",
             UnsentCause::NoSearcherLeft => "nobody_left",
-            UnsentCause::Pressed => "pressed",
+            UnsentCause::QueueTooLong => "pressed",
             UnsentCause::Suspect => "suspect",
             UnsentCause::NotRepeatable => "not_repeatable",
             UnsentCause::MaxAttempts => "most_attempts",
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -88,7 +88,7 @@
         panic!("no merged answer");
     };
     assert_eq!(merged.missing, 1);
-    assert_eq!(driver.left_out, [("y".to_owned(), LeftOutCause::Nobody)]);
+    assert_eq!(driver.left_out, [("y".to_owned(), LeftOutCause::NoSearcher)]);
 }
 
 #[test]
