--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -223,7 +223,9 @@
     fn apply_action(&mut self, action: RoutingAction) {
         match action {
             RoutingAction::Send(order) => self.send_attempt(order),
-            RoutingAction::Abandon { attempt, patience, cause } => self.abandon_attempt(attempt, patience, cause),
+            RoutingAction::Abandon { attempt, answer_timeout, cause } => {
+                self.abandon_attempt(attempt, answer_timeout, cause)
+            }
             RoutingAction::Recall { attempt } => self.recall_attempt(attempt),
             RoutingAction::Finish { request, verdict } => self.finish_request(request, verdict),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -42,7 +42,7 @@
 /// after a start takes tens of milliseconds).
 const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// Divisor of the caller's patience that bounds a hold, so that a caller who is refused has time to ask another node.
+/// Fraction of the caller's timeout for which a request is held at most, as a divisor, so that a caller who is refused has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
 
 /// Maximum number of requests held at once; further ones are refused. This bounds memory.
@@ -97,7 +97,7 @@
     /// Timeout of the route.
     pub timeout: Duration,
     /// Time for which the caller waits, if it says so.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Time for which the request may have waited to be read.
     pub waited: Duration,
 }
@@ -105,8 +105,8 @@
 /// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. The
 /// time that the request waited to be read is deducted.
 pub fn deadline(now: BootTime, bounds: TimeBounds) -> Result<BootTime, Refusal> {
-    let patience = bounds.patience.map_or(bounds.timeout, |patience| patience.min(bounds.timeout));
-    let left = patience.saturating_sub(bounds.waited);
+    let timeout = bounds.caller_timeout.map_or(bounds.timeout, |caller_timeout| caller_timeout.min(bounds.timeout));
+    let left = timeout.saturating_sub(bounds.waited);
     if left <= DEADLINE_GUARD {
         return Err(Refusal::new(ErrorKind::Overloaded, "the request's time was over when it was read"));
     }
@@ -162,9 +162,9 @@
 }
 
 /// Returns the time until which a request that arrives now may be held.
-pub fn hold_until(now: BootTime, patience: Option<Duration>) -> BootTime {
-    let by_patience = patience.map_or(MAX_HOLD, |patience| patience / HOLD_DIVISOR);
-    now + by_patience.min(MAX_HOLD)
+pub fn hold_until(now: BootTime, caller_timeout: Option<Duration>) -> BootTime {
+    let by_caller_timeout = caller_timeout.map_or(MAX_HOLD, |caller_timeout| caller_timeout / HOLD_DIVISOR);
+    now + by_caller_timeout.min(MAX_HOLD)
 }
 
 /// Whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -313,7 +313,10 @@
 
 fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
     let timeout = Duration::from_millis(route.timeout_ms);
-    request_lifecycle::deadline(now, TimeBounds { timeout, patience: arrival.caller_timeout, waited: arrival.waited })
+    request_lifecycle::deadline(
+        now,
+        TimeBounds { timeout, caller_timeout: arrival.caller_timeout, waited: arrival.waited },
+    )
 }
 
 /// Returns the tenant that a request's credential belongs to. A key that this node's configuration doesn't accept
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -237,8 +237,8 @@
                 attempt.is_open = false;
                 request.shards[shard_index].outstanding -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                let (patience, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
-                actions.push(RoutingAction::Abandon { attempt, patience, cause });
+                let (answer_timeout, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
+                actions.push(RoutingAction::Abandon { attempt, answer_timeout, cause });
             }
         }
     }
@@ -247,7 +247,7 @@
     pub(super) fn abandon_attempts(
         &mut self,
         key: RequestKey,
-        patience: Duration,
+        answer_timeout: Duration,
         cause: AbandonCause,
         actions: &mut Vec<RoutingAction>,
     ) {
@@ -261,7 +261,7 @@
                 if let Some(sent) = self.sent_attempts.get_mut(&attempt) {
                     sent.is_request_answered = request.is_answered;
                 }
-                actions.push(RoutingAction::Abandon { attempt, patience, cause });
+                actions.push(RoutingAction::Abandon { attempt, answer_timeout, cause });
             }
         }
     }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/settle.rs
@@ -115,8 +115,8 @@
         };
         // Work of a route that isn't idempotent may finish: the caller may ask later what became of it.
         let is_idempotent = request.route().is_idempotent;
-        let patience = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
-        self.abandon_attempts(key, patience, AbandonCause::CallerGone, actions);
+        let answer_timeout = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
+        self.abandon_attempts(key, answer_timeout, AbandonCause::CallerGone, actions);
         self.requests.remove(&key);
     }
 }
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -89,12 +89,12 @@
     /// Send the request to a searcher.
     Send(SendOrder),
     /// The attempt's answer is no longer wanted. Read and discard it, or close the connection if it isn't complete
-    /// within `patience`.
+    /// within `answer_timeout`.
     Abandon {
         /// The attempt.
         attempt: AttemptKey,
         /// Time after which the connection is closed.
-        patience: Duration,
+        answer_timeout: Duration,
         /// Why the answer is no longer wanted.
         cause: AbandonCause,
     },
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -66,13 +66,13 @@
 fn line(action: &RoutingAction) -> (String, String) {
     match action {
         RoutingAction::Send(order) => (format!("send {}", order.reason.name()), send(order)),
-        RoutingAction::Abandon { attempt, patience, cause } => {
+        RoutingAction::Abandon { attempt, answer_timeout, cause } => {
             let cause = match cause {
                 AbandonCause::Superseded => "superseded",
                 AbandonCause::CallerGone => "caller_gone",
                 AbandonCause::Quarantined => "quarantined",
             };
-            (format!("abandon {cause}"), format!("{} {}", key(*attempt), patience.as_micros()))
+            (format!("abandon {cause}"), format!("{} {}", key(*attempt), answer_timeout.as_micros()))
         }
         RoutingAction::Recall { attempt } => ("recall".into(), key(*attempt)),
         RoutingAction::Unsent { request, service, reason, cause } => {
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -215,7 +215,7 @@
         for action in actions {
             match action {
                 RoutingAction::Send(order) => self.connect(&order),
-                RoutingAction::Abandon { attempt, patience, .. } => self.abandon(attempt, patience),
+                RoutingAction::Abandon { attempt, answer_timeout, .. } => self.abandon(attempt, answer_timeout),
                 RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
                     self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Cancelled));
                 }
@@ -316,14 +316,14 @@
         self.after(4000.0, move |world| world.start(vec![entry]));
     }
 
-    fn abandon(&mut self, key: AttemptKey, patience: Duration) {
+    fn abandon(&mut self, key: AttemptKey, answer_timeout: Duration) {
         let outcome = match self.phase(key) {
             Some(Phase::Running) => AttemptOutcome::Unknown(Unknown::Unanswered),
             Some(_) => AttemptOutcome::Cancelled,
             None => return,
         };
         let is_running = matches!(outcome, AttemptOutcome::Unknown(_));
-        let wait = if is_running { patience.as_secs_f64() * 1000.0 } else { 0.2 };
+        let wait = if is_running { answer_timeout.as_secs_f64() * 1000.0 } else { 0.2 };
         self.after(wait, move |world| world.end(key, outcome));
     }
 
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -45,8 +45,8 @@
         (Some(1000), 990, None),
         (Some(1000), 2000, None),
     ];
-    for (patience, waited, after) in rows {
-        let bounds = TimeBounds { timeout: ms(4000), patience: patience.map(ms), waited: ms(waited) };
+    for (caller_timeout, waited, after) in rows {
+        let bounds = TimeBounds { timeout: ms(4000), caller_timeout: caller_timeout.map(ms), waited: ms(waited) };
         let verdict = deadline(NOW, bounds);
         assert_eq!(verdict.ok(), after.map(|after| NOW + ms(after)), "{bounds:?}");
         assert!(verdict.is_ok() || verdict.is_err_and(|refusal| refusal.kind == ErrorKind::Overloaded));
@@ -96,8 +96,8 @@
 
 #[test]
 fn a_hold_takes_a_quarter_of_the_callers_patience_and_half_a_second_at_most() {
-    for (patience, after) in [(None, 500), (Some(400), 100), (Some(2000), 500), (Some(60_000), 500)] {
-        assert_eq!(hold_until(NOW, patience.map(ms)), NOW + ms(after), "{patience:?}");
+    for (caller_timeout, after) in [(None, 500), (Some(400), 100), (Some(2000), 500), (Some(60_000), 500)] {
+        assert_eq!(hold_until(NOW, caller_timeout.map(ms)), NOW + ms(after), "{caller_timeout:?}");
     }
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { holds: false, ..on };
