--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -100,7 +100,7 @@
 
     /// Logs the searchers that a merge has added, changed or removed.
     pub(super) fn log_searchers(&mut self, changes: &MirrorChanges, source: &str) {
-        if changes.searchers.len() + changes.gone.len() > MAX_SEARCHER_LINES {
+        if changes.searchers.len() + changes.removed_searchers.len() > MAX_SEARCHER_LINES {
             return self.log_searcher_totals(changes, source);
         }
         for entry in &changes.searchers {
@@ -110,7 +110,7 @@
             );
             self.log.line(self.now, LineKind::NodeEvent, line);
         }
-        for instance in &changes.gone {
+        for instance in &changes.removed_searchers {
             let line = format_args!("event=searcher_gone instance={instance} source={source}");
             self.log.line(self.now, LineKind::NodeEvent, line);
         }
@@ -143,7 +143,7 @@
 
     fn log_searcher_totals(&mut self, changes: &MirrorChanges, source: &str) {
         let draining = changes.searchers.iter().filter(|entry| entry.is_draining).count();
-        let (changed, gone) = (changes.searchers.len(), changes.gone.len());
+        let (changed, gone) = (changes.searchers.len(), changes.removed_searchers.len());
         let revision = self.mirror.newest_revision();
         let known = self.mirror.searchers().count();
         let line = format_args!(
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -49,8 +49,8 @@
         if !changes.searchers.is_empty() {
             self.process_routing_event(RoutingEvent::Searchers(changes.searchers));
         }
-        if !changes.gone.is_empty() {
-            self.process_routing_event(RoutingEvent::SearchersGone(changes.gone));
+        if !changes.removed_searchers.is_empty() {
+            self.process_routing_event(RoutingEvent::SearchersGone(changes.removed_searchers));
         }
         if let Some(definition) = configuration {
             self.apply_configuration(definition, source);
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -118,7 +118,7 @@
     /// Entries of new or changed searchers.
     pub searchers: Vec<SearcherEntry>,
     /// Ids of the searchers whose entry is gone.
-    pub gone: Vec<Arc<str>>,
+    pub removed_searchers: Vec<Arc<str>>,
     /// All zones that are being evacuated, if the set changed.
     pub evacuated: Option<Vec<Arc<str>>>,
 }
@@ -157,7 +157,7 @@
                     let is_draining = after.entry.is_draining || has_drained;
                     changes.searchers.push(SearcherEntry { is_draining, ..after.entry.clone() });
                 }
-                (Some(_), None) => changes.gone.push(instance),
+                (Some(_), None) => changes.removed_searchers.push(instance),
                 (_, Some(_)) | (None, None) => {}
             }
         }
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -77,7 +77,7 @@
     mirror.merge(changes(vec![written(5, started("s", 100))]));
     let updates = mirror.merge(changes(vec![written(6, draining("s", 100)), written(7, started("s", 200))]));
     assert_eq!(updates.searchers, [started("s", 200)]);
-    assert!(updates.gone.is_empty());
+    assert!(updates.removed_searchers.is_empty());
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let known = PeerKnowledge { revision: cut_off.known_revision(), ..NOTHING_KNOWN };
     let updates = cut_off.merge(informed.changes_for(known));
     assert_eq!(updates.searchers, [started("s", 300)]);
-    assert!(updates.gone.is_empty());
+    assert!(updates.removed_searchers.is_empty());
 }
 
 #[test]
--- a/crates/staircross-routing/tests/mirror_merge.rs
+++ b/crates/staircross-routing/tests/mirror_merge.rs
@@ -13,7 +13,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(10, searcher("s", true))]));
     let late = mirror.merge(changes(vec![(9, searcher("s", false)), (8, gone("s"))]));
-    assert!(late.searchers.is_empty() && late.gone.is_empty());
+    assert!(late.searchers.is_empty() && late.removed_searchers.is_empty());
     assert!(mirror.searchers().all(|entry| entry.is_draining));
 }
 
@@ -54,7 +54,7 @@
     }
 
     fn hear_ends(&mut self, told: &MirrorChanges) {
-        for instance in &told.gone {
+        for instance in &told.removed_searchers {
             self.known.remove(&**instance);
         }
     }
@@ -65,7 +65,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
     let told = mirror.merge(changes(vec![(7, gone("s")), (8, searcher("s", false))]));
-    assert!(told.gone.is_empty(), "it is there: {told:?}");
+    assert!(told.removed_searchers.is_empty(), "it is there: {told:?}");
     assert_eq!(told.searchers.len(), 1);
 }
 
@@ -74,7 +74,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
     let told = mirror.merge(changes(vec![(6, searcher("s", true)), (7, gone("s")), (8, searcher("s", false))]));
-    assert!(told.gone.is_empty());
+    assert!(told.removed_searchers.is_empty());
     assert!(told.searchers.iter().all(|entry| entry.is_draining), "{told:?}");
 }
 
@@ -84,7 +84,7 @@
     mirror.merge(changes(vec![(5, searcher("s", false))]));
     let told = mirror.merge(changes(vec![(7, searcher("s", true)), (8, gone("s"))]));
     assert!(told.searchers.is_empty(), "it has gone: {told:?}");
-    assert_eq!(told.gone, [Arc::<str>::from("s")]);
+    assert_eq!(told.removed_searchers, [Arc::<str>::from("s")]);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("old", false)), (20, searcher("new", false))]));
     let told = mirror.merge(listing(15, vec![(3, searcher("kept", false))]));
-    assert_eq!(told.gone, [Arc::<str>::from("old")]);
+    assert_eq!(told.removed_searchers, [Arc::<str>::from("old")]);
     assert_eq!(names(&mirror), ["kept", "new"]);
 }
 
