--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -171,7 +171,7 @@
     }
 
     /// Returns the reports to send to peers with the next datagram. Contents take turns.
-    pub fn records(&mut self, now: BootTime) -> Vec<CaseRecord> {
+    pub fn next_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.remove_expired(now);
         let to_send = self.schedule.next_contents(now, &self.cases);
         to_send.into_iter().filter_map(|content| self.record_for_peers(now, content)).collect()
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -33,7 +33,7 @@
 
     /// Returns the case records to send to peers with the next datagrams. Contents take turns.
     pub fn next_case_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
-        self.quarantine.records(now)
+        self.quarantine.next_records(now)
     }
 
     /// Returns whether a request for a suspect content must wait because an attempt for the same content is in
--- a/crates/staircross-routing/tests/common/quarantine.rs
+++ b/crates/staircross-routing/tests/common/quarantine.rs
@@ -88,5 +88,5 @@
     for number in 0..3 {
         peer.note_lost(now + Duration::from_millis(number), lost(content, number, now));
     }
-    peer.records(now + Duration::from_millis(5))
+    peer.next_records(now + Duration::from_millis(5))
 }
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -318,12 +318,12 @@
         peer.note_lost(at, lost);
     }
     let mut driver = driver();
-    driver.event(RoutingEvent::PeerCases(peer.records(at)));
+    driver.event(RoutingEvent::PeerCases(peer.next_records(at)));
     let request = ask(&mut driver, "/all/new", ContentKey(100));
     assert_eq!(driver.sent_for(request).len(), 1);
     serve(&mut driver, request);
     peer.note_answered(at + WORK, ContentKey(1));
-    driver.event(RoutingEvent::PeerCases(peer.records(at + WORK)));
+    driver.event(RoutingEvent::PeerCases(peer.next_records(at + WORK)));
     let request = ask(&mut driver, "/all/new", ContentKey(101));
     assert_eq!(driver.sent_for(request).len(), 10);
     assert_eq!(driver.alarms, [("all".to_owned(), true), ("all".to_owned(), false)]);
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -166,7 +166,7 @@
         at = at + Duration::from_millis(30);
         peer.note_lost(at, lost);
     }
-    peer.records(at)
+    peer.next_records(at)
 }
 
 #[test]
--- a/crates/staircross-routing/tests/quarantine_peers.rs
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -23,16 +23,16 @@
     }
     // The other machine's clock began elsewhere.
     let elsewhere = BootTime::from_millis(77_000_000);
-    there.merge(elsewhere, &here.records(lost_at));
+    there.merge(elsewhere, &here.next_records(lost_at));
     assert_eq!(there.suspicion(elsewhere, DEADLY), Suspicion::Quarantined);
     let later = Duration::from_secs(5);
     there.note_answered(elsewhere + later, DEADLY);
-    here.merge(lost_at + later, &there.records(elsewhere + later));
+    here.merge(lost_at + later, &there.next_records(elsewhere + later));
     assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
     // What was told before comes late, and changes nothing.
     let mut stale = Quarantine::default();
     stale.note_lost(lost_at, lost(DEADLY, 9, now));
-    here.merge(lost_at + later, &stale.records(lost_at + later));
+    here.merge(lost_at + later, &stale.next_records(lost_at + later));
     assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
 }
 
@@ -88,7 +88,7 @@
     for number in 3..10 {
         here.note_lost(at(81 + number), lost(DEADLY, number, now));
         assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "{number} lost");
-        there.merge(at(100), &here.records(at(100)));
+        there.merge(at(100), &here.next_records(at(100)));
         assert_eq!(there.suspicion(at(100), DEADLY), Suspicion::Quarantined, "told after {number}");
     }
 }
@@ -101,11 +101,11 @@
     for number in 0..2 {
         here.note_lost(now, lost(DEADLY, number, now));
     }
-    let suspect = there.merge(now, &here.records(now));
+    let suspect = there.merge(now, &here.next_records(now));
     assert_eq!(suspect.len(), 1);
     assert!(suspect[0].is_urgent(true), "each moment may cost one searcher a shard");
     here.note_answered(now, DEADLY);
-    let cleared = there.merge(now, &here.records(now));
+    let cleared = there.merge(now, &here.next_records(now));
     assert_eq!(cleared.len(), 1);
     assert!(!cleared[0].is_urgent(true));
 }
@@ -118,10 +118,10 @@
         here.note_lost(now, lost(ContentKey(number), 1, now));
         here.note_lost(now, lost(ContentKey(number), 2, now));
     }
-    (0..8).for_each(|_| drop(here.records(now)));
+    (0..8).for_each(|_| drop(here.next_records(now)));
     here.note_lost(now, lost(DEADLY, 1, now));
     here.note_lost(now, lost(DEADLY, 2, now));
-    let told = here.records(now);
+    let told = here.next_records(now);
     assert!(told.iter().any(|record| record.content == DEADLY), "{told:?}");
     assert!(told.len() <= 5, "a datagram has room for no more");
 }
@@ -137,13 +137,13 @@
             lost_at = sent_at + Duration::from_millis(30);
             here.note_lost(lost_at, lost(DEADLY, number, sent_at));
         }
-        let losses = here.records(lost_at);
+        let losses = here.next_records(lost_at);
         if is_known_before {
             there.merge(lost_at, &losses);
         }
         let answered = lost_at + Duration::from_millis(20);
         here.note_answered(answered, DEADLY);
-        there.merge(answered + Duration::from_millis(1), &here.records(answered));
+        there.merge(answered + Duration::from_millis(1), &here.next_records(answered));
         // Told before the answer, it comes after it: by another way, or from a node that was busy.
         there.merge(answered + Duration::from_millis(120), &losses);
         here.merge(answered + Duration::from_millis(150), &losses);
@@ -169,7 +169,7 @@
     assert_eq!(quarantine.suspicion(now, DEADLY), Suspicion::Quarantined);
     let (suspects, quarantined) = quarantine.counts(now);
     assert!(suspects < 256 && quarantined == 1, "{suspects} {quarantined}");
-    assert!(quarantine.records(now).iter().any(|record| record.content == DEADLY), "it is told among many others");
+    assert!(quarantine.next_records(now).iter().any(|record| record.content == DEADLY), "it is told among many others");
 }
 
 /// A searcher lost at one of three nodes, some time after the one before.
@@ -188,7 +188,7 @@
         let mut nodes = [(); 3].map(|()| Quarantine::default());
         let mut now = BootTime::from_millis(1_000_000);
         let tell = |nodes: &mut [Quarantine; 3], now, from: usize, to: usize| {
-            let records: Vec<CaseRecord> = nodes[from].records(now);
+            let records: Vec<CaseRecord> = nodes[from].next_records(now);
             nodes[to].merge(now, &records);
         };
         let tell_all = |nodes: &mut [Quarantine; 3], now| {
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -106,7 +106,7 @@
     }
     // Contents of each datagram: three newly suspect, the newest first, then two by turns.
     for expected in [vec![7, 6, 5, 0, 1], vec![4, 3, 2], vec![1, 0, 4, 5], vec![6, 7]] {
-        let sent: Vec<u64> = quarantine.records(at(1000)).iter().map(|record| record.content.0).collect();
+        let sent: Vec<u64> = quarantine.next_records(at(1000)).iter().map(|record| record.content.0).collect();
         assert_eq!(sent, expected);
     }
 }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -282,7 +282,7 @@
         let (content, route, searcher) = (ContentKey(66), RouteDigest::of("both"), InstanceKey(number));
         peer.note_lost(driver.now, LostAttempt { content, route, searcher, sent_at });
     }
-    driver.event(RoutingEvent::PeerCases(peer.records(driver.now)));
+    driver.event(RoutingEvent::PeerCases(peer.next_records(driver.now)));
 }
 
 /// Seen: on alarm each request of a tenant was tried on one shard first, also one that had just been answered. Why: answers are noted under the content
