--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -92,7 +92,7 @@
             waited: self.load.longest_wait(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
-            view: self.configuration_view(),
+            configuration_view: self.configuration_view(),
             knows_searchers: self.mirror.has_listing() && !self.store_reader.may_lack_searchers(self.now),
             link,
             content: outbound.content,
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -73,11 +73,11 @@
     /// Returns the arrival as of `now`, with the time of the hold added to its wait. Once the hold is over, a
     /// doubtful view of the configuration counts as current.
     fn arrival(&self, now: BootTime) -> Arrival {
-        let view = match self.arrival.view {
+        let configuration_view = match self.arrival.configuration_view {
             ConfigurationView::Doubtful if now >= self.until => ConfigurationView::Current,
             view => view,
         };
-        Arrival { view, waited: self.arrival.waited + now.since(self.held_at), ..self.arrival.clone() }
+        Arrival { configuration_view, waited: self.arrival.waited + now.since(self.held_at), ..self.arrival.clone() }
     }
 }
 
@@ -345,7 +345,7 @@
 /// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
 /// expired.
 fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
-    match arrival.view {
+    match arrival.configuration_view {
         ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration is on its way");
             Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail))
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -33,8 +33,8 @@
     #[serde(default)]
     pub newest_version: u64,
     /// How certain this node is that the API keys in its configuration haven't been revoked.
-    #[serde(default)]
-    pub view: ConfigurationView,
+    #[serde(default, rename = "view")]
+    pub configuration_view: ConfigurationView,
     /// Whether this node knows all live searchers: the platform's list was read completely, and no lapsed entries are
     /// being written anew.
     pub knows_searchers: bool,
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -246,7 +246,7 @@
             waited: Duration::ZERO,
             is_overloaded: false,
             newest_version: 0,
-            view: ConfigurationView::Current,
+            configuration_view: ConfigurationView::Current,
             knows_searchers: true,
             link: CallerLink::default(),
             // Each asks for something else, unless a test says otherwise.
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -173,7 +173,7 @@
             waited: Duration::ZERO,
             is_overloaded: false,
             newest_version: 0,
-            view: ConfigurationView::Current,
+            configuration_view: ConfigurationView::Current,
             knows_searchers: true,
             link: CallerLink::default(),
             content: ContentKey(key.0 << 20),
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -98,7 +98,7 @@
     });
     world.offer((1600.0, 6000.0), 200.0, "/q/1", |arrival, number| {
         let views = [ConfigurationView::Current, ConfigurationView::Doubtful, ConfigurationView::Expired];
-        arrival.view = views[number % 3];
+        arrival.configuration_view = views[number % 3];
         by_tenant(arrival, ["t1", "t2"][number % 2]);
         arrival.newest_version = number as u64 % 4;
     });
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -308,7 +308,8 @@
 }
 
 fn ask_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
-    let arrival = Arrival { credential: credential(key), view, newest_version: 2, ..driver.arrival(path) };
+    let arrival =
+        Arrival { credential: credential(key), configuration_view: view, newest_version: 2, ..driver.arrival(path) };
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
     request
