--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -204,7 +204,7 @@
         self.next_generation = self.next_generation.wrapping_add(1).max(1);
         let entry = self.connections.vacant_entry();
         let id = SocketId { kind: SocketKind::Inbound, generation, slot: entry.key() as u32 };
-        let link = CallerLink { round_trip: round_trip(&stream), is_fresh: true };
+        let link = CallerLink { round_trip: round_trip(&stream), is_new_connection: true };
         if let Ok(socket) = Socket::accepted(stream, id.token(), registry) {
             entry.insert(Connection {
                 socket,
@@ -294,7 +294,7 @@
             ServerProgress::Ready(request) => {
                 connection.state = State::AwaitingAnswer;
                 let link = connection.link;
-                connection.link.is_fresh = false;
+                connection.link.is_new_connection = false;
                 events.push(ServerEvent::Request { connection: id, endpoint, request, link });
             }
             ServerProgress::Fault(fault) => {
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -63,6 +63,6 @@
 
 /// Returns the part of the goal that is spent outside this node.
 fn caller_time(link: &CallerLink) -> Duration {
-    let round_trips = if link.is_fresh { NEW_CONNECTION_ROUND_TRIPS } else { KEPT_CONNECTION_ROUND_TRIPS };
+    let round_trips = if link.is_new_connection { NEW_CONNECTION_ROUND_TRIPS } else { KEPT_CONNECTION_ROUND_TRIPS };
     link.round_trip.map_or(DEFAULT_CALLER_TIME, |round_trip| round_trip.mul_f64(round_trips) + SCHEDULING_TIME)
 }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -73,7 +73,8 @@
     /// Round-trip time to the caller, if the operating system reports it.
     pub round_trip: Option<Duration>,
     /// Whether this request is the first on the connection.
-    pub is_fresh: bool,
+    #[serde(rename = "is_fresh")]
+    pub is_new_connection: bool,
 }
 
 /// A searcher's complete answer.
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn link(millis: f64, is_fresh: bool) -> CallerLink {
-    CallerLink { round_trip: Some(Duration::from_secs_f64(millis / 1000.0)), is_fresh }
+fn link(millis: f64, is_new_connection: bool) -> CallerLink {
+    CallerLink { round_trip: Some(Duration::from_secs_f64(millis / 1000.0)), is_new_connection }
 }
 
 fn left(goal_ms: u64, link: CallerLink) -> Duration {
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -186,7 +186,7 @@
     world.at(2600.0, |world| world.searchers.get_mut("g17z").expect("started").slowness = 30.0);
     world.offer((0.0, 5000.0), 30.0, "/wide/1", |arrival, number| {
         let round_trip = [None, Some(Duration::from_millis(20)), Some(Duration::from_millis(70))][number % 3];
-        arrival.link = CallerLink { round_trip, is_fresh: number % 2 == 0 };
+        arrival.link = CallerLink { round_trip, is_new_connection: number % 2 == 0 };
         arrival.waited = Duration::from_millis(number as u64 % 7);
         arrival.caller_timeout = (number % 10 == 9).then_some(Duration::from_millis(300));
     });
