--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -6,7 +6,7 @@
 //! used up. Searchers with nearly equal expected times share the work by random choice.
 //!
 //! The inputs are the [`Choice`] (allowed regions, excluded searchers, usual work and goal of the route: times), the
-//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the [`Place`]
+//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the [`PlacementContext`]
 //! (zones, round trips: times, nodes: counts).
 //!
 //! The rule shortens answer times and saves traffic between zones. Each of its settings changes the mean score of a day
@@ -29,7 +29,7 @@
 pub mod place;
 
 pub use expected_time::expected_time;
-pub use place::{Distance, Place};
+pub use place::{Distance, PlacementContext};
 
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::keys::SearcherKey;
@@ -64,7 +64,7 @@
     choice: &Choice<'_>,
     candidates: &[SearcherKey],
     table: &[Searcher],
-    place: &Place,
+    place: &PlacementContext,
     random: &mut ChaCha8Rng,
 ) -> Option<SearcherKey> {
     let mut best: Option<(SearcherKey, Duration)> = None;
@@ -96,7 +96,7 @@
 }
 
 /// Whether a searcher may be sent one more attempt by this node now.
-fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, place: &Place) -> bool {
+fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> bool {
     let has_room = searcher.open.len() < usable_connections(now, searcher, place) && !searcher.is_full(now);
     let may_be_asked_now = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
     searcher.may_be_asked(now) && may_be_asked_now && has_room
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -5,7 +5,7 @@
 //! covers nodes whose views of the fleet differ for a moment. The setting `routing.connection_ramp = false` turns the
 //! steps after a restart off.
 
-use super::place::Place;
+use super::place::PlacementContext;
 use crate::state::searcher::Searcher;
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -27,12 +27,12 @@
 const RAMP_STEP: Duration = Duration::from_secs(1);
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
-pub fn usable_connections(now: BootTime, searcher: &Searcher, place: &Place) -> usize {
+pub fn usable_connections(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> usize {
     ramped_share(now, place, connection_share(searcher, place))
 }
 
 /// Returns this node's share of a searcher's connections, at least one.
-fn connection_share(searcher: &Searcher, place: &Place) -> usize {
+fn connection_share(searcher: &Searcher, place: &PlacementContext) -> usize {
     let limit = f64::from(searcher.max_connections);
     let all_nodes = place.fleet.serving.max(1);
     let zone_nodes = place.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
@@ -50,7 +50,7 @@
 
 /// Returns the part of its share that a restarted node uses while searchers may still count the connections of earlier
 /// incarnations: one step at first, and one more after each step's length.
-fn ramped_share(now: BootTime, place: &Place, share: usize) -> usize {
+fn ramped_share(now: BootTime, place: &PlacementContext, share: usize) -> usize {
     let Some(restarted_at) = place.restarted_at.filter(|_| place.policy.connection_ramp) else {
         return share;
     };
--- a/crates/staircross-routing/src/decision/placement/place.rs
+++ b/crates/staircross-routing/src/decision/placement/place.rs
@@ -22,7 +22,7 @@
 
 /// This node's view of zones, regions and other nodes.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct PlacementContext {
     /// Zone of this node.
     pub zone: Arc<str>,
     /// Region of each zone.
@@ -52,7 +52,7 @@
     OtherRegion,
 }
 
-impl Place {
+impl PlacementContext {
     /// Returns the distance of `zone`. A zone whose region isn't known counts as another region.
     pub fn distance(&self, zone: &str) -> Distance {
         if zone == &*self.zone {
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -31,7 +31,7 @@
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::cold::{ColdBound, FleetRank};
 use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
-use crate::decision::placement::Place;
+use crate::decision::placement::PlacementContext;
 use crate::decision::quarantine::Quarantine;
 use crate::decision::weighted_round_robin::WeightedRoundRobin;
 pub use crate::engine_message::{
@@ -126,7 +126,7 @@
 pub struct RoutingEngine {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: ChaCha8Rng,
-    pub(crate) place: Place,
+    pub(crate) place: PlacementContext,
     /// Fraction of the fleet's slack for extra sends that this node may spend, 0 to 1.
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
@@ -168,7 +168,7 @@
 impl RoutingEngine {
     /// Creates an engine without a configuration.
     pub fn new(settings: RoutingSettings) -> Self {
-        let place = Place {
+        let place = PlacementContext {
             zone: settings.zone.clone(),
             regions: settings.regions.clone(),
             nodes_by_zone: HashMap::from([(settings.zone.clone(), 1)]),
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -9,7 +9,7 @@
 use staircross_routing::decision::allowed_regions::AllowedRegions;
 use staircross_routing::decision::cold::FleetRank;
 use staircross_routing::decision::placement::connections::usable_connections;
-use staircross_routing::decision::placement::{Choice, Place, choose, expected_time};
+use staircross_routing::decision::placement::{Choice, PlacementContext, choose, expected_time};
 use staircross_routing::state::searcher::{OpenAttempt, Searcher};
 use staircross_routing::{
     AttemptKey, ColdBound, ReportedLoad, RequestKey, RouteDefinition, RouteTarget, RoutingPolicy, SearcherKey,
@@ -24,9 +24,9 @@
 const MAX_CONNECTIONS: u32 = 40;
 
 /// A node in zone `a` of the north, beside `b`; `c` is in the south. Two nodes serve in `a`, two in `b`.
-fn place() -> Place {
+fn place() -> PlacementContext {
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
-    Place {
+    PlacementContext {
         zone: Arc::from("a"),
         regions: zones.iter().map(|(zone, region)| (Arc::from(*zone), Arc::from(*region))).collect(),
         nodes_by_zone: HashMap::from([(Arc::from("a"), 2), (Arc::from("b"), 2)]),
@@ -123,7 +123,7 @@
         ),
     ];
     for (row, policy, searcher, expected_ms) in rows {
-        let place = Place { policy, ..place() };
+        let place = PlacementContext { policy, ..place() };
         let found = expected_time(now(), &searcher, &place, &choice(&single(), &[]));
         assert_eq!(found.as_millis(), expected_ms, "{row}");
     }
@@ -168,7 +168,7 @@
 }
 
 /// How often of 1000 times the second of two is chosen, the first being idle in the node's zone.
-fn times_second(place: &Place, route: &RouteDefinition, second: Searcher) -> usize {
+fn times_second(place: &PlacementContext, route: &RouteDefinition, second: Searcher) -> usize {
     let table = [at("a"), second];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let keys = [SearcherKey(0), SearcherKey(1)];
@@ -195,7 +195,7 @@
         let nodes_by_zone = HashMap::from([(Arc::from("a"), near), (Arc::from("b"), other)]);
         let fleet = FleetRank { rank: Some(0), serving: near + other };
         let restarted_at = restarted_s.map(|seconds| now() - Duration::from_secs(seconds));
-        let place = Place { nodes_by_zone, fleet, restarted_at, ..place() };
+        let place = PlacementContext { nodes_by_zone, fleet, restarted_at, ..place() };
         assert_eq!(usable_connections(now(), &at(zone), &place), expected, "{zone} {near} {other} {restarted_s:?}");
     }
 }
