--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -13,6 +13,7 @@
 //! - Every request ends by its deadline.
 
 mod arrival;
+mod completion;
 mod counters;
 mod dispatch;
 mod first_probe;
@@ -21,7 +22,6 @@
 mod quotas;
 mod revocation;
 mod searchers;
-mod settle;
 mod suspicion;
 mod waiting;
 
