--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -33,7 +33,7 @@
 const SILENT_WORK_FACTOR: f64 = 3.0;
 /// Factor by which the time until one more shard is asked grows each time that all searchers asked are silent. A
 /// request that runs long before it crashes its searcher thus reaches few searchers.
-const PATIENCE_GROWTH: u32 = 2;
+const SILENCE_TIMEOUT_GROWTH: u32 = 2;
 /// Minimum time between two checks for a shard that can be sent.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -65,13 +65,13 @@
     next_at: BootTime,
     /// Time from the last send until `next_at`. Only silence lengthens it, so it is never much longer than the request
     /// has waited.
-    patience: Duration,
+    silence_timeout: Duration,
 }
 
 impl FirstProbe {
     /// Creates the state of a request for which nothing has been sent.
     pub fn new(now: BootTime) -> Self {
-        FirstProbe { next_at: now, patience: Duration::ZERO }
+        FirstProbe { next_at: now, silence_timeout: Duration::ZERO }
     }
 
     /// Whether one more shard may be sent while `at_work` attempts are in progress.
@@ -86,15 +86,15 @@
     /// asked has ended, rejected the request or couldn't be reached, and there was nothing to wait for: a request may
     /// be rejected dozens of times within a second.
     pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, at_work: usize) {
-        let growth = if at_work > 0 { PATIENCE_GROWTH } else { 1 };
+        let growth = if at_work > 0 { SILENCE_TIMEOUT_GROWTH } else { 1 };
         let usual = round_trip + work.mul_f64(SILENT_WORK_FACTOR);
-        self.patience = (self.patience * growth).max(usual);
-        self.next_at = now + self.patience;
+        self.silence_timeout = (self.silence_timeout * growth).max(usual);
+        self.next_at = now + self.silence_timeout;
     }
 
     /// Postpones the next check after no shard could be sent.
     pub fn postpone(&mut self, now: BootTime) {
-        self.next_at = now + self.patience.max(MIN_CHECK_INTERVAL);
+        self.next_at = now + self.silence_timeout.max(MIN_CHECK_INTERVAL);
     }
 
     /// Returns the time from which one more shard may be sent if no searcher answers.
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -25,11 +25,11 @@
 //! can't be turned off. docs/design/searcher-choice.md compares alternatives.
 
 pub mod connections;
+pub mod context;
 pub mod expected_time;
-pub mod place;
 
+pub use context::{Distance, PlacementContext};
 pub use expected_time::expected_time;
-pub use place::{Distance, PlacementContext};
 
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::keys::SearcherKey;
@@ -64,7 +64,7 @@
     choice: &Choice<'_>,
     candidates: &[SearcherKey],
     table: &[Searcher],
-    place: &PlacementContext,
+    context: &PlacementContext,
     random: &mut ChaCha8Rng,
 ) -> Option<SearcherKey> {
     let mut best: Option<(SearcherKey, Duration)> = None;
@@ -72,12 +72,12 @@
     for key in candidates {
         let searcher = &table[key.0 as usize];
         if choice.excluded.contains(key)
-            || !place.allows(choice.regions, searcher)
-            || !may_be_sent_attempt(now, searcher, place)
+            || !context.allows(choice.regions, searcher)
+            || !may_be_sent_attempt(now, searcher, context)
         {
             continue;
         }
-        let expected = expected_time(now, searcher, place, choice);
+        let expected = expected_time(now, searcher, context, choice);
         match best {
             Some((_, least)) if expected > least.mul_f64(TIE_RATIO) => {}
             Some((_, least)) if expected.mul_f64(TIE_RATIO) >= least => {
@@ -96,8 +96,8 @@
 }
 
 /// Whether a searcher may be sent one more attempt by this node now.
-fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> bool {
-    let has_room = searcher.open.len() < usable_connections(now, searcher, place) && !searcher.is_full(now);
-    let may_be_asked_now = place.next_chance(now, searcher).is_some_and(|chance| chance <= now);
+fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> bool {
+    let has_room = searcher.open_attempts.len() < usable_connections(now, searcher, context) && !searcher.is_full(now);
+    let may_be_asked_now = context.next_chance(now, searcher).is_some_and(|chance| chance <= now);
     searcher.may_be_asked(now) && may_be_asked_now && has_room
 }
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -5,7 +5,7 @@
 //! covers nodes whose views of the fleet differ for a moment. The setting `routing.connection_ramp = false` turns the
 //! steps after a restart off.
 
-use super::place::PlacementContext;
+use super::context::PlacementContext;
 use crate::state::searcher::Searcher;
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -27,20 +27,20 @@
 const RAMP_STEP: Duration = Duration::from_secs(1);
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
-pub fn usable_connections(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> usize {
-    ramped_share(now, place, connection_share(searcher, place))
+pub fn usable_connections(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> usize {
+    ramped_share(now, context, connection_share(searcher, context))
 }
 
 /// Returns this node's share of a searcher's connections, at least one.
-fn connection_share(searcher: &Searcher, place: &PlacementContext) -> usize {
+fn connection_share(searcher: &Searcher, context: &PlacementContext) -> usize {
     let limit = f64::from(searcher.max_connections);
-    let all_nodes = place.fleet.serving.max(1);
-    let zone_nodes = place.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
+    let all_nodes = context.fleet.serving.max(1);
+    let zone_nodes = context.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
     let share = if zone_nodes == 0 {
         limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / all_nodes as f64
     } else if zone_nodes == all_nodes {
         limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / zone_nodes as f64
-    } else if *searcher.entry.zone == *place.zone {
+    } else if *searcher.entry.zone == *context.zone {
         limit * OWN_ZONE_SHARE / zone_nodes as f64
     } else {
         limit * OTHER_ZONE_SHARE / (all_nodes - zone_nodes) as f64
@@ -50,8 +50,8 @@
 
 /// Returns the part of its share that a restarted node uses while searchers may still count the connections of earlier
 /// incarnations: one step at first, and one more after each step's length.
-fn ramped_share(now: BootTime, place: &PlacementContext, share: usize) -> usize {
-    let Some(restarted_at) = place.restarted_at.filter(|_| place.policy.connection_ramp) else {
+fn ramped_share(now: BootTime, context: &PlacementContext, share: usize) -> usize {
+    let Some(restarted_at) = context.restarted_at.filter(|_| context.policy.connection_ramp) else {
         return share;
     };
     let steps = 1 + (now.since(restarted_at).as_micros() / RAMP_STEP.as_micros()) as usize;
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -4,7 +4,7 @@
 //! because the budget may not pay for the retry; and for a lapsed entry, so that such a searcher comes last.
 
 use super::Choice;
-use super::place::{Distance, PlacementContext};
+use super::context::{Distance, PlacementContext};
 use crate::state::searcher::Searcher;
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -21,50 +21,50 @@
 const PAUSE_FACTOR: u32 = 2;
 
 /// Returns the time after which a searcher is expected to answer, including penalties.
-pub fn expected_time(now: BootTime, searcher: &Searcher, place: &PlacementContext, choice: &Choice<'_>) -> Duration {
-    let work = choice.usual_work.mul_f64(slowness(now, searcher, place));
-    place.round_trip(&searcher.entry.zone)
-        + distance_penalty(searcher, place)
+pub fn expected_time(now: BootTime, searcher: &Searcher, context: &PlacementContext, choice: &Choice<'_>) -> Duration {
+    let work = choice.usual_work.mul_f64(slowness(now, searcher, context));
+    context.round_trip(&searcher.entry.zone)
+        + distance_penalty(searcher, context)
         + work
-        + queue_time(searcher, place, work)
-        + expected_pause(now, searcher, place)
+        + queue_time(searcher, context, work)
+        + expected_pause(now, searcher, context)
         + lapsed_entry_penalty(searcher)
-        + rejection_penalty(now, searcher, place, choice)
+        + rejection_penalty(now, searcher, context, choice)
 }
 
 /// Returns how many times slower than usual a searcher is, by its answers or by the last report of its host, whichever
 /// is more.
-fn slowness(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> f64 {
-    let measured = if place.policy.avoid_slow { searcher.slowness(now) } else { 1.0 };
-    let reported = if place.policy.reported_host { searcher.host_slowness(now) } else { 1.0 };
+fn slowness(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> f64 {
+    let measured = if context.policy.avoid_slow { searcher.slowness(now) } else { 1.0 };
+    let reported = if context.policy.reported_host { searcher.host_slowness(now) } else { 1.0 };
     measured.max(reported)
 }
 
 /// Returns the time in the searcher's queue. Each other node of the zone is assumed to have as many open attempts as
 /// this node.
-fn queue_time(searcher: &Searcher, place: &PlacementContext, work: Duration) -> Duration {
+fn queue_time(searcher: &Searcher, context: &PlacementContext, work: Duration) -> Duration {
     let slots = f64::from(searcher.entry.slots.max(1));
-    let open_attempts = searcher.open.len() as f64 * nodes_sending_alike(searcher, place);
+    let open_attempts = searcher.open_attempts.len() as f64 * nodes_sending_alike(searcher, context);
     work.mul_f64(((open_attempts + 1.0 - slots) / slots).max(0.0))
 }
 
 /// Returns the number of nodes that probably send as much to the searcher as this node does, including this node.
-fn nodes_sending_alike(searcher: &Searcher, place: &PlacementContext) -> f64 {
-    if *searcher.entry.zone == *place.zone {
-        return place.nodes_by_zone.get(&place.zone).copied().unwrap_or(1).max(1) as f64;
+fn nodes_sending_alike(searcher: &Searcher, context: &PlacementContext) -> f64 {
+    if *searcher.entry.zone == *context.zone {
+        return context.nodes_by_zone.get(&context.zone).copied().unwrap_or(1).max(1) as f64;
     }
     1.0
 }
 
 /// Returns the time for which a searcher with an overdue attempt is expected to stay silent.
-fn expected_pause(now: BootTime, searcher: &Searcher, place: &PlacementContext) -> Duration {
-    if place.policy.avoid_overdue { searcher.overdue(now) * PAUSE_FACTOR } else { Duration::ZERO }
+fn expected_pause(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> Duration {
+    if context.policy.avoid_overdue { searcher.overdue(now) * PAUSE_FACTOR } else { Duration::ZERO }
 }
 
-fn distance_penalty(searcher: &Searcher, place: &PlacementContext) -> Duration {
-    match place.distance(&searcher.entry.zone) {
-        Distance::SameRegion if place.policy.near_first => OTHER_ZONE_PENALTY,
-        Distance::OtherRegion if place.policy.near_first => OTHER_REGION_PENALTY,
+fn distance_penalty(searcher: &Searcher, context: &PlacementContext) -> Duration {
+    match context.distance(&searcher.entry.zone) {
+        Distance::SameRegion if context.policy.near_first => OTHER_ZONE_PENALTY,
+        Distance::OtherRegion if context.policy.near_first => OTHER_REGION_PENALTY,
         Distance::OwnZone | Distance::SameRegion | Distance::OtherRegion => Duration::ZERO,
     }
 }
@@ -76,8 +76,8 @@
 /// Returns the route's goal times the probability of a rejection: the budget may not pay for a retry, and then the part
 /// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the mean score of a day, against
 /// +0.083 ± 0.004 if only the time of a retry is added (docs/design/searcher-choice.md).
-fn rejection_penalty(now: BootTime, searcher: &Searcher, place: &PlacementContext, choice: &Choice<'_>) -> Duration {
-    if !place.policy.avoid_rejecting {
+fn rejection_penalty(now: BootTime, searcher: &Searcher, context: &PlacementContext, choice: &Choice<'_>) -> Duration {
+    if !context.policy.avoid_rejecting {
         return Duration::ZERO;
     }
     choice.goal.mul_f64(searcher.rejection_rate(now))
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -148,7 +148,7 @@
     }
 
     /// Whether the content is to be reported to peers.
-    pub fn is_worth_sending(&self, now: BootTime) -> bool {
+    pub fn is_due_for_report(&self, now: BootTime) -> bool {
         self.is_known_to_peers
             || self.losses.len() >= MIN_SUSPECT_LOSSES
             || now.since(self.newest_event()) >= SINGLE_LOSS_REPORT_DELAY
--- a/crates/staircross-routing/src/decision/quarantine/sending.rs
+++ b/crates/staircross-routing/src/decision/quarantine/sending.rs
@@ -48,7 +48,7 @@
     /// Returns the contents to report with the next datagram. Some may no longer be among `cases`.
     pub fn next_contents(&mut self, now: BootTime, cases: &BTreeMap<ContentKey, Case>) -> Vec<ContentKey> {
         let is_quarantined = |case: &Case| case.suspicion(now) == Suspicion::Quarantined;
-        let is_other = |case: &Case| !is_quarantined(case) && case.is_worth_sending(now);
+        let is_other = |case: &Case| !is_quarantined(case) && case.is_due_for_report(now);
         let raised = self.take_raised();
         let quarantined = next_by_key(cases, self.last_quarantined, QUARANTINED_PER_DATAGRAM, is_quarantined);
         let others = next_by_key(cases, self.last_other, OTHERS_PER_DATAGRAM, is_other);
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -96,7 +96,7 @@
     /// Estimate of the work of an attempt that doesn't wait in a queue.
     pub usual_work: UsualWork,
     /// Weighted round robin over the services of a weighted route.
-    pub service_turns: WeightedRoundRobin,
+    pub round_robin: WeightedRoundRobin,
 }
 
 /// An attempt that still holds a connection. It may outlive its request.
@@ -126,7 +126,7 @@
 pub struct RoutingEngine {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: ChaCha8Rng,
-    pub(crate) place: PlacementContext,
+    pub(crate) placement: PlacementContext,
     /// Fraction of the fleet's slack for extra sends that this node may spend, 0 to 1.
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
@@ -168,7 +168,7 @@
 impl RoutingEngine {
     /// Creates an engine without a configuration.
     pub fn new(settings: RoutingSettings) -> Self {
-        let place = PlacementContext {
+        let placement = PlacementContext {
             zone: settings.zone.clone(),
             regions: settings.regions.clone(),
             nodes_by_zone: HashMap::from([(settings.zone.clone(), 1)]),
@@ -181,7 +181,7 @@
         RoutingEngine {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             quotas: quotas::new_allowance(&settings),
-            place,
+            placement,
             slack_share: 1.0,
             settings,
             table: None,
@@ -224,8 +224,8 @@
             }
             RoutingEvent::Evacuated(zones) => self.set_evacuated(now, zones, actions),
             RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
-                self.place.nodes_by_zone = nodes_by_zone;
-                self.place.fleet = FleetRank { rank, serving };
+                self.placement.nodes_by_zone = nodes_by_zone;
+                self.placement.fleet = FleetRank { rank, serving };
                 self.slack_share = slack_share;
                 self.set_quota_nodes(now, nodes);
             }
@@ -234,7 +234,7 @@
             RoutingEvent::Connected { searcher, took } => {
                 let searcher = &mut self.searchers[searcher.0 as usize];
                 searcher.note_connected(now);
-                self.place.note_connected(&searcher.entry.zone, took);
+                self.placement.note_connected(&searcher.entry.zone, took);
             }
             RoutingEvent::Begun { attempt } => {
                 self.on_begun(now, attempt, actions);
@@ -258,7 +258,7 @@
     /// Changes the bound on requests to cold searchers.
     pub fn set_cold_bound(&mut self, bound: ColdBound) {
         self.settings.cold = bound;
-        self.place.cold = bound;
+        self.placement.cold = bound;
     }
 
     /// Returns when [`RoutingEvent::Tick`] is due next.
@@ -331,7 +331,7 @@
     ) -> impl Iterator<Item = (SearcherKey, &Searcher)> {
         let listed = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let known = listed.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
-        known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
+        known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.placement.allows(regions, searcher))
     }
 
     /// Returns the measurements of a route, which are created on first use.
@@ -339,7 +339,7 @@
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
             usual_work: UsualWork::default(),
-            service_turns: WeightedRoundRobin::default(),
+            round_robin: WeightedRoundRobin::default(),
         })
     }
 
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -168,7 +168,7 @@
         self.check_content(now, content)?;
         let deadline = deadline_of(now, route, arrival)?;
         let services = self.choose_services(route);
-        self.check_reach(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
+        self.check_reachable_shards(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
         self.check_quota(now, tenant_name)?;
         self.count_request(now, &services);
         let group = services.first().cloned().unwrap_or_default();
@@ -236,7 +236,7 @@
         if let Some(route_index) = table.find_index(&arrival.host, &arrival.path) {
             return Ok((table, route_index));
         }
-        if arrival.is_ahead_of(&table) {
+        if arrival.knows_newer_configuration(&table) {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may have this route");
             return Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail));
         }
@@ -255,7 +255,7 @@
             RouteTarget::Gather(gather) => gather.shards.clone(),
             RouteTarget::Weighted(set) => {
                 let goal = Duration::from_millis(route.goal_ms);
-                self.route_statistics(&route.name, goal).service_turns.next(set).into_iter().collect()
+                self.route_statistics(&route.name, goal).round_robin.next(set).into_iter().collect()
             }
         }
     }
@@ -271,7 +271,7 @@
 
     /// Checks that enough shards for an answer have a searcher that can be asked before the deadline. Otherwise the
     /// request is refused or held, and nothing is sent.
-    fn check_reach(
+    fn check_reachable_shards(
         &self,
         now: BootTime,
         arrival: &Arrival,
@@ -327,12 +327,12 @@
     arrival: &Arrival,
     actions: &mut Vec<RoutingAction>,
 ) -> Result<Option<TenantKey>, NotStarted> {
-    let is_judged = arrival.credential != Credential::Missing || !route.is_public;
-    if is_judged && !table.definition().tenants.is_empty() {
+    let is_key_checked = arrival.credential != Credential::Missing || !route.is_public;
+    if is_key_checked && !table.definition().tenants.is_empty() {
         check_configuration_view(table, arrival)?;
     }
     table.authenticate(route, arrival.credential).map_err(|refusal| {
-        if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
+        if arrival.knows_newer_configuration(table) && refusal != KeyRefusal::Malformed {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
             return NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail);
         }
@@ -346,7 +346,7 @@
 /// expired.
 fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
     match arrival.configuration_view {
-        ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
+        ConfigurationView::Doubtful if arrival.knows_newer_configuration(table) => {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration is on its way");
             Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail))
         }
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -111,7 +111,7 @@
         let usual_work = self.route_statistics(&route.name, goal).work.median();
         let candidates = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let choice = Choice { regions, excluded: &excluded, usual_work, goal };
-        choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random)
+        choose(now, &choice, candidates, &self.searchers, &self.placement, &mut self.random)
     }
 
     /// Checks whether an attempt may be made as a hedge or retry, and spends the budget for it. First attempts and
@@ -168,7 +168,7 @@
         let shard = &mut request.shards[planned.shard_index];
         shard.sent_to.push(planned.searcher);
         shard.outstanding += 1;
-        shard.tried.push(planned.searcher);
+        shard.excluded.push(planned.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
         let at_work = request.open_attempts();
         if let Some(probe) = &mut request.probe {
@@ -193,14 +193,14 @@
     fn new_send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
         let request = self.requests.get(&planned.request)?;
         let searcher = &self.searchers[planned.searcher.0 as usize];
-        let round_trip = self.place.round_trip(&searcher.entry.zone);
+        let round_trip = self.placement.round_trip(&searcher.entry.zone);
         Some(SendOrder {
             attempt,
             searcher: planned.searcher,
             instance: searcher.entry.instance.clone(),
             identity: request.identity(),
             address: searcher.entry.address,
-            distance: self.place.distance(&searcher.entry.zone),
+            distance: self.placement.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
             is_idempotent: request.route().is_idempotent,
             connect_timeout: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
@@ -214,7 +214,7 @@
         let delay_factor = hedge_delay_factor(self.spare_fraction(now, planned.searcher));
         let request = self.requests.get(&planned.request)?;
         let other_round_trip = self.longest_other_round_trip(now, request, planned.searcher);
-        let round_trip = self.place.round_trip(&self.searchers[planned.searcher.0 as usize].entry.zone);
+        let round_trip = self.placement.round_trip(&self.searchers[planned.searcher.0 as usize].entry.zone);
         let (usual, late) = match self.routes.get(&request.route().name) {
             Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
             None => (Duration::ZERO, Duration::ZERO),
@@ -240,7 +240,7 @@
         let others = self
             .eligible_searchers(now, request.allowed_regions(), service)
             .filter(|(candidate, _)| *candidate != asked);
-        others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
+        others.map(|(_, searcher)| self.placement.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
     /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -61,7 +61,7 @@
 
     /// Updates what is known of a searcher's load, speed and failures by the outcome of an attempt.
     fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
-        let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
+        let round_trip = self.placement.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         if let AttemptOutcome::Answered(answer) = outcome {
@@ -164,7 +164,7 @@
             shard.remove_sent(searcher);
         }
         if unused.may_be_asked_again {
-            shard.tried.retain(|tried| *tried != searcher);
+            shard.excluded.retain(|excluded| *excluded != searcher);
         }
     }
 
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -120,7 +120,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         let entry = &self.searchers[sent.searcher.0 as usize].entry;
-        let worked = now.since(sent.begun_at).saturating_sub(self.place.round_trip(&entry.zone));
+        let worked = now.since(sent.begun_at).saturating_sub(self.placement.round_trip(&entry.zone));
         let service = entry.service.clone();
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status < 500 => self.record_work(now, sent, &service, worked),
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -39,7 +39,7 @@
     ) -> Option<BootTime> {
         let others =
             self.eligible_searchers(now, regions, service).filter(|(candidate, _)| !excluded.contains(candidate));
-        let chances = others.filter_map(|(_, searcher)| self.place.next_chance(now, searcher));
+        let chances = others.filter_map(|(_, searcher)| self.placement.next_chance(now, searcher));
         let chance = chances.map(|at| at.max(now)).min();
         chance.filter(|at| self.settings.policy.waiting || *at <= now)
     }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -49,7 +49,7 @@
 
 impl Arrival {
     /// Returns whether a peer was known to have a newer configuration than `table` when the request arrived.
-    pub fn is_ahead_of(&self, table: &RouteTable) -> bool {
+    pub fn knows_newer_configuration(&self, table: &RouteTable) -> bool {
         self.newest_version > table.version()
     }
 }
@@ -221,7 +221,7 @@
     /// Searchers to which the shard was sent, one element for each attempt.
     pub sent_to: Vec<SearcherKey>,
     /// Searchers that must not be asked again.
-    pub tried: Vec<SearcherKey>,
+    pub excluded: Vec<SearcherKey>,
     /// Number of open attempts.
     pub outstanding: u32,
     /// Set while the shard waits for a searcher that can be asked.
@@ -246,24 +246,25 @@
             service,
             state: ShardState::Open,
             sent_to: Vec::new(),
-            tried: Vec::new(),
+            excluded: Vec::new(),
             outstanding: 0,
             waiting: None,
             is_queued: false,
         }
     }
 
-    /// Returns whether the searcher must not be asked: it is in `tried`, or the shard was already sent to
+    /// Returns whether the searcher must not be asked: it is in `excluded`, or the shard was already sent to
     /// `max_searchers` other searchers.
     pub fn is_excluded(&self, searcher: SearcherKey, max_searchers: u32) -> bool {
         let is_new = !self.sent_to.contains(&searcher);
-        self.tried.contains(&searcher) || (is_new && self.distinct_searchers() >= max_searchers)
+        self.excluded.contains(&searcher) || (is_new && self.distinct_searchers() >= max_searchers)
     }
 
     /// Returns whether the shard may still be sent to any searcher, when it may be sent to at most `max_searchers`
     /// searchers.
     pub fn may_be_sent(&self, max_searchers: u32) -> bool {
-        self.distinct_searchers() < max_searchers || self.sent_to.iter().any(|searcher| !self.tried.contains(searcher))
+        self.distinct_searchers() < max_searchers
+            || self.sent_to.iter().any(|searcher| !self.excluded.contains(searcher))
     }
 
     /// Returns the number of different searchers to which the shard was sent.
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -102,7 +102,7 @@
     /// Whether the searcher may be asked, by its entry and its answers.
     pub availability: Availability,
     /// Attempts that hold a connection to the searcher.
-    pub open: Vec<OpenAttempt>,
+    pub open_attempts: Vec<OpenAttempt>,
     /// Number of connections that the searcher accepts from all its clients together.
     pub max_connections: u32,
     /// Duration of the cold start, and the load that the searcher can take meanwhile.
@@ -143,7 +143,7 @@
             instance_key: InstanceKey::of(&entry.instance, entry.born_ms),
             entry,
             availability,
-            open: Vec::new(),
+            open_attempts: Vec::new(),
             max_connections,
             cold_start: ColdStart::default(),
             is_evacuated: false,
@@ -290,7 +290,7 @@
 
     /// Returns the longest time by which an open attempt is overdue; zero if none is.
     pub fn overdue(&self, now: BootTime) -> Duration {
-        self.open.iter().map(|open| now.since(open.due_at)).max().unwrap_or_default()
+        self.open_attempts.iter().map(|open| now.since(open.due_at)).max().unwrap_or_default()
     }
 
     /// Records that an attempt was sent.
@@ -302,12 +302,12 @@
         if self.is_cold(now) {
             self.cold_sends.note(now);
         }
-        self.open.push(open);
+        self.open_attempts.push(open);
     }
 
     /// Records that an attempt no longer holds a connection.
     pub fn note_released(&mut self, attempt: AttemptKey) {
-        self.open.retain(|open| open.attempt != attempt);
+        self.open_attempts.retain(|open| open.attempt != attempt);
     }
 
     /// Records an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
@@ -337,7 +337,7 @@
     /// Records that a connection to the searcher was established and not reset: a trial has succeeded, and there may be
     /// room for one more attempt.
     pub fn note_connection_accepted(&mut self) {
-        self.full_at = self.full_at.max(self.open.len() + 1);
+        self.full_at = self.full_at.max(self.open_attempts.len() + 1);
         if self.needs_trial {
             self.consecutive_failures = 0;
             self.needs_trial = false;
@@ -360,19 +360,19 @@
 
     /// Records that the searcher accepts no further connection. Connections that it has accepted stay in use.
     pub fn note_connection_rejected(&mut self, now: BootTime) {
-        if self.open.is_empty() {
+        if self.open_attempts.is_empty() {
             // The searcher is alive and may have room for a connection at any moment.
             self.needs_trial = true;
             self.avoided_until = self.avoided_until.max(now + CONNECTION_REJECTED_PAUSE);
             return;
         }
-        self.full_at = self.open.len();
+        self.full_at = self.open_attempts.len();
         self.full_until = now + FULL_PAUSE;
     }
 
     /// Returns whether the searcher can't take another attempt because it accepts no further connection.
     pub fn is_full(&self, now: BootTime) -> bool {
-        now < self.full_until && self.open.len() >= self.full_at
+        now < self.full_until && self.open_attempts.len() >= self.full_at
     }
 
     /// Records that the searcher rejected work.
