--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -80,7 +80,7 @@
 
 impl ColdSends {
     /// Records that a request was sent.
-    pub fn note(&mut self, now: BootTime) {
+    pub fn record(&mut self, now: BootTime) {
         while self.times.front().is_some_and(|sent| now.since(*sent) >= COUNTING_WINDOW) {
             self.times.pop_front();
         }
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -300,7 +300,7 @@
             self.avoided_until = now + TRIAL_INTERVAL;
         }
         if self.is_cold(now) {
-            self.cold_sends.note(now);
+            self.cold_sends.record(now);
         }
         self.open_attempts.push(open);
     }
--- a/crates/staircross-routing/tests/rule_cold.rs
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -57,7 +57,7 @@
     ];
     for (sends, share, expected) in rows {
         let mut cold = ColdSends::default();
-        sends.iter().for_each(|millis| cold.note(at(*millis)));
+        sends.iter().for_each(|millis| cold.record(at(*millis)));
         assert_eq!(cold.next(at(500), share), expected.map(at), "{sends:?} {share}");
     }
 }
