--- a/crates/staircross-routing/src/configuration/definition.rs
+++ b/crates/staircross-routing/src/configuration/definition.rs
@@ -37,7 +37,7 @@
     pub timeout_ms: u64,
     /// Latency goal in milliseconds: the time within which an answer has its full value.
     pub goal_ms: u64,
-    /// Largest number of searchers to which one request is sent, per shard.
+    /// Maximum number of searchers to which one request is sent, per shard.
     pub max_attempts: u32,
     /// Priority of the route; 0 is the highest.
     pub priority: u32,
--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -107,7 +107,7 @@
 }
 
 impl Admission {
-    /// Whether the next evaluation is due.
+    /// Returns whether the next evaluation is due.
     pub fn is_due(&self, now: BootTime) -> bool {
         now >= self.next_evaluation
     }
@@ -131,7 +131,7 @@
         (self.level != before).then_some(AdmissionChange { wait, tolerable, level: self.level })
     }
 
-    /// Whether the wait has been too long for longer than the end of a burst would last.
+    /// Returns whether the wait has been too long for longer than the end of a burst would last.
     fn is_sustained(&mut self, now: BootTime, ratio: f64) -> bool {
         if ratio <= TOO_LONG_RATIO {
             self.too_long_since = None;
@@ -151,7 +151,7 @@
         self.level
     }
 
-    /// Whether any requests are refused now.
+    /// Returns whether any requests are refused now.
     pub fn is_limiting(&self) -> bool {
         self.level < 1.0
     }
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -1,8 +1,8 @@
 //! The time for which sub-requests wait beyond their usual work, and the wait that a goal tolerates.
 //!
 //! Two waits are measured: one for each group of services that are asked together, which determines the level of
-//! [`super`], and one for each service, which suppresses hedges when it is too long ("pressed" in the log). Both are
-//! quantiles over windows; a wait that is too old counts as none.
+//! [`super`], and one for each service, which suppresses hedges when it is too long (`unsent cause=pressed` in the
+//! log). Both are quantiles over windows; a wait that is too old counts as none.
 //!
 //! The group's wait is a median on purpose. A paused, slow or lost searcher raises the tail but not the median, while a
 //! queue at all searchers raises the median, as does a link or a process that is saturated.
--- a/crates/staircross-routing/src/decision/allowed_regions.rs
+++ b/crates/staircross-routing/src/decision/allowed_regions.rs
@@ -32,18 +32,18 @@
         AllowedRegions { route: &route.allowed_regions, tenant }
     }
 
-    /// Whether searchers of a region may serve the request. `None` stands for a zone whose region isn't known.
+    /// Returns whether searchers of a region may serve the request. `None` stands for a zone whose region isn't known.
     pub fn allow(&self, region: Option<&Arc<str>>) -> bool {
         let is_in = |set: &[Arc<str>]| set.is_empty() || region.is_some_and(|region| set.contains(region));
         is_in(self.route) && is_in(self.tenant)
     }
 
-    /// Whether any region is allowed, including unknown ones.
+    /// Returns whether any region is allowed, including unknown ones.
     pub fn are_all(&self) -> bool {
         self.route.is_empty() && self.tenant.is_empty()
     }
 
-    /// Whether no region is allowed, so that no searcher can ever serve the request.
+    /// Returns whether no region is allowed, so that no searcher can ever serve the request.
     pub fn are_none(&self) -> bool {
         let is_disjoint = || !self.route.iter().any(|region| self.tenant.contains(region));
         !self.route.is_empty() && !self.tenant.is_empty() && is_disjoint()
--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -1,4 +1,4 @@
-//! Limits the requests beyond the strictly needed ones that may be sent to one service.
+//! Limits the extra sends to one service: hedges and retries, which go beyond the strictly needed sub-requests.
 //!
 //! The rule decides for each hedge and each retry of this node whether it may be sent ([`ExtraWindow::try_spend`]), and
 //! tells [`super::hedging`] how much of the budget is left ([`ExtraWindow::spare_fraction`]). First attempts are free,
@@ -16,8 +16,8 @@
 //! (`docs/design/extra-sends.md`).
 //!
 //! The rule doesn't know what other nodes spend, so most of their budget may be unused; which retry matters most, so
-//! they are served in order of arrival (a reserve for retries lowered the mean score of a day by 0.003); or what the
-//! previous process on this machine spent.
+//! they are served in order of arrival (a reserve for retries lowered the mean score of a day's requests, 0 to 1, by
+//! 0.003; `docs/studies/scores.md` defines scores); or what the previous process on this machine spent.
 //!
 //! The log shows the rule as `unsent reason=… cause=over_budget`; the metrics are `attempts_over_budget_total`,
 //! `attempts_hedge_total` and `attempts_retry_total`. The limit is guaranteed to back ends and can't be turned off. The
@@ -43,7 +43,7 @@
 /// (`docs/design/extra-sends.md`).
 const USABLE_SLACK_FRACTION: f64 = 0.4;
 
-/// Whether an attempt made for this reason is paid from the budget.
+/// Returns whether an attempt made for this reason is paid from the budget.
 pub fn is_paid(reason: SendReason) -> bool {
     match reason {
         SendReason::Hedge | SendReason::Retry => true,
--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -1,9 +1,10 @@
 //! Decides whether a gather request is sent to one shard first, to which one, and when the other shards follow.
 //!
-//! The rule applies to requests for several services. While the alarm of the route is raised
-//! ([`crate::decision::quarantine`]), a content that no searcher has answered lately is sent to one shard. The other
-//! shards follow as soon as any searcher asked has answered. Until then, one more shard is asked each time that all
-//! those asked are silent for longer than the work usually takes, at growing intervals ([`FirstProbe`]).
+//! The rule applies to requests for several services. While the alarm of the route is raised because its requests have
+//! crashed searchers lately ([`crate::decision::quarantine`]), a request whose content (digest of what it asks for,
+//! [`ContentKey`]) no searcher has answered lately is sent to one shard. This attempt is the probe. The other shards
+//! follow as soon as any searcher that was asked has answered. Until then, one more shard is sent each time that all
+//! searchers asked have been silent for longer than the work usually takes, at growing intervals ([`FirstProbe`]).
 //!
 //! The inputs are the settings; the alarms and recent answers that quarantine knows; the route's name and the content;
 //! the number of shards; times of this machine's boot clock; and the usual work and the round trip as durations.
@@ -37,7 +38,7 @@
 /// Minimum time between two checks for a shard that can be sent.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Whether a request is sent to one shard first.
+/// Returns whether a request is sent to one shard first.
 pub fn is_needed(
     now: BootTime,
     policy: &RoutingPolicy,
@@ -63,8 +64,8 @@
 pub struct FirstProbe {
     /// Time from which one more shard is sent though others are in progress.
     next_at: BootTime,
-    /// Time from the last send until `next_at`. Only silence lengthens it, so it is never much longer than the request
-    /// has waited.
+    /// Time from the last send until `next_at`. It grows only after silence, so it is never much longer than the
+    /// request has waited.
     silence_timeout: Duration,
 }
 
@@ -74,7 +75,7 @@
         FirstProbe { next_at: now, silence_timeout: Duration::ZERO }
     }
 
-    /// Whether one more shard may be sent while `at_work` attempts are in progress.
+    /// Returns whether one more shard may be sent while `at_work` attempts are in progress.
     pub fn may_send(&self, now: BootTime, at_work: usize) -> bool {
         at_work == 0 || now >= self.next_at
     }
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -1,19 +1,19 @@
 //! Computes the time that this node has for an answer that reaches its caller in time.
 //!
-//! An answer is worth most if it reaches the caller within the route's latency goal. The rule decides for each request
-//! by when its answer must be sent for that ([`usable_goal`], [`answer_by`]). From then on, the parts received are sent
-//! without the missing ones ([`super::request_lifecycle`]), and hedges are timed so that they can be answered before
-//! ([`super::hedging`]).
+//! An answer has its full value if it reaches the caller within the route's latency goal. The rule decides for each
+//! request by when its answer must be sent for that ([`usable_goal`], [`answer_by`]). From then on, the parts received
+//! are sent without the missing ones ([`super::request_lifecycle`]), and hedges are timed so that they can be answered
+//! before ([`super::hedging`]).
 //!
 //! The inputs are the route's goal (from the deploy file, in milliseconds); the round trip to the caller as the kernel
 //! measured it on the connection, if it does; whether the connection was made for this request; and how long the
 //! request waited to be read.
 //!
-//! The rule gives distant callers answers in time. A caller's clock runs from before it asks the directory until it
-//! has read the answer, so distant callers must be answered earlier. The mean score of a day (0 to 1), compared with 22
-//! ms reserved for every caller, changed by +0.0184 ± 0.0025 on a fleet whose callers are 3 ms away and by +0.0004 ±
-//! 0.0016 where they are 1 ms away (`docs/studies/policy-rounds.md`). Compared with no regard to distance, it changed
-//! by +0.0017 to +0.0216 on four fleets (`docs/studies/switches.md`).
+//! The rule gives distant callers answers in time. A caller's clock runs from before it asks the directory until it has
+//! read the answer, so distant callers must be answered earlier. The mean score of a day's requests (0 to 1,
+//! `docs/studies/scores.md`), compared with 22 ms reserved for every caller, changed by +0.0184 ± 0.0025 on a fleet
+//! whose callers are 3 ms away and by +0.0004 ± 0.0016 where they are 1 ms away (`docs/studies/policy-rounds.md`).
+//! Compared with no regard to distance, it changed by +0.0017 to +0.0216 on four fleets (`docs/studies/switches.md`).
 //!
 //! The rule doesn't know whether the caller had to ask the directory this time, how long the caller takes to read the
 //! answer, or the round trip if the system doesn't report it.
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -1,17 +1,17 @@
 //! Decides when a second searcher is asked because the first is late (a hedge).
 //!
-//! The rule decides for each attempt from when on it counts as late ([`HedgeTimes::hedge_at`]) and, at that time,
-//! whether a hedge is sent, postponed, or not sent at all ([`decide_hedge`]). [`crate::engine`] calls it at each send and when
-//! each hedge is due.
+//! The rule decides for each attempt the time from which it counts as late ([`HedgeTimes::hedge_at`]) and, at that
+//! time, whether a hedge is sent, postponed, or not sent at all ([`decide_hedge`]). [`crate::engine`] calls it at each
+//! send and when each hedge is due.
 //!
 //! The inputs are round trips and the work of the route, as durations; times of this machine's boot clock; the unspent
 //! fraction of the service's budget for extra sends (0 to 1, [`super::extra_budget`]); and whether the request may be
 //! sent twice. Two more checks must pass before a hedge is sent: the queue at the service may not be too long
-//! (`is_queue_too_long` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must permit it
-//! ([`super::extra_budget`]).
+//! (`is_queue_too_long` in `engine/overload`, by the tolerable wait of [`super::admission`]), and the budget must
+//! permit it ([`super::extra_budget`]).
 //!
-//! Hedges give answers in time when one searcher is slow or has ended, at the cost of extra sends. Without hedges,
-//! the mean score of a day (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets
+//! Hedges give answers in time when one searcher is slow or has ended, at the cost of extra sends. Without hedges, the
+//! mean score of a day's requests (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets
 //! (`docs/studies/switches.md`). Choosing the time by the budget and using the slowness that hosts report raised it by
 //! 0.0061 ± 0.0014, of which 0.0022 come from the reported slowness (`docs/design/extra-sends.md`). Requests of a route
 //! that isn't idempotent are never hedged: at most one searcher runs each.
@@ -28,8 +28,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Minimum time before a hedge is sent, as a multiple of the route's median work, plus the round trip. An attempt of
-/// usual length isn't doubled when the goal is near.
+/// Minimum time before a hedge is sent, as a multiple of the route's median work, plus the round trip. It prevents an
+/// attempt of usual length from being hedged only because the goal is near.
 const MIN_HEDGE_WORK_FACTOR: f64 = 1.5;
 
 /// Time that the second searcher is assumed to need, as a multiple of the route's median work, plus the round trip. It
@@ -55,10 +55,10 @@
 }
 
 /// Delay factors in use. Budget that isn't spent within its window is lost, so a full budget pays for earlier hedges. A
-/// scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Measured as the mean
-/// score of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave +0.0061 ± 0.0014 and 0.4
-/// to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave +0.0034 and 1.3 gave
-/// -0.0112. All figures include the use of reported host slowness, which accounts for 0.0022 of them
+/// scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Measured as the change
+/// of the mean score of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave +0.0061 ±
+/// 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave +0.0034 and
+/// 1.3 gave -0.0112. All figures include the use of reported host slowness, which accounts for 0.0022 of them
 /// (`docs/design/extra-sends.md`).
 const HEDGE_DELAY_FACTORS: HedgeDelayFactors = HedgeDelayFactors { full_budget: 0.5, spent_budget: 1.3 };
 
@@ -113,7 +113,7 @@
     pub may_be_sent: bool,
 }
 
-/// What is done about a late attempt.
+/// Decision about a late attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeDecision {
     /// A second searcher is asked now. If none can be, the attempt is checked again at `again_at`.
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -1,23 +1,25 @@
 //! Decides which searcher of a service is asked.
 //!
 //! For each sub-request, the rule returns the searcher that is expected to answer first, or none. It excludes searchers
-//! that the request may not ask again, that lie outside the allowed regions, that are evacuated, gone or draining, that
-//! are avoided after failures, that have no capacity left for this node, or that are cold while this node's share is
-//! used up. Searchers with nearly equal expected times share the work by random choice.
+//! that the request may not ask again, that lie outside the allowed regions or in an evacuated zone (one whose
+//! searchers must get no new work), that are gone (no longer at their address) or draining, that are avoided after
+//! failures or rejections, that have no capacity left for this node, or that are cold while this node's share is used
+//! up. Searchers with nearly equal expected times share the work by random choice.
 //!
 //! The inputs are the [`Choice`] (allowed regions, excluded searchers, usual work and goal of the route: times), the
-//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the [`PlacementContext`]
-//! (zones, round trips: times, nodes: counts).
+//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the
+//! [`PlacementContext`] (the zones and the round trips to them, as times; the numbers of nodes).
 //!
-//! The rule shortens answer times and saves traffic between zones. Each of its settings changes the mean score of a day
-//! (0 to 1, docs/studies/scores.md), measured on four deployments (docs/studies/switches.md): `routing.near_first` by
-//! 0.003 to 0.009, `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to 0.008 and
-//! `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host` gives +0.0022 ± 0.0016, and
+//! The rule shortens answer times and saves traffic between zones. Its settings change the mean score of a day's
+//! requests (0 to 1, docs/studies/scores.md), measured on four deployments (docs/studies/switches.md):
+//! `routing.near_first` by 0.003 to 0.009, `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to
+//! 0.008 and `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host` gives +0.0022 ± 0.0016, and
 //! `routing.avoid_rejecting` gives +0.198 ± 0.009 where most searchers reject many requests
 //! (docs/design/searcher-choice.md).
 //!
-//! The rule doesn't know what other nodes have sent or measured. It estimates a searcher's queue as this node's own
-//! attempts times the number of nodes in its zone.
+//! The rule doesn't know what other nodes have sent or measured. It estimates the queue of a searcher in its own zone
+//! as this node's open attempts there times the number of nodes in the zone, and of a searcher in another zone as this
+//! node's open attempts alone.
 //!
 //! The log shows the rule as `event=send` (searcher, reason, last report of the searcher), and as `unsent` and
 //! `left_out` with a cause; the metrics are `staircross_bytes_total{purpose,reach}` and
@@ -40,8 +42,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Ratio to the least expected time within which searchers count as equally good and share the work. It allows for the
-/// precision of the estimates.
+/// Largest ratio of a searcher's expected time to the least one at which the searchers count as equally good and share
+/// the work. It allows for the precision of the estimates.
 const TIE_RATIO: f64 = 1.1;
 
 /// Inputs to the choice of a searcher for one shard of a request.
@@ -56,7 +58,7 @@
     pub goal: Duration,
 }
 
-/// Chooses one of `candidates`, whose state is in `table`. Returns `None` if none may be asked now.
+/// Chooses one of `candidates`, whose states are in `table`, indexed by key. Returns `None` if none may be asked now.
 ///
 /// One random number is drawn for each candidate that is as good as the best so far, in the order of `candidates`.
 pub fn choose(
@@ -95,7 +97,7 @@
     best.map(|(key, _)| key)
 }
 
-/// Whether a searcher may be sent one more attempt by this node now.
+/// Returns whether a searcher may be sent one more attempt by this node now.
 fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> bool {
     let has_room = searcher.open_attempts.len() < usable_connections(now, searcher, context) && !searcher.is_full(now);
     let may_be_asked_now = context.next_chance(now, searcher).is_some_and(|chance| chance <= now);
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -2,8 +2,8 @@
 //! limit.
 //!
 //! Nodes don't coordinate: each divides the limit by the number of nodes that it believes to serve. The remainder
-//! covers nodes whose views of the fleet differ for a moment. The setting `routing.connection_ramp = false` turns the
-//! steps after a restart off.
+//! covers nodes whose views of the fleet differ for a moment. A process that has restarted comes to use its share in
+//! steps; the setting `routing.connection_ramp = false` turns these steps off.
 
 use super::context::PlacementContext;
 use crate::state::searcher::Searcher;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 
 /// Fraction of a searcher's connections that the nodes of its zone share. Measured together with [`OTHER_ZONE_SHARE`],
-/// as the change of the mean score of a day against this pair: 0.9 and 0.9 -0.0136, 0.9 and 1.8 -0.0161, 0.3 and 0.3
-/// -0.0057, 0.2 and 0.2 -0.0067, each ± 0.0022.
+/// as the change of the mean score of a day's requests (0 to 1, docs/studies/scores.md) against this pair: 0.9 and 0.9
+/// gave -0.0136, 0.9 and 1.8 gave -0.0161, 0.3 and 0.3 gave -0.0057, and 0.2 and 0.2 gave -0.0067, each ± 0.0022.
 const OWN_ZONE_SHARE: f64 = 0.45;
 /// Fraction of a searcher's connections that the nodes of all other zones share. Measured together with
 /// [`OWN_ZONE_SHARE`].
 const OTHER_ZONE_SHARE: f64 = 0.45;
 /// Number of steps in which a restarted node comes to use its share. After a power loss at all nodes, searchers count
 /// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. Measured together with
-/// [`RAMP_STEP`]: +0.0083 ± 0.0019 of the score against no steps. Steps of one connection cost 0.0136 on a deployment
-/// with shares of nine and more.
+/// [`RAMP_STEP`]: the mean score of a day is higher by 0.0083 ± 0.0019 than without steps. Steps of one connection
+/// lowered it by 0.0136 on a deployment with shares of nine and more.
 const RAMP_STEPS: usize = 4;
-/// Length of each step. With steps of one connection, 1 s gave +0.0070, 0.4 s +0.0036, 2 s +0.0066 and 4 s +0.0062,
-/// each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
+/// Length of each step. With steps of one connection, the mean score of a day changed as follows: 1 s gave +0.0070, 0.4
+/// s +0.0036, 2 s +0.0066 and 4 s +0.0062, each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
 const RAMP_STEP: Duration = Duration::from_secs(1);
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
--- a/crates/staircross-routing/src/decision/placement/context.rs
+++ b/crates/staircross-routing/src/decision/placement/context.rs
@@ -1,7 +1,7 @@
-//! This node's view of zones, regions and other nodes, which placement uses for every choice.
+//! What this node knows of zones, regions and other nodes, which placement uses for every choice of a searcher.
 //!
-//! It maintains the round trips to zones, each estimated as the least time in which a connection was established. The
-//! engine sets all other fields from the settings and from membership.
+//! [`PlacementContext`] maintains the round trips to zones, each estimated as the least time in which a connection was
+//! established. The engine sets all other fields from the settings and from membership.
 
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::cold::{ColdBound, FleetRank, cold_share};
@@ -20,7 +20,7 @@
 /// Round trip assumed to another region until one has been measured.
 const OTHER_REGION_ROUND_TRIP: Duration = Duration::from_millis(24);
 
-/// This node's view of zones, regions and other nodes.
+/// Zones, regions, other nodes and limits, as this node knows them.
 #[derive(Clone, Debug)]
 pub struct PlacementContext {
     /// Zone of this node.
@@ -29,13 +29,13 @@
     pub regions: HashMap<Arc<str>, Arc<str>>,
     /// Number of nodes that serve callers in each zone, including this node.
     pub nodes_by_zone: HashMap<Arc<str>, usize>,
-    /// Rank of this node among the nodes that serve callers.
+    /// Rank of this node among the nodes that serve callers, and their number.
     pub fleet: FleetRank,
-    /// Limit on requests to a cold searcher.
+    /// Limit on requests to a searcher that has just started.
     pub cold: ColdBound,
     /// Least time to establish a connection to each zone.
     pub round_trips: HashMap<Arc<str>, Duration>,
-    /// Time at which this process started, unless it is the first on its machine.
+    /// Time at which this process started; `None` if it is the first on its machine.
     pub restarted_at: Option<BootTime>,
     /// Mechanisms that are turned on.
     pub policy: RoutingPolicy,
@@ -65,14 +65,14 @@
         if is_same_region { Distance::SameRegion } else { Distance::OtherRegion }
     }
 
-    /// Whether a request may be sent to a searcher, by the region of the searcher.
+    /// Returns whether a request that may be served in `regions` may be sent to a searcher.
     pub fn allows(&self, regions: AllowedRegions<'_>, searcher: &Searcher) -> bool {
         regions.allow(self.regions.get(&searcher.entry.zone))
     }
 
     /// Returns the time from which a searcher may be asked, regardless of its capacity. The time is in the past if the
     /// searcher isn't avoided. `None` means that the searcher is cold and this node has no share of the requests that
-    /// it can take.
+    /// the searcher can take.
     pub fn next_chance(&self, now: BootTime, searcher: &Searcher) -> Option<BootTime> {
         let avoided_until = searcher.avoided_until();
         if !searcher.is_cold(now) {
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -14,10 +14,11 @@
 /// Penalty of a searcher in another region. A higher one saves traffic between regions and serves callers slightly
 /// worse.
 const OTHER_REGION_PENALTY: Duration = Duration::from_millis(25);
-/// Penalty of a searcher whose entry has gone. It exceeds any other sum, so that the searcher is asked after all
-/// others.
+/// Penalty of a searcher whose entry has gone from the store. It exceeds any other sum, so that the searcher is asked
+/// after all others.
 const LAPSED_ENTRY_PENALTY: Duration = Duration::from_secs(60);
-/// Length of the pause that an overdue attempt is taken to show, as a multiple of the time for which it is overdue.
+/// Expected remaining time for which a searcher with an overdue attempt stays silent, as a multiple of the time for
+/// which the attempt is overdue.
 const PAUSE_FACTOR: u32 = 2;
 
 /// Returns the time after which a searcher is expected to answer, including penalties.
@@ -73,9 +74,10 @@
     if searcher.is_serving() { Duration::ZERO } else { LAPSED_ENTRY_PENALTY }
 }
 
-/// Returns the route's goal times the probability of a rejection: the budget may not pay for a retry, and then the part
-/// is missing. Measured where most searchers reject many requests: +0.198 ± 0.009 of the mean score of a day, against
-/// +0.083 ± 0.004 if only the time of a retry is added (docs/design/searcher-choice.md).
+/// Returns the route's latency goal times the probability of a rejection: the budget for extra sends may not pay for a
+/// retry, and then the shard's part is missing from the answer. Measured where most searchers reject many requests, the
+/// penalty raises the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.198 ± 0.009, against 0.083 ±
+/// 0.004 if only the time of a retry is added (docs/design/searcher-choice.md).
 fn rejection_penalty(now: BootTime, searcher: &Searcher, context: &PlacementContext, choice: &Choice<'_>) -> Duration {
     if !context.policy.avoid_rejecting {
         return Duration::ZERO;
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -1,9 +1,11 @@
 //! Detects requests that crash the searchers that run them ("queries of death"), and stops sending them.
 //!
-//! A request is identified by its content: a digest of host, method, target, body and tenant. The rule decides for each
-//! content whether it may be sent like any other, to one searcher at a time (suspect), or to no searcher (quarantined).
-//! `quarantine/case.rs` defines these levels: they depend on the searchers lost since the content was last answered,
-//! counted over all nodes.
+//! A request is identified by its content: a digest of host, method, target, body and tenant ([`ContentKey`]). The rule
+//! decides for each content whether it may be sent like any other, to one searcher at a time (suspect), or to no
+//! searcher (quarantined). The level follows from the content's case (`quarantine/case.rs`), which records the
+//! searchers that were lost while they ran the content since it was last answered, on all nodes. A searcher counts as
+//! lost when its connection ends without an answer. While contents of a route are quarantined, the alarm of that route
+//! is raised for a limited time (`quarantine/alarm.rs`).
 //!
 //! The inputs are connections that ended without an answer (content, route, incarnation of the searcher, times),
 //! answers, and reports from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
@@ -57,7 +59,7 @@
     pub sent_at: BootTime,
 }
 
-/// All contents whose requests were running on searchers that were lost.
+/// Cases of all contents that were running on searchers that were lost, and the alarms of routes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: BTreeMap<ContentKey, Case>,
@@ -78,12 +80,12 @@
         (count(Suspicion::Suspect), count(Suspicion::Quarantined))
     }
 
-    /// Whether the alarm of any route is stored. Alarms that have ended may still be included.
+    /// Returns whether the alarm of any route is stored. Alarms that have ended may still be included.
     pub fn has_alarms(&self) -> bool {
         !self.alarms.is_empty()
     }
 
-    /// Whether the alarm of a route is raised: its requests have crashed searchers lately.
+    /// Returns whether the alarm of a route is raised: its requests have crashed searchers lately.
     pub fn is_alarmed(&self, now: BootTime, route: RouteDigest) -> bool {
         self.alarm_age(now, route).is_some()
     }
@@ -93,8 +95,8 @@
         self.alarms.age(now, route)
     }
 
-    /// Whether a searcher has answered a request with this content lately, and none has been lost while running one
-    /// since.
+    /// Returns whether a searcher has answered a request with this content lately, and none has been lost while running
+    /// one since.
     pub fn is_harmless(&self, content: ContentKey) -> bool {
         self.answers.contains(content)
     }
@@ -124,7 +126,7 @@
         self.update_case(now, content, |case| case.answered(now))
     }
 
-    /// Records that a searcher answered a request sent at `sent_at`, which shows that it outlived all losses before
+    /// Records that a searcher answered a request sent at `sent_at`, which shows that it survived all its losses before
     /// that time. If a connection to the searcher may have been established since a loss (the last one was at
     /// `connected_at`), the answer may come from a later incarnation under the same id, so the loss still counts.
     pub fn note_alive(
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -1,5 +1,5 @@
-//! What is known of one content: the searchers lost while running it, its last answer, and the suspicion level that
-//! follows.
+//! The case of one content: the searchers that were lost while running it, its last answer, and the suspicion level
+//! that follows from them.
 //!
 //! Two losses that count make a content suspect. Three, one of which was sent after another had been observed, make it
 //! quarantined. A loss stops counting once its searcher has answered a request that was sent later. An answer to the
@@ -19,7 +19,7 @@
 /// (docs/design/quarantine.md).
 const MIN_QUARANTINE_LOSSES: usize = 3;
 /// Time from the newest loss until a quarantined content is tried on one searcher again, since the fault may have been
-/// mended. If it wasn't, this costs one searcher an hour.
+/// mended. If it hasn't been, the trial crashes one searcher an hour.
 const QUARANTINE_TIME: Duration = Duration::from_secs(3600);
 /// Time from the newest loss until a content is forgotten. It is twice [`QUARANTINE_TIME`], so that the content is
 /// still suspect when it is tried again.
@@ -50,7 +50,7 @@
     pub is_reported_by_peer: bool,
 }
 
-/// What is known of one content.
+/// What this node knows of one content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Case {
     /// Losses in order of time.
@@ -99,8 +99,8 @@
         Some((first.searcher, next.searcher))
     }
 
-    /// Whether a loss is one of the two that prove a sequence, or the first of all losses, which a later one may follow
-    /// in sequence.
+    /// Returns whether a loss is one of the two that prove a sequence, or the first of all losses, which a later one
+    /// may follow in sequence.
     fn may_prove_sequence(&self, loss: &Loss) -> bool {
         let is_first = self.losses.first().is_some_and(|first| first.searcher == loss.searcher);
         is_first || self.sequence().is_some_and(|(first, next)| [first, next].contains(&loss.searcher))
@@ -147,14 +147,14 @@
         proof.into_iter().chain(newest)
     }
 
-    /// Whether the content is to be reported to peers.
+    /// Returns whether the content is to be reported to peers.
     pub fn is_due_for_report(&self, now: BootTime) -> bool {
         self.is_known_to_peers
             || self.losses.len() >= MIN_SUSPECT_LOSSES
             || now.since(self.newest_event()) >= SINGLE_LOSS_REPORT_DELAY
     }
 
-    /// Whether the content is still remembered.
+    /// Returns whether the content is still remembered.
     pub fn is_remembered(&self, now: BootTime) -> bool {
         let retention = if self.losses.is_empty() { ANSWER_RETENTION } else { LOSS_RETENTION };
         now.since(self.newest_event()) < retention
@@ -162,9 +162,9 @@
 }
 
 impl Loss {
-    /// Whether the searcher was lost before an answer at `answered`. A loss reported by a peer counts as later only if
-    /// it certainly is: a content that crashes its searchers has no answer at all, whereas a harmless content whose
-    /// answer is discarded may be refused.
+    /// Returns whether the searcher was lost before an answer at `answered`. A loss reported by a peer counts as later
+    /// only if it certainly is: a content that crashes its searchers has no answer at all, whereas a harmless content
+    /// whose answer is discarded may be refused.
     fn is_before(&self, answered: BootTime) -> bool {
         let tolerance = if self.is_reported_by_peer { MAX_REPORT_TRANSIT } else { Duration::ZERO };
         self.lost_at <= answered + tolerance
@@ -192,8 +192,8 @@
     }
 }
 
-/// Whether an event at `time` is certainly another and later one than the event at `than`, though peers may have
-/// reported the times.
+/// Returns whether an event at `time` is certainly another and later one than the event at `than`, though peers may
+/// have reported the times.
 pub(super) fn is_surely_later(time: BootTime, than: BootTime) -> bool {
     time > than + MAX_REPORT_TRANSIT
 }
--- a/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
+++ b/crates/staircross-routing/src/decision/quarantine/recent_answers.rs
@@ -35,7 +35,7 @@
         self.older.remove(&content);
     }
 
-    /// Whether a content was answered lately.
+    /// Returns whether a content was answered lately.
     pub fn contains(&self, content: ContentKey) -> bool {
         self.recent.contains(&content) || self.older.contains(&content)
     }
--- a/crates/staircross-routing/src/decision/quarantine/suspicion.rs
+++ b/crates/staircross-routing/src/decision/quarantine/suspicion.rs
@@ -15,7 +15,7 @@
 }
 
 impl Suspicion {
-    /// Name of the level in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Suspicion::None => "none",
@@ -39,9 +39,9 @@
 }
 
 impl SuspicionChange {
-    /// Whether the change is sent to peers at once, rather than with the next datagrams. A raised level reported by a
-    /// peer is passed on too: one push reaches only some nodes of a region, and a node that doesn't know of it may send
-    /// the content to one searcher of each shard.
+    /// Returns whether the change is sent to peers at once, rather than with the next datagrams. A raised level
+    /// reported by a peer is passed on too: one push reaches only some nodes of a region, and a node that doesn't know
+    /// of it may send the content to one searcher of each shard.
     pub fn is_urgent(&self, is_from_peers: bool) -> bool {
         !is_from_peers || self.is_raised
     }
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -2,10 +2,10 @@
 //! complete enough, or with a refusal of the error kind that applies.
 //!
 //! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`decide_start`],
-//! [`hold_until`]) and whenever its state changes ([`decide_end`], [`refuse`]). [`crate::engine`] calls it and carries out
-//! its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a quarantined
-//! content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at the
-//! searchers ([`super::admission`], [`super::fair_share`]).
+//! [`hold_until`]) and whenever its state changes ([`decide_end`], [`refuse`]). [`crate::engine`] calls it and carries
+//! out its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a
+//! quarantined content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at
+//! the searchers ([`super::admission`], [`super::fair_share`]).
 //!
 //! The inputs are durations; times of this machine's boot clock; numbers of shards (those whose part has been received,
 //! those still open, and the minimum for an answer); and whether any attempt ran or may have run
@@ -15,8 +15,9 @@
 //! "never" (`docs/ERRORS.md`) may send the request again. Such a kind is used only if nothing was sent, or if
 //! everything that was sent is known not to have run. The rule also gives callers partial answers in time instead of
 //! complete answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a
-//! day (0 to 1) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than 0.0002 on two others
-//! (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with refusing and with waiting.
+//! day's requests (0 to 1, `docs/studies/scores.md`) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than
+//! 0.0002 on two others (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with
+//! refusing and with waiting.
 //!
 //! The rule doesn't know what a missing shard would have contributed, whether a caller still wants a late answer, or
 //! whether another node could answer. The Retry-After header follows from the error kind
@@ -42,7 +43,8 @@
 /// after a start takes tens of milliseconds).
 const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// Fraction of the caller's timeout for which a request is held at most, as a divisor, so that a caller who is refused has time to ask another node.
+/// Divisor of the caller's timeout that gives the maximum time for which a request is held, so that a caller who is
+/// refused has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
 
 /// Maximum number of requests held at once; further ones are refused. This bounds memory.
@@ -96,7 +98,7 @@
 pub struct TimeBounds {
     /// Timeout of the route.
     pub timeout: Duration,
-    /// Time for which the caller waits, if it says so.
+    /// Time for which the caller waits, if the request states it.
     pub caller_timeout: Option<Duration>,
     /// Time for which the request may have waited to be read.
     pub waited: Duration,
@@ -113,10 +115,11 @@
     Ok(now + (left - DEADLINE_GUARD))
 }
 
-/// Number of a request's shards that have a searcher which may be asked before the deadline.
+/// Availability of a request's shards when the request arrives. A shard is reachable if it has a searcher that may be
+/// asked before the deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct ReachableShards<'a> {
-    /// Number of shards that have such a searcher.
+    /// Number of reachable shards.
     pub reachable: usize,
     /// Minimum number of shards for an answer.
     pub least: usize,
@@ -126,7 +129,7 @@
     pub regions: AllowedRegions<'a>,
 }
 
-/// What is done with an arriving request, by the number of its reachable shards.
+/// Decision about an arriving request, by the number of its reachable shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartDecision {
     /// The request is processed.
@@ -138,7 +141,7 @@
     Hold(Refusal),
 }
 
-/// Decides whether enough shards can be answered for a request to be processed.
+/// Decides whether an arriving request is processed, held or refused, by whether enough of its shards can be answered.
 pub fn decide_start(shards: ReachableShards<'_>) -> StartDecision {
     if shards.reachable >= shards.least {
         return StartDecision::Begin;
@@ -156,7 +159,7 @@
     })
 }
 
-/// Whether one more request may be held, in addition to `held` others.
+/// Returns whether one more request may be held, in addition to `held` others.
 pub fn may_hold(held: usize, policy: &RoutingPolicy) -> bool {
     policy.holds && held < MAX_HELD
 }
@@ -167,7 +170,7 @@
     now + by_caller_timeout.min(MAX_HOLD)
 }
 
-/// Whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
+/// Returns whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
 pub fn is_too_late(retry_at: BootTime, deadline: BootTime) -> bool {
     retry_at >= deadline
 }
@@ -183,16 +186,16 @@
     pub least: usize,
     /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
-    /// Whether the latency goal has passed, after which an answer is worth less.
+    /// Whether the latency goal has passed, after which an answer has less value.
     pub is_past_goal: bool,
     /// Whether the deadline has passed.
     pub is_past_deadline: bool,
-    /// Whether the request's key was revoked while it is unknown whether any of its attempts ran. The end of the next
-    /// attempt will tell.
+    /// Whether the request's API key was revoked while it is unknown whether any of its attempts ran. The outcome of
+    /// the next attempt to end shows whether it ran.
     pub is_unclear: bool,
 }
 
-/// Whether and how a request ends.
+/// Decision whether and how a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndDecision {
     /// The request continues.
@@ -217,8 +220,8 @@
     }
 }
 
-/// Whether a searcher's own failure is passed on as the answer to a request that fails. A failure which promises that
-/// the request didn't run isn't passed on: [`refuse`] determines whether that holds for all attempts.
+/// Returns whether a searcher's own failure is passed on as the answer to a request that fails. A failure which
+/// promises that the request didn't run isn't passed on: [`refuse`] determines whether that holds for all attempts.
 pub fn is_passed_on(failure: &SearcherAnswer, is_gather: bool) -> bool {
     !is_gather && !promises_not_run(failure.status)
 }
@@ -230,7 +233,7 @@
     pub may_have_run: bool,
     /// Whether the deadline has passed.
     pub is_past_deadline: bool,
-    /// Whether the request's key was revoked.
+    /// Whether the request's API key was revoked.
     pub is_key_revoked: bool,
 }
 
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -13,9 +13,9 @@
 //! The rule ensures that a request that isn't idempotent is sent again only if it certainly didn't run: nothing was
 //! sent, or the searcher says that it didn't run it. Requests are thus answered although a searcher failed. Letting
 //! shards wait for a searcher without capacity and for the budget reduced the unserved requests of 10,000 from 63 to 40
-//! and from 164 to 63 on two fleets of 195 nodes; the mean score of a day (0 to 1) changed by -0.0006 ± 0.0017 and
-//! +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave +0.0225 ± 0.0080 on a fleet of 67
-//! nodes, and +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
+//! and from 164 to 63 on two fleets of 195 nodes; the mean score of a day's requests (0 to 1, `docs/studies/scores.md`)
+//! changed by -0.0006 ± 0.0017 and +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave
+//! +0.0225 ± 0.0080 on a fleet of 67 nodes, and +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
 //!
 //! The rule doesn't know whether a searcher that broke its connection ran the request, which counts as "may have run",
 //! nor whether a searcher that answers with a failure would succeed a moment later.
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 /// Time until a shard whose retry the budget refused is tried again. It is a fifth of the step by which a budget window
-/// of 10 s advances.
+/// of 10 s advances, which is half a second.
 const BUDGET_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Properties of a request that decide whether it is sent again.
@@ -73,27 +73,27 @@
     }
 }
 
-/// Whether an answer is final, so that no other searcher is asked. A searcher's refusal of the request itself is final
-/// unless the request is a gather: another searcher would refuse it too.
+/// Returns whether an answer is final, so that no other searcher is asked. A searcher's refusal of the request itself
+/// is final unless the request is a gather: another searcher would refuse it too.
 fn is_final(answer: &SearcherAnswer, kind: RequestKind) -> bool {
     let is_success = (200..300).contains(&answer.status) && answer.stamp.is_some();
     is_success || (!kind.is_gather && ran_to_completion(answer))
 }
 
-/// Whether the searcher ran the request to completion and survived. A searcher may report a failure of its own before
-/// the work that crashes it.
+/// Returns whether the searcher ran the request to completion and survived. A searcher may report a failure of its own
+/// before the work that crashes it.
 pub fn ran_to_completion(answer: &SearcherAnswer) -> bool {
     answer.status < 500 && !promises_not_run(answer.status)
 }
 
-/// Whether a status says that the searcher didn't process the request. HTTP defines these: 408 Request Timeout, 421
-/// Misdirected Request, 429 Too Many Requests and 503 Service Unavailable.
+/// Returns whether a status says that the searcher didn't process the request. HTTP defines these: 408 Request Timeout,
+/// 421 Misdirected Request, 429 Too Many Requests and 503 Service Unavailable.
 pub fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Whether a request may have run, judging by the outcome of one attempt. An answer counts as a run whatever its
-/// status: where the searcher is believed when it says that it didn't run the request, the outcome is
+/// Returns whether a request may have run, judging by the outcome of one attempt. An answer counts as a run whatever
+/// its status: where the searcher is believed when it says that it didn't run the request, the outcome is
 /// [`AttemptOutcome::NotRun`].
 pub fn may_have_run(outcome: &AttemptOutcome) -> bool {
     match outcome {
@@ -126,8 +126,8 @@
     }
 }
 
-/// Whether a shard whose retry the budget refuses waits for the budget. If a searcher's own failure was received, it is
-/// passed on at once instead, unless the request is a gather, where it can't be passed on.
+/// Returns whether a shard whose retry the budget refuses waits for the budget. If a searcher's own failure was
+/// received, it is passed on at once instead, unless the request is a gather, where it can't be passed on.
 pub fn may_wait(has_failure: bool, kind: RequestKind) -> bool {
     !has_failure || kind.is_gather
 }
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -62,17 +62,17 @@
 /// Limits, location and identity of the node that an engine decides for.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Bound on hedges and retries, for all nodes together.
+    /// Bound on extra sends (hedges and retries), for all nodes together.
     pub extra: ExtraBound,
     /// Zone of this node.
     pub zone: Arc<str>,
     /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Time after its entry has gone from the store during which a searcher is still asked if no other can be.
+    /// Time for which a searcher is still asked, if no other can be, after its entry has gone from the store.
     pub lapse_grace: Duration,
-    /// Bound on requests to a cold searcher, for all nodes together.
+    /// Bound on requests to a cold searcher (one that has just started), for all nodes together.
     pub cold: ColdBound,
-    /// Most requests that the node works on at once, held ones aside; further requests are refused.
+    /// Maximum number of requests that the node works on at once, without held ones; further requests are refused.
     pub max_requests: usize,
     /// When this process started; `None` for the first process on its machine. Searchers may still count the
     /// connections of the previous process.
@@ -137,7 +137,7 @@
     /// Searchers of each service that serve, or whose entry has lapsed recently.
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
     services: HashMap<Arc<str>, ServiceEntry>,
-    /// Zones whose searchers get no new work.
+    /// Evacuated zones, whose searchers get no new work.
     evacuated_zones: Vec<Arc<str>>,
     /// Budgets for extra sends, by service.
     pub(crate) extra_windows: HashMap<Arc<str>, ExtraWindow>,
@@ -159,7 +159,7 @@
     pub(crate) quarantine: Quarantine,
     /// This node's share of tenants' quotas.
     quotas: FleetRateLimiter,
-    /// Alarms of routes as they were logged last.
+    /// Routes whose alarm was raised when alarms were logged last.
     logged_alarms: first_probe::LoggedAlarms,
     /// Counters for metrics.
     pub counters: RoutingCounters,
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -341,9 +341,9 @@
     })
 }
 
-/// Checks that this node's configuration is recent enough to check keys against. A node that may have missed the
-/// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
-/// expired.
+/// Checks that this node's configuration is recent enough for keys to be checked against it. A node that may have
+/// missed the revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view
+/// has expired.
 fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
     match arrival.configuration_view {
         ConfigurationView::Doubtful if arrival.knows_newer_configuration(table) => {
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -19,14 +19,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is overdue after the round trip plus this many times the usual work of its searcher. That is later than
+/// Multiple of the usual work of a searcher after which, plus the round trip, an attempt is overdue. It is later than
 /// the earliest hedge.
 const OVERDUE_WORK_FACTOR: f64 = 2.2;
-/// Longest wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. Leaves time for a searcher process
+/// Maximum wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. It leaves time for a searcher process
 /// that isn't scheduled for a while.
 const BASE_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Round trips that are added to [`BASE_CONNECT_TIMEOUT`]. Leaves time for a connection that comes up at the second
-/// try.
+/// Number of round trips that are added to [`BASE_CONNECT_TIMEOUT`]. They leave time for a connection that is
+/// established at the second try.
 const CONNECT_TIMEOUT_ROUND_TRIPS: u32 = 4;
 
 /// An attempt that is about to be sent.
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -1,5 +1,5 @@
-//! Carries out first probes: sends one shard of a request, holds the others back until any has answered, and logs
-//! alarms.
+//! Carries out first probes: while the alarm of a route is raised because its requests have crashed searchers lately,
+//! sends one shard of a request first, holds the others back until any has answered, and logs alarms.
 //!
 //! [`crate::decision::first_probe`] decides which requests are probed, and says why.
 
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two checks for alarms that are over. Each check goes through all routes. The log line comes at most
-/// this much late.
+/// Time between two checks for alarms that are over, since each check goes through all routes. The end of an alarm is
+/// logged at most this much late.
 const ALARM_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Alarms of routes as they were logged last.
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most quota messages in one datagram to a peer, so that the datagram is never fragmented.
+/// Maximum number of quota messages in one datagram to a peer, so that the datagram is never fragmented.
 const MAX_MESSAGES_PER_DATAGRAM: usize = 10;
 
 /// Creates the allowance of a node that has just started.
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -1,4 +1,4 @@
-//! Revocation: handles requests in flight whose key is missing from a newer configuration.
+//! Handles the requests in flight whose API key is missing from a newer configuration (revocation).
 //!
 //! The configuration changes in one place only, so requests are checked again there rather than before each send.
 //! Attempts that are running may finish, and their answers are delivered. Nothing more is sent. A request of which
--- a/crates/staircross-routing/src/engine/searchers.rs
+++ b/crates/staircross-routing/src/engine/searchers.rs
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Stops asking a searcher, since another process has its address or a newer incarnation has replaced it.
+    /// Excludes a searcher from further requests, since another process has its address or a newer incarnation has
+    /// replaced it.
     pub(crate) fn mark_searcher_gone(&mut self, key: SearcherKey) {
         self.searchers[key.0 as usize].mark_gone();
         self.remove_from_service(key);
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -1,8 +1,8 @@
 //! Tracks contents that are suspected of crashing searchers, and holds back or ends the requests that ask for them.
 //!
 //! A content is the digest of what a request asks for ([`ContentKey`]). A suspect content is sent to one searcher at a
-//! time, which is its trial; a quarantined one is sent to none. [`crate::decision::quarantine`] decides which contents
-//! are suspect or quarantined.
+//! time; this attempt is its trial. A quarantined content is sent to no searcher. [`crate::decision::quarantine`]
+//! decides which contents are suspect or quarantined.
 
 use super::waiting::PostponedSend;
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
@@ -13,8 +13,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time until a shard of a suspect request is tried again while a searcher is at work on the same content. A tenth of
-/// a short goal.
+/// Time until a shard of a suspect request is tried again while a searcher is at work on the same content. It is a
+/// tenth of a short latency goal.
 const SUSPECT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl RoutingEngine {
@@ -111,7 +111,7 @@
         self.requests.get(&key).map_or(sent.is_request_answered, |request| request.is_answered)
     }
 
-    /// Merges peers' reports of lost searchers into this node's own.
+    /// Merges peers' records of contents and lost searchers into this node's own.
     pub(super) fn merge_peer_cases(&mut self, now: BootTime, records: &[CaseRecord], actions: &mut Vec<RoutingAction>) {
         let changes = self.quarantine.merge(now, records);
         self.apply_suspicion_changes(now, changes, true, actions);
@@ -141,7 +141,7 @@
     fn end_quarantined_requests(&mut self, now: BootTime, content: ContentKey, actions: &mut Vec<RoutingAction>) {
         let affected = self.requests.iter().filter(|(_, request)| request.content == content);
         let mut keys: Vec<RequestKey> = affected.map(|(key, _)| *key).collect();
-        // Order of arrival, which makes the replay of a recording deterministic.
+        // Requests end in order of arrival, so that the replay of a recording is deterministic.
         keys.sort_unstable();
         for key in keys {
             let is_idempotent = self.requests.get(&key).is_some_and(|request| request.route().is_idempotent);
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -15,7 +15,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Most shards of one service that wait at once; further ones are given up. Bounds memory.
+/// Maximum number of shards of one service that wait at once; further ones are given up. This bounds memory.
 const MAX_WAITING_PER_SERVICE: usize = 1024;
 
 /// Why a shard is to be sent, why it can't be sent yet, and when to try again.
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -65,7 +65,7 @@
         /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// Peers report searchers that they lost while these ran requests.
+    /// Peers report contents (digests of what requests ask for) and the searchers that were lost while running them.
     PeerCases(Vec<CaseRecord>),
     /// This node has heard from no peer for some time, or hears from one again.
     Isolated {
@@ -155,7 +155,7 @@
         /// The new level, and the wait that led to it.
         change: AdmissionChange,
     },
-    /// The suspicion against a content has changed; for the log and for peers.
+    /// The suspicion that a content crashes searchers has changed; for the log and for peers.
     Suspicion {
         /// The change.
         change: SuspicionChange,
@@ -216,7 +216,7 @@
 }
 
 impl ProbeStep {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             ProbeStep::Begun { .. } => "begun",
@@ -242,7 +242,8 @@
     Superseded,
     /// The caller has disconnected.
     CallerGone,
-    /// The content was quarantined: every searcher that ran it was lost, so one that hasn't begun it should not.
+    /// The content was quarantined: every searcher that ran it was lost, so that searchers which haven't begun it
+    /// shouldn't.
     Quarantined,
 }
 
@@ -260,7 +261,7 @@
 }
 
 impl LeftOutCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             LeftOutCause::Late => "late",
@@ -283,7 +284,7 @@
 }
 
 impl HoldCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             HoldCause::NoConfiguration => "no_configuration",
@@ -324,7 +325,7 @@
 }
 
 impl UnsentCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             UnsentCause::OverBudget => "over_budget",
@@ -361,7 +362,7 @@
     pub deadline: BootTime,
     /// Whether the route is idempotent, so that the request may run more than once.
     pub is_idempotent: bool,
-    /// Longest wait for a connection.
+    /// Maximum wait for a connection.
     pub connect_timeout: Duration,
     /// Why the attempt is sent.
     pub reason: SendReason,
--- a/crates/staircross-routing/src/policy.rs
+++ b/crates/staircross-routing/src/policy.rs
@@ -37,8 +37,8 @@
     pub holds: bool,
     /// Requests that crash their searchers are sent to one searcher at a time, and later to none.
     pub quarantine: bool,
-    /// While requests of a route have crashed searchers lately, contents that no searcher has answered are tried on one
-    /// shard first.
+    /// While requests of a route have crashed searchers lately, requests whose content (what they ask for) no searcher
+    /// has answered are sent to one shard first.
     pub first_probes: bool,
     /// The time for an answer depends on the distance of the caller.
     pub caller_distance: bool,
--- a/crates/staircross-routing/src/state/evacuations.rs
+++ b/crates/staircross-routing/src/state/evacuations.rs
@@ -1,4 +1,4 @@
-//! The zones whose searchers must get no new work, by revision.
+//! The zones that are evacuated, whose searchers must get no new work, by revision.
 //!
 //! This module holds the last change of each zone and the revision of the newest listing. It depends on no other
 //! module; the mirror merges updates into it.
--- a/crates/staircross-routing/src/state/known_entries.rs
+++ b/crates/staircross-routing/src/state/known_entries.rs
@@ -11,7 +11,7 @@
 
 use crate::state::searcher_entry::SearcherEntry;
 
-/// Largest number of entries kept under one id. There is more than one only where an earlier incarnation wrote after a
+/// Maximum number of entries kept under one id. There is more than one only where an earlier incarnation wrote after a
 /// later one. A restart during which both incarnations write needs two.
 const MAX_ENTRIES_PER_ID: usize = 4;
 
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Largest number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
+/// Maximum number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
 /// further behind get a complete listing. Large fleets have some hundreds of searchers, which is well below this limit.
 const MAX_TOMBSTONES: usize = 4096;
 
--- a/crates/staircross-routing/src/state/rejection.rs
+++ b/crates/staircross-routing/src/state/rejection.rs
@@ -18,8 +18,9 @@
 /// that no longer gets requests is tried again.
 const HALF_LIFE: Duration = Duration::from_millis(4000);
 /// Rate below which the estimate counts as zero, however near other searchers are. Where most searchers reject much,
-/// the estimate raised the mean value of an answer (0 to 1) by 0.188 ± 0.004 with 0.1 here, and by 0.198 ± 0.009 with
-/// 0.05. At 0.05 a searcher is tried again at most some fifteen seconds after its last rejection.
+/// using the estimate raised the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.188 ± 0.004 with
+/// a limit of 0.1, and by 0.198 ± 0.009 with 0.05. At 0.05 a searcher is tried again at most some fifteen seconds after
+/// its last rejection.
 const NEGLIGIBLE_RATE: f64 = 0.05;
 
 /// An estimate of the fraction of its work that a searcher rejects.
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -27,12 +27,12 @@
     pub caller_timeout: Option<Duration>,
     /// Longest time for which the request may have waited to be read.
     pub waited: Duration,
-    /// Whether this node is too busy to accept more requests.
+    /// Whether this node is late with its work and accepts no more requests.
     pub is_overloaded: bool,
     /// Newest configuration version that any peer is known to have. It may hold a route that this node doesn't know.
     #[serde(default)]
     pub newest_version: u64,
-    /// How certain this node is that the API keys in its configuration haven't been revoked.
+    /// How recent this node's knowledge of the configuration is, by which API keys are accepted.
     #[serde(default, rename = "view")]
     pub configuration_view: ConfigurationView,
     /// Whether this node knows all live searchers: the platform's list was read completely, and no lapsed entries are
@@ -54,16 +54,17 @@
     }
 }
 
-/// How certain a node is that no API key in its configuration has been revoked.
+/// How recent a node's knowledge of the configuration is, and thus how certain it is that no API key in it has been
+/// revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationView {
     /// As certain as the settings require.
     #[default]
     Current,
-    /// The node has had no news of the store for too long and knows of a newer version. It waits for that version
-    /// before it decides about a key, but only for a limited time.
+    /// The node hasn't learned from the store for too long whether anything has changed, and knows of a newer version.
+    /// It waits for that version before it decides about a key, but only for a limited time.
     Doubtful,
-    /// The node has had no news of the store for so long that it must not accept any key.
+    /// The node hasn't learned from the store for so long that it must not accept any key.
     Expired,
 }
 
@@ -72,7 +73,7 @@
 pub struct CallerLink {
     /// Round-trip time to the caller, if the operating system reports it.
     pub round_trip: Option<Duration>,
-    /// Whether this request is the first on the connection.
+    /// Whether the connection was made for this request, which is the first on it.
     #[serde(rename = "is_fresh")]
     pub is_new_connection: bool,
 }
@@ -220,7 +221,7 @@
     pub state: ShardState,
     /// Searchers to which the shard was sent, one element for each attempt.
     pub sent_to: Vec<SearcherKey>,
-    /// Searchers that must not be asked again.
+    /// Searchers that must not be asked again for this shard, whatever `max_attempts` permits.
     pub excluded: Vec<SearcherKey>,
     /// Number of open attempts.
     pub outstanding: u32,
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -34,8 +34,8 @@
 const USUAL_HOST_PERCENT: u32 = 100;
 /// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with
 /// other programs and their load changes many times a second. On four days, using the reports with this half-life
-/// raised the mean value of an answer (0 to 1) by 0.0022 ± 0.0016; a half-life of 0.8 s raised it by 0.0020 ± 0.0017
-/// (docs/design/searcher-choice.md).
+/// raised the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.0022 ± 0.0016; a half-life of 0.8 s
+/// raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
 const HOST_SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Multiple of the estimated slowness, or of the usual time if that is greater, above which a sample is slow. It is
 /// above the usual spread of the time that work takes.
@@ -50,7 +50,7 @@
 /// Time for which a searcher is avoided after its first failure. It fits a short interruption and doubles with each
 /// further failure in a row.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(400);
-/// Largest number of doublings of [`FIRST_AVOIDANCE`]. A searcher is avoided for at most 6.4 s, so one that is back is
+/// Maximum number of doublings of [`FIRST_AVOIDANCE`]. A searcher is avoided for at most 6.4 s, so one that is back is
 /// found soon.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 4;
 /// Time for which a searcher that accepts no connection at all isn't asked. It is short because the searcher is alive
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -16,7 +16,7 @@
 /// Time within which live searchers have written their entries anew after an outage of the store. The platform states
 /// about two seconds; a quarter is added for the pause of the lane and a late wake-up.
 const REREGISTRATION_TIME: Duration = Duration::from_millis(2500);
-/// Largest number of doublings of the back-off. [`Backoff::longest`](super::Backoff) is reached before; the limit only
+/// Maximum number of doublings of the back-off. [`Backoff::longest`](super::Backoff) is reached before; the limit only
 /// prevents an overflow of the shift.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
