--- a/crates/staircross-routing/src/configuration/definition.rs
+++ b/crates/staircross-routing/src/configuration/definition.rs
@@ -128,9 +128,9 @@
 
 impl RouteDefinition {
     /// Returns the least number of shards that must have answered; one if a single service is asked.
-    pub fn least_shards(&self) -> usize {
+    pub fn min_shards(&self) -> usize {
         match &self.target {
-            RouteTarget::Gather(gather) => gather.least_shards(),
+            RouteTarget::Gather(gather) => gather.min_shards(),
             RouteTarget::Service(_) | RouteTarget::Weighted(_) => 1,
         }
     }
@@ -138,7 +138,7 @@
 
 impl GatherTarget {
     /// Returns the least number of shards that must have answered; at least one.
-    pub fn least_shards(&self) -> usize {
+    pub fn min_shards(&self) -> usize {
         let exact = self.min_coverage * self.shards.len() as f64;
         // A rounding error of the product, as of 0.7 and 10, must not raise the result by one.
         ((exact - 1e-9).ceil() as usize).max(1)
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -122,7 +122,7 @@
     /// Number of reachable shards.
     pub reachable: usize,
     /// Minimum number of shards for an answer.
-    pub least: usize,
+    pub min_shards: usize,
     /// Whether the node knows all running searchers.
     pub knows_searchers: bool,
     /// Regions in which the request may be served.
@@ -143,7 +143,7 @@
 
 /// Decides whether an arriving request is processed, held or refused, by whether enough of its shards can be answered.
 pub fn decide_start(shards: ReachableShards<'_>) -> StartDecision {
-    if shards.reachable >= shards.least {
+    if shards.reachable >= shards.min_shards {
         return StartDecision::Begin;
     }
     if !shards.knows_searchers && !shards.regions.are_none() {
@@ -183,7 +183,7 @@
     /// Number of shards that are neither received nor given up.
     pub open: usize,
     /// Minimum number of shards for an answer.
-    pub least: usize,
+    pub min_shards: usize,
     /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
     /// Whether the latency goal has passed, after which an answer has less value.
@@ -192,7 +192,7 @@
     pub is_past_deadline: bool,
     /// Whether the request's API key was revoked while it is unknown whether any of its attempts ran. The outcome of
     /// the next attempt to end shows whether it ran.
-    pub is_unclear: bool,
+    pub awaits_outcome: bool,
 }
 
 /// Decision whether and how a request ends.
@@ -208,8 +208,8 @@
 
 /// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
 pub fn decide_end(progress: Progress) -> EndDecision {
-    let has_enough = progress.parts >= progress.least;
-    let is_hopeless = progress.parts + progress.open < progress.least && !progress.is_unclear;
+    let has_enough = progress.parts >= progress.min_shards;
+    let is_hopeless = progress.parts + progress.open < progress.min_shards && !progress.awaits_outcome;
     let cannot_improve = progress.is_past_goal || !progress.may_grow_in_time;
     let must_end = progress.is_past_deadline || (cannot_improve && has_enough);
     let continues = progress.open > 0 && !is_hopeless && !must_end;
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -282,8 +282,8 @@
     ) -> Result<(), NotStarted> {
         let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
         let reachable = chances.filter(|chance| !request_lifecycle::is_too_late(*chance, deadline)).count();
-        let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
-        match request_lifecycle::decide_start(ReachableShards { reachable, least, knows_searchers, regions }) {
+        let (min_shards, knows_searchers) = (route.min_shards(), arrival.knows_searchers);
+        match request_lifecycle::decide_start(ReachableShards { reachable, min_shards, knows_searchers, regions }) {
             StartDecision::Begin => Ok(()),
             StartDecision::Refuse(refusal) => Err(refusal.into()),
             StartDecision::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
--- a/crates/staircross-routing/src/engine/completion.rs
+++ b/crates/staircross-routing/src/engine/completion.rs
@@ -125,11 +125,11 @@
     Progress {
         parts: request.answered_shards(),
         open: request.open_shards(),
-        least: request.least_shards(),
+        min_shards: request.min_shards(),
         may_grow_in_time: request.may_gain_parts(),
         is_past_goal: now >= request.answer_by,
         is_past_deadline: now >= request.deadline,
-        is_unclear: request.awaits_outcome_after_revocation(),
+        awaits_outcome: request.awaits_outcome_after_revocation(),
     }
 }
 
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -388,8 +388,8 @@
     }
 
     /// Returns the least number of answered shards that make an answer.
-    pub fn least_shards(&self) -> usize {
-        self.route().least_shards()
+    pub fn min_shards(&self) -> usize {
+        self.route().min_shards()
     }
 
     pub fn answered_shards(&self) -> usize {
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -85,7 +85,7 @@
         (0, false, none, "refuse no_allowed_replica"),
     ];
     for (reachable, knows_searchers, regions, expected) in rows {
-        let verdict = match decide_start(ReachableShards { reachable, least: 3, knows_searchers, regions }) {
+        let verdict = match decide_start(ReachableShards { reachable, min_shards: 3, knows_searchers, regions }) {
             StartDecision::Begin => "begin".to_owned(),
             StartDecision::Refuse(refusal) => format!("refuse {}", refusal.kind),
             StartDecision::Hold(refusal) => format!("hold {}", refusal.kind),
@@ -119,11 +119,11 @@
     let waits = Progress {
         parts: 0,
         open: 4,
-        least: 3,
+        min_shards: 3,
         may_grow_in_time: true,
         is_past_goal: false,
         is_past_deadline: false,
-        is_unclear: false,
+        awaits_outcome: false,
     };
     let rows = [
         (waits, EndDecision::Continue),
@@ -139,9 +139,9 @@
         (Progress { parts: 3, open: 1, is_past_goal: true, is_past_deadline: true, ..waits }, EndDecision::Answer),
         // Two are lost.
         (Progress { parts: 1, open: 1, ..waits }, EndDecision::Fail),
-        (Progress { parts: 0, open: 1, is_unclear: true, ..waits }, EndDecision::Continue),
-        (Progress { parts: 0, open: 0, is_unclear: true, ..waits }, EndDecision::Fail),
-        (Progress { parts: 0, open: 1, is_unclear: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, awaits_outcome: true, ..waits }, EndDecision::Continue),
+        (Progress { parts: 0, open: 0, awaits_outcome: true, ..waits }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, awaits_outcome: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
     ];
     for (progress, standing) in rows {
         assert_eq!(decide_end(progress), standing, "{progress:?}");
