--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// The answer is final and becomes the shard's part.
-    TakePart,
+    AcceptAnswer,
     /// The shard is sent again, unless another attempt for it is in progress.
     SendAgain(SendReason),
     /// The shard is given up, because it may have run and may not run twice.
@@ -59,7 +59,7 @@
 /// Returns what follows for a shard when one of its attempts ends.
 pub fn next_step(outcome: &AttemptOutcome, kind: RequestKind) -> NextStep {
     match outcome {
-        AttemptOutcome::Answered(answer) if is_final(answer, kind) => NextStep::TakePart,
+        AttemptOutcome::Answered(answer) if is_final(answer, kind) => NextStep::AcceptAnswer,
         AttemptOutcome::Answered(_) | AttemptOutcome::Unknown(_) if kind.is_idempotent => {
             NextStep::SendAgain(SendReason::Retry)
         }
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -108,7 +108,7 @@
         let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::ran_to_completion(answer));
         request.is_answered |= has_run_to_end;
         match (step, answer) {
-            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
+            (NextStep::AcceptAnswer, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
             (NextStep::SendAgain(reason), failure) => {
                 self.resend_or_give_up(now, key, shard_index, reason, failure, actions)
             }
@@ -116,7 +116,7 @@
                 self.log_unsent(key, shard_index, SendReason::Retry, UnsentCause::NotRepeatable, actions);
                 self.give_up_shard(key, shard_index, failure);
             }
-            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard_index, failure),
+            (NextStep::GiveUp | NextStep::AcceptAnswer, failure) => self.give_up_shard(key, shard_index, failure),
         }
         match has_run_to_end {
             true => self.end_probe(now, key, actions),
--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -22,10 +22,10 @@
 fn an_answer_is_final_if_it_is_a_signed_success_or_another_searcher_would_say_the_same() {
     let rows = [
         // Status, signature; verdict for a plain request, a part of a gather, a request that may run once.
-        (200, "p", NextStep::TakePart, NextStep::TakePart, NextStep::TakePart),
-        (200, "", NextStep::TakePart, RETRY, NextStep::TakePart),
-        (404, "", NextStep::TakePart, RETRY, NextStep::TakePart),
-        (404, "p", NextStep::TakePart, RETRY, NextStep::TakePart),
+        (200, "p", NextStep::AcceptAnswer, NextStep::AcceptAnswer, NextStep::AcceptAnswer),
+        (200, "", NextStep::AcceptAnswer, RETRY, NextStep::AcceptAnswer),
+        (404, "", NextStep::AcceptAnswer, RETRY, NextStep::AcceptAnswer),
+        (404, "p", NextStep::AcceptAnswer, RETRY, NextStep::AcceptAnswer),
         (408, "", RETRY, RETRY, NextStep::NotRepeatable),
         (421, "", RETRY, RETRY, NextStep::NotRepeatable),
         (429, "", RETRY, RETRY, NextStep::NotRepeatable),
