--- a/crates/staircross-routing/src/configuration/check.rs
+++ b/crates/staircross-routing/src/configuration/check.rs
@@ -112,8 +112,8 @@
                     let first = tenants[holder.get().0 as usize].name.clone();
                     findings.push(Finding::DuplicateKey { first, second: tenant.name.clone() });
                 }
-                Entry::Vacant(place) => {
-                    place.insert(TenantKey(number));
+                Entry::Vacant(entry) => {
+                    entry.insert(TenantKey(number));
                 }
             }
         }
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -100,6 +100,6 @@
 /// Returns whether a searcher may be sent one more attempt by this node now.
 fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> bool {
     let has_room = searcher.open_attempts.len() < usable_connections(now, searcher, context) && !searcher.is_full(now);
-    let may_be_asked_now = context.next_chance(now, searcher).is_some_and(|chance| chance <= now);
+    let may_be_asked_now = context.available_from(now, searcher).is_some_and(|at| at <= now);
     searcher.may_be_asked(now) && may_be_asked_now && has_room
 }
--- a/crates/staircross-routing/src/decision/placement/context.rs
+++ b/crates/staircross-routing/src/decision/placement/context.rs
@@ -73,7 +73,7 @@
     /// Returns the time from which a searcher may be asked, regardless of its capacity. The time is in the past if the
     /// searcher isn't avoided. `None` means that the searcher is cold and this node has no share of the requests that
     /// the searcher can take.
-    pub fn next_chance(&self, now: BootTime, searcher: &Searcher) -> Option<BootTime> {
+    pub fn available_from(&self, now: BootTime, searcher: &Searcher) -> Option<BootTime> {
         let avoided_until = searcher.avoided_until();
         if !searcher.is_cold(now) {
             return Some(avoided_until);
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -108,7 +108,7 @@
         self.evict_if_full(now, content);
         self.update_case(now, content, |case| {
             case.route = Some(route);
-            case.add(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_reported_by_peer: false });
+            case.add_loss(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_reported_by_peer: false });
         })
     }
 
@@ -123,7 +123,7 @@
             let change = SuspicionChange { content, suspicion: Suspicion::None, losses: 0, is_raised: false };
             return (before != Suspicion::None).then_some(change);
         }
-        self.update_case(now, content, |case| case.answered(now))
+        self.update_case(now, content, |case| case.record_answer(now))
     }
 
     /// Records that a searcher answered a request sent at `sent_at`, which shows that it survived all its losses before
@@ -165,9 +165,9 @@
         self.update_case(now, record.content, |case| {
             case.is_known_to_peers = true;
             case.route = case.route.or(record.route);
-            record.losses.iter().for_each(|loss| case.add(Loss::from_record(now, loss)));
+            record.losses.iter().for_each(|loss| case.add_loss(Loss::from_record(now, loss)));
             if let Some(age) = record.answered_ms {
-                case.answered_by_peer(time_before(now, age));
+                case.record_peer_answer(time_before(now, age));
             }
         })
     }
@@ -182,7 +182,7 @@
     fn record_for_peers(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
         let case = self.cases.get_mut(&content)?;
         case.is_known_to_peers = true;
-        let losses = case.losses_to_send().map(|loss| loss.record(now)).collect();
+        let losses = case.losses_to_send().map(|loss| loss.to_record(now)).collect();
         Some(CaseRecord { content, losses, answered_ms: case.answered_at.map(|at| age_ms(now, at)), route: case.route })
     }
 
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -107,7 +107,7 @@
     }
 
     /// Adds a loss, unless a later answer is known. Beyond the limit, a loss is dropped that proves nothing.
-    pub fn add(&mut self, loss: Loss) {
+    pub fn add_loss(&mut self, loss: Loss) {
         if self.answered_at.is_some_and(|answered| loss.is_before(answered)) {
             return;
         }
@@ -125,13 +125,13 @@
     }
 
     /// Records an answer received by this node.
-    pub fn answered(&mut self, at: BootTime) {
+    pub fn record_answer(&mut self, at: BootTime) {
         self.answered_at = self.answered_at.max(Some(at));
         self.losses.retain(|loss| !loss.is_before(at));
     }
 
     /// Records an answer reported by a peer.
-    pub fn answered_by_peer(&mut self, at: BootTime) {
+    pub fn record_peer_answer(&mut self, at: BootTime) {
         if self.answered_at.is_none_or(|known| is_surely_later(at, known)) {
             self.answered_at = Some(at);
         }
@@ -171,7 +171,7 @@
     }
 
     /// Converts the loss to the form sent to peers.
-    pub fn record(&self, now: BootTime) -> LossRecord {
+    pub fn to_record(&self, now: BootTime) -> LossRecord {
         LossRecord {
             searcher: self.searcher,
             sent_ms: age_ms(now, self.sent_at),
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -280,8 +280,8 @@
         services: &[Arc<str>],
         deadline: BootTime,
     ) -> Result<(), NotStarted> {
-        let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
-        let reachable = chances.filter(|chance| !request_lifecycle::is_too_late(*chance, deadline)).count();
+        let times = services.iter().filter_map(|service| self.earliest_availability(now, regions, service, &[]));
+        let reachable = times.filter(|at| !request_lifecycle::is_too_late(*at, deadline)).count();
         let (min_shards, knows_searchers) = (route.min_shards(), arrival.knows_searchers);
         match request_lifecycle::decide_start(ReachableShards { reachable, min_shards, knows_searchers, regions }) {
             StartDecision::Begin => Ok(()),
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -11,8 +11,8 @@
 /// Maximum number of quota messages in one datagram to a peer, so that the datagram is never fragmented.
 const MAX_MESSAGES_PER_DATAGRAM: usize = 10;
 
-/// Creates the allowance of a node that has just started.
-pub(super) fn new_allowance(settings: &RoutingSettings) -> FleetRateLimiter {
+/// Creates the rate limiter of a node that has just started.
+pub(super) fn new_rate_limiter(settings: &RoutingSettings) -> FleetRateLimiter {
     FleetRateLimiter::new(settings.quota, settings.node, settings.started_at, settings.restarted_at.is_none())
 }
 
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -30,7 +30,7 @@
     /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked, free
     /// capacity aside; `None` when there is no such searcher. With `routing.waiting` switched off, only a searcher
     /// that may be asked at once counts.
-    pub(super) fn next_chance(
+    pub(super) fn earliest_availability(
         &self,
         now: BootTime,
         regions: AllowedRegions<'_>,
@@ -39,9 +39,9 @@
     ) -> Option<BootTime> {
         let others =
             self.eligible_searchers(now, regions, service).filter(|(candidate, _)| !excluded.contains(candidate));
-        let chances = others.filter_map(|(_, searcher)| self.placement.next_chance(now, searcher));
-        let chance = chances.map(|at| at.max(now)).min();
-        chance.filter(|at| self.settings.policy.waiting || *at <= now)
+        let times = others.filter_map(|(_, searcher)| self.placement.available_from(now, searcher));
+        let earliest = times.map(|at| at.max(now)).min();
+        earliest.filter(|at| self.settings.policy.waiting || *at <= now)
     }
 
     /// Queues a shard for which no searcher can be asked now, or gives it up if none is left. A shard with an open
@@ -57,19 +57,19 @@
             return UnsentCause::NoSearcherLeft;
         };
         let shard = &request.shards[shard_index];
-        let chance = self.next_chance(
+        let earliest = self.earliest_availability(
             now,
             request.allowed_regions(),
             &shard.service,
             &self.excluded_searchers(key, shard_index),
         );
-        let cause = match chance {
+        let cause = match earliest {
             Some(at) if at <= now => UnsentCause::NoRoom,
             Some(_) => UnsentCause::Avoided,
             None => UnsentCause::NoSearcherLeft,
         };
         if shard.is_open() && shard.outstanding == 0 {
-            let retry_at = chance.filter(|at| *at > now);
+            let retry_at = earliest.filter(|at| *at > now);
             self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at });
         }
         cause
