--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -182,7 +182,7 @@
     fn record_for_peers(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
         let case = self.cases.get_mut(&content)?;
         case.is_known_to_peers = true;
-        let losses = case.losses_to_send().map(|loss| loss.to_record(now)).collect();
+        let losses = case.losses_to_send().map(|loss| loss.peer_record(now)).collect();
         Some(CaseRecord { content, losses, answered_ms: case.answered_at.map(|at| age_ms(now, at)), route: case.route })
     }
 
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -171,7 +171,7 @@
     }
 
     /// Converts the loss to the form sent to peers.
-    pub fn to_record(&self, now: BootTime) -> LossRecord {
+    pub fn peer_record(&self, now: BootTime) -> LossRecord {
         LossRecord {
             searcher: self.searcher,
             sent_ms: age_ms(now, self.sent_at),
