--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -1,7 +1,7 @@
 //! Divides the admitted requests among tenants while only a fraction is admitted: max-min fairness with a floor.
 //!
 //! While [`crate::decision::admission`] limits a request's group of services at the request's rank, the rule decides
-//! which fraction of the tenant's requests is admitted. Capacity is filled from the bottom up: all requests of a tenant
+//! which fraction of the tenant's requests is admitted. There is one share for all tenants: all requests of a tenant
 //! that asks for less than the share are admitted, tenants that ask for more are cut to the share, and no tenant gets
 //! less than [`TENANT_FLOOR`] times the level. All tenants have the same weight.
 //!
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -42,7 +42,7 @@
 const HEDGE_PAUSE_AFTER_RESTART: Duration = Duration::from_secs(2);
 
 /// Time until a hedge that wasn't sent (no budget, no searcher with capacity, too long a queue) is tried again. A
-/// request with a goal of 200 ms thus gets a few more chances.
+/// request with a goal of 200 ms thus gets a few more tries.
 const HEDGE_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Delay of a hedge as a fraction of an unusually long work time.
@@ -54,12 +54,12 @@
     spent_budget: f64,
 }
 
-/// Delay factors in use. Budget that isn't spent within its window is lost, so a full budget pays for earlier hedges. A
-/// scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Measured as the change
-/// of the mean score of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave +0.0061 ±
-/// 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave +0.0034 and
-/// 1.3 gave -0.0112. All figures include the use of reported host slowness, which accounts for 0.0022 of them
-/// (`docs/design/extra-sends.md`).
+/// Delay factors in use. Budget that isn't spent within its window is lost, so hedges are sent earlier while the budget
+/// is full. A scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Measured as
+/// the change of the mean score of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave
+/// +0.0061 ± 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave
+/// +0.0034 and 1.3 gave -0.0112. All figures include the use of reported host slowness, which accounts for 0.0022 of
+/// them (`docs/design/extra-sends.md`).
 const HEDGE_DELAY_FACTORS: HedgeDelayFactors = HedgeDelayFactors { full_budget: 0.5, spent_budget: 1.3 };
 
 /// Delay factor if hedges disregard the budget.
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -8,7 +8,7 @@
 //! is raised for a limited time (`quarantine/alarm.rs`).
 //!
 //! The inputs are connections that ended without an answer (content, route, incarnation of the searcher, times),
-//! answers, and reports from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
+//! answers, and records from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
 //!
 //! The rule protects searchers. A connection that ends without an answer suggests that its searcher has ended, and any
 //! request that ran there may be the cause. The request that is the cause is never answered by any searcher. On a
@@ -149,7 +149,7 @@
         contents.into_iter().filter_map(|content| self.update_case(now, content, clear)).collect()
     }
 
-    /// Merges the reports of a peer.
+    /// Merges the records that a peer has sent.
     pub fn merge(&mut self, now: BootTime, records: &[CaseRecord]) -> Vec<SuspicionChange> {
         records.iter().filter_map(|record| self.merge_record(now, record)).collect()
     }
@@ -172,7 +172,8 @@
         })
     }
 
-    /// Returns the reports to send to peers with the next datagram. Contents take turns.
+    /// Returns the records to send to peers with the next datagram, and advances the schedule by which contents take
+    /// turns.
     pub fn next_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.remove_expired(now);
         let to_send = self.schedule.next_contents(now, &self.cases);
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -170,7 +170,7 @@
         self.lost_at <= answered + tolerance
     }
 
-    /// Converts the loss to the form sent to peers.
+    /// Returns the record of the loss that is sent to peers.
     pub fn peer_record(&self, now: BootTime) -> LossRecord {
         LossRecord {
             searcher: self.searcher,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Converts a loss reported by a peer.
+    /// Creates a loss from the record that a peer has sent.
     pub fn from_record(now: BootTime, record: &LossRecord) -> Self {
         Loss {
             searcher: record.searcher,
--- a/crates/staircross-routing/src/decision/quarantine/record.rs
+++ b/crates/staircross-routing/src/decision/quarantine/record.rs
@@ -6,7 +6,7 @@
 use crate::keys::{ContentKey, InstanceKey, RouteDigest};
 use serde::{Deserialize, Serialize};
 
-/// Report of one content to peers.
+/// Record of the case of one content, as it is sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseRecord {
     /// The content.
@@ -23,7 +23,7 @@
     pub route: Option<RouteDigest>,
 }
 
-/// Report of one searcher that was lost while running a content.
+/// Record of one searcher that was lost while running a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossRecord {
     /// Incarnation of the searcher.
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -74,16 +74,16 @@
     pub cold: ColdBound,
     /// Maximum number of requests that the node works on at once, without held ones; further requests are refused.
     pub max_requests: usize,
-    /// When this process started; `None` for the first process on its machine. Searchers may still count the
+    /// Time at which this process started; `None` for the first process on its machine. Searchers may still count the
     /// connections of the previous process.
     pub restarted_at: Option<BootTime>,
     /// Id of this incarnation of the node.
     pub node: NodeId,
-    /// How far all nodes together may exceed tenants' quotas.
+    /// Bound on the requests by which all nodes together may exceed tenants' quotas.
     pub quota: QuotaBound,
-    /// When the process started.
+    /// Time at which this process started, whether or not it is the first on its machine.
     pub started_at: BootTime,
-    /// Switches of the optional mechanisms.
+    /// Settings that turn single mechanisms off.
     pub policy: RoutingPolicy,
     /// Seed of the engine's random number generator.
     pub seed: u64,
@@ -104,7 +104,7 @@
     pub searcher: SearcherKey,
     pub route: Arc<str>,
     pub sent_at: BootTime,
-    /// When the attempt got its connection; until then, the time of sending.
+    /// Time at which the attempt got its connection; until then, the time of sending.
     pub begun_at: BootTime,
     /// The service group that the request belongs to.
     pub group: Arc<str>,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Changes the bound on hedges and retries.
+    /// Changes the bound on extra sends.
     pub fn set_extra_bound(&mut self, bound: ExtraBound) {
         self.settings.extra = bound;
     }
@@ -343,8 +343,8 @@
         })
     }
 
-    /// Returns whether a wake that has come due is still valid. A wake that an earlier one of the same request has
-    /// superseded isn't.
+    /// Takes the scheduled wake of a request if it is the one that is due now. Returns `false` for a wake that an
+    /// earlier one of the same request has superseded.
     fn claim_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
         let Some(request) = self.requests.get_mut(&key) else {
             // The request is held, or it has ended.
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -24,7 +24,7 @@
 pub(super) struct HeldRequest {
     arrival: Arrival,
     held_at: BootTime,
-    /// When the hold ends at the latest.
+    /// Time at which the hold ends at the latest.
     until: BootTime,
 }
 
@@ -128,7 +128,7 @@
         self.held_requests.retain(|held| held.arrival.key != key);
     }
 
-    /// Starts a held request, refuses it, or holds it on while its time isn't over and the node still isn't ready.
+    /// Starts a held request, refuses it, or keeps holding it while its time isn't over and the node still isn't ready.
     fn start_or_keep_held(&mut self, now: BootTime, held: HeldRequest, actions: &mut Vec<RoutingAction>) {
         let arrival = held.arrival(now);
         match self.start_request(now, &arrival, actions) {
--- a/crates/staircross-routing/src/engine/completion.rs
+++ b/crates/staircross-routing/src/engine/completion.rs
@@ -1,7 +1,7 @@
-//! Sends due hedges and ends requests: collects the inputs of [`crate::decision::hedging`] and
-//! [`crate::decision::request_lifecycle`], and carries out their verdicts.
+//! Ends requests and sends their due hedges: collects the inputs of [`crate::decision::request_lifecycle`] and
+//! [`crate::decision::hedging`], and carries out their decisions.
 //!
-//! Also owns the time for which attempts go on after their caller has disconnected.
+//! The module also defines how long attempts may go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
 use crate::decision::hedging::{self, HedgeDecision, LateAttempt};
@@ -12,7 +12,7 @@
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers under way still
+/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers in transit still
 /// arrive by then, so that their connections can be kept.
 const CALLER_GONE_ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time after which the connection is closed when the caller has disconnected and the route isn't idempotent. It is
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Ends a request if all shards are done, if too few can still answer, or if its time is over.
+    /// Ends a request if all shards are done, if too few can still answer, or if its deadline has passed; also if
+    /// enough have answered and either the latency goal has passed or no further answer can arrive before it.
     pub(super) fn finish_if_done(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
@@ -88,7 +89,7 @@
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
-    /// Logs the shards that a request ends without an answer from.
+    /// Logs each shard that hasn't answered when its request ends.
     fn log_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Multiple of the usual work of a searcher after which, plus the round trip, an attempt is overdue. It is later than
-/// the earliest hedge.
+/// Time after which an attempt is overdue, as a multiple of the searcher's usual work, plus the round trip. It is later
+/// than the earliest hedge.
 const OVERDUE_WORK_FACTOR: f64 = 2.2;
 /// Maximum wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. It leaves time for a searcher process
 /// that isn't scheduled for a while.
@@ -243,8 +243,9 @@
         others.map(|(_, searcher)| self.placement.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
-    /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling
-    /// it schedules the next. With two, each would go on scheduling another for as long as the request lives.
+    /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling it
+    /// schedules the next. If there were two, each would schedule another one when it is handled, for as long as the
+    /// request is in flight.
     pub(super) fn schedule_wake(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -17,7 +17,7 @@
 /// logged at most this much late.
 const ALARM_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Alarms of routes as they were logged last.
+/// The raised alarms that were logged last, by route, and the time of that check.
 #[derive(Default)]
 pub(super) struct LoggedAlarms {
     /// Routes whose alarm is raised.
@@ -64,7 +64,7 @@
         request.probe.is_some_and(|probe| !is_permitted(probe))
     }
 
-    /// Queues a shard until another shard has answered or the probe is widened to it.
+    /// Queues a shard until another shard has answered, or until the probe is extended to this shard.
     pub(super) fn postpone_for_probe(
         &mut self,
         now: BootTime,
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,7 +1,7 @@
 //! Handles the end of an attempt: updates its searcher and its request, and carries out what
 //! [`crate::decision::retry`] decides.
 //!
-//! Also owns the time for which the answer of a superseded attempt is still read.
+//! The module also defines how long the answer of a superseded attempt is still read.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::retry::{self, NextStep, RequestKind};
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -68,9 +68,9 @@
         self.service_waits.retain(|service, _| self.services.contains_key(service));
     }
 
-    /// Decides by chance whether a request is refused because requests wait too long. Returns `None` if it is
-    /// admitted, and otherwise the fraction of its tenant's requests at its rank that is admitted at present.
-    /// `tenant` is `None` for requests without one.
+    /// Draws at random whether a request is refused because requests wait too long. Returns `None` if it is admitted,
+    /// and otherwise the fraction of its tenant's requests at its rank that is admitted at present. `tenant` is `None`
+    /// for requests without one.
     pub(super) fn draw_refusal(
         &mut self,
         now: BootTime,
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the services that the groups of a route are named by.
+/// Returns the services after which the groups of a route are named.
 fn group_names(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
     let (one, set) = match &route.target {
         RouteTarget::Service(service) => (Some(service), &[][..]),
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -22,14 +22,14 @@
 pub(super) struct PostponedSend {
     pub reason: SendReason,
     pub cause: UnsentCause,
-    /// When to try again; `None` when the shard waits for an event, such as the end of another attempt.
+    /// Time at which to try again; `None` when the shard waits for an event, such as the end of another attempt.
     pub retry_at: Option<BootTime>,
 }
 
 impl RoutingEngine {
-    /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked, free
-    /// capacity aside; `None` when there is no such searcher. With `routing.waiting` switched off, only a searcher
-    /// that may be asked at once counts.
+    /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked,
+    /// regardless of its capacity; `None` when there is no such searcher. With `routing.waiting = false`, only a
+    /// searcher that may be asked at once counts.
     pub(super) fn earliest_availability(
         &self,
         now: BootTime,
@@ -115,7 +115,7 @@
         shard.and_then(|shard| shard.waiting).is_some_and(|waiting| waiting.reason == SendReason::Retry)
     }
 
-    /// Queues a shard, or gives it up if waiting is hopeless or the queue of its service is full.
+    /// Queues a shard, or gives it up if it can't be sent before the deadline or the queue of its service is full.
     pub(super) fn begin_waiting(
         &mut self,
         now: BootTime,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or come back.
-    /// Stops at the first shard that blocks those behind it.
+    /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or become
+    /// available. Stops at the first shard that blocks those behind it.
     pub(super) fn send_waiting_shards(&mut self, now: BootTime, service: &Arc<str>, actions: &mut Vec<RoutingAction>) {
         let waiting = self.waiting_shards.get(service).map_or(0, VecDeque::len);
         for _ in 0..waiting {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Sends the waiting shards of a request whose time to be tried again has come.
+    /// Sends the waiting shards of a request that are due to be tried again.
     pub(super) fn retry_due_shards(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -67,9 +67,9 @@
     },
     /// Peers report contents (digests of what requests ask for) and the searchers that were lost while running them.
     PeerCases(Vec<CaseRecord>),
-    /// This node has heard from no peer for some time, or hears from one again.
+    /// This node has received nothing from any peer for some time, or has received something again.
     Isolated {
-        /// Whether no peer is heard.
+        /// Whether nothing is received from any peer.
         is_isolated: bool,
     },
     /// A peer reports how much of tenants' quotas it has admitted, or how much this node may admit.
@@ -211,7 +211,8 @@
     },
     /// A shard has answered, so the others are sent.
     Answered,
-    /// One more shard is sent, since all attempts have ended or have been silent for longer than work usually takes.
+    /// One more shard is sent, since all attempts have ended or have been unanswered for longer than work usually
+    /// takes.
     Widened,
 }
 
