--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -7,7 +7,7 @@
 //! up. Searchers with nearly equal expected times share the work by random choice.
 //!
 //! The inputs are the [`Choice`] (allowed regions, excluded searchers, usual work and goal of the route: times), the
-//! state of each [`Searcher`] (slowness and rejection rate as ratios, open attempts, reported load), and the
+//! state of each [`Searcher`] (slowness and rejection rate as ratios, pending attempts, reported load), and the
 //! [`PlacementContext`] (the zones and the round trips to them, as times; the numbers of nodes).
 //!
 //! The rule shortens answer times and saves traffic between zones. Its settings change the mean score of a day's
@@ -18,8 +18,8 @@
 //! (docs/design/searcher-choice.md).
 //!
 //! The rule doesn't know what other nodes have sent or measured. It estimates the queue of a searcher in its own zone
-//! as this node's open attempts there times the number of nodes in the zone, and of a searcher in another zone as this
-//! node's open attempts alone.
+//! as this node's pending attempts there times the number of nodes in the zone, and of a searcher in another zone as this
+//! node's pending attempts alone.
 //!
 //! The log shows the rule as `event=send` (searcher, reason, last report of the searcher), and as `unsent` and
 //! `left_out` with a cause; the metrics are `staircross_bytes_total{purpose,reach}` and
@@ -99,7 +99,8 @@
 
 /// Returns whether a searcher may be sent one more attempt by this node now.
 fn may_be_sent_attempt(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> bool {
-    let has_room = searcher.open_attempts.len() < usable_connections(now, searcher, context) && !searcher.is_full(now);
+    let has_room =
+        searcher.pending_attempts.len() < usable_connections(now, searcher, context) && !searcher.is_full(now);
     let may_be_asked_now = context.available_from(now, searcher).is_some_and(|at| at <= now);
     searcher.may_be_asked(now) && may_be_asked_now && has_room
 }
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -41,12 +41,12 @@
     measured.max(reported)
 }
 
-/// Returns the time in the searcher's queue. Each other node of the zone is assumed to have as many open attempts as
+/// Returns the time in the searcher's queue. Each other node of the zone is assumed to have as many pending attempts as
 /// this node.
 fn queue_time(searcher: &Searcher, context: &PlacementContext, work: Duration) -> Duration {
     let slots = f64::from(searcher.entry.slots.max(1));
-    let open_attempts = searcher.open_attempts.len() as f64 * nodes_sending_alike(searcher, context);
-    work.mul_f64(((open_attempts + 1.0 - slots) / slots).max(0.0))
+    let pending_attempts = searcher.pending_attempts.len() as f64 * nodes_sending_alike(searcher, context);
+    work.mul_f64(((pending_attempts + 1.0 - slots) / slots).max(0.0))
 }
 
 /// Returns the number of nodes that probably send as much to the searcher as this node does, including this node.
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::decision::request_lifecycle::DEADLINE_GUARD;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{Attempt, Request};
-use crate::state::searcher::OpenAttempt;
+use crate::state::searcher::PendingAttempt;
 use staircross_types::BootTime;
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -164,7 +164,7 @@
         let attempt = AttemptKey { request: planned.request, number: request.attempts.len() as u16 };
         let work = times.usual.mul_f64(searcher.slowness(now));
         let due_at = now + times.round_trip + work.mul_f64(OVERDUE_WORK_FACTOR);
-        searcher.note_sent(now, OpenAttempt { attempt, sent_at: now, due_at });
+        searcher.note_sent(now, PendingAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[planned.shard_index];
         shard.sent_to.push(planned.searcher);
         shard.outstanding += 1;
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -64,9 +64,9 @@
 /// Time between trial attempts at a searcher that has failed; below [`FIRST_AVOIDANCE`].
 const TRIAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// An attempt that holds a connection to the searcher.
+/// An attempt that holds a connection to the searcher, or waits for one. Its request may have ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OpenAttempt {
+pub struct PendingAttempt {
     /// Key of the attempt.
     pub attempt: AttemptKey,
     /// Time at which the attempt was sent.
@@ -101,8 +101,8 @@
     pub instance_key: InstanceKey,
     /// Whether the searcher may be asked, by its entry and its answers.
     pub availability: Availability,
-    /// Attempts that hold a connection to the searcher.
-    pub open_attempts: Vec<OpenAttempt>,
+    /// Attempts of this node that hold a connection to the searcher.
+    pub pending_attempts: Vec<PendingAttempt>,
     /// Number of connections that the searcher accepts from all its clients together.
     pub max_connections: u32,
     /// Duration of the cold start, and the load that the searcher can take meanwhile.
@@ -128,7 +128,7 @@
     avoided_until: BootTime,
     /// Whether a single trial attempt must succeed before the searcher gets more work.
     needs_trial: bool,
-    /// Number of open attempts at which the searcher is full, until `full_until`.
+    /// Number of pending attempts at which the searcher is full, until `full_until`.
     full_at: usize,
     /// Time until which the searcher is taken to accept no further connection.
     full_until: BootTime,
@@ -143,7 +143,7 @@
             instance_key: InstanceKey::of(&entry.instance, entry.born_ms),
             entry,
             availability,
-            open_attempts: Vec::new(),
+            pending_attempts: Vec::new(),
             max_connections,
             cold_start: ColdStart::default(),
             is_evacuated: false,
@@ -288,13 +288,13 @@
         self.rejections.get(now)
     }
 
-    /// Returns the longest time by which an open attempt is overdue; zero if none is.
+    /// Returns the longest time by which a pending attempt is overdue; zero if none is.
     pub fn overdue(&self, now: BootTime) -> Duration {
-        self.open_attempts.iter().map(|open| now.since(open.due_at)).max().unwrap_or_default()
+        self.pending_attempts.iter().map(|pending| now.since(pending.due_at)).max().unwrap_or_default()
     }
 
     /// Records that an attempt was sent.
-    pub fn note_sent(&mut self, now: BootTime, open: OpenAttempt) {
+    pub fn note_sent(&mut self, now: BootTime, pending: PendingAttempt) {
         if self.needs_trial {
             // This is the trial attempt. No other attempt is sent until it has ended, but for `TRIAL_INTERVAL` at most.
             self.avoided_until = now + TRIAL_INTERVAL;
@@ -302,12 +302,12 @@
         if self.is_cold(now) {
             self.cold_sends.record(now);
         }
-        self.open_attempts.push(open);
+        self.pending_attempts.push(pending);
     }
 
     /// Records that an attempt no longer holds a connection.
     pub fn note_released(&mut self, attempt: AttemptKey) {
-        self.open_attempts.retain(|open| open.attempt != attempt);
+        self.pending_attempts.retain(|pending| pending.attempt != attempt);
     }
 
     /// Records an answer to an attempt sent at `sent_at` that took `ratio` times as long as usual.
@@ -337,7 +337,7 @@
     /// Records that a connection to the searcher was established and not reset: a trial has succeeded, and there may be
     /// room for one more attempt.
     pub fn note_connection_accepted(&mut self) {
-        self.full_at = self.full_at.max(self.open_attempts.len() + 1);
+        self.full_at = self.full_at.max(self.pending_attempts.len() + 1);
         if self.needs_trial {
             self.consecutive_failures = 0;
             self.needs_trial = false;
@@ -360,19 +360,19 @@
 
     /// Records that the searcher accepts no further connection. Connections that it has accepted stay in use.
     pub fn note_connection_rejected(&mut self, now: BootTime) {
-        if self.open_attempts.is_empty() {
+        if self.pending_attempts.is_empty() {
             // The searcher is alive and may have room for a connection at any moment.
             self.needs_trial = true;
             self.avoided_until = self.avoided_until.max(now + CONNECTION_REJECTED_PAUSE);
             return;
         }
-        self.full_at = self.open_attempts.len();
+        self.full_at = self.pending_attempts.len();
         self.full_until = now + FULL_PAUSE;
     }
 
     /// Returns whether the searcher can't take another attempt because it accepts no further connection.
     pub fn is_full(&self, now: BootTime) -> bool {
-        now < self.full_until && self.open_attempts.len() >= self.full_at
+        now < self.full_until && self.pending_attempts.len() >= self.full_at
     }
 
     /// Records that the searcher rejected work.
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -10,7 +10,7 @@
 use staircross_routing::decision::cold::FleetRank;
 use staircross_routing::decision::placement::connections::usable_connections;
 use staircross_routing::decision::placement::{Choice, PlacementContext, choose, expected_time};
-use staircross_routing::state::searcher::{OpenAttempt, Searcher};
+use staircross_routing::state::searcher::{PendingAttempt, Searcher};
 use staircross_routing::{
     AttemptKey, ColdBound, ReportedLoad, RequestKey, RouteDefinition, RouteTarget, RoutingPolicy, SearcherKey,
     SearcherReport,
@@ -58,7 +58,8 @@
     } else {
         now() + Duration::from_millis(due_ms.unsigned_abs())
     };
-    let open = |number| OpenAttempt { attempt: AttemptKey { request: RequestKey(0), number }, sent_at: now(), due_at };
+    let open =
+        |number| PendingAttempt { attempt: AttemptKey { request: RequestKey(0), number }, sent_at: now(), due_at };
     with(searcher, |searcher| (0..attempts).for_each(|number| searcher.note_sent(now(), open(number))))
 }
 
