--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -75,19 +75,19 @@
         FirstProbe { next_at: now, silence_timeout: Duration::ZERO }
     }
 
-    /// Returns whether one more shard may be sent while `at_work` attempts are in progress.
-    pub fn may_send(&self, now: BootTime, at_work: usize) -> bool {
-        at_work == 0 || now >= self.next_at
+    /// Returns whether one more shard may be sent while `open_attempts` attempts are in progress.
+    pub fn may_send(&self, now: BootTime, open_attempts: usize) -> bool {
+        open_attempts == 0 || now >= self.next_at
     }
 
     /// Records that a shard was sent to a searcher at a distance of `round_trip` that usually takes `work` for such a
-    /// request, while `at_work` other attempts were in progress.
+    /// request, while `open_attempts` other attempts were in progress.
     ///
     /// The time until the next shard is lengthened only after silence. If no attempt is in progress, the last searcher
     /// asked has ended, rejected the request or couldn't be reached, and there was nothing to wait for: a request may
     /// be rejected dozens of times within a second.
-    pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, at_work: usize) {
-        let growth = if at_work > 0 { SILENCE_TIMEOUT_GROWTH } else { 1 };
+    pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, open_attempts: usize) {
+        let growth = if open_attempts > 0 { SILENCE_TIMEOUT_GROWTH } else { 1 };
         let usual = round_trip + work.mul_f64(SILENT_WORK_FACTOR);
         self.silence_timeout = (self.silence_timeout * growth).max(usual);
         self.next_at = now + self.silence_timeout;
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -18,8 +18,8 @@
 //! (docs/design/searcher-choice.md).
 //!
 //! The rule doesn't know what other nodes have sent or measured. It estimates the queue of a searcher in its own zone
-//! as this node's pending attempts there times the number of nodes in the zone, and of a searcher in another zone as this
-//! node's pending attempts alone.
+//! as this node's pending attempts there times the number of nodes in the zone, and of a searcher in another zone as
+//! this node's pending attempts alone.
 //!
 //! The log shows the rule as `event=send` (searcher, reason, last report of the searcher), and as `unsent` and
 //! `left_out` with a cause; the metrics are `staircross_bytes_total{purpose,reach}` and
--- a/crates/staircross-routing/src/engine/completion.rs
+++ b/crates/staircross-routing/src/engine/completion.rs
@@ -48,7 +48,7 @@
         let mut late_shards = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
-            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
+            let (is_alone, may_be_sent) = (shard.open_attempts == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
             attempt.hedge_at = match hedging::decide_hedge(now, state, hedges_paused_until, policy) {
                 HedgeDecision::Hedge { again_at } => {
@@ -95,7 +95,7 @@
             return;
         };
         for shard in &request.shards {
-            let cause = match (&shard.state, shard.outstanding > 0, shard.sent_to.is_empty()) {
+            let cause = match (&shard.state, shard.open_attempts > 0, shard.sent_to.is_empty()) {
                 (ShardState::Answered(_), _, _) => continue,
                 (ShardState::Open, true, _) => LeftOutCause::Late,
                 (ShardState::Open, false, _) => LeftOutCause::NoRoom,
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -167,12 +167,12 @@
         searcher.note_sent(now, PendingAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[planned.shard_index];
         shard.sent_to.push(planned.searcher);
-        shard.outstanding += 1;
+        shard.open_attempts += 1;
         shard.excluded.push(planned.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let at_work = request.open_attempts();
+        let open_attempts = request.open_attempts();
         if let Some(probe) = &mut request.probe {
-            probe.note_sent(now, times.round_trip, work, at_work);
+            probe.note_sent(now, times.round_trip, work, open_attempts);
         }
         let shard = planned.shard_index as u32;
         request.attempts.push(Attempt { shard, hedge_at, is_open: true, is_resolved: false });
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -74,7 +74,7 @@
     ) -> UnsentCause {
         let cause = UnsentCause::Probing;
         let shard = self.requests.get(&key).map(|request| &request.shards[shard_index]);
-        if shard.is_some_and(|shard| shard.is_open() && shard.outstanding == 0) {
+        if shard.is_some_and(|shard| shard.is_open() && shard.open_attempts == 0) {
             self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at: None });
         }
         cause
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -55,7 +55,7 @@
         attempt.is_open = false;
         attempt.is_resolved = true;
         let shard_index = attempt.shard as usize;
-        request.shards[shard_index].outstanding -= 1;
+        request.shards[shard_index].open_attempts -= 1;
         Some(shard_index)
     }
 
@@ -198,7 +198,7 @@
         };
         let max_attempts = request.route().max_attempts;
         let shard = &request.shards[shard_index];
-        if shard.outstanding > 0 {
+        if shard.open_attempts > 0 {
             return;
         }
         let may_wait = retry::may_wait(failure.is_some(), request_kind(request));
@@ -221,7 +221,7 @@
     pub(super) fn give_up_shard(&mut self, key: RequestKey, shard_index: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
             let shard = &mut request.shards[shard_index];
-            if shard.outstanding == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
+            if shard.open_attempts == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
                 shard.state = ShardState::Failed(failure);
             }
         }
@@ -235,7 +235,7 @@
         for (number, attempt) in request.attempts.iter_mut().enumerate() {
             if attempt.is_open && attempt.shard as usize == shard_index {
                 attempt.is_open = false;
-                request.shards[shard_index].outstanding -= 1;
+                request.shards[shard_index].open_attempts -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
                 let (answer_timeout, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
                 actions.push(RoutingAction::Abandon { attempt, answer_timeout, cause });
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -37,7 +37,7 @@
         };
         request.is_key_revoked = true;
         actions.push(RoutingAction::KeyRefused { request: key, cause: KeyRefusal::Revoked });
-        for shard in request.shards.iter_mut().filter(|shard| shard.is_open() && shard.outstanding == 0) {
+        for shard in request.shards.iter_mut().filter(|shard| shard.is_open() && shard.open_attempts == 0) {
             shard.waiting = None;
             shard.state = ShardState::Failed(None);
         }
--- a/crates/staircross-routing/src/engine/suspicion.rs
+++ b/crates/staircross-routing/src/engine/suspicion.rs
@@ -60,7 +60,7 @@
         };
         let shard = &request.shards[shard_index];
         let service = shard.service.clone();
-        if shard.is_open() && shard.outstanding == 0 {
+        if shard.is_open() && shard.open_attempts == 0 {
             // The line is logged once, not with each retry.
             if !shard.is_queued {
                 actions.push(RoutingAction::Unsent { request: key, service, reason, cause });
@@ -151,9 +151,9 @@
             let Some(request) = self.requests.get_mut(&key) else {
                 continue;
             };
-            let is_ended = |shard: &&mut Shard| shard.is_open() && (is_idempotent || shard.outstanding == 0);
+            let is_ended = |shard: &&mut Shard| shard.is_open() && (is_idempotent || shard.open_attempts == 0);
             for shard in request.shards.iter_mut().filter(is_ended) {
-                shard.outstanding = 0;
+                shard.open_attempts = 0;
                 shard.waiting = None;
                 shard.state = ShardState::Failed(None);
             }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -68,7 +68,7 @@
             Some(_) => UnsentCause::Avoided,
             None => UnsentCause::NoSearcherLeft,
         };
-        if shard.is_open() && shard.outstanding == 0 {
+        if shard.is_open() && shard.open_attempts == 0 {
             let retry_at = earliest.filter(|at| *at > now);
             self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at });
         }
@@ -91,7 +91,7 @@
             return;
         };
         let retry_at = budget_retry_at(now, &self.settings.policy);
-        if retry_at.is_some() && shard.is_open() && shard.outstanding == 0 {
+        if retry_at.is_some() && shard.is_open() && shard.open_attempts == 0 {
             let postponed = PostponedSend { reason, cause: UnsentCause::OverBudget, retry_at };
             self.begin_waiting(now, key, shard_index, postponed);
         }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -223,8 +223,8 @@
     pub sent_to: Vec<SearcherKey>,
     /// Searchers that must not be asked again for this shard, whatever `max_attempts` permits.
     pub excluded: Vec<SearcherKey>,
-    /// Number of open attempts.
-    pub outstanding: u32,
+    /// Number of open attempts, for whose answers the shard still waits.
+    pub open_attempts: u32,
     /// Set while the shard waits for a searcher that can be asked.
     pub waiting: Option<Waiting>,
     /// Whether the shard is in the queue of its service.
@@ -248,7 +248,7 @@
             state: ShardState::Open,
             sent_to: Vec::new(),
             excluded: Vec::new(),
-            outstanding: 0,
+            open_attempts: 0,
             waiting: None,
             is_queued: false,
         }
@@ -288,7 +288,7 @@
     /// Returns whether the shard may still be answered before `time`: an attempt is open, or a searcher may be asked by
     /// then.
     pub fn may_be_answered_by(&self, time: BootTime) -> bool {
-        let may_get_answer = self.outstanding > 0
+        let may_get_answer = self.open_attempts > 0
             || self.waiting.is_none_or(|waiting| waiting.waits_for_room() || waiting.retry_at < time);
         self.is_open() && may_get_answer
     }
