--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -36,7 +36,7 @@
         }
         self.update_suspicion(now, attempt, &sent, &outcome, actions);
         if let Some(shard_index) = shard_index {
-            self.allow_unused_searcher(attempt.request, shard_index, sent.searcher, &outcome);
+            self.allow_searcher_reuse(attempt.request, shard_index, sent.searcher, &outcome);
             self.apply_outcome(now, attempt.request, shard_index, outcome, actions);
             self.finish_if_done(now, attempt.request, actions);
             self.schedule_wake(attempt.request);
@@ -145,7 +145,7 @@
     }
 
     /// After an attempt that didn't run, allows the request to ask the same searcher again where the rules permit it.
-    fn allow_unused_searcher(
+    fn allow_searcher_reuse(
         &mut self,
         key: RequestKey,
         shard_index: usize,
@@ -155,15 +155,15 @@
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
-        let unused = retry::reuse_after_not_run(*reason, &self.settings.policy);
+        let reuse = retry::reuse_after_not_run(*reason, &self.settings.policy);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let shard = &mut request.shards[shard_index];
-        if !unused.is_counted {
+        if !reuse.is_counted {
             shard.remove_sent(searcher);
         }
-        if unused.may_be_asked_again {
+        if reuse.may_be_asked_again {
             shard.excluded.retain(|excluded| *excluded != searcher);
         }
     }
--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -67,7 +67,7 @@
         let lanes = Lane::ALL.map(|lane| LaneReader {
             lane,
             state: LaneState::Scheduled { at: BootTime::default() },
-            after: None,
+            known_revision: None,
             partial: None,
             failures: 0,
             is_reachable: false,
@@ -113,7 +113,7 @@
     /// Returns whether a watch of the configuration is open. A store that answers then sends changes at once.
     pub fn watches_configuration(&self) -> bool {
         let lane = self.lane(Lane::Configuration);
-        lane.after.is_some() && lane.state == LaneState::Calling && !self.has_missed_probe
+        lane.known_revision.is_some() && lane.state == LaneState::Calling && !self.has_missed_probe
     }
 
     /// Sets the mode. Open calls of lanes that the mode doesn't use are cancelled; the other lanes continue from the
@@ -154,7 +154,7 @@
     /// configuration that is too large to be sent. A node that watches the store reads it anyway.
     pub fn read_configuration(&mut self, now: BootTime, actions: &mut Vec<ReaderAction>) {
         if self.mode == ReadingMode::Following || (self.mode == ReadingMode::Once && !self.is_reading_once()) {
-            self.lane_mut(Lane::Configuration).after = None;
+            self.lane_mut(Lane::Configuration).known_revision = None;
             self.set_mode(now, ReadingMode::Once, actions);
         }
     }
@@ -216,7 +216,7 @@
             StoreReply::Alive => reader.state = LaneState::Scheduled { at: now },
             StoreReply::Refused { .. } => return reader.handle_failure(now, &settings, random, actions),
             StoreReply::HistoryGone => {
-                reader.after = None;
+                reader.known_revision = None;
                 reader.partial = None;
                 reader.state = LaneState::Scheduled { at: now };
             }
@@ -266,7 +266,10 @@
     /// something changes.
     fn mark_held_watches_reachable(&mut self, actions: &mut Vec<ReaderAction>) {
         let is_held = |lane: &&mut LaneReader| {
-            lane.lane != Lane::Probe && lane.state == LaneState::Calling && lane.after.is_some() && lane.failures == 0
+            lane.lane != Lane::Probe
+                && lane.state == LaneState::Calling
+                && lane.known_revision.is_some()
+                && lane.failures == 0
         };
         self.lanes.iter_mut().filter(is_held).for_each(|lane| lane.set_reachable(true, actions));
     }
@@ -290,9 +293,10 @@
     /// next page would otherwise be taken for the whole listing.
     pub fn on_peer_report(&mut self, lane: Lane, revision: u64) {
         let reader = self.lane_mut(lane);
-        let is_listing = reader.after.is_none() && (reader.state == LaneState::Calling || reader.partial.is_some());
-        if revision > 0 && !is_listing && reader.after.is_none_or(|after| after < revision) {
-            reader.after = Some(revision);
+        let is_listing =
+            reader.known_revision.is_none() && (reader.state == LaneState::Calling || reader.partial.is_some());
+        if revision > 0 && !is_listing && reader.known_revision.is_none_or(|after| after < revision) {
+            reader.known_revision = Some(revision);
         }
     }
 
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -47,7 +47,7 @@
     pub lane: Lane,
     pub state: LaneState,
     /// Revision up to which all changes are known; `None` before the first complete listing.
-    pub after: Option<u64>,
+    pub known_revision: Option<u64>,
     /// The pages read so far of an incomplete listing.
     pub partial: Option<PartialListing>,
     /// Number of failed calls in a row.
@@ -65,7 +65,7 @@
         match (mode, self.lane) {
             (ReadingMode::Watching, _) => true,
             (ReadingMode::Once, Lane::Probe) => has_failed_read,
-            (ReadingMode::Once, Lane::Configuration | Lane::Searchers) => self.after.is_none(),
+            (ReadingMode::Once, Lane::Configuration | Lane::Searchers) => self.known_revision.is_none(),
             (ReadingMode::Probing, lane) => lane == Lane::Probe,
             (ReadingMode::Following, _) => false,
         }
@@ -76,7 +76,7 @@
         if self.lane == Lane::Probe {
             return ReaderAction::Call { lane: self.lane, call: StoreCall::Probe, timeout: settings.probe_timeout };
         }
-        let (call, timeout) = match (self.after, &self.partial, self.lane) {
+        let (call, timeout) = match (self.known_revision, &self.partial, self.lane) {
             (Some(after), _, lane) => {
                 let call = StoreCall::Watch { lane, after, wait: settings.watch };
                 (call, settings.watch + settings.call_timeout)
@@ -122,7 +122,7 @@
             }
             Lane::Probe => {}
         }
-        self.after = Some(first_revision);
+        self.known_revision = Some(first_revision);
         actions.push(ReaderAction::Learned { lane: self.lane, update: listing });
     }
 
@@ -135,7 +135,7 @@
         settings: &ReaderSettings,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.after = Some(self.after.map_or(revision, |after| after.max(revision)));
+        self.known_revision = Some(self.known_revision.map_or(revision, |after| after.max(revision)));
         let pause = if update.items.is_empty() { Duration::ZERO } else { self.pause_after(now, &update, settings) };
         self.state = LaneState::Scheduled { at: now + pause };
         match self.lane {
