--- a/crates/staircross-routing/src/store_reader.rs
+++ b/crates/staircross-routing/src/store_reader.rs
@@ -295,7 +295,7 @@
         let reader = self.lane_mut(lane);
         let is_listing =
             reader.known_revision.is_none() && (reader.state == LaneState::Calling || reader.partial.is_some());
-        if revision > 0 && !is_listing && reader.known_revision.is_none_or(|after| after < revision) {
+        if revision > 0 && !is_listing && reader.known_revision.is_none_or(|known| known < revision) {
             reader.known_revision = Some(revision);
         }
     }
--- a/crates/staircross-routing/src/store_reader/lane.rs
+++ b/crates/staircross-routing/src/store_reader/lane.rs
@@ -135,7 +135,7 @@
         settings: &ReaderSettings,
         actions: &mut Vec<ReaderAction>,
     ) {
-        self.known_revision = Some(self.known_revision.map_or(revision, |after| after.max(revision)));
+        self.known_revision = Some(self.known_revision.map_or(revision, |known| known.max(revision)));
         let pause = if update.items.is_empty() { Duration::ZERO } else { self.pause_after(now, &update, settings) };
         self.state = LaneState::Scheduled { at: now + pause };
         match self.lane {
