--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -104,8 +104,9 @@
     pub waited: Duration,
 }
 
-/// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. The
-/// time that the request waited to be read is deducted.
+/// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. It
+/// is [`DEADLINE_GUARD`] before the shorter of both timeouts ends, and the time that the request waited to be read is
+/// deducted.
 pub fn deadline(now: BootTime, bounds: TimeBounds) -> Result<BootTime, Refusal> {
     let timeout = bounds.caller_timeout.map_or(bounds.timeout, |caller_timeout| caller_timeout.min(bounds.timeout));
     let left = timeout.saturating_sub(bounds.waited);
@@ -170,7 +171,8 @@
     now + by_caller_timeout.min(MAX_HOLD)
 }
 
-/// Returns whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
+/// Returns whether a shard is given up rather than kept waiting, since no searcher can be asked before `retry_at` and
+/// the deadline has passed by then.
 pub fn is_too_late(retry_at: BootTime, deadline: BootTime) -> bool {
     retry_at >= deadline
 }
@@ -206,7 +208,8 @@
     Fail,
 }
 
-/// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
+/// Decides whether a request ends now: when no shard is open, when too few shards can still answer, when the deadline
+/// has passed, or when enough parts were received and no further one can arrive before the goal.
 pub fn decide_end(progress: Progress) -> EndDecision {
     let has_enough = progress.parts >= progress.min_shards;
     let is_hopeless = progress.parts + progress.open < progress.min_shards && !progress.awaits_outcome;
