--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -92,7 +92,7 @@
             waited: self.load.longest_wait(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
-            view: self.configuration_view(),
+            configuration_view: self.configuration_view(),
             knows_searchers: self.mirror.has_listing() && !self.store_reader.may_lack_searchers(self.now),
             link,
             content: outbound.content,
@@ -223,7 +223,9 @@
     fn apply_action(&mut self, action: RoutingAction) {
         match action {
             RoutingAction::Send(order) => self.send_attempt(order),
-            RoutingAction::Abandon { attempt, patience, cause } => self.abandon_attempt(attempt, patience, cause),
+            RoutingAction::Abandon { attempt, answer_timeout, cause } => {
+                self.abandon_attempt(attempt, answer_timeout, cause)
+            }
             RoutingAction::Recall { attempt } => self.recall_attempt(attempt),
             RoutingAction::Finish { request, verdict } => self.finish_request(request, verdict),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -116,7 +116,7 @@
         NoRoom,
         Avoided,
         NoSearcherLeft,
-        Pressed,
+        QueueTooLong,
         Suspect,
         NotRepeatable,
         MaxAttempts,
@@ -124,7 +124,7 @@
         Quarantined,
         Probing,
     ];
-    let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::Nobody];
+    let left_out = [LeftOutCause::Late, LeftOutCause::NoRoom, LeftOutCause::Failed, LeftOutCause::NoSearcher];
     let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
     let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Revoked];
     [
@@ -148,7 +148,7 @@
     let states = [MemberState::Alive, MemberState::Leaving, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     let states = states.map(|state| format!("state of member: {state:?}\n")).concat();
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
-    let reaches = [Distance::OwnZone, Distance::OwnRegion, Distance::Far].map(Reach::Known);
+    let reaches = [Distance::OwnZone, Distance::SameRegion, Distance::OtherRegion].map(Reach::Known);
     [
         listed("level of suspicion", levels.map(Suspicion::name)),
         listed("role", roles.map(StoreRole::name)),
--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -10,8 +10,8 @@
 //!
 //! The rule protects callers and back ends. When more is offered than searchers can process, every request waits until
 //! its goal has passed, and all work is wasted. Measured on two days of overload with two slots a searcher instead of
-//! five, the score for answers in time was 0.532 and 0.310 without the rule and 0.665 and 0.513 with it
-//! (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots, the rule has no effect
+//! five, the score for answers in time (docs/studies/scores.md) was 0.532 and 0.310 without the rule and 0.665 and
+//! 0.513 with it (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots, the rule has no effect
 //! (docs/studies/switches.md).
 //!
 //! The rule doesn't know what other nodes measure, how many slots are free, or why requests wait: a saturated link
@@ -107,7 +107,7 @@
 }
 
 impl Admission {
-    /// Whether the next evaluation is due.
+    /// Returns whether the next evaluation is due.
     pub fn is_due(&self, now: BootTime) -> bool {
         now >= self.next_evaluation
     }
@@ -131,7 +131,7 @@
         (self.level != before).then_some(AdmissionChange { wait, tolerable, level: self.level })
     }
 
-    /// Whether the wait has been too long for longer than the end of a burst would last.
+    /// Returns whether the wait has been too long for longer than the end of a burst would last.
     fn is_sustained(&mut self, now: BootTime, ratio: f64) -> bool {
         if ratio <= TOO_LONG_RATIO {
             self.too_long_since = None;
@@ -151,7 +151,7 @@
         self.level
     }
 
-    /// Whether any requests are refused now.
+    /// Returns whether any requests are refused now.
     pub fn is_limiting(&self) -> bool {
         self.level < 1.0
     }
--- a/crates/staircross-routing/src/decision/first_probe.rs
+++ b/crates/staircross-routing/src/decision/first_probe.rs
@@ -1,9 +1,10 @@
 //! Decides whether a gather request is sent to one shard first, to which one, and when the other shards follow.
 //!
-//! The rule applies to requests for several services. While the alarm of the route is raised
-//! ([`crate::decision::quarantine`]), a content that no searcher has answered lately is sent to one shard. The other
-//! shards follow as soon as any searcher asked has answered. Until then, one more shard is asked each time that all
-//! those asked are silent for longer than the work usually takes, at growing intervals ([`FirstProbe`]).
+//! The rule applies to requests for several services. While the alarm of the route is raised because its requests have
+//! crashed searchers lately ([`crate::decision::quarantine`]), a request whose content (digest of what it asks for,
+//! [`ContentKey`]) no searcher has answered lately is sent to one shard. This attempt is the probe. The other shards
+//! follow as soon as any searcher that was asked has answered. Until then, one more shard is sent each time that all
+//! searchers asked have been silent for longer than the work usually takes, at growing intervals ([`FirstProbe`]).
 //!
 //! The inputs are the settings; the alarms and recent answers that quarantine knows; the route's name and the content;
 //! the number of shards; times of this machine's boot clock; and the usual work and the round trip as durations.
@@ -33,11 +34,11 @@
 const SILENT_WORK_FACTOR: f64 = 3.0;
 /// Factor by which the time until one more shard is asked grows each time that all searchers asked are silent. A
 /// request that runs long before it crashes its searcher thus reaches few searchers.
-const PATIENCE_GROWTH: u32 = 2;
+const SILENCE_TIMEOUT_GROWTH: u32 = 2;
 /// Minimum time between two checks for a shard that can be sent.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Whether a request is sent to one shard first.
+/// Returns whether a request is sent to one shard first.
 pub fn is_needed(
     now: BootTime,
     policy: &RoutingPolicy,
@@ -63,38 +64,38 @@
 pub struct FirstProbe {
     /// Time from which one more shard is sent though others are in progress.
     next_at: BootTime,
-    /// Time from the last send until `next_at`. Only silence lengthens it, so it is never much longer than the request
-    /// has waited.
-    patience: Duration,
+    /// Time from the last send until `next_at`. It grows only after silence, so it is never much longer than the
+    /// request has waited.
+    silence_timeout: Duration,
 }
 
 impl FirstProbe {
     /// Creates the state of a request for which nothing has been sent.
     pub fn new(now: BootTime) -> Self {
-        FirstProbe { next_at: now, patience: Duration::ZERO }
+        FirstProbe { next_at: now, silence_timeout: Duration::ZERO }
     }
 
-    /// Whether one more shard may be sent while `at_work` attempts are in progress.
-    pub fn may_send(&self, now: BootTime, at_work: usize) -> bool {
-        at_work == 0 || now >= self.next_at
+    /// Returns whether one more shard may be sent while `open_attempts` attempts are in progress.
+    pub fn may_send(&self, now: BootTime, open_attempts: usize) -> bool {
+        open_attempts == 0 || now >= self.next_at
     }
 
     /// Records that a shard was sent to a searcher at a distance of `round_trip` that usually takes `work` for such a
-    /// request, while `at_work` other attempts were in progress.
+    /// request, while `open_attempts` other attempts were in progress.
     ///
     /// The time until the next shard is lengthened only after silence. If no attempt is in progress, the last searcher
     /// asked has ended, rejected the request or couldn't be reached, and there was nothing to wait for: a request may
     /// be rejected dozens of times within a second.
-    pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, at_work: usize) {
-        let growth = if at_work > 0 { PATIENCE_GROWTH } else { 1 };
+    pub fn note_sent(&mut self, now: BootTime, round_trip: Duration, work: Duration, open_attempts: usize) {
+        let growth = if open_attempts > 0 { SILENCE_TIMEOUT_GROWTH } else { 1 };
         let usual = round_trip + work.mul_f64(SILENT_WORK_FACTOR);
-        self.patience = (self.patience * growth).max(usual);
-        self.next_at = now + self.patience;
+        self.silence_timeout = (self.silence_timeout * growth).max(usual);
+        self.next_at = now + self.silence_timeout;
     }
 
     /// Postpones the next check after no shard could be sent.
     pub fn postpone(&mut self, now: BootTime) {
-        self.next_at = now + self.patience.max(MIN_CHECK_INTERVAL);
+        self.next_at = now + self.silence_timeout.max(MIN_CHECK_INTERVAL);
     }
 
     /// Returns the time from which one more shard may be sent if no searcher answers.
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -2,45 +2,45 @@
 //! limit.
 //!
 //! Nodes don't coordinate: each divides the limit by the number of nodes that it believes to serve. The remainder
-//! covers nodes whose views of the fleet differ for a moment. The setting `routing.connection_ramp = false` turns the
-//! steps after a restart off.
+//! covers nodes whose views of the fleet differ for a moment. A process that has restarted comes to use its share in
+//! steps; the setting `routing.connection_ramp = false` turns these steps off.
 
-use super::place::Place;
+use super::context::PlacementContext;
 use crate::state::searcher::Searcher;
 use staircross_types::BootTime;
 use std::time::Duration;
 
 /// Fraction of a searcher's connections that the nodes of its zone share. Measured together with [`OTHER_ZONE_SHARE`],
-/// as the change of the mean score of a day against this pair: 0.9 and 0.9 -0.0136, 0.9 and 1.8 -0.0161, 0.3 and 0.3
-/// -0.0057, 0.2 and 0.2 -0.0067, each ± 0.0022.
+/// as the change of the mean score of a day's requests (0 to 1, docs/studies/scores.md) against this pair: 0.9 and 0.9
+/// gave -0.0136, 0.9 and 1.8 gave -0.0161, 0.3 and 0.3 gave -0.0057, and 0.2 and 0.2 gave -0.0067, each ± 0.0022.
 const OWN_ZONE_SHARE: f64 = 0.45;
 /// Fraction of a searcher's connections that the nodes of all other zones share. Measured together with
 /// [`OWN_ZONE_SHARE`].
 const OTHER_ZONE_SHARE: f64 = 0.45;
 /// Number of steps in which a restarted node comes to use its share. After a power loss at all nodes, searchers count
 /// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. Measured together with
-/// [`RAMP_STEP`]: +0.0083 ± 0.0019 of the score against no steps. Steps of one connection cost 0.0136 on a deployment
-/// with shares of nine and more.
+/// [`RAMP_STEP`]: the mean score of a day is higher by 0.0083 ± 0.0019 than without steps. Steps of one connection
+/// lowered it by 0.0136 on a deployment with shares of nine and more.
 const RAMP_STEPS: usize = 4;
-/// Length of each step. With steps of one connection, 1 s gave +0.0070, 0.4 s +0.0036, 2 s +0.0066 and 4 s +0.0062,
-/// each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
+/// Length of each step. With steps of one connection, the mean score of a day changed as follows: 1 s gave +0.0070, 0.4
+/// s +0.0036, 2 s +0.0066 and 4 s +0.0062, each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
 const RAMP_STEP: Duration = Duration::from_secs(1);
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
-pub fn usable_connections(now: BootTime, searcher: &Searcher, place: &Place) -> usize {
-    ramped_share(now, place, connection_share(searcher, place))
+pub fn usable_connections(now: BootTime, searcher: &Searcher, context: &PlacementContext) -> usize {
+    ramped_share(now, context, connection_share(searcher, context))
 }
 
 /// Returns this node's share of a searcher's connections, at least one.
-fn connection_share(searcher: &Searcher, place: &Place) -> usize {
+fn connection_share(searcher: &Searcher, context: &PlacementContext) -> usize {
     let limit = f64::from(searcher.max_connections);
-    let all_nodes = place.fleet.serving.max(1);
-    let zone_nodes = place.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
+    let all_nodes = context.fleet.serving.max(1);
+    let zone_nodes = context.nodes_by_zone.get(&searcher.entry.zone).copied().unwrap_or(0).min(all_nodes);
     let share = if zone_nodes == 0 {
         limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / all_nodes as f64
     } else if zone_nodes == all_nodes {
         limit * (OWN_ZONE_SHARE + OTHER_ZONE_SHARE) / zone_nodes as f64
-    } else if *searcher.entry.zone == *place.zone {
+    } else if *searcher.entry.zone == *context.zone {
         limit * OWN_ZONE_SHARE / zone_nodes as f64
     } else {
         limit * OTHER_ZONE_SHARE / (all_nodes - zone_nodes) as f64
@@ -50,8 +50,8 @@
 
 /// Returns the part of its share that a restarted node uses while searchers may still count the connections of earlier
 /// incarnations: one step at first, and one more after each step's length.
-fn ramped_share(now: BootTime, place: &Place, share: usize) -> usize {
-    let Some(restarted_at) = place.restarted_at.filter(|_| place.policy.connection_ramp) else {
+fn ramped_share(now: BootTime, context: &PlacementContext, share: usize) -> usize {
+    let Some(restarted_at) = context.restarted_at.filter(|_| context.policy.connection_ramp) else {
         return share;
     };
     let steps = 1 + (now.since(restarted_at).as_micros() / RAMP_STEP.as_micros()) as usize;
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -1,12 +1,14 @@
 //! Detects requests that crash the searchers that run them ("queries of death"), and stops sending them.
 //!
-//! A request is identified by its content: a digest of host, method, target, body and tenant. The rule decides for each
-//! content whether it may be sent like any other, to one searcher at a time (suspect), or to no searcher (quarantined).
-//! `quarantine/case.rs` defines these levels: they depend on the searchers lost since the content was last answered,
-//! counted over all nodes.
+//! A request is identified by its content: a digest of host, method, target, body and tenant ([`ContentKey`]). The rule
+//! decides for each content whether it may be sent like any other, to one searcher at a time (suspect), or to no
+//! searcher (quarantined). The level follows from the content's case (`quarantine/case.rs`), which records the
+//! searchers that were lost while they ran the content since it was last answered, on all nodes. A searcher counts as
+//! lost when its connection ends without an answer. While contents of a route are quarantined, the alarm of that route
+//! is raised for a limited time (`quarantine/alarm.rs`).
 //!
 //! The inputs are connections that ended without an answer (content, route, incarnation of the searcher, times),
-//! answers, and reports from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
+//! answers, and records from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
 //!
 //! The rule protects searchers. A connection that ends without an answer suggests that its searcher has ended, and any
 //! request that ran there may be the cause. The request that is the cause is never answered by any searcher. On a
@@ -57,7 +59,7 @@
     pub sent_at: BootTime,
 }
 
-/// All contents whose requests were running on searchers that were lost.
+/// Cases of all contents that were running on searchers that were lost, and the alarms of routes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: BTreeMap<ContentKey, Case>,
@@ -78,12 +80,12 @@
         (count(Suspicion::Suspect), count(Suspicion::Quarantined))
     }
 
-    /// Whether the alarm of any route is stored. Alarms that have ended may still be included.
+    /// Returns whether the alarm of any route is stored. Alarms that have ended may still be included.
     pub fn has_alarms(&self) -> bool {
         !self.alarms.is_empty()
     }
 
-    /// Whether the alarm of a route is raised: its requests have crashed searchers lately.
+    /// Returns whether the alarm of a route is raised: its requests have crashed searchers lately.
     pub fn is_alarmed(&self, now: BootTime, route: RouteDigest) -> bool {
         self.alarm_age(now, route).is_some()
     }
@@ -93,8 +95,8 @@
         self.alarms.age(now, route)
     }
 
-    /// Whether a searcher has answered a request with this content lately, and none has been lost while running one
-    /// since.
+    /// Returns whether a searcher has answered a request with this content lately, and none has been lost while running
+    /// one since.
     pub fn is_harmless(&self, content: ContentKey) -> bool {
         self.answers.contains(content)
     }
@@ -106,7 +108,7 @@
         self.evict_if_full(now, content);
         self.update_case(now, content, |case| {
             case.route = Some(route);
-            case.add(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_reported_by_peer: false });
+            case.add_loss(Loss { searcher, sent_at, lost_at: now, is_alive: false, is_reported_by_peer: false });
         })
     }
 
@@ -121,10 +123,10 @@
             let change = SuspicionChange { content, suspicion: Suspicion::None, losses: 0, is_raised: false };
             return (before != Suspicion::None).then_some(change);
         }
-        self.update_case(now, content, |case| case.answered(now))
+        self.update_case(now, content, |case| case.record_answer(now))
     }
 
-    /// Records that a searcher answered a request sent at `sent_at`, which shows that it outlived all losses before
+    /// Records that a searcher answered a request sent at `sent_at`, which shows that it survived all its losses before
     /// that time. If a connection to the searcher may have been established since a loss (the last one was at
     /// `connected_at`), the answer may come from a later incarnation under the same id, so the loss still counts.
     pub fn note_alive(
@@ -147,7 +149,7 @@
         contents.into_iter().filter_map(|content| self.update_case(now, content, clear)).collect()
     }
 
-    /// Merges the reports of a peer.
+    /// Merges the records that a peer has sent.
     pub fn merge(&mut self, now: BootTime, records: &[CaseRecord]) -> Vec<SuspicionChange> {
         records.iter().filter_map(|record| self.merge_record(now, record)).collect()
     }
@@ -163,15 +165,16 @@
         self.update_case(now, record.content, |case| {
             case.is_known_to_peers = true;
             case.route = case.route.or(record.route);
-            record.losses.iter().for_each(|loss| case.add(Loss::from_record(now, loss)));
+            record.losses.iter().for_each(|loss| case.add_loss(Loss::from_record(now, loss)));
             if let Some(age) = record.answered_ms {
-                case.answered_by_peer(time_before(now, age));
+                case.record_peer_answer(time_before(now, age));
             }
         })
     }
 
-    /// Returns the reports to send to peers with the next datagram. Contents take turns.
-    pub fn records(&mut self, now: BootTime) -> Vec<CaseRecord> {
+    /// Returns the records to send to peers with the next datagram, and advances the schedule by which contents take
+    /// turns.
+    pub fn next_records(&mut self, now: BootTime) -> Vec<CaseRecord> {
         self.remove_expired(now);
         let to_send = self.schedule.next_contents(now, &self.cases);
         to_send.into_iter().filter_map(|content| self.record_for_peers(now, content)).collect()
@@ -180,7 +183,7 @@
     fn record_for_peers(&mut self, now: BootTime, content: ContentKey) -> Option<CaseRecord> {
         let case = self.cases.get_mut(&content)?;
         case.is_known_to_peers = true;
-        let losses = case.losses_to_send().map(|loss| loss.record(now)).collect();
+        let losses = case.losses_to_send().map(|loss| loss.peer_record(now)).collect();
         Some(CaseRecord { content, losses, answered_ms: case.answered_at.map(|at| age_ms(now, at)), route: case.route })
     }
 
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -1,11 +1,11 @@
 //! Decides whether an arriving request is begun, held or refused, and when a request ends: with an answer that is
 //! complete enough, or with a refusal of the error kind that applies.
 //!
-//! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`judge_reach`],
-//! [`hold_until`]) and whenever its state changes ([`judge`], [`refuse`]). [`crate::engine`] calls it and carries out
-//! its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a quarantined
-//! content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at the
-//! searchers ([`super::admission`], [`super::fair_share`]).
+//! The rule is applied to each request when it arrives ([`refuse_if_overloaded`], [`deadline`], [`decide_start`],
+//! [`hold_until`]) and whenever its state changes ([`decide_end`], [`refuse`]). [`crate::engine`] calls it and carries
+//! out its decision. Five refusals are decided elsewhere: an unknown route or key ([`crate::configuration`]), a
+//! quarantined content ([`super::quarantine`]), an exceeded tenant quota (`staircross-quota`), and too long a queue at
+//! the searchers ([`super::admission`], [`super::fair_share`]).
 //!
 //! The inputs are durations; times of this machine's boot clock; numbers of shards (those whose part has been received,
 //! those still open, and the minimum for an answer); and whether any attempt ran or may have run
@@ -15,8 +15,9 @@
 //! "never" (`docs/ERRORS.md`) may send the request again. Such a kind is used only if nothing was sent, or if
 //! everything that was sent is known not to have run. The rule also gives callers partial answers in time instead of
 //! complete answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a
-//! day (0 to 1) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than 0.0002 on two others
-//! (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with refusing and with waiting.
+//! day's requests (0 to 1, `docs/studies/scores.md`) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than
+//! 0.0002 on two others (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with
+//! refusing and with waiting.
 //!
 //! The rule doesn't know what a missing shard would have contributed, whether a caller still wants a late answer, or
 //! whether another node could answer. The Retry-After header follows from the error kind
@@ -42,7 +43,8 @@
 /// after a start takes tens of milliseconds).
 const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// Divisor of the caller's patience that bounds a hold, so that a caller who is refused has time to ask another node.
+/// Divisor of the caller's timeout that gives the maximum time for which a request is held, so that a caller who is
+/// refused has time to ask another node.
 const HOLD_DIVISOR: u32 = 4;
 
 /// Maximum number of requests held at once; further ones are refused. This bounds memory.
@@ -96,39 +98,41 @@
 pub struct TimeBounds {
     /// Timeout of the route.
     pub timeout: Duration,
-    /// Time for which the caller waits, if it says so.
-    pub patience: Option<Duration>,
+    /// Time for which the caller waits, if the request states it.
+    pub caller_timeout: Option<Duration>,
     /// Time for which the request may have waited to be read.
     pub waited: Duration,
 }
 
-/// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. The
-/// time that the request waited to be read is deducted.
+/// Returns the time by which an arriving request must have its final answer, or a refusal if that time has passed. It
+/// is [`DEADLINE_GUARD`] before the shorter of both timeouts ends, and the time that the request waited to be read is
+/// deducted.
 pub fn deadline(now: BootTime, bounds: TimeBounds) -> Result<BootTime, Refusal> {
-    let patience = bounds.patience.map_or(bounds.timeout, |patience| patience.min(bounds.timeout));
-    let left = patience.saturating_sub(bounds.waited);
+    let timeout = bounds.caller_timeout.map_or(bounds.timeout, |caller_timeout| caller_timeout.min(bounds.timeout));
+    let left = timeout.saturating_sub(bounds.waited);
     if left <= DEADLINE_GUARD {
         return Err(Refusal::new(ErrorKind::Overloaded, "the request's time was over when it was read"));
     }
     Ok(now + (left - DEADLINE_GUARD))
 }
 
-/// Number of a request's shards that have a searcher which may be asked before the deadline.
+/// Availability of a request's shards when the request arrives. A shard is reachable if it has a searcher that may be
+/// asked before the deadline.
 #[derive(Clone, Copy, Debug)]
-pub struct Reach<'a> {
-    /// Number of shards that have such a searcher.
+pub struct ReachableShards<'a> {
+    /// Number of reachable shards.
     pub reachable: usize,
     /// Minimum number of shards for an answer.
-    pub least: usize,
+    pub min_shards: usize,
     /// Whether the node knows all running searchers.
     pub knows_searchers: bool,
     /// Regions in which the request may be served.
     pub regions: AllowedRegions<'a>,
 }
 
-/// What is done with an arriving request, by the number of its reachable shards.
+/// Decision about an arriving request, by the number of its reachable shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReachVerdict {
+pub enum StartDecision {
     /// The request is processed.
     Begin,
     /// The request is refused and nothing is sent, because too few shards can be answered.
@@ -138,16 +142,16 @@
     Hold(Refusal),
 }
 
-/// Decides whether enough shards can be answered for a request to be processed.
-pub fn judge_reach(reach: Reach<'_>) -> ReachVerdict {
-    if reach.reachable >= reach.least {
-        return ReachVerdict::Begin;
+/// Decides whether an arriving request is processed, held or refused, by whether enough of its shards can be answered.
+pub fn decide_start(shards: ReachableShards<'_>) -> StartDecision {
+    if shards.reachable >= shards.min_shards {
+        return StartDecision::Begin;
     }
-    if !reach.knows_searchers && !reach.regions.are_none() {
+    if !shards.knows_searchers && !shards.regions.are_none() {
         let detail = "searchers are only just becoming known";
-        return ReachVerdict::Hold(Refusal::new(ErrorKind::NoReplicaYet, detail));
+        return StartDecision::Hold(Refusal::new(ErrorKind::NoReplicaYet, detail));
     }
-    ReachVerdict::Refuse(match reach.regions.are_all() {
+    StartDecision::Refuse(match shards.regions.are_all() {
         true => Refusal::new(ErrorKind::NoReplica, "too few shards have a searcher that can be asked"),
         false => Refusal::new(
             ErrorKind::NoAllowedReplica,
@@ -156,18 +160,19 @@
     })
 }
 
-/// Whether one more request may be held, in addition to `held` others.
+/// Returns whether one more request may be held, in addition to `held` others.
 pub fn may_hold(held: usize, policy: &RoutingPolicy) -> bool {
     policy.holds && held < MAX_HELD
 }
 
 /// Returns the time until which a request that arrives now may be held.
-pub fn hold_until(now: BootTime, patience: Option<Duration>) -> BootTime {
-    let by_patience = patience.map_or(MAX_HOLD, |patience| patience / HOLD_DIVISOR);
-    now + by_patience.min(MAX_HOLD)
+pub fn hold_until(now: BootTime, caller_timeout: Option<Duration>) -> BootTime {
+    let by_caller_timeout = caller_timeout.map_or(MAX_HOLD, |caller_timeout| caller_timeout / HOLD_DIVISOR);
+    now + by_caller_timeout.min(MAX_HOLD)
 }
 
-/// Whether a shard that no searcher can be asked for before `retry_at` is given up rather than kept waiting.
+/// Returns whether a shard is given up rather than kept waiting, since no searcher can be asked before `retry_at` and
+/// the deadline has passed by then.
 pub fn is_too_late(retry_at: BootTime, deadline: BootTime) -> bool {
     retry_at >= deadline
 }
@@ -180,45 +185,46 @@
     /// Number of shards that are neither received nor given up.
     pub open: usize,
     /// Minimum number of shards for an answer.
-    pub least: usize,
+    pub min_shards: usize,
     /// Whether the part of any open shard may arrive before the goal.
     pub may_grow_in_time: bool,
-    /// Whether the latency goal has passed, after which an answer is worth less.
+    /// Whether the latency goal has passed, after which an answer has less value.
     pub is_past_goal: bool,
     /// Whether the deadline has passed.
-    pub is_over: bool,
-    /// Whether the request's key was revoked while it is unknown whether any of its attempts ran. The end of the next
-    /// attempt will tell.
-    pub is_unclear: bool,
+    pub is_past_deadline: bool,
+    /// Whether the request's API key was revoked while it is unknown whether any of its attempts ran. The outcome of
+    /// the next attempt to end shows whether it ran.
+    pub awaits_outcome: bool,
 }
 
-/// Whether and how a request ends.
+/// Decision whether and how a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndDecision {
     /// The request continues.
-    GoOn,
+    Continue,
     /// The request is answered with the parts received.
     Answer,
     /// The request fails, with the refusal from [`refuse`] or with a searcher's own failure.
     Fail,
 }
 
-/// Decides whether a request ends now: when no further part can arrive, when too few can, or when its time is over.
-pub fn judge(progress: Progress) -> Standing {
-    let has_enough = progress.parts >= progress.least;
-    let is_hopeless = progress.parts + progress.open < progress.least && !progress.is_unclear;
+/// Decides whether a request ends now: when no shard is open, when too few shards can still answer, when the deadline
+/// has passed, or when enough parts were received and no further one can arrive before the goal.
+pub fn decide_end(progress: Progress) -> EndDecision {
+    let has_enough = progress.parts >= progress.min_shards;
+    let is_hopeless = progress.parts + progress.open < progress.min_shards && !progress.awaits_outcome;
     let cannot_improve = progress.is_past_goal || !progress.may_grow_in_time;
-    let must_end = progress.is_over || (cannot_improve && has_enough);
+    let must_end = progress.is_past_deadline || (cannot_improve && has_enough);
     let continues = progress.open > 0 && !is_hopeless && !must_end;
     match (continues, has_enough) {
-        (true, _) => Standing::GoOn,
-        (false, true) => Standing::Answer,
-        (false, false) => Standing::Fail,
+        (true, _) => EndDecision::Continue,
+        (false, true) => EndDecision::Answer,
+        (false, false) => EndDecision::Fail,
     }
 }
 
-/// Whether a searcher's own failure is passed on as the answer to a request that fails. A failure which promises that
-/// the request didn't run isn't passed on: [`refuse`] determines whether that holds for all attempts.
+/// Returns whether a searcher's own failure is passed on as the answer to a request that fails. A failure which
+/// promises that the request didn't run isn't passed on: [`refuse`] determines whether that holds for all attempts.
 pub fn is_passed_on(failure: &SearcherAnswer, is_gather: bool) -> bool {
     !is_gather && !promises_not_run(failure.status)
 }
@@ -229,8 +235,8 @@
     /// Whether any attempt ran or may have run, or has an unknown outcome.
     pub may_have_run: bool,
     /// Whether the deadline has passed.
-    pub is_over: bool,
-    /// Whether the request's key was revoked.
+    pub is_past_deadline: bool,
+    /// Whether the request's API key was revoked.
     pub is_key_revoked: bool,
 }
 
@@ -239,7 +245,7 @@
     if failed.is_key_revoked && !failed.may_have_run {
         return Refusal::new(ErrorKind::Unauthorized, KeyRefusal::Revoked.detail());
     }
-    match (failed.may_have_run, failed.is_over) {
+    match (failed.may_have_run, failed.is_past_deadline) {
         (true, true) => Refusal::new(ErrorKind::TimedOut, "the time was over before enough shards had answered"),
         (true, false) => Refusal::new(ErrorKind::BackEndsFailed, "too few shards are left to answer"),
         (false, true) => Refusal::new(ErrorKind::Overloaded, "no searcher had room in time"),
--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -13,6 +13,7 @@
 //! - Every request ends by its deadline.
 
 mod arrival;
+mod completion;
 mod counters;
 mod dispatch;
 mod first_probe;
@@ -21,7 +22,6 @@
 mod quotas;
 mod revocation;
 mod searchers;
-mod settle;
 mod suspicion;
 mod waiting;
 
@@ -31,7 +31,7 @@
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::cold::{ColdBound, FleetRank};
 use crate::decision::extra_budget::{ExtraBound, ExtraWindow};
-use crate::decision::placement::Place;
+use crate::decision::placement::PlacementContext;
 use crate::decision::quarantine::Quarantine;
 use crate::decision::weighted_round_robin::WeightedRoundRobin;
 pub use crate::engine_message::{
@@ -62,28 +62,28 @@
 /// Limits, location and identity of the node that an engine decides for.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// Bound on hedges and retries, for all nodes together.
+    /// Bound on extra sends (hedges and retries), for all nodes together.
     pub extra: ExtraBound,
     /// Zone of this node.
     pub zone: Arc<str>,
     /// Region of each zone.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Time after its entry has gone from the store during which a searcher is still asked if no other can be.
+    /// Time for which a searcher is still asked, if no other can be, after its entry has gone from the store.
     pub lapse_grace: Duration,
-    /// Bound on requests to a cold searcher, for all nodes together.
+    /// Bound on requests to a cold searcher (one that has just started), for all nodes together.
     pub cold: ColdBound,
-    /// Most requests that the node works on at once, held ones aside; further requests are refused.
+    /// Maximum number of requests that the node works on at once, without held ones; further requests are refused.
     pub max_requests: usize,
-    /// When this process started; `None` for the first process on its machine. Searchers may still count the
+    /// Time at which this process started; `None` for the first process on its machine. Searchers may still count the
     /// connections of the previous process.
     pub restarted_at: Option<BootTime>,
     /// Id of this incarnation of the node.
     pub node: NodeId,
-    /// How far all nodes together may exceed tenants' quotas.
+    /// Bound on the requests by which all nodes together may exceed tenants' quotas.
     pub quota: QuotaBound,
-    /// When the process started.
+    /// Time at which this process started, whether or not it is the first on its machine.
     pub started_at: BootTime,
-    /// Switches of the optional mechanisms.
+    /// Settings that turn single mechanisms off.
     pub policy: RoutingPolicy,
     /// Seed of the engine's random number generator.
     pub seed: u64,
@@ -96,7 +96,7 @@
     /// Estimate of the work of an attempt that doesn't wait in a queue.
     pub usual_work: UsualWork,
     /// Weighted round robin over the services of a weighted route.
-    pub service_turns: WeightedRoundRobin,
+    pub round_robin: WeightedRoundRobin,
 }
 
 /// An attempt that still holds a connection. It may outlive its request.
@@ -104,7 +104,7 @@
     pub searcher: SearcherKey,
     pub route: Arc<str>,
     pub sent_at: BootTime,
-    /// When the attempt got its connection; until then, the time of sending.
+    /// Time at which the attempt got its connection; until then, the time of sending.
     pub begun_at: BootTime,
     /// The service group that the request belongs to.
     pub group: Arc<str>,
@@ -126,7 +126,7 @@
 pub struct RoutingEngine {
     pub(crate) settings: RoutingSettings,
     pub(crate) random: ChaCha8Rng,
-    pub(crate) place: Place,
+    pub(crate) placement: PlacementContext,
     /// Fraction of the fleet's slack for extra sends that this node may spend, 0 to 1.
     pub(crate) slack_share: f64,
     pub(crate) table: Option<Arc<RouteTable>>,
@@ -137,7 +137,7 @@
     /// Searchers of each service that serve, or whose entry has lapsed recently.
     pub(crate) by_service: HashMap<Arc<str>, Vec<SearcherKey>>,
     services: HashMap<Arc<str>, ServiceEntry>,
-    /// Zones whose searchers get no new work.
+    /// Evacuated zones, whose searchers get no new work.
     evacuated_zones: Vec<Arc<str>>,
     /// Budgets for extra sends, by service.
     pub(crate) extra_windows: HashMap<Arc<str>, ExtraWindow>,
@@ -159,7 +159,7 @@
     pub(crate) quarantine: Quarantine,
     /// This node's share of tenants' quotas.
     quotas: FleetRateLimiter,
-    /// Alarms of routes as they were logged last.
+    /// Routes whose alarm was raised when alarms were logged last.
     logged_alarms: first_probe::LoggedAlarms,
     /// Counters for metrics.
     pub counters: RoutingCounters,
@@ -168,7 +168,7 @@
 impl RoutingEngine {
     /// Creates an engine without a configuration.
     pub fn new(settings: RoutingSettings) -> Self {
-        let place = Place {
+        let placement = PlacementContext {
             zone: settings.zone.clone(),
             regions: settings.regions.clone(),
             nodes_by_zone: HashMap::from([(settings.zone.clone(), 1)]),
@@ -180,8 +180,8 @@
         };
         RoutingEngine {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
-            quotas: quotas::new_allowance(&settings),
-            place,
+            quotas: quotas::new_rate_limiter(&settings),
+            placement,
             slack_share: 1.0,
             settings,
             table: None,
@@ -224,8 +224,8 @@
             }
             RoutingEvent::Evacuated(zones) => self.set_evacuated(now, zones, actions),
             RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes } => {
-                self.place.nodes_by_zone = nodes_by_zone;
-                self.place.fleet = FleetRank { rank, serving };
+                self.placement.nodes_by_zone = nodes_by_zone;
+                self.placement.fleet = FleetRank { rank, serving };
                 self.slack_share = slack_share;
                 self.set_quota_nodes(now, nodes);
             }
@@ -234,7 +234,7 @@
             RoutingEvent::Connected { searcher, took } => {
                 let searcher = &mut self.searchers[searcher.0 as usize];
                 searcher.note_connected(now);
-                self.place.note_connected(&searcher.entry.zone, took);
+                self.placement.note_connected(&searcher.entry.zone, took);
             }
             RoutingEvent::Begun { attempt } => {
                 self.on_begun(now, attempt, actions);
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Changes the bound on hedges and retries.
+    /// Changes the bound on extra sends.
     pub fn set_extra_bound(&mut self, bound: ExtraBound) {
         self.settings.extra = bound;
     }
@@ -258,7 +258,7 @@
     /// Changes the bound on requests to cold searchers.
     pub fn set_cold_bound(&mut self, bound: ColdBound) {
         self.settings.cold = bound;
-        self.place.cold = bound;
+        self.placement.cold = bound;
     }
 
     /// Returns when [`RoutingEvent::Tick`] is due next.
@@ -331,7 +331,7 @@
     ) -> impl Iterator<Item = (SearcherKey, &Searcher)> {
         let listed = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let known = listed.iter().map(|key| (*key, &self.searchers[key.0 as usize]));
-        known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.place.allows(regions, searcher))
+        known.filter(move |(_, searcher)| searcher.may_be_asked(now) && self.placement.allows(regions, searcher))
     }
 
     /// Returns the measurements of a route, which are created on first use.
@@ -339,12 +339,12 @@
         self.routes.entry(route.clone()).or_insert_with(|| RouteStatistics {
             work: LatencyTracker::new(goal / INITIAL_WORK_DIVISOR),
             usual_work: UsualWork::default(),
-            service_turns: WeightedRoundRobin::default(),
+            round_robin: WeightedRoundRobin::default(),
         })
     }
 
-    /// Returns whether a wake that has come due is still valid. A wake that an earlier one of the same request has
-    /// superseded isn't.
+    /// Takes the scheduled wake of a request if it is the one that is due now. Returns `false` for a wake that an
+    /// earlier one of the same request has superseded.
     fn claim_wake(&mut self, key: RequestKey, due: BootTime) -> bool {
         let Some(request) = self.requests.get_mut(&key) else {
             // The request is held, or it has ended.
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -11,7 +11,7 @@
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::goal::{answer_by, usable_goal};
 use crate::decision::quarantine::Suspicion;
-use crate::decision::request_lifecycle::{self, NodeLoad, Reach, ReachVerdict, Refusal, TimeBounds};
+use crate::decision::request_lifecycle::{self, NodeLoad, ReachableShards, Refusal, StartDecision, TimeBounds};
 use crate::keys::{ContentKey, RequestKey, TenantKey};
 use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
 use staircross_types::{BootTime, ErrorKind};
@@ -24,7 +24,7 @@
 pub(super) struct HeldRequest {
     arrival: Arrival,
     held_at: BootTime,
-    /// When the hold ends at the latest.
+    /// Time at which the hold ends at the latest.
     until: BootTime,
 }
 
@@ -73,11 +73,11 @@
     /// Returns the arrival as of `now`, with the time of the hold added to its wait. Once the hold is over, a
     /// doubtful view of the configuration counts as current.
     fn arrival(&self, now: BootTime) -> Arrival {
-        let view = match self.arrival.view {
+        let configuration_view = match self.arrival.configuration_view {
             ConfigurationView::Doubtful if now >= self.until => ConfigurationView::Current,
             view => view,
         };
-        Arrival { view, waited: self.arrival.waited + now.since(self.held_at), ..self.arrival.clone() }
+        Arrival { configuration_view, waited: self.arrival.waited + now.since(self.held_at), ..self.arrival.clone() }
     }
 }
 
@@ -128,7 +128,7 @@
         self.held_requests.retain(|held| held.arrival.key != key);
     }
 
-    /// Starts a held request, refuses it, or holds it on while its time isn't over and the node still isn't ready.
+    /// Starts a held request, refuses it, or keeps holding it while its time isn't over and the node still isn't ready.
     fn start_or_keep_held(&mut self, now: BootTime, held: HeldRequest, actions: &mut Vec<RoutingAction>) {
         let arrival = held.arrival(now);
         match self.start_request(now, &arrival, actions) {
@@ -168,7 +168,7 @@
         self.check_content(now, content)?;
         let deadline = deadline_of(now, route, arrival)?;
         let services = self.choose_services(route);
-        self.check_reach(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
+        self.check_reachable_shards(now, arrival, route, AllowedRegions::new(route, definition), &services, deadline)?;
         self.check_quota(now, tenant_name)?;
         self.count_request(now, &services);
         let group = services.first().cloned().unwrap_or_default();
@@ -236,7 +236,7 @@
         if let Some(route_index) = table.find_index(&arrival.host, &arrival.path) {
             return Ok((table, route_index));
         }
-        if arrival.is_ahead_of(&table) {
+        if arrival.knows_newer_configuration(&table) {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may have this route");
             return Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail));
         }
@@ -255,7 +255,7 @@
             RouteTarget::Gather(gather) => gather.shards.clone(),
             RouteTarget::Weighted(set) => {
                 let goal = Duration::from_millis(route.goal_ms);
-                self.route_statistics(&route.name, goal).service_turns.next(set).into_iter().collect()
+                self.route_statistics(&route.name, goal).round_robin.next(set).into_iter().collect()
             }
         }
     }
@@ -271,7 +271,7 @@
 
     /// Checks that enough shards for an answer have a searcher that can be asked before the deadline. Otherwise the
     /// request is refused or held, and nothing is sent.
-    fn check_reach(
+    fn check_reachable_shards(
         &self,
         now: BootTime,
         arrival: &Arrival,
@@ -280,13 +280,13 @@
         services: &[Arc<str>],
         deadline: BootTime,
     ) -> Result<(), NotStarted> {
-        let chances = services.iter().filter_map(|service| self.next_chance(now, regions, service, &[]));
-        let reachable = chances.filter(|chance| !request_lifecycle::is_too_late(*chance, deadline)).count();
-        let (least, knows_searchers) = (route.least_shards(), arrival.knows_searchers);
-        match request_lifecycle::judge_reach(Reach { reachable, least, knows_searchers, regions }) {
-            ReachVerdict::Begin => Ok(()),
-            ReachVerdict::Refuse(refusal) => Err(refusal.into()),
-            ReachVerdict::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
+        let times = services.iter().filter_map(|service| self.earliest_availability(now, regions, service, &[]));
+        let reachable = times.filter(|at| !request_lifecycle::is_too_late(*at, deadline)).count();
+        let (min_shards, knows_searchers) = (route.min_shards(), arrival.knows_searchers);
+        match request_lifecycle::decide_start(ReachableShards { reachable, min_shards, knows_searchers, regions }) {
+            StartDecision::Begin => Ok(()),
+            StartDecision::Refuse(refusal) => Err(refusal.into()),
+            StartDecision::Hold(refusal) => Err(NotStarted::NodeNotReady(HoldCause::NoSearchers, refusal.into())),
         }
     }
 
@@ -313,7 +313,10 @@
 
 fn deadline_of(now: BootTime, route: &RouteDefinition, arrival: &Arrival) -> Result<BootTime, Refusal> {
     let timeout = Duration::from_millis(route.timeout_ms);
-    request_lifecycle::deadline(now, TimeBounds { timeout, patience: arrival.caller_timeout, waited: arrival.waited })
+    request_lifecycle::deadline(
+        now,
+        TimeBounds { timeout, caller_timeout: arrival.caller_timeout, waited: arrival.waited },
+    )
 }
 
 /// Returns the tenant that a request's credential belongs to. A key that this node's configuration doesn't accept
@@ -324,12 +327,12 @@
     arrival: &Arrival,
     actions: &mut Vec<RoutingAction>,
 ) -> Result<Option<TenantKey>, NotStarted> {
-    let is_judged = arrival.credential != Credential::Missing || !route.is_public;
-    if is_judged && !table.definition().tenants.is_empty() {
+    let is_key_checked = arrival.credential != Credential::Missing || !route.is_public;
+    if is_key_checked && !table.definition().tenants.is_empty() {
         check_configuration_view(table, arrival)?;
     }
     table.authenticate(route, arrival.credential).map_err(|refusal| {
-        if arrival.is_ahead_of(table) && refusal != KeyRefusal::Malformed {
+        if arrival.knows_newer_configuration(table) && refusal != KeyRefusal::Malformed {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration may hold the key");
             return NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail);
         }
@@ -338,12 +341,12 @@
     })
 }
 
-/// Checks that this node's configuration is recent enough to judge keys by. A node that may have missed the
-/// revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view has
-/// expired.
+/// Checks that this node's configuration is recent enough for keys to be checked against it. A node that may have
+/// missed the revocation of a key waits for the newer configuration that it knows of, or refuses all keys once its view
+/// has expired.
 fn check_configuration_view(table: &RouteTable, arrival: &Arrival) -> Result<(), NotStarted> {
-    match arrival.view {
-        ConfigurationView::Doubtful if arrival.is_ahead_of(table) => {
+    match arrival.configuration_view {
+        ConfigurationView::Doubtful if arrival.knows_newer_configuration(table) => {
             let (cause, detail) = (HoldCause::OldConfiguration, "a newer configuration is on its way");
             Err(NotStarted::node_not_ready(cause, ErrorKind::NoConfiguration, detail))
         }
--- a/crates/staircross-routing/src/engine/settle.rs
+++ b/crates/staircross-routing/src/engine/completion.rs
@@ -1,18 +1,18 @@
-//! Sends due hedges and ends requests: collects the inputs of [`crate::decision::hedging`] and
-//! [`crate::decision::request_lifecycle`], and carries out their verdicts.
+//! Ends requests and sends their due hedges: collects the inputs of [`crate::decision::request_lifecycle`] and
+//! [`crate::decision::hedging`], and carries out their decisions.
 //!
-//! Also owns the time for which attempts go on after their caller has disconnected.
+//! The module also defines how long attempts may go on after their caller has disconnected.
 
 use super::{AbandonCause, LeftOutCause, RoutingAction, RoutingEngine, SendReason};
-use crate::decision::hedging::{self, HedgeVerdict, LateAttempt};
-use crate::decision::request_lifecycle::{self, FailedRequest, Progress, Refusal, Standing};
+use crate::decision::hedging::{self, HedgeDecision, LateAttempt};
+use crate::decision::request_lifecycle::{self, EndDecision, FailedRequest, Progress, Refusal};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
 use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
-/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers under way still
+/// Time after which an attempt's connection is closed when its caller has disconnected. Most answers in transit still
 /// arrive by then, so that their connections can be kept.
 const CALLER_GONE_ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time after which the connection is closed when the caller has disconnected and the route isn't idempotent. It is
@@ -48,15 +48,15 @@
         let mut late_shards = Vec::new();
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_open && attempt.hedge_at <= now) {
             let shard = &request.shards[attempt.shard as usize];
-            let (is_alone, may_be_sent) = (shard.outstanding == 1, shard.may_be_sent(max_attempts));
+            let (is_alone, may_be_sent) = (shard.open_attempts == 1, shard.may_be_sent(max_attempts));
             let state = LateAttempt { is_idempotent, is_key_revoked, is_alone, may_be_sent };
-            attempt.hedge_at = match hedging::judge(now, state, hedges_paused_until, policy) {
-                HedgeVerdict::Hedge { again_at } => {
+            attempt.hedge_at = match hedging::decide_hedge(now, state, hedges_paused_until, policy) {
+                HedgeDecision::Hedge { again_at } => {
                     late_shards.push(attempt.shard as usize);
                     again_at
                 }
-                HedgeVerdict::NotBefore(time) => time,
-                HedgeVerdict::Never => BootTime::FAR_FUTURE,
+                HedgeDecision::NotBefore(time) => time,
+                HedgeDecision::Never => BootTime::FAR_FUTURE,
             };
         }
         for shard_index in late_shards {
@@ -65,14 +65,15 @@
         }
     }
 
-    /// Ends a request if all shards are done, if too few can still answer, or if its time is over.
+    /// Ends a request if all shards are done, if too few can still answer, or if its deadline has passed; also if
+    /// enough have answered and either the latency goal has passed or no further answer can arrive before it.
     pub(super) fn finish_if_done(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
         let progress = progress(now, request);
-        let standing = request_lifecycle::judge(progress);
-        if standing == Standing::GoOn {
+        let decision = request_lifecycle::decide_end(progress);
+        if decision == EndDecision::Continue {
             return;
         }
         self.log_left_out(key, actions);
@@ -80,7 +81,7 @@
         let Some(mut request) = self.requests.remove(&key) else {
             return;
         };
-        let is_answered = standing == Standing::Answer;
+        let is_answered = decision == EndDecision::Answer;
         if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
@@ -88,18 +89,18 @@
         actions.push(RoutingAction::Finish { request: key, verdict });
     }
 
-    /// Logs the shards that a request ends without an answer from.
+    /// Logs each shard that hasn't answered when its request ends.
     fn log_left_out(&self, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
         };
         for shard in &request.shards {
-            let cause = match (&shard.state, shard.outstanding > 0, shard.sent_to.is_empty()) {
+            let cause = match (&shard.state, shard.open_attempts > 0, shard.sent_to.is_empty()) {
                 (ShardState::Answered(_), _, _) => continue,
                 (ShardState::Open, true, _) => LeftOutCause::Late,
                 (ShardState::Open, false, _) => LeftOutCause::NoRoom,
                 (ShardState::Failed(_), _, false) => LeftOutCause::Failed,
-                (ShardState::Failed(_), _, true) => LeftOutCause::Nobody,
+                (ShardState::Failed(_), _, true) => LeftOutCause::NoSearcher,
             };
             let instance = |searcher: &SearcherKey| self.searchers[searcher.0 as usize].entry.instance.clone();
             let asked = shard.sent_to.iter().map(instance).collect();
@@ -115,8 +116,8 @@
         };
         // Work of a route that isn't idempotent may finish: the caller may ask later what became of it.
         let is_idempotent = request.route().is_idempotent;
-        let patience = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
-        self.abandon_attempts(key, patience, AbandonCause::CallerGone, actions);
+        let answer_timeout = if is_idempotent { CALLER_GONE_ANSWER_TIMEOUT } else { NON_IDEMPOTENT_ANSWER_TIMEOUT };
+        self.abandon_attempts(key, answer_timeout, AbandonCause::CallerGone, actions);
         self.requests.remove(&key);
     }
 }
@@ -125,11 +126,11 @@
     Progress {
         parts: request.answered_shards(),
         open: request.open_shards(),
-        least: request.least_shards(),
+        min_shards: request.min_shards(),
         may_grow_in_time: request.may_gain_parts(),
         is_past_goal: now >= request.answer_by,
-        is_over: now >= request.deadline,
-        is_unclear: request.awaits_outcome_after_revocation(),
+        is_past_deadline: now >= request.deadline,
+        awaits_outcome: request.awaits_outcome_after_revocation(),
     }
 }
 
@@ -157,6 +158,6 @@
         return Verdict::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
-    let (is_over, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
-    request_lifecycle::refuse(FailedRequest { may_have_run, is_over, is_key_revoked }).into()
+    let (is_past_deadline, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
+    request_lifecycle::refuse(FailedRequest { may_have_run, is_past_deadline, is_key_revoked }).into()
 }
--- a/crates/staircross-routing/src/engine/dispatch.rs
+++ b/crates/staircross-routing/src/engine/dispatch.rs
@@ -13,20 +13,20 @@
 use crate::decision::request_lifecycle::DEADLINE_GUARD;
 use crate::keys::{AttemptKey, RequestKey, SearcherKey};
 use crate::state::request::{Attempt, Request};
-use crate::state::searcher::OpenAttempt;
+use crate::state::searcher::PendingAttempt;
 use staircross_types::BootTime;
 use std::cmp::Reverse;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An attempt is overdue after the round trip plus this many times the usual work of its searcher. That is later than
-/// the earliest hedge.
+/// Time after which an attempt is overdue, as a multiple of the searcher's usual work, plus the round trip. It is later
+/// than the earliest hedge.
 const OVERDUE_WORK_FACTOR: f64 = 2.2;
-/// Longest wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. Leaves time for a searcher process
+/// Maximum wait for a connection, in addition to [`CONNECT_TIMEOUT_ROUND_TRIPS`]. It leaves time for a searcher process
 /// that isn't scheduled for a while.
 const BASE_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Round trips that are added to [`BASE_CONNECT_TIMEOUT`]. Leaves time for a connection that comes up at the second
-/// try.
+/// Number of round trips that are added to [`BASE_CONNECT_TIMEOUT`]. They leave time for a connection that is
+/// established at the second try.
 const CONNECT_TIMEOUT_ROUND_TRIPS: u32 = 4;
 
 /// An attempt that is about to be sent.
@@ -111,7 +111,7 @@
         let usual_work = self.route_statistics(&route.name, goal).work.median();
         let candidates = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let choice = Choice { regions, excluded: &excluded, usual_work, goal };
-        choose(now, &choice, candidates, &self.searchers, &self.place, &mut self.random)
+        choose(now, &choice, candidates, &self.searchers, &self.placement, &mut self.random)
     }
 
     /// Checks whether an attempt may be made as a hedge or retry, and spends the budget for it. First attempts and
@@ -123,8 +123,8 @@
         service: &Arc<str>,
         reason: SendReason,
     ) -> Result<(), UnsentCause> {
-        if reason == SendReason::Hedge && self.is_pressed(now, key, service) {
-            return Err(UnsentCause::Pressed);
+        if reason == SendReason::Hedge && self.is_queue_too_long(now, key, service) {
+            return Err(UnsentCause::QueueTooLong);
         }
         match !is_paid(reason) || self.spend_extra(now, service) {
             true => Ok(()),
@@ -148,7 +148,7 @@
             return;
         };
         match planned.reason {
-            SendReason::First => self.counters.firsts += 1,
+            SendReason::First => self.counters.first_attempts += 1,
             SendReason::Hedge => self.counters.hedges += 1,
             SendReason::Retry => self.counters.retries += 1,
             SendReason::Reroute => self.counters.reroutes += 1,
@@ -164,15 +164,15 @@
         let attempt = AttemptKey { request: planned.request, number: request.attempts.len() as u16 };
         let work = times.usual.mul_f64(searcher.slowness(now));
         let due_at = now + times.round_trip + work.mul_f64(OVERDUE_WORK_FACTOR);
-        searcher.note_sent(now, OpenAttempt { attempt, sent_at: now, due_at });
+        searcher.note_sent(now, PendingAttempt { attempt, sent_at: now, due_at });
         let shard = &mut request.shards[planned.shard_index];
         shard.sent_to.push(planned.searcher);
-        shard.outstanding += 1;
-        shard.tried.push(planned.searcher);
+        shard.open_attempts += 1;
+        shard.excluded.push(planned.searcher);
         let hedge_at = times.hedge_at(now, request.answer_by);
-        let at_work = request.open_attempts();
+        let open_attempts = request.open_attempts();
         if let Some(probe) = &mut request.probe {
-            probe.note_sent(now, times.round_trip, work, at_work);
+            probe.note_sent(now, times.round_trip, work, open_attempts);
         }
         let shard = planned.shard_index as u32;
         request.attempts.push(Attempt { shard, hedge_at, is_open: true, is_resolved: false });
@@ -193,14 +193,14 @@
     fn new_send_order(&self, now: BootTime, planned: PlannedAttempt, attempt: AttemptKey) -> Option<SendOrder> {
         let request = self.requests.get(&planned.request)?;
         let searcher = &self.searchers[planned.searcher.0 as usize];
-        let round_trip = self.place.round_trip(&searcher.entry.zone);
+        let round_trip = self.placement.round_trip(&searcher.entry.zone);
         Some(SendOrder {
             attempt,
             searcher: planned.searcher,
             instance: searcher.entry.instance.clone(),
             identity: request.identity(),
             address: searcher.entry.address,
-            distance: self.place.distance(&searcher.entry.zone),
+            distance: self.placement.distance(&searcher.entry.zone),
             deadline: request.deadline + DEADLINE_GUARD,
             is_idempotent: request.route().is_idempotent,
             connect_timeout: BASE_CONNECT_TIMEOUT + round_trip * CONNECT_TIMEOUT_ROUND_TRIPS,
@@ -214,7 +214,7 @@
         let delay_factor = hedge_delay_factor(self.spare_fraction(now, planned.searcher));
         let request = self.requests.get(&planned.request)?;
         let other_round_trip = self.longest_other_round_trip(now, request, planned.searcher);
-        let round_trip = self.place.round_trip(&self.searchers[planned.searcher.0 as usize].entry.zone);
+        let round_trip = self.placement.round_trip(&self.searchers[planned.searcher.0 as usize].entry.zone);
         let (usual, late) = match self.routes.get(&request.route().name) {
             Some(statistics) => (statistics.work.median(), statistics.work.hedge_delay()),
             None => (Duration::ZERO, Duration::ZERO),
@@ -240,11 +240,12 @@
         let others = self
             .eligible_searchers(now, request.allowed_regions(), service)
             .filter(|(candidate, _)| *candidate != asked);
-        others.map(|(_, searcher)| self.place.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
+        others.map(|(_, searcher)| self.placement.round_trip(&searcher.entry.zone)).max().unwrap_or_default()
     }
 
-    /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling
-    /// it schedules the next. With two, each would go on scheduling another for as long as the request lives.
+    /// Schedules the next wake of a request, unless an earlier one is scheduled. One wake is enough, since handling it
+    /// schedules the next. If there were two, each would schedule another one when it is handled, for as long as the
+    /// request is in flight.
     pub(super) fn schedule_wake(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else {
             return;
--- a/crates/staircross-routing/src/engine/first_probe.rs
+++ b/crates/staircross-routing/src/engine/first_probe.rs
@@ -1,5 +1,5 @@
-//! Carries out first probes: sends one shard of a request, holds the others back until any has answered, and logs
-//! alarms.
+//! Carries out first probes: while the alarm of a route is raised because its requests have crashed searchers lately,
+//! sends one shard of a request first, holds the others back until any has answered, and logs alarms.
 //!
 //! [`crate::decision::first_probe`] decides which requests are probed, and says why.
 
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two checks for alarms that are over. Each check goes through all routes. The log line comes at most
-/// this much late.
+/// Time between two checks for alarms that are over, since each check goes through all routes. The end of an alarm is
+/// logged at most this much late.
 const ALARM_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Alarms of routes as they were logged last.
+/// The raised alarms that were logged last, by route, and the time of that check.
 #[derive(Default)]
 pub(super) struct LoggedAlarms {
     /// Routes whose alarm is raised.
@@ -64,7 +64,7 @@
         request.probe.is_some_and(|probe| !is_permitted(probe))
     }
 
-    /// Queues a shard until another shard has answered or the probe is widened to it.
+    /// Queues a shard until another shard has answered, or until the probe is extended to this shard.
     pub(super) fn postpone_for_probe(
         &mut self,
         now: BootTime,
@@ -74,7 +74,7 @@
     ) -> UnsentCause {
         let cause = UnsentCause::Probing;
         let shard = self.requests.get(&key).map(|request| &request.shards[shard_index]);
-        if shard.is_some_and(|shard| shard.is_open() && shard.outstanding == 0) {
+        if shard.is_some_and(|shard| shard.is_open() && shard.open_attempts == 0) {
             self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at: None });
         }
         cause
--- a/crates/staircross-routing/src/engine/outcome.rs
+++ b/crates/staircross-routing/src/engine/outcome.rs
@@ -1,7 +1,7 @@
 //! Handles the end of an attempt: updates its searcher and its request, and carries out what
 //! [`crate::decision::retry`] decides.
 //!
-//! Also owns the time for which the answer of a superseded attempt is still read.
+//! The module also defines how long the answer of a superseded attempt is still read.
 
 use super::{AbandonCause, RoutingAction, RoutingEngine, SendReason, SentAttempt, UnsentCause};
 use crate::decision::retry::{self, NextStep, RequestKind};
@@ -36,7 +36,7 @@
         }
         self.update_suspicion(now, attempt, &sent, &outcome, actions);
         if let Some(shard_index) = shard_index {
-            self.allow_unused_searcher(attempt.request, shard_index, sent.searcher, &outcome);
+            self.allow_searcher_reuse(attempt.request, shard_index, sent.searcher, &outcome);
             self.apply_outcome(now, attempt.request, shard_index, outcome, actions);
             self.finish_if_done(now, attempt.request, actions);
             self.schedule_wake(attempt.request);
@@ -55,13 +55,13 @@
         attempt.is_open = false;
         attempt.is_resolved = true;
         let shard_index = attempt.shard as usize;
-        request.shards[shard_index].outstanding -= 1;
+        request.shards[shard_index].open_attempts -= 1;
         Some(shard_index)
     }
 
     /// Updates what is known of a searcher's load, speed and failures by the outcome of an attempt.
     fn update_searcher(&mut self, now: BootTime, sent: &SentAttempt, outcome: &AttemptOutcome) {
-        let round_trip = self.place.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
+        let round_trip = self.placement.round_trip(&self.searchers[sent.searcher.0 as usize].entry.zone);
         let worked = now.since(sent.sent_at).saturating_sub(round_trip);
         let searcher = &mut self.searchers[sent.searcher.0 as usize];
         if let AttemptOutcome::Answered(answer) = outcome {
@@ -108,7 +108,7 @@
         let has_run_to_end = answer.as_ref().is_some_and(|answer| retry::ran_to_completion(answer));
         request.is_answered |= has_run_to_end;
         match (step, answer) {
-            (NextStep::TakePart, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
+            (NextStep::AcceptAnswer, Some(answer)) => self.accept_answer(key, shard_index, answer, actions),
             (NextStep::SendAgain(reason), failure) => {
                 self.resend_or_give_up(now, key, shard_index, reason, failure, actions)
             }
@@ -116,7 +116,7 @@
                 self.log_unsent(key, shard_index, SendReason::Retry, UnsentCause::NotRepeatable, actions);
                 self.give_up_shard(key, shard_index, failure);
             }
-            (NextStep::GiveUp | NextStep::TakePart, failure) => self.give_up_shard(key, shard_index, failure),
+            (NextStep::GiveUp | NextStep::AcceptAnswer, failure) => self.give_up_shard(key, shard_index, failure),
         }
         match has_run_to_end {
             true => self.end_probe(now, key, actions),
@@ -145,7 +145,7 @@
     }
 
     /// After an attempt that didn't run, allows the request to ask the same searcher again where the rules permit it.
-    fn allow_unused_searcher(
+    fn allow_searcher_reuse(
         &mut self,
         key: RequestKey,
         shard_index: usize,
@@ -155,16 +155,16 @@
         let AttemptOutcome::NotRun(reason) = outcome else {
             return;
         };
-        let unused = retry::reuse_after_not_run(*reason, &self.settings.policy);
+        let reuse = retry::reuse_after_not_run(*reason, &self.settings.policy);
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
         let shard = &mut request.shards[shard_index];
-        if !unused.is_counted {
+        if !reuse.is_counted {
             shard.remove_sent(searcher);
         }
-        if unused.may_be_asked_again {
-            shard.tried.retain(|tried| *tried != searcher);
+        if reuse.may_be_asked_again {
+            shard.excluded.retain(|excluded| *excluded != searcher);
         }
     }
 
@@ -198,7 +198,7 @@
         };
         let max_attempts = request.route().max_attempts;
         let shard = &request.shards[shard_index];
-        if shard.outstanding > 0 {
+        if shard.open_attempts > 0 {
             return;
         }
         let may_wait = retry::may_wait(failure.is_some(), request_kind(request));
@@ -221,7 +221,7 @@
     pub(super) fn give_up_shard(&mut self, key: RequestKey, shard_index: usize, failure: Option<Box<SearcherAnswer>>) {
         if let Some(request) = self.requests.get_mut(&key) {
             let shard = &mut request.shards[shard_index];
-            if shard.outstanding == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
+            if shard.open_attempts == 0 && matches!(shard.state, ShardState::Open | ShardState::Failed(None)) {
                 shard.state = ShardState::Failed(failure);
             }
         }
@@ -235,10 +235,10 @@
         for (number, attempt) in request.attempts.iter_mut().enumerate() {
             if attempt.is_open && attempt.shard as usize == shard_index {
                 attempt.is_open = false;
-                request.shards[shard_index].outstanding -= 1;
+                request.shards[shard_index].open_attempts -= 1;
                 let attempt = AttemptKey { request: key, number: number as u16 };
-                let (patience, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
-                actions.push(RoutingAction::Abandon { attempt, patience, cause });
+                let (answer_timeout, cause) = (SUPERSEDED_ANSWER_TIMEOUT, AbandonCause::Superseded);
+                actions.push(RoutingAction::Abandon { attempt, answer_timeout, cause });
             }
         }
     }
@@ -247,7 +247,7 @@
     pub(super) fn abandon_attempts(
         &mut self,
         key: RequestKey,
-        patience: Duration,
+        answer_timeout: Duration,
         cause: AbandonCause,
         actions: &mut Vec<RoutingAction>,
     ) {
@@ -261,7 +261,7 @@
                 if let Some(sent) = self.sent_attempts.get_mut(&attempt) {
                     sent.is_request_answered = request.is_answered;
                 }
-                actions.push(RoutingAction::Abandon { attempt, patience, cause });
+                actions.push(RoutingAction::Abandon { attempt, answer_timeout, cause });
             }
         }
     }
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -68,9 +68,9 @@
         self.service_waits.retain(|service, _| self.services.contains_key(service));
     }
 
-    /// Decides by chance whether a request is refused because requests wait too long. Returns `None` if it is
-    /// admitted, and otherwise the fraction of its tenant's requests at its rank that is admitted at present.
-    /// `tenant` is `None` for requests without one.
+    /// Draws at random whether a request is refused because requests wait too long. Returns `None` if it is admitted,
+    /// and otherwise the fraction of its tenant's requests at its rank that is admitted at present. `tenant` is `None`
+    /// for requests without one.
     pub(super) fn draw_refusal(
         &mut self,
         now: BootTime,
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether sub-requests wait so long at a service that a hedge would only add to its load.
-    pub(super) fn is_pressed(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
+    pub(super) fn is_queue_too_long(&self, now: BootTime, key: RequestKey, service: &Arc<str>) -> bool {
         let Some(request) = self.requests.get(&key).filter(|_| self.settings.policy.hedge_pressure) else {
             return false;
         };
@@ -120,7 +120,7 @@
         actions: &mut Vec<RoutingAction>,
     ) {
         let entry = &self.searchers[sent.searcher.0 as usize].entry;
-        let worked = now.since(sent.begun_at).saturating_sub(self.place.round_trip(&entry.zone));
+        let worked = now.since(sent.begun_at).saturating_sub(self.placement.round_trip(&entry.zone));
         let service = entry.service.clone();
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status < 500 => self.record_work(now, sent, &service, worked),
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the services that the groups of a route are named by.
+/// Returns the services after which the groups of a route are named.
 fn group_names(route: &RouteDefinition) -> impl Iterator<Item = &Arc<str>> {
     let (one, set) = match &route.target {
         RouteTarget::Service(service) => (Some(service), &[][..]),
--- a/crates/staircross-routing/src/engine/revocation.rs
+++ b/crates/staircross-routing/src/engine/revocation.rs
@@ -1,4 +1,4 @@
-//! Revocation: handles requests in flight whose key is missing from a newer configuration.
+//! Handles the requests in flight whose API key is missing from a newer configuration (revocation).
 //!
 //! The configuration changes in one place only, so requests are checked again there rather than before each send.
 //! Attempts that are running may finish, and their answers are delivered. Nothing more is sent. A request of which
@@ -37,7 +37,7 @@
         };
         request.is_key_revoked = true;
         actions.push(RoutingAction::KeyRefused { request: key, cause: KeyRefusal::Revoked });
-        for shard in request.shards.iter_mut().filter(|shard| shard.is_open() && shard.outstanding == 0) {
+        for shard in request.shards.iter_mut().filter(|shard| shard.is_open() && shard.open_attempts == 0) {
             shard.waiting = None;
             shard.state = ShardState::Failed(None);
         }
--- a/crates/staircross-routing/src/engine/waiting.rs
+++ b/crates/staircross-routing/src/engine/waiting.rs
@@ -15,22 +15,22 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Most shards of one service that wait at once; further ones are given up. Bounds memory.
+/// Maximum number of shards of one service that wait at once; further ones are given up. This bounds memory.
 const MAX_WAITING_PER_SERVICE: usize = 1024;
 
 /// Why a shard is to be sent, why it can't be sent yet, and when to try again.
 pub(super) struct PostponedSend {
     pub reason: SendReason,
     pub cause: UnsentCause,
-    /// When to try again; `None` when the shard waits for an event, such as the end of another attempt.
+    /// Time at which to try again; `None` when the shard waits for an event, such as the end of another attempt.
     pub retry_at: Option<BootTime>,
 }
 
 impl RoutingEngine {
-    /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked, free
-    /// capacity aside; `None` when there is no such searcher. With `routing.waiting` switched off, only a searcher
-    /// that may be asked at once counts.
-    pub(super) fn next_chance(
+    /// Returns the earliest time at which a searcher of a service, other than those in `excluded`, may be asked,
+    /// regardless of its capacity; `None` when there is no such searcher. With `routing.waiting = false`, only a
+    /// searcher that may be asked at once counts.
+    pub(super) fn earliest_availability(
         &self,
         now: BootTime,
         regions: AllowedRegions<'_>,
@@ -39,9 +39,9 @@
     ) -> Option<BootTime> {
         let others =
             self.eligible_searchers(now, regions, service).filter(|(candidate, _)| !excluded.contains(candidate));
-        let chances = others.filter_map(|(_, searcher)| self.place.next_chance(now, searcher));
-        let chance = chances.map(|at| at.max(now)).min();
-        chance.filter(|at| self.settings.policy.waiting || *at <= now)
+        let times = others.filter_map(|(_, searcher)| self.placement.available_from(now, searcher));
+        let earliest = times.map(|at| at.max(now)).min();
+        earliest.filter(|at| self.settings.policy.waiting || *at <= now)
     }
 
     /// Queues a shard for which no searcher can be asked now, or gives it up if none is left. A shard with an open
@@ -57,19 +57,19 @@
             return UnsentCause::NoSearcherLeft;
         };
         let shard = &request.shards[shard_index];
-        let chance = self.next_chance(
+        let earliest = self.earliest_availability(
             now,
             request.allowed_regions(),
             &shard.service,
             &self.excluded_searchers(key, shard_index),
         );
-        let cause = match chance {
+        let cause = match earliest {
             Some(at) if at <= now => UnsentCause::NoRoom,
             Some(_) => UnsentCause::Avoided,
             None => UnsentCause::NoSearcherLeft,
         };
-        if shard.is_open() && shard.outstanding == 0 {
-            let retry_at = chance.filter(|at| *at > now);
+        if shard.is_open() && shard.open_attempts == 0 {
+            let retry_at = earliest.filter(|at| *at > now);
             self.begin_waiting(now, key, shard_index, PostponedSend { reason, cause, retry_at });
         }
         cause
@@ -91,7 +91,7 @@
             return;
         };
         let retry_at = budget_retry_at(now, &self.settings.policy);
-        if retry_at.is_some() && shard.is_open() && shard.outstanding == 0 {
+        if retry_at.is_some() && shard.is_open() && shard.open_attempts == 0 {
             let postponed = PostponedSend { reason, cause: UnsentCause::OverBudget, retry_at };
             self.begin_waiting(now, key, shard_index, postponed);
         }
@@ -115,7 +115,7 @@
         shard.and_then(|shard| shard.waiting).is_some_and(|waiting| waiting.reason == SendReason::Retry)
     }
 
-    /// Queues a shard, or gives it up if waiting is hopeless or the queue of its service is full.
+    /// Queues a shard, or gives it up if it can't be sent before the deadline or the queue of its service is full.
     pub(super) fn begin_waiting(
         &mut self,
         now: BootTime,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or come back.
-    /// Stops at the first shard that blocks those behind it.
+    /// Sends the waiting shards of a service, longest wait first, after a searcher has gained capacity or become
+    /// available. Stops at the first shard that blocks those behind it.
     pub(super) fn send_waiting_shards(&mut self, now: BootTime, service: &Arc<str>, actions: &mut Vec<RoutingAction>) {
         let waiting = self.waiting_shards.get(service).map_or(0, VecDeque::len);
         for _ in 0..waiting {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Sends the waiting shards of a request whose time to be tried again has come.
+    /// Sends the waiting shards of a request that are due to be tried again.
     pub(super) fn retry_due_shards(&mut self, now: BootTime, key: RequestKey, actions: &mut Vec<RoutingAction>) {
         let Some(request) = self.requests.get(&key) else {
             return;
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -65,11 +65,11 @@
         /// How the attempt ended.
         outcome: AttemptOutcome,
     },
-    /// Peers report searchers that they lost while these ran requests.
+    /// Peers report contents (digests of what requests ask for) and the searchers that were lost while running them.
     PeerCases(Vec<CaseRecord>),
-    /// This node has heard from no peer for some time, or hears from one again.
+    /// This node has received nothing from any peer for some time, or has received something again.
     Isolated {
-        /// Whether no peer is heard.
+        /// Whether nothing is received from any peer.
         is_isolated: bool,
     },
     /// A peer reports how much of tenants' quotas it has admitted, or how much this node may admit.
@@ -89,12 +89,12 @@
     /// Send the request to a searcher.
     Send(SendOrder),
     /// The attempt's answer is no longer wanted. Read and discard it, or close the connection if it isn't complete
-    /// within `patience`.
+    /// within `answer_timeout`.
     Abandon {
         /// The attempt.
         attempt: AttemptKey,
         /// Time after which the connection is closed.
-        patience: Duration,
+        answer_timeout: Duration,
         /// Why the answer is no longer wanted.
         cause: AbandonCause,
     },
@@ -155,7 +155,7 @@
         /// The new level, and the wait that led to it.
         change: AdmissionChange,
     },
-    /// The suspicion against a content has changed; for the log and for peers.
+    /// The suspicion that a content crashes searchers has changed; for the log and for peers.
     Suspicion {
         /// The change.
         change: SuspicionChange,
@@ -211,12 +211,13 @@
     },
     /// A shard has answered, so the others are sent.
     Answered,
-    /// One more shard is sent, since all attempts have ended or have been silent for longer than work usually takes.
+    /// One more shard is sent, since all attempts have ended or have been unanswered for longer than work usually
+    /// takes.
     Widened,
 }
 
 impl ProbeStep {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             ProbeStep::Begun { .. } => "begun",
@@ -242,7 +243,8 @@
     Superseded,
     /// The caller has disconnected.
     CallerGone,
-    /// The content was quarantined: every searcher that ran it was lost, so one that hasn't begun it should not.
+    /// The content was quarantined: every searcher that ran it was lost, so that searchers which haven't begun it
+    /// shouldn't.
     Quarantined,
 }
 
@@ -256,17 +258,17 @@
     /// Every attempt failed, and no other searcher could be asked.
     Failed,
     /// No searcher could be asked, or none of those asked could be reached.
-    Nobody,
+    NoSearcher,
 }
 
 impl LeftOutCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             LeftOutCause::Late => "late",
             LeftOutCause::NoRoom => "no_room",
             LeftOutCause::Failed => "failed",
-            LeftOutCause::Nobody => "nobody",
+            LeftOutCause::NoSearcher => "nobody",
         }
     }
 }
@@ -283,7 +285,7 @@
 }
 
 impl HoldCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             HoldCause::NoConfiguration => "no_configuration",
@@ -306,7 +308,7 @@
     /// No eligible searcher is left.
     NoSearcherLeft,
     /// Sub-requests wait too long at the searchers of the service, and a hedge would only add to their load.
-    Pressed,
+    QueueTooLong,
     /// The content is suspected of crashing searchers, and one is at work on it; the shard waits for that attempt's
     /// end.
     Suspect,
@@ -324,14 +326,14 @@
 }
 
 impl UnsentCause {
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             UnsentCause::OverBudget => "over_budget",
             UnsentCause::NoRoom => "no_room",
             UnsentCause::Avoided => "avoided",
             UnsentCause::NoSearcherLeft => "nobody_left",
-            UnsentCause::Pressed => "pressed",
+            UnsentCause::QueueTooLong => "pressed",
             UnsentCause::Suspect => "suspect",
             UnsentCause::NotRepeatable => "not_repeatable",
             UnsentCause::MaxAttempts => "most_attempts",
@@ -361,7 +363,7 @@
     pub deadline: BootTime,
     /// Whether the route is idempotent, so that the request may run more than once.
     pub is_idempotent: bool,
-    /// Longest wait for a connection.
+    /// Maximum wait for a connection.
     pub connect_timeout: Duration,
     /// Why the attempt is sent.
     pub reason: SendReason,
--- a/crates/staircross-routing/src/state/mirror.rs
+++ b/crates/staircross-routing/src/state/mirror.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Largest number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
+/// Maximum number of removed searchers that are remembered. Beyond it the older half is forgotten, and peers that are
 /// further behind get a complete listing. Large fleets have some hundreds of searchers, which is well below this limit.
 const MAX_TOMBSTONES: usize = 4096;
 
@@ -118,7 +118,7 @@
     /// Entries of new or changed searchers.
     pub searchers: Vec<SearcherEntry>,
     /// Ids of the searchers whose entry is gone.
-    pub gone: Vec<Arc<str>>,
+    pub removed_searchers: Vec<Arc<str>>,
     /// All zones that are being evacuated, if the set changed.
     pub evacuated: Option<Vec<Arc<str>>>,
 }
@@ -157,7 +157,7 @@
                     let is_draining = after.entry.is_draining || has_drained;
                     changes.searchers.push(SearcherEntry { is_draining, ..after.entry.clone() });
                 }
-                (Some(_), None) => changes.gone.push(instance),
+                (Some(_), None) => changes.removed_searchers.push(instance),
                 (_, Some(_)) | (None, None) => {}
             }
         }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -27,14 +27,14 @@
     pub caller_timeout: Option<Duration>,
     /// Longest time for which the request may have waited to be read.
     pub waited: Duration,
-    /// Whether this node is too busy to accept more requests.
+    /// Whether this node is late with its work and accepts no more requests.
     pub is_overloaded: bool,
     /// Newest configuration version that any peer is known to have. It may hold a route that this node doesn't know.
     #[serde(default)]
     pub newest_version: u64,
-    /// How certain this node is that the API keys in its configuration haven't been revoked.
-    #[serde(default)]
-    pub view: ConfigurationView,
+    /// How recent this node's knowledge of the configuration is, by which API keys are accepted.
+    #[serde(default, rename = "view")]
+    pub configuration_view: ConfigurationView,
     /// Whether this node knows all live searchers: the platform's list was read completely, and no lapsed entries are
     /// being written anew.
     pub knows_searchers: bool,
@@ -49,21 +49,22 @@
 
 impl Arrival {
     /// Returns whether a peer was known to have a newer configuration than `table` when the request arrived.
-    pub fn is_ahead_of(&self, table: &RouteTable) -> bool {
+    pub fn knows_newer_configuration(&self, table: &RouteTable) -> bool {
         self.newest_version > table.version()
     }
 }
 
-/// How certain a node is that no API key in its configuration has been revoked.
+/// How recent a node's knowledge of the configuration is, and thus how certain it is that no API key in it has been
+/// revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationView {
     /// As certain as the settings require.
     #[default]
     Current,
-    /// The node has had no news of the store for too long and knows of a newer version. It waits for that version
-    /// before it decides about a key, but only for a limited time.
+    /// The node hasn't learned from the store for too long whether anything has changed, and knows of a newer version.
+    /// It waits for that version before it decides about a key, but only for a limited time.
     Doubtful,
-    /// The node has had no news of the store for so long that it must not accept any key.
+    /// The node hasn't learned from the store for so long that it must not accept any key.
     Expired,
 }
 
@@ -72,8 +73,9 @@
 pub struct CallerLink {
     /// Round-trip time to the caller, if the operating system reports it.
     pub round_trip: Option<Duration>,
-    /// Whether this request is the first on the connection.
-    pub is_fresh: bool,
+    /// Whether the connection was made for this request, which is the first on it.
+    #[serde(rename = "is_fresh")]
+    pub is_new_connection: bool,
 }
 
 /// A searcher's complete answer.
@@ -219,10 +221,10 @@
     pub state: ShardState,
     /// Searchers to which the shard was sent, one element for each attempt.
     pub sent_to: Vec<SearcherKey>,
-    /// Searchers that must not be asked again.
-    pub tried: Vec<SearcherKey>,
-    /// Number of open attempts.
-    pub outstanding: u32,
+    /// Searchers that must not be asked again for this shard, whatever `max_attempts` permits.
+    pub excluded: Vec<SearcherKey>,
+    /// Number of open attempts, for whose answers the shard still waits.
+    pub open_attempts: u32,
     /// Set while the shard waits for a searcher that can be asked.
     pub waiting: Option<Waiting>,
     /// Whether the shard is in the queue of its service.
@@ -245,24 +247,25 @@
             service,
             state: ShardState::Open,
             sent_to: Vec::new(),
-            tried: Vec::new(),
-            outstanding: 0,
+            excluded: Vec::new(),
+            open_attempts: 0,
             waiting: None,
             is_queued: false,
         }
     }
 
-    /// Returns whether the searcher must not be asked: it is in `tried`, or the shard was already sent to
+    /// Returns whether the searcher must not be asked: it is in `excluded`, or the shard was already sent to
     /// `max_searchers` other searchers.
     pub fn is_excluded(&self, searcher: SearcherKey, max_searchers: u32) -> bool {
         let is_new = !self.sent_to.contains(&searcher);
-        self.tried.contains(&searcher) || (is_new && self.distinct_searchers() >= max_searchers)
+        self.excluded.contains(&searcher) || (is_new && self.distinct_searchers() >= max_searchers)
     }
 
     /// Returns whether the shard may still be sent to any searcher, when it may be sent to at most `max_searchers`
     /// searchers.
     pub fn may_be_sent(&self, max_searchers: u32) -> bool {
-        self.distinct_searchers() < max_searchers || self.sent_to.iter().any(|searcher| !self.tried.contains(searcher))
+        self.distinct_searchers() < max_searchers
+            || self.sent_to.iter().any(|searcher| !self.excluded.contains(searcher))
     }
 
     /// Returns the number of different searchers to which the shard was sent.
@@ -285,7 +288,7 @@
     /// Returns whether the shard may still be answered before `time`: an attempt is open, or a searcher may be asked by
     /// then.
     pub fn may_be_answered_by(&self, time: BootTime) -> bool {
-        let may_get_answer = self.outstanding > 0
+        let may_get_answer = self.open_attempts > 0
             || self.waiting.is_none_or(|waiting| waiting.waits_for_room() || waiting.retry_at < time);
         self.is_open() && may_get_answer
     }
@@ -385,8 +388,8 @@
     }
 
     /// Returns the least number of answered shards that make an answer.
-    pub fn least_shards(&self) -> usize {
-        self.route().least_shards()
+    pub fn min_shards(&self) -> usize {
+        self.route().min_shards()
     }
 
     pub fn answered_shards(&self) -> usize {
