--- a/crates/staircross-routing/tests/common/backends.rs
+++ b/crates/staircross-routing/tests/common/backends.rs
@@ -1,4 +1,5 @@
-//! Searchers with slots, queues and work, around a driver: what they are asked takes time, and waits when they are busy.
+//! Simulated searchers around a driver. A sub-request occupies a slot for its work time and queues while all slots
+//! are busy.
 
 use super::{Driver, answer};
 use rand::Rng;
@@ -11,18 +12,18 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Sub-requests that a searcher lets wait.
+/// Most sub-requests that a searcher queues; it sheds any further ones.
 const QUEUE: usize = 30;
 
-/// One searcher.
+/// One simulated searcher.
 struct Backend {
-    /// How many times longer than usual its work takes.
+    /// Factor by which its work takes longer than usual.
     slowness: f64,
     busy: usize,
     queue: VecDeque<AttemptKey>,
 }
 
-/// How requests ended.
+/// Numbers of requests by how they ended: answered within the goal, answered later, refused as overloaded, or failed.
 #[derive(Debug, Default)]
 pub struct Tally {
     pub in_time: usize,
@@ -61,18 +62,18 @@
     verdict: Verdict,
 }
 
-/// A driver and the searchers that it talks to.
+/// A driver and the simulated searchers that run its attempts.
 pub struct Backends {
     pub driver: Driver,
     pub work: Duration,
-    /// Time until an attempt has a connection.
+    /// Time from sending an attempt until its connection is established.
     pub connecting: Duration,
     slots: usize,
     backends: HashMap<String, Backend>,
-    /// Ends of work, by time.
+    /// Attempts at work by the time at which their work ends; a sequence number keeps equal times in order.
     ends: BinaryHeap<Reverse<(BootTime, u64, AttemptKey)>>,
     owners: HashMap<AttemptKey, String>,
-    /// When attempts get their connections, in order.
+    /// Times at which attempts get their connections, in ascending order.
     begins: VecDeque<(BootTime, AttemptKey)>,
     taken: usize,
     counted: usize,
@@ -109,7 +110,7 @@
         self.backends.entry(instance.to_owned()).or_insert_with(fresh)
     }
 
-    /// Offers requests at an even rate for a while; each takes one of the paths in turn.
+    /// Offers requests at an even rate for `span`, with the paths taken in turn.
     pub fn offer(&mut self, paths: &[&str], per_second: f64, span: Duration) {
         let end = self.driver.now + span;
         let gap = Duration::from_secs_f64(1.0 / per_second);
@@ -126,14 +127,14 @@
         self.run_until(end);
     }
 
-    /// What ended since the last call. Answers within `goal` are in time.
+    /// Returns a tally of the requests that ended since the last call. Answers within `goal` are in time.
     pub fn tally(&mut self, goal: Duration) -> Tally {
         let ends = self.ends_from(self.counted);
         self.counted = self.driver.finished.len();
         Tally::of(ends.into_iter(), goal)
     }
 
-    /// What has become of the requests that arrived in a span of time and have ended.
+    /// Returns a tally of the ended requests that arrived at or after `from` and before `until`.
     pub fn tally_of_arrivals(&self, goal: Duration, from: BootTime, until: BootTime) -> Tally {
         let arrived_then = |end: &End| from <= end.arrived && end.arrived < until;
         Tally::of(self.ends_from(0).into_iter().filter(arrived_then), goal)
--- a/crates/staircross-routing/tests/common/incarnations.rs
+++ b/crates/staircross-routing/tests/common/incarnations.rs
@@ -1,14 +1,14 @@
-//! Entries of searchers at their starts.
+//! Store entries of successive starts of a searcher.
 
 use super::searcher;
 use staircross_routing::SearcherEntry;
 
-/// The entry of a searcher of books at one of its starts.
+/// Returns the entry of a searcher of `books` that started at `born_ms`.
 pub fn started(instance: &str, born_ms: u64) -> SearcherEntry {
     SearcherEntry { born_ms, ..searcher(instance, "books", "a") }
 }
 
-/// The same once it says that it leaves.
+/// Returns the entry that [`started`] returns, marked as draining.
 pub fn draining(instance: &str, born_ms: u64) -> SearcherEntry {
     SearcherEntry { is_draining: true, ..started(instance, born_ms) }
 }
--- a/crates/staircross-routing/tests/common/mirror.rs
+++ b/crates/staircross-routing/tests/common/mirror.rs
@@ -1,4 +1,4 @@
-//! Updates of a mirror, as tests write them, and what a mirror asks of its peers.
+//! Constructors of mirror updates and of the knowledge with which a node asks its peers.
 
 use staircross_routing::{
     AcceptedConfiguration, CallerLimits, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, RouteDefinition, RouteTarget,
@@ -6,11 +6,11 @@
 };
 use std::sync::Arc;
 
-/// What a peer asks with that knows nothing and takes a configuration of any size.
+/// Knowledge of a node that knows nothing and accepts a configuration of any size.
 pub const NOTHING_KNOWN: PeerKnowledge =
     PeerKnowledge { revision: 0, version: 0, evacuations: 0, accepts: AcceptedConfiguration::Any };
 
-/// The entry of a searcher of `books` in zone `a`.
+/// Returns the entry of a searcher of `books` in zone `a`.
 pub fn entry(instance: &str, is_draining: bool) -> SearcherEntry {
     SearcherEntry {
         instance: Arc::from(instance),
@@ -24,17 +24,17 @@
     }
 }
 
-/// That a searcher is in the store.
+/// Returns the item of a searcher that is in the store.
 pub fn searcher(instance: &str, is_draining: bool) -> MirrorItem {
     MirrorItem::Searcher { entry: entry(instance, is_draining) }
 }
 
-/// That a searcher is no longer in the store.
+/// Returns the item of a searcher whose entry was removed from the store.
 pub fn gone(instance: &str) -> MirrorItem {
     MirrorItem::SearcherGone { instance: Arc::from(instance) }
 }
 
-/// A configuration without routes.
+/// Returns a configuration item of this version, without routes.
 pub fn configuration(version: u64) -> MirrorItem {
     let definition = RoutingDefinition {
         version,
@@ -46,7 +46,7 @@
     MirrorItem::Configuration { definition: Arc::new(definition) }
 }
 
-/// Version 5, with so many routes.
+/// Returns a configuration item of version 5 with this number of routes.
 pub fn configuration_of(routes: usize) -> MirrorItem {
     let route = |index: usize| RouteDefinition {
         name: Arc::from(format!("r{index}")),
@@ -72,17 +72,17 @@
     MirrorItem::Configuration { definition: Arc::new(definition) }
 }
 
-/// An update of some items, each at its revision.
+/// Returns an update of these items, each with its revision.
 pub fn changes(items: Vec<(u64, MirrorItem)>) -> MirrorUpdate {
     MirrorUpdate { items, ..MirrorUpdate::default() }
 }
 
-/// An update that holds all searchers of the store as of a revision.
+/// Returns an update that holds all searchers of the store as of revision `at`.
 pub fn listing(at: u64, items: Vec<(u64, MirrorItem)>) -> MirrorUpdate {
     MirrorUpdate { items, is_complete_for_searchers: true, up_to: at, ..MirrorUpdate::default() }
 }
 
-/// What a node with this mirror tells a peer that it asks.
+/// Returns the knowledge that a node with this mirror sends when it asks a peer for changes.
 pub fn known(mirror: &Mirror) -> PeerKnowledge {
     PeerKnowledge {
         revision: mirror.known_revision(),
@@ -92,7 +92,7 @@
     }
 }
 
-/// The ids of the searchers that the mirror holds.
+/// Returns the ids of the searchers in the mirror.
 pub fn names(mirror: &Mirror) -> Vec<String> {
     mirror.searchers().map(|entry| entry.instance.to_string()).collect()
 }
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small driver around the routing engine.
+//! A driver that feeds events to a routing engine and collects its actions, with constructors of settings, routes and
+//! searchers. The clock is advanced by the test.
 #![allow(dead_code)]
 
 pub mod backends;
@@ -29,15 +30,15 @@
 use std::time::Duration;
 
 pub const HOST: &str = "shop.example";
-/// Time during which a searcher whose entry has gone is a last resort.
+/// Time for which a searcher is still asked as a last resort after its entry was removed.
 pub const LAPSE_MS: u64 = 750;
 
-/// One engine and everything that it wanted done.
+/// One engine and all actions that it has requested, by kind.
 pub struct Driver {
     pub engine: RoutingEngine,
     pub now: BootTime,
     pub sends: Vec<SendOrder>,
-    /// When each of them was sent.
+    /// Times at which `sends` were requested, in the same order.
     pub sent_at: Vec<BootTime>,
     pub abandoned: Vec<(AttemptKey, AbandonCause)>,
     pub recalled: Vec<AttemptKey>,
@@ -46,18 +47,18 @@
     pub left_out: Vec<(String, LeftOutCause)>,
     pub held: Vec<(RequestKey, HoldCause)>,
     pub finished: Vec<(RequestKey, Verdict)>,
-    /// When each of them ended.
+    /// Times at which the requests in `finished` ended, in the same order.
     pub finished_at: Vec<BootTime>,
     pub not_admitted: Vec<(RequestKey, f64)>,
     pub admission: Vec<(BootTime, AdmissionChange)>,
     pub suspicions: Vec<SuspicionChange>,
     pub quota_told: Vec<(NodeId, Vec<QuotaMessage>)>,
     pub quota_changes: Vec<QuotaChange>,
-    /// Routes whose alarms were raised, or ended.
+    /// Alarms of routes in order: the route's name, and whether the alarm was raised (or ended).
     pub alarms: Vec<(String, bool)>,
-    /// What became of requests that came while their route was on alarm.
+    /// Steps of first probes, which are taken by requests that arrive while their route is on alarm.
     pub probe_steps: Vec<(RequestKey, ProbeStep)>,
-    /// All that was told and decided.
+    /// All events and the decisions on them, as they are recorded.
     pub turns: Vec<RecordedTurn>,
     paths: HashMap<RequestKey, String>,
     next_request: u64,
@@ -135,7 +136,7 @@
     }
 }
 
-/// A body of records, each filled with one byte.
+/// Returns a body with one 16-byte record for each byte, filled with that byte.
 pub fn records(bytes: &[u8]) -> Vec<u8> {
     bytes.iter().flat_map(|byte| [*byte; 16]).collect()
 }
@@ -179,12 +180,12 @@
         }
     }
 
-    /// An engine with a configuration and searchers.
+    /// Creates an engine that knows a configuration and searchers, with the settings of [`settings`].
     pub fn with(definition: RoutingDefinition, searchers: Vec<SearcherEntry>) -> Self {
         Driver::with_settings(settings(), definition, searchers)
     }
 
-    /// The same with other settings.
+    /// Creates an engine with other settings than [`settings`] that knows a configuration and searchers.
     pub fn with_settings(
         settings: RoutingSettings,
         definition: RoutingDefinition,
@@ -249,7 +250,7 @@
             view: ConfigurationView::Current,
             knows_searchers: true,
             link: CallerLink::default(),
-            // Each asks for something else, unless a test says otherwise.
+            // By default each request has a content of its own.
             content: ContentKey(key.0),
             credential: Credential::Missing,
         }
@@ -266,7 +267,7 @@
         self.event(RoutingEvent::Ended { attempt, outcome });
     }
 
-    /// Lets time pass, waking the engine whenever it wants.
+    /// Advances the clock by `span` and sends a tick at each wake-up time of the engine and at the end.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(wake) = self.engine.next_wake().filter(|wake| *wake <= end) {
@@ -308,13 +309,14 @@
         self.sent_for(request).iter().map(|order| order.reason).collect()
     }
 
-    /// The nodes that share tenants' quotas.
+    /// Tells the engine that these nodes of zone `a` serve and share the tenants' quotas.
     pub fn fleet_nodes(&mut self, nodes: &[NodeId]) {
         let nodes_by_zone = HashMap::from([(Arc::from("a"), nodes.len())]);
         let (serving, nodes) = (nodes.len(), Some(nodes.to_vec()));
         self.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank: Some(0), slack_share: 1.0, nodes });
     }
 
+    /// Tells the engine the number of nodes in each zone, and the number of serving nodes in all.
     pub fn fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
         let nodes_by_zone: HashMap<Arc<str>, usize> =
             zones.iter().map(|(zone, count)| (Arc::from(*zone), *count)).collect();
--- a/crates/staircross-routing/tests/common/quarantine.rs
+++ b/crates/staircross-routing/tests/common/quarantine.rs
@@ -1,4 +1,4 @@
-//! Ten shards and one service, and requests that end the searchers that run them.
+//! A driver with ten shards and one service, and helpers for requests that crash the searchers that run them.
 
 use super::{Driver, answer, definition, gather, records, route, searcher};
 use staircross_routing::decision::quarantine::Quarantine;
@@ -12,16 +12,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Content of requests that end the searchers that run them.
+/// Content of requests that crash the searchers that run them.
 pub const DEADLY: ContentKey = ContentKey(0xdead);
 
-/// Services that the gathered route asks.
+/// Shards of the gather route.
 pub const SHARDS: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
 
-/// How an attempt ends whose searcher ended under it.
+/// Outcome of an attempt whose searcher crashed while it ran.
 pub const BROKEN: AttemptOutcome = AttemptOutcome::Unknown(Unknown::Broken);
 
-/// Ten shards of three searchers each, and a service of six.
+/// Returns a driver with ten shards of three searchers each and a service `single` of six. Its routes are `all` (a
+/// gather of the shards), `one` (the service) and `once` (the service, not idempotent).
 pub fn driver() -> Driver {
     let mut one = route("one", RouteTarget::Service(Arc::from("single")));
     one.max_attempts = 3;
@@ -37,12 +38,12 @@
     Driver::with(definition(1, vec![one, all, once], &services), searchers)
 }
 
-/// An attempt of the gathered route that lost its searcher.
+/// Returns an attempt of the gather route whose searcher was lost.
 pub fn lost(content: ContentKey, searcher: u64, sent_at: BootTime) -> LostAttempt {
     LostAttempt { content, route: RouteDigest::of("all"), searcher: InstanceKey(searcher), sent_at }
 }
 
-/// Sends a request with a content to the engine.
+/// Lets a request with this content arrive at the engine, and returns its key.
 pub fn ask(driver: &mut Driver, path: &str, content: ContentKey) -> RequestKey {
     let arrival = staircross_routing::Arrival { content, ..driver.arrival(path) };
     let key = arrival.key;
@@ -50,12 +51,13 @@
     key
 }
 
-/// Attempts of a request that nobody has ended yet; `ended` counts those that were.
+/// Returns the orders of a request after the first `ended` ones, which the test has ended already.
 pub fn sent_since(driver: &Driver, request: RequestKey, ended: usize) -> Vec<SendOrder> {
     driver.sent_for(request).into_iter().skip(ended).cloned().collect()
 }
 
-/// Has each searcher that runs a request end, one after the other, until nothing more is sent; returns how many did.
+/// Crashes each searcher that runs a request, one after the other, until nothing more is sent. Returns the number of
+/// crashed searchers.
 pub fn end_all(driver: &mut Driver, request: RequestKey) -> usize {
     let mut ended = 0;
     loop {
@@ -72,17 +74,17 @@
     }
 }
 
-/// A good answer of the searcher that an attempt was sent to.
+/// Returns a successful answer of the searcher that an attempt was sent to.
 pub fn part(order: &SendOrder) -> AttemptOutcome {
     answer(200, &format!("{}.{}", order.instance, order.attempt.number), records(&[1]))
 }
 
-/// A searcher that is back after it ended, as another incarnation.
+/// Tells the engine of another instance of a service, which replaces a crashed one.
 pub fn restart(driver: &mut Driver, instance: &str, service: &str) {
     driver.event(RoutingEvent::Searchers(vec![searcher(instance, service, "a")]));
 }
 
-/// What a peer publishes that has lost three searchers under a content.
+/// Returns the records that a peer publishes after three of its searchers were lost while running a content.
 pub fn told_by_peer(now: BootTime, content: ContentKey) -> Vec<CaseRecord> {
     let mut peer = Quarantine::default();
     for number in 0..3 {
--- a/crates/staircross-routing/tests/common/store.rs
+++ b/crates/staircross-routing/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store reader with a clock in the hands of the test: its calls are kept, their replies are given by the test.
+//! A store reader whose clock and replies are controlled by the test. Its calls are collected.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -9,7 +9,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// A store reader, the time, and all that the reader has wanted done.
+/// A store reader, its clock, and the actions that it has requested, by kind.
 pub struct Store {
     pub reader: StoreReader,
     pub random: ChaCha8Rng,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Keeps what the reader wants done.
+    /// Collects the actions that the reader requests.
     pub fn take(&mut self, actions: Vec<ReaderAction>) {
         for action in actions {
             match action {
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Lets time pass and returns the calls made for a lane since the last time.
+    /// Advances the clock and returns the calls made on a lane since they were last returned. Calls on other lanes are
+    /// kept.
     pub fn calls(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
         let end = self.now + Duration::from_millis(millis);
         loop {
@@ -64,14 +65,14 @@
         ours.into_iter().map(|(_, call)| call).collect()
     }
 
-    /// Answers the call of a lane that is under way.
+    /// Answers the open call of a lane.
     pub fn reply(&mut self, lane: Lane, reply: StoreReply) {
         let mut actions = Vec::new();
         self.reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
         self.take(actions);
     }
 
-    /// Fails the call of a lane that is under way.
+    /// Fails the open call of a lane.
     pub fn fail(&mut self, lane: Lane) {
         let mut actions = Vec::new();
         self.reader.on_failed(self.now, lane, &mut self.random, &mut actions);
@@ -79,12 +80,12 @@
     }
 }
 
-/// Whether a call watches for what came after a revision.
+/// Returns whether a call watches for changes after this revision.
 pub fn is_watch_after(call: &StoreCall, revision: u64) -> bool {
     matches!(call, StoreCall::Watch { after, .. } if *after == revision)
 }
 
-/// Sets the mode of the reader, and keeps what it wants done.
+/// Sets the mode of the reader and collects the actions that it requests.
 pub fn set_mode(store: &mut Store, mode: ReadingMode) {
     let mut actions = Vec::new();
     store.reader.set_mode(store.now, mode, &mut actions);
--- a/crates/staircross-routing/tests/definition_delta.rs
+++ b/crates/staircross-routing/tests/definition_delta.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration told to peers in place of the whole.
+//! Deltas of the configuration, which peers are sent instead of the whole.
 
 use proptest::prelude::*;
 use staircross_routing::configuration::delta::DefinitionDelta;
@@ -29,7 +29,7 @@
     RoutingDefinition { version, routes, services: vec![service], limits: CallerLimits::default(), tenants: Vec::new() }
 }
 
-/// A thousand routes, one of them changed by the version.
+/// Returns a configuration of a thousand routes, of which one depends on the version.
 fn large(version: u64) -> RoutingDefinition {
     definition(version, (0..1000).map(|number| route(number, if number == 7 { version } else { 1 })).collect())
 }
@@ -59,7 +59,7 @@
     let changes = asker.merge(update);
     assert_eq!(by_name((*changes.configuration.expect("news")).clone()), by_name(large(4)));
     assert_eq!(asker.operator_up_to(), 40);
-    // It can tell the next.
+    // The asker can send the deltas to the next node.
     let mut next = Mirror::default();
     next.merge(told(20, large(2)));
     next.merge(asker.changes_for(knows(2)));
@@ -81,7 +81,7 @@
     let mut giver = Mirror::default();
     (1..=2).for_each(|version| drop(giver.merge(told(version * 10, large(version)))));
     let update = giver.changes_for(knows(1));
-    // The same version, and yet something else.
+    // This mirror has another configuration under the same version.
     let mut other = Mirror::default();
     let mut routes = large(1).routes;
     routes[3].timeout_ms = 77;
@@ -117,7 +117,7 @@
 }
 
 proptest! {
-    /// Whatever two versions hold, the change between them leads from one to the other, and from nothing else.
+    /// The delta between any two versions leads from the one to the other, and from no other version.
     #[test]
     fn a_change_leads_from_one_version_to_the_other_alone(old in routes(), new in routes(), third in routes()) {
         let (old, new, third) = (definition(1, old), definition(2, new), definition(1, third));
--- a/crates/staircross-routing/tests/evacuations.rs
+++ b/crates/staircross-routing/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations in a mirror: when they begin and end, by the store and by peers.
+//! Evacuations of zones in a mirror: how the store and peers begin and end them.
 
 mod common;
 
@@ -86,11 +86,13 @@
     assert_eq!(asker.version(), 2);
 }
 
-/// Seen: a zone stays evacuated at a node for good. Why: its watch went on from the newest change that a peer knew, and an end before that one, which the
-/// peer's listing had missed between two pages, was never heard. Shown by the revision that the node watches from: 22, where 20 is known whole.
+/// Guards against a zone that stays evacuated at a node permanently. The node's watch continued from the newest change
+/// that a peer knew, 22, although all changes were known only up to 20. So it never learned of the end at 21, which the
+/// peer's listing had missed between two pages.
 #[test]
 fn a_watch_is_not_led_past_the_end_of_an_evacuation_that_a_peers_listing_missed() {
-    // The first page, with `a`, was read at 20; `a` ends at 21, and `b`, on the second page, begins at 22.
+    // The first page was read at 20 and holds the evacuation of `a`, which ends at 21. The second page holds that of
+    // `b`, which begins at 22.
     let mut reader = Mirror::default();
     reader.merge(MirrorUpdate {
         items: vec![(3, configuration(1)), (5, evacuation("a", true)), (22, evacuation("b", true))],
@@ -108,8 +110,8 @@
     assert_eq!(zones(&told), Some(vec!["b".to_owned()]));
 }
 
-/// Seen: a node asks its peers at each tick, for good, and is told nothing. Why: an end before its own reading was passed over, so that peers that had heard
-/// it seemed to know more.
+/// Guards against a node that asks its peers at each tick, permanently, and is sent nothing. The node ignored the end
+/// of an evacuation from before its own reading, so peers that had received it seemed to know more.
 #[test]
 fn a_node_that_read_after_the_end_of_an_evacuation_counts_as_knowing_it() {
     let mut informed = Mirror::default();
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! Shares of tenants: their rules, and what tenants get of searchers that are asked for more than they can do.
+//! Fair shares of tenants: invariants of the rule, and simulations of what each tenant gets of overloaded searchers.
 
 use proptest::prelude::*;
 use rand::Rng;
@@ -93,18 +93,18 @@
         if is_greedy { of_greedy.push(fraction) } else { of_others.push(fraction) }
     }
     let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
-    // The greedy one is held at the floor, and the others get what that leaves of a level of 0.7.
+    // The greedy tenant is held at the floor, and the others get what that leaves of a level of 0.7.
     assert!((mean(&of_greedy) - 0.7 * TENANT_FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
     assert!((mean(&of_others) - (1.4 - 0.7 * TENANT_FLOOR)).abs() < 0.01, "{}", mean(&of_others));
 }
 
-/// Searchers that take requests in turn, in front of which nodes refuse a part.
+/// A simulated site: searchers that process requests in order, and nodes in front of them that refuse a part.
 struct Site {
     random: ChaCha8Rng,
     nodes: Vec<Node>,
-    /// What nodes are told to take; they judge themselves where nothing is said.
+    /// Admission level that all nodes use; `None` if each node adjusts its own.
     level: Option<f64>,
-    /// When the searchers are through with what they have.
+    /// Time at which the searchers will have finished all admitted requests.
     free_at: BootTime,
     now: BootTime,
 }
@@ -114,29 +114,30 @@
     admission: Admission,
     wait: Option<Wait>,
     shares: FairShares,
-    /// Ends of work, and how long each waited.
+    /// Ends of requests, and how long each waited for the searchers.
     ends: VecDeque<(BootTime, Duration)>,
 }
 
-/// How requests are refused.
+/// How a node chooses the requests that it refuses: at random, or by the tenants' fair shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Refusing {
     ByChance,
     ByShares,
 }
 
-/// Nodes that each see enough to judge by themselves how much is to be taken, and nodes of which each sees two requests a
-/// second, from ever other tenants; these are told the level.
+/// Number of nodes of which each receives enough requests to adjust its admission level itself.
 const FEW_NODES: usize = 8;
+/// Number of nodes of which each receives about two requests per second, from changing tenants. These nodes are given
+/// the level.
 const MANY_NODES: usize = 71;
 const CAPACITY: f64 = 120.0;
 const GOAL: Duration = Duration::from_millis(400);
 const WORK: Duration = Duration::from_millis(28);
 const FAN_OUT: usize = 36;
-/// Work that lies before searchers when they have no more room.
+/// Longest wait for the searchers. They shed requests that would wait longer.
 const LONGEST_QUEUE: Duration = Duration::from_millis(1000);
 
-/// What tenants asked for, and how much of it was answered in time.
+/// The number of requests that were offered, and the number that were answered in time.
 #[derive(Clone, Copy, Default)]
 struct Served {
     asked: f64,
@@ -156,7 +157,8 @@
         Site { random: ChaCha8Rng::seed_from_u64(seed), nodes, level, free_at: start, now: start }
     }
 
-    /// Offers requests of tenants at these rates a second.
+    /// Offers requests for `span` at these rates per second, one for each tenant, and returns the counts of each
+    /// tenant.
     fn offer(&mut self, rates: &[f64], refusing: Refusing, span: Duration) -> Vec<Served> {
         let all: f64 = rates.iter().sum();
         let mut served = vec![Served::default(); rates.len()];
@@ -180,7 +182,7 @@
         served
     }
 
-    /// Whether a request gets to the searchers: its node takes it, and they have room.
+    /// Returns whether a request reaches the searchers: its node admits it, and they don't shed it.
     fn is_taken(&mut self, tenant: &Arc<str>, refusing: Refusing) -> bool {
         let (now, begins) = (self.now, self.free_at.max(self.now));
         let index = self.random.random_range(0..self.nodes.len());
@@ -209,7 +211,8 @@
     }
 }
 
-/// What the worst tenth of tenants, the greedy one (the first) and all are served.
+/// Fractions of requests answered in time: the mean of the worst tenth of tenants, the greedy tenant (the first), all
+/// others, and all tenants.
 #[derive(Debug)]
 struct Outcome {
     worst_tenth: f64,
@@ -232,7 +235,8 @@
     Outcome { worst_tenth, greedy, others: sum(&served[1..]), all: sum(served) }
 }
 
-/// One tenant of 78 asks for 7.5 times its usual; all together `load` times what can be done.
+/// Simulates 78 tenants, of which the first sends 7.5 times as many requests as each other one. The total load is
+/// `load` times the capacity.
 fn greedy_tenant(nodes: usize, load: f64, refusing: Refusing, seed: u64) -> Outcome {
     let mut rates = vec![1.0; 78];
     rates[0] = 7.5;
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -1,6 +1,8 @@
-//! While a route's requests have ended searchers lately, what nobody has answered is tried on one shard first.
+//! First probes: while a route is on alarm because its requests recently crashed searchers, a content that hasn't been
+//! answered is sent to one shard first.
 //!
-//! Ten shards of three searchers each; what a request costs when it ends whoever runs it, and what the others wait for.
+//! The tests use ten shards of three searchers each. They check how many searchers a crashing request costs, and how
+//! long harmless requests are delayed.
 
 mod common;
 
@@ -17,15 +19,16 @@
 
 const SHARDS: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
 const BROKEN: AttemptOutcome = AttemptOutcome::Unknown(Unknown::Broken);
-/// Time that a run of these tests takes.
+/// Time that a searcher works on a sub-request.
 const WORK: Duration = Duration::from_millis(30);
-/// Searchers that a content may end where others of its route were seen to end theirs: the three that prove what it does, and one on its way.
+/// Most searchers that a content may crash while its route is on alarm: the three whose losses quarantine it, and one
+/// that was already asked by then.
 const ALLOWED: usize = 4;
-/// Latency goal of the routes.
+/// Latency goal of the route.
 const GOAL: Duration = Duration::from_millis(250);
-/// Rejections of one request: so many that a time which doubled with each would be longer than any clock counts.
+/// Rejections of one request. They are so many that a delay which doubled with each of them would overflow any clock.
 const REJECTIONS: usize = 80;
-/// Time from a searcher's end until another is in its place.
+/// Time from a searcher's crash until another one replaces it.
 const RESTART: Duration = Duration::from_secs(4);
 
 fn driver_with(policy: RoutingPolicy) -> Driver {
@@ -35,7 +38,7 @@
     let searchers = SHARDS.iter().flat_map(|shard| (0..3).map(move |i| searcher(&format!("{shard}-{i}"), shard, "a")));
     let settings = RoutingSettings { policy, ..settings() };
     let mut driver = Driver::with_settings(settings, definition(1, vec![all, other], &SHARDS), searchers.collect());
-    // Usual work is known.
+    // Lets the engine learn the usual work.
     for number in 0..40 {
         let request = ask(&mut driver, "/all/usual", ContentKey(1_000_000 + number));
         serve(&mut driver, request);
@@ -58,7 +61,7 @@
     answer(200, &format!("{}.{}", order.instance, order.attempt.number), records(&[1]))
 }
 
-/// Has all searchers that are asked answer after the usual work, until the request has ended; returns how long it took.
+/// Lets all searchers that are asked answer after the usual work until the request has ended. Returns the time it took.
 fn serve(driver: &mut Driver, request: RequestKey) -> Duration {
     let began = driver.now;
     let mut answered = 0;
@@ -72,7 +75,8 @@
     driver.now.since(began)
 }
 
-/// Has each searcher that runs a content end, over two tries of its caller; others take their places. Returns how many ended.
+/// Crashes each searcher that runs a content, in two requests of a caller that tries again, and then replaces them.
+/// Returns the number of crashed searchers.
 fn end_all(driver: &mut Driver, content: ContentKey) -> usize {
     let mut ended = 0;
     for _ in 0..2 {
@@ -94,7 +98,7 @@
     ended
 }
 
-/// Lets the time pass in which searchers that ended are replaced.
+/// Advances the clock by the restart time and adds a new searcher to each shard.
 fn replace_all(driver: &mut Driver) {
     driver.pass(RESTART);
     for shard in SHARDS {
@@ -152,8 +156,8 @@
     assert!(first.len() >= 5, "{first:?}");
 }
 
-/// Silence says nothing of a content: another searcher is asked now and then, so that one that stands still holds up nobody, and the
-/// others when any has answered.
+/// A missing answer is no evidence about a content. So another shard is asked at growing intervals, so that a stalled
+/// searcher doesn't delay the request, and all others are asked once any has answered.
 #[test]
 fn while_nobody_answers_one_more_shard_is_asked_each_time_later_and_later() {
     let mut driver = driver();
@@ -177,8 +181,8 @@
     assert_eq!(first, 10);
 }
 
-/// Two tries of a request whose searchers work for `delay` before they end, whatever becomes of the request meanwhile. Others take their places
-/// afterwards. Returns how many ended.
+/// Sends a crashing request twice. Each searcher works for `delay` before it crashes, whatever becomes of the request
+/// meanwhile. Replaces the searchers afterwards. Returns the number of crashed searchers.
 fn end_all_late(driver: &mut Driver, content: ContentKey, delay: Duration) -> usize {
     let begun = driver.sends.len();
     let mut ended = begun;
@@ -196,7 +200,8 @@
     ended - begun
 }
 
-/// What ends a searcher by its memory or by a loop takes long before it does: silence says nothing of a request's harm.
+/// A request that crashes a searcher by exhausting its memory or by an endless loop takes long to do so. So a missing
+/// answer is no evidence that the request is harmless.
 #[test]
 fn late_ends_cost_hardly_more_searchers_than_early_ones() {
     for delay_ms in [20, 100, 250, 600] {
@@ -210,7 +215,7 @@
     }
 }
 
-/// A searcher that stands still for a moment isn't waited for longer than it takes to see that another one answers.
+/// A request doesn't wait for a stalled searcher longer than it takes to see that another one answers.
 #[test]
 fn a_harmless_request_whose_first_shard_stands_still_is_answered_within_its_goal() {
     let mut driver = driver();
@@ -240,7 +245,8 @@
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
 }
 
-/// Whoever rejected it hasn't run it, and wasn't waited for: how long silence is borne doesn't follow from how often a request is rejected.
+/// A searcher that rejects a request hasn't run it and causes no wait. So the time for which a missing answer is waited
+/// for must not grow with the number of rejections.
 #[test]
 fn a_request_that_was_rejected_often_asks_another_shard_within_its_goal() {
     let mut driver = driver();
@@ -289,7 +295,8 @@
     }
 }
 
-/// The alarm holds until shortly before a time after the newest loss, and no longer.
+/// Checks that the alarm still holds a second before `lasts` has passed since the newest loss, and has ended a second
+/// after it.
 fn ends_after(driver: &mut Driver, lasts: Duration) {
     driver.pass(lasts - RESTART - Duration::from_secs(1));
     let request = ask(driver, "/all/new", ContentKey(100));
--- a/crates/staircross-routing/tests/fuzz.rs
+++ b/crates/staircross-routing/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Random histories of the routing engine against plain rules.
+//! Random histories of the routing engine, checked against simple rules.
 //!
-//! The oracle keeps its own ledger of what was sent where and how each sending ended, and judges every
-//! action by it. It knows nothing of how the engine decides.
+//! The oracle in `history` keeps its own ledger of where each attempt was sent and how it ended, and checks every
+//! action against it. It doesn't depend on how the engine decides.
 
 mod common;
 mod history;
--- a/crates/staircross-routing/tests/gather.rs
+++ b/crates/staircross-routing/tests/gather.rs
@@ -1,4 +1,4 @@
-//! Queries over many shards: coverage, one configuration, merging, hedges, partial answers.
+//! Requests to several shards: coverage, merging, hedges, partial answers, and the configuration that a request keeps.
 
 mod common;
 
@@ -79,7 +79,7 @@
     let answer = merged(&driver, request).clone();
     assert_eq!(answer.missing, 0);
     assert!(answer.stamps.contains(&b"hedge".to_vec()));
-    // The first attempt's answer comes after the final word and changes nothing.
+    // The answer of the first attempt arrives after the verdict and changes nothing.
     driver.end(all[3], common::answer(200, "late", records(&[9])));
     assert_eq!(driver.finished.len(), 1);
 }
@@ -255,7 +255,7 @@
             driver.pass_ms(slow_ms);
             driver.end(*attempt, answer(200, "stamp", records(&[1])));
         }
-        // Hedges are answered too, so that they don't count as overdue.
+        // Answers hedges too, so that they don't count as overdue.
         let hedges: Vec<AttemptKey> = attempts(driver, request).into_iter().skip(orders.len()).collect();
         for hedge in hedges {
             driver.end(hedge, answer(200, "stamp", records(&[1])));
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -1,4 +1,4 @@
-//! How long an answer may be waited for, by how far its caller is.
+//! The time within which a node must answer, by the round trip to the caller.
 
 mod common;
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// When an answer with one of four shards missing goes out, after its request came.
+/// Returns the time from a request's arrival until it is answered with one of four shards missing.
 fn partial_answer_after(link: CallerLink) -> Duration {
     let shards = ["w", "x", "y", "z"];
     let searchers = shards.map(|shard| searcher(&format!("{shard}-a"), shard, "a")).to_vec();
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! When a second searcher is asked.
+//! The time at which a hedge is sent, by the budget for extra sends that is left.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 const WORK_MS: u64 = 10;
 
-/// A driver whose route's work is known: 200 answers of 10 ms, but each eighth of 60 ms.
+/// Returns a driver that has learned the work of its route from 200 answers of 10 ms, of which every eighth took 60 ms.
 fn measured() -> Driver {
     let routes = vec![route("s", RouteTarget::Service(Arc::from("x")))];
     let searchers = vec![searcher("a1", "x", "a"), searcher("a2", "x", "a")];
@@ -28,7 +28,7 @@
     driver
 }
 
-/// Milliseconds after which the request is hedged.
+/// Advances the clock until the request is hedged, and returns the time it took in milliseconds.
 fn hedged_after(driver: &mut Driver, request: RequestKey) -> u64 {
     let sent = driver.now;
     while driver.sent_for(request).len() < 2 {
@@ -38,7 +38,7 @@
     driver.now.since(sent).as_millis() as u64
 }
 
-/// Requests whose first answer is lost, until their repeats have used up most of the budget.
+/// Sends requests whose first answer is lost, so that their retries use up most of the budget.
 fn spend_most_of_the_budget(driver: &mut Driver) {
     for _ in 0..20 {
         let request = driver.request("/s/1");
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -1,4 +1,4 @@
-//! Requests that come before a node knows what they need.
+//! Requests that arrive before a node knows the configuration or the searchers that they need.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest hold, in milliseconds.
+/// Longest time for which a request is held, in milliseconds.
 const HOLD_MS: u64 = 500;
 
 fn one_service(version: u64, name: &str) -> RoutingDefinition {
--- a/crates/staircross-routing/tests/history/judge.rs
+++ b/crates/staircross-routing/tests/history/judge.rs
@@ -1,4 +1,4 @@
-//! The rules that no history may break, judged by the ledger. They know nothing of how the engine decides.
+//! The rules that no history may break, checked against the ledger. They don't depend on how the engine decides.
 
 use super::{Fate, NORTHERN, SLACK, Sending, World, tight_settings};
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// A searcher whose entry went a moment ago may be asked; for how long, the settings say.
+    /// Returns the service of a searcher whose entry was removed less than `lapse_grace` ago, which may still be asked.
     fn service_of_lapsed(&self, instance: &str, at: BootTime) -> Option<String> {
         let (service, since) = self.lapsed.get(instance)?;
         (at < *since + tight_settings().lapse_grace).then(|| service.clone())
@@ -60,7 +60,7 @@
         );
         let may_have_run = |sending: &&&Sending| sending.fate != Fate::NotRun && sending.instance == instance;
         prop_assert!(before.iter().find(may_have_run).is_none(), "sent again to a searcher that may have run it");
-        // Whatever goes to a service after something may have arrived there is extra, whatever it is called.
+        // A send to a service that may have received the request already is extra, whatever reason the engine gives.
         if reached > 0 {
             self.extras.push((self.driver.now, order.attempt));
         }
@@ -71,13 +71,13 @@
 
     fn judge_budget(&self, service: &str) -> Result<(), TestCaseError> {
         let since = self.driver.now - Duration::from_secs(10);
-        // A connection that didn't come up brought nothing to anybody.
+        // An attempt whose connection wasn't established reached no searcher and doesn't count.
         let has_come = |attempt: &AttemptKey| {
             let mut matching = self.sendings.iter().filter(|sending| sending.attempt == *attempt);
             matching.any(|sending| sending.service == service && (sending.arrived || sending.fate == Fate::Open))
         };
         let extras = self.extras.iter().filter(|(at, attempt)| *at >= since && has_come(attempt)).count() as f64;
-        // The rule lets requests of the window before count as well; so the ledger may look back a little.
+        // The rule may also count requests from shortly before the window, so the ledger looks back one second more.
         let from = since - Duration::from_secs(1);
         let requests = self.arrivals.iter().filter(|(at, of)| *at >= from && of == service).count() as f64;
         prop_assert!(extras <= requests * 0.2 + SLACK, "{extras} extra sends for {requests} requests");
@@ -128,7 +128,8 @@
         Ok(())
     }
 
-    /// In the end everybody has an answer, and nothing is left behind.
+    /// Advances the clock until all requests must have ended. Checks that each has one result, unless its caller left,
+    /// and that none is in flight.
     pub(super) fn finish(&mut self) -> Result<(), TestCaseError> {
         self.driver.pass(Duration::from_secs(20));
         self.judge()?;
--- a/crates/staircross-routing/tests/history/mod.rs
+++ b/crates/staircross-routing/tests/history/mod.rs
@@ -1,6 +1,7 @@
-//! A random history of the routing engine: its steps, and the world that plays them and keeps the ledger.
+//! Random histories of the routing engine: the steps, and the simulation that executes them and keeps a ledger.
 //!
-//! The ledger says what was sent where and how each sending ended; `judge` holds every action of the engine against it.
+//! The ledger records where each attempt was sent and how it ended. The module `judge` checks every action of the
+//! engine against it.
 
 mod judge;
 
@@ -19,7 +20,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SERVICES: [&str; 5] = ["x", "y", "z", "solo", "other"];
 
-/// Something that happens to a node.
+/// An event that a node experiences.
 #[derive(Clone, Debug)]
 pub enum Step {
     Arrive(u8),
@@ -34,7 +35,7 @@
     Evacuate(u8),
 }
 
-/// A step of a history, the usual ones more often.
+/// Generates one step of a history, with weights by which the usual steps are more frequent.
 pub fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5_u8).prop_map(Step::Arrive),
@@ -53,7 +54,7 @@
 fn routes(is_second: bool) -> Vec<RouteDefinition> {
     let mut once = route("once", RouteTarget::Service(Arc::from("solo")));
     once.is_idempotent = false;
-    // Zones `a` and `b` are in the north, `c` isn't.
+    // Zones `a` and `b` are in the region `north`, zone `c` isn't.
     let mut northern = route("northern", gather(&SHARDS, 2, 0.6));
     northern.allowed_regions = vec![Arc::from("north")];
     let shards: &[&str] = if is_second { &SHARDS[..2] } else { &SHARDS };
@@ -66,20 +67,20 @@
     ]
 }
 
-/// Connections of each searcher, for all nodes together.
+/// Most connections to one searcher, of all nodes together. They are so few that shards often wait for a searcher with
+/// a free connection.
 const MAX_CONNECTIONS: u32 = 4;
 const PATHS: [&str; 5] = ["/query/1", "/solo/1", "/once/1", "/split/1", "/northern/1"];
-/// The route whose requests may be served in the north alone.
+/// Index of the route whose requests may be served in the region `north` only.
 const NORTHERN: usize = 4;
 
 fn configuration(version: u64) -> RoutingDefinition {
     let mut whole = definition(version, routes(version.is_multiple_of(2)), &SERVICES);
-    // So few that shards often have to wait for a searcher with room.
     whole.services.iter_mut().for_each(|service| service.max_connections = MAX_CONNECTIONS);
     whole
 }
 
-/// How one sending ended.
+/// The state of one attempt: not ended yet, ended without having run, or ended and possibly run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Open,
@@ -93,11 +94,11 @@
     instance: String,
     service: String,
     fate: Fate,
-    /// Whether the searcher got anything.
+    /// Whether the searcher received any of the request.
     arrived: bool,
 }
 
-/// What one request may look like from outside.
+/// The ledger's data of one request.
 #[derive(Debug)]
 struct Asked {
     route: usize,
@@ -106,7 +107,7 @@
     caller_left: bool,
 }
 
-/// Little slack, so that short histories can use it up.
+/// Slack of the budget for extra sends, small enough that short histories can use it up.
 const SLACK: f64 = 4.0;
 
 fn tight_settings() -> staircross_routing::RoutingSettings {
@@ -119,17 +120,17 @@
     driver: Driver,
     version: u64,
     next_instance: u32,
-    /// Instances that may be asked, with their service.
+    /// Instances that may be asked, with their services.
     serving: BTreeMap<String, String>,
-    /// Instances whose entry has gone, with their service and when that was told.
+    /// Instances whose entry was removed, with their service and the time at which the engine was told.
     lapsed: BTreeMap<String, (String, BootTime)>,
-    /// Zones of all instances that ever were.
+    /// Zones of all instances, including those that are gone.
     zones: BTreeMap<String, &'static str>,
-    /// The zone that is being evacuated.
+    /// The zone that is evacuated, if any.
     evacuated: Option<&'static str>,
     sendings: Vec<Sending>,
     requests: BTreeMap<RequestKey, Asked>,
-    /// Parts given to each request: signature, service, records.
+    /// Parts with which each request was answered: stamp, service, records.
     parts: BTreeMap<RequestKey, Vec<(String, String, Vec<u8>)>>,
     judged_sends: usize,
     judged_ends: usize,
@@ -208,7 +209,7 @@
                 let table = RouteTable::new(Arc::new(configuration(self.version)));
                 self.driver.event(RoutingEvent::Configuration(Arc::new(table)));
             }
-            // One of the zones, or none.
+            // Numbers beyond the zones end the evacuation.
             Step::Evacuate(which) => {
                 self.evacuated = ZONES.get(usize::from(*which)).copied();
                 let zones = self.evacuated.iter().map(|zone| Arc::from(*zone)).collect();
@@ -223,7 +224,8 @@
         let arrival = self.driver.arrival(PATHS[route]);
         let asked = Asked { route, version: self.version, arrived: self.driver.now, caller_left: false };
         self.requests.insert(arrival.key, asked);
-        // A weighted route's request counts for whichever service it is meant for, which isn't seen from here.
+        // Counts a request of a weighted route for each of its services, since the ledger doesn't know which one the
+        // engine chooses.
         for service in self.shards_of(arrival.key) {
             self.arrivals.push((self.driver.now, service));
         }
@@ -265,7 +267,7 @@
             self.parts.entry(attempt.request).or_default().push((stamp, service, body));
         }
         if how == 9 {
-            // Another run lives there: it must not be asked again.
+            // Another instance runs at that address, so this one must not be asked again.
             let instance = self.sendings[index].instance.clone();
             self.serving.remove(&instance);
         }
@@ -290,7 +292,7 @@
     }
 }
 
-/// Plays a history and judges each step of it, and its end.
+/// Executes a history and checks the engine's actions after each step and at the end.
 pub fn play(steps: &[Step]) -> Result<(), TestCaseError> {
     let mut world = World::new();
     for step in steps {
--- a/crates/staircross-routing/tests/incarnation_requests.rs
+++ b/crates/staircross-routing/tests/incarnation_requests.rs
@@ -1,4 +1,4 @@
-//! Searchers that start again under the id that they had: whom the engine asks, and what it holds against whom.
+//! Searchers that restart under the same id: which start the engine asks, and to which one it attributes failures.
 
 mod common;
 
@@ -18,7 +18,7 @@
     RouteTarget::Service(Arc::from("books"))
 }
 
-/// One route to the service of books.
+/// Returns a driver with one route to the service `books`.
 fn driver(is_idempotent: bool, searchers: Vec<SearcherEntry>) -> Driver {
     let mut route = route("r", books());
     route.is_idempotent = is_idempotent;
@@ -124,7 +124,7 @@
     }
 }
 
-/// One shard of books with one searcher, which ends under the deadly content.
+/// Returns a driver with a gather route over the one shard `books`, which has one searcher.
 fn shard() -> Driver {
     let route = route("g", gather(&["books"], 3, 1.0));
     Driver::with(definition(1, vec![route], &["books"]), vec![started("s", 100)])
@@ -159,7 +159,7 @@
         end_under_deadly(&mut driver);
         learn(&mut driver, started("s", born_ms));
         driver.pass_ms(4500);
-        // The next start serves others well; that says nothing of the one that ended.
+        // The next start answers another content, which is no evidence that the lost start is alive.
         answer_another(&mut driver);
     }
     let request = ask_deadly(&mut driver);
@@ -172,7 +172,7 @@
     for born_ms in [200, 300, 400] {
         let searcher = end_under_deadly(&mut driver);
         driver.pass_ms(4500);
-        // The next start has the address and the id, and its entry isn't known here yet.
+        // The next start has the same address and id, and its entry isn't known to this node yet.
         driver.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(1) });
         answer_another(&mut driver);
         learn(&mut driver, started("s", born_ms));
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Searchers that start again under the id that they had: what nodes know of them.
+//! Searchers that restart under the same id: what mirrors know of their starts.
 
 mod common;
 
@@ -18,7 +18,7 @@
     (revision, MirrorItem::SearcherGone { instance: Arc::from(instance) })
 }
 
-/// Who is known: id, start, whether leaving.
+/// Returns the known searchers: id, start, whether draining.
 fn view(mirror: &Mirror) -> Vec<(String, u64, bool)> {
     mirror.searchers().map(|entry| (entry.instance.to_string(), entry.born_ms, entry.is_draining)).collect()
 }
@@ -27,7 +27,7 @@
     vec![(instance.to_owned(), born_ms, false)]
 }
 
-/// Gives a mirror items in an order, one update each; returns what the last said.
+/// Merges items into a mirror in this order, one update each. Returns the mirror and the changes of the last update.
 fn told(items: &[(u64, MirrorItem)], order: &[usize]) -> (Mirror, MirrorChanges) {
     let mut mirror = Mirror::default();
     let mut last = MirrorChanges::default();
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_earlier_start_written_after_the_end_of_the_later_one_holds() {
-    // A clock that was set back: the searcher that is there now says an earlier start than the one that ended.
+    // The clock was set back, so the present searcher states an earlier start than the one that ended.
     let items = [written(6, started("s", 200)), gone(7, "s"), written(8, started("s", 100))];
     for order in [[0, 1, 2], [2, 1, 0], [0, 2, 1], [2, 0, 1]] {
         assert_eq!(view(&told(&items, &order).0), serving("s", 100), "{order:?}");
@@ -141,7 +141,7 @@
     format!("s{id}")
 }
 
-/// The store's events, and what a listing after each of them says.
+/// Returns the store's events, and the listing after each of them.
 fn play(history: &[Change]) -> (Vec<(u64, MirrorItem)>, Vec<MirrorUpdate>) {
     let mut store: BTreeMap<u8, (u64, MirrorItem)> = BTreeMap::new();
     let (mut events, mut listings) = (Vec::new(), Vec::new());
@@ -176,7 +176,8 @@
     }
 }
 
-/// By id, the latest start among the entries written since its last end, and whether its last such entry says that it leaves.
+/// Returns for each id the latest start among the entries written since its last removal, and whether the last entry of
+/// that start is draining.
 fn truth(history: &[Change]) -> BTreeMap<String, (u64, bool)> {
     let mut known = BTreeMap::new();
     for change in history {
@@ -198,8 +199,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Each node hears some of the store's changes, some twice, in any order, and now and then reads a listing. Once all have
-    /// told each other everything they know the same, and it is what the store's changes say.
+    /// Each node receives some of the store's changes, some twice and in any order, and occasionally reads a listing.
+    /// Once all nodes have exchanged everything, they know the same, and it is what the store's changes say.
     #[test]
     fn nodes_agree_whatever_they_heard_in_which_order(
         history in prop::collection::vec(any_change(), 1..25),
--- a/crates/staircross-routing/tests/mirror_merge.rs
+++ b/crates/staircross-routing/tests/mirror_merge.rs
@@ -1,4 +1,5 @@
-//! Updates merged into a mirror: by revision, whatever their order, and what the merge reports as changed.
+//! The merging of updates into a mirror, which goes by revision and not by order of arrival, and the changes that a
+//! merge reports.
 
 mod common;
 
@@ -27,7 +28,8 @@
     assert_eq!(back.searchers.len(), 1);
 }
 
-/// What a listener believes that only hears of changes; within one merge their order must not matter.
+/// The knowledge of a listener that only receives the reported changes. The order in which it applies the ends and the
+/// entries of one merge must not matter.
 #[derive(Default)]
 struct Listener {
     ends_last: bool,
@@ -137,7 +139,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However changes are ordered, repeated or mixed with pulls from peers, mirrors agree with the store.
+    /// Mirrors agree with the store, however changes are ordered, repeated or mixed with updates from peers.
     #[test]
     fn mirrors_agree_whatever_the_order(
         history in prop::collection::vec(any_change(), 1..40),
@@ -177,13 +179,13 @@
         for listener in listeners {
             prop_assert_eq!(listener.known.len(), truth.len());
             for (instance, is_draining) in &truth {
-                // Whoever once said that it leaves may go on being taken for leaving.
+                // A listener may continue to consider a searcher as draining once an entry said so.
                 let heard = listener.known.get(instance);
                 prop_assert!(heard.is_some_and(|heard| *heard || !is_draining), "{}: {:?}", instance, heard);
             }
         }
 
-        // One that has followed the store in order up to some point pulls the rest from a peer.
+        // A mirror that has merged the changes in order up to some point gets the rest from a peer.
         let reached = cut.index(events.len());
         let mut follower = Mirror::default();
         follower.merge(changes(events[..reached].to_vec()));
--- a/crates/staircross-routing/tests/mirror_peers.rs
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -1,4 +1,4 @@
-//! What a mirror sends to a peer that asks for changes: only what the peer lacks and takes.
+//! The changes that a mirror sends to a peer that asks: only what the peer lacks and accepts.
 
 mod common;
 
@@ -58,7 +58,7 @@
 #[test]
 fn a_follower_that_asks_for_a_configuration_is_not_told_the_whole_listing_again() {
     let mut reader = Mirror::default();
-    // Other items of the store changed after the last searcher: the listing is of a later revision.
+    // Other items of the store changed after the last searcher, so the listing has a later revision.
     reader.merge(listing(90, vec![(45, searcher("s", false)), (44, searcher("t", false))]));
     reader.merge(changes(vec![(20, configuration(1))]));
     let mut follower = Mirror::default();
@@ -81,7 +81,8 @@
     assert_eq!(partial.known_revision(), 0, "others may have changed before that one");
 }
 
-/// The first page of a listing was read at 20; `a`, which stands on it, drains at 21, and `b` on the second page changes at 22.
+/// Returns a mirror that read a listing while items changed. The first page was read at 20 and holds `a`, which drains
+/// at 21. The second page holds `b`, which changes at 22.
 fn listed_while_it_changed() -> Mirror {
     let mut mirror = Mirror::default();
     mirror.merge(listing(20, vec![(3, searcher("a", false)), (22, searcher("b", false))]));
@@ -103,7 +104,7 @@
 #[test]
 fn who_is_right_before_a_listing_is_told_which_searchers_it_left_out() {
     let mut reader = Mirror::default();
-    // `b` has gone at 20, and the reader never knew it.
+    // `b` was removed at 20, and the reader never knew it.
     reader.merge(listing(20, vec![(3, searcher("a", false))]));
     let mut asker = Mirror::default();
     asker.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More than the searchers can do: a part is refused at once, so that the rest is answered in time.
+//! Overload of the searchers: a part of the requests is refused at once, so that the rest is answered in time.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const GOAL: Duration = Duration::from_millis(250);
 const WORK: Duration = Duration::from_millis(20);
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
-/// Each shard has two searchers of two slots.
+/// Requests per second that the searchers can process: each shard has two searchers with two slots.
 const CAPACITY: f64 = 200.0;
 
 fn shard_searchers() -> Vec<staircross_routing::SearcherEntry> {
@@ -33,7 +33,7 @@
     Backends::new(driver, 2, WORK)
 }
 
-/// Some calm seconds, in which the usual work is learned.
+/// Returns back ends after four seconds of low load, in which the engine learns the usual work.
 fn warmed_up(routes: Vec<RouteDefinition>, paths: &[&str]) -> Backends {
     let mut backends = backends(routes);
     backends.offer(paths, CAPACITY * 0.4, Duration::from_secs(4));
@@ -125,7 +125,7 @@
     let mut backends = Backends::new(driver, 2, WORK);
     offered(&mut backends, &["/q/1"], 0.1, 4);
     for _ in 0..20 {
-        // A moment in which everything stands still hits one request, whose parts are then all late together.
+        // A pause of all searchers affects one request, whose parts are then all late.
         backends.work = WORK * 8;
         offered(&mut backends, &["/q/1"], 0.005, 1);
         backends.work = WORK;
@@ -137,7 +137,7 @@
 #[test]
 fn time_to_connect_is_no_wait() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
-    // A new set of searchers: each attempt needs a connection first.
+    // Each attempt needs a new connection first, as after a replacement of all searchers.
     backends.connecting = Duration::from_millis(120);
     let fresh = offered(&mut backends, &["/q/1"], 0.1, 5);
     assert_eq!(fresh.refused, 0, "{fresh:?}");
@@ -221,7 +221,7 @@
             admission.evaluate(now, wait, tolerable);
             admission.level()
         };
-        // Past the warm-up of a group, too long a wait limits what is taken.
+        // After the warm-up of a group, an excessive wait lowers the level.
         while judge(now, tolerable * 4) > 0.3 {
             now = now + Duration::from_millis(250);
         }
@@ -236,7 +236,8 @@
     assert!(seldom <= often + Duration::from_millis(1000), "{seldom:?} for {often:?}");
 }
 
-/// Some seventy nodes of a grown site see a request or two a second each, with a sub-request for each of 36 shards.
+/// On a large site with some seventy nodes, each node receives one or two requests per second, with a sub-request to
+/// each of 36 shards.
 #[test]
 fn a_node_with_few_requests_goes_on_taking_less_while_they_wait_too_long() {
     const FAN_OUT: usize = 36;
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -1,6 +1,6 @@
-//! All that an engine wants done, as lines of log names and numbers, and their digests by kind.
+//! A journal of all actions that an engine requests, as lines of log names and numbers with a digest for each kind.
 //!
-//! Nothing here depends on the names of types, variants or fields: lines hold over renames.
+//! The lines don't contain names of types, variants or fields, so renames don't change them.
 
 use staircross_quota::{QuotaChange, QuotaMessage};
 use staircross_routing::RoutingAction;
@@ -12,7 +12,8 @@
 use std::fmt::Write;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Directory that gets each drive's lines, to find the first one that differs.
+/// Environment variable that names a directory. Each scenario writes its lines there, so that the first differing line
+/// can be found.
 const LINES_TO: &str = "PINNED_LINES";
 
 #[derive(Default)]
@@ -21,7 +22,7 @@
     digest: Xxh3,
 }
 
-/// Lines of one drive.
+/// The lines of one scenario.
 #[derive(Default)]
 pub struct Journal {
     kinds: BTreeMap<String, Kind>,
@@ -39,7 +40,8 @@
         self.lines.push_str(&line);
     }
 
-    /// One line a kind: count and digest.
+    /// Returns a table with one line for each kind: its name, count and digest. Writes the lines of the scenario if
+    /// `PINNED_LINES` is set.
     pub fn table(&self, drive: &str) -> String {
         if let Some(directory) = std::env::var_os(LINES_TO) {
             let path = std::path::Path::new(&directory).join(drive);
--- a/crates/staircross-routing/tests/pinned/mod.rs
+++ b/crates/staircross-routing/tests/pinned/mod.rs
@@ -1,4 +1,4 @@
-//! What the drives of pinned decisions are made of.
+//! The simulation and the journal for tests of pinned decisions.
 #![allow(dead_code)]
 
 pub mod journal;
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -1,4 +1,5 @@
-//! One engine, and searchers with slots, queues and connections that work, reject, end and come back, in simulated time.
+//! A simulation of one engine and its searchers, which have slots, queues and connections, and which answer, reject,
+//! crash and restart in simulated time.
 
 use super::journal::Journal;
 use crate::common::{HOST, answer, records};
@@ -20,24 +21,24 @@
 
 type Step = Box<dyn FnOnce(&mut World)>;
 
-/// Start of all drives.
+/// Time at which all scenarios start.
 pub const START: BootTime = BootTime::from_millis(1_000_000);
-/// Time between ticks that nothing asks for.
+/// Time between the regular ticks, in milliseconds; the engine's wake-up times add others.
 const TICK: u64 = 250;
-/// Sub-requests that a searcher lets wait.
+/// Most sub-requests that a searcher queues; it sheds any further ones.
 const QUEUE: usize = 30;
 
-/// One searcher.
+/// One simulated searcher.
 pub struct Searcher {
     pub entry: SearcherEntry,
-    /// How many times longer than usual its work takes.
+    /// Factor by which its work takes longer than usual.
     pub slowness: f64,
-    /// Connections that it accepts.
+    /// Most connections that it accepts.
     pub connections: usize,
-    /// Time until a connection is up, in milliseconds.
+    /// Time until a connection is established, in milliseconds.
     pub connecting: u64,
     pub is_reachable: bool,
-    /// Fraction of its answers that are failures.
+    /// Fraction of its answers that have status 500.
     pub failing: f64,
     open: usize,
     busy: usize,
@@ -63,11 +64,11 @@
     pub journal: Journal,
     pub random: ChaCha8Rng,
     pub searchers: BTreeMap<String, Searcher>,
-    /// Usual work in milliseconds.
+    /// Usual time of work in milliseconds.
     pub work: f64,
-    /// Contents that end whoever runs them.
+    /// Contents that crash the searchers that run them.
     pub deadly: BTreeSet<u64>,
-    /// Messages to peers that nobody has taken yet.
+    /// Quota messages to peers that the test hasn't delivered yet.
     pub outbox: Vec<(NodeId, Vec<QuotaMessage>)>,
     steps: BTreeMap<(BootTime, u64), Step>,
     attempts: BTreeMap<AttemptKey, Attempt>,
@@ -130,7 +131,7 @@
         self.after(TICK as f64, World::tick_on);
     }
 
-    /// Does something at a time in milliseconds since the start.
+    /// Schedules a step at a time in milliseconds since the start.
     pub fn at(&mut self, millis: f64, step: impl FnOnce(&mut World) + 'static) {
         self.sequence += 1;
         let time = START + Duration::from_micros((millis * 1000.0) as u64);
@@ -142,7 +143,7 @@
         self.at(since + millis, step);
     }
 
-    /// Plays until a time in milliseconds since the start.
+    /// Runs the simulation until a time in milliseconds since the start.
     pub fn run(&mut self, millis: u64) {
         let end = START + Duration::from_millis(millis);
         loop {
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Offers requests at random times between two milliseconds; `make` shapes the arrival by its number.
+    /// Schedules requests at random times within `span` (in milliseconds since the start), at a mean rate of `per_s`.
+    /// `make` changes each arrival by its number.
     pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, make: fn(&mut Arrival, usize)) {
         let (mut at, mut number) = (span.0, 0);
         while at < span.1 {
@@ -200,7 +202,7 @@
         self.event(RoutingEvent::Arrived(arrival));
     }
 
-    /// The callers of the newest requests leave.
+    /// Tells the engine that the callers of the newest requests have disconnected.
     pub fn newest_callers_leave(&mut self, count: u64) {
         let newest = self.next_request.saturating_sub(count)..self.next_request;
         newest.for_each(|key| self.event(RoutingEvent::CallerGone(RequestKey(key))));
@@ -302,7 +304,8 @@
         self.end(key, outcome);
     }
 
-    /// Ends a searcher with all that it has; another start of it comes some seconds later.
+    /// Crashes a searcher, which breaks its attempts. Its entry is removed after 0.4 s, and an instance that replaces
+    /// it starts after 4 s.
     pub fn crash(&mut self, instance: &str) {
         self.searchers.get_mut(instance).expect("it was started").is_reachable = false;
         let of_it = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -1,7 +1,9 @@
-//! What the engine decides in some seconds of each kind of trouble, pinned as digests of all its actions by kind.
+//! The engine's decisions in scenarios of several seconds, one for each kind of trouble, pinned as digests of all its
+//! actions by kind.
 //!
-//! A moved rule, constant, or draw of a random number shows here. To find the first line that differs, run a drive before and after the change
-//! with `PINNED_LINES` set to a directory each, and compare what they wrote.
+//! Any change of a rule, a constant or the order of random draws changes a digest. To find the first line that differs,
+//! run a scenario before and after the change with `PINNED_LINES` set to two different directories, and compare the
+//! files.
 
 mod common;
 mod pinned;
@@ -156,7 +158,7 @@
     world.arrive(Arrival { content: ContentKey(content), ..arrival });
 }
 
-/// What a peer tells that has just lost three searchers under a content.
+/// Returns the records of a peer that has just lost three searchers while they ran a content.
 fn peer_cases(world: &World, content: u64) -> Vec<CaseRecord> {
     let mut peer = Quarantine::default();
     let mut at = world.now;
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -1,4 +1,5 @@
-//! What the engine decides about quotas, keys, and what it doesn't know yet, pinned like `pinned_decisions.rs`.
+//! The engine's decisions about quotas, API keys, restarts, and requests that arrive before configuration or searchers
+//! are known, pinned as in `pinned_decisions.rs`.
 
 mod common;
 mod pinned;
@@ -51,7 +52,7 @@
 
 const NODES: [NodeId; 3] = [NodeId(11), NodeId(12), NodeId(13)];
 
-/// A node of a fleet of three, whose tenants ask for more than their quotas from the third second on.
+/// Returns a node of a fleet of three, two of whose tenants exceed their quotas from second 3 to second 11.
 fn quota_node(node: NodeId) -> World {
     let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -1,4 +1,4 @@
-//! Which places requests may go to: allowed regions, evacuated zones, and what cold searchers bear.
+//! Limits on which searchers requests may be sent to: allowed regions, evacuated zones, and the load of cold searchers.
 
 mod common;
 
@@ -14,8 +14,9 @@
 use staircross_types::{ErrorKind, Executed};
 use std::sync::Arc;
 
-/// Zones `a` and `b` are in the north, `c` is in the south; the node is in `a`.
+/// Region of the zones `a` and `b`; the node is in zone `a`.
 const NORTH: &str = "north";
+/// Region of the zone `c`.
 const SOUTH: &str = "south";
 
 fn within(mut route: RouteDefinition, regions: &[&str]) -> RouteDefinition {
@@ -147,14 +148,15 @@
     driver.event(RoutingEvent::Searchers(vec![searcher("a1", "x", "a")]));
     let refused = driver.request("/s/1");
     assert_eq!(driver.refusal(refused), Some(ErrorKind::NoReplica));
-    // Updates of others of the service must not make it forgotten.
+    // An update of another searcher of the service must not make the engine forget the first one.
     driver.event(RoutingEvent::Searchers(vec![searcher("a2", "x", "a")]));
     evacuate(&mut driver, &[]);
     let served = driver.request("/s/2");
     assert_eq!(driver.sent_for(served).len(), 1);
 }
 
-/// A searcher that bears ten requests a second while it is cold, and one that is warm but far.
+/// Returns a driver with a searcher that takes ten requests per second while it is cold, and a warm one in another
+/// region. `fleet` nodes serve in zone `a`.
 fn cold_site(fleet: usize) -> Driver {
     let mut configuration: RoutingDefinition = definition(1, vec![route("s", single("x"))], &["x"]);
     configuration.services[0].cold_start = ColdStart { duration_ms: 3000, requests_per_s: Some(10.0) };
@@ -169,7 +171,7 @@
     driver.sends.iter().filter(|order| &*order.instance == instance).count()
 }
 
-/// Requests every 10 ms, each answered at once.
+/// Sends one request every 10 ms, each of which is answered after 2 ms.
 fn load(driver: &mut Driver, requests: usize) {
     for number in 0..requests {
         driver.request(&format!("/s/{number}"));
@@ -184,7 +186,7 @@
 fn a_cold_searcher_gets_a_nodes_share_of_what_it_bears_until_it_is_warm() {
     let mut driver = cold_site(2);
     load(&mut driver, 100);
-    // 20 a second for both nodes together, of which 12 are planned: 6 for each.
+    // The bound is 20 requests per second for both nodes together, of which 12 are planned: 6 for each node.
     assert_eq!(sends_to(&driver, "cold"), 6);
     driver.pass_ms(3000);
     load(&mut driver, 100);
--- a/crates/staircross-routing/tests/policy.rs
+++ b/crates/staircross-routing/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Each switch turns its mechanism off, and only that.
+//! Each policy switch turns off its own mechanism and no other.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RoutingPolicy, RoutingSettings};
 use staircross_types::{BootTime, ErrorKind};
 
-/// Two searchers of one shard, with some mechanisms off.
+/// Returns a driver of a node that has just restarted, with two searchers of one shard and this policy.
 fn driver(policy: RoutingPolicy) -> Driver {
     let restarted_at = Some(BootTime::from_millis(1_000_000));
     let settings = RoutingSettings { policy, restarted_at, ..settings() };
--- a/crates/staircross-routing/tests/quarantine.rs
+++ b/crates/staircross-routing/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the searchers that run them, and those that only happen to run beside one.
+//! Requests that crash the searchers that run them, and harmless requests that lose their searchers by chance.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use staircross_types::ErrorKind;
 use std::time::Duration;
 
-/// Looks that may be scheduled at one request: the next one, and a few that an earlier one has overtaken.
+/// Most checks of one request that may be scheduled: the next one, and a few that an earlier one has made needless.
 const MOST_WAKES: usize = 10;
 
 #[test]
@@ -82,7 +82,7 @@
     let request = ask(&mut driver, "/all/y", ContentKey(1));
     let orders = sent_since(&driver, request, 0);
     driver.pass_ms(5);
-    // The first repeat goes out at once, since one broken connection is everyday.
+    // The first retry is sent at once, since a single broken connection is common.
     orders.iter().for_each(|order| driver.end(order.attempt, BROKEN));
     driver.pass_ms(30);
     let trial = sent_since(&driver, request, orders.len());
@@ -102,7 +102,8 @@
     let request = ask(&mut driver, "/one/y", ContentKey(1));
     assert_eq!(end_all(&mut driver, request), 3);
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    // Each of them answers something that was sent later; they are preferred less for some seconds.
+    // Each searcher answers a request that was sent later. After the failures they are chosen less often for some
+    // seconds.
     for number in 0..100 {
         let other = ask(&mut driver, "/one/z", ContentKey(100 + number));
         let order = driver.sent_for(other)[0].clone();
@@ -149,10 +150,11 @@
     assert_eq!(driver.refusal(fourth), Some(ErrorKind::Quarantined));
 }
 
-/// Whose request it is doesn't matter: a searcher that is at work on a suspect content hasn't shown yet that it outlives it.
+/// A searcher that is running a suspect content hasn't survived it yet, whichever request it runs the content for.
 ///
-/// Seen: a second searcher was asked while the third was at work on the content, for another request or after its caller had left. Why: only the
-/// request's own attempts were looked at. Shown by this test on the code before: an attempt of the second request at once.
+/// Guards against sending the content to a further searcher while one is running it for another request or for a caller
+/// that has left. This happened because only the request's own attempts were considered: the second request sent an
+/// attempt at once.
 #[test]
 fn a_suspect_content_is_sent_to_nobody_while_a_searcher_is_at_work_on_it_for_another_request() {
     for is_first_caller_gone in [false, true] {
@@ -179,11 +181,12 @@
     }
 }
 
-/// Each look at a shard that waits must lead to one later look, not to one more each time.
+/// Each check of a waiting shard must schedule one later check, not one more each time.
 ///
-/// Seen: where suspect requests wait longer for their trials, a play of a day with such requests took 277 s of processor time instead of 1 and left 34 in
-/// 100 requests unserved. Why: each of the ten shards that wait scheduled a look at its request of its own, every 10 ms, and each look scheduled the
-/// next. Shown by the looks scheduled for one suspect request: 110 after 0.1 s, 1,820 after 2 s, each of them made every 10 ms.
+/// Guards against a growing number of scheduled checks of one request. Each of the ten waiting shards scheduled its own
+/// check of the request every 10 ms, and each check scheduled the next: for one suspect request there were 110 after
+/// 0.1 s and 1,820 after 2 s. Where suspect requests wait longer for their trials, a simulated day with such requests
+/// took 277 s of processor time instead of 1 s, and 34 of 100 requests weren't served.
 #[test]
 fn a_suspect_request_that_waits_for_its_trial_is_looked_at_once_a_pause() {
     let mut driver = driver();
@@ -225,7 +228,7 @@
     let order = driver.sent_for(request)[0].clone();
     driver.end(order.attempt, BROKEN);
     let order = driver.sent_for(request)[1].clone();
-    // Peers have seen two more meanwhile.
+    // Meanwhile a peer has lost three searchers to the content.
     let told = told_by_peer(driver.now, DEADLY);
     driver.pass_ms(10);
     driver.event(RoutingEvent::PeerCases(told));
--- a/crates/staircross-routing/tests/quarantine_peers.rs
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of quarantined contents and of suspects.
+//! The exchange of records of suspect and quarantined contents between nodes.
 
 mod common;
 
@@ -21,7 +21,7 @@
         lost_at = sent_at + Duration::from_millis(60);
         here.note_lost(lost_at, lost(DEADLY, number, sent_at));
     }
-    // The other machine's clock began elsewhere.
+    // The boot clock of the other machine started at another time.
     let elsewhere = BootTime::from_millis(77_000_000);
     there.merge(elsewhere, &here.records(lost_at));
     assert_eq!(there.suspicion(elsewhere, DEADLY), Suspicion::Quarantined);
@@ -29,14 +29,15 @@
     there.note_answered(elsewhere + later, DEADLY);
     here.merge(lost_at + later, &there.records(elsewhere + later));
     assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
-    // What was told before comes late, and changes nothing.
+    // A loss from before the answer arrives late and changes nothing.
     let mut stale = Quarantine::default();
     stale.note_lost(lost_at, lost(DEADLY, 9, now));
     here.merge(lost_at + later, &stale.records(lost_at + later));
     assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
 }
 
-/// A request that may not be repeated, sent to a searcher before its content is quarantined.
+/// Sends a request that may not be repeated, then quarantines its content by a peer's records. Returns the order that
+/// was sent before.
 fn sent_once_before_quarantine(driver: &mut Driver) -> SendOrder {
     let request = ask(driver, "/once/x", DEADLY);
     let order = driver.sent_for(request)[0].clone();
@@ -84,7 +85,7 @@
     here.note_lost(at(45), lost(DEADLY, 1, now));
     here.note_lost(at(81), lost(DEADLY, 2, at(42)));
     assert_eq!(here.suspicion(at(81), DEADLY), Suspicion::Quarantined);
-    // The other shards' searchers were sent it before any had ended, and end one after the other.
+    // The searchers of the other shards were sent the content before any had crashed, and crash one after the other.
     for number in 3..10 {
         here.note_lost(at(81 + number), lost(DEADLY, number, now));
         assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "{number} lost");
@@ -144,7 +145,7 @@
         let answered = lost_at + Duration::from_millis(20);
         here.note_answered(answered, DEADLY);
         there.merge(answered + Duration::from_millis(1), &here.records(answered));
-        // Told before the answer, it comes after it: by another way, or from a node that was busy.
+        // The losses were reported before the answer but arrive after it, by another route or from a busy node.
         there.merge(answered + Duration::from_millis(120), &losses);
         here.merge(answered + Duration::from_millis(150), &losses);
         let later = answered + Duration::from_millis(200);
@@ -172,13 +173,15 @@
     assert!(quarantine.records(now).iter().any(|record| record.content == DEADLY), "it is told among many others");
 }
 
-/// A searcher lost at one of three nodes, some time after the one before.
+/// Generates the loss of a searcher: the node out of three that observes it, the searcher, and the time since the
+/// previous loss in units of 10 ms.
 fn loss() -> impl Strategy<Value = (usize, u64, u64)> {
     (0..3_usize, 0..4_u64, 1..40_u64)
 }
 
 proptest! {
-    /// Nodes that tell each other everything, in any order, agree on what they think of a content; an answer at one of them clears it at all.
+    /// Nodes that exchange all records, in any order, agree on the suspicion of a content. An answer at one of them
+    /// clears it at all.
     #[test]
     fn nodes_that_tell_each_other_agree(
         losses in proptest::collection::vec(loss(), 1..12),
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! A tenant's quota holds for the nodes together: what one admits counts at the other, by the messages that the engines want told.
+//! A tenant's quota limits all nodes together: the messages between the engines make requests that one node admits
+//! count at the others.
 
 mod common;
 
@@ -29,7 +30,7 @@
     RoutingSettings { node, quota, ..settings() }
 }
 
-/// Two engines that share the quota of one tenant.
+/// Returns two engines that share the quota of one tenant.
 fn fleet() -> Vec<Driver> {
     let driver = |node| {
         let mut driver = Driver::with_settings(node_settings(node), with_tenant(), Vec::new());
@@ -39,7 +40,7 @@
     NODES.map(driver).into_iter().collect()
 }
 
-/// Lets a step pass and carries what engines tell each other, unless they are cut off.
+/// Advances the clock by one step and delivers the engines' messages to each other, unless the nodes are cut off.
 fn step(nodes: &mut [Driver], is_cut: bool) {
     let mut told = Vec::new();
     for (index, driver) in nodes.iter_mut().enumerate() {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Requests of the tenant that come to both nodes in turn, one each step; how many are admitted in each second.
+/// Offers one request of the tenant in each step, to both nodes in turn. Returns the number admitted in each second.
 fn offer(nodes: &mut [Driver], seconds: usize, is_cut: bool) -> Vec<usize> {
     let tenant: Arc<str> = Arc::from("t");
     let mut admitted = vec![0; seconds];
@@ -71,7 +72,7 @@
     let mut nodes = fleet();
     let admitted = offer(&mut nodes, 8, false);
     let settled: usize = admitted[3..].iter().sum();
-    // In five seconds: the rate, half of the burst and a tenth of the permitted excess, 56 in all.
+    // In five seconds, the rate, half of the burst and a tenth of the permitted excess add up to 56.
     assert!((51..=61).contains(&settled), "{admitted:?}");
     assert!(nodes.iter().any(|driver| driver.quota_changes.iter().any(|change| change.is_limited)));
     assert!(nodes.iter().all(|driver| driver.engine.counters.over_quota > 0));
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -1,4 +1,4 @@
-//! Searchers that reject work though their health is good.
+//! Searchers that reject work although they are healthy.
 
 mod common;
 
@@ -10,7 +10,7 @@
 /// Time between requests, in milliseconds.
 const SPACING_MS: u64 = 20;
 
-/// Searchers of one service in the node's own zone, of which some reject.
+/// A node and the searchers of one service, of which some reject all requests.
 struct Site {
     driver: Driver,
     rejecting: Vec<&'static str>,
@@ -27,7 +27,7 @@
         Site { driver, rejecting: Vec::new(), arrivals: BTreeMap::new(), requests: Vec::new(), ended: 0 }
     }
 
-    /// Sends requests; whoever rejects does so at once, the others answer after 5 ms.
+    /// Sends requests. Rejecting searchers reject at once; the others answer after 5 ms.
     fn load(&mut self, requests: usize) {
         for _ in 0..requests {
             let key = self.driver.request("/s/1");
@@ -87,7 +87,7 @@
     site.rejecting = vec!["a1"];
     site.load(100);
     site.rejecting.clear();
-    // Eighteen seconds, in which the estimate that nothing confirms halves more than four times.
+    // In these eighteen seconds the estimate halves more than four times, as nothing confirms it.
     site.load(900);
     site.arrivals.clear();
     site.load(100);
--- a/crates/staircross-routing/tests/replay.rs
+++ b/crates/staircross-routing/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Recorded decisions are taken again alike, and a decision that is taken otherwise is shown.
+//! The replay of recorded events makes the same decisions, and reports a decision that differs.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SHARDS: [&str; 3] = ["s0", "s1", "s2"];
 
-/// Some seconds of traffic with a slow searcher, hedges and an overload.
+/// Records six seconds of traffic with a slow searcher, hedges and an overload.
 fn recorded() -> (RecordedSettings, Vec<RecordedTurn>) {
     let settings = RoutingSettings { max_requests: 10_000, ..settings() };
     let copies = |shard: &str| ["x", "y", "z"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -1,4 +1,4 @@
-//! Reports of searchers' hosts, and when they are passed over for them.
+//! Searchers that report a slow host, and for how long others are preferred to them.
 
 mod common;
 
@@ -16,10 +16,11 @@
     AttemptOutcome::Answered(Box::new(SearcherAnswer { report, ..*plain }))
 }
 
-/// Who is asked next after `a1` has answered with a report.
+/// Returns the searcher that is asked `wait_ms` after `a1` answered with a report that its host's work takes `percent`
+/// of the usual time.
 fn next_after_report(percent: u32, wait_ms: u64) -> String {
     let routes = vec![route("g", gather(&["x"], 1, 1.0))];
-    // The second is a zone away: without a report the near one is asked.
+    // The second searcher is in another zone, so without a report the first one is asked.
     let searchers = vec![searcher("a1", "x", "a"), searcher("b1", "x", "b")];
     let mut driver = Driver::with(definition(1, routes, &["x"]), searchers);
     let first = driver.request("/g/1");
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds of requests to one service: deadlines, extra sends, requests held, searchers' room, and shares of weighted services.
+//! Bounds of requests to one service: deadlines, extra sends, requests in flight, capacity of searchers, and shares of
+//! weighted services.
 
 mod common;
 
@@ -72,7 +73,7 @@
         driver.request("/r/1");
         let attempt = driver.sends.last().expect("sent").attempt;
         driver.pass_ms(20);
-        // Every answer is lost; each retry is one more arrival.
+        // The first answer of every request is lost; its retry is answered.
         driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
         if let Some(last) = driver.sends.last().filter(|last| last.attempt != attempt) {
             let again = last.attempt;
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to one service: at most once, refusals, retries, and what is passed on.
+//! Requests to one service: at-most-once execution, refusals, retries, and the answers that are passed on.
 
 mod common;
 
@@ -70,8 +70,8 @@
     assert_eq!(driver.sent_for(request).len(), 1);
 }
 
-/// Has every searcher turn a request away for lack of room until it is refused, by its time-out at the latest; two
-/// searchers are asked, each with pauses.
+/// Lets every searcher shed a request until it is refused, at its timeout at the latest. Checks that two searchers were
+/// asked. Returns the kind of the refusal.
 fn shed_until_over(driver: &mut Driver, request: RequestKey) -> ErrorKind {
     let mut ended = driver.sent_for(request).len() - 1;
     for _ in 0..400 {
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -1,4 +1,5 @@
-//! Admission by itself, as tables: which wait a goal bears, when a limit begins, how it moves, how ranks differ, what usual work is.
+//! Tables of the admission rules without an engine: the tolerable wait for a goal, when a limit begins and how it
+//! changes, the fraction admitted by rank, the usual work, and the wait that is evaluated.
 
 use staircross_routing::decision::admission::{Admission, UsualWork, Wait, tolerable_wait};
 use staircross_types::BootTime;
@@ -19,7 +20,7 @@
     assert!((found - expected).abs() < 1e-3, "{row}: {found}, not {expected}");
 }
 
-/// Judges a wait of `ratio` tolerable ones at each spacing, from 0 to `until_ms`.
+/// Returns an admission that evaluated a wait of `ratio` times the tolerable one at each spacing from 0 to `until_ms`.
 fn judged(ratio: f64, until_ms: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..=until_ms / SPACING_MS {
@@ -30,13 +31,13 @@
 
 #[test]
 fn the_tolerable_wait_leaves_the_last_sub_request_in_time() {
-    // Goal, usual work, fan-out; tolerable wait, in ms.
+    // Inputs: goal and usual work in ms, fan-out. Expected: tolerable wait in ms.
     let rows = [
         (200, 20, 1, 160.0),
         (200, 20, 10, 38.473),
         (200, 20, 100, 21.389),
-        (200, 60, 100, 60.0), // No less than the work.
-        (50, 25, 1, 25.0),    // No room at all.
+        (200, 60, 100, 60.0), // It is at least the usual work.
+        (50, 25, 1, 25.0),    // The goal leaves no time for a wait.
     ];
     for (goal, usual, fan_out, expected) in rows {
         let found = tolerable_wait(ms(goal), ms(usual), fan_out).as_secs_f64() * 1000.0;
@@ -46,12 +47,12 @@
 
 #[test]
 fn a_limit_begins_after_the_warm_up_with_a_wait_that_has_stood() {
-    // Wait in tolerable ones, judged until, in ms; level.
+    // Inputs: wait as a multiple of the tolerable one, time of the last evaluation in ms. Expected: level.
     let rows = [
-        (1.0, 10_000, 1.0), // Just tolerable.
-        (4.0, 3500, 1.0),   // Three seconds of warm-up, then 0.6 s at each judgement.
-        (4.0, 3750, 0.75),  // The largest decrease.
-        (1.2, 3750, 0.85),  // A quarter of what is off the target of 0.6.
+        (1.0, 10_000, 1.0), // The wait is just tolerable.
+        (4.0, 3500, 1.0),   // After the warm-up of 3 s, the wait must be too long for 0.6 s.
+        (4.0, 3750, 0.75),  // This is the largest decrease.
+        (1.2, 3750, 0.85),  // The decrease is a quarter of the deviation from the target of 0.6.
         (4.0, 60_000, 0.05),
     ];
     for (ratio, until_ms, expected) in rows {
@@ -61,16 +62,16 @@
 
 #[test]
 fn a_level_of_0_75_moves_by_the_wait_and_the_time_since_the_last_judgement() {
-    // Wait in tolerable ones, ms since the last judgement; level after.
+    // Inputs: wait as a multiple of the tolerable one, ms since the last evaluation. Expected: level afterwards.
     let rows = [
         (4.0, 250, 0.5625),
         (0.7, 250, 0.731_25),
-        (0.6, 250, 0.75), // The target.
+        (0.6, 250, 0.75), // The wait is at the target.
         (0.5, 250, 0.768_75),
-        (0.3, 250, 0.7875),    // The largest increase while something queues.
-        (0.1, 250, 0.84),      // Nothing queues.
-        (0.3, 1000, 0.911_63), // Four spacings made up for.
-        (0.7, 1000, 0.731_25), // A decrease makes up for none.
+        (0.3, 250, 0.7875),    // This is the largest increase while sub-requests queue.
+        (0.1, 250, 0.84),      // No sub-requests queue.
+        (0.3, 1000, 0.911_63), // The increase is that of four spacings.
+        (0.7, 1000, 0.731_25), // A decrease is that of one spacing only.
         (0.1, 1000, 1.0),
     ];
     for (ratio, after_ms, expected) in rows {
@@ -82,7 +83,7 @@
 
 #[test]
 fn a_decrease_waits_for_its_effect_twice_the_wait_and_a_second_at_most() {
-    // Wait, ms from the decrease until the next judgement is due.
+    // Inputs: wait in ms. Expected: ms from the decrease until the next evaluation is due.
     for (wait_ms, expected_ms) in [(150, 550), (400, 1050), (900, 1250)] {
         let mut admission = judged(4.0, 3750);
         admission.evaluate(at(4000), ms(wait_ms), TOLERABLE);
@@ -101,7 +102,8 @@
 
 #[test]
 fn usual_work_is_the_least_median_and_rises_with_what_is_refused() {
-    // Work in ms of 10 s of samples after half a second at 10 ms, level taken; usual work at their end in ms.
+    // After half a second of samples of 10 ms follow 10 s of samples.
+    // Inputs: work of the later samples in ms, admission level. Expected: usual work at the end in ms.
     for (later_ms, level, expected) in [(10, 1.0, 10.0), (5, 1.0, 5.0), (40, 1.0, 10.2), (40, 0.5, 11.573)] {
         let mut usual = UsualWork::default();
         (0..50).for_each(|step| usual.record(at(step * 10), ms(10), 1.0));
@@ -113,12 +115,12 @@
 
 #[test]
 fn a_wait_that_is_too_old_counts_as_none_unless_the_next_is_still_gathered() {
-    // Time between the 24 samples; age; wait to judge by, in ms.
+    // Inputs: time between the 24 samples and age of the last one, in ms. Expected: wait to evaluate, in ms.
     let rows = [
         (10, 1500, Some(30)),
-        (10, 1501, Some(0)), // Gathered in 0.23 s: nothing was asked since.
-        (100, 1501, None),   // Gathered in 2.3 s: judged again by the next.
-        (100, 3450, None),   // 1.5 times that.
+        (10, 1501, Some(0)), // The samples took 0.23 s, so no requests were sent since.
+        (100, 1501, None),   // The samples took 2.3 s, so the next ones are still being collected.
+        (100, 3450, None),   // The age is 1.5 times the time of collection.
         (100, 3451, Some(0)),
     ];
     for (apart_ms, age_ms, expected) in rows {
--- a/crates/staircross-routing/tests/rule_allowed_regions.rs
+++ b/crates/staircross-routing/tests/rule_allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Allowed regions by themselves, as a table: the route's, the tenant's, and where a searcher is.
+//! Tables of the allowed-regions rule without an engine: the regions of the route, of the tenant and of the searcher.
 
 mod common;
 
@@ -14,7 +14,8 @@
 #[test]
 fn both_the_route_and_the_tenant_bind() {
     let any: &[&str] = &[];
-    // Regions of the route and of the tenant, region of the searcher; whether it may be sent there.
+    // Inputs: allowed regions of the route and of the tenant, region of the searcher.
+    // Expected: whether the searcher may be asked.
     let rows = [
         (any, any, Some("north"), true),
         (any, any, None, true),
@@ -36,7 +37,8 @@
 #[test]
 fn regions_that_have_none_in_common_allow_none() {
     let any: &[&str] = &[];
-    // Regions of the route and of the tenant; whether all are allowed, whether none is.
+    // Inputs: allowed regions of the route and of the tenant.
+    // Expected: whether all regions are allowed, and whether none is.
     let rows = [
         (any, any, true, false),
         (&["north"], any, false, false),
--- a/crates/staircross-routing/tests/rule_cold.rs
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -1,4 +1,4 @@
-//! Shares of cold searchers by themselves, as tables: how much a node may send, and when.
+//! Tables of the rule of cold searchers without an engine: how much a node may send to one, and when.
 
 use staircross_routing::decision::cold::{ColdSends, FleetRank, cold_share};
 use staircross_routing::{ColdBound, ColdStart};
@@ -15,15 +15,16 @@
 
 #[test]
 fn nodes_divide_six_tenths_of_the_bound() {
-    // Requests a second that the searcher bears, the bound's factor and slack, rank and number of serving nodes; this node's share.
+    // Inputs: requests per second that the searcher can take, factor and slack of the bound, rank of this node, number
+    // of serving nodes. Expected: share of this node.
     let rows = [
         (None, 1.0, 0.0, Some(0), 2, None),
         (Some(10.0), 1.0, 0.0, Some(0), 2, Some(3)),
         (Some(10.0), 1.0, 0.0, Some(1), 4, Some(1)),
         (Some(10.0), 1.5, 5.0, Some(1), 4, Some(3)),
-        (Some(10.0), 1.0, 0.0, None, 2, Some(0)), // A reserve.
+        (Some(10.0), 1.0, 0.0, None, 2, Some(0)), // A node without a rank is a reserve.
         (Some(10.0), 1.0, 0.0, Some(0), 0, Some(6)),
-        (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request.
+        (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request is less than one.
     ];
     for (per_s, factor, slack, rank, serving, expected) in rows {
         let found = cold_share(bearing(per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
@@ -33,7 +34,8 @@
 
 #[test]
 fn where_the_bound_is_less_than_one_each_some_nodes_send_one_and_others_for_the_next_searcher() {
-    // The searcher's id; which of ten nodes send it one, where it bears five requests a second.
+    // A searcher takes five requests per second and there are ten nodes.
+    // Inputs: id of the searcher. Expected: ranks of the nodes that may send it one request.
     for (instance, expected) in [("a", vec![3, 4, 5]), ("b", vec![2, 3, 4]), ("c", vec![1, 2, 3])] {
         let share = |rank| {
             let fleet = FleetRank { rank: Some(rank), serving: 10 };
@@ -46,7 +48,7 @@
 
 #[test]
 fn a_used_share_comes_back_after_the_counted_time() {
-    // Sends in ms, share; when one more may be sent, asked at 500 ms.
+    // Inputs: times of sends in ms, share. Expected: earliest time of one more send, as computed at 500 ms.
     let rows = [
         (vec![], 1, Some(500)),
         (vec![], 0, None),
--- a/crates/staircross-routing/tests/rule_extra_budget.rs
+++ b/crates/staircross-routing/tests/rule_extra_budget.rs
@@ -1,4 +1,4 @@
-//! The rule of the budget for extra sends: inputs and verdicts, with no engine around.
+//! Tables of the budget for extra sends without an engine.
 
 use staircross_routing::decision::extra_budget::{ExtraBound, ExtraWindow, is_paid};
 use staircross_routing::state::request::SendReason;
@@ -11,7 +11,7 @@
     ExtraBound { ratio: 0.2, window: Duration::from_secs(10), slack }
 }
 
-/// A window in which requests were counted now.
+/// Returns a window in which this number of requests was counted at `NOW`.
 fn window(requests: u32, bound: &ExtraBound) -> ExtraWindow {
     let mut window = ExtraWindow::default();
     (0..requests).for_each(|_| window.count_request(NOW, bound));
@@ -34,7 +34,7 @@
 #[test]
 fn a_node_spends_a_fraction_of_its_requests_and_its_share_of_the_slack() {
     let rows = [
-        // Requests, slack, this node's share of it; extra sends that are permitted.
+        // Inputs: requests, slack, share of the slack of this node. Expected: extra sends that are permitted.
         (0, 0.0, 1.0, 0),
         (5, 0.0, 1.0, 0),
         (6, 0.0, 1.0, 1),
--- a/crates/staircross-routing/tests/rule_fair_share.rs
+++ b/crates/staircross-routing/tests/rule_fair_share.rs
@@ -1,4 +1,4 @@
-//! Fair shares by themselves, as tables: who asked for how much, and which fraction of it is taken.
+//! Tables of the fair-share rule without an engine: the demand of each tenant, and the fraction that is admitted.
 
 use staircross_routing::decision::fair_share::FairShares;
 use staircross_types::BootTime;
@@ -29,7 +29,7 @@
 fn small_tenants_are_taken_whole_and_large_ones_get_what_is_left_but_no_less_than_the_floor() {
     let many = [("a", 2), ("b", 2), ("c", 2), ("d", 2), ("e", 2), ("f", 2), ("g", 2), ("h", 2), ("i", 2), ("j", 2)];
     let beside_many: Vec<_> = many.into_iter().chain([("large", 20)]).collect();
-    // Requests by tenant, level; fraction taken of the first's and of the last's.
+    // Inputs: requests by tenant, admission level. Expected: admitted fractions of the first and the last tenant.
     let rows = [
         ("alone", vec![("a", 10)], 0.5, [0.5, 0.5]),
         ("alike", vec![("a", 10), ("b", 10)], 0.5, [0.5, 0.5]),
@@ -49,7 +49,8 @@
 #[test]
 fn what_was_taken_too_much_is_made_good_with_the_next_requests() {
     let mut shares = counted(&[("a", 2), ("b", 18)]);
-    // Asked in turn at a level of 0.5: the tenant, the fraction. Owed before: 0, -0.5, -0.3889.
+    // Requests in order at a level of 0.5. Inputs: tenant. Expected: admitted fraction. The balance that is owed before
+    // each request is 0, -0.5 and -0.3889.
     for (tenant, expected) in [("a", 1.0), ("b", 0.3889), ("b", 0.4012)] {
         assert_close(fraction(&mut shares, 0, tenant, 0.5), expected, tenant);
     }
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -1,4 +1,4 @@
-//! First probes by themselves, as a table: which requests are sent to one shard first.
+//! Tables of the rule of first probes without an engine: which requests are sent to one shard first.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,7 +16,8 @@
     BootTime::default() + Duration::from_secs(seconds)
 }
 
-/// A content of the route `all` ended three searchers, one after the other, until second 30; another was answered.
+/// Returns a quarantine in which one content of the route `all` crashed three searchers, one after the other, until
+/// second 30. Another content was answered.
 fn alarmed() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -1,4 +1,4 @@
-//! The rule of answering, refusing and giving up: inputs and verdicts, with no engine around.
+//! Tables of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or refused.
 
 mod common;
 
@@ -22,7 +22,8 @@
 #[test]
 fn a_node_without_room_refuses_at_once() {
     let rows = [
-        // Too late to its work, requests held of at most 100; refused.
+        // Inputs: whether the node is late with its work, requests in flight (of at most 100).
+        // Expected: kind of the refusal.
         (false, 99, None),
         (false, 100, Some(ErrorKind::Overloaded)),
         (true, 0, Some(ErrorKind::Overloaded)),
@@ -36,7 +37,8 @@
 #[test]
 fn the_deadline_is_ten_milliseconds_before_the_callers_patience_or_the_routes_timeout_ends() {
     let rows = [
-        // The caller's patience, what the request waited to be read; deadline after.
+        // Inputs: timeout of the caller, time that the request waited to be read.
+        // Expected: time until the deadline. All times are in ms.
         (None, 0, Some(3990)),
         (Some(9000), 0, Some(3990)),
         (Some(1000), 0, Some(990)),
@@ -74,7 +76,8 @@
     let (all, some) = (AllowedRegions::new(&anywhere, None), AllowedRegions::new(&north, None));
     let none = AllowedRegions::new(&north, Some(&south));
     let rows = [
-        // Shards that can be asked of at least 3, whether all searchers are known, regions; begun, or held or refused with which kind.
+        // At least 3 shards must answer. Inputs: shards that can be asked, whether all searchers are known, allowed
+        // regions. Expected: whether the request is begun, held or refused, and with which kind.
         (3, true, all, "begin"),
         (3, false, some, "begin"),
         (2, true, all, "refuse no_replica"),
@@ -115,7 +118,7 @@
 
 #[test]
 fn a_request_ends_when_nothing_more_can_come_too_little_can_or_it_is_time() {
-    // Of four shards three make an answer.
+    // The request has four shards, and parts of three make an answer.
     let waits = Progress {
         parts: 0,
         open: 4,
@@ -132,12 +135,12 @@
         (Progress { parts: 3, open: 0, ..waits }, Standing::Answer),
         (Progress { parts: 3, open: 1, is_past_goal: true, ..waits }, Standing::Answer),
         (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waits }, Standing::Answer),
-        // Too little for an answer: late is worth something, nothing isn't.
+        // Too few parts for an answer: a late answer is better than none.
         (Progress { parts: 2, open: 2, is_past_goal: true, ..waits }, Standing::GoOn),
         (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waits }, Standing::GoOn),
         (Progress { parts: 2, open: 2, is_past_goal: true, is_over: true, ..waits }, Standing::Fail),
         (Progress { parts: 3, open: 1, is_past_goal: true, is_over: true, ..waits }, Standing::Answer),
-        // Two are lost.
+        // Two of four shards are lost, so three parts can't be reached.
         (Progress { parts: 1, open: 1, ..waits }, Standing::Fail),
         (Progress { parts: 0, open: 1, is_unclear: true, ..waits }, Standing::GoOn),
         (Progress { parts: 0, open: 0, is_unclear: true, ..waits }, Standing::Fail),
@@ -162,7 +165,8 @@
 #[test]
 fn a_request_that_may_have_run_is_never_refused_as_not_run() {
     let rows = [
-        // May have run, deadline over, key revoked; kind.
+        // Inputs: whether the request may have run, the deadline has passed, the key is revoked.
+        // Expected: kind of the refusal.
         (false, false, false, ErrorKind::NotDelivered),
         (false, true, false, ErrorKind::Overloaded),
         (true, false, false, ErrorKind::BackEndsFailed),
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -1,4 +1,4 @@
-//! The rule of hedges: inputs and verdicts, with no engine around.
+//! Tables of the hedging rule without an engine.
 
 use staircross_routing::RoutingPolicy;
 use staircross_routing::decision::hedging::{
@@ -23,16 +23,18 @@
 
 #[test]
 fn a_hedge_goes_out_when_it_is_unusually_late_or_the_goal_is_near_but_not_before_usual_work_is_done() {
-    // Round trip 2 ms, to the farthest other 10 ms; usual work 20 ms, unusually long 80 ms.
+    // The round trip to the searcher is 2 ms and to the farthest other one 10 ms. Usual work takes 20 ms, unusually
+    // long work 80 ms.
     let rows = [
-        // Factor, time left to answer, hedged after.
+        // Inputs: delay factor, time left to answer in ms. Expected: time until the hedge in ms.
         (1.0, 500, 82),
         (0.5, 500, 42),
         (1.3, 500, 106),
-        // Another searcher needs 10 ms and twice the usual work: 50 ms before the time to answer is over.
+        // Another searcher needs its round trip of 10 ms and twice the usual work: the hedge goes out 50 ms before the
+        // time to answer is over.
         (1.0, 100, 50),
         (1.0, 90, 40),
-        // Never before the round trip and 1.5 times the usual work.
+        // A hedge never goes out before the round trip and 1.5 times the usual work have passed.
         (1.0, 60, 32),
         (0.1, 500, 32),
         (1.0, 0, 32),
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -1,4 +1,5 @@
-//! Placement by itself, as tables: what counts as how much time, who is left out, how connections are divided.
+//! Tables of the placement rules without an engine: the expected time of a searcher, which searchers are left out, and
+//! how connections are divided among nodes.
 
 mod common;
 
@@ -23,7 +24,8 @@
 const GOAL_MS: u64 = 200;
 const MAX_CONNECTIONS: u32 = 40;
 
-/// A node in zone `a` of the north, beside `b`; `c` is in the south. Two nodes serve in `a`, two in `b`.
+/// Returns the place of a node in zone `a`. Zones `a` and `b` are in the region `north`, zone `c` is in `south`. Two
+/// nodes serve in `a` and two in `b`.
 fn place() -> Place {
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     Place {
@@ -51,7 +53,7 @@
     searcher
 }
 
-/// With open attempts, each due `due_ms` from now.
+/// Returns the searcher with this number of open attempts, each due in `due_ms`, or overdue if that is negative.
 fn busy(searcher: Searcher, attempts: u16, due_ms: i64) -> Searcher {
     let due_at = if due_ms < 0 {
         now() - Duration::from_millis(due_ms.unsigned_abs())
@@ -62,7 +64,7 @@
     with(searcher, |searcher| (0..attempts).for_each(|number| searcher.note_sent(now(), open(number))))
 }
 
-/// With one open attempt, and without room for another.
+/// Returns a searcher with one open attempt that has just rejected another connection.
 fn full() -> Searcher {
     with(busy(at("a"), 1, 50), |searcher| searcher.note_connection_rejected(now()))
 }
@@ -88,7 +90,7 @@
 #[test]
 fn expected_time_adds_up_times_and_prices() {
     let (place, route) = (place(), single());
-    // The searcher; its expected time in ms.
+    // Inputs: searcher. Expected: its expected time in ms.
     let rows = [
         ("idle in the zone: 1 round trip, 20 work", at("a"), 21),
         ("another zone: 2 round trip, 4 price", at("b"), 26),
@@ -134,7 +136,7 @@
     let (near, far, south) = (SearcherKey(0), SearcherKey(1), SearcherKey(2));
     let southern = RouteDefinition { allowed_regions: vec![Arc::from("south")], ..single() };
     let none = Vec::new;
-    // The route, who is excluded, the searcher of the node's own zone; who is asked.
+    // Inputs: route, excluded searchers, searcher in the zone of this node. Expected: searcher that is asked.
     let rows = [
         ("the least time", single(), none(), at("a"), Some(near)),
         ("excluded", single(), vec![near], at("a"), Some(far)),
@@ -158,7 +160,8 @@
 fn searchers_within_a_tenth_of_the_best_share_the_work() {
     let (mut place, route) = (place(), single());
     place.policy.near_first = false;
-    // Measured round trip to zone `b` in ms, where the best takes 21 ms in all; whether `b` is asked too.
+    // The expected time of the best searcher is 21 ms. Inputs: measured round trip to zone `b` in ms. Expected:
+    // whether the searcher in `b` is asked too.
     for (round_trip_ms, expected) in [(1, true), (3, true), (4, false)] {
         place.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
         assert_eq!(times_second(&place, &route, at("b")) > 0, expected, "{round_trip_ms}");
@@ -167,7 +170,7 @@
     assert!((400..600).contains(&share), "{share} of 1000");
 }
 
-/// How often of 1000 times the second of two is chosen, the first being idle in the node's zone.
+/// Returns how often in 1000 choices the second of two searchers is chosen. The first is idle in the node's own zone.
 fn times_second(place: &Place, route: &RouteDefinition, second: Searcher) -> usize {
     let table = [at("a"), second];
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -178,16 +181,17 @@
 
 #[test]
 fn connections_are_divided_by_zone_and_a_restarted_node_takes_its_share_in_steps() {
-    // Zone of the searcher; nodes of zones a and b; seconds since a restart; connections of 40 that this node may use.
+    // Inputs: zone of the searcher, nodes in zones `a` and `b`, seconds since this node restarted. Expected:
+    // connections of 40 that this node may use.
     let rows = [
-        ("a", 2, 2, None, 9), // 0.45 of 40 for two nodes.
+        ("a", 2, 2, None, 9), // Two nodes share 0.45 of 40.
         ("a", 1, 3, None, 18),
-        ("b", 2, 2, None, 9), // 0.45 of 40 for the two outside b.
+        ("b", 2, 2, None, 9), // The two nodes outside `b` share 0.45 of 40.
         ("b", 3, 1, None, 6),
-        ("c", 2, 2, None, 9),    // No node there: 0.9 of 40 for all four.
-        ("a", 4, 0, None, 9),    // All nodes there.
-        ("a", 60, 60, None, 1),  // One at least.
-        ("a", 1, 3, Some(0), 4), // A quarter of 18.
+        ("c", 2, 2, None, 9),    // No node is in `c`, so all four share 0.9 of 40.
+        ("a", 4, 0, None, 9),    // All nodes are in `a`.
+        ("a", 60, 60, None, 1),  // A node may use at least one.
+        ("a", 1, 3, Some(0), 4), // Just after a restart it is a quarter of 18.
         ("a", 1, 3, Some(1), 9),
         ("a", 1, 3, Some(3), 18),
     ];
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine by itself, as tables: what has happened to a content, and what is believed of it.
+//! Tables of the quarantine rule without an engine: the events of a content, and its resulting suspicion.
 
 use staircross_routing::decision::quarantine::{LostAttempt, Quarantine, Suspicion};
 use staircross_routing::{ContentKey, InstanceKey, RouteDigest};
@@ -8,14 +8,14 @@
 const CONTENT: ContentKey = ContentKey(7);
 const ROUTE: RouteDigest = RouteDigest(1);
 
-/// What happens, in ms; the last number of each is when.
+/// An event of a content or a searcher. Times are in ms; `at` is the time of the event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A searcher that was sent the content is lost.
+    /// The searcher that was sent the content at `sent` is lost.
     Lost { searcher: u64, sent: u64, at: u64 },
-    /// Some searcher answers the content.
+    /// Any searcher answers the content.
     Answered { at: u64 },
-    /// A searcher answers another content that was sent to it, on a connection from the beginning.
+    /// The searcher answers another content that it was sent at `sent`, on a connection established at 0.
     Alive { searcher: u64, sent: u64, at: u64 },
 }
 
@@ -48,7 +48,7 @@
     Lost { searcher, sent, at }
 }
 
-/// Three searchers lost, each sent the content after the one before had been lost.
+/// Returns the losses of three searchers, each of which was sent the content after the previous one was lost.
 fn in_sequence() -> Vec<Event> {
     vec![lost(1, 2000, 2010), lost(2, 2020, 2030), lost(3, 2040, 2050)]
 }
@@ -75,7 +75,7 @@
 #[test]
 fn a_quarantined_content_is_tried_again_after_an_hour_and_a_route_is_on_alarm_for_15_s() {
     let quarantine = after(&in_sequence());
-    // Seconds since the newest loss; what is believed, whether its route is on alarm.
+    // Inputs: seconds since the newest loss. Expected: suspicion, and whether the route is on alarm.
     let rows = [
         (0, Suspicion::Quarantined, true),
         (14, Suspicion::Quarantined, true),
@@ -104,7 +104,7 @@
             quarantine.note_lost(at(10), lost);
         }
     }
-    // Contents of each datagram: three newly suspect, the newest first, then two by turns.
+    // Expected: contents of each datagram. Three are newly suspect ones, the newest first, and then follow two in turn.
     for expected in [vec![7, 6, 5, 0, 1], vec![4, 3, 2], vec![1, 0, 4, 5], vec![6, 7]] {
         let sent: Vec<u64> = quarantine.records(at(1000)).iter().map(|record| record.content.0).collect();
         assert_eq!(sent, expected);
--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -1,4 +1,4 @@
-//! The rule of retries: inputs and verdicts, with no engine around.
+//! Tables of the retry rule without an engine.
 
 mod common;
 
@@ -21,7 +21,8 @@
 #[test]
 fn an_answer_is_final_if_it_is_a_signed_success_or_another_searcher_would_say_the_same() {
     let rows = [
-        // Status, signature; verdict for a plain request, a part of a gather, a request that may run once.
+        // Inputs: status, stamp.
+        // Expected: next step for a plain request, for a part of a gather, and for a request that may run only once.
         (200, "p", NextStep::TakePart, NextStep::TakePart, NextStep::TakePart),
         (200, "", NextStep::TakePart, RETRY, NextStep::TakePart),
         (404, "", NextStep::TakePart, RETRY, NextStep::TakePart),
@@ -68,7 +69,8 @@
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { waiting: false, ..on };
     let rows = [
-        // Reason; counted; asked again with waiting, without it.
+        // Inputs: reason.
+        // Expected: whether the searcher counts as asked, and whether it may be asked again with and without waiting.
         (NotRun::Stale, false, true, true),
         (NotRun::Unconnected, false, true, false),
         (NotRun::ConnectionRejected, false, true, false),
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -1,4 +1,5 @@
-//! What is believed of a searcher by what it did, as tables: how slow it is, how much it rejects, when it may be asked again.
+//! Tables of the estimates of a searcher: how slow it is, which fraction of work it rejects, and until when it is
+//! avoided.
 
 mod common;
 
@@ -22,7 +23,8 @@
 
 #[test]
 fn one_slow_answer_says_little_and_one_sent_after_it_says_much() {
-    // Answers as (sent at, times the usual work), all known at 100 ms; slowness at 100 ms and 4 s later.
+    // Inputs: answers as (time of sending in ms, work as a multiple of the usual one), all received at 100 ms.
+    // Expected: slowness at 100 ms and 4 s later.
     let rows = [
         ("none", vec![], 1.0, 1.0),
         ("usual", vec![(0, 2.0)], 1.3, 1.15),
@@ -42,7 +44,7 @@
 
 #[test]
 fn a_rejection_counts_more_than_an_answer_and_is_forgotten_within_fifteen_seconds() {
-    // Whether each of what was sent was rejected, ms since; the rate.
+    // Inputs: whether each attempt was rejected, ms since then. Expected: rejection rate.
     let rows = [
         (vec![true], 0, 0.3),
         (vec![true, true], 0, 0.51),
@@ -62,7 +64,7 @@
 
 #[test]
 fn failures_in_a_row_keep_work_away_ever_longer() {
-    // Failures in a row; ms for which it is avoided.
+    // Inputs: consecutive failures. Expected: ms for which the searcher is avoided.
     for (failures, expected) in [(1, 400), (2, 800), (3, 1600), (5, 6400), (9, 6400)] {
         let mut searcher = new();
         (0..failures).for_each(|_| searcher.note_unreachable(at(0)));
--- a/crates/staircross-routing/tests/rule_turns.rs
+++ b/crates/staircross-routing/tests/rule_turns.rs
@@ -1,4 +1,5 @@
-//! Weighted turns by themselves, as a table: the set, and who is asked in turn.
+//! Tables of weighted round robin without an engine: the weights, and the services in the order in which they are
+//! chosen.
 
 use staircross_routing::configuration::definition::WeightedService;
 use staircross_routing::decision::weighted_round_robin::WeightedRoundRobin;
--- a/crates/staircross-routing/tests/searcher_entries.rs
+++ b/crates/staircross-routing/tests/searcher_entries.rs
@@ -1,4 +1,4 @@
-//! Searchers whose entries change: draining, lapsed, back, or replaced at their address.
+//! Searchers whose entries change: they drain, lapse, are written anew, or another instance takes over the address.
 
 mod common;
 
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -1,4 +1,4 @@
-//! The lanes of a store reader: a listing, then watches from its revision, and how soon the next call follows.
+//! The lanes of a store reader: a listing, then watches from its revision, and the pauses between calls.
 
 mod common;
 
@@ -49,7 +49,7 @@
     let mut is_watching = !store.calls(0, Lane::Configuration).is_empty();
     let mut calls = 0;
     for step in 0..30 {
-        // A change each 100 ms: whoever watches hears of it at once.
+        // The configuration changes every 100 ms, and an open watch returns at once.
         if is_watching {
             let revision = step + 2;
             let update = changes(vec![(revision, configuration(revision))]);
@@ -109,8 +109,8 @@
     assert!(is_watch_after(&calls[0], 33), "{calls:?}");
 }
 
-/// Seen: all searchers of a listing's first page gone at once. Why: a peer's answer came between two pages and was taken for where the lane stands, so the
-/// page under way was the whole listing. Shown by the pages kept: none, when the last reply comes.
+/// Guards against the loss of all searchers of a listing's first page. A peer's answer that arrived between two pages
+/// moved the lane to its revision, so the first page was dropped and the last page was taken for the whole listing.
 #[test]
 fn a_page_that_comes_after_a_peers_report_is_not_taken_for_the_whole() {
     let mut store = Store::new();
--- a/crates/staircross-routing/tests/store_lapses.rs
+++ b/crates/staircross-routing/tests/store_lapses.rs
@@ -1,4 +1,5 @@
-//! Searchers whose entries lapsed: how soon a store reader looks for them again, and while it may lack some.
+//! Searchers whose entries lapsed: how soon a store reader looks for them again, and when live searchers may be
+//! missing.
 
 mod common;
 
--- a/crates/staircross-routing/tests/store_modes.rs
+++ b/crates/staircross-routing/tests/store_modes.rs
@@ -1,4 +1,4 @@
-//! The modes of a store reader: reading once, following a peer, probing, watching.
+//! The modes of a store reader: reading once, following a peer, only probing, and watching.
 
 mod common;
 
--- a/crates/staircross-routing/tests/store_probes.rs
+++ b/crates/staircross-routing/tests/store_probes.rs
@@ -1,4 +1,5 @@
-//! The probe of a store reader: how often it asks, what it holds back while the store is away, and what it renews after.
+//! The probe of a store reader: its intervals, the calls that wait while the store is unavailable, and the watches that
+//! are renewed afterwards.
 
 mod common;
 
--- a/crates/staircross-routing/tests/tenant_cost.rs
+++ b/crates/staircross-routing/tests/tenant_cost.rs
@@ -1,18 +1,18 @@
-//! Judging a key takes no memory: it is done for each request, known or not.
+//! Checking an API key must not allocate memory, since it is done for each request, with a known key or not.
 
 use staircross_routing::{CallerLimits, Credential, KeyDigest, RouteTable, RoutingDefinition, TenantDefinition};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::sync::Arc;
 
-/// Counts what the calling thread asks for.
+/// An allocator that counts the allocations of the calling thread.
 struct CountingAllocator;
 
 thread_local! {
     static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
 }
 
-// SAFETY: everything is passed on to the system's allocator as it is.
+// SAFETY: all calls are forwarded unchanged to the system's allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.with(|count| count.set(count.get() + 1));
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: revoked keys, ranks and regions.
+//! Requests of tenants: revoked keys, ranks, allowed regions, outdated configurations and quotas.
 
 mod common;
 
@@ -16,8 +16,9 @@
 
 const KEY: &str = "n8hkcaac6dnvhz6prvnz";
 const OTHER_KEY: &str = "qjynjcfv8nmpby256b5c";
-/// Regions of the zones `a` and `b`, and of `c`.
+/// Region of the zones `a` and `b`.
 const NORTH: &str = "north";
+/// Region of the zone `c`.
 const SOUTH: &str = "south";
 
 fn credential(key: &str) -> Credential {
@@ -38,7 +39,8 @@
     RouteTarget::Service(Arc::from(name))
 }
 
-/// A route to two shards, both of which must be in, one to any of them, one to one service, and the tenants.
+/// Returns a configuration of this version with these tenants. Its routes are `both` (a gather of two shards that needs
+/// both), `any` (a gather that needs one of them) and `one` (a single service).
 fn version(version: u64, tenants: &[TenantDefinition]) -> RoutingDefinition {
     let routes = vec![
         route("both", gather(&["x", "y"], 2, 1.0)),
@@ -70,7 +72,7 @@
     request
 }
 
-/// Ends all attempts of a request so far in the same way.
+/// Ends all attempts that were sent for a request so far with the same outcome.
 fn end_all(driver: &mut Driver, request: RequestKey, outcome: &AttemptOutcome) {
     let attempts: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     attempts.into_iter().for_each(|attempt| driver.end(attempt, outcome.clone()));
@@ -186,7 +188,7 @@
     definition.routes.push(south_only);
     let here_and_there = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
     let mut driver = Driver::with(definition, here_and_there);
-    // Nobody can be asked for it, now or later: it isn't held although not all searchers are known.
+    // No searcher may ever be asked for this request, so it isn't held although not all searchers are known.
     let mut arrival = driver.arrival("/south/1");
     (arrival.credential, arrival.knows_searchers) = (credential(KEY), false);
     let nowhere = arrival.key;
@@ -219,7 +221,8 @@
     let order = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
     assert!(order.windows(2).all(|pair| pair[0] < pair[1]), "{order:?}");
     assert_eq!(rank(KEY, 0), rank(KEY, 3));
-    // Within a group whose routes' priorities are 2 to 5: each tenant's steps begin below all of the tenant's above.
+    // The routes of the group have the priorities 2 to 5. The steps of a tenant begin after all steps of the tenant
+    // with the next higher priority.
     let steps: Vec<u32> = order.iter().map(|rank| rank.steps(2..=5)).collect();
     assert_eq!(steps, [0, 2, 3, 4, 6, 7]);
 }
@@ -250,7 +253,7 @@
     assert_ne!(content.of_tenant(Some("kami")), content);
     assert_ne!(content.of_tenant(Some("kami")), content.of_tenant(Some("nuro")));
     let mut driver = with_kami();
-    // One tenant's request ends its searchers until it is quarantined.
+    // One tenant's request crashes its searchers until its content is quarantined.
     for number in 0..4 {
         let mut arrival = driver.arrival("/one/deadly");
         (arrival.credential, arrival.content) = (credential(KEY), content);
@@ -273,7 +276,8 @@
     assert_ne!(driver.refusal(others), Some(ErrorKind::Quarantined));
 }
 
-/// Three searchers were lost at a peer, one after the other, under one content of the route `both`.
+/// Raises the alarm of the route `both` by the records of a peer that lost three searchers, one after the other, to one
+/// content.
 fn alarm(driver: &mut Driver) {
     let mut peer = Quarantine::default();
     for number in 0..3 {
@@ -285,8 +289,9 @@
     driver.event(RoutingEvent::PeerCases(peer.records(driver.now)));
 }
 
-/// Seen: on alarm each request of a tenant was tried on one shard first, also one that had just been answered. Why: answers are noted under the content
-/// of the tenant, and were looked for under that of nobody. Shown by `probe step=begun` where `step=needless` is due.
+/// Guards against first probes of contents that have just been answered. During an alarm each request of a tenant was
+/// sent to one shard first (`probe step=begun` instead of `step=needless`), because answers are recorded under the
+/// content of the tenant but were looked up under the content without a tenant.
 #[test]
 fn what_was_answered_for_a_tenant_goes_to_all_shards_at_once_during_an_alarm() {
     let mut driver = with_kami();
--- a/crates/staircross-routing/tests/views.rs
+++ b/crates/staircross-routing/tests/views.rs
@@ -1,9 +1,12 @@
-//! Several nodes that read the store and ask each other, in any order of calls, replies, losses and writes: in the end each knows what the store holds.
+//! Several nodes read the store and ask each other for changes, with calls, replies, failures and writes in any order.
+//! In the end each node must know what the store holds.
 //!
-//! Seen: a node that takes a drained searcher for ready, or one that has gone for live, or a zone for evacuated, for good. Why: of the newest change that
-//! a node knew, it was taken that all before it were known too. They aren't where a listing's pages were read while items changed: a later page shows a change, and one
-//! before it on an earlier page was missed. Whoever then asked a peer, or watched, from the newest change on never heard of it. Shown by the shortest
-//! histories that fail: a first page is read, a searcher on it drains, one on a later page changes, and a peer asks between the last page and the watch.
+//! Guards against a node that permanently considers a drained searcher ready, a removed one live, or a zone evacuated.
+//! This happened because a node that knew a change was assumed to know all earlier ones. That is wrong if items change
+//! while the pages of a listing are read: a later page shows a change, and an earlier change of an item on a previous
+//! page is missed. A node that then asked a peer or watched from the newest change on never learned of it. In the
+//! shortest failing histories, a first page is read, a searcher on it drains, one on a later page changes, and a peer
+//! asks between the last page and the watch.
 
 mod common;
 
@@ -21,7 +24,7 @@
 const SEARCHERS: u8 = 5;
 const ZONES: [&str; 2] = ["a", "b"];
 const LANES: [Lane; 2] = [Lane::Configuration, Lane::Searchers];
-/// Rounds after which all that is under way has come to its end.
+/// Rounds in which all calls and questions under way must end.
 const SETTLING: usize = 200;
 
 #[derive(Clone, Copy, Debug)]
@@ -38,16 +41,19 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write(Write),
-    /// Time passes at a node, which makes the calls that are due.
+    /// A node's clock is advanced by some milliseconds, and the node makes the calls that are due.
     Pass(usize, u16),
-    /// The store handles a node's call; the reply is on its way.
+    /// The store handles a node's call on a lane; the reply isn't delivered yet.
     Handle(usize, usize),
+    /// The store's reply on a lane is delivered to a node.
     Reply(usize, usize),
+    /// A node's call on a lane fails.
     Fail(usize, usize),
-    /// A node asks one that it sees to be ahead.
+    /// A node asks a peer for changes if it sees that the peer is ahead.
     Ask(usize, usize),
-    /// Whoever was asked writes the answer.
+    /// The peer that a node has asked produces the answer.
     Answer(usize),
+    /// A node merges the answer of its peer.
     Take(usize),
     Mode(usize, ReadingMode),
     Restart(usize),
@@ -81,7 +87,7 @@
     ]
 }
 
-/// The store: what stands under each key, and all changes since it last forgot them.
+/// The simulated store: the item under each key, and all changes since the last compaction.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -140,7 +146,7 @@
             Write::Evacuate(zone) => self.put(evacuation(zone, true)),
             Write::EndEvacuation(zone) => self.remove(evacuation(zone, false)),
             Write::Ready(number) => {
-                // One that drains is replaced by a later incarnation.
+                // A searcher that drains is replaced by a later incarnation.
                 self.born_ms += 1;
                 let born_ms = match self.written(number).filter(|entry| !entry.is_draining) {
                     Some(entry) => entry.born_ms,
@@ -164,7 +170,7 @@
         }
     }
 
-    /// The reply to a call; none while a watch has nothing to report.
+    /// Returns the reply to a call, or none while a watch has no changes to report.
     fn handle(&self, call: &StoreCall) -> Option<StoreReply> {
         match call {
             StoreCall::Probe => Some(StoreReply::Alive),
@@ -190,7 +196,7 @@
     }
 }
 
-/// What is under way at a node: its question to a peer, or the answer to it.
+/// A node's request for changes to a peer, or the peer's answer that the node hasn't merged yet.
 #[derive(Default)]
 enum Pull {
     #[default]
@@ -227,7 +233,7 @@
     }
 
     fn pass(&mut self, millis: u64) {
-        // All calls are kept; those returned are of one lane.
+        // Only the calls on the probe lane are returned; the others are collected by `take_actions`.
         let calls = self.reader.calls(millis, Lane::Probe);
         self.take_actions();
         if !calls.is_empty() {
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Ids with their starts and whether they drain, evacuated zones, and the version of the configuration.
+    /// Returns what this node knows, for comparison with the store.
     fn view(&self) -> View {
         let searchers = self.mirror.searchers();
         View {
@@ -270,6 +276,7 @@
     }
 }
 
+/// Searchers by id with their starts and whether they drain, evacuated zones, and the version of the configuration.
 #[derive(Debug, PartialEq, Eq)]
 struct View {
     searchers: BTreeMap<String, (u64, bool)>,
@@ -333,7 +340,7 @@
         }
     }
 
-    /// A node takes a peer's answer, as the gateway does.
+    /// Lets a node merge a peer's answer and tell its store reader, as the gateway does.
     fn take(&mut self, node: usize) {
         let newest = self.nodes.iter().map(|node| node.mirror.version()).max().unwrap_or_default();
         let node = &mut self.nodes[node];
@@ -347,7 +354,7 @@
         }
     }
 
-    /// Everything under way comes to its end; the first node reads.
+    /// Completes all calls and questions under way, with the first node watching the store.
     fn settle(&mut self) {
         self.step(Step::Mode(0, ReadingMode::Watching));
         for round in 0..SETTLING {
@@ -389,7 +396,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(), failure_persistence: None, max_shrink_iters: 20_000, rng_seed: RngSeed::Fixed(seed()), ..ProptestConfig::default() })]
 
-    /// `VIEW_CASES=20000 VIEW_SEED=2 cargo test -p staircross-routing --test views` plays others.
+    /// `VIEW_CASES=20000 VIEW_SEED=2 cargo test -p staircross-routing --test views` runs other histories.
     #[test]
     fn in_the_end_all_nodes_know_what_the_store_holds(steps in prop::collection::vec(step(), 0..80)) {
         let mut world = World::new();
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -1,4 +1,5 @@
-//! Shards that nobody can be asked for at first: searchers that reject connections, can't be reached, or come back.
+//! Shards that can't be sent at first, because their searchers reject connections, can't be reached or have no
+//! capacity, or because the budget for extra sends is spent.
 
 mod common;
 
@@ -10,10 +11,10 @@
 use staircross_types::ErrorKind;
 use staircross_types::errors::Executed;
 
-/// Time-out of the tests' routes.
+/// Timeout of the routes in these tests.
 const TIMEOUT_MS: u64 = 4000;
 
-/// Two searchers of each of two shards, all of which must be in.
+/// Returns a driver with a gather route `q` over two shards with two searchers each.
 fn two_shards(min_coverage: f64) -> Driver {
     let entries: Vec<SearcherEntry> = ["x", "y"]
         .iter()
@@ -24,14 +25,14 @@
     Driver::with(definition(1, vec![route("q", gather(&["x", "y"], 2, min_coverage))], &["x", "y"]), entries)
 }
 
-/// The attempts of a request that haven't been ended by the test, for one shard.
+/// Returns the attempts of a request for one shard that the test hasn't ended.
 fn open(driver: &Driver, request: RequestKey, shard: &str, ended: &[AttemptKey]) -> Vec<AttemptKey> {
     let orders = driver.sent_for(request);
     let ours = orders.iter().filter(|order| order.instance.starts_with(shard));
     ours.map(|order| order.attempt).filter(|attempt| !ended.contains(attempt)).collect()
 }
 
-/// Ends every open attempt for a shard in the same way until no more are made at this moment.
+/// Ends every open attempt for a shard with the same outcome until the engine sends no more at this time.
 fn end_all(driver: &mut Driver, request: RequestKey, shard: &str, ended: &mut Vec<AttemptKey>, how: NotRun) {
     loop {
         let now_open = open(driver, request, shard, ended);
@@ -190,7 +191,7 @@
     let restarted_at = Some(BootTime::from_millis(1_000_000));
     let settings = RoutingSettings { restarted_at, ..settings() };
     let mut driver = Driver::with_settings(settings, definition, vec![searcher("x-1", "x", "a")]);
-    // Nine nodes of the zone share nine tenths of forty connections.
+    // Nine nodes of the zone share nine tenths of forty connections: four each.
     driver.fleet(&[("a", 9)], 9);
     let requests: Vec<RequestKey> = (0..8).map(|number| driver.request(&format!("/q/{number}"))).collect();
     assert_eq!(driver.sends.len(), 1, "a quarter of four; the others wait");
@@ -282,7 +283,8 @@
         let first = driver.sent_for(*request)[0].attempt;
         driver.end(first, AttemptOutcome::NotRun(NotRun::Shed));
     }
-    // Less than a fifth of the requests of ten seconds may be sent again, and no more than that wait for it.
+    // Less than a fifth of the requests of ten seconds may be sent again, so no more requests than that wait for the
+    // budget.
     let refused = requests.iter().filter(|request| driver.refusal(**request).is_some()).count();
     assert_eq!(refused, 17, "three of 21 have leave");
     assert!(requests.iter().filter_map(|request| driver.refusal(*request)).all(|kind| kind == ErrorKind::NotDelivered));
