--- a/crates/staircross-routing/tests/common/backends.rs
+++ b/crates/staircross-routing/tests/common/backends.rs
@@ -208,7 +208,7 @@
     }
 
     fn finish(&mut self, attempt: AttemptKey) {
-        let instance = self.owners.remove(&attempt).expect("the attempt is at work");
+        let instance = self.owners.remove(&attempt).expect("the attempt is running");
         let backend = self.backend(&instance);
         match backend.queue.pop_front() {
             Some(next) => self.start(&instance, next),
--- a/crates/staircross-routing/tests/definition_delta.rs
+++ b/crates/staircross-routing/tests/definition_delta.rs
@@ -91,7 +91,10 @@
     let mut newer = Mirror::default();
     newer.merge(told(50, large(5)));
     assert!(newer.merge(update.clone()).configuration.is_none(), "versions only rise");
-    assert!(Mirror::default().merge(update).configuration.is_none(), "there is nothing to change yet");
+    assert!(
+        Mirror::default().merge(update).configuration.is_none(),
+        "a mirror without a configuration can't apply a delta"
+    );
 }
 
 #[test]
@@ -99,7 +102,10 @@
     let mut giver = Mirror::default();
     giver.merge(told(10, definition(1, (0..20).map(|number| route(number, 1)).collect())));
     giver.merge(told(20, large(2)));
-    assert!(giver.changes_for(knows(1)).items.is_empty(), "the whole is too large, and so is the change");
+    assert!(
+        giver.changes_for(knows(1)).items.is_empty(),
+        "the configuration is too large to be sent, and so is the delta"
+    );
     giver.merge(told(30, large(3)));
     assert_eq!(giver.changes_for(knows(2)).items.len(), 1);
 }
--- a/crates/staircross-routing/tests/evacuations.rs
+++ b/crates/staircross-routing/tests/evacuations.rs
@@ -33,7 +33,11 @@
     let items = vec![(21, evacuation("b", true))];
     let read = MirrorUpdate { items, all_evacuations_at: Some(30), ..MirrorUpdate::default() };
     let told = mirror.merge(read);
-    assert_eq!(zones(&told), Some(vec!["b".to_owned(), "c".to_owned()]), "one is newer than the reading");
+    assert_eq!(
+        zones(&told),
+        Some(vec!["b".to_owned(), "c".to_owned()]),
+        "the evacuation of `c` is newer than the listing"
+    );
 }
 
 #[test]
@@ -47,7 +51,7 @@
     mirror.merge(changes(vec![(60, evacuation("a", false))]));
     let told = peer.merge(mirror.changes_for(known(&peer)));
     assert_eq!(zones(&told), Some(Vec::new()));
-    assert_eq!(mirror.changes_for(known(&peer)).items, [], "nothing is left to tell");
+    assert_eq!(mirror.changes_for(known(&peer)).items, [], "the peer already knows everything");
 }
 
 #[test]
@@ -67,8 +71,12 @@
         ..MirrorUpdate::default()
     });
     let changes = mirror.merge(changes(vec![(5, evacuation("a", true))]));
-    assert_eq!(zones(&changes), None, "it was over by the reading");
-    assert_eq!(zones(&mirror.merge(changes_of("a", 11))), Some(vec!["a".to_owned()]), "a later one holds");
+    assert_eq!(zones(&changes), None, "the evacuation had ended by the listing");
+    assert_eq!(
+        zones(&mirror.merge(changes_of("a", 11))),
+        Some(vec!["a".to_owned()]),
+        "a later evacuation is effective"
+    );
 }
 
 #[test]
@@ -82,7 +90,11 @@
     let mut asker = Mirror::default();
     asker.merge(changes(vec![(3, configuration(1)), (5, evacuation("a", true)), (12, evacuation("b", true))]));
     let told = reader.changes_for(known(&asker));
-    assert_eq!(zones(&asker.merge(told)), Some(vec!["b".to_owned()]), "one that began later goes on");
+    assert_eq!(
+        zones(&asker.merge(told)),
+        Some(vec!["b".to_owned()]),
+        "the evacuation that began after the listing continues"
+    );
     assert_eq!(asker.version(), 2);
 }
 
@@ -102,10 +114,10 @@
     });
     let mut asker = Mirror::default();
     asker.merge(reader.changes_for(NOTHING_KNOWN));
-    assert_eq!(asker.operator_up_to(), 20, "where its watch goes on");
+    assert_eq!(asker.operator_up_to(), 20, "its watch continues from the first page's revision");
     let ended = MirrorUpdate { operator_up_to: 22, ..changes(vec![(21, evacuation("a", false))]) };
     reader.merge(ended);
-    assert!(asker.evacuations_revision() < reader.evacuations_revision(), "it must find out that it is behind");
+    assert!(asker.evacuations_revision() < reader.evacuations_revision(), "the asker must notice that it is behind");
     let told = asker.merge(reader.changes_for(known(&asker)));
     assert_eq!(zones(&told), Some(vec!["b".to_owned()]));
 }
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -30,17 +30,17 @@
         let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), fraction(i))).collect();
         let all: f64 = tenants.iter().map(|(count, _)| count).sum();
         let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
-        prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} at {level}");
+        prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} requests are admitted at level {level}");
 
         let floor = TENANT_FLOOR * level;
         let fair_share = (1.0 - TENANT_FLOOR) * level * all / tenants.len() as f64;
         for (count, fraction) in &tenants {
             prop_assert!((floor..=1.0).contains(fraction));
-            prop_assert!(*count > fair_share || *fraction == 1.0, "asks for {count} of {fair_share} and gets {fraction}");
+            prop_assert!(*count > fair_share || *fraction == 1.0, "a tenant with {count} requests and a share of {fair_share} gets the fraction {fraction}");
             for (other_count, other_fraction) in &tenants {
                 let other_has_more = other_count * other_fraction > count * fraction + 1e-5 * all;
                 let is_fair = *fraction > 1.0 - 1e-6 || *other_fraction < floor + 1e-6;
-                prop_assert!(!other_has_more || is_fair, "{fraction} of {count}, {other_fraction} of {other_count}");
+                prop_assert!(!other_has_more || is_fair, "the fraction {fraction} of {count} and {other_fraction} of {other_count} requests");
             }
         }
     }
@@ -63,7 +63,7 @@
             now = now + Duration::from_millis(random.random_range(0..=gap_ms * 2));
             shares.count(now, Some(&tenant));
             owed += level - shares.admitted_fraction(now, Some(&tenant), level);
-            prop_assert!(owed.abs() <= MAX_OWED, "{owed} requests too few after {request}");
+            prop_assert!(owed.abs() <= MAX_OWED, "{owed} requests are owed after request {request}");
         }
     }
 }
@@ -75,7 +75,7 @@
         let now = BootTime::from_millis(step * 37);
         let level = 0.05 + 0.9 * (step as f64 / 2000.0);
         shares.count(now, None);
-        assert_eq!(shares.admitted_fraction(now, None, level), level, "to the last bit");
+        assert_eq!(shares.admitted_fraction(now, None, level), level, "the fraction is the level, bit for bit");
     }
 }
 
@@ -262,7 +262,7 @@
             assert!(by_shares.worst_tenth > by_shares.all - 0.05, "{case}");
             assert!(by_shares.greedy < by_shares.others - 0.05, "{case}");
             assert!(by_shares.greedy > TENANT_FLOOR * by_shares.all - 0.05, "{case}");
-            assert!(by_shares.all > by_chance.all - 0.02, "as much is taken in sum: {case}");
+            assert!(by_shares.all > by_chance.all - 0.02, "the total must not fall: {case}");
         }
     }
 }
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -67,7 +67,7 @@
     let mut answered = 0;
     while driver.verdict(request).is_none() {
         let orders: Vec<SendOrder> = driver.sent_for(request).into_iter().skip(answered).cloned().collect();
-        assert!(!orders.is_empty(), "nobody is asked, and nothing is said");
+        assert!(!orders.is_empty(), "the request has no verdict, but no searcher is asked");
         driver.pass(WORK);
         orders.iter().for_each(|order| driver.end(order.attempt, part(order)));
         answered += orders.len();
@@ -111,10 +111,10 @@
 fn of_several_requests_that_end_their_searchers_only_the_first_ends_one_of_each_shard() {
     let mut driver = driver();
     let first = end_all(&mut driver, ContentKey(1));
-    assert!((10..=12).contains(&first), "{first} searchers ended under the first");
+    assert!((10..=12).contains(&first), "the first content crashed {first} searchers");
     for number in 2..6 {
         let ended = end_all(&mut driver, ContentKey(number));
-        assert!(ended <= 3, "{ended} searchers ended under content {number}");
+        assert!(ended <= 3, "content {number} crashed {ended} searchers");
     }
 }
 
@@ -136,9 +136,9 @@
     assert_eq!(driver.sent_for(request).len(), 10);
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
     let known = ask(&mut driver, "/all/new", ContentKey(100));
-    assert_eq!(driver.sent_for(known).len(), 10, "what was answered lately isn't held up");
+    assert_eq!(driver.sent_for(known).len(), 10, "a content that was answered lately isn't delayed");
     let elsewhere = ask(&mut driver, "/other/new", ContentKey(101));
-    assert_eq!(driver.sent_for(elsewhere).len(), 10, "nor is another route");
+    assert_eq!(driver.sent_for(elsewhere).len(), 10, "a request of another route isn't delayed");
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let mut shards: Vec<&str> = orders.iter().filter_map(|order| order.instance.split('-').next()).collect();
     shards.sort_unstable();
     shards.dedup();
-    assert_eq!(shards.len(), 5, "each time another shard, five in two seconds");
+    assert_eq!(shards.len(), 5, "each probe goes to another shard, five in two seconds");
     driver.end(orders[2].attempt, part(&orders[2]));
     let first = driver.sent_for(request).into_iter().filter(|order| order.reason == SendReason::First).count();
     assert_eq!(first, 10);
@@ -210,7 +210,7 @@
         end_all_late(&mut driver, ContentKey(1), delay);
         for number in 2..6 {
             let ended = end_all_late(&mut driver, ContentKey(number), delay);
-            assert!(ended <= ALLOWED, "{ended} searchers ended under content {number}, each after {delay_ms} ms");
+            assert!(ended <= ALLOWED, "content {number} crashed {ended} searchers, each after {delay_ms} ms");
         }
     }
 }
@@ -256,14 +256,14 @@
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
     for rejected in 0..REJECTIONS {
-        let order = driver.sent_for(request).last().expect("somebody is asked").attempt;
+        let order = driver.sent_for(request).last().expect("a searcher is asked").attempt;
         driver.end(order, AttemptOutcome::NotRun(NotRun::Shed));
         while driver.sent_for(request).len() == rejected + 1 {
             driver.pass_ms(1);
         }
     }
     driver.pass(GOAL);
-    assert_eq!(driver.sent_for(request).len(), REJECTIONS + 2, "one is silent, one more shard is asked");
+    assert_eq!(driver.sent_for(request).len(), REJECTIONS + 2, "one more shard is asked while one doesn't answer");
 }
 
 #[test]
@@ -278,7 +278,11 @@
     let again = driver.sent_for(request)[1].clone();
     driver.pass(WORK);
     driver.end(again.attempt, part(&again));
-    assert_eq!(driver.sent_for(request).len(), 11, "one has answered: it is harmless, and was lost by chance");
+    assert_eq!(
+        driver.sent_for(request).len(),
+        11,
+        "the content was answered, so it is harmless and all shards are asked"
+    );
 }
 
 #[test]
@@ -286,7 +290,7 @@
     let (after_one, after_several) = (Duration::from_secs(15), Duration::from_secs(120));
     for (contents, lasts) in [(1, after_one), (2, after_several)] {
         let mut driver = driver();
-        assert!(driver.alarms.is_empty(), "nothing is held up on quiet days");
+        assert!(driver.alarms.is_empty(), "no alarm is raised before a loss");
         for number in 0..contents {
             end_all(&mut driver, ContentKey(1 + number));
         }
--- a/crates/staircross-routing/tests/gather.rs
+++ b/crates/staircross-routing/tests/gather.rs
@@ -46,7 +46,7 @@
         driver.end(attempt, answer(200, &format!("stamp{index}"), bodies[index].clone()));
     }
     let answer = merged(&driver, request);
-    assert_eq!(answer.body, records(&[9, 7, 7]), "equal records all count, the greatest first");
+    assert_eq!(answer.body, records(&[9, 7, 7]), "the greatest records come first, and equal ones are all kept");
     assert_eq!(answer.missing, 0);
     assert_eq!(answer.stamps.len(), 4);
 }
@@ -101,7 +101,7 @@
     assert!((150..250).contains(&took), "answered after {took} ms, the goal is 250 ms");
     let answer = merged(&driver, request);
     assert_eq!((answer.stamps.len(), answer.missing), (3, 1));
-    assert_eq!(driver.left_out, [("z".to_owned(), LeftOutCause::Late)], "and the log is told which and why");
+    assert_eq!(driver.left_out, [("z".to_owned(), LeftOutCause::Late)], "the missing shard and the cause are reported");
 }
 
 #[test]
@@ -114,7 +114,7 @@
         driver.end(*attempt, answer(200, "stamp", records(&[1])));
     }
     driver.pass_ms(500);
-    assert!(driver.finished.is_empty(), "two of four shards are no answer");
+    assert!(driver.finished.is_empty(), "two of four shards are too few for an answer");
     driver.end(all[2], answer(200, "stamp", records(&[1])));
     assert_eq!(merged(&driver, request).missing, 1);
 }
@@ -153,7 +153,7 @@
     let retry = driver.sends.last().expect("retried").attempt;
     driver.end(retry, AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    assert_eq!(driver.abandoned.len(), 3, "what others still do is no longer wanted");
+    assert_eq!(driver.abandoned.len(), 3, "the attempts of the other shards are abandoned");
 }
 
 #[test]
@@ -192,7 +192,7 @@
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
         driver.pass_ms(10);
-        assert!(driver.now.since(came).as_millis() < 4000, "held past its time-out");
+        assert!(driver.now.since(came).as_millis() < 4000, "the request was held past its timeout");
     }
     assert_eq!(driver.refusal(request).map(|kind| kind.executed()), Some(Executed::Never));
     for shard in ["w", "x", "y", "z"] {
@@ -201,11 +201,11 @@
         let extra = asked.len() - 1;
         assert!(
             (2..=21).contains(&extra),
-            "{extra} sent again of the 0.4 of 50 and 0.17 that one request has leave for"
+            "{extra} sent again, of the 0.4 of 50 and 0.17 that the budget permits for one request"
         );
         asked.sort_unstable();
         asked.dedup();
-        assert!(asked.len() <= 2, "more searchers than attempts are allowed: {asked:?}");
+        assert!(asked.len() <= 2, "more searchers were asked than attempts are allowed: {asked:?}");
     }
 }
 
@@ -218,9 +218,9 @@
     for attempt in attempts(&driver, request) {
         driver.end(attempt, answer(200, "stamp", records(&[1])));
     }
-    assert_eq!(merged(&driver, request).stamps.len(), 4, "the four shards of version 1");
+    assert_eq!(merged(&driver, request).stamps.len(), 4, "the request gathers the four shards of version 1");
     let next = driver.request("/q/2");
-    assert_eq!(driver.instances(next), ["w-a", "x-a"], "version 2 is in force for the next");
+    assert_eq!(driver.instances(next), ["w-a", "x-a"], "the next request uses version 2");
 }
 
 #[test]
@@ -235,7 +235,7 @@
     }
     driver.pass_ms(110);
     let second = driver.request("/q/2");
-    assert_ne!(driver.instances(second)[0], "w-a", "its searcher is probably in a pause");
+    assert_ne!(driver.instances(second)[0], "w-a", "a searcher with an overdue attempt isn't asked");
     assert_eq!(driver.instances(second)[1..], ["x-a", "y-a", "z-a"]);
 }
 
@@ -266,9 +266,9 @@
         play(&mut driver, 0);
     }
     play(&mut driver, 300);
-    assert!(play(&mut driver, 0), "after one slow answer it is asked again");
+    assert!(play(&mut driver, 0), "after one slow answer the searcher is asked again");
     play(&mut driver, 600);
     play(&mut driver, 600);
     let asked = (0..10).filter(|_| play(&mut driver, 600)).count();
-    assert!(asked <= 2, "asked {asked} times of 10 though every answer was slow");
+    assert!(asked <= 2, "asked {asked} times of 10 although every answer was slow");
 }
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -33,7 +33,7 @@
     let sent = driver.now;
     while driver.sent_for(request).len() < 2 {
         driver.pass_ms(1);
-        assert!(driver.now < sent + Duration::from_secs(2), "never hedged");
+        assert!(driver.now < sent + Duration::from_secs(2), "the request was never hedged");
     }
     driver.now.since(sent).as_millis() as u64
 }
@@ -59,7 +59,7 @@
     spend_most_of_the_budget(&mut poor);
     let request = poor.request("/s/1");
     let late = hedged_after(&mut poor, request);
-    assert!(early < late, "{early} ms with all of the budget, {late} ms with little");
+    assert!(early < late, "hedged after {early} ms with all of the budget, after {late} ms with little");
 }
 
 proptest! {
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -118,7 +118,7 @@
     driver.event(RoutingEvent::CallerGone(request));
     assert_eq!(driver.engine.in_flight(), 0);
     driver.configure(one_service(1, "r"));
-    assert!(driver.sends.is_empty(), "sent for a caller that has left");
+    assert!(driver.sends.is_empty(), "an attempt was sent for a caller that has left");
 }
 
 #[test]
@@ -127,6 +127,6 @@
     for _ in 0..2000 {
         driver.request("/r/1");
     }
-    assert!(driver.engine.in_flight() <= 512, "{} held", driver.engine.in_flight());
+    assert!(driver.engine.in_flight() <= 512, "{} requests are in flight", driver.engine.in_flight());
     assert_eq!(driver.engine.in_flight() + driver.finished.len(), 2000);
 }
--- a/crates/staircross-routing/tests/history/judge.rs
+++ b/crates/staircross-routing/tests/history/judge.rs
@@ -33,7 +33,10 @@
         let key = order.attempt.request;
         let instance = order.instance.to_string();
         let service = self.serving.get(&instance).cloned().or_else(|| self.service_of_lapsed(&instance, at));
-        prop_assert!(service.is_some(), "sent to {instance}, which is leaving or has been gone for too long");
+        prop_assert!(
+            service.is_some(),
+            "sent to {instance}, which is draining, or whose entry was removed too long ago"
+        );
         let service = service.unwrap_or_default();
         prop_assert!(self.shards_of(key).contains(&service), "sent to a service that its configuration doesn't name");
         let zone = self.zones[&instance];
@@ -41,7 +44,10 @@
         let asked = &self.requests[&key];
         prop_assert!(asked.route != NORTHERN || zone != "c", "sent to a region that its route doesn't allow");
         prop_assert!(!asked.caller_left, "sent for a caller that has left");
-        prop_assert!(order.deadline <= asked.arrived + Duration::from_millis(4000), "more time than the request has");
+        prop_assert!(
+            order.deadline <= asked.arrived + Duration::from_millis(4000),
+            "the attempt's deadline is later than the request's"
+        );
         let before: Vec<&Sending> = self
             .sendings
             .iter()
@@ -49,7 +55,10 @@
             .collect();
         let is_once = asked.route == 2;
         let all_turned_away = before.iter().all(|sending| sending.fate == Fate::NotRun);
-        prop_assert!(!is_once || all_turned_away, "sent again though it may have run");
+        prop_assert!(
+            !is_once || all_turned_away,
+            "a request that may run only once was sent again after it may have run"
+        );
         let has_had_it = |sending: &&Sending| sending.arrived || sending.fate == Fate::Open;
         let reached = before.iter().copied().filter(has_had_it).count();
         let searchers: BTreeSet<&str> =
@@ -86,7 +95,7 @@
 
     fn judge_end(&self, key: RequestKey, verdict: &Verdict) -> Result<(), TestCaseError> {
         let times = self.driver.finished.iter().filter(|(other, _)| *other == key).count();
-        prop_assert_eq!(times, 1, "more than one final word");
+        prop_assert_eq!(times, 1, "the request has more than one verdict");
         let sent: Vec<&Sending> = self.sendings.iter().filter(|sending| sending.attempt.request == key).collect();
         match verdict {
             Verdict::Refused { kind, .. } => {
@@ -100,7 +109,7 @@
                     let stamp = format!("{}-{}", sending.attempt.request.0, sending.attempt.number);
                     passed.stamp.as_deref() == Some(stamp.as_bytes()) && sending.fate == Fate::MayHaveRun
                 });
-                prop_assert!(is_own, "an answer that isn't to this request");
+                prop_assert!(is_own, "the answer belongs to another request");
             }
             Verdict::Merged(merged) => self.judge_merged(key, merged)?,
         }
@@ -113,18 +122,24 @@
         let mut all: Vec<[u8; 16]> = Vec::new();
         for stamp in &merged.stamps {
             let part = given.iter().find(|(known, _, _)| known.as_bytes() == stamp.as_slice());
-            prop_assert!(part.is_some(), "a signature that was never given to this request");
+            prop_assert!(part.is_some(), "no part with this stamp was sent for this request");
             let (_, service, body) = part.cloned().unwrap_or_default();
-            prop_assert!(services.insert(service), "two parts of one shard");
+            prop_assert!(services.insert(service), "the answer has two parts of one shard");
             all.extend(body.chunks_exact(16).map(|record| <[u8; 16]>::try_from(record).unwrap_or_default()));
         }
         let shards: BTreeSet<String> = self.shards_of(key).into_iter().collect();
-        prop_assert!(services.is_subset(&shards), "a part of another configuration");
-        prop_assert_eq!(services.len() + merged.missing, shards.len(), "the coverage is untrue");
-        prop_assert!(services.len() as f64 >= 0.6 * shards.len() as f64 - 1e-9, "less than the least coverage");
+        prop_assert!(
+            services.is_subset(&shards),
+            "the answer has a part of a shard that isn't in the request's configuration"
+        );
+        prop_assert_eq!(services.len() + merged.missing, shards.len(), "the number of missing shards is wrong");
+        prop_assert!(
+            services.len() as f64 >= 0.6 * shards.len() as f64 - 1e-9,
+            "the answer has less than the minimum coverage"
+        );
         all.sort_unstable_by(|left, right| right.cmp(left));
         all.truncate(2);
-        prop_assert_eq!(merged.body.clone(), all.concat(), "not the greatest records of the parts named");
+        prop_assert_eq!(merged.body.clone(), all.concat(), "the body isn't the greatest records of the stamped parts");
         Ok(())
     }
 
--- a/crates/staircross-routing/tests/incarnation_requests.rs
+++ b/crates/staircross-routing/tests/incarnation_requests.rs
@@ -70,7 +70,7 @@
     assert_eq!(asked_first(&mut driver), "near");
     let attempt = driver.sends[0].attempt;
     driver.end(attempt, AttemptOutcome::NotRun(NotRun::Unconnected));
-    assert_eq!(asked_first(&mut driver), "far", "whoever couldn't be reached is left alone for a while");
+    assert_eq!(asked_first(&mut driver), "far", "a searcher that couldn't be reached is avoided for a while");
     learn(&mut driver, started("near", 200));
     assert_eq!(asked_first(&mut driver), "near");
 }
@@ -97,7 +97,7 @@
         driver.end(attempt, BROKEN);
         driver.pass_ms(300);
     }
-    assert_eq!(driver.sent_for(request).len(), 2, "the route lets two be asked");
+    assert_eq!(driver.sent_for(request).len(), 2, "the route permits two searchers");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/incarnations.rs
+++ b/crates/staircross-routing/tests/incarnations.rs
@@ -108,7 +108,7 @@
     mirror.merge(listing(10, vec![written(5, started("s", 100))]));
     assert_eq!(view(&mirror), serving("s", 200));
     mirror.merge(listing(11, Vec::new()));
-    assert_eq!(view(&mirror), serving("s", 200), "a listing says nothing of what was written after it");
+    assert_eq!(view(&mirror), serving("s", 200), "a listing doesn't affect entries that were written after it");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/mirror_merge.rs
+++ b/crates/staircross-routing/tests/mirror_merge.rs
@@ -67,7 +67,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
     let told = mirror.merge(changes(vec![(7, gone("s")), (8, searcher("s", false))]));
-    assert!(told.gone.is_empty(), "it is there: {told:?}");
+    assert!(told.gone.is_empty(), "the searcher is still in the store: {told:?}");
     assert_eq!(told.searchers.len(), 1);
 }
 
@@ -85,7 +85,7 @@
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
     let told = mirror.merge(changes(vec![(7, searcher("s", true)), (8, gone("s"))]));
-    assert!(told.searchers.is_empty(), "it has gone: {told:?}");
+    assert!(told.searchers.is_empty(), "the searcher was removed: {told:?}");
     assert_eq!(told.gone, [Arc::<str>::from("s")]);
 }
 
--- a/crates/staircross-routing/tests/mirror_peers.rs
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -30,13 +30,17 @@
         mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, accepts }).items.len()
     };
     assert_eq!(passed(&with_routes(200), AcceptedConfiguration::Small), 2);
-    assert_eq!(passed(&with_routes(1000), AcceptedConfiguration::Small), 1, "the searcher alone");
+    assert_eq!(passed(&with_routes(1000), AcceptedConfiguration::Small), 1, "only the searcher is sent");
     assert_eq!(
         passed(&with_routes(1000), AcceptedConfiguration::Any),
         2,
-        "whoever the store doesn't serve must get it from a peer"
+        "a node that can't read the store must get the configuration from a peer"
+    );
+    assert_eq!(
+        passed(&with_routes(200), AcceptedConfiguration::None),
+        1,
+        "a peer that accepts no configuration is sent the searcher only"
     );
-    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::None), 1, "the link is busy");
 }
 
 #[test]
@@ -49,7 +53,7 @@
     let mut newcomer = Mirror::default();
     newcomer.merge(update);
     assert_eq!(names(&newcomer), ["b"]);
-    assert!(!newcomer.has_listing(), "a node that knows a part isn't ready by it");
+    assert!(!newcomer.has_listing(), "a partial update must not count as a listing");
     partial.merge(listing(12, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
     newcomer.merge(partial.changes_for(NOTHING_KNOWN));
     assert!(partial.has_listing() && newcomer.has_listing());
@@ -71,14 +75,14 @@
     assert_eq!(follower.version(), 2);
     reader.merge(changes(vec![(97, gone("s"))]));
     follower.merge(reader.changes_for(known(&follower)));
-    assert_eq!(names(&follower), ["t"], "and hears of what changes later");
+    assert_eq!(names(&follower), ["t"], "later changes are sent");
 }
 
 #[test]
 fn a_node_without_a_listing_asks_for_everything() {
     let mut partial = Mirror::default();
     partial.merge(MirrorUpdate { items: vec![(9, searcher("b", false))], up_to: 60, ..MirrorUpdate::default() });
-    assert_eq!(partial.known_revision(), 0, "others may have changed before that one");
+    assert_eq!(partial.known_revision(), 0, "other items may have changed before the known one");
 }
 
 /// Returns a mirror that read a listing while items changed. The first page was read at 20 and holds `a`, which drains
@@ -96,7 +100,7 @@
     asker.merge(reader.changes_for(NOTHING_KNOWN));
     let watched = MirrorUpdate { up_to: 22, ..changes(vec![(21, searcher("a", true)), (22, searcher("b", false))]) };
     reader.merge(watched);
-    assert!(asker.newest_revision() < reader.newest_revision(), "it must find out that it is behind");
+    assert!(asker.newest_revision() < reader.newest_revision(), "the asker must notice that it is behind");
     asker.merge(reader.changes_for(known(&asker)));
     assert!(asker.searchers().any(|entry| &*entry.instance == "a" && entry.is_draining));
 }
@@ -120,7 +124,10 @@
     let mut newcomer = Mirror::default();
     newcomer.merge(listing(25, vec![(3, searcher("a", false))]));
     newcomer.merge(informed.changes_for(known(&newcomer)));
-    assert!(newcomer.newest_revision() >= informed.newest_revision(), "else it goes on asking");
+    assert!(
+        newcomer.newest_revision() >= informed.newest_revision(),
+        "the newcomer would otherwise ask again and again"
+    );
 }
 
 #[test]
@@ -128,8 +135,8 @@
     let mut node = Mirror::default();
     node.merge(listing(20, vec![(3, searcher("a", false))]));
     let changed = node.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    assert_eq!(changed.searchers, [], "it had gone by 20");
+    assert_eq!(changed.searchers, [], "the searcher was removed by revision 20");
     assert_eq!(names(&node), ["a"]);
     node.merge(listing(30, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    assert_eq!(names(&node), ["a", "b"], "the store's newer word counts");
+    assert_eq!(names(&node), ["a", "b"], "a newer listing of the store is effective");
 }
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -38,7 +38,7 @@
     let mut backends = backends(routes);
     backends.offer(paths, CAPACITY * 0.4, Duration::from_secs(4));
     let calm = backends.tally(GOAL);
-    assert_eq!(calm.refused, 0, "nothing is refused in calm times: {calm:?}");
+    assert_eq!(calm.refused, 0, "no request is refused at low load: {calm:?}");
     assert!(calm.fraction(calm.in_time) > 0.98, "{calm:?}");
     backends
 }
@@ -53,14 +53,14 @@
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
     offered(&mut backends, &["/q/1"], 1.5, 3);
     let settled = offered(&mut backends, &["/q/1"], 1.5, 8);
-    assert!(settled.fraction(settled.in_time) > 0.4, "of 0.67 that can be done: {settled:?}");
+    assert!(settled.fraction(settled.in_time) > 0.4, "0.67 is possible: {settled:?}");
     assert!(settled.fraction(settled.late) < 0.2, "{settled:?}");
-    assert!(settled.fraction(settled.failed) < 0.01, "what isn't taken is refused at once: {settled:?}");
+    assert!(settled.fraction(settled.failed) < 0.01, "requests that aren't admitted are refused at once: {settled:?}");
     let told = &backends.driver.not_admitted;
     assert_eq!(
         told.len() as u64,
         backends.driver.engine.counters.not_admitted,
-        "each refusal says what it follows from"
+        "each refusal is reported with the fraction that led to it"
     );
     assert!(told.iter().all(|(_, fraction)| (0.0..1.0).contains(fraction)), "{told:?}");
 }
@@ -107,10 +107,10 @@
     };
     slow_down(&SHARDS[..1], &mut backends);
     let one = offered(&mut backends, &["/q/1"], 0.5, 6);
-    assert_eq!(one.refused, 0, "three of four shards are enough: {one:?}");
+    assert_eq!(one.refused, 0, "three of four shards are enough for an answer: {one:?}");
     slow_down(&SHARDS[1..], &mut backends);
     let all = offered(&mut backends, &["/q/1"], 0.5, 6);
-    assert!(all.refused > 0, "all can do half of what is offered: {all:?}");
+    assert!(all.refused > 0, "the searchers can process half of the offered load: {all:?}");
 }
 
 #[test]
@@ -167,7 +167,7 @@
         })
     };
     let (urgent, casual) = (refused("urgent", &backends), refused("casual", &backends));
-    assert!(urgent.0 > 0, "there is an overload: {urgent:?} {casual:?}");
+    assert!(urgent.0 > 0, "the load must be an overload: {urgent:?} {casual:?}");
     assert!(urgent.0 * casual.1 < casual.0 * urgent.1, "{urgent:?} {casual:?}");
 }
 
@@ -176,7 +176,7 @@
     let mut backends = backends(vec![query("q", 1)]);
     let began = backends.driver.now;
     let surge = offered(&mut backends, &["/q/1"], 2.0, 2);
-    assert_eq!(surge.refused, 0, "a burst right after the start is late, not refused: {surge:?}");
+    assert_eq!(surge.refused, 0, "requests of a burst just after the start are late, but not refused: {surge:?}");
     let calmed = backends.driver.now;
     let settled = offered(&mut backends, &["/q/1"], 0.4, 4);
     assert_eq!(settled.refused, 0, "{settled:?}");
@@ -199,7 +199,7 @@
     assert_eq!(later.refused, 0, "{later:?}");
     let to_shard = backends.driver.sends[before..].iter().filter(|order| order.instance.starts_with("s0"));
     let (hedges, firsts): (Vec<_>, Vec<_>) = to_shard.partition(|order| order.reason == SendReason::Hedge);
-    assert!(hedges.len() * 50 < firsts.len(), "{} hedges to {} first attempts", hedges.len(), firsts.len());
+    assert!(hedges.len() * 50 < firsts.len(), "{} hedges for {} first attempts", hedges.len(), firsts.len());
 }
 
 #[test]
@@ -233,7 +233,7 @@
     };
     let (often, seldom) = (recovery(Duration::from_millis(250)), recovery(Duration::from_millis(1000)));
     assert!(often < Duration::from_millis(3500), "{often:?}");
-    assert!(seldom <= often + Duration::from_millis(1000), "{seldom:?} for {often:?}");
+    assert!(seldom <= often + Duration::from_millis(1000), "{seldom:?}, against {often:?} with frequent evaluations");
 }
 
 /// On a large site with some seventy nodes, each node receives one or two requests per second, with a sub-request to
@@ -250,6 +250,9 @@
             admission.evaluate(now, waited, Duration::from_millis(57));
         }
         let level = admission.level();
-        assert!(now.since(began) < Duration::from_secs(15) || level < 0.5, "{level} of all after {request} requests");
+        assert!(
+            now.since(began) < Duration::from_secs(15) || level < 0.5,
+            "the level is {level} after {request} requests"
+        );
     }
 }
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -50,7 +50,8 @@
         let mut table = String::new();
         let kinds = self.kinds.iter().map(|(name, kind)| (name.as_str(), kind));
         for (name, kind) in kinds.chain([("all", &self.all)]) {
-            writeln!(table, "{name:<32} {:>6} {:016x}", kind.count, kind.digest.digest()).expect("a string takes it");
+            writeln!(table, "{name:<32} {:>6} {:016x}", kind.count, kind.digest.digest())
+                .expect("writing to a string doesn't fail");
         }
         table
     }
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -77,7 +77,7 @@
         }
         for (from, to, messages) in sent {
             let is_silent = (6000..9000).contains(&now) && (from == NODES[1] || to == NODES[1]);
-            let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
+            let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
             if !is_silent {
                 worlds[receiver].event(RoutingEvent::PeerQuota { from, messages });
             }
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -86,7 +86,7 @@
     let attempt = driver.sends[0].attempt;
     driver.end(attempt, answer(200, "p", records(&[7])));
     let Some(Verdict::Merged(merged)) = driver.verdict(key) else {
-        panic!("no merged answer");
+        panic!("the verdict is no merged answer");
     };
     assert_eq!(merged.missing, 1);
     assert_eq!(driver.left_out, [("y".to_owned(), LeftOutCause::Nobody)]);
@@ -120,7 +120,7 @@
     evacuate(&mut driver, &["a"]);
     let next = driver.request("/s/2");
     assert_eq!(driver.instances(next), ["b1"]);
-    assert!(driver.abandoned.is_empty(), "what is running goes on");
+    assert!(driver.abandoned.is_empty(), "running attempts continue");
     let attempt = driver.sends[0].attempt;
     driver.end(attempt, answer(200, "p", Vec::new()));
     assert!(matches!(driver.verdict(running), Some(Verdict::Passed(_))));
@@ -198,7 +198,7 @@
     let mut driver = cold_site(2);
     driver.engine.set_cold_bound(ColdBound { factor: 1.0, slack: 0.0 });
     load(&mut driver, 100);
-    assert_eq!(sends_to(&driver, "cold"), 3, "six tenths of ten, of two nodes");
+    assert_eq!(sends_to(&driver, "cold"), 3, "one of two nodes gets half of six tenths of ten");
 }
 
 #[test]
@@ -219,7 +219,10 @@
     let keys: Vec<_> = (0..8).map(|number| driver.request(&format!("/s/{number}"))).collect();
     assert_eq!(sends_to(&driver, "cold"), 6);
     driver.pass_ms(2000);
-    assert!(keys.iter().all(|key| !driver.sent_for(*key).is_empty()), "the last are sent when there is room again");
+    assert!(
+        keys.iter().all(|key| !driver.sent_for(*key).is_empty()),
+        "the waiting requests are sent once the share permits"
+    );
 }
 
 proptest! {
--- a/crates/staircross-routing/tests/policy.rs
+++ b/crates/staircross-routing/tests/policy.rs
@@ -37,7 +37,7 @@
         driver.pass_ms(240);
         assert_eq!(driver.sent_for(request).len(), sends);
         driver.pass_ms(1761);
-        assert_eq!(driver.sent_for(request).len(), 2, "what is still late after two seconds is hedged");
+        assert_eq!(driver.sent_for(request).len(), 2, "an attempt that is still late after two seconds is hedged");
     }
 }
 
@@ -72,7 +72,11 @@
         for number in 0..8 {
             driver.request(&format!("/q/{number}"));
         }
-        assert_eq!(driver.sends.len(), sends, "of two searchers with four connections each");
+        assert_eq!(
+            driver.sends.len(),
+            sends,
+            "there are two searchers, of each of which the node's share is four connections"
+        );
     }
 }
 
--- a/crates/staircross-routing/tests/quarantine.rs
+++ b/crates/staircross-routing/tests/quarantine.rs
@@ -17,17 +17,21 @@
     let mut driver = driver();
     let first = ask(&mut driver, "/all/x", DEADLY);
     let ended = end_all(&mut driver, first);
-    assert!((10..=12).contains(&ended), "{ended} searchers ended");
-    assert_eq!(driver.refusal(first), Some(ErrorKind::BackEndsFailed), "it ran, so nothing says that it didn't");
+    assert!((10..=12).contains(&ended), "{ended} searchers crashed");
+    assert_eq!(
+        driver.refusal(first),
+        Some(ErrorKind::BackEndsFailed),
+        "the request ran, so the refusal must not promise that it didn't"
+    );
     let again = ask(&mut driver, "/all/x", DEADLY);
     assert_eq!(driver.refusal(again), Some(ErrorKind::Quarantined));
     assert!(driver.sent_for(again).is_empty());
     let harmless = ask(&mut driver, "/all/y", ContentKey(1));
     let first = driver.sent_for(harmless)[0].clone();
     driver.end(first.attempt, part(&first));
-    assert_eq!(driver.sent_for(harmless).len(), 10, "another content is sent as ever, once one shard has answered");
+    assert_eq!(driver.sent_for(harmless).len(), 10, "another content is sent to all shards once one has answered");
     let elsewhere = ask(&mut driver, "/one/y", ContentKey(2));
-    assert_eq!(driver.sent_for(elsewhere).len(), 1, "and that of another route at once");
+    assert_eq!(driver.sent_for(elsewhere).len(), 1, "a content of another route is sent at once");
 }
 
 #[test]
@@ -86,7 +90,7 @@
     orders.iter().for_each(|order| driver.end(order.attempt, BROKEN));
     driver.pass_ms(30);
     let trial = sent_since(&driver, request, orders.len());
-    assert_eq!(trial.len(), 1, "one searcher at a time");
+    assert_eq!(trial.len(), 1, "one searcher is asked at a time");
     driver.end(trial[0].attempt, part(&trial[0]));
     driver.pass_ms(20);
     let rest = sent_since(&driver, request, orders.len() + 1);
@@ -111,7 +115,8 @@
         driver.pass_ms(200);
     }
     let again = ask(&mut driver, "/one/y", ContentKey(1));
-    let order = driver.sent_for(again).first().map(|order| (*order).clone()).expect("it is sent again");
+    let order =
+        driver.sent_for(again).first().map(|order| (*order).clone()).expect("the request is sent to a searcher");
     driver.end(order.attempt, part(&order));
     assert!(matches!(driver.verdict(again), Some(Verdict::Passed(_))));
 }
@@ -172,7 +177,7 @@
         driver.pass_ms(50);
         let second = ask(&mut driver, "/one/x", DEADLY);
         driver.pass_ms(50);
-        assert!(driver.sent_for(second).is_empty(), "the first one's caller is gone: {is_first_caller_gone}");
+        assert!(driver.sent_for(second).is_empty(), "caller of the first request has left: {is_first_caller_gone}");
         driver.end(at_work.attempt, part(&at_work));
         driver.pass_ms(20);
         let order = driver.sent_for(second)[0].clone();
@@ -197,7 +202,7 @@
     for _ in 0..20 {
         driver.pass_ms(100);
         let scheduled = driver.engine.scheduled_wakes();
-        assert!(scheduled <= MOST_WAKES, "{scheduled} looks at one request are scheduled");
+        assert!(scheduled <= MOST_WAKES, "{scheduled} checks of one request are scheduled");
     }
 }
 
@@ -218,7 +223,7 @@
     let trial = driver.sent_for(mended)[0].clone();
     driver.end(trial.attempt, part(&trial));
     driver.pass_ms(20);
-    assert_eq!(driver.sent_for(mended).len(), 10, "it is sent as ever once it is answered");
+    assert_eq!(driver.sent_for(mended).len(), 10, "the content is sent to all shards once it is answered");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/quarantine_peers.rs
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -52,10 +52,10 @@
     let mut driver = driver();
     let order = sent_once_before_quarantine(&mut driver);
     let request = order.attempt.request;
-    assert!(driver.abandoned.is_empty(), "its searcher may be at work on it, and nobody may do it again");
+    assert!(driver.abandoned.is_empty(), "the searcher may be running the request, which may not be repeated");
     assert_eq!(driver.refusal(request), None);
     let refused = ask(&mut driver, "/once/x", DEADLY);
-    assert_eq!(driver.refusal(refused), Some(ErrorKind::Quarantined), "others aren't sent");
+    assert_eq!(driver.refusal(refused), Some(ErrorKind::Quarantined), "other requests for the content aren't sent");
     driver.end(order.attempt, part(&order));
     assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
 }
@@ -88,9 +88,13 @@
     // The searchers of the other shards were sent the content before any had crashed, and crash one after the other.
     for number in 3..10 {
         here.note_lost(at(81 + number), lost(DEADLY, number, now));
-        assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "{number} lost");
+        assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "after the loss of searcher {number}");
         there.merge(at(100), &here.records(at(100)));
-        assert_eq!(there.suspicion(at(100), DEADLY), Suspicion::Quarantined, "told after {number}");
+        assert_eq!(
+            there.suspicion(at(100), DEADLY),
+            Suspicion::Quarantined,
+            "at the peer, after the loss of searcher {number}"
+        );
     }
 }
 
@@ -104,7 +108,7 @@
     }
     let suspect = there.merge(now, &here.records(now));
     assert_eq!(suspect.len(), 1);
-    assert!(suspect[0].is_urgent(true), "each moment may cost one searcher a shard");
+    assert!(suspect[0].is_urgent(true), "any delay may cost one searcher of each shard");
     here.note_answered(now, DEADLY);
     let cleared = there.merge(now, &here.records(now));
     assert_eq!(cleared.len(), 1);
@@ -124,7 +128,7 @@
     here.note_lost(now, lost(DEADLY, 2, now));
     let told = here.records(now);
     assert!(told.iter().any(|record| record.content == DEADLY), "{told:?}");
-    assert!(told.len() <= 5, "a datagram has room for no more");
+    assert!(told.len() <= 5, "a datagram holds at most five records");
 }
 
 #[test]
@@ -170,7 +174,10 @@
     assert_eq!(quarantine.suspicion(now, DEADLY), Suspicion::Quarantined);
     let (suspects, quarantined) = quarantine.counts(now);
     assert!(suspects < 256 && quarantined == 1, "{suspects} {quarantined}");
-    assert!(quarantine.records(now).iter().any(|record| record.content == DEADLY), "it is told among many others");
+    assert!(
+        quarantine.records(now).iter().any(|record| record.content == DEADLY),
+        "the quarantined content is among the records sent"
+    );
 }
 
 /// Generates the loss of a searcher: the node out of three that observes it, the searcher, and the time since the
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -49,7 +49,7 @@
         told.extend(envelopes.into_iter().map(|(to, messages)| (NODES[index], to, messages)));
     }
     for (from, to, messages) in told.into_iter().filter(|_| !is_cut) {
-        let receiver = NODES.iter().position(|node| *node == to).expect("a node of the fleet");
+        let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
         nodes[receiver].event(RoutingEvent::PeerQuota { from, messages });
     }
 }
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -77,7 +77,7 @@
     site.arrivals.clear();
     site.load(200);
     let rejected = site.arrivals("a1") + site.arrivals("a2");
-    assert!(rejected < 20, "{rejected} of 200 requests were rejected first");
+    assert!(rejected < 20, "{rejected} attempts for 200 requests were rejected");
     assert_eq!(site.unserved(), 0);
 }
 
@@ -100,6 +100,6 @@
     site.rejecting = vec!["a1", "a2", "b1"];
     site.load(300);
     for instance in ["a1", "a2", "b1"] {
-        assert!(site.arrivals(instance) > 15, "{instance} was forgotten");
+        assert!(site.arrivals(instance) > 15, "{instance} isn't asked any more");
     }
 }
--- a/crates/staircross-routing/tests/replay.rs
+++ b/crates/staircross-routing/tests/replay.rs
@@ -54,10 +54,10 @@
     let (settings, mut turns) = recorded();
     let is_arrival = |turn: &&mut RecordedTurn| matches!(turn.event, RecordedEvent::Arrived(_));
     let turn = turns.iter_mut().filter(is_arrival).nth(10).expect("the eleventh arrival");
-    let taken_out = turn.decisions.pop().expect("it was sent on");
+    let taken_out = turn.decisions.pop().expect("the request was sent");
     let found = differences(&settings, &turns);
     let [difference] = found.as_slice() else {
-        panic!("one request differs: {found:?}");
+        panic!("exactly one request must differ: {found:?}");
     };
     assert_eq!(difference.request, taken_out.request());
     assert_eq!(difference.replayed.len(), difference.recorded.len() + 1);
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -11,7 +11,7 @@
     let load = ReportedLoad { running: 1, waiting: 0, slots: 5, host_slowness: Some(percent) };
     let report = SearcherReport { load: Some(load), cold: None };
     let AttemptOutcome::Answered(plain) = answer(200, "p", records(&[1])) else {
-        unreachable!("an answer is an answer");
+        unreachable!("`answer` returns an answer");
     };
     AttemptOutcome::Answered(Box::new(SearcherAnswer { report, ..*plain }))
 }
@@ -37,8 +37,8 @@
 fn a_searcher_whose_host_is_slow_at_the_moment_is_passed_over_for_a_moment() {
     assert_eq!(next_after_report(100, 0), "a1");
     assert_eq!(next_after_report(400, 0), "b1");
-    assert_eq!(next_after_report(400, 3000), "a1", "the report is old");
-    assert_eq!(next_after_report(10, 0), "a1", "nobody is faster than usual by saying so");
+    assert_eq!(next_after_report(400, 3000), "a1", "the report is outdated");
+    assert_eq!(next_after_report(10, 0), "a1", "a report of a fast host has no effect");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -34,7 +34,7 @@
     let key = late.key;
     driver.event(RoutingEvent::Arrived(late));
     assert_eq!(driver.refusal(key), Some(ErrorKind::Overloaded));
-    assert!(driver.sends.is_empty(), "nothing may run for a caller that has left");
+    assert!(driver.sends.is_empty(), "nothing may be sent for a caller that has left");
 
     let mut half = driver.arrival("/r/2");
     half.caller_timeout = Some(Duration::from_millis(1000));
@@ -83,8 +83,11 @@
     let extras = driver.sends.iter().filter(|order| order.reason == SendReason::Retry).count() as f64;
     let own_slack = 50.0 / 3.0;
     assert!(extras <= 400.0 * 0.2 + own_slack, "{extras} retries for 400 requests");
-    assert!(extras >= 40.0, "the budget is used: {extras}");
-    assert!(driver.unsent.iter().any(|(_, cause)| *cause == UnsentCause::OverBudget), "and what it refuses is told");
+    assert!(extras >= 40.0, "{extras} retries: the budget must be used");
+    assert!(
+        driver.unsent.iter().any(|(_, cause)| *cause == UnsentCause::OverBudget),
+        "extra sends that the budget refuses are reported"
+    );
 }
 
 #[test]
@@ -149,7 +152,11 @@
     driver.fleet(&[("a", 40)], 40);
     let first = driver.request("/r/1");
     let second = driver.request("/r/2");
-    assert_eq!((driver.sent_for(first).len(), driver.sent_for(second).len()), (1, 0), "one connection each");
+    assert_eq!(
+        (driver.sent_for(first).len(), driver.sent_for(second).len()),
+        (1, 0),
+        "the node may use one connection, so the second request waits"
+    );
     driver.end(driver.sends[0].attempt, answer(200, "stamp", Vec::new()));
     assert_eq!(driver.sent_for(second).len(), 1);
 }
@@ -171,7 +178,7 @@
     let mut driver = repeatable();
     for _ in 0..100 {
         let request = driver.request("/r/1");
-        assert!(!driver.sent_for(request).is_empty(), "refused though three searchers live");
+        assert!(!driver.sent_for(request).is_empty(), "a request wasn't sent although three searchers are known");
         for attempt in driver.sent_for(request).iter().map(|order| order.attempt).collect::<Vec<_>>() {
             driver.pass_ms(5);
             driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
@@ -189,7 +196,7 @@
     let first = driver.request("/r/1");
     let second = driver.request("/r/2");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
-    assert_eq!(driver.sent_for(first).len(), 1, "the other searcher has no room yet");
+    assert_eq!(driver.sent_for(first).len(), 1, "the other searcher is at capacity");
     driver.end(driver.sends[1].attempt, answer(200, "stamp", Vec::new()));
     assert!(driver.verdict(second).is_some());
     assert_eq!(driver.reasons(first), [SendReason::First, SendReason::Retry]);
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -30,7 +30,7 @@
 fn an_answer_is_passed_on_as_it_is() {
     let mut driver = repeatable();
     let request = driver.request("/r/1");
-    assert_eq!(driver.instances(request), ["s1"], "the searcher of the own zone is asked");
+    assert_eq!(driver.instances(request), ["s1"], "the searcher in the node's own zone is asked");
     let attempt = driver.sends[0].attempt;
     driver.pass_ms(20);
     driver.end(attempt, answer(200, "stamp", b"body".to_vec()));
@@ -59,7 +59,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "502 makes no promise");
+    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that nothing ran");
 }
 
 #[test]
@@ -77,7 +77,7 @@
     for _ in 0..400 {
         if let Some(kind) = driver.refusal(request) {
             let instances: BTreeSet<String> = driver.instances(request).into_iter().collect();
-            assert_eq!(instances.len(), 2, "as many searchers as attempts are allowed: {instances:?}");
+            assert_eq!(instances.len(), 2, "as many searchers are asked as attempts are allowed: {instances:?}");
             return kind;
         }
         let open: Vec<AttemptKey> = driver.sent_for(request).iter().skip(ended).map(|order| order.attempt).collect();
@@ -87,7 +87,7 @@
         }
         driver.pass_ms(10);
     }
-    panic!("held past its time-out");
+    panic!("the request was held past its timeout");
 }
 
 #[test]
@@ -97,7 +97,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
     let kind = shed_until_over(&mut driver, request);
-    assert_eq!(kind.executed(), Executed::Never, "{kind}: all that was sent was answered: not run");
+    assert_eq!(kind.executed(), Executed::Never, "{kind}: every attempt was answered as not run");
 }
 
 #[test]
@@ -168,7 +168,11 @@
     let mut driver = unrepeatable();
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
-    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "it may have run, and there is time");
+    assert_eq!(
+        driver.refusal(request),
+        Some(ErrorKind::BackEndsFailed),
+        "the request may have run, and its deadline hasn't passed"
+    );
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.unsent, [(request, UnsentCause::NotRepeatable)]);
 
@@ -177,6 +181,6 @@
     for number in 0..2 {
         driver.end(driver.sends[number].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     }
-    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "its route allows two");
+    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "the route allows two attempts");
     assert_eq!(driver.unsent, [(request, UnsentCause::MaxAttempts)]);
 }
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -40,7 +40,7 @@
         ("no alarm", &calm, on, "all", NEW, 31, false),
         ("another route", &alarmed, on, "other", NEW, 31, false),
         ("answered lately", &alarmed, on, "all", ANSWERED, 31, false),
-        ("the alarm is over", &alarmed, on, "all", NEW, 45, false),
+        ("the alarm has ended", &alarmed, on, "all", NEW, 45, false),
         ("routing.first_probes = false", &alarmed, no_probes, "all", NEW, 31, false),
         ("routing.quarantine = false", &alarmed, no_quarantine, "all", NEW, 31, false),
     ];
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -95,14 +95,26 @@
         ("idle in the zone: 1 round trip, 20 work", at("a"), 21),
         ("another zone: 2 round trip, 4 price", at("b"), 26),
         ("another region: 24 round trip, 25 price", at("c"), 69),
-        ("two attempts, doubled by the zone's other node, and one more fill five slots", busy(at("a"), 2, 50), 21),
-        ("five attempts doubled and one more are six beyond five slots: 24 queue", busy(at("a"), 5, 50), 45),
-        ("five of another zone count alone and one more: 4 queue", busy(at("b"), 5, 50), 30),
-        ("overdue by 15: 30 pause", busy(at("a"), 1, -15), 51),
-        ("its host three times slower: 60 work", reporting(300), 61),
-        ("its host faster counts as usual", reporting(50), 21),
+        (
+            "two attempts count double for the zone's other node, and with the new one fill five slots",
+            busy(at("a"), 2, 50),
+            21,
+        ),
+        (
+            "five attempts count double, and with the new one exceed five slots by six: 24 queue",
+            busy(at("a"), 5, 50),
+            45,
+        ),
+        (
+            "five attempts in another zone count once, and with the new one exceed five slots by one: 4 queue",
+            busy(at("b"), 5, 50),
+            30,
+        ),
+        ("one attempt overdue by 15: 30 pause", busy(at("a"), 1, -15), 51),
+        ("a host three times slower: 60 work", reporting(300), 61),
+        ("a faster host counts as usual", reporting(50), 21),
         ("rejected once, rate 0.3: 60 of the goal", with(at("a"), |it| it.note_rejection(now())), 81),
-        ("its entry has gone: last", with(at("a"), |it| it.mark_lapsed(now())), 60_021),
+        ("a removed entry: last resort", with(at("a"), |it| it.mark_lapsed(now())), 60_021),
     ];
     for (row, searcher, expected_ms) in rows {
         let found = expected_time(now(), &searcher, &place, &choice(&route, &[]));
@@ -138,14 +150,20 @@
     let none = Vec::new;
     // Inputs: route, excluded searchers, searcher in the zone of this node. Expected: searcher that is asked.
     let rows = [
-        ("the least time", single(), none(), at("a"), Some(near)),
+        ("the least expected time", single(), none(), at("a"), Some(near)),
         ("excluded", single(), vec![near], at("a"), Some(far)),
         ("all excluded", single(), vec![near, far, south], at("a"), None),
         ("allowed regions", southern, none(), at("a"), Some(south)),
-        ("no room: nine of its share of nine", single(), none(), busy(at("a"), 9, 50), Some(far)),
+        (
+            "at capacity: nine of this node's share of nine connections",
+            single(),
+            none(),
+            busy(at("a"), 9, 50),
+            Some(far),
+        ),
         ("unreachable a moment ago", single(), none(), with(at("a"), |it| it.note_unreachable(now())), Some(far)),
         ("evacuated", single(), none(), with(at("a"), |it| it.set_evacuated(now(), true)), Some(far)),
-        ("gone", single(), none(), with(at("a"), Searcher::mark_gone), Some(far)),
+        ("marked as gone", single(), none(), with(at("a"), Searcher::mark_gone), Some(far)),
         ("accepts no further connection", single(), none(), full(), Some(far)),
     ];
     for (row, route, excluded, first, expected) in rows {
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -64,8 +64,12 @@
         ("three at once", vec![lost(1, 2000, 2010), lost(2, 2000, 2011), lost(3, 2000, 2012)], Suspicion::Suspect),
         ("three in sequence", in_sequence(), Suspicion::Quarantined),
         ("answered since", with(&[Answered { at: 2060 }]), Suspicion::None),
-        ("one is alive", with(&[Alive { searcher: 2, sent: 2040, at: 2070 }]), Suspicion::Suspect),
-        ("sent before the loss", with(&[Alive { searcher: 2, sent: 2025, at: 2070 }]), Suspicion::Quarantined),
+        ("one lost searcher is alive", with(&[Alive { searcher: 2, sent: 2040, at: 2070 }]), Suspicion::Suspect),
+        (
+            "answered, but sent before the loss",
+            with(&[Alive { searcher: 2, sent: 2025, at: 2070 }]),
+            Suspicion::Quarantined,
+        ),
     ];
     for (row, events, expected) in rows {
         assert_eq!(after(&events).suspicion(at(2100), CONTENT), expected, "{row}");
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -72,9 +72,9 @@
     }
     let mut searcher = new();
     searcher.note_rejection(at(0));
-    assert_eq!(searcher.avoided_until(), at(60), "it rejected work");
+    assert_eq!(searcher.avoided_until(), at(60), "the searcher rejected work");
     searcher.note_connection_rejected(at(0));
-    assert_eq!(searcher.avoided_until(), at(120), "it accepted no connection");
+    assert_eq!(searcher.avoided_until(), at(120), "the searcher rejected a connection");
     searcher.note_answer(at(10), at(0), 1.0);
-    assert_eq!(searcher.avoided_until(), BootTime::default(), "it answered");
+    assert_eq!(searcher.avoided_until(), BootTime::default(), "the searcher answered");
 }
--- a/crates/staircross-routing/tests/searcher_entries.rs
+++ b/crates/staircross-routing/tests/searcher_entries.rs
@@ -55,10 +55,14 @@
     let mut driver = repeatable();
     driver.event(RoutingEvent::SearchersGone(["s1", "s2"].map(Arc::from).to_vec()));
     let request = driver.request("/r/1");
-    assert_eq!(driver.instances(request), ["s3"], "others come first, however near");
+    assert_eq!(driver.instances(request), ["s3"], "a searcher with an entry is preferred, however far it is");
     driver.event(RoutingEvent::SearchersGone(vec![Arc::from("s3")]));
     let request = driver.request("/r/1");
-    assert_eq!(driver.sent_for(request).len(), 1, "a store that was away lets entries lapse");
+    assert_eq!(
+        driver.sent_for(request).len(),
+        1,
+        "entries also lapse when the store was unavailable, so the searcher is still asked"
+    );
     driver.pass_ms(LAPSE_MS);
     let request = driver.request("/r/1");
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplica));
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -17,7 +17,7 @@
     assert!(is_watch_after(&calls[0], 9), "{calls:?}");
     store.reply(Lane::Configuration, StoreReply::Changes { update: MirrorUpdate::default(), at: 12 });
     let calls = store.calls(0, Lane::Configuration);
-    assert!(is_watch_after(&calls[0], 12), "without news it watches on at once: {calls:?}");
+    assert!(is_watch_after(&calls[0], 12), "without changes the lane watches again at once: {calls:?}");
 }
 
 #[test]
@@ -33,7 +33,7 @@
     store.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
     let (_, whole) = &store.learned[0];
     assert!(whole.is_complete_for_searchers);
-    assert_eq!((whole.items.len(), whole.up_to), (2, 20), "known only up to the first page's revision");
+    assert_eq!((whole.items.len(), whole.up_to), (2, 20), "all changes are known only up to the first page's revision");
     let calls = store.calls(0, Lane::Searchers);
     assert!(is_watch_after(&calls[0], 20), "{calls:?}");
 }
@@ -60,8 +60,8 @@
         calls += made;
         is_watching |= made > 0;
     }
-    assert!(calls <= 8, "{calls} calls in 3 s of a storm");
-    assert!(calls >= 4, "{calls} calls: news must not wait for seconds");
+    assert!(calls <= 8, "{calls} calls in 3 s of frequent changes");
+    assert!(calls >= 4, "{calls} calls: changes must not be learned seconds late");
 }
 
 #[test]
@@ -96,7 +96,7 @@
         }
     }
     assert!((55..130).contains(&calls), "{calls} calls in a minute");
-    assert_eq!(store.reachable, Vec::<bool>::new(), "it was never reachable");
+    assert_eq!(store.reachable, Vec::<bool>::new(), "the store was never reachable");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/store_lapses.rs
+++ b/crates/staircross-routing/tests/store_lapses.rs
@@ -20,7 +20,7 @@
     store.calls(0, Lane::Searchers);
     store.reply(Lane::Searchers, StoreReply::Changes { update: changes(vec![(11, gone("s"))]), at: 11 });
     assert_eq!(store.calls(100, Lane::Searchers), []);
-    assert_eq!(store.calls(100, Lane::Searchers).len(), 1, "those that only lapsed come back soon");
+    assert_eq!(store.calls(100, Lane::Searchers).len(), 1, "entries that only lapsed are soon written anew");
 }
 
 #[test]
@@ -41,8 +41,8 @@
         }
         rests
     };
-    assert_eq!(rests_after(1)[..3], [150, 900, 900], "one that has left");
-    assert_eq!(rests_after(12), [150; 9], "many that lapsed");
+    assert_eq!(rests_after(1)[..3], [150, 900, 900], "one removed entry counts as a searcher that has left");
+    assert_eq!(rests_after(12), [150; 9], "many removed entries count as lapsed");
 }
 
 #[test]
@@ -76,7 +76,7 @@
         reader.on_reply(until, Lane::Searchers, reply, &mut rng, &mut Vec::new());
     };
     lapse(&mut young, 2);
-    assert!(!young.may_lack_searchers(until), "a few that end are no lapse");
+    assert!(!young.may_lack_searchers(until), "a few removed entries don't count as lapsed");
     lapse(&mut young, 20);
     assert!(young.may_lack_searchers(until));
 }
--- a/crates/staircross-routing/tests/store_modes.rs
+++ b/crates/staircross-routing/tests/store_modes.rs
@@ -15,9 +15,9 @@
     assert_eq!(
         store.calls(400, Lane::Configuration),
         [StoreCall::List { lane: Lane::Configuration, after: None }],
-        "until it has been answered"
+        "a failed read is repeated until it is answered"
     );
-    assert_eq!(store.calls(0, Lane::Probe), [StoreCall::Probe], "a read that failed brings in the probe");
+    assert_eq!(store.calls(0, Lane::Probe), [StoreCall::Probe], "a failed read starts the probe");
     store.reply(Lane::Probe, StoreReply::Alive);
     store.reply(Lane::Configuration, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
     assert_eq!(store.calls(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: None }]);
@@ -47,7 +47,7 @@
     let mut probes = 0;
     for _ in 0..20 {
         for lane in lanes {
-            assert_eq!(store.calls(500, lane), [], "nothing dear is asked");
+            assert_eq!(store.calls(500, lane), [], "no expensive call is made");
         }
         let asked = store.calls(0, Lane::Probe).len();
         probes += asked;
@@ -57,11 +57,15 @@
     store.calls(1000, Lane::Probe);
     store.reply(Lane::Probe, StoreReply::Alive);
     for lane in lanes {
-        assert_eq!(store.calls(0, lane), [StoreCall::List { lane, after: None }], "at once when it is back");
+        assert_eq!(
+            store.calls(0, lane),
+            [StoreCall::List { lane, after: None }],
+            "the lane is read at once when the store answers again"
+        );
         store.reply(lane, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
     }
     store.calls(60_000, Lane::Probe);
-    assert_eq!(store.calls(60_000, Lane::Probe), [], "and nothing more when all is read");
+    assert_eq!(store.calls(60_000, Lane::Probe), [], "no calls are made once everything is read");
 }
 
 #[test]
@@ -77,7 +81,7 @@
     };
     assert_eq!(read_configuration(&mut store), [StoreCall::List { lane: Lane::Configuration, after: None }]);
     assert!(store.reader.is_reading_once());
-    assert_eq!(read_configuration(&mut store), [], "it is being read already");
+    assert_eq!(read_configuration(&mut store), [], "the configuration is being read already");
     store.reply(Lane::Configuration, StoreReply::Items { update: MirrorUpdate::default(), at: 30, next: None });
     assert!(!store.reader.is_reading_once());
     for lane in Lane::ALL {
@@ -86,7 +90,7 @@
     assert_eq!(
         read_configuration(&mut store),
         [StoreCall::List { lane: Lane::Configuration, after: None }],
-        "and the next one too"
+        "the next configuration is read too"
     );
 }
 
@@ -110,10 +114,10 @@
         let calls = store.calls(0, lane);
         assert!(matches!(calls.as_slice(), [call] if is_watch_after(call, 20)), "{calls:?}");
     }
-    assert!(!store.reader.is_reachable(), "nothing has answered yet");
+    assert!(!store.reader.is_reachable(), "the store hasn't answered yet");
     store.calls(0, Lane::Probe);
     store.reply(Lane::Probe, StoreReply::Alive);
-    assert!(store.reader.is_reachable(), "its followers may rely on it");
+    assert!(store.reader.is_reachable(), "followers may rely on this reader");
     store.fail(Lane::Searchers);
     assert!(!store.reader.is_reachable());
 }
@@ -137,7 +141,11 @@
     assert!((10..=20).contains(&probes), "{probes} probes in 10 s");
     store.calls(700, Lane::Probe);
     store.reply(Lane::Probe, StoreReply::Alive);
-    assert_eq!(store.calls(0, Lane::Searchers), [], "its readers may have found the store too");
+    assert_eq!(
+        store.calls(0, Lane::Searchers),
+        [],
+        "the node's readers may have reached the store too, so it reads nothing"
+    );
     set_mode(&mut store, ReadingMode::Watching);
     let calls = store.calls(0, Lane::Searchers);
     assert!(matches!(calls.as_slice(), [call] if is_watch_after(call, 10)), "{calls:?}");
--- a/crates/staircross-routing/tests/store_probes.rs
+++ b/crates/staircross-routing/tests/store_probes.rs
@@ -17,14 +17,14 @@
         assert!(is_watch_after(&calls[0], 4), "{calls:?}");
     }
     let probes = store.calls(4000, Lane::Probe);
-    assert_eq!(probes, [StoreCall::Probe], "one at a time");
+    assert_eq!(probes, [StoreCall::Probe], "at most one probe is open");
     store.fail(Lane::Probe);
-    assert!(store.calls(600, Lane::Probe).contains(&StoreCall::Probe), "while it is away it is asked often");
+    assert!(store.calls(600, Lane::Probe).contains(&StoreCall::Probe), "an unavailable store is probed often");
     store.reply(Lane::Probe, StoreReply::Alive);
     for lane in [Lane::Configuration, Lane::Searchers] {
         let calls = store.calls(0, lane);
         assert!(is_watch_after(&calls[0], 4), "{calls:?}");
-        assert!(store.cancelled.contains(&lane), "the call that hung is given up");
+        assert!(store.cancelled.contains(&lane), "the call that got no reply is cancelled");
     }
 }
 
@@ -72,11 +72,14 @@
     lanes.iter().for_each(|lane| store.fail(*lane));
     assert!(!store.calls(2000, Lane::Probe).is_empty());
     store.reply(Lane::Probe, StoreReply::Alive);
-    assert!(!store.reader.is_reachable(), "nothing shows yet that the watches are held");
+    assert!(!store.reader.is_reachable(), "the store hasn't shown yet that it holds the watches");
     lanes.iter().for_each(|lane| assert_eq!(store.calls(0, *lane).len(), 1));
-    assert!(!store.calls(200, Lane::Probe).is_empty(), "followers that wait longer all read by themselves");
+    assert!(
+        !store.calls(200, Lane::Probe).is_empty(),
+        "the probe must come soon, since followers that wait longer read the store themselves"
+    );
     store.reply(Lane::Probe, StoreReply::Alive);
-    assert!(store.reader.is_reachable(), "nothing has changed, so the watches are held without a word");
+    assert!(store.reader.is_reachable(), "the watches are held, though they return nothing while nothing changes");
 }
 
 #[test]
@@ -120,7 +123,7 @@
     let mut store = Store::new();
     store.calls(0, Lane::Probe);
     store.reply(Lane::Probe, StoreReply::Alive);
-    assert_eq!(store.calls(300, Lane::Probe), [], "the usual rest is longer");
+    assert_eq!(store.calls(300, Lane::Probe), [], "the usual interval is longer");
     store.reader.set_has_followers(store.now, true);
     assert_eq!(store.calls(0, Lane::Probe).len(), 1);
 }
--- a/crates/staircross-routing/tests/tenant_cost.rs
+++ b/crates/staircross-routing/tests/tenant_cost.rs
@@ -53,5 +53,5 @@
     let held = held.count();
     assert_eq!(ALLOCATIONS.with(Cell::get), before);
     assert_eq!(held, 10_000);
-    assert!(before > 10_000, "the allocator counts");
+    assert!(before > 10_000, "the allocator must count the preparation's allocations");
 }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -85,7 +85,7 @@
     for _ in 0..3 {
         end_all(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
-    assert_eq!(driver.verdict(request), None, "it waits for a searcher that takes it");
+    assert_eq!(driver.verdict(request), None, "the request waits for a searcher that accepts a connection");
     let sent = driver.sent_for(request).len();
     driver.configure(without_key(2));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
@@ -117,10 +117,10 @@
     let mut driver = with_kami();
     let (failed, late) = (ask(&mut driver, "/one/1", KEY), ask(&mut driver, "/one/2", KEY));
     driver.configure(without_key(2));
-    assert!(driver.finished.is_empty(), "what is under way may finish");
+    assert!(driver.finished.is_empty(), "running attempts may finish");
     end_all(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.unsent, [(failed, UnsentCause::KeyRevoked)]);
-    assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "it may have run");
+    assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "the request may have run");
     driver.pass_ms(3000);
     assert_eq!(driver.reasons(late), [SendReason::First]);
     end_all(&mut driver, late, &answer(200, "p", Vec::new()));
@@ -159,7 +159,7 @@
     driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     assert_eq!(driver.sends.len(), 3, "one shard waits");
     driver.configure(without_key(2));
-    assert!(driver.finished.is_empty(), "the other is under way");
+    assert!(driver.finished.is_empty(), "the other shard's attempt is running");
     driver.end(running, answer(200, "p", records(&[7])));
     assert_eq!(driver.sends.len(), 3);
     let verdict = driver.verdict(request);
@@ -308,8 +308,8 @@
         }
         sent
     };
-    assert_eq!(ask_again(), 1, "nobody has answered it yet");
-    assert_eq!(ask_again(), 2, "it was answered");
+    assert_eq!(ask_again(), 1, "the content hasn't been answered yet");
+    assert_eq!(ask_again(), 2, "the content was answered");
 }
 
 fn ask_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
@@ -367,10 +367,10 @@
     for request in refused {
         assert!(driver.sent_for(request).is_empty());
         let Some(Verdict::Refused { retry_after: Some(wait), .. }) = driver.verdict(request) else {
-            panic!("no time to come back");
+            panic!("the refusal has no retry time");
         };
         assert!(!wait.is_zero());
     }
     let other = ask(&mut driver, "/one/1", OTHER_KEY);
-    assert_eq!(driver.sent_for(other).len(), 1, "another tenant has no part in it");
+    assert_eq!(driver.sent_for(other).len(), 1, "another tenant isn't affected");
 }
--- a/crates/staircross-routing/tests/views.rs
+++ b/crates/staircross-routing/tests/views.rs
@@ -406,7 +406,7 @@
         for (number, node) in world.nodes.iter().enumerate() {
             prop_assert_eq!(&node.view(), &expected, "node {}", number);
             let is_ahead = |peer: &Node| node.is_behind(peer);
-            prop_assert!(!world.nodes.iter().any(is_ahead), "node {} goes on asking", number);
+            prop_assert!(!world.nodes.iter().any(is_ahead), "node {} would ask its peers again and again", number);
         }
     }
 }
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -56,13 +56,16 @@
         assert_eq!(
             driver.verdict(request),
             None,
-            "given up after {} connections with most of its time left",
+            "the request was given up after {} connections with most of its time left",
             ended.len()
         );
         driver.pass_ms(150);
     }
     let tries = ended.len();
-    assert!((6..=24).contains(&tries), "{tries} connections in 600 ms: neither given up nor without a pause");
+    assert!(
+        (6..=24).contains(&tries),
+        "{tries} connections in 600 ms: the shard must neither be given up nor sent without pauses"
+    );
     for shard in ["x", "y"] {
         let attempt = *open(&driver, request, shard, &ended).last().expect("somebody is asked");
         driver.end(attempt, answer(200, shard, records(&[1])));
@@ -70,7 +73,10 @@
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
     let orders = driver.sent_for(request);
     let mut to_x = orders.iter().filter(|order| order.instance.starts_with("x"));
-    assert!(to_x.all(|order| matches!(order.reason, SendReason::First | SendReason::Reroute)), "it costs no budget");
+    assert!(
+        to_x.all(|order| matches!(order.reason, SendReason::First | SendReason::Reroute)),
+        "rejected connections cost no budget"
+    );
 }
 
 #[test]
@@ -84,11 +90,11 @@
         driver.pass_ms(10);
         assert!(
             driver.now < driver.sent_at[0] + std::time::Duration::from_millis(TIMEOUT_MS),
-            "held past its time-out"
+            "the request was held past its timeout"
         );
     }
     assert_eq!(driver.refusal(request).map(|kind| kind.executed()), Some(Executed::Never));
-    assert!(ended.len() < 200, "{} connections tried: they must be paced", ended.len());
+    assert!(ended.len() < 200, "{} connections were tried without sufficient pauses", ended.len());
 }
 
 #[test]
@@ -103,7 +109,7 @@
         end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         driver.pass_ms(10);
     }
-    let kind = driver.refusal(request).expect("no part of x ever came");
+    let kind = driver.refusal(request).expect("the request is refused, since shard `x` never answered");
     assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
 }
 
@@ -122,13 +128,13 @@
         later.map(|order| order.attempt).collect()
     };
     let trials = to_x(&driver);
-    assert_eq!(trials.len(), 2, "one for each searcher, not one for each request");
+    assert_eq!(trials.len(), 2, "there is one attempt for each searcher, not one for each request");
     driver.event(RoutingEvent::Begun { attempt: trials[0] });
-    assert_eq!(to_x(&driver).len(), 3, "the next follows once a connection is kept");
+    assert_eq!(to_x(&driver).len(), 3, "the next attempt follows once a connection is accepted");
     for known in 3..6 {
         let newest = to_x(&driver)[known - 1];
         driver.event(RoutingEvent::Begun { attempt: newest });
-        assert_eq!(to_x(&driver).len(), known + 1, "and each that is kept shows room for one more");
+        assert_eq!(to_x(&driver).len(), known + 1, "each accepted connection permits one more attempt");
     }
 }
 
@@ -181,7 +187,7 @@
     driver.event(RoutingEvent::CallerGone(request));
     let before = driver.sends.len();
     driver.pass_ms(1000);
-    assert_eq!(driver.sends.len(), before, "sent for a caller that has left");
+    assert_eq!(driver.sends.len(), before, "an attempt was sent for a caller that has left");
     assert_eq!(driver.engine.in_flight(), 0);
 }
 
@@ -194,18 +200,18 @@
     // Nine nodes of the zone share nine tenths of forty connections: four each.
     driver.fleet(&[("a", 9)], 9);
     let requests: Vec<RequestKey> = (0..8).map(|number| driver.request(&format!("/q/{number}"))).collect();
-    assert_eq!(driver.sends.len(), 1, "a quarter of four; the others wait");
+    assert_eq!(driver.sends.len(), 1, "the node may use a quarter of four connections; the other requests wait");
     driver.end(driver.sends[0].attempt, answer(200, "x", records(&[1])));
-    assert_eq!(driver.sends.len(), 2, "and use the connection one after the other");
+    assert_eq!(driver.sends.len(), 2, "the waiting requests use the connection one after the other");
     assert!(requests[1..].iter().all(|request| driver.verdict(*request).is_none()));
     driver.pass_ms(1100);
     driver.request("/q/8");
-    assert_eq!(driver.sends.len(), 3, "after a second there may be two");
+    assert_eq!(driver.sends.len(), 3, "after a second the node may use two connections");
     driver.pass_ms(2100);
     driver.request("/q/9");
     driver.request("/q/10");
     driver.request("/q/11");
-    assert_eq!(driver.sends.len(), 5, "and never more than the share");
+    assert_eq!(driver.sends.len(), 5, "the node never uses more than its share of four");
 }
 
 #[test]
@@ -220,7 +226,7 @@
             ended.push(attempt);
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        assert_eq!(driver.verdict(request), None, "given up with most of its time left");
+        assert_eq!(driver.verdict(request), None, "the request was given up with most of its time left");
         driver.pass_ms(100);
     }
     let last = *open(&driver, request, "x", &ended).last().expect("asked again");
@@ -230,7 +236,7 @@
     let to_x: Vec<SendReason> =
         orders.iter().filter(|order| order.instance.starts_with("x")).map(|order| order.reason).collect();
     let is_paid = |reason: &SendReason| matches!(reason, SendReason::Retry | SendReason::Hedge);
-    assert!(to_x[1..].iter().all(is_paid), "each is paid from the budget: {to_x:?}");
+    assert!(to_x[1..].iter().all(is_paid), "each further attempt is paid from the budget: {to_x:?}");
 }
 
 #[test]
@@ -243,14 +249,18 @@
     let request = driver.request("/q/0");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.verdict(request), None);
-    assert_eq!(driver.sends.len(), 1, "nothing may be sent again yet");
+    assert_eq!(driver.sends.len(), 1, "the budget doesn't permit a retry yet");
     for number in 1..=6 {
         let other = driver.request(&format!("/q/{number}"));
         let attempt = driver.sent_for(other)[0].attempt;
         driver.end(attempt, answer(200, "x", records(&[1])));
     }
     driver.pass_ms(150);
-    assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry], "six requests later one may");
+    assert_eq!(
+        driver.reasons(request),
+        [SendReason::First, SendReason::Retry],
+        "after six more requests the budget permits a retry"
+    );
 }
 
 #[test]
@@ -286,6 +296,6 @@
     // Less than a fifth of the requests of ten seconds may be sent again, so no more requests than that wait for the
     // budget.
     let refused = requests.iter().filter(|request| driver.refusal(**request).is_some()).count();
-    assert_eq!(refused, 17, "three of 21 have leave");
+    assert_eq!(refused, 17, "the budget of 21 requests permits three retries");
     assert!(requests.iter().filter_map(|request| driver.refusal(*request)).all(|kind| kind == ErrorKind::NotDelivered));
 }
