--- a/crates/staircross-routing/tests/common/backends.rs
+++ b/crates/staircross-routing/tests/common/backends.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Most sub-requests that a searcher queues; it sheds any further ones.
-const QUEUE: usize = 30;
+const MAX_QUEUED: usize = 30;
 
 /// One simulated searcher.
 struct Backend {
@@ -33,11 +33,11 @@
 }
 
 impl Tally {
-    pub fn all(&self) -> usize {
+    pub fn total(&self) -> usize {
         self.in_time + self.late + self.refused + self.failed
     }
 
-    fn of(ends: impl Iterator<Item = End>, goal: Duration) -> Tally {
+    fn of(ends: impl Iterator<Item = EndedRequest>, goal: Duration) -> Tally {
         let mut tally = Tally::default();
         for end in ends {
             match end.verdict {
@@ -51,12 +51,12 @@
     }
 
     pub fn fraction(&self, count: usize) -> f64 {
-        count as f64 / self.all().max(1) as f64
+        count as f64 / self.total().max(1) as f64
     }
 }
 
 /// A request that has ended.
-struct End {
+struct EndedRequest {
     arrived: BootTime,
     took: Duration,
     verdict: Verdict,
@@ -65,36 +65,36 @@
 /// A driver and the simulated searchers that run its attempts.
 pub struct Backends {
     pub driver: Driver,
-    pub work: Duration,
-    /// Time from sending an attempt until its connection is established.
-    pub connecting: Duration,
+    pub work_time: Duration,
+    /// Time from the start of an attempt until its connection is established.
+    pub connect_time: Duration,
     slots: usize,
     backends: HashMap<String, Backend>,
     /// Attempts at work by the time at which their work ends; a sequence number keeps equal times in order.
     ends: BinaryHeap<Reverse<(BootTime, u64, AttemptKey)>>,
-    owners: HashMap<AttemptKey, String>,
+    instances: HashMap<AttemptKey, String>,
     /// Times at which attempts get their connections, in ascending order.
-    begins: VecDeque<(BootTime, AttemptKey)>,
-    taken: usize,
-    counted: usize,
+    connects: VecDeque<(BootTime, AttemptKey)>,
+    started_sends: usize,
+    tallied_ends: usize,
     arrived: HashMap<RequestKey, BootTime>,
     sequence: u64,
     random: ChaCha8Rng,
 }
 
 impl Backends {
-    pub fn new(driver: Driver, slots: usize, work: Duration) -> Self {
+    pub fn new(driver: Driver, slots: usize, work_time: Duration) -> Self {
         Backends {
             driver,
-            work,
-            connecting: Duration::ZERO,
+            work_time,
+            connect_time: Duration::ZERO,
             slots,
             backends: HashMap::new(),
             ends: BinaryHeap::new(),
-            owners: HashMap::new(),
-            begins: VecDeque::new(),
-            taken: 0,
-            counted: 0,
+            instances: HashMap::new(),
+            connects: VecDeque::new(),
+            started_sends: 0,
+            tallied_ends: 0,
             arrived: HashMap::new(),
             sequence: 0,
             random: ChaCha8Rng::seed_from_u64(11),
@@ -120,7 +120,7 @@
             self.run_until(next);
             let request = self.driver.request(paths[count % paths.len()]);
             self.arrived.insert(request, next);
-            self.take_sends();
+            self.start_new_sends();
             count += 1;
             next = next + gap;
         }
@@ -129,22 +129,22 @@
 
     /// Returns a tally of the requests that ended since the last call. Answers within `goal` are in time.
     pub fn tally(&mut self, goal: Duration) -> Tally {
-        let ends = self.ends_from(self.counted);
-        self.counted = self.driver.finished.len();
+        let ends = self.ends_from(self.tallied_ends);
+        self.tallied_ends = self.driver.finished.len();
         Tally::of(ends.into_iter(), goal)
     }
 
     /// Returns a tally of the ended requests that arrived at or after `from` and before `until`.
     pub fn tally_of_arrivals(&self, goal: Duration, from: BootTime, until: BootTime) -> Tally {
-        let arrived_then = |end: &End| from <= end.arrived && end.arrived < until;
-        Tally::of(self.ends_from(0).into_iter().filter(arrived_then), goal)
+        let arrived_in_span = |end: &EndedRequest| from <= end.arrived && end.arrived < until;
+        Tally::of(self.ends_from(0).into_iter().filter(arrived_in_span), goal)
     }
 
-    fn ends_from(&self, first: usize) -> Vec<End> {
+    fn ends_from(&self, first: usize) -> Vec<EndedRequest> {
         let finished = self.driver.finished.iter().zip(&self.driver.finished_at).skip(first);
         let end = |((request, verdict), at): (&(RequestKey, Verdict), &BootTime)| {
             let arrived = self.arrived[request];
-            End { arrived, took: at.since(arrived), verdict: verdict.clone() }
+            EndedRequest { arrived, took: at.since(arrived), verdict: verdict.clone() }
         };
         finished.map(end).collect()
     }
@@ -155,63 +155,63 @@
                 break;
             }
             self.ends.pop();
-            self.begin_until(at);
-            self.driver.pass(self.driver.now.until(at));
-            self.take_sends();
-            self.finish(attempt);
-            self.take_sends();
+            self.connect_until(at);
+            self.driver.advance(self.driver.now.until(at));
+            self.start_new_sends();
+            self.finish_work(attempt);
+            self.start_new_sends();
         }
-        self.begin_until(end);
-        self.driver.pass(self.driver.now.until(end));
-        self.take_sends();
+        self.connect_until(end);
+        self.driver.advance(self.driver.now.until(end));
+        self.start_new_sends();
     }
 
-    fn begin_until(&mut self, end: BootTime) {
-        while let Some((at, attempt)) = self.begins.pop_front_if(|(at, _)| *at <= end) {
-            self.driver.pass(self.driver.now.until(at));
+    fn connect_until(&mut self, end: BootTime) {
+        while let Some((at, attempt)) = self.connects.pop_front_if(|(at, _)| *at <= end) {
+            self.driver.advance(self.driver.now.until(at));
             self.driver.event(RoutingEvent::Begun { attempt });
         }
     }
 
-    fn take_sends(&mut self) {
-        while self.taken < self.driver.sends.len() {
-            let order = self.driver.sends[self.taken].clone();
-            self.taken += 1;
-            self.begin(&order);
+    fn start_new_sends(&mut self) {
+        while self.started_sends < self.driver.sends.len() {
+            let order = self.driver.sends[self.started_sends].clone();
+            self.started_sends += 1;
+            self.enqueue(&order);
         }
     }
 
-    fn begin(&mut self, order: &SendOrder) {
+    fn enqueue(&mut self, order: &SendOrder) {
         let instance = order.instance.to_string();
         let slots = self.slots;
         let backend = self.backend(&instance);
         if backend.busy < slots {
             backend.busy += 1;
-            self.start(&instance, order.attempt);
-        } else if backend.queue.len() < QUEUE {
+            self.start_work(&instance, order.attempt);
+        } else if backend.queue.len() < MAX_QUEUED {
             backend.queue.push_back(order.attempt);
         } else {
             return self.driver.end(order.attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        self.owners.insert(order.attempt, instance);
+        self.instances.insert(order.attempt, instance);
     }
 
-    fn start(&mut self, instance: &str, attempt: AttemptKey) {
+    fn start_work(&mut self, instance: &str, attempt: AttemptKey) {
         let spread = self.random.random_range(0.6..1.4);
-        let work = self.work.mul_f64(self.backend(instance).slowness * spread);
+        let work_time = self.work_time.mul_f64(self.backend(instance).slowness * spread);
         self.sequence += 1;
-        let end = self.driver.now + self.connecting + work;
+        let end = self.driver.now + self.connect_time + work_time;
         self.ends.push(Reverse((end, self.sequence, attempt)));
-        if !self.connecting.is_zero() {
-            self.begins.push_back((self.driver.now + self.connecting, attempt));
+        if !self.connect_time.is_zero() {
+            self.connects.push_back((self.driver.now + self.connect_time, attempt));
         }
     }
 
-    fn finish(&mut self, attempt: AttemptKey) {
-        let instance = self.owners.remove(&attempt).expect("the attempt is running");
+    fn finish_work(&mut self, attempt: AttemptKey) {
+        let instance = self.instances.remove(&attempt).expect("the attempt is running");
         let backend = self.backend(&instance);
         match backend.queue.pop_front() {
-            Some(next) => self.start(&instance, next),
+            Some(next) => self.start_work(&instance, next),
             None => backend.busy -= 1,
         }
         self.driver.end(attempt, answer(200, "stamp", Vec::new()));
--- a/crates/staircross-routing/tests/common/mirror.rs
+++ b/crates/staircross-routing/tests/common/mirror.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns the item of a searcher whose entry was removed from the store.
-pub fn gone(instance: &str) -> MirrorItem {
+pub fn searcher_gone(instance: &str) -> MirrorItem {
     MirrorItem::SearcherGone { instance: Arc::from(instance) }
 }
 
@@ -47,7 +47,7 @@
 }
 
 /// Returns a configuration item of version 5 with this number of routes.
-pub fn configuration_of(routes: usize) -> MirrorItem {
+pub fn configuration_with_routes(routes: usize) -> MirrorItem {
     let route = |index: usize| RouteDefinition {
         name: Arc::from(format!("r{index}")),
         host: Arc::from("h"),
@@ -83,7 +83,7 @@
 }
 
 /// Returns the knowledge that a node with this mirror sends when it asks a peer for changes.
-pub fn known(mirror: &Mirror) -> PeerKnowledge {
+pub fn knowledge(mirror: &Mirror) -> PeerKnowledge {
     PeerKnowledge {
         revision: mirror.known_revision(),
         version: mirror.version(),
@@ -93,6 +93,6 @@
 }
 
 /// Returns the ids of the searchers in the mirror.
-pub fn names(mirror: &Mirror) -> Vec<String> {
+pub fn searcher_ids(mirror: &Mirror) -> Vec<String> {
     mirror.searchers().map(|entry| entry.instance.to_string()).collect()
 }
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -31,7 +31,7 @@
 
 pub const HOST: &str = "shop.example";
 /// Time for which a searcher is still asked as a last resort after its entry was removed.
-pub const LAPSE_MS: u64 = 750;
+pub const LAPSE_GRACE_MS: u64 = 750;
 
 /// One engine and all actions that it has requested, by kind.
 pub struct Driver {
@@ -52,7 +52,7 @@
     pub not_admitted: Vec<(RequestKey, f64)>,
     pub admission: Vec<(BootTime, AdmissionChange)>,
     pub suspicions: Vec<SuspicionChange>,
-    pub quota_told: Vec<(NodeId, Vec<QuotaMessage>)>,
+    pub quota_messages: Vec<(NodeId, Vec<QuotaMessage>)>,
     pub quota_changes: Vec<QuotaChange>,
     /// Alarms of routes in order: the route's name, and whether the alarm was raised (or ended).
     pub alarms: Vec<(String, bool)>,
@@ -70,7 +70,7 @@
         extra: ExtraBound { ratio: 0.2, window: Duration::from_secs(10), slack: 50.0 },
         zone: Arc::from("a"),
         regions: regions.into_iter().map(|(zone, region)| (Arc::from(zone), Arc::from(region))).collect(),
-        lapse_grace: Duration::from_millis(LAPSE_MS),
+        lapse_grace: Duration::from_millis(LAPSE_GRACE_MS),
         cold: ColdBound::default(),
         max_requests: 1000,
         restarted_at: None,
@@ -170,7 +170,7 @@
             not_admitted: Vec::new(),
             admission: Vec::new(),
             suspicions: Vec::new(),
-            quota_told: Vec::new(),
+            quota_messages: Vec::new(),
             quota_changes: Vec::new(),
             alarms: Vec::new(),
             probe_steps: Vec::new(),
@@ -222,7 +222,7 @@
                 RoutingAction::KeyRefused { request, cause } => self.keys_refused.push((request, cause)),
                 RoutingAction::NotAdmitted { request, fraction, .. } => self.not_admitted.push((request, fraction)),
                 RoutingAction::Admission { change, .. } => self.admission.push((self.now, change)),
-                RoutingAction::SendQuotas { to, messages } => self.quota_told.push((to, messages)),
+                RoutingAction::SendQuotas { to, messages } => self.quota_messages.push((to, messages)),
                 RoutingAction::Quota(change) => self.quota_changes.push(change),
                 RoutingAction::Suspicion { change, .. } => self.suspicions.push(change),
                 RoutingAction::Alarm { route, is_raised } => self.alarms.push((route.to_string(), is_raised)),
@@ -268,7 +268,7 @@
     }
 
     /// Advances the clock by `span` and sends a tick at each wake-up time of the engine and at the end.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(wake) = self.engine.next_wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
@@ -278,8 +278,8 @@
         self.event(RoutingEvent::Tick);
     }
 
-    pub fn pass_ms(&mut self, millis: u64) {
-        self.pass(Duration::from_millis(millis));
+    pub fn advance_ms(&mut self, millis: u64) {
+        self.advance(Duration::from_millis(millis));
     }
 
     pub fn path_of(&self, request: RequestKey) -> &str {
@@ -310,14 +310,14 @@
     }
 
     /// Tells the engine that these nodes of zone `a` serve and share the tenants' quotas.
-    pub fn fleet_nodes(&mut self, nodes: &[NodeId]) {
+    pub fn set_fleet_nodes(&mut self, nodes: &[NodeId]) {
         let nodes_by_zone = HashMap::from([(Arc::from("a"), nodes.len())]);
         let (serving, nodes) = (nodes.len(), Some(nodes.to_vec()));
         self.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank: Some(0), slack_share: 1.0, nodes });
     }
 
     /// Tells the engine the number of nodes in each zone, and the number of serving nodes in all.
-    pub fn fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
+    pub fn set_fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
         let nodes_by_zone: HashMap<Arc<str>, usize> =
             zones.iter().map(|(zone, count)| (Arc::from(*zone), *count)).collect();
         let slack_share = 1.0 / fleet as f64;
--- a/crates/staircross-routing/tests/common/quarantine.rs
+++ b/crates/staircross-routing/tests/common/quarantine.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Content of requests that crash the searchers that run them.
-pub const DEADLY: ContentKey = ContentKey(0xdead);
+pub const CRASHING_CONTENT: ContentKey = ContentKey(0xdead);
 
 /// Shards of the gather route.
 pub const SHARDS: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
@@ -39,7 +39,7 @@
 }
 
 /// Returns an attempt of the gather route whose searcher was lost.
-pub fn lost(content: ContentKey, searcher: u64, sent_at: BootTime) -> LostAttempt {
+pub fn lost_attempt(content: ContentKey, searcher: u64, sent_at: BootTime) -> LostAttempt {
     LostAttempt { content, route: RouteDigest::of("all"), searcher: InstanceKey(searcher), sent_at }
 }
 
@@ -58,7 +58,7 @@
 
 /// Crashes each searcher that runs a request, one after the other, until nothing more is sent. Returns the number of
 /// crashed searchers.
-pub fn end_all(driver: &mut Driver, request: RequestKey) -> usize {
+pub fn crash_all(driver: &mut Driver, request: RequestKey) -> usize {
     let mut ended = 0;
     loop {
         let orders = sent_since(driver, request, ended);
@@ -66,29 +66,29 @@
             return ended;
         }
         for order in &orders {
-            driver.pass_ms(2);
+            driver.advance_ms(2);
             driver.end(order.attempt, BROKEN);
         }
         ended += orders.len();
-        driver.pass_ms(200);
+        driver.advance_ms(200);
     }
 }
 
 /// Returns a successful answer of the searcher that an attempt was sent to.
-pub fn part(order: &SendOrder) -> AttemptOutcome {
+pub fn part_answer(order: &SendOrder) -> AttemptOutcome {
     answer(200, &format!("{}.{}", order.instance, order.attempt.number), records(&[1]))
 }
 
 /// Tells the engine of another instance of a service, which replaces a crashed one.
-pub fn restart(driver: &mut Driver, instance: &str, service: &str) {
+pub fn add_searcher(driver: &mut Driver, instance: &str, service: &str) {
     driver.event(RoutingEvent::Searchers(vec![searcher(instance, service, "a")]));
 }
 
 /// Returns the records that a peer publishes after three of its searchers were lost while running a content.
-pub fn told_by_peer(now: BootTime, content: ContentKey) -> Vec<CaseRecord> {
+pub fn peer_case_records(now: BootTime, content: ContentKey) -> Vec<CaseRecord> {
     let mut peer = Quarantine::default();
     for number in 0..3 {
-        peer.note_lost(now + Duration::from_millis(number), lost(content, number, now));
+        peer.note_lost(now + Duration::from_millis(number), lost_attempt(content, number, now));
     }
     peer.records(now + Duration::from_millis(5))
 }
--- a/crates/staircross-routing/tests/common/store.rs
+++ b/crates/staircross-routing/tests/common/store.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// A store reader, its clock, and the actions that it has requested, by kind.
-pub struct Store {
+pub struct ReaderDriver {
     pub reader: StoreReader,
     pub random: ChaCha8Rng,
     pub now: BootTime,
@@ -20,9 +20,9 @@
     pub cancelled: Vec<Lane>,
 }
 
-impl Store {
+impl ReaderDriver {
     pub fn new() -> Self {
-        Store {
+        ReaderDriver {
             reader: StoreReader::new(ReaderSettings::default()),
             random: ChaCha8Rng::seed_from_u64(1),
             now: BootTime::from_millis(1000),
@@ -34,7 +34,7 @@
     }
 
     /// Collects the actions that the reader requests.
-    pub fn take(&mut self, actions: Vec<ReaderAction>) {
+    pub fn collect(&mut self, actions: Vec<ReaderAction>) {
         for action in actions {
             match action {
                 ReaderAction::Call { lane, call, .. } => self.calls.push((lane, call)),
@@ -47,12 +47,12 @@
 
     /// Advances the clock and returns the calls made on a lane since they were last returned. Calls on other lanes are
     /// kept.
-    pub fn calls(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
+    pub fn calls_within(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
         let end = self.now + Duration::from_millis(millis);
         loop {
             let mut actions = Vec::new();
             self.reader.on_tick(self.now, &mut actions);
-            self.take(actions);
+            self.collect(actions);
             match self.reader.next_wake().filter(|wake| *wake <= end) {
                 Some(wake) => self.now = self.now.max(wake),
                 None => break,
@@ -69,14 +69,14 @@
     pub fn reply(&mut self, lane: Lane, reply: StoreReply) {
         let mut actions = Vec::new();
         self.reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
-        self.take(actions);
+        self.collect(actions);
     }
 
     /// Fails the open call of a lane.
     pub fn fail(&mut self, lane: Lane) {
         let mut actions = Vec::new();
         self.reader.on_failed(self.now, lane, &mut self.random, &mut actions);
-        self.take(actions);
+        self.collect(actions);
     }
 }
 
@@ -86,8 +86,8 @@
 }
 
 /// Sets the mode of the reader and collects the actions that it requests.
-pub fn set_mode(store: &mut Store, mode: ReadingMode) {
+pub fn set_mode(driver: &mut ReaderDriver, mode: ReadingMode) {
     let mut actions = Vec::new();
-    store.reader.set_mode(store.now, mode, &mut actions);
-    store.take(actions);
+    driver.reader.set_mode(driver.now, mode, &mut actions);
+    driver.collect(actions);
 }
--- a/crates/staircross-routing/tests/definition_delta.rs
+++ b/crates/staircross-routing/tests/definition_delta.rs
@@ -30,20 +30,20 @@
 }
 
 /// Returns a configuration of a thousand routes, of which one depends on the version.
-fn large(version: u64) -> RoutingDefinition {
+fn large_definition(version: u64) -> RoutingDefinition {
     definition(version, (0..1000).map(|number| route(number, if number == 7 { version } else { 1 })).collect())
 }
 
-fn told(revision: u64, definition: RoutingDefinition) -> MirrorUpdate {
+fn configuration_update(revision: u64, definition: RoutingDefinition) -> MirrorUpdate {
     let items = vec![(revision, MirrorItem::Configuration { definition: Arc::new(definition) })];
     MirrorUpdate { items, operator_up_to: revision, ..MirrorUpdate::default() }
 }
 
-fn knows(version: u64) -> PeerKnowledge {
+fn knowledge_of_version(version: u64) -> PeerKnowledge {
     PeerKnowledge { revision: 0, version, evacuations: 0, accepts: AcceptedConfiguration::Small }
 }
 
-fn by_name(mut definition: RoutingDefinition) -> RoutingDefinition {
+fn sorted_by_name(mut definition: RoutingDefinition) -> RoutingDefinition {
     definition.routes.sort_by(|left, right| left.name.cmp(&right.name));
     definition
 }
@@ -51,45 +51,45 @@
 #[test]
 fn a_peer_that_is_some_versions_behind_is_told_the_changes_of_a_large_configuration() {
     let mut giver = Mirror::default();
-    (1..=4).for_each(|version| drop(giver.merge(told(version * 10, large(version)))));
+    (1..=4).for_each(|version| drop(giver.merge(configuration_update(version * 10, large_definition(version)))));
     let mut asker = Mirror::default();
-    asker.merge(told(20, large(2)));
-    let update = giver.changes_for(knows(2));
+    asker.merge(configuration_update(20, large_definition(2)));
+    let update = giver.changes_for(knowledge_of_version(2));
     assert!(matches!(&update.items[..], [(40, MirrorItem::ConfigurationChanges { deltas })] if deltas.len() == 2));
     let changes = asker.merge(update);
-    assert_eq!(by_name((*changes.configuration.expect("news")).clone()), by_name(large(4)));
+    assert_eq!(sorted_by_name((*changes.configuration.expect("news")).clone()), sorted_by_name(large_definition(4)));
     assert_eq!(asker.operator_up_to(), 40);
     // The asker can send the deltas to the next node.
     let mut next = Mirror::default();
-    next.merge(told(20, large(2)));
-    next.merge(asker.changes_for(knows(2)));
+    next.merge(configuration_update(20, large_definition(2)));
+    next.merge(asker.changes_for(knowledge_of_version(2)));
     assert_eq!(next.version(), 4);
 }
 
 #[test]
 fn a_peer_that_is_too_far_behind_or_knows_nothing_is_not_told_changes() {
     let mut giver = Mirror::default();
-    (1..=9).for_each(|version| drop(giver.merge(told(version * 10, large(version)))));
+    (1..=9).for_each(|version| drop(giver.merge(configuration_update(version * 10, large_definition(version)))));
     for version in [0, 1, 4] {
-        assert!(giver.changes_for(knows(version)).items.is_empty(), "from version {version}");
+        assert!(giver.changes_for(knowledge_of_version(version)).items.is_empty(), "from version {version}");
     }
-    assert_eq!(giver.changes_for(knows(5)).items.len(), 1);
+    assert_eq!(giver.changes_for(knowledge_of_version(5)).items.len(), 1);
 }
 
 #[test]
 fn changes_that_do_not_fit_leave_what_is_known() {
     let mut giver = Mirror::default();
-    (1..=2).for_each(|version| drop(giver.merge(told(version * 10, large(version)))));
-    let update = giver.changes_for(knows(1));
+    (1..=2).for_each(|version| drop(giver.merge(configuration_update(version * 10, large_definition(version)))));
+    let update = giver.changes_for(knowledge_of_version(1));
     // This mirror has another configuration under the same version.
     let mut other = Mirror::default();
-    let mut routes = large(1).routes;
+    let mut routes = large_definition(1).routes;
     routes[3].timeout_ms = 77;
-    other.merge(told(10, definition(1, routes)));
+    other.merge(configuration_update(10, definition(1, routes)));
     assert!(other.merge(update.clone()).configuration.is_none());
     assert_eq!(other.version(), 1);
     let mut newer = Mirror::default();
-    newer.merge(told(50, large(5)));
+    newer.merge(configuration_update(50, large_definition(5)));
     assert!(newer.merge(update.clone()).configuration.is_none(), "versions only rise");
     assert!(
         Mirror::default().merge(update).configuration.is_none(),
@@ -100,14 +100,14 @@
 #[test]
 fn a_change_of_many_routes_is_no_small_change() {
     let mut giver = Mirror::default();
-    giver.merge(told(10, definition(1, (0..20).map(|number| route(number, 1)).collect())));
-    giver.merge(told(20, large(2)));
+    giver.merge(configuration_update(10, definition(1, (0..20).map(|number| route(number, 1)).collect())));
+    giver.merge(configuration_update(20, large_definition(2)));
     assert!(
-        giver.changes_for(knows(1)).items.is_empty(),
+        giver.changes_for(knowledge_of_version(1)).items.is_empty(),
         "the configuration is too large to be sent, and so is the delta"
     );
-    giver.merge(told(30, large(3)));
-    assert_eq!(giver.changes_for(knows(2)).items.len(), 1);
+    giver.merge(configuration_update(30, large_definition(3)));
+    assert_eq!(giver.changes_for(knowledge_of_version(2)).items.len(), 1);
 }
 
 #[test]
@@ -125,12 +125,12 @@
 proptest! {
     /// The delta between any two versions leads from the one to the other, and from no other version.
     #[test]
-    fn a_change_leads_from_one_version_to_the_other_alone(old in routes(), new in routes(), third in routes()) {
-        let (old, new, third) = (definition(1, old), definition(2, new), definition(1, third));
+    fn a_change_leads_from_one_version_to_the_other_alone(old in routes(), new in routes(), other in routes()) {
+        let (old, new, other) = (definition(1, old), definition(2, new), definition(1, other));
         let delta = DefinitionDelta::between(&old, &new).expect("names are unique");
-        prop_assert_eq!(delta.apply(&old).map(by_name), Some(by_name(new.clone())));
-        if let Some(result) = delta.apply(&third) {
-            prop_assert_eq!(by_name(result), by_name(new.clone()));
+        prop_assert_eq!(delta.apply(&old).map(sorted_by_name), Some(sorted_by_name(new.clone())));
+        if let Some(result) = delta.apply(&other) {
+            prop_assert_eq!(sorted_by_name(result), sorted_by_name(new.clone()));
         }
         prop_assert!(delta.apply(&new).is_none());
     }
--- a/crates/staircross-routing/tests/evacuations.rs
+++ b/crates/staircross-routing/tests/evacuations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, known, listing, searcher};
+use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_with_routes, knowledge, listing, searcher};
 use staircross_routing::state::mirror::MirrorChanges;
 use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge};
 use std::sync::Arc;
@@ -32,9 +32,9 @@
     mirror.merge(changes(vec![(20, evacuation("a", true)), (21, evacuation("b", true)), (40, evacuation("c", true))]));
     let items = vec![(21, evacuation("b", true))];
     let read = MirrorUpdate { items, all_evacuations_at: Some(30), ..MirrorUpdate::default() };
-    let told = mirror.merge(read);
+    let reported = mirror.merge(read);
     assert_eq!(
-        zones(&told),
+        zones(&reported),
         Some(vec!["b".to_owned(), "c".to_owned()]),
         "the evacuation of `c` is newer than the listing"
     );
@@ -49,17 +49,17 @@
     peer.merge(mirror.changes_for(NOTHING_KNOWN));
     assert_eq!(peer.evacuations_revision(), 47);
     mirror.merge(changes(vec![(60, evacuation("a", false))]));
-    let told = peer.merge(mirror.changes_for(known(&peer)));
-    assert_eq!(zones(&told), Some(Vec::new()));
-    assert_eq!(mirror.changes_for(known(&peer)).items, [], "the peer already knows everything");
+    let reported = peer.merge(mirror.changes_for(knowledge(&peer)));
+    assert_eq!(zones(&reported), Some(Vec::new()));
+    assert_eq!(mirror.changes_for(knowledge(&peer)).items, [], "the peer already knows everything");
 }
 
 #[test]
 fn an_evacuation_comes_with_a_configuration_that_is_too_large_to_be_passed_on() {
     let mut mirror = Mirror::default();
-    mirror.merge(changes(vec![(10, configuration_of(1000)), (12, evacuation("a", true))]));
-    let told = mirror.changes_for(PeerKnowledge { accepts: AcceptedConfiguration::Small, ..NOTHING_KNOWN });
-    assert_eq!(told.items, [(12, evacuation("a", true))]);
+    mirror.merge(changes(vec![(10, configuration_with_routes(1000)), (12, evacuation("a", true))]));
+    let update = mirror.changes_for(PeerKnowledge { accepts: AcceptedConfiguration::Small, ..NOTHING_KNOWN });
+    assert_eq!(update.items, [(12, evacuation("a", true))]);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let changes = mirror.merge(changes(vec![(5, evacuation("a", true))]));
     assert_eq!(zones(&changes), None, "the evacuation had ended by the listing");
     assert_eq!(
-        zones(&mirror.merge(changes_of("a", 11))),
+        zones(&mirror.merge(evacuation_update("a", 11))),
         Some(vec!["a".to_owned()]),
         "a later evacuation is effective"
     );
@@ -89,9 +89,9 @@
     });
     let mut asker = Mirror::default();
     asker.merge(changes(vec![(3, configuration(1)), (5, evacuation("a", true)), (12, evacuation("b", true))]));
-    let told = reader.changes_for(known(&asker));
+    let update = reader.changes_for(knowledge(&asker));
     assert_eq!(
-        zones(&asker.merge(told)),
+        zones(&asker.merge(update)),
         Some(vec!["b".to_owned()]),
         "the evacuation that began after the listing continues"
     );
@@ -118,8 +118,8 @@
     let ended = MirrorUpdate { operator_up_to: 22, ..changes(vec![(21, evacuation("a", false))]) };
     reader.merge(ended);
     assert!(asker.evacuations_revision() < reader.evacuations_revision(), "the asker must notice that it is behind");
-    let told = asker.merge(reader.changes_for(known(&asker)));
-    assert_eq!(zones(&told), Some(vec!["b".to_owned()]));
+    let reported = asker.merge(reader.changes_for(knowledge(&asker)));
+    assert_eq!(zones(&reported), Some(vec!["b".to_owned()]));
 }
 
 /// Guards against a node that asks its peers at each tick, permanently, and is sent nothing. The node ignored the end
@@ -134,10 +134,10 @@
         all_evacuations_at: Some(9),
         ..MirrorUpdate::default()
     });
-    newcomer.merge(informed.changes_for(known(&newcomer)));
+    newcomer.merge(informed.changes_for(knowledge(&newcomer)));
     assert!(newcomer.evacuations_revision() >= informed.evacuations_revision());
 }
 
-fn changes_of(zone: &str, revision: u64) -> MirrorUpdate {
+fn evacuation_update(zone: &str, revision: u64) -> MirrorUpdate {
     changes(vec![(revision, evacuation(zone, true))])
 }
--- a/crates/staircross-routing/tests/fair_share.rs
+++ b/crates/staircross-routing/tests/fair_share.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn name(index: usize) -> Arc<str> {
+fn tenant_name(index: usize) -> Arc<str> {
     Arc::from(format!("t{index}"))
 }
 
@@ -24,23 +24,32 @@
         let now = BootTime::from_millis(5000);
         let mut shares = FairShares::default();
         for (index, count) in counts.iter().enumerate() {
-            (0..*count).for_each(|_| shares.count(now, Some(&name(index))));
+            (0..*count).for_each(|_| shares.count(now, Some(&tenant_name(index))));
         }
-        let fraction = |index| shares.clone().admitted_fraction(now, Some(&name(index)), level);
+        let fraction = |index| shares.clone().admitted_fraction(now, Some(&tenant_name(index)), level);
         let tenants: Vec<(f64, f64)> = counts.iter().enumerate().map(|(i, count)| (f64::from(*count), fraction(i))).collect();
         let all: f64 = tenants.iter().map(|(count, _)| count).sum();
-        let taken: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
-        prop_assert!((taken - level * all).abs() < 1e-5 * all, "{taken} of {all} requests are admitted at level {level}");
+        let admitted: f64 = tenants.iter().map(|(count, fraction)| count * fraction).sum();
+        prop_assert!(
+            (admitted - level * all).abs() < 1e-5 * all,
+            "{admitted} of {all} requests are admitted at level {level}"
+        );
 
         let floor = TENANT_FLOOR * level;
         let fair_share = (1.0 - TENANT_FLOOR) * level * all / tenants.len() as f64;
         for (count, fraction) in &tenants {
             prop_assert!((floor..=1.0).contains(fraction));
-            prop_assert!(*count > fair_share || *fraction == 1.0, "a tenant with {count} requests and a share of {fair_share} gets the fraction {fraction}");
+            prop_assert!(
+                *count > fair_share || *fraction == 1.0,
+                "a tenant with {count} requests and a share of {fair_share} gets the fraction {fraction}"
+            );
             for (other_count, other_fraction) in &tenants {
                 let other_has_more = other_count * other_fraction > count * fraction + 1e-5 * all;
                 let is_fair = *fraction > 1.0 - 1e-6 || *other_fraction < floor + 1e-6;
-                prop_assert!(!other_has_more || is_fair, "the fraction {fraction} of {count} and {other_fraction} of {other_count} requests");
+                prop_assert!(
+                    !other_has_more || is_fair,
+                    "the fraction {fraction} of {count} and {other_fraction} of {other_count} requests"
+                );
             }
         }
     }
@@ -58,7 +67,7 @@
         let mut now = BootTime::from_millis(1);
         let mut owed = 0.0_f64;
         for request in 0..600 {
-            let tenant = name((tenants as f64 * random.random::<f64>().powf(1.0 + skew)) as usize);
+            let tenant = tenant_name((tenants as f64 * random.random::<f64>().powf(1.0 + skew)) as usize);
             let level = levels[request * levels.len() / 600];
             now = now + Duration::from_millis(random.random_range(0..=gap_ms * 2));
             shares.count(now, Some(&tenant));
@@ -87,12 +96,12 @@
     for step in 0..40_000_usize {
         let now = BootTime::from_millis(step as u64 * 2);
         let is_greedy = step % 2 == 0;
-        let tenant = if is_greedy { greedy.clone() } else { name(step % 10_000) };
+        let tenant = if is_greedy { greedy.clone() } else { tenant_name(step % 10_000) };
         shares.count(now, Some(&tenant));
         let fraction = shares.admitted_fraction(now, Some(&tenant), 0.7);
         if is_greedy { of_greedy.push(fraction) } else { of_others.push(fraction) }
     }
-    let mean = |parts: &[f64]| parts.iter().sum::<f64>() / parts.len() as f64;
+    let mean = |fractions: &[f64]| fractions.iter().sum::<f64>() / fractions.len() as f64;
     // The greedy tenant is held at the floor, and the others get what that leaves of a level of 0.7.
     assert!((mean(&of_greedy) - 0.7 * TENANT_FLOOR).abs() < 0.01, "{}", mean(&of_greedy));
     assert!((mean(&of_others) - (1.4 - 0.7 * TENANT_FLOOR)).abs() < 0.01, "{}", mean(&of_others));
@@ -120,9 +129,9 @@
 
 /// How a node chooses the requests that it refuses: at random, or by the tenants' fair shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Refusing {
-    ByChance,
-    ByShares,
+enum RefusalMode {
+    AtRandom,
+    ByFairShares,
 }
 
 /// Number of nodes of which each receives enough requests to adjust its admission level itself.
@@ -135,18 +144,18 @@
 const WORK: Duration = Duration::from_millis(28);
 const FAN_OUT: usize = 36;
 /// Longest wait for the searchers. They shed requests that would wait longer.
-const LONGEST_QUEUE: Duration = Duration::from_millis(1000);
+const MAX_WAIT: Duration = Duration::from_millis(1000);
 
 /// The number of requests that were offered, and the number that were answered in time.
 #[derive(Clone, Copy, Default)]
-struct Served {
-    asked: f64,
+struct TenantCounts {
+    offered: f64,
     in_time: f64,
 }
 
-impl Served {
+impl TenantCounts {
     fn fraction(self) -> f64 {
-        self.in_time / self.asked.max(1.0)
+        self.in_time / self.offered.max(1.0)
     }
 }
 
@@ -159,9 +168,9 @@
 
     /// Offers requests for `span` at these rates per second, one for each tenant, and returns the counts of each
     /// tenant.
-    fn offer(&mut self, rates: &[f64], refusing: Refusing, span: Duration) -> Vec<Served> {
+    fn offer(&mut self, rates: &[f64], mode: RefusalMode, span: Duration) -> Vec<TenantCounts> {
         let all: f64 = rates.iter().sum();
-        let mut served = vec![Served::default(); rates.len()];
+        let mut counts_by_tenant = vec![TenantCounts::default(); rates.len()];
         let end = self.now + span;
         while self.now < end {
             let gap = -(1.0 - self.random.random::<f64>()).ln() / all;
@@ -172,18 +181,18 @@
                 pick < 0.0
             });
             let tenant = tenant.unwrap_or(0);
-            served[tenant].asked += 1.0;
-            if self.is_taken(&name(tenant), refusing) {
+            counts_by_tenant[tenant].offered += 1.0;
+            if self.reaches_searchers(&tenant_name(tenant), mode) {
                 let begins = self.free_at.max(self.now);
                 self.free_at = begins + Duration::from_secs_f64(1.0 / CAPACITY);
-                served[tenant].in_time += f64::from(u8::from(self.now.until(begins) + WORK <= GOAL));
+                counts_by_tenant[tenant].in_time += f64::from(u8::from(self.now.until(begins) + WORK <= GOAL));
             }
         }
-        served
+        counts_by_tenant
     }
 
     /// Returns whether a request reaches the searchers: its node admits it, and they don't shed it.
-    fn is_taken(&mut self, tenant: &Arc<str>, refusing: Refusing) -> bool {
+    fn reaches_searchers(&mut self, tenant: &Arc<str>, mode: RefusalMode) -> bool {
         let (now, begins) = (self.now, self.free_at.max(self.now));
         let index = self.random.random_range(0..self.nodes.len());
         let node = &mut self.nodes[index];
@@ -196,15 +205,15 @@
         }
         node.shares.count(now, Some(tenant));
         let level = self.level.unwrap_or(node.admission.level());
-        let fraction = match refusing {
-            Refusing::ByShares if level < 1.0 => node.shares.admitted_fraction(now, Some(tenant), level),
+        let fraction = match mode {
+            RefusalMode::ByFairShares if level < 1.0 => node.shares.admitted_fraction(now, Some(tenant), level),
             _ => level,
         };
         if !self.random.random_bool(fraction) {
             return false;
         }
         let waited = now.until(begins);
-        let has_room = waited <= LONGEST_QUEUE;
+        let has_room = waited <= MAX_WAIT;
         let at = if has_room { begins + WORK } else { now };
         node.ends.push_back((at, waited));
         has_room
@@ -221,48 +230,55 @@
     all: f64,
 }
 
-fn outcome(served: &[Served]) -> Outcome {
-    let mut parts: Vec<f64> = served.iter().map(|tenant| tenant.fraction()).collect();
-    let greedy = parts[0];
-    parts.sort_by(f64::total_cmp);
-    let worst = &parts[..parts.len().div_ceil(10)];
-    let sum = |served: &[Served]| {
-        let add =
-            |sum: Served, one: &Served| Served { asked: sum.asked + one.asked, in_time: sum.in_time + one.in_time };
-        served.iter().fold(Served::default(), add).fraction()
+fn summarize(counts_by_tenant: &[TenantCounts]) -> Outcome {
+    let mut fractions: Vec<f64> = counts_by_tenant.iter().map(|tenant| tenant.fraction()).collect();
+    let greedy = fractions[0];
+    fractions.sort_by(f64::total_cmp);
+    let worst = &fractions[..fractions.len().div_ceil(10)];
+    let total_fraction = |counts_by_tenant: &[TenantCounts]| {
+        let add = |sum: TenantCounts, one: &TenantCounts| TenantCounts {
+            offered: sum.offered + one.offered,
+            in_time: sum.in_time + one.in_time,
+        };
+        counts_by_tenant.iter().fold(TenantCounts::default(), add).fraction()
     };
     let worst_tenth = worst.iter().sum::<f64>() / worst.len() as f64;
-    Outcome { worst_tenth, greedy, others: sum(&served[1..]), all: sum(served) }
+    Outcome {
+        worst_tenth,
+        greedy,
+        others: total_fraction(&counts_by_tenant[1..]),
+        all: total_fraction(counts_by_tenant),
+    }
 }
 
 /// Simulates 78 tenants, of which the first sends 7.5 times as many requests as each other one. The total load is
 /// `load` times the capacity.
-fn greedy_tenant(nodes: usize, load: f64, refusing: Refusing, seed: u64) -> Outcome {
+fn simulate_greedy_tenant(nodes: usize, load: f64, mode: RefusalMode, seed: u64) -> Outcome {
     let mut rates = vec![1.0; 78];
     rates[0] = 7.5;
-    overloaded(nodes, &rates, load, refusing, seed)
+    simulate_overload(nodes, &rates, load, mode, seed)
 }
 
-fn overloaded(nodes: usize, rates: &[f64], load: f64, refusing: Refusing, seed: u64) -> Outcome {
+fn simulate_overload(nodes: usize, rates: &[f64], load: f64, mode: RefusalMode, seed: u64) -> Outcome {
     let factor = load * CAPACITY / rates.iter().sum::<f64>();
     let rates: Vec<f64> = rates.iter().map(|rate| rate * factor).collect();
     let level = (nodes == MANY_NODES).then_some(0.95 / load);
     let mut site = Site::new(nodes, level, seed);
-    site.offer(&rates, refusing, Duration::from_secs(40));
-    outcome(&site.offer(&rates, refusing, Duration::from_secs(200)))
+    site.offer(&rates, mode, Duration::from_secs(40));
+    summarize(&site.offer(&rates, mode, Duration::from_secs(200)))
 }
 
 #[test]
 fn a_tenant_that_asks_for_much_gives_way_and_none_is_left_far_behind() {
     for nodes in [FEW_NODES, MANY_NODES] {
         for load in [1.3, 2.0] {
-            let by_chance = greedy_tenant(nodes, load, Refusing::ByChance, 1);
-            let by_shares = greedy_tenant(nodes, load, Refusing::ByShares, 1);
-            let case = format!("{nodes} nodes, {load} times: {by_chance:.3?}, {by_shares:.3?}");
-            assert!(by_shares.worst_tenth > by_shares.all - 0.05, "{case}");
-            assert!(by_shares.greedy < by_shares.others - 0.05, "{case}");
-            assert!(by_shares.greedy > TENANT_FLOOR * by_shares.all - 0.05, "{case}");
-            assert!(by_shares.all > by_chance.all - 0.02, "the total must not fall: {case}");
+            let at_random = simulate_greedy_tenant(nodes, load, RefusalMode::AtRandom, 1);
+            let by_fair_shares = simulate_greedy_tenant(nodes, load, RefusalMode::ByFairShares, 1);
+            let case = format!("{nodes} nodes, {load} times: {at_random:.3?}, {by_fair_shares:.3?}");
+            assert!(by_fair_shares.worst_tenth > by_fair_shares.all - 0.05, "{case}");
+            assert!(by_fair_shares.greedy < by_fair_shares.others - 0.05, "{case}");
+            assert!(by_fair_shares.greedy > TENANT_FLOOR * by_fair_shares.all - 0.05, "{case}");
+            assert!(by_fair_shares.all > at_random.all - 0.02, "the total must not fall: {case}");
         }
     }
 }
@@ -271,7 +287,7 @@
 fn beside_large_tenants_that_ask_for_their_usual_the_worst_tenth_is_not_left_far_behind() {
     let rates: Vec<f64> = (0..78).map(|index| if index < 4 { 12.0 } else { 1.0 }).collect();
     for load in [1.3, 2.0] {
-        let outcome = overloaded(FEW_NODES, &rates, load, Refusing::ByShares, 1);
+        let outcome = simulate_overload(FEW_NODES, &rates, load, RefusalMode::ByFairShares, 1);
         assert!(outcome.worst_tenth > outcome.all - 0.05, "{load} times: {outcome:.3?}");
     }
 }
--- a/crates/staircross-routing/tests/fuzz.rs
+++ b/crates/staircross-routing/tests/fuzz.rs
@@ -6,7 +6,7 @@
 mod common;
 mod history;
 
-use history::{any_step, play};
+use history::{any_step, run_history};
 use proptest::prelude::*;
 
 proptest! {
@@ -19,6 +19,6 @@
 
     #[test]
     fn random_histories_break_no_rule(steps in prop::collection::vec(any_step(), 1..160)) {
-        play(&steps)?;
+        run_history(&steps)?;
     }
 }
--- a/crates/staircross-routing/tests/gather.rs
+++ b/crates/staircross-routing/tests/gather.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Driver, LAPSE_MS, answer, definition, gather, records, route, searcher};
+use common::{Driver, LAPSE_GRACE_MS, answer, definition, gather, records, route, searcher};
 use staircross_routing::engine::{LeftOutCause, RoutingEvent, SendReason};
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{
@@ -42,7 +42,7 @@
     assert_eq!(driver.instances(request), ["w-a", "x-a", "y-a", "z-a"]);
     let bodies = [records(&[1, 9]), records(&[7, 7]), records(&[3]), records(&[])];
     for (index, attempt) in attempts(&driver, request).into_iter().enumerate() {
-        driver.pass_ms(3);
+        driver.advance_ms(3);
         driver.end(attempt, answer(200, &format!("stamp{index}"), bodies[index].clone()));
     }
     let answer = merged(&driver, request);
@@ -68,11 +68,11 @@
     let mut driver = driver(0.5);
     let request = driver.request("/q/1");
     let all = attempts(&driver, request);
-    driver.pass_ms(30);
+    driver.advance_ms(30);
     for attempt in &all[..3] {
         driver.end(*attempt, answer(200, "stamp", records(&[1])));
     }
-    driver.pass_ms(150);
+    driver.advance_ms(150);
     assert_eq!(driver.reasons(request).last(), Some(&SendReason::Hedge));
     let hedge = driver.sends.last().expect("hedged").attempt;
     driver.end(hedge, answer(200, "hedge", records(&[2])));
@@ -90,12 +90,12 @@
     let request = driver.request("/q/1");
     let began = driver.now;
     let all = attempts(&driver, request);
-    driver.pass_ms(30);
+    driver.advance_ms(30);
     for attempt in &all[..3] {
         driver.end(*attempt, answer(200, "stamp", records(&[1])));
     }
     while driver.finished.is_empty() && driver.now.since(began).as_millis() < 1000 {
-        driver.pass_ms(1);
+        driver.advance_ms(1);
     }
     let took = driver.now.since(began).as_millis();
     assert!((150..250).contains(&took), "answered after {took} ms, the goal is 250 ms");
@@ -109,11 +109,11 @@
     let mut driver = driver(0.75);
     let request = driver.request("/q/1");
     let all = attempts(&driver, request);
-    driver.pass_ms(30);
+    driver.advance_ms(30);
     for attempt in &all[..2] {
         driver.end(*attempt, answer(200, "stamp", records(&[1])));
     }
-    driver.pass_ms(500);
+    driver.advance_ms(500);
     assert!(driver.finished.is_empty(), "two of four shards are too few for an answer");
     driver.end(all[2], answer(200, "stamp", records(&[1])));
     assert_eq!(merged(&driver, request).missing, 1);
@@ -161,7 +161,7 @@
     let mut driver = driver(1.0);
     let gone = ["w-a", "w-b", "w-c"].map(Arc::from).to_vec();
     driver.event(RoutingEvent::SearchersGone(gone));
-    driver.pass_ms(LAPSE_MS);
+    driver.advance_ms(LAPSE_GRACE_MS);
     let request = driver.request("/q/1");
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplica));
     assert!(driver.sends.is_empty());
@@ -171,7 +171,7 @@
 fn a_shard_without_searchers_is_counted_as_missing() {
     let mut driver = driver(0.75);
     driver.event(RoutingEvent::SearchersGone(["w-a", "w-b", "w-c"].map(Arc::from).to_vec()));
-    driver.pass_ms(LAPSE_MS);
+    driver.advance_ms(LAPSE_GRACE_MS);
     let request = driver.request("/q/1");
     for attempt in attempts(&driver, request) {
         driver.end(attempt, answer(200, "stamp", records(&[1])));
@@ -191,7 +191,7 @@
         for attempt in open {
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        driver.pass_ms(10);
+        driver.advance_ms(10);
         assert!(driver.now.since(came).as_millis() < 4000, "the request was held past its timeout");
     }
     assert_eq!(driver.refusal(request).map(|kind| kind.executed()), Some(Executed::Never));
@@ -226,14 +226,14 @@
 #[test]
 fn a_searcher_with_an_overdue_attempt_is_passed_over() {
     let mut driver = driver(0.5);
-    driver.fleet(&[("a", 1), ("b", 1), ("c", 1)], 3);
+    driver.set_fleet(&[("a", 1), ("b", 1), ("c", 1)], 3);
     let first = driver.request("/q/1");
     let all = attempts(&driver, first);
     for attempt in &all[1..] {
-        driver.pass_ms(5);
+        driver.advance_ms(5);
         driver.end(*attempt, answer(200, "stamp", records(&[1])));
     }
-    driver.pass_ms(110);
+    driver.advance_ms(110);
     let second = driver.request("/q/2");
     assert_ne!(driver.instances(second)[0], "w-a", "a searcher with an overdue attempt isn't asked");
     assert_eq!(driver.instances(second)[1..], ["x-a", "y-a", "z-a"]);
@@ -246,13 +246,13 @@
         let request = driver.request("/q/1");
         let orders: Vec<_> =
             driver.sent_for(request).iter().map(|order| (order.attempt, order.instance.to_string())).collect();
-        driver.pass_ms(30);
+        driver.advance_ms(30);
         for (attempt, instance) in orders.iter().filter(|(_, instance)| instance != "w-a") {
             assert!(!instance.is_empty());
             driver.end(*attempt, answer(200, "stamp", records(&[1])));
         }
         if let Some((attempt, _)) = orders.iter().find(|(_, instance)| instance == "w-a") {
-            driver.pass_ms(slow_ms);
+            driver.advance_ms(slow_ms);
             driver.end(*attempt, answer(200, "stamp", records(&[1])));
         }
         // Answers hedges too, so that they don't count as overdue.
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -14,31 +14,31 @@
     CallerLink { round_trip: Some(Duration::from_secs_f64(millis / 1000.0)), is_fresh }
 }
 
-fn left(goal_ms: u64, link: CallerLink) -> Duration {
-    let mut wanted = route("r", RouteTarget::Service(Arc::from("books")));
-    wanted.goal_ms = goal_ms;
-    usable_goal(&wanted, &link)
+fn usable_goal_of(goal_ms: u64, link: CallerLink) -> Duration {
+    let mut route_with_goal = route("r", RouteTarget::Service(Arc::from("books")));
+    route_with_goal.goal_ms = goal_ms;
+    usable_goal(&route_with_goal, &link)
 }
 
 #[test]
 fn a_far_caller_leaves_less_time_than_a_near_one() {
-    assert_eq!(left(200, link(2.5, true)), Duration::from_millis(180));
-    assert_eq!(left(200, link(6.0, true)), Duration::from_millis(166));
+    assert_eq!(usable_goal_of(200, link(2.5, true)), Duration::from_millis(180));
+    assert_eq!(usable_goal_of(200, link(6.0, true)), Duration::from_millis(166));
 }
 
 #[test]
 fn a_kept_connection_leaves_more_time_than_a_fresh_one() {
-    assert_eq!(left(200, link(6.0, false)), Duration::from_millis(172));
+    assert_eq!(usable_goal_of(200, link(6.0, false)), Duration::from_millis(172));
 }
 
 #[test]
 fn a_caller_whose_way_takes_longer_than_its_goal_leaves_half_of_it() {
-    assert_eq!(left(60, link(24.0, true)), Duration::from_millis(30));
+    assert_eq!(usable_goal_of(60, link(24.0, true)), Duration::from_millis(30));
 }
 
 #[test]
 fn where_the_system_does_not_tell_a_usual_way_is_taken() {
-    assert_eq!(left(200, CallerLink::default()), Duration::from_millis(178));
+    assert_eq!(usable_goal_of(200, CallerLink::default()), Duration::from_millis(178));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     for attempt in driver.sent_for(key).iter().skip(1).map(|order| order.attempt).collect::<Vec<_>>() {
         driver.end(attempt, answer(200, "stamp", records(&[1])));
     }
-    driver.pass_ms(1000);
+    driver.advance_ms(1000);
     driver.finished_at[0].since(came)
 }
 
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -14,16 +14,16 @@
 const WORK_MS: u64 = 10;
 
 /// Returns a driver that has learned the work of its route from 200 answers of 10 ms, of which every eighth took 60 ms.
-fn measured() -> Driver {
+fn driver_with_known_work() -> Driver {
     let routes = vec![route("s", RouteTarget::Service(Arc::from("x")))];
     let searchers = vec![searcher("a1", "x", "a"), searcher("a2", "x", "a")];
     let mut driver = Driver::with(definition(1, routes, &["x"]), searchers);
     for number in 0..200 {
         let request = driver.request("/s/1");
         let attempt = driver.sent_for(request)[0].attempt;
-        driver.pass_ms(if number % 8 == 0 { 6 * WORK_MS } else { WORK_MS });
+        driver.advance_ms(if number % 8 == 0 { 6 * WORK_MS } else { WORK_MS });
         driver.end(attempt, answer(200, "p", Vec::new()));
-        driver.pass_ms(40);
+        driver.advance_ms(40);
     }
     driver
 }
@@ -32,7 +32,7 @@
 fn hedged_after(driver: &mut Driver, request: RequestKey) -> u64 {
     let sent = driver.now;
     while driver.sent_for(request).len() < 2 {
-        driver.pass_ms(1);
+        driver.advance_ms(1);
         assert!(driver.now < sent + Duration::from_secs(2), "the request was never hedged");
     }
     driver.now.since(sent).as_millis() as u64
@@ -45,20 +45,20 @@
         let first = driver.sent_for(request)[0].attempt;
         driver.end(first, AttemptOutcome::Unknown(Unknown::Broken));
         let second = driver.sent_for(request)[1].attempt;
-        driver.pass_ms(WORK_MS);
+        driver.advance_ms(WORK_MS);
         driver.end(second, answer(200, "p", Vec::new()));
     }
 }
 
 #[test]
 fn hedges_go_out_later_when_little_of_the_budget_is_left() {
-    let mut rich = measured();
-    let request = rich.request("/s/1");
-    let early = hedged_after(&mut rich, request);
-    let mut poor = measured();
-    spend_most_of_the_budget(&mut poor);
-    let request = poor.request("/s/1");
-    let late = hedged_after(&mut poor, request);
+    let mut full_budget = driver_with_known_work();
+    let request = full_budget.request("/s/1");
+    let early = hedged_after(&mut full_budget, request);
+    let mut spent_budget = driver_with_known_work();
+    spend_most_of_the_budget(&mut spent_budget);
+    let request = spent_budget.request("/s/1");
+    let late = hedged_after(&mut spent_budget, request);
     assert!(early < late, "hedged after {early} ms with all of the budget, after {late} ms with little");
 }
 
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -30,7 +30,7 @@
     driver.event(RoutingEvent::Searchers(vec![searcher("s-1", "books", "a")]));
     let request = driver.request("/r/1");
     assert_eq!(driver.held, [(request, HoldCause::NoConfiguration)]);
-    driver.pass_ms(60);
+    driver.advance_ms(60);
     driver.configure(one_service(1, "r"));
     assert_eq!(driver.sent_for(request).len(), 1);
     driver.end(driver.sends[0].attempt, answer(200, "stamp", Vec::new()));
@@ -41,9 +41,9 @@
 fn a_node_without_a_configuration_refuses_as_not_run_after_a_moment() {
     let mut driver = Driver::new();
     let request = driver.request("/r/1");
-    driver.pass_ms(HOLD_MS - 1);
+    driver.advance_ms(HOLD_MS - 1);
     assert_eq!(driver.verdict(request), None);
-    driver.pass_ms(1);
+    driver.advance_ms(1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoConfiguration));
     assert_eq!(ErrorKind::NoConfiguration.http_status(), 503);
     assert!(driver.sends.is_empty());
@@ -53,7 +53,7 @@
 fn a_route_that_a_newer_configuration_may_have_is_not_denied() {
     let mut driver = Driver::with(one_service(1, "r"), vec![searcher("s-1", "books", "a")]);
     let request = arrive(&mut driver, "/added/1", |arrival| arrival.newest_version = 2);
-    driver.pass_ms(HOLD_MS);
+    driver.advance_ms(HOLD_MS);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoConfiguration));
 }
 
@@ -78,7 +78,7 @@
 fn a_caller_whose_hold_brought_no_searchers_is_told_to_come_back_when_they_may_be_known() {
     let mut driver = Driver::with(one_service(1, "r"), Vec::new());
     let request = arrive(&mut driver, "/r/1", |arrival| arrival.knows_searchers = false);
-    driver.pass_ms(HOLD_MS);
+    driver.advance_ms(HOLD_MS);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplicaYet));
     assert!(ErrorKind::NoReplicaYet.retry_after_ms() > ErrorKind::NoReplica.retry_after_ms());
 }
@@ -96,7 +96,7 @@
     driver.event(RoutingEvent::Searchers(vec![searcher("s-1", "books", "a")]));
     let began = driver.now;
     let request = arrive(&mut driver, "/r/1", |arrival| arrival.caller_timeout = Some(Duration::from_millis(1600)));
-    driver.pass_ms(300);
+    driver.advance_ms(300);
     driver.configure(one_service(1, "r"));
     assert_eq!(driver.sent_for(request)[0].deadline, began + Duration::from_millis(1600));
 }
@@ -105,7 +105,7 @@
 fn a_hold_leaves_an_impatient_caller_time_to_ask_another_node() {
     let mut driver = Driver::new();
     let request = arrive(&mut driver, "/r/1", |arrival| arrival.caller_timeout = Some(Duration::from_millis(400)));
-    driver.pass_ms(100);
+    driver.advance_ms(100);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoConfiguration));
 }
 
--- a/crates/staircross-routing/tests/history/judge.rs
+++ b/crates/staircross-routing/tests/history/judge.rs
@@ -1,6 +1,6 @@
 //! The rules that no history may break, checked against the ledger. They don't depend on how the engine decides.
 
-use super::{Fate, NORTHERN, SLACK, Sending, World, tight_settings};
+use super::{AttemptState, NORTHERN_ROUTE, SLACK, SentAttempt, World, settings_with_little_slack};
 use proptest::prelude::*;
 use staircross_routing::{AttemptKey, RequestKey, Verdict};
 use staircross_types::{BootTime, ErrorKind, errors::Executed};
@@ -8,17 +8,18 @@
 use std::time::Duration;
 
 impl World {
-    pub(super) fn judge(&mut self) -> Result<(), TestCaseError> {
-        while self.judged_sends < self.driver.sends.len() {
-            let order = self.driver.sends[self.judged_sends].clone();
-            let at = self.driver.sent_at[self.judged_sends];
-            self.judged_sends += 1;
-            self.judge_send(&order, at)?;
+    /// Checks the sends and verdicts since the last call.
+    pub(super) fn check_new_actions(&mut self) -> Result<(), TestCaseError> {
+        while self.checked_sends < self.driver.sends.len() {
+            let order = self.driver.sends[self.checked_sends].clone();
+            let at = self.driver.sent_at[self.checked_sends];
+            self.checked_sends += 1;
+            self.check_send(&order, at)?;
         }
-        while self.judged_ends < self.driver.finished.len() {
-            let (key, verdict) = self.driver.finished[self.judged_ends].clone();
-            self.judged_ends += 1;
-            self.judge_end(key, &verdict)?;
+        while self.checked_ends < self.driver.finished.len() {
+            let (key, verdict) = self.driver.finished[self.checked_ends].clone();
+            self.checked_ends += 1;
+            self.check_verdict(key, &verdict)?;
         }
         Ok(())
     }
@@ -26,10 +27,10 @@
     /// Returns the service of a searcher whose entry was removed less than `lapse_grace` ago, which may still be asked.
     fn service_of_lapsed(&self, instance: &str, at: BootTime) -> Option<String> {
         let (service, since) = self.lapsed.get(instance)?;
-        (at < *since + tight_settings().lapse_grace).then(|| service.clone())
+        (at < *since + settings_with_little_slack().lapse_grace).then(|| service.clone())
     }
 
-    fn judge_send(&mut self, order: &staircross_routing::engine::SendOrder, at: BootTime) -> Result<(), TestCaseError> {
+    fn check_send(&mut self, order: &staircross_routing::engine::SendOrder, at: BootTime) -> Result<(), TestCaseError> {
         let key = order.attempt.request;
         let instance = order.instance.to_string();
         let service = self.serving.get(&instance).cloned().or_else(|| self.service_of_lapsed(&instance, at));
@@ -41,87 +42,100 @@
         prop_assert!(self.shards_of(key).contains(&service), "sent to a service that its configuration doesn't name");
         let zone = self.zones[&instance];
         prop_assert!(self.evacuated != Some(zone), "sent to zone {zone}, which is being evacuated");
-        let asked = &self.requests[&key];
-        prop_assert!(asked.route != NORTHERN || zone != "c", "sent to a region that its route doesn't allow");
-        prop_assert!(!asked.caller_left, "sent for a caller that has left");
+        let record = &self.requests[&key];
+        prop_assert!(record.route != NORTHERN_ROUTE || zone != "c", "sent to a region that its route doesn't allow");
+        prop_assert!(!record.caller_left, "sent for a caller that has left");
         prop_assert!(
-            order.deadline <= asked.arrived + Duration::from_millis(4000),
+            order.deadline <= record.arrived + Duration::from_millis(4000),
             "the attempt's deadline is later than the request's"
         );
-        let before: Vec<&Sending> = self
-            .sendings
+        let before: Vec<&SentAttempt> = self
+            .sent_attempts
             .iter()
-            .filter(|sending| sending.attempt.request == key && sending.service == service)
+            .filter(|sent_attempt| sent_attempt.attempt.request == key && sent_attempt.service == service)
             .collect();
-        let is_once = asked.route == 2;
-        let all_turned_away = before.iter().all(|sending| sending.fate == Fate::NotRun);
+        let may_run_only_once = record.route == 2;
+        let none_has_run = before.iter().all(|sent_attempt| sent_attempt.state == AttemptState::NotRun);
         prop_assert!(
-            !is_once || all_turned_away,
+            !may_run_only_once || none_has_run,
             "a request that may run only once was sent again after it may have run"
         );
-        let has_had_it = |sending: &&Sending| sending.arrived || sending.fate == Fate::Open;
-        let reached = before.iter().copied().filter(has_had_it).count();
-        let searchers: BTreeSet<&str> =
-            before.iter().copied().filter(has_had_it).map(|sending| sending.instance.as_str()).collect();
+        let may_have_received =
+            |sent_attempt: &&SentAttempt| sent_attempt.is_received || sent_attempt.state == AttemptState::Open;
+        let received_count = before.iter().copied().filter(may_have_received).count();
+        let searchers: BTreeSet<&str> = before
+            .iter()
+            .copied()
+            .filter(may_have_received)
+            .map(|sent_attempt| sent_attempt.instance.as_str())
+            .collect();
         prop_assert!(
             searchers.len() < 2 || searchers.contains(instance.as_str()),
             "sent to more searchers than allowed"
         );
-        let may_have_run = |sending: &&&Sending| sending.fate != Fate::NotRun && sending.instance == instance;
+        let may_have_run = |sent_attempt: &&&SentAttempt| {
+            sent_attempt.state != AttemptState::NotRun && sent_attempt.instance == instance
+        };
         prop_assert!(before.iter().find(may_have_run).is_none(), "sent again to a searcher that may have run it");
         // A send to a service that may have received the request already is extra, whatever reason the engine gives.
-        if reached > 0 {
-            self.extras.push((self.driver.now, order.attempt));
+        if received_count > 0 {
+            self.extra_sends.push((self.driver.now, order.attempt));
         }
-        let (attempt, fate) = (order.attempt, Fate::Open);
-        self.sendings.push(Sending { attempt, instance, service: service.clone(), fate, arrived: false });
-        self.judge_budget(&service)
+        let (attempt, state) = (order.attempt, AttemptState::Open);
+        self.sent_attempts.push(SentAttempt { attempt, instance, service: service.clone(), state, is_received: false });
+        self.check_budget(&service)
     }
 
-    fn judge_budget(&self, service: &str) -> Result<(), TestCaseError> {
+    /// Checks that the extra sends to a service in the last ten seconds are within the budget.
+    fn check_budget(&self, service: &str) -> Result<(), TestCaseError> {
         let since = self.driver.now - Duration::from_secs(10);
         // An attempt whose connection wasn't established reached no searcher and doesn't count.
-        let has_come = |attempt: &AttemptKey| {
-            let mut matching = self.sendings.iter().filter(|sending| sending.attempt == *attempt);
-            matching.any(|sending| sending.service == service && (sending.arrived || sending.fate == Fate::Open))
+        let has_reached_service = |attempt: &AttemptKey| {
+            let mut matching = self.sent_attempts.iter().filter(|sent_attempt| sent_attempt.attempt == *attempt);
+            matching.any(|sent_attempt| {
+                sent_attempt.service == service
+                    && (sent_attempt.is_received || sent_attempt.state == AttemptState::Open)
+            })
         };
-        let extras = self.extras.iter().filter(|(at, attempt)| *at >= since && has_come(attempt)).count() as f64;
+        let extra_sends =
+            self.extra_sends.iter().filter(|(at, attempt)| *at >= since && has_reached_service(attempt)).count() as f64;
         // The rule may also count requests from shortly before the window, so the ledger looks back one second more.
         let from = since - Duration::from_secs(1);
         let requests = self.arrivals.iter().filter(|(at, of)| *at >= from && of == service).count() as f64;
-        prop_assert!(extras <= requests * 0.2 + SLACK, "{extras} extra sends for {requests} requests");
+        prop_assert!(extra_sends <= requests * 0.2 + SLACK, "{extra_sends} extra sends for {requests} requests");
         Ok(())
     }
 
-    fn judge_end(&self, key: RequestKey, verdict: &Verdict) -> Result<(), TestCaseError> {
-        let times = self.driver.finished.iter().filter(|(other, _)| *other == key).count();
-        prop_assert_eq!(times, 1, "the request has more than one verdict");
-        let sent: Vec<&Sending> = self.sendings.iter().filter(|sending| sending.attempt.request == key).collect();
+    fn check_verdict(&self, key: RequestKey, verdict: &Verdict) -> Result<(), TestCaseError> {
+        let verdicts = self.driver.finished.iter().filter(|(other, _)| *other == key).count();
+        prop_assert_eq!(verdicts, 1, "the request has more than one verdict");
+        let sent: Vec<&SentAttempt> =
+            self.sent_attempts.iter().filter(|sent_attempt| sent_attempt.attempt.request == key).collect();
         match verdict {
             Verdict::Refused { kind, .. } => {
-                let is_promise = kind.executed() == Executed::Never;
-                let ran_nowhere = sent.iter().all(|sending| sending.fate == Fate::NotRun);
-                prop_assert!(!is_promise || ran_nowhere, "{} promises that nothing ran: {:?}", kind, sent);
+                let promises_not_run = kind.executed() == Executed::Never;
+                let ran_nowhere = sent.iter().all(|sent_attempt| sent_attempt.state == AttemptState::NotRun);
+                prop_assert!(!promises_not_run || ran_nowhere, "{} promises that nothing ran: {:?}", kind, sent);
                 prop_assert!(*kind != ErrorKind::Internal);
             }
             Verdict::Passed(passed) => {
-                let is_own = sent.iter().any(|sending| {
-                    let stamp = format!("{}-{}", sending.attempt.request.0, sending.attempt.number);
-                    passed.stamp.as_deref() == Some(stamp.as_bytes()) && sending.fate == Fate::MayHaveRun
+                let is_own_answer = sent.iter().any(|sent_attempt| {
+                    let stamp = format!("{}-{}", sent_attempt.attempt.request.0, sent_attempt.attempt.number);
+                    passed.stamp.as_deref() == Some(stamp.as_bytes()) && sent_attempt.state == AttemptState::MayHaveRun
                 });
-                prop_assert!(is_own, "the answer belongs to another request");
+                prop_assert!(is_own_answer, "the answer belongs to another request");
             }
-            Verdict::Merged(merged) => self.judge_merged(key, merged)?,
+            Verdict::Merged(merged) => self.check_merged(key, merged)?,
         }
         Ok(())
     }
 
-    fn judge_merged(&self, key: RequestKey, merged: &staircross_routing::MergedAnswer) -> Result<(), TestCaseError> {
-        let given = self.parts.get(&key).cloned().unwrap_or_default();
+    fn check_merged(&self, key: RequestKey, merged: &staircross_routing::MergedAnswer) -> Result<(), TestCaseError> {
+        let sent_parts = self.parts.get(&key).cloned().unwrap_or_default();
         let mut services = BTreeSet::new();
         let mut all: Vec<[u8; 16]> = Vec::new();
         for stamp in &merged.stamps {
-            let part = given.iter().find(|(known, _, _)| known.as_bytes() == stamp.as_slice());
+            let part = sent_parts.iter().find(|(known, _, _)| known.as_bytes() == stamp.as_slice());
             prop_assert!(part.is_some(), "no part with this stamp was sent for this request");
             let (_, service, body) = part.cloned().unwrap_or_default();
             prop_assert!(services.insert(service), "the answer has two parts of one shard");
@@ -146,11 +160,11 @@
     /// Advances the clock until all requests must have ended. Checks that each has one result, unless its caller left,
     /// and that none is in flight.
     pub(super) fn finish(&mut self) -> Result<(), TestCaseError> {
-        self.driver.pass(Duration::from_secs(20));
-        self.judge()?;
-        for (key, asked) in &self.requests {
+        self.driver.advance(Duration::from_secs(20));
+        self.check_new_actions()?;
+        for (key, record) in &self.requests {
             let ended = self.driver.finished.iter().any(|(other, _)| other == key);
-            prop_assert!(ended != asked.caller_left, "request {key:?} of {asked:?}: ended {ended}");
+            prop_assert!(ended != record.caller_left, "request {key:?} of {record:?}: ended {ended}");
         }
         prop_assert_eq!(self.driver.engine.in_flight(), 0);
         Ok(())
--- a/crates/staircross-routing/tests/history/mod.rs
+++ b/crates/staircross-routing/tests/history/mod.rs
@@ -23,15 +23,21 @@
 /// An event that a node experiences.
 #[derive(Clone, Debug)]
 pub enum Step {
+    /// A request arrives for the route with this index.
     Arrive(u8),
+    /// An open attempt ends, with an outcome chosen by the number.
     End(prop::sample::Index, u8),
     CallerLeaves(prop::sample::Index),
-    Pass(u16),
+    Advance(u16),
     Drain(prop::sample::Index),
-    Vanish(prop::sample::Index),
-    Appear(u8, u8),
+    RemoveEntry(prop::sample::Index),
+    /// A searcher of a service starts in a zone, each given by its index.
+    AddSearcher(u8, u8),
+    /// A newer configuration comes, of the next version or of the one after it.
     Configure(bool),
+    /// The number of serving nodes changes.
     Fleet(u8),
+    /// The zone with this index is evacuated instead of any other; a number beyond the zones ends the evacuation.
     Evacuate(u8),
 }
 
@@ -39,12 +45,12 @@
 pub fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5_u8).prop_map(Step::Arrive),
-        14 => (any::<prop::sample::Index>(), 0..12_u8).prop_map(|(which, how)| Step::End(which, how)),
+        14 => (any::<prop::sample::Index>(), 0..12_u8).prop_map(|(which, outcome)| Step::End(which, outcome)),
         1 => any::<prop::sample::Index>().prop_map(Step::CallerLeaves),
-        6 => (1..400_u16).prop_map(Step::Pass),
+        6 => (1..400_u16).prop_map(Step::Advance),
         1 => any::<prop::sample::Index>().prop_map(Step::Drain),
-        1 => any::<prop::sample::Index>().prop_map(Step::Vanish),
-        2 => (0..5_u8, 0..3_u8).prop_map(|(service, zone)| Step::Appear(service, zone)),
+        1 => any::<prop::sample::Index>().prop_map(Step::RemoveEntry),
+        2 => (0..5_u8, 0..3_u8).prop_map(|(service, zone)| Step::AddSearcher(service, zone)),
         1 => any::<bool>().prop_map(Step::Configure),
         1 => (1..12_u8).prop_map(Step::Fleet),
         1 => (0..6_u8).prop_map(Step::Evacuate),
@@ -72,35 +78,36 @@
 const MAX_CONNECTIONS: u32 = 4;
 const PATHS: [&str; 5] = ["/query/1", "/solo/1", "/once/1", "/split/1", "/northern/1"];
 /// Index of the route whose requests may be served in the region `north` only.
-const NORTHERN: usize = 4;
+const NORTHERN_ROUTE: usize = 4;
 
 fn configuration(version: u64) -> RoutingDefinition {
-    let mut whole = definition(version, routes(version.is_multiple_of(2)), &SERVICES);
-    whole.services.iter_mut().for_each(|service| service.max_connections = MAX_CONNECTIONS);
-    whole
+    let mut definition = definition(version, routes(version.is_multiple_of(2)), &SERVICES);
+    definition.services.iter_mut().for_each(|service| service.max_connections = MAX_CONNECTIONS);
+    definition
 }
 
 /// The state of one attempt: not ended yet, ended without having run, or ended and possibly run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum AttemptState {
     Open,
     NotRun,
     MayHaveRun,
 }
 
+/// The ledger's data of one attempt.
 #[derive(Debug)]
-struct Sending {
+struct SentAttempt {
     attempt: AttemptKey,
     instance: String,
     service: String,
-    fate: Fate,
+    state: AttemptState,
     /// Whether the searcher received any of the request.
-    arrived: bool,
+    is_received: bool,
 }
 
 /// The ledger's data of one request.
 #[derive(Debug)]
-struct Asked {
+struct RequestRecord {
     route: usize,
     version: u64,
     arrived: BootTime,
@@ -110,12 +117,13 @@
 /// Slack of the budget for extra sends, small enough that short histories can use it up.
 const SLACK: f64 = 4.0;
 
-fn tight_settings() -> staircross_routing::RoutingSettings {
+fn settings_with_little_slack() -> staircross_routing::RoutingSettings {
     let mut settings = common::settings();
     settings.extra.slack = SLACK;
     settings
 }
 
+/// The simulated node with the ledger of what happened to its requests.
 struct World {
     driver: Driver,
     version: u64,
@@ -128,43 +136,43 @@
     zones: BTreeMap<String, &'static str>,
     /// The zone that is evacuated, if any.
     evacuated: Option<&'static str>,
-    sendings: Vec<Sending>,
-    requests: BTreeMap<RequestKey, Asked>,
+    sent_attempts: Vec<SentAttempt>,
+    requests: BTreeMap<RequestKey, RequestRecord>,
     /// Parts with which each request was answered: stamp, service, records.
     parts: BTreeMap<RequestKey, Vec<(String, String, Vec<u8>)>>,
-    judged_sends: usize,
-    judged_ends: usize,
+    checked_sends: usize,
+    checked_ends: usize,
     arrivals: Vec<(BootTime, String)>,
-    extras: Vec<(BootTime, AttemptKey)>,
+    extra_sends: Vec<(BootTime, AttemptKey)>,
 }
 
 impl World {
     fn new() -> Self {
         let mut world = World {
-            driver: Driver::with_settings(tight_settings(), configuration(1), Vec::new()),
+            driver: Driver::with_settings(settings_with_little_slack(), configuration(1), Vec::new()),
             version: 1,
             next_instance: 0,
             serving: BTreeMap::new(),
             lapsed: BTreeMap::new(),
             zones: BTreeMap::new(),
             evacuated: None,
-            sendings: Vec::new(),
+            sent_attempts: Vec::new(),
             requests: BTreeMap::new(),
             parts: BTreeMap::new(),
-            judged_sends: 0,
-            judged_ends: 0,
+            checked_sends: 0,
+            checked_ends: 0,
             arrivals: Vec::new(),
-            extras: Vec::new(),
+            extra_sends: Vec::new(),
         };
         for service in 0..5 {
             for zone in 0..2 {
-                world.appear(service, zone);
+                world.add_searcher(service, zone);
             }
         }
         world
     }
 
-    fn appear(&mut self, service: u8, zone: u8) {
+    fn add_searcher(&mut self, service: u8, zone: u8) {
         let instance = format!("i{}", self.next_instance);
         self.next_instance += 1;
         let service = SERVICES[usize::from(service)];
@@ -174,7 +182,7 @@
         self.serving.insert(instance, service.to_owned());
     }
 
-    fn pick(&self, which: &prop::sample::Index) -> Option<(String, String)> {
+    fn pick_serving(&self, which: &prop::sample::Index) -> Option<(String, String)> {
         let all: Vec<_> = self.serving.iter().collect();
         (!all.is_empty()).then(|| {
             let (instance, service) = all[which.index(all.len())];
@@ -185,45 +193,44 @@
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match step {
             Step::Arrive(route) => self.arrive(usize::from(*route)),
-            Step::End(which, how) => self.end(which, *how),
+            Step::End(which, outcome_choice) => self.end(which, *outcome_choice),
             Step::CallerLeaves(which) => self.caller_leaves(which),
-            Step::Pass(millis) => self.driver.pass_ms(u64::from(*millis)),
+            Step::Advance(millis) => self.driver.advance_ms(u64::from(*millis)),
             Step::Drain(which) => {
-                if let Some((instance, service)) = self.pick(which) {
+                if let Some((instance, service)) = self.pick_serving(which) {
                     self.serving.remove(&instance);
                     let mut entry = searcher(&instance, &service, self.zones[&instance]);
                     entry.is_draining = true;
                     self.driver.event(RoutingEvent::Searchers(vec![entry]));
                 }
             }
-            Step::Vanish(which) => {
-                if let Some((instance, service)) = self.pick(which) {
+            Step::RemoveEntry(which) => {
+                if let Some((instance, service)) = self.pick_serving(which) {
                     self.serving.remove(&instance);
                     self.lapsed.insert(instance.clone(), (service, self.driver.now));
                     self.driver.event(RoutingEvent::SearchersGone(vec![Arc::from(instance.as_str())]));
                 }
             }
-            Step::Appear(service, zone) => self.appear(*service, *zone),
-            Step::Configure(bumps) => {
-                self.version += if *bumps { 1 } else { 2 };
+            Step::AddSearcher(service, zone) => self.add_searcher(*service, *zone),
+            Step::Configure(is_next_version) => {
+                self.version += if *is_next_version { 1 } else { 2 };
                 let table = RouteTable::new(Arc::new(configuration(self.version)));
                 self.driver.event(RoutingEvent::Configuration(Arc::new(table)));
             }
-            // Numbers beyond the zones end the evacuation.
             Step::Evacuate(which) => {
                 self.evacuated = ZONES.get(usize::from(*which)).copied();
                 let zones = self.evacuated.iter().map(|zone| Arc::from(*zone)).collect();
                 self.driver.event(RoutingEvent::Evacuated(zones));
             }
-            Step::Fleet(count) => self.driver.fleet(&[("a", 1), ("b", 1)], usize::from(*count).max(2)),
+            Step::Fleet(count) => self.driver.set_fleet(&[("a", 1), ("b", 1)], usize::from(*count).max(2)),
         }
-        self.judge()
+        self.check_new_actions()
     }
 
     fn arrive(&mut self, route: usize) {
         let arrival = self.driver.arrival(PATHS[route]);
-        let asked = Asked { route, version: self.version, arrived: self.driver.now, caller_left: false };
-        self.requests.insert(arrival.key, asked);
+        let record = RequestRecord { route, version: self.version, arrived: self.driver.now, caller_left: false };
+        self.requests.insert(arrival.key, record);
         // Counts a request of a weighted route for each of its services, since the ledger doesn't know which one the
         // engine chooses.
         for service in self.shards_of(arrival.key) {
@@ -241,34 +248,35 @@
         }
     }
 
-    fn end(&mut self, which: &prop::sample::Index, how: u8) {
-        let open: Vec<usize> =
-            (0..self.sendings.len()).filter(|index| self.sendings[*index].fate == Fate::Open).collect();
+    fn end(&mut self, which: &prop::sample::Index, outcome_choice: u8) {
+        let open: Vec<usize> = (0..self.sent_attempts.len())
+            .filter(|index| self.sent_attempts[*index].state == AttemptState::Open)
+            .collect();
         if open.is_empty() {
             return;
         }
         let index = open[which.index(open.len())];
-        let attempt = self.sendings[index].attempt;
-        let service = self.sendings[index].service.clone();
+        let attempt = self.sent_attempts[index].attempt;
+        let service = self.sent_attempts[index].service.clone();
         let stamp = format!("{}-{}", attempt.request.0, attempt.number);
-        let body = records(&[how, attempt.number as u8, attempt.request.0 as u8]);
-        let (outcome, fate, arrived) = match how {
-            0..=5 => (answer(200, &stamp, body.clone()), Fate::MayHaveRun, true),
-            6 => (answer(500, &stamp, body.clone()), Fate::MayHaveRun, true),
-            7 => (AttemptOutcome::Unknown(Unknown::Broken), Fate::MayHaveRun, true),
-            8 => (AttemptOutcome::NotRun(NotRun::Shed), Fate::NotRun, true),
-            9 => (AttemptOutcome::NotRun(NotRun::OtherInstance), Fate::NotRun, true),
-            10 => (AttemptOutcome::NotRun(NotRun::Unconnected), Fate::NotRun, false),
-            _ => (AttemptOutcome::NotRun(NotRun::ConnectionRejected), Fate::NotRun, false),
+        let body = records(&[outcome_choice, attempt.number as u8, attempt.request.0 as u8]);
+        let (outcome, state, is_received) = match outcome_choice {
+            0..=5 => (answer(200, &stamp, body.clone()), AttemptState::MayHaveRun, true),
+            6 => (answer(500, &stamp, body.clone()), AttemptState::MayHaveRun, true),
+            7 => (AttemptOutcome::Unknown(Unknown::Broken), AttemptState::MayHaveRun, true),
+            8 => (AttemptOutcome::NotRun(NotRun::Shed), AttemptState::NotRun, true),
+            9 => (AttemptOutcome::NotRun(NotRun::OtherInstance), AttemptState::NotRun, true),
+            10 => (AttemptOutcome::NotRun(NotRun::Unconnected), AttemptState::NotRun, false),
+            _ => (AttemptOutcome::NotRun(NotRun::ConnectionRejected), AttemptState::NotRun, false),
         };
-        self.sendings[index].fate = fate;
-        self.sendings[index].arrived = arrived;
-        if how <= 5 {
+        self.sent_attempts[index].state = state;
+        self.sent_attempts[index].is_received = is_received;
+        if outcome_choice <= 5 {
             self.parts.entry(attempt.request).or_default().push((stamp, service, body));
         }
-        if how == 9 {
+        if outcome_choice == 9 {
             // Another instance runs at that address, so this one must not be asked again.
-            let instance = self.sendings[index].instance.clone();
+            let instance = self.sent_attempts[index].instance.clone();
             self.serving.remove(&instance);
         }
         self.driver.end(attempt, outcome);
@@ -279,13 +287,13 @@
         let waiting: Vec<RequestKey> = self
             .requests
             .iter()
-            .filter(|(key, asked)| !ended.contains(key) && !asked.caller_left)
+            .filter(|(key, record)| !ended.contains(key) && !record.caller_left)
             .map(|(key, _)| *key)
             .collect();
         if !waiting.is_empty() {
             let key = waiting[which.index(waiting.len())];
-            if let Some(asked) = self.requests.get_mut(&key) {
-                asked.caller_left = true;
+            if let Some(record) = self.requests.get_mut(&key) {
+                record.caller_left = true;
             }
             self.driver.event(RoutingEvent::CallerGone(key));
         }
@@ -293,7 +301,7 @@
 }
 
 /// Executes a history and checks the engine's actions after each step and at the end.
-pub fn play(steps: &[Step]) -> Result<(), TestCaseError> {
+pub fn run_history(steps: &[Step]) -> Result<(), TestCaseError> {
     let mut world = World::new();
     for step in steps {
         world.step(step)?;
--- a/crates/staircross-routing/tests/mirror_merge.rs
+++ b/crates/staircross-routing/tests/mirror_merge.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::mirror::{NOTHING_KNOWN, changes, configuration, gone, known, listing, names, searcher};
+use common::mirror::{
+    NOTHING_KNOWN, changes, configuration, knowledge, listing, searcher, searcher_gone, searcher_ids,
+};
 use proptest::prelude::*;
 use staircross_routing::Mirror;
 use staircross_routing::state::mirror::MirrorChanges;
@@ -13,7 +15,7 @@
 fn older_news_changes_nothing_whenever_it_comes() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(10, searcher("s", true))]));
-    let late = mirror.merge(changes(vec![(9, searcher("s", false)), (8, gone("s"))]));
+    let late = mirror.merge(changes(vec![(9, searcher("s", false)), (8, searcher_gone("s"))]));
     assert!(late.searchers.is_empty() && late.gone.is_empty());
     assert!(mirror.searchers().all(|entry| entry.is_draining));
 }
@@ -21,9 +23,9 @@
 #[test]
 fn an_end_is_remembered_so_that_older_entries_do_not_bring_it_back() {
     let mut mirror = Mirror::default();
-    mirror.merge(changes(vec![(5, searcher("s", false)), (7, gone("s"))]));
+    mirror.merge(changes(vec![(5, searcher("s", false)), (7, searcher_gone("s"))]));
     mirror.merge(changes(vec![(6, searcher("s", false))]));
-    assert!(names(&mirror).is_empty());
+    assert!(searcher_ids(&mirror).is_empty());
     let back = mirror.merge(changes(vec![(8, searcher("s", false))]));
     assert_eq!(back.searchers.len(), 1);
 }
@@ -32,31 +34,31 @@
 /// entries of one merge must not matter.
 #[derive(Default)]
 struct Listener {
-    ends_last: bool,
+    removals_last: bool,
     known: std::collections::BTreeMap<String, bool>,
 }
 
 impl Listener {
-    fn with_ends_last(ends_last: bool) -> Self {
-        Listener { ends_last, ..Listener::default() }
+    fn with_removals_last(removals_last: bool) -> Self {
+        Listener { removals_last, ..Listener::default() }
     }
 
-    fn hear(&mut self, told: &MirrorChanges) {
-        if self.ends_last {
-            self.hear_entries(told);
-            self.hear_ends(told);
+    fn apply(&mut self, reported: &MirrorChanges) {
+        if self.removals_last {
+            self.apply_entries(reported);
+            self.apply_removals(reported);
         } else {
-            self.hear_ends(told);
-            self.hear_entries(told);
+            self.apply_removals(reported);
+            self.apply_entries(reported);
         }
     }
 
-    fn hear_entries(&mut self, told: &MirrorChanges) {
-        self.known.extend(told.searchers.iter().map(|entry| (entry.instance.to_string(), entry.is_draining)));
+    fn apply_entries(&mut self, reported: &MirrorChanges) {
+        self.known.extend(reported.searchers.iter().map(|entry| (entry.instance.to_string(), entry.is_draining)));
     }
 
-    fn hear_ends(&mut self, told: &MirrorChanges) {
-        for instance in &told.gone {
+    fn apply_removals(&mut self, reported: &MirrorChanges) {
+        for instance in &reported.gone {
             self.known.remove(&**instance);
         }
     }
@@ -66,36 +68,37 @@
 fn an_entry_that_lapsed_and_came_back_in_one_update_is_there() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
-    let told = mirror.merge(changes(vec![(7, gone("s")), (8, searcher("s", false))]));
-    assert!(told.gone.is_empty(), "the searcher is still in the store: {told:?}");
-    assert_eq!(told.searchers.len(), 1);
+    let reported = mirror.merge(changes(vec![(7, searcher_gone("s")), (8, searcher("s", false))]));
+    assert!(reported.gone.is_empty(), "the searcher is still in the store: {reported:?}");
+    assert_eq!(reported.searchers.len(), 1);
 }
 
 #[test]
 fn a_run_that_said_it_leaves_goes_on_leaving_whatever_the_same_update_says_later() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
-    let told = mirror.merge(changes(vec![(6, searcher("s", true)), (7, gone("s")), (8, searcher("s", false))]));
-    assert!(told.gone.is_empty());
-    assert!(told.searchers.iter().all(|entry| entry.is_draining), "{told:?}");
+    let reported =
+        mirror.merge(changes(vec![(6, searcher("s", true)), (7, searcher_gone("s")), (8, searcher("s", false))]));
+    assert!(reported.gone.is_empty());
+    assert!(reported.searchers.iter().all(|entry| entry.is_draining), "{reported:?}");
 }
 
 #[test]
 fn an_entry_that_came_and_went_in_one_update_is_gone() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("s", false))]));
-    let told = mirror.merge(changes(vec![(7, searcher("s", true)), (8, gone("s"))]));
-    assert!(told.searchers.is_empty(), "the searcher was removed: {told:?}");
-    assert_eq!(told.gone, [Arc::<str>::from("s")]);
+    let reported = mirror.merge(changes(vec![(7, searcher("s", true)), (8, searcher_gone("s"))]));
+    assert!(reported.searchers.is_empty(), "the searcher was removed: {reported:?}");
+    assert_eq!(reported.gone, [Arc::<str>::from("s")]);
 }
 
 #[test]
 fn a_whole_listing_ends_what_it_leaves_out_but_not_what_is_newer() {
     let mut mirror = Mirror::default();
     mirror.merge(changes(vec![(5, searcher("old", false)), (20, searcher("new", false))]));
-    let told = mirror.merge(listing(15, vec![(3, searcher("kept", false))]));
-    assert_eq!(told.gone, [Arc::<str>::from("old")]);
-    assert_eq!(names(&mirror), ["kept", "new"]);
+    let reported = mirror.merge(listing(15, vec![(3, searcher("kept", false))]));
+    assert_eq!(reported.gone, [Arc::<str>::from("old")]);
+    assert_eq!(searcher_ids(&mirror), ["kept", "new"]);
 }
 
 #[test]
@@ -112,15 +115,15 @@
 fn a_peer_that_pulls_changes_knows_what_the_other_knows() {
     let mut informed = Mirror::default();
     informed.merge(listing(10, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
-    informed.merge(changes(vec![(11, configuration(4)), (12, gone("a")), (13, searcher("c", true))]));
+    informed.merge(changes(vec![(11, configuration(4)), (12, searcher_gone("a")), (13, searcher("c", true))]));
     let mut behind = Mirror::default();
     behind.merge(listing(10, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
-    behind.merge(informed.changes_for(known(&behind)));
-    assert_eq!(names(&behind), names(&informed));
+    behind.merge(informed.changes_for(knowledge(&behind)));
+    assert_eq!(searcher_ids(&behind), searcher_ids(&informed));
     assert_eq!(behind.version(), 4);
     let mut newcomer = Mirror::default();
     newcomer.merge(informed.changes_for(NOTHING_KNOWN));
-    assert_eq!(names(&newcomer), names(&informed));
+    assert_eq!(searcher_ids(&newcomer), searcher_ids(&informed));
 }
 
 #[derive(Clone, Debug)]
@@ -157,31 +160,31 @@
                 }
                 Change::Remove(key) => {
                     store.remove(&format!("s{key}"));
-                    events.push((revision, gone(&format!("s{key}"))));
+                    events.push((revision, searcher_gone(&format!("s{key}"))));
                 }
             }
         }
-        let truth: Vec<(String, bool)> = store.into_iter().collect();
-        let told = |mirror: &Mirror| -> Vec<(String, bool)> {
+        let expected: Vec<(String, bool)> = store.into_iter().collect();
+        let reported = |mirror: &Mirror| -> Vec<(String, bool)> {
             mirror.searchers().map(|entry| (entry.instance.to_string(), entry.is_draining)).collect()
         };
 
         let mut shuffled = Mirror::default();
-        let mut listeners = [Listener::with_ends_last(true), Listener::with_ends_last(false)];
+        let mut listeners = [Listener::with_removals_last(true), Listener::with_removals_last(false)];
         for index in &order {
             let event = events[index.index(events.len())].clone();
             let updates = shuffled.merge(changes(vec![event]));
-            listeners.iter_mut().for_each(|listener| listener.hear(&updates));
+            listeners.iter_mut().for_each(|listener| listener.apply(&updates));
         }
         let updates = shuffled.merge(changes(events.clone()));
-        listeners.iter_mut().for_each(|listener| listener.hear(&updates));
-        prop_assert_eq!(&told(&shuffled), &truth);
+        listeners.iter_mut().for_each(|listener| listener.apply(&updates));
+        prop_assert_eq!(&reported(&shuffled), &expected);
         for listener in listeners {
-            prop_assert_eq!(listener.known.len(), truth.len());
-            for (instance, is_draining) in &truth {
+            prop_assert_eq!(listener.known.len(), expected.len());
+            for (instance, is_draining) in &expected {
                 // A listener may continue to consider a searcher as draining once an entry said so.
-                let heard = listener.known.get(instance);
-                prop_assert!(heard.is_some_and(|heard| *heard || !is_draining), "{}: {:?}", instance, heard);
+                let considered_draining = listener.known.get(instance);
+                prop_assert!(considered_draining.is_some_and(|considered_draining| *considered_draining || !is_draining), "{}: {:?}", instance, considered_draining);
             }
         }
 
@@ -189,7 +192,7 @@
         let reached = cut.index(events.len());
         let mut follower = Mirror::default();
         follower.merge(changes(events[..reached].to_vec()));
-        follower.merge(shuffled.changes_for(known(&follower)));
-        prop_assert_eq!(&told(&follower), &truth);
+        follower.merge(shuffled.changes_for(knowledge(&follower)));
+        prop_assert_eq!(&reported(&follower), &expected);
     }
 }
--- a/crates/staircross-routing/tests/mirror_peers.rs
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -2,14 +2,17 @@
 
 mod common;
 
-use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, gone, known, listing, names, searcher};
+use common::mirror::{
+    NOTHING_KNOWN, changes, configuration, configuration_with_routes, knowledge, listing, searcher, searcher_gone,
+    searcher_ids,
+};
 use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge};
 
 #[test]
 fn a_peer_that_has_the_configuration_is_not_sent_it_again() {
     let mut mirror = Mirror::default();
     mirror.merge(listing(10, vec![(3, searcher("a", false))]));
-    mirror.merge(changes(vec![(11, configuration(4)), (12, gone("a"))]));
+    mirror.merge(changes(vec![(11, configuration(4)), (12, searcher_gone("a"))]));
     let has_configuration = |version| {
         let peer = PeerKnowledge { revision: 10, version, evacuations: 0, accepts: AcceptedConfiguration::Small };
         let items = mirror.changes_for(peer).items;
@@ -23,21 +26,21 @@
 fn a_large_configuration_is_passed_on_only_to_those_that_take_it() {
     let with_routes = |count| {
         let mut mirror = Mirror::default();
-        mirror.merge(changes(vec![(11, configuration_of(count)), (12, searcher("a", false))]));
+        mirror.merge(changes(vec![(11, configuration_with_routes(count)), (12, searcher("a", false))]));
         mirror
     };
-    let passed = |mirror: &Mirror, accepts| {
+    let items_sent = |mirror: &Mirror, accepts| {
         mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, accepts }).items.len()
     };
-    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::Small), 2);
-    assert_eq!(passed(&with_routes(1000), AcceptedConfiguration::Small), 1, "only the searcher is sent");
+    assert_eq!(items_sent(&with_routes(200), AcceptedConfiguration::Small), 2);
+    assert_eq!(items_sent(&with_routes(1000), AcceptedConfiguration::Small), 1, "only the searcher is sent");
     assert_eq!(
-        passed(&with_routes(1000), AcceptedConfiguration::Any),
+        items_sent(&with_routes(1000), AcceptedConfiguration::Any),
         2,
         "a node that can't read the store must get the configuration from a peer"
     );
     assert_eq!(
-        passed(&with_routes(200), AcceptedConfiguration::None),
+        items_sent(&with_routes(200), AcceptedConfiguration::None),
         1,
         "a peer that accepts no configuration is sent the searcher only"
     );
@@ -52,7 +55,7 @@
     assert!(!update.is_complete_for_searchers);
     let mut newcomer = Mirror::default();
     newcomer.merge(update);
-    assert_eq!(names(&newcomer), ["b"]);
+    assert_eq!(searcher_ids(&newcomer), ["b"]);
     assert!(!newcomer.has_listing(), "a partial update must not count as a listing");
     partial.merge(listing(12, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
     newcomer.merge(partial.changes_for(NOTHING_KNOWN));
@@ -68,14 +71,14 @@
     let mut follower = Mirror::default();
     follower.merge(reader.changes_for(NOTHING_KNOWN));
     reader.merge(changes(vec![(95, configuration(2))]));
-    let told = reader.changes_for(known(&follower));
-    assert!(matches!(told.items.as_slice(), [(95, MirrorItem::ConfigurationChanges { .. })]), "{:?}", told.items);
-    assert!(!told.is_complete_for_searchers);
-    follower.merge(told);
+    let update = reader.changes_for(knowledge(&follower));
+    assert!(matches!(update.items.as_slice(), [(95, MirrorItem::ConfigurationChanges { .. })]), "{:?}", update.items);
+    assert!(!update.is_complete_for_searchers);
+    follower.merge(update);
     assert_eq!(follower.version(), 2);
-    reader.merge(changes(vec![(97, gone("s"))]));
-    follower.merge(reader.changes_for(known(&follower)));
-    assert_eq!(names(&follower), ["t"], "later changes are sent");
+    reader.merge(changes(vec![(97, searcher_gone("s"))]));
+    follower.merge(reader.changes_for(knowledge(&follower)));
+    assert_eq!(searcher_ids(&follower), ["t"], "later changes are sent");
 }
 
 #[test]
@@ -101,7 +104,7 @@
     let watched = MirrorUpdate { up_to: 22, ..changes(vec![(21, searcher("a", true)), (22, searcher("b", false))]) };
     reader.merge(watched);
     assert!(asker.newest_revision() < reader.newest_revision(), "the asker must notice that it is behind");
-    asker.merge(reader.changes_for(known(&asker)));
+    asker.merge(reader.changes_for(knowledge(&asker)));
     assert!(asker.searchers().any(|entry| &*entry.instance == "a" && entry.is_draining));
 }
 
@@ -112,18 +115,18 @@
     reader.merge(listing(20, vec![(3, searcher("a", false))]));
     let mut asker = Mirror::default();
     asker.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    asker.merge(reader.changes_for(known(&asker)));
-    assert_eq!(names(&asker), ["a"]);
+    asker.merge(reader.changes_for(knowledge(&asker)));
+    assert_eq!(searcher_ids(&asker), ["a"]);
 }
 
 #[test]
 fn a_node_that_read_after_the_last_searcher_had_gone_counts_as_knowing_it() {
     let mut informed = Mirror::default();
     informed.merge(listing(10, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    informed.merge(MirrorUpdate { up_to: 20, ..changes(vec![(20, gone("b"))]) });
+    informed.merge(MirrorUpdate { up_to: 20, ..changes(vec![(20, searcher_gone("b"))]) });
     let mut newcomer = Mirror::default();
     newcomer.merge(listing(25, vec![(3, searcher("a", false))]));
-    newcomer.merge(informed.changes_for(known(&newcomer)));
+    newcomer.merge(informed.changes_for(knowledge(&newcomer)));
     assert!(
         newcomer.newest_revision() >= informed.newest_revision(),
         "the newcomer would otherwise ask again and again"
@@ -136,7 +139,7 @@
     node.merge(listing(20, vec![(3, searcher("a", false))]));
     let changed = node.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
     assert_eq!(changed.searchers, [], "the searcher was removed by revision 20");
-    assert_eq!(names(&node), ["a"]);
+    assert_eq!(searcher_ids(&node), ["a"]);
     node.merge(listing(30, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    assert_eq!(names(&node), ["a", "b"], "a newer listing of the store is effective");
+    assert_eq!(searcher_ids(&node), ["a", "b"], "a newer listing of the store is effective");
 }
--- a/crates/staircross-routing/tests/overload.rs
+++ b/crates/staircross-routing/tests/overload.rs
@@ -17,8 +17,8 @@
 const CAPACITY: f64 = 200.0;
 
 fn shard_searchers() -> Vec<staircross_routing::SearcherEntry> {
-    let copies = |shard: &&'static str| ["x", "y"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
-    SHARDS.iter().flat_map(copies).collect()
+    let searchers_of = |shard: &&'static str| ["x", "y"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
+    SHARDS.iter().flat_map(searchers_of).collect()
 }
 
 fn query(name: &str, priority: u32) -> RouteDefinition {
@@ -43,7 +43,7 @@
     backends
 }
 
-fn offered(backends: &mut Backends, paths: &[&str], load: f64, seconds: u64) -> Tally {
+fn offer_load(backends: &mut Backends, paths: &[&str], load: f64, seconds: u64) -> Tally {
     backends.offer(paths, CAPACITY * load, Duration::from_secs(seconds));
     backends.tally(GOAL)
 }
@@ -51,26 +51,26 @@
 #[test]
 fn half_as_much_again_as_can_be_done_is_refused_in_part_and_the_rest_is_in_time() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
-    offered(&mut backends, &["/q/1"], 1.5, 3);
-    let settled = offered(&mut backends, &["/q/1"], 1.5, 8);
+    offer_load(&mut backends, &["/q/1"], 1.5, 3);
+    let settled = offer_load(&mut backends, &["/q/1"], 1.5, 8);
     assert!(settled.fraction(settled.in_time) > 0.4, "0.67 is possible: {settled:?}");
     assert!(settled.fraction(settled.late) < 0.2, "{settled:?}");
     assert!(settled.fraction(settled.failed) < 0.01, "requests that aren't admitted are refused at once: {settled:?}");
-    let told = &backends.driver.not_admitted;
+    let not_admitted = &backends.driver.not_admitted;
     assert_eq!(
-        told.len() as u64,
+        not_admitted.len() as u64,
         backends.driver.engine.counters.not_admitted,
         "each refusal is reported with the fraction that led to it"
     );
-    assert!(told.iter().all(|(_, fraction)| (0.0..1.0).contains(fraction)), "{told:?}");
+    assert!(not_admitted.iter().all(|(_, fraction)| (0.0..1.0).contains(fraction)), "{not_admitted:?}");
 }
 
 #[test]
 fn when_the_load_falls_everything_is_taken_again_within_seconds() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
-    offered(&mut backends, &["/q/1"], 1.8, 5);
-    offered(&mut backends, &["/q/1"], 0.5, 5);
-    let after = offered(&mut backends, &["/q/1"], 0.5, 4);
+    offer_load(&mut backends, &["/q/1"], 1.8, 5);
+    offer_load(&mut backends, &["/q/1"], 0.5, 5);
+    let after = offer_load(&mut backends, &["/q/1"], 0.5, 4);
     assert_eq!(after.refused, 0, "{after:?}");
     assert!(after.fraction(after.in_time) > 0.97, "{after:?}");
 }
@@ -78,7 +78,7 @@
 #[test]
 fn a_storm_of_configurations_does_not_lift_a_limit() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
-    offered(&mut backends, &["/q/1"], 1.6, 4);
+    offer_load(&mut backends, &["/q/1"], 1.6, 4);
     for version in 2..60 {
         backends.offer(&["/q/1"], CAPACITY * 1.6, Duration::from_millis(60));
         backends.driver.configure(definition(version, vec![query("q", 1)], &SHARDS));
@@ -92,7 +92,7 @@
 fn one_slow_searcher_is_no_overload() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
     backends.set_slowness("s1x", 12.0);
-    let slow = offered(&mut backends, &["/q/1"], 0.4, 8);
+    let slow = offer_load(&mut backends, &["/q/1"], 0.4, 8);
     assert_eq!(slow.refused, 0, "{slow:?}");
 }
 
@@ -106,10 +106,10 @@
         }
     };
     slow_down(&SHARDS[..1], &mut backends);
-    let one = offered(&mut backends, &["/q/1"], 0.5, 6);
+    let one = offer_load(&mut backends, &["/q/1"], 0.5, 6);
     assert_eq!(one.refused, 0, "three of four shards are enough for an answer: {one:?}");
     slow_down(&SHARDS[1..], &mut backends);
-    let all = offered(&mut backends, &["/q/1"], 0.5, 6);
+    let all = offer_load(&mut backends, &["/q/1"], 0.5, 6);
     assert!(all.refused > 0, "the searchers can process half of the offered load: {all:?}");
 }
 
@@ -117,19 +117,19 @@
 fn one_request_whose_parts_are_all_late_is_no_overload() {
     let names: Vec<String> = (0..30).map(|index| format!("w{index}")).collect();
     let shards: Vec<&str> = names.iter().map(String::as_str).collect();
-    let copies = |shard: &&str| ["x", "y"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
-    let searchers = shards.iter().flat_map(copies).collect();
+    let searchers_of = |shard: &&str| ["x", "y"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
+    let searchers = shards.iter().flat_map(searchers_of).collect();
     let wide = route("q", gather(&shards, 10, 0.9));
     let settings = RoutingSettings { max_requests: 100_000, ..settings() };
     let driver = Driver::with_settings(settings, definition(1, vec![wide], &shards), searchers);
     let mut backends = Backends::new(driver, 2, WORK);
-    offered(&mut backends, &["/q/1"], 0.1, 4);
+    offer_load(&mut backends, &["/q/1"], 0.1, 4);
     for _ in 0..20 {
         // A pause of all searchers affects one request, whose parts are then all late.
-        backends.work = WORK * 8;
-        offered(&mut backends, &["/q/1"], 0.005, 1);
-        backends.work = WORK;
-        let calm = offered(&mut backends, &["/q/1"], 0.05, 1);
+        backends.work_time = WORK * 8;
+        offer_load(&mut backends, &["/q/1"], 0.005, 1);
+        backends.work_time = WORK;
+        let calm = offer_load(&mut backends, &["/q/1"], 0.05, 1);
         assert_eq!(calm.refused, 0, "{calm:?}");
     }
 }
@@ -138,17 +138,17 @@
 fn time_to_connect_is_no_wait() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
     // Each attempt needs a new connection first, as after a replacement of all searchers.
-    backends.connecting = Duration::from_millis(120);
-    let fresh = offered(&mut backends, &["/q/1"], 0.1, 5);
+    backends.connect_time = Duration::from_millis(120);
+    let fresh = offer_load(&mut backends, &["/q/1"], 0.1, 5);
     assert_eq!(fresh.refused, 0, "{fresh:?}");
 }
 
 #[test]
 fn work_that_has_grown_for_good_is_not_taken_for_a_queue_for_long() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
-    backends.work = WORK * 5;
-    offered(&mut backends, &["/q/1"], 0.08, 60);
-    let after = offered(&mut backends, &["/q/1"], 0.08, 10);
+    backends.work_time = WORK * 5;
+    offer_load(&mut backends, &["/q/1"], 0.08, 60);
+    let after = offer_load(&mut backends, &["/q/1"], 0.08, 10);
     assert!(after.fraction(after.refused) < 0.1, "{after:?}");
 }
 
@@ -157,7 +157,7 @@
     let routes = vec![query("urgent", 0), query("casual", 3)];
     let paths = ["/urgent/1", "/casual/1"];
     let mut backends = warmed_up(routes, &paths);
-    offered(&mut backends, &paths, 1.6, 10);
+    offer_load(&mut backends, &paths, 1.6, 10);
     let refused = |path: &str, backends: &Backends| {
         let prefix = format!("/{path}/");
         let finished = backends.driver.finished.iter();
@@ -175,12 +175,12 @@
 fn nothing_is_refused_while_callers_come_back_after_a_start() {
     let mut backends = backends(vec![query("q", 1)]);
     let began = backends.driver.now;
-    let surge = offered(&mut backends, &["/q/1"], 2.0, 2);
+    let surge = offer_load(&mut backends, &["/q/1"], 2.0, 2);
     assert_eq!(surge.refused, 0, "requests of a burst just after the start are late, but not refused: {surge:?}");
     let calmed = backends.driver.now;
-    let settled = offered(&mut backends, &["/q/1"], 0.4, 4);
+    let settled = offer_load(&mut backends, &["/q/1"], 0.4, 4);
     assert_eq!(settled.refused, 0, "{settled:?}");
-    offered(&mut backends, &["/q/1"], 0.01, 4);
+    offer_load(&mut backends, &["/q/1"], 0.01, 4);
     let of_surge = backends.tally_of_arrivals(GOAL, began, calmed);
     assert!(of_surge.fraction(of_surge.in_time + of_surge.late) > 0.5, "{of_surge:?}");
     let of_calm = backends.tally_of_arrivals(GOAL, calmed, BootTime::FAR_FUTURE);
@@ -193,9 +193,9 @@
     for copy in ["s0x", "s0y"] {
         backends.set_slowness(copy, 4.0);
     }
-    offered(&mut backends, &["/q/1"], 0.5, 3);
+    offer_load(&mut backends, &["/q/1"], 0.5, 3);
     let before = backends.driver.sends.len();
-    let later = offered(&mut backends, &["/q/1"], 0.5, 4);
+    let later = offer_load(&mut backends, &["/q/1"], 0.5, 4);
     assert_eq!(later.refused, 0, "{later:?}");
     let to_shard = backends.driver.sends[before..].iter().filter(|order| order.instance.starts_with("s0"));
     let (hedges, firsts): (Vec<_>, Vec<_>) = to_shard.partition(|order| order.reason == SendReason::Hedge);
@@ -206,7 +206,7 @@
 fn a_short_burst_is_late_in_part_and_not_refused() {
     let mut backends = warmed_up(vec![query("q", 1)], &["/q/1"]);
     backends.offer(&["/q/1"], CAPACITY * 1.6, Duration::from_millis(300));
-    let burst = offered(&mut backends, &["/q/1"], 0.3, 3);
+    let burst = offer_load(&mut backends, &["/q/1"], 0.3, 3);
     assert_eq!(burst.refused, 0, "{burst:?}");
     assert!(burst.fraction(burst.in_time + burst.late) > 0.9, "{burst:?}");
 }
@@ -217,16 +217,16 @@
     let recovery = |spacing: Duration| {
         let mut admission = Admission::default();
         let mut now = BootTime::from_millis(1000);
-        let mut judge = |now: BootTime, wait: Duration| {
+        let mut level_after = |now: BootTime, wait: Duration| {
             admission.evaluate(now, wait, tolerable);
             admission.level()
         };
         // After the warm-up of a group, an excessive wait lowers the level.
-        while judge(now, tolerable * 4) > 0.3 {
+        while level_after(now, tolerable * 4) > 0.3 {
             now = now + Duration::from_millis(250);
         }
         let began = now;
-        while judge(now, Duration::ZERO) < 1.0 {
+        while level_after(now, Duration::ZERO) < 1.0 {
             now = now + spacing;
         }
         now.since(began)
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -14,7 +14,7 @@
 
 /// Environment variable that names a directory. Each scenario writes its lines there, so that the first differing line
 /// can be found.
-const LINES_TO: &str = "PINNED_LINES";
+const LINES_DIRECTORY_VARIABLE: &str = "PINNED_LINES";
 
 #[derive(Default)]
 struct Kind {
@@ -31,7 +31,7 @@
 }
 
 impl Journal {
-    pub fn note(&mut self, now: BootTime, kind: &str, text: &str) {
+    pub fn record(&mut self, now: BootTime, kind: &str, text: &str) {
         let line = format!("{} {kind} {text}\n", now.0);
         for entry in [self.kinds.entry(kind.to_owned()).or_default(), &mut self.all] {
             entry.count += 1;
@@ -42,9 +42,9 @@
 
     /// Returns a table with one line for each kind: its name, count and digest. Writes the lines of the scenario if
     /// `PINNED_LINES` is set.
-    pub fn table(&self, drive: &str) -> String {
-        if let Some(directory) = std::env::var_os(LINES_TO) {
-            let path = std::path::Path::new(&directory).join(drive);
+    pub fn table(&self, scenario: &str) -> String {
+        if let Some(directory) = std::env::var_os(LINES_DIRECTORY_VARIABLE) {
+            let path = std::path::Path::new(&directory).join(scenario);
             std::fs::write(path, &self.lines).expect("the directory can be written to");
         }
         let mut table = String::new();
@@ -56,9 +56,9 @@
         table
     }
 
-    pub fn action(&mut self, now: BootTime, action: &RoutingAction) {
+    pub fn record_action(&mut self, now: BootTime, action: &RoutingAction) {
         let (kind, text) = line(action);
-        self.note(now, &kind, &text);
+        self.record(now, &kind, &text);
     }
 }
 
@@ -150,14 +150,14 @@
             let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
             format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
         }
-        QuotaMessage::Grant(word) => {
+        QuotaMessage::Grant(grant) => {
             let confirmed =
-                word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
+                grant.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
             format!(
                 "w {:x} {} {} {}",
-                word.tenant.0,
-                word.granted_at,
-                word.admit_fraction,
+                grant.tenant.0,
+                grant.granted_at,
+                grant.admit_fraction,
                 confirmed.unwrap_or_default()
             )
         }
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -24,9 +24,9 @@
 /// Time at which all scenarios start.
 pub const START: BootTime = BootTime::from_millis(1_000_000);
 /// Time between the regular ticks, in milliseconds; the engine's wake-up times add others.
-const TICK: u64 = 250;
+const TICK_INTERVAL_MS: u64 = 250;
 /// Most sub-requests that a searcher queues; it sheds any further ones.
-const QUEUE: usize = 30;
+const MAX_QUEUED: usize = 30;
 
 /// One simulated searcher.
 pub struct Searcher {
@@ -34,13 +34,13 @@
     /// Factor by which its work takes longer than usual.
     pub slowness: f64,
     /// Most connections that it accepts.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time until a connection is established, in milliseconds.
-    pub connecting: u64,
+    pub connect_ms: u64,
     pub is_reachable: bool,
     /// Fraction of its answers that have status 500.
-    pub failing: f64,
-    open: usize,
+    pub failure_fraction: f64,
+    open_connections: usize,
     busy: usize,
     queue: VecDeque<AttemptKey>,
 }
@@ -65,9 +65,9 @@
     pub random: ChaCha8Rng,
     pub searchers: BTreeMap<String, Searcher>,
     /// Usual time of work in milliseconds.
-    pub work: f64,
+    pub work_ms: f64,
     /// Contents that crash the searchers that run them.
-    pub deadly: BTreeSet<u64>,
+    pub crashing_contents: BTreeSet<u64>,
     /// Quota messages to peers that the test hasn't delivered yet.
     pub outbox: Vec<(NodeId, Vec<QuotaMessage>)>,
     steps: BTreeMap<(BootTime, u64), Step>,
@@ -85,8 +85,8 @@
             journal: Journal::default(),
             random: ChaCha8Rng::seed_from_u64(5),
             searchers: BTreeMap::new(),
-            work: 20.0,
-            deadly: BTreeSet::new(),
+            work_ms: 20.0,
+            crashing_contents: BTreeSet::new(),
             outbox: Vec::new(),
             steps: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -100,7 +100,7 @@
         if !entries.is_empty() {
             world.start(entries);
         }
-        world.tick_on();
+        world.tick_regularly();
         world
     }
 
@@ -113,11 +113,11 @@
             let searcher = Searcher {
                 entry: entry.clone(),
                 slowness: 1.0,
-                connections: 40,
-                connecting: 0,
+                max_connections: 40,
+                connect_ms: 0,
                 is_reachable: true,
-                failing: 0.0,
-                open: 0,
+                failure_fraction: 0.0,
+                open_connections: 0,
                 busy: 0,
                 queue: VecDeque::new(),
             };
@@ -126,9 +126,9 @@
         self.event(RoutingEvent::Searchers(entries));
     }
 
-    fn tick_on(&mut self) {
+    fn tick_regularly(&mut self) {
         self.event(RoutingEvent::Tick);
-        self.after(TICK as f64, World::tick_on);
+        self.after(TICK_INTERVAL_MS as f64, World::tick_regularly);
     }
 
     /// Schedules a step at a time in milliseconds since the start.
@@ -183,13 +183,13 @@
     }
 
     /// Schedules requests at random times within `span` (in milliseconds since the start), at a mean rate of `per_s`.
-    /// `make` changes each arrival by its number.
-    pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, make: fn(&mut Arrival, usize)) {
+    /// `change` adjusts each arrival, given its number.
+    pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, change: fn(&mut Arrival, usize)) {
         let (mut at, mut number) = (span.0, 0);
         while at < span.1 {
             self.at(at, move |world| {
                 let mut arrival = world.arrival(path);
-                make(&mut arrival, number);
+                change(&mut arrival, number);
                 world.arrive(arrival);
             });
             number += 1;
@@ -203,7 +203,7 @@
     }
 
     /// Tells the engine that the callers of the newest requests have disconnected.
-    pub fn newest_callers_leave(&mut self, count: u64) {
+    pub fn disconnect_newest_callers(&mut self, count: u64) {
         let newest = self.next_request.saturating_sub(count)..self.next_request;
         newest.for_each(|key| self.event(RoutingEvent::CallerGone(RequestKey(key))));
     }
@@ -212,14 +212,14 @@
         let mut actions = Vec::new();
         self.engine.on_event(self.now, event, &mut actions);
         for action in &actions {
-            self.journal.action(self.now, action);
+            self.journal.record_action(self.now, action);
         }
         for action in actions {
             match action {
                 RoutingAction::Send(order) => self.connect(&order),
                 RoutingAction::Abandon { attempt, patience, .. } => self.abandon(attempt, patience),
                 RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
-                    self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Cancelled));
+                    self.after(0.1, move |world| world.end_attempt(attempt, AttemptOutcome::Cancelled));
                 }
                 RoutingAction::SendQuotas { to, messages } => self.outbox.push((to, messages)),
                 _ => {}
@@ -234,58 +234,58 @@
     fn connect(&mut self, order: &SendOrder) {
         let (key, instance) = (order.attempt, order.instance.to_string());
         let searcher = self.searchers.get_mut(&instance).expect("only searchers that were started are asked");
-        searcher.open += 1;
-        let (is_full, connecting) = (searcher.open > searcher.connections, searcher.connecting);
+        searcher.open_connections += 1;
+        let (is_full, connect_ms) = (searcher.open_connections > searcher.max_connections, searcher.connect_ms);
         let is_reachable = searcher.is_reachable;
         self.attempts.insert(key, Attempt { instance, searcher: order.searcher, phase: Phase::Connecting });
         if !is_reachable {
-            self.after(3.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
+            self.after(3.0, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
         } else if is_full {
-            self.after(1.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::ConnectionRejected)));
-        } else if connecting > 0 {
-            self.after(connecting as f64, move |world| world.begin(key, connecting));
+            self.after(1.0, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::ConnectionRejected)));
+        } else if connect_ms > 0 {
+            self.after(connect_ms as f64, move |world| world.begin(key, connect_ms));
         } else {
-            self.queue(key);
+            self.enqueue(key);
         }
     }
 
-    fn begin(&mut self, key: AttemptKey, connecting: u64) {
+    fn begin(&mut self, key: AttemptKey, connect_ms: u64) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let searcher = attempt.searcher;
-        self.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(connecting) });
+        self.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(connect_ms) });
         self.event(RoutingEvent::Begun { attempt: key });
-        self.queue(key);
+        self.enqueue(key);
     }
 
-    fn queue(&mut self, key: AttemptKey) {
+    fn enqueue(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else { return };
         attempt.phase = Phase::Queued;
         let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
-        if searcher.queue.len() >= QUEUE {
-            self.after(0.5, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Shed)));
+        if searcher.queue.len() >= MAX_QUEUED {
+            self.after(0.5, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::Shed)));
             return;
         }
         searcher.queue.push_back(key);
         let instance = attempt.instance.clone();
-        self.take_next(&instance);
+        self.start_next(&instance);
     }
 
-    fn take_next(&mut self, instance: &str) {
+    fn start_next(&mut self, instance: &str) {
         let searcher = self.searchers.get_mut(instance).expect("it was started");
         if searcher.busy >= searcher.entry.slots as usize {
             return;
         }
         let Some(key) = searcher.queue.pop_front() else { return };
         searcher.busy += 1;
-        let took = self.work * searcher.slowness * self.random.random_range(0.6..1.4);
+        let took = self.work_ms * searcher.slowness * self.random.random_range(0.6..1.4);
         self.attempts.get_mut(&key).expect("it waited").phase = Phase::Running;
-        self.after(took, move |world| world.finish(key));
+        self.after(took, move |world| world.finish_work(key));
     }
 
-    fn finish(&mut self, key: AttemptKey) {
+    fn finish_work(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let instance = attempt.instance.clone();
-        if self.deadly.contains(&self.contents[&key.request]) {
+        if self.crashing_contents.contains(&self.contents[&key.request]) {
             return self.crash(&instance);
         }
         let searcher = &self.searchers[&instance];
@@ -295,22 +295,22 @@
             slots: searcher.entry.slots,
             host_slowness: (searcher.slowness > 2.0).then_some((searcher.slowness * 100.0) as u32),
         };
-        let status = if self.random.random_bool(searcher.failing) { 500 } else { 200 };
+        let status = if self.random.random_bool(searcher.failure_fraction) { 500 } else { 200 };
         let body = records(&[key.request.0 as u8, instance.len() as u8, key.number as u8]);
         let mut outcome = answer(status, &instance, body);
         if let AttemptOutcome::Answered(answer) = &mut outcome {
             answer.report.load = Some(load);
         }
-        self.end(key, outcome);
+        self.end_attempt(key, outcome);
     }
 
     /// Crashes a searcher, which breaks its attempts. Its entry is removed after 0.4 s, and an instance that replaces
     /// it starts after 4 s.
     pub fn crash(&mut self, instance: &str) {
         self.searchers.get_mut(instance).expect("it was started").is_reachable = false;
-        let of_it = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
-        let keys: Vec<AttemptKey> = of_it.map(|(key, _)| *key).collect();
-        keys.into_iter().for_each(|key| self.end(key, AttemptOutcome::Unknown(Unknown::Broken)));
+        let its_attempts = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
+        let keys: Vec<AttemptKey> = its_attempts.map(|(key, _)| *key).collect();
+        keys.into_iter().for_each(|key| self.end_attempt(key, AttemptOutcome::Unknown(Unknown::Broken)));
         let gone = instance.to_owned();
         self.after(400.0, move |world| world.event(RoutingEvent::SearchersGone(vec![Arc::from(gone)])));
         let mut entry = self.searchers[instance].entry.clone();
@@ -327,16 +327,16 @@
         };
         let is_running = matches!(outcome, AttemptOutcome::Unknown(_));
         let wait = if is_running { patience.as_secs_f64() * 1000.0 } else { 0.2 };
-        self.after(wait, move |world| world.end(key, outcome));
+        self.after(wait, move |world| world.end_attempt(key, outcome));
     }
 
-    fn end(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
         let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
-        searcher.open -= 1;
+        searcher.open_connections -= 1;
         searcher.queue.retain(|queued| *queued != key);
         searcher.busy -= usize::from(attempt.phase == Phase::Running);
         self.event(RoutingEvent::Ended { attempt: key, outcome });
-        self.take_next(&attempt.instance);
+        self.start_next(&attempt.instance);
     }
 }
--- a/crates/staircross-routing/tests/pinned_decisions.rs
+++ b/crates/staircross-routing/tests/pinned_decisions.rs
@@ -24,7 +24,7 @@
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
 const COPIES: [(&str, &str); 3] = [("x", "a"), ("y", "b"), ("z", "c")];
 
-fn plain(_: &mut Arrival, _: usize) {}
+fn unchanged(_: &mut Arrival, _: usize) {}
 
 fn entries(shards: &[&str], copies: &[(&str, &str)], slots: u32) -> Vec<SearcherEntry> {
     let of = |shard: &str| {
@@ -35,11 +35,11 @@
     shards.iter().flat_map(|shard| of(shard)).collect()
 }
 
-fn many() -> RoutingSettings {
+fn settings_for_many_requests() -> RoutingSettings {
     RoutingSettings { max_requests: 100_000, ..settings() }
 }
 
-fn ranked(name: &str, priority: u32) -> RouteDefinition {
+fn gather_with_priority(name: &str, priority: u32) -> RouteDefinition {
     RouteDefinition { priority, ..route(name, gather(&SHARDS, 10, 0.75)) }
 }
 
@@ -47,7 +47,7 @@
     route(name, RouteTarget::Service(Arc::from(service)))
 }
 
-fn within(regions: &[&str], route: RouteDefinition) -> RouteDefinition {
+fn restricted_to(regions: &[&str], route: RouteDefinition) -> RouteDefinition {
     RouteDefinition { allowed_regions: regions.iter().map(|region| Arc::from(*region)).collect(), ..route }
 }
 
@@ -60,89 +60,101 @@
     TenantDefinition { name: Arc::from(name), keys: vec![key_of(name)], priority: 1, quota, allowed_regions }
 }
 
-fn by_tenant(arrival: &mut Arrival, tenant: &str) {
+fn authenticate_as(arrival: &mut Arrival, tenant: &str) {
     arrival.credential = Credential::Key(key_of(tenant));
 }
 
-fn pinned(drive: &str, world: &World) {
-    insta::assert_snapshot!(drive, world.journal.table(drive));
+fn assert_pinned(scenario: &str, world: &World) {
+    insta::assert_snapshot!(scenario, world.journal.table(scenario));
 }
 
 #[test]
 fn admission_under_overload_of_routes_of_several_ranks() {
-    let routes = vec![ranked("high", 0), ranked("usual", 1), ranked("low", 3)];
-    let mut world = World::new(many(), Some(definition(1, routes, &SHARDS)), entries(&SHARDS, &COPIES[..2], 2));
-    world.offer((0.0, 26_000.0), 15.0, "/high/1", plain);
-    world.offer((0.0, 26_000.0), 30.0, "/usual/1", plain);
-    world.offer((0.0, 26_000.0), 15.0, "/low/1", plain);
-    world.offer((4000.0, 10_000.0), 230.0, "/usual/1", plain);
-    world.offer((14_000.0, 17_000.0), 500.0, "/low/1", plain);
+    let routes =
+        vec![gather_with_priority("high", 0), gather_with_priority("usual", 1), gather_with_priority("low", 3)];
+    let mut world = World::new(
+        settings_for_many_requests(),
+        Some(definition(1, routes, &SHARDS)),
+        entries(&SHARDS, &COPIES[..2], 2),
+    );
+    world.offer((0.0, 26_000.0), 15.0, "/high/1", unchanged);
+    world.offer((0.0, 26_000.0), 30.0, "/usual/1", unchanged);
+    world.offer((0.0, 26_000.0), 15.0, "/low/1", unchanged);
+    world.offer((4000.0, 10_000.0), 230.0, "/usual/1", unchanged);
+    world.offer((14_000.0, 17_000.0), 500.0, "/low/1", unchanged);
     world.offer((18_000.0, 19_000.0), 20.0, "/usual/1", |arrival, _| arrival.is_overloaded = true);
     world.run(30_000);
-    pinned("admission", &world);
+    assert_pinned("admission", &world);
 }
 
 #[test]
 fn shares_of_tenants_of_which_one_asks_for_much() {
     let names = ["greedy", "t1", "t2", "t3", "t4"];
     let tenants = names.map(|name| tenant(name, None)).to_vec();
-    let definition = RoutingDefinition { tenants, ..definition(1, vec![ranked("q", 1)], &SHARDS) };
-    let mut world = World::new(many(), Some(definition), entries(&SHARDS, &COPIES[..2], 2));
+    let definition = RoutingDefinition { tenants, ..definition(1, vec![gather_with_priority("q", 1)], &SHARDS) };
+    let mut world = World::new(settings_for_many_requests(), Some(definition), entries(&SHARDS, &COPIES[..2], 2));
     world.offer((0.0, 16_000.0), 70.0, "/q/1", |arrival, number| {
-        by_tenant(arrival, ["t1", "t2", "t3", "t4", "t4"][number % 5])
+        authenticate_as(arrival, ["t1", "t2", "t3", "t4", "t4"][number % 5])
     });
-    world.offer((4000.0, 14_000.0), 260.0, "/q/2", |arrival, _| by_tenant(arrival, "greedy"));
+    world.offer((4000.0, 14_000.0), 260.0, "/q/2", |arrival, _| authenticate_as(arrival, "greedy"));
     world.run(20_000);
-    pinned("fair_shares", &world);
+    assert_pinned("fair_shares", &world);
 }
 
 #[test]
 fn requests_to_searchers_that_have_just_started() {
-    let mut definition = definition(1, vec![ranked("q", 1)], &SHARDS);
+    let mut definition = definition(1, vec![gather_with_priority("q", 1)], &SHARDS);
     for service in &mut definition.services {
         service.cold_start = ColdStart { duration_ms: 4000, requests_per_s: Some(40.0) };
     }
-    let settings = RoutingSettings { cold: staircross_routing::ColdBound { factor: 1.2, slack: 3.0 }, ..many() };
+    let settings = RoutingSettings {
+        cold: staircross_routing::ColdBound { factor: 1.2, slack: 3.0 },
+        ..settings_for_many_requests()
+    };
     let mut world = World::new(settings, Some(definition), entries(&SHARDS, &COPIES[..1], 5));
-    fleet(&mut world, 1, Some(0));
+    set_fleet(&mut world, 1, Some(0));
     for (at, copy, nodes) in [(1500.0, "k", 3), (4000.0, "l", 5), (6500.0, "m", 40)] {
         world.at(at, move |world| {
-            fleet(world, nodes, Some(nodes / 2));
+            set_fleet(world, nodes, Some(nodes / 2));
             let cold = entries(&SHARDS, &[(copy, "a")], 5).into_iter();
             world.start(cold.map(|entry| SearcherEntry { cold_ms: 4000, ..entry }).collect());
         });
     }
-    world.at(9000.0, |world| fleet(world, 40, None));
-    world.offer((0.0, 12_000.0), 90.0, "/q/1", plain);
+    world.at(9000.0, |world| set_fleet(world, 40, None));
+    world.offer((0.0, 12_000.0), 90.0, "/q/1", unchanged);
     world.run(15_000);
-    pinned("cold_starts", &world);
+    assert_pinned("cold_starts", &world);
 }
 
-fn fleet(world: &mut World, serving: usize, rank: Option<usize>) {
+fn set_fleet(world: &mut World, serving: usize, rank: Option<usize>) {
     let nodes_by_zone = [("a", serving.div_ceil(3)), ("b", serving / 3)];
     let nodes_by_zone = nodes_by_zone.into_iter().map(|(zone, count)| (Arc::from(zone), count)).collect();
     let slack_share = 1.0 / serving as f64;
     world.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank, slack_share, nodes: None });
 }
 
-const TEN: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
+const TEN_SHARDS: [&str; 10] = ["s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9"];
 
 #[test]
 fn suspicion_trials_quarantine_and_first_probes() {
-    let all = RouteDefinition { max_attempts: 3, ..route("all", gather(&TEN, 3, 0.8)) };
+    let all = RouteDefinition { max_attempts: 3, ..route("all", gather(&TEN_SHARDS, 3, 0.8)) };
     let one = RouteDefinition { max_attempts: 3, ..single("one", "s0") };
     let three = [("x", "a"), ("y", "a"), ("z", "b")];
-    let mut world = World::new(many(), Some(definition(1, vec![all, one], &TEN)), entries(&TEN, &three, 5));
-    world.deadly.extend([1, 2, 3]);
+    let mut world = World::new(
+        settings_for_many_requests(),
+        Some(definition(1, vec![all, one], &TEN_SHARDS)),
+        entries(&TEN_SHARDS, &three, 5),
+    );
+    world.crashing_contents.extend([1, 2, 3]);
     world.offer((0.0, 45_000.0), 15.0, "/all/1", |arrival, number| {
         arrival.content = ContentKey(1000 + number as u64 / 2)
     });
-    world.offer((0.0, 45_000.0), 8.0, "/one/1", plain);
+    world.offer((0.0, 45_000.0), 8.0, "/one/1", unchanged);
     for (at, content) in [(2000.0, 1), (2010.0, 1), (2700.0, 1), (8000.0, 2), (8600.0, 2), (9000.0, 2)] {
-        world.at(at, move |world| deadly(world, "/all/2", content));
+        world.at(at, move |world| send_crashing_content(world, "/all/2", content));
     }
     for at in [30_000.0, 30_200.0, 30_900.0] {
-        world.at(at, |world| deadly(world, "/one/2", 3));
+        world.at(at, |world| send_crashing_content(world, "/one/2", 3));
     }
     for (at, instance) in [(14_000.0, "s4x"), (14_200.0, "s5y"), (14_400.0, "s4y")] {
         world.at(at, |world| world.crash(instance));
@@ -150,10 +162,10 @@
     world.at(25_000.0, |world| world.event(RoutingEvent::PeerCases(peer_cases(world, 1500))));
     world.at(25_600.0, |world| world.event(RoutingEvent::PeerCases(peer_cases(world, 1501))));
     world.run(50_000);
-    pinned("quarantine", &world);
+    assert_pinned("quarantine", &world);
 }
 
-fn deadly(world: &mut World, path: &str, content: u64) {
+fn send_crashing_content(world: &mut World, path: &str, content: u64) {
     let arrival = world.arrival(path);
     world.arrive(Arrival { content: ContentKey(content), ..arrival });
 }
@@ -176,9 +188,13 @@
     let names: Vec<String> = (0..48).map(|number| format!("g{number:02}")).collect();
     let shards: Vec<&str> = names.iter().map(String::as_str).collect();
     let wide = route("wide", gather(&shards, 10, 0.9));
-    let mut world = World::new(many(), Some(definition(1, vec![wide], &shards)), entries(&shards, &COPIES, 5));
+    let mut world = World::new(
+        settings_for_many_requests(),
+        Some(definition(1, vec![wide], &shards)),
+        entries(&shards, &COPIES, 5),
+    );
     for (number, shard) in names.iter().enumerate() {
-        world.searchers.get_mut(&format!("{shard}y")).expect("started").failing =
+        world.searchers.get_mut(&format!("{shard}y")).expect("started").failure_fraction =
             if number % 9 == 0 { 0.2 } else { 0.0 };
         world.searchers.get_mut(&format!("{shard}x")).expect("started").slowness = 1.0 + (number % 5) as f64 / 10.0;
     }
@@ -193,73 +209,82 @@
         arrival.caller_timeout = (number % 10 == 9).then_some(Duration::from_millis(300));
     });
     world.run(8000);
-    pinned("wide_gathers", &world);
+    assert_pinned("wide_gathers", &world);
 }
 
 #[test]
 fn searchers_that_reject_part_of_their_work_or_answer_with_failures() {
     let once = RouteDefinition { is_idempotent: false, ..single("once", "s1") };
-    let routes = vec![single("one", "s0"), once, ranked("q", 1)];
-    let mut world = World::new(many(), Some(definition(1, routes, &SHARDS)), entries(&SHARDS, &COPIES, 3));
+    let routes = vec![single("one", "s0"), once, gather_with_priority("q", 1)];
+    let mut world =
+        World::new(settings_for_many_requests(), Some(definition(1, routes, &SHARDS)), entries(&SHARDS, &COPIES, 3));
     world.searchers.get_mut("s0x").expect("started").slowness = 25.0;
-    world.searchers.get_mut("s0y").expect("started").failing = 0.3;
-    world.searchers.get_mut("s1x").expect("started").failing = 0.2;
+    world.searchers.get_mut("s0y").expect("started").failure_fraction = 0.3;
+    world.searchers.get_mut("s1x").expect("started").failure_fraction = 0.2;
     world.at(3000.0, |world| world.searchers.get_mut("s1y").expect("started").slowness = 25.0);
     world.at(6000.0, |world| world.searchers.get_mut("s0x").expect("started").slowness = 1.0);
-    world.offer((0.0, 10_000.0), 120.0, "/one/1", plain);
-    world.offer((0.0, 10_000.0), 100.0, "/once/1", plain);
-    world.offer((0.0, 10_000.0), 40.0, "/q/1", plain);
-    (0..60).for_each(|count| world.at(1000.0 + 130.0 * f64::from(count), |world| world.newest_callers_leave(3)));
+    world.offer((0.0, 10_000.0), 120.0, "/one/1", unchanged);
+    world.offer((0.0, 10_000.0), 100.0, "/once/1", unchanged);
+    world.offer((0.0, 10_000.0), 40.0, "/q/1", unchanged);
+    (0..60).for_each(|count| world.at(1000.0 + 130.0 * f64::from(count), |world| world.disconnect_newest_callers(3)));
     world.run(14_000);
-    pinned("rejections", &world);
+    assert_pinned("rejections", &world);
 }
 
 #[test]
 fn shards_that_wait_for_connections_room_or_budget() {
-    let mut settings = many();
+    let mut settings = settings_for_many_requests();
     settings.extra.slack = 4.0;
-    let routes = vec![ranked("q", 1), single("one", "s0")];
+    let routes = vec![gather_with_priority("q", 1), single("one", "s0")];
     let mut definition = definition(1, routes, &SHARDS);
     definition.services[2].max_connections = 6;
     let mut world = World::new(settings, Some(definition), entries(&SHARDS, &COPIES[..2], 3));
     for searcher in world.searchers.values_mut() {
-        searcher.connecting = 4;
-        searcher.connections = 9;
+        searcher.connect_ms = 4;
+        searcher.max_connections = 9;
     }
-    world.offer((0.0, 12_000.0), 70.0, "/q/1", plain);
-    world.offer((0.0, 12_000.0), 30.0, "/one/1", plain);
-    world.offer((7000.0, 7400.0), 400.0, "/one/1", plain);
+    world.offer((0.0, 12_000.0), 70.0, "/q/1", unchanged);
+    world.offer((0.0, 12_000.0), 30.0, "/one/1", unchanged);
+    world.offer((7000.0, 7400.0), 400.0, "/one/1", unchanged);
     for (from, until, instance) in [(2000.0, 2600.0, "s0x"), (2100.0, 2500.0, "s0y"), (4000.0, 5500.0, "s1y")] {
         world.at(from, move |world| world.searchers.get_mut(instance).expect("started").is_reachable = false);
         world.at(until, move |world| world.searchers.get_mut(instance).expect("started").is_reachable = true);
     }
     for (at, connecting) in [(8000.0, 130), (8600.0, 4)] {
-        world.at(at, move |world| world.searchers.get_mut("s3x").expect("started").connecting = connecting);
+        world.at(at, move |world| world.searchers.get_mut("s3x").expect("started").connect_ms = connecting);
     }
     for (at, connections) in [(9000.0, 0), (10_000.0, 2), (11_000.0, 9)] {
         for instance in ["s2x", "s2y"] {
-            world.at(at, move |world| world.searchers.get_mut(instance).expect("started").connections = connections);
+            world
+                .at(at, move |world| world.searchers.get_mut(instance).expect("started").max_connections = connections);
         }
     }
     world.run(16_000);
-    pinned("waiting", &world);
+    assert_pinned("waiting", &world);
 }
 
 #[test]
 fn evacuated_zones_and_regions_that_routes_and_tenants_allow() {
-    let public = RouteDefinition { is_public: true, ..ranked("p", 1) };
-    let routes = vec![within(&["north"], ranked("n", 1)), within(&["south"], ranked("s", 1)), ranked("q", 1), public];
+    let public = RouteDefinition { is_public: true, ..gather_with_priority("p", 1) };
+    let routes = vec![
+        restricted_to(&["north"], gather_with_priority("n", 1)),
+        restricted_to(&["south"], gather_with_priority("s", 1)),
+        gather_with_priority("q", 1),
+        public,
+    ];
     let southern = TenantDefinition { allowed_regions: vec![Arc::from("south")], ..tenant("southern", None) };
     let tenants = vec![southern, tenant("t1", None)];
     let definition = RoutingDefinition { tenants, ..definition(1, routes, &SHARDS) };
-    let mut world = World::new(many(), Some(definition), entries(&SHARDS, &COPIES, 4));
+    let mut world = World::new(settings_for_many_requests(), Some(definition), entries(&SHARDS, &COPIES, 4));
     for path in ["/n/1", "/s/1", "/q/1"] {
-        world.offer((0.0, 9000.0), 30.0, path, |arrival, number| by_tenant(arrival, ["southern", "t1"][number % 2]));
+        world.offer((0.0, 9000.0), 30.0, path, |arrival, number| {
+            authenticate_as(arrival, ["southern", "t1"][number % 2])
+        });
     }
     world.offer((0.0, 9000.0), 5.0, "/q/1", |arrival, number| {
         arrival.credential = [Credential::Missing, Credential::Malformed, Credential::Key(key_of("none"))][number % 3];
     });
-    world.offer((0.0, 9000.0), 5.0, "/p/1", plain);
+    world.offer((0.0, 9000.0), 5.0, "/p/1", unchanged);
     for (at, zones) in [(2000.0, &["a"][..]), (4000.0, &["a", "b"]), (5500.0, &["c"]), (7000.0, &[])] {
         let zones: Vec<Arc<str>> = zones.iter().map(|zone| Arc::from(*zone)).collect();
         world.at(at, move |world| world.event(RoutingEvent::Evacuated(zones)));
@@ -270,23 +295,24 @@
         world.event(RoutingEvent::SearchersGone(vec![Arc::from("s2x"), Arc::from("s2y")]));
     });
     world.run(12_000);
-    pinned("places", &world);
+    assert_pinned("places", &world);
 }
 
 #[test]
 fn weighted_sets_whose_weights_change() {
     let set = |weights: [u32; 3]| weighted(&[("s0", weights[0]), ("s1", weights[1]), ("s2", weights[2])]);
     let definition = move |version, weights| definition(version, vec![route("w", set(weights))], &SHARDS);
-    let mut world = World::new(many(), Some(definition(1, [5, 3, 0])), entries(&SHARDS, &COPIES, 3));
+    let mut world =
+        World::new(settings_for_many_requests(), Some(definition(1, [5, 3, 0])), entries(&SHARDS, &COPIES, 3));
     for (at, version, weights) in
         [(2000.0, 2, [1, 8, 4]), (4000.0, 3, [0, 0, 7]), (5000.0, 4, [0, 0, 0]), (5500.0, 5, [2, 2, 2])]
     {
         world.at(at, move |world| world.configure(definition(version, weights)));
     }
     world.searchers.get_mut("s1x").expect("started").slowness = 10.0;
-    world.offer((0.0, 8000.0), 200.0, "/w/1", plain);
+    world.offer((0.0, 8000.0), 200.0, "/w/1", unchanged);
     world.run(11_000);
-    pinned("weighted", &world);
+    assert_pinned("weighted", &world);
 }
 
 #[test]
@@ -297,7 +323,7 @@
         let now = START + Duration::from_millis(250) * step;
         let wait = tolerable.mul_f64([0.1, 9.0, 0.5, 2.0, 0.0][step as usize / 80]);
         admission.evaluate(now, wait, tolerable);
-        journal.note(now, "level", &admission.level().to_string());
+        journal.record(now, "level", &admission.level().to_string());
     }
     insta::assert_snapshot!("admission_levels", journal.table("admission_levels"));
 }
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -17,7 +17,7 @@
 
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
 
-fn plain(_: &mut Arrival, _: usize) {}
+fn unchanged(_: &mut Arrival, _: usize) {}
 
 fn entries(slots: u32) -> Vec<SearcherEntry> {
     let copies =
@@ -25,7 +25,7 @@
     SHARDS.iter().flat_map(|shard| copies(shard)).collect()
 }
 
-fn many() -> RoutingSettings {
+fn settings_for_many_requests() -> RoutingSettings {
     RoutingSettings { max_requests: 100_000, ..settings() }
 }
 
@@ -33,7 +33,7 @@
     KeyDigest::of(tenant.as_bytes()).expect("a key")
 }
 
-fn by_tenant(arrival: &mut Arrival, tenant: &str) {
+fn authenticate_as(arrival: &mut Arrival, tenant: &str) {
     arrival.credential = Credential::Key(key_of(tenant));
 }
 
@@ -46,8 +46,8 @@
     RoutingDefinition { tenants, ..definition(version, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS) }
 }
 
-fn pinned(drive: &str, world: &World) {
-    insta::assert_snapshot!(drive, world.journal.table(drive));
+fn assert_pinned(scenario: &str, world: &World) {
+    insta::assert_snapshot!(scenario, world.journal.table(scenario));
 }
 
 const NODES: [NodeId; 3] = [NodeId(11), NodeId(12), NodeId(13)];
@@ -56,13 +56,17 @@
 fn quota_node(node: NodeId) -> World {
     let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
-    let settings = RoutingSettings { node, quota, ..many() };
+    let settings = RoutingSettings { node, quota, ..settings_for_many_requests() };
     let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), entries(5));
     let nodes_by_zone = [(Arc::from("a"), NODES.len())].into_iter().collect();
     let nodes = Some(NODES.to_vec());
     world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_share: 1.0, nodes });
-    world.offer((0.0, 14_000.0), 12.0, "/q/1", |arrival, number| by_tenant(arrival, ["t1", "t2", "t3"][number % 3]));
-    world.offer((3000.0, 11_000.0), 50.0, "/q/2", |arrival, number| by_tenant(arrival, ["t1", "t1", "t2"][number % 3]));
+    world.offer((0.0, 14_000.0), 12.0, "/q/1", |arrival, number| {
+        authenticate_as(arrival, ["t1", "t2", "t3"][number % 3])
+    });
+    world.offer((3000.0, 11_000.0), 50.0, "/q/2", |arrival, number| {
+        authenticate_as(arrival, ["t1", "t1", "t2"][number % 3])
+    });
     world
 }
 
@@ -83,15 +87,15 @@
             }
         }
     }
-    for (drive, world) in ["quotas_1", "quotas_2", "quotas_3"].into_iter().zip(&worlds) {
-        pinned(drive, world);
+    for (scenario, world) in ["quotas_1", "quotas_2", "quotas_3"].into_iter().zip(&worlds) {
+        assert_pinned(scenario, world);
     }
 }
 
 #[test]
 fn requests_that_come_before_configuration_or_searchers_are_known() {
-    let mut world = World::new(many(), None, Vec::new());
-    world.offer((0.0, 700.0), 200.0, "/q/1", plain);
+    let mut world = World::new(settings_for_many_requests(), None, Vec::new());
+    world.offer((0.0, 700.0), 200.0, "/q/1", unchanged);
     world.offer((900.0, 1500.0), 200.0, "/q/1", |arrival, _| arrival.knows_searchers = false);
     world.offer((1600.0, 3000.0), 200.0, "/new/1", |arrival, number| {
         arrival.newest_version = 2 + number as u64 % 2;
@@ -100,7 +104,7 @@
     world.offer((1600.0, 6000.0), 200.0, "/q/1", |arrival, number| {
         let views = [ConfigurationView::Current, ConfigurationView::Doubtful, ConfigurationView::Expired];
         arrival.view = views[number % 3];
-        by_tenant(arrival, ["t1", "t2"][number % 2]);
+        authenticate_as(arrival, ["t1", "t2"][number % 2]);
         arrival.newest_version = number as u64 % 4;
     });
     world.at(600.0, |world| world.configure(definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS)));
@@ -113,30 +117,32 @@
     });
     world.at(4000.0, |world| world.configure(with_tenants(3, vec![tenant("t1", None), tenant("t2", None)])));
     world.run(9000);
-    pinned("holds", &world);
+    assert_pinned("holds", &world);
 }
 
 #[test]
 fn keys_revoked_while_their_requests_wait() {
     let tenants = |names: &[&str]| names.iter().map(|name| tenant(name, None)).collect::<Vec<_>>();
-    let mut world = World::new(many(), Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))), entries(2));
+    let mut world =
+        World::new(settings_for_many_requests(), Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))), entries(2));
     for searcher in world.searchers.values_mut() {
-        searcher.connecting = 15;
+        searcher.connect_ms = 15;
         searcher.slowness = 3.0;
     }
-    world.offer((0.0, 6000.0), 60.0, "/q/1", |arrival, number| by_tenant(arrival, ["t1", "t2", "t3"][number % 3]));
+    world
+        .offer((0.0, 6000.0), 60.0, "/q/1", |arrival, number| authenticate_as(arrival, ["t1", "t2", "t3"][number % 3]));
     for (at, version, names) in [(1500.0, 2, &["t1", "t3"][..]), (2500.0, 3, &["t3"]), (4000.0, 4, &["t1", "t2", "t3"])]
     {
         let tenants = tenants(names);
         world.at(at, move |world| world.configure(with_tenants(version, tenants)));
     }
     world.run(9000);
-    pinned("revoked_keys", &world);
+    assert_pinned("revoked_keys", &world);
 }
 
 #[test]
 fn connections_and_hedges_of_a_restarted_node() {
-    let settings = RoutingSettings { restarted_at: Some(START), ..many() };
+    let settings = RoutingSettings { restarted_at: Some(START), ..settings_for_many_requests() };
     let mut definition = definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS);
     definition.services.iter_mut().for_each(|service| service.max_connections = 40);
     let mut world = World::new(settings, Some(definition), entries(5));
@@ -145,7 +151,7 @@
     for instance in ["s0x", "s2y"] {
         world.searchers.get_mut(instance).expect("started").slowness = 9.0;
     }
-    world.offer((0.0, 7000.0), 110.0, "/q/1", plain);
+    world.offer((0.0, 7000.0), 110.0, "/q/1", unchanged);
     world.run(10_000);
-    pinned("restarted", &world);
+    assert_pinned("restarted", &world);
 }
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -19,17 +19,17 @@
 /// Region of the zone `c`.
 const SOUTH: &str = "south";
 
-fn within(mut route: RouteDefinition, regions: &[&str]) -> RouteDefinition {
+fn restricted_to(mut route: RouteDefinition, regions: &[&str]) -> RouteDefinition {
     route.allowed_regions = regions.iter().map(|region| Arc::from(*region)).collect();
     route
 }
 
-fn single(service: &str) -> RouteTarget {
+fn service_target(service: &str) -> RouteTarget {
     RouteTarget::Service(Arc::from(service))
 }
 
-fn southern(searchers: Vec<SearcherEntry>) -> Driver {
-    let routes = vec![within(route("s", single("x")), &[SOUTH])];
+fn driver_with_southern_route(searchers: Vec<SearcherEntry>) -> Driver {
+    let routes = vec![restricted_to(route("s", service_target("x")), &[SOUTH])];
     Driver::with(definition(1, routes, &["x"]), searchers)
 }
 
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_request_goes_to_an_allowed_region_however_near_others_are() {
-    let mut driver = southern(vec![searcher("near", "x", "a"), searcher("far", "x", "c")]);
+    let mut driver = driver_with_southern_route(vec![searcher("near", "x", "a"), searcher("far", "x", "c")]);
     let key = driver.request("/s/1");
     assert_eq!(driver.instances(key), ["far"]);
 }
@@ -47,29 +47,29 @@
 #[test]
 fn retries_reroutes_and_hedges_stay_in_the_allowed_regions() {
     let searchers = || vec![searcher("near", "x", "a"), searcher("far1", "x", "c"), searcher("far2", "x", "c")];
-    let ends = [
+    let outcomes = [
         AttemptOutcome::NotRun(NotRun::Unconnected),
         AttemptOutcome::NotRun(NotRun::Shed),
         AttemptOutcome::Unknown(Unknown::Broken),
     ];
-    for end in ends {
-        let mut driver = southern(searchers());
+    for outcome in outcomes {
+        let mut driver = driver_with_southern_route(searchers());
         let key = driver.request("/s/1");
         let first = driver.sends[0].attempt;
-        driver.end(first, end);
+        driver.end(first, outcome);
         assert_eq!(driver.sent_for(key).len(), 2);
         assert!(!driver.instances(key).contains(&"near".to_owned()));
     }
-    let mut driver = southern(searchers());
+    let mut driver = driver_with_southern_route(searchers());
     let key = driver.request("/s/1");
-    driver.pass_ms(3000);
+    driver.advance_ms(3000);
     assert_eq!(driver.reasons(key), [SendReason::First, SendReason::Hedge]);
     assert!(!driver.instances(key).contains(&"near".to_owned()));
 }
 
 #[test]
 fn without_a_searcher_in_an_allowed_region_a_request_is_refused_at_once_as_not_run() {
-    let mut driver = southern(vec![searcher("near", "x", "a"), searcher("nowhere", "x", "unlisted")]);
+    let mut driver = driver_with_southern_route(vec![searcher("near", "x", "a"), searcher("nowhere", "x", "unlisted")]);
     let key = driver.request("/s/1");
     assert_eq!(driver.refusal(key), Some(ErrorKind::NoAllowedReplica));
     assert_eq!(ErrorKind::NoAllowedReplica.executed(), Executed::Never);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_gather_leaves_out_shards_that_nobody_serves_in_an_allowed_region_and_says_so() {
-    let routes = vec![within(route("g", gather(&["x", "y"], 2, 0.5)), &[NORTH])];
+    let routes = vec![restricted_to(route("g", gather(&["x", "y"], 2, 0.5)), &[NORTH])];
     let searchers = vec![searcher("x1", "x", "b"), searcher("y1", "y", "c")];
     let mut driver = Driver::with(definition(1, routes, &["x", "y"]), searchers);
     let key = driver.request("/g/1");
@@ -95,7 +95,8 @@
 #[test]
 fn the_directory_learns_which_regions_a_host_allows() {
     let table = |sets: &[&[&str]]| {
-        let numbered = |(number, set): (usize, &&[&str])| within(route(&format!("r{number}"), single("x")), set);
+        let numbered =
+            |(number, set): (usize, &&[&str])| restricted_to(route(&format!("r{number}"), service_target("x")), set);
         let routes = sets.iter().enumerate().map(numbered).collect();
         RouteTable::new(Arc::new(definition(1, routes, &["x"])))
     };
@@ -112,7 +113,7 @@
 
 #[test]
 fn an_evacuated_zone_gets_no_new_work_and_finishes_what_it_has() {
-    let routes = vec![route("s", single("x"))];
+    let routes = vec![route("s", service_target("x"))];
     let mut driver =
         Driver::with(definition(1, routes, &["x"]), vec![searcher("here", "x", "a"), searcher("b1", "x", "b")]);
     let running = driver.request("/s/1");
@@ -128,7 +129,7 @@
 
 #[test]
 fn retries_do_not_enter_a_zone_that_was_evacuated_meanwhile() {
-    let routes = vec![route("s", single("x"))];
+    let routes = vec![route("s", service_target("x"))];
     let mut driver =
         Driver::with(definition(1, routes, &["x"]), vec![searcher("b1", "x", "b"), searcher("c1", "x", "c")]);
     let key = driver.request("/s/1");
@@ -142,7 +143,7 @@
 
 #[test]
 fn searchers_learned_of_during_an_evacuation_wait_for_its_end_and_then_serve() {
-    let routes = vec![route("s", single("x"))];
+    let routes = vec![route("s", service_target("x"))];
     let mut driver = Driver::with(definition(1, routes, &["x"]), Vec::new());
     evacuate(&mut driver, &["a"]);
     driver.event(RoutingEvent::Searchers(vec![searcher("a1", "x", "a")]));
@@ -157,13 +158,13 @@
 
 /// Returns a driver with a searcher that takes ten requests per second while it is cold, and a warm one in another
 /// region. `fleet` nodes serve in zone `a`.
-fn cold_site(fleet: usize) -> Driver {
-    let mut configuration: RoutingDefinition = definition(1, vec![route("s", single("x"))], &["x"]);
+fn driver_with_cold_searcher(fleet: usize) -> Driver {
+    let mut configuration: RoutingDefinition = definition(1, vec![route("s", service_target("x"))], &["x"]);
     configuration.services[0].cold_start = ColdStart { duration_ms: 3000, requests_per_s: Some(10.0) };
     let cold = SearcherEntry { cold_ms: 3000, ..searcher("cold", "x", "a") };
     let settings = RoutingSettings { cold: ColdBound { factor: 1.5, slack: 5.0 }, ..settings() };
     let mut driver = Driver::with_settings(settings, configuration, vec![cold, searcher("warm", "x", "c")]);
-    driver.fleet(&[("a", fleet)], fleet);
+    driver.set_fleet(&[("a", fleet)], fleet);
     driver
 }
 
@@ -172,53 +173,53 @@
 }
 
 /// Sends one request every 10 ms, each of which is answered after 2 ms.
-fn load(driver: &mut Driver, requests: usize) {
+fn send_and_answer(driver: &mut Driver, requests: usize) {
     for number in 0..requests {
         driver.request(&format!("/s/{number}"));
         let attempt = driver.sends[driver.sends.len() - 1].attempt;
-        driver.pass_ms(2);
+        driver.advance_ms(2);
         driver.end(attempt, answer(200, "p", Vec::new()));
-        driver.pass_ms(8);
+        driver.advance_ms(8);
     }
 }
 
 #[test]
 fn a_cold_searcher_gets_a_nodes_share_of_what_it_bears_until_it_is_warm() {
-    let mut driver = cold_site(2);
-    load(&mut driver, 100);
+    let mut driver = driver_with_cold_searcher(2);
+    send_and_answer(&mut driver, 100);
     // The bound is 20 requests per second for both nodes together, of which 12 are planned: 6 for each node.
     assert_eq!(sends_to(&driver, "cold"), 6);
-    driver.pass_ms(3000);
-    load(&mut driver, 100);
+    driver.advance_ms(3000);
+    send_and_answer(&mut driver, 100);
     assert!(sends_to(&driver, "cold") > 100);
 }
 
 #[test]
 fn a_changed_bound_on_cold_searchers_holds_at_once() {
-    let mut driver = cold_site(2);
+    let mut driver = driver_with_cold_searcher(2);
     driver.engine.set_cold_bound(ColdBound { factor: 1.0, slack: 0.0 });
-    load(&mut driver, 100);
+    send_and_answer(&mut driver, 100);
     assert_eq!(sends_to(&driver, "cold"), 3, "one of two nodes gets half of six tenths of ten");
 }
 
 #[test]
 fn a_searcher_whose_zone_is_taken_back_is_cold_even_if_its_entry_does_not_say_so_yet() {
-    let mut driver = cold_site(2);
-    driver.pass_ms(4000);
+    let mut driver = driver_with_cold_searcher(2);
+    driver.advance_ms(4000);
     evacuate(&mut driver, &["a"]);
-    driver.pass_ms(1000);
+    driver.advance_ms(1000);
     evacuate(&mut driver, &[]);
-    load(&mut driver, 100);
+    send_and_answer(&mut driver, 100);
     assert_eq!(sends_to(&driver, "cold"), 6);
 }
 
 #[test]
 fn a_shard_with_only_cold_searchers_waits_for_its_share() {
-    let mut driver = cold_site(2);
+    let mut driver = driver_with_cold_searcher(2);
     evacuate(&mut driver, &["c"]);
     let keys: Vec<_> = (0..8).map(|number| driver.request(&format!("/s/{number}"))).collect();
     assert_eq!(sends_to(&driver, "cold"), 6);
-    driver.pass_ms(2000);
+    driver.advance_ms(2000);
     assert!(
         keys.iter().all(|key| !driver.sent_for(*key).is_empty()),
         "the waiting requests are sent once the share permits"
--- a/crates/staircross-routing/tests/policy.rs
+++ b/crates/staircross-routing/tests/policy.rs
@@ -22,9 +22,9 @@
 fn without_hedges_a_late_searcher_is_waited_for() {
     for (policy, sends) in [(all_on(), 2), (RoutingPolicy { hedges: false, ..all_on() }, 1)] {
         let mut driver = driver(policy);
-        driver.pass_ms(2000);
+        driver.advance_ms(2000);
         let request = driver.request("/q/1");
-        driver.pass_ms(240);
+        driver.advance_ms(240);
         assert_eq!(driver.sent_for(request).len(), sends);
     }
 }
@@ -34,9 +34,9 @@
     for (policy, sends) in [(all_on(), 1), (RoutingPolicy { start_rest: false, ..all_on() }, 2)] {
         let mut driver = driver(policy);
         let request = driver.request("/q/1");
-        driver.pass_ms(240);
+        driver.advance_ms(240);
         assert_eq!(driver.sent_for(request).len(), sends);
-        driver.pass_ms(1761);
+        driver.advance_ms(1761);
         assert_eq!(driver.sent_for(request).len(), 2, "an attempt that is still late after two seconds is hedged");
     }
 }
@@ -68,7 +68,7 @@
 fn without_the_ramp_a_restarted_node_takes_its_share_at_once() {
     for (policy, sends) in [(all_on(), 2), (RoutingPolicy { connection_ramp: false, ..all_on() }, 8)] {
         let mut driver = driver(policy);
-        driver.fleet(&[("a", 9)], 9);
+        driver.set_fleet(&[("a", 9)], 9);
         for number in 0..8 {
             driver.request(&format!("/q/{number}"));
         }
@@ -90,7 +90,7 @@
             let first = driver.sent_for(request)[0].clone();
             let is_slow = &*first.instance == "x-1";
             slow += usize::from(is_slow);
-            driver.pass_ms(if is_slow { 12 } else { 2 });
+            driver.advance_ms(if is_slow { 12 } else { 2 });
             driver.end(first.attempt, answer(200, "stamp", Vec::new()));
             let hedges: Vec<AttemptKey> = driver.sent_for(request)[1..].iter().map(|order| order.attempt).collect();
             hedges.into_iter().for_each(|hedge| driver.end(hedge, AttemptOutcome::Cancelled));
--- a/crates/staircross-routing/tests/quarantine_peers.rs
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Driver;
-use common::quarantine::{BROKEN, DEADLY, ask, driver, lost, part, told_by_peer};
+use common::quarantine::{BROKEN, CRASHING_CONTENT, ask, driver, lost_attempt, part_answer, peer_case_records};
 use proptest::prelude::*;
 use staircross_routing::decision::quarantine::Quarantine;
 use staircross_routing::engine::SendOrder;
@@ -19,31 +19,31 @@
     for number in 0..3 {
         let sent_at = lost_at + Duration::from_millis(10);
         lost_at = sent_at + Duration::from_millis(60);
-        here.note_lost(lost_at, lost(DEADLY, number, sent_at));
+        here.note_lost(lost_at, lost_attempt(CRASHING_CONTENT, number, sent_at));
     }
     // The boot clock of the other machine started at another time.
     let elsewhere = BootTime::from_millis(77_000_000);
     there.merge(elsewhere, &here.records(lost_at));
-    assert_eq!(there.suspicion(elsewhere, DEADLY), Suspicion::Quarantined);
+    assert_eq!(there.suspicion(elsewhere, CRASHING_CONTENT), Suspicion::Quarantined);
     let later = Duration::from_secs(5);
-    there.note_answered(elsewhere + later, DEADLY);
+    there.note_answered(elsewhere + later, CRASHING_CONTENT);
     here.merge(lost_at + later, &there.records(elsewhere + later));
-    assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
+    assert_eq!(here.suspicion(lost_at + later, CRASHING_CONTENT), Suspicion::None);
     // A loss from before the answer arrives late and changes nothing.
     let mut stale = Quarantine::default();
-    stale.note_lost(lost_at, lost(DEADLY, 9, now));
+    stale.note_lost(lost_at, lost_attempt(CRASHING_CONTENT, 9, now));
     here.merge(lost_at + later, &stale.records(lost_at + later));
-    assert_eq!(here.suspicion(lost_at + later, DEADLY), Suspicion::None);
+    assert_eq!(here.suspicion(lost_at + later, CRASHING_CONTENT), Suspicion::None);
 }
 
 /// Sends a request that may not be repeated, then quarantines its content by a peer's records. Returns the order that
 /// was sent before.
 fn sent_once_before_quarantine(driver: &mut Driver) -> SendOrder {
-    let request = ask(driver, "/once/x", DEADLY);
+    let request = ask(driver, "/once/x", CRASHING_CONTENT);
     let order = driver.sent_for(request)[0].clone();
-    driver.pass_ms(10);
-    let told = told_by_peer(driver.now, DEADLY);
-    driver.event(RoutingEvent::PeerCases(told));
+    driver.advance_ms(10);
+    let records = peer_case_records(driver.now, CRASHING_CONTENT);
+    driver.event(RoutingEvent::PeerCases(records));
     order
 }
 
@@ -54,9 +54,9 @@
     let request = order.attempt.request;
     assert!(driver.abandoned.is_empty(), "the searcher may be running the request, which may not be repeated");
     assert_eq!(driver.refusal(request), None);
-    let refused = ask(&mut driver, "/once/x", DEADLY);
+    let refused = ask(&mut driver, "/once/x", CRASHING_CONTENT);
     assert_eq!(driver.refusal(refused), Some(ErrorKind::Quarantined), "other requests for the content aren't sent");
-    driver.end(order.attempt, part(&order));
+    driver.end(order.attempt, part_answer(&order));
     assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
 }
 
@@ -81,17 +81,21 @@
     let now = BootTime::from_millis(1_000_000);
     let at = |ms| now + Duration::from_millis(ms);
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    here.note_lost(at(41), lost(DEADLY, 0, now));
-    here.note_lost(at(45), lost(DEADLY, 1, now));
-    here.note_lost(at(81), lost(DEADLY, 2, at(42)));
-    assert_eq!(here.suspicion(at(81), DEADLY), Suspicion::Quarantined);
+    here.note_lost(at(41), lost_attempt(CRASHING_CONTENT, 0, now));
+    here.note_lost(at(45), lost_attempt(CRASHING_CONTENT, 1, now));
+    here.note_lost(at(81), lost_attempt(CRASHING_CONTENT, 2, at(42)));
+    assert_eq!(here.suspicion(at(81), CRASHING_CONTENT), Suspicion::Quarantined);
     // The searchers of the other shards were sent the content before any had crashed, and crash one after the other.
     for number in 3..10 {
-        here.note_lost(at(81 + number), lost(DEADLY, number, now));
-        assert_eq!(here.suspicion(at(100), DEADLY), Suspicion::Quarantined, "after the loss of searcher {number}");
+        here.note_lost(at(81 + number), lost_attempt(CRASHING_CONTENT, number, now));
+        assert_eq!(
+            here.suspicion(at(100), CRASHING_CONTENT),
+            Suspicion::Quarantined,
+            "after the loss of searcher {number}"
+        );
         there.merge(at(100), &here.records(at(100)));
         assert_eq!(
-            there.suspicion(at(100), DEADLY),
+            there.suspicion(at(100), CRASHING_CONTENT),
             Suspicion::Quarantined,
             "at the peer, after the loss of searcher {number}"
         );
@@ -104,12 +108,12 @@
     let now = BootTime::from_millis(1_000_000);
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     for number in 0..2 {
-        here.note_lost(now, lost(DEADLY, number, now));
+        here.note_lost(now, lost_attempt(CRASHING_CONTENT, number, now));
     }
     let suspect = there.merge(now, &here.records(now));
     assert_eq!(suspect.len(), 1);
     assert!(suspect[0].is_urgent(true), "any delay may cost one searcher of each shard");
-    here.note_answered(now, DEADLY);
+    here.note_answered(now, CRASHING_CONTENT);
     let cleared = there.merge(now, &here.records(now));
     assert_eq!(cleared.len(), 1);
     assert!(!cleared[0].is_urgent(true));
@@ -120,15 +124,15 @@
     let now = BootTime::from_millis(1_000_000);
     let mut here = Quarantine::default();
     for number in 0..20 {
-        here.note_lost(now, lost(ContentKey(number), 1, now));
-        here.note_lost(now, lost(ContentKey(number), 2, now));
+        here.note_lost(now, lost_attempt(ContentKey(number), 1, now));
+        here.note_lost(now, lost_attempt(ContentKey(number), 2, now));
     }
     (0..8).for_each(|_| drop(here.records(now)));
-    here.note_lost(now, lost(DEADLY, 1, now));
-    here.note_lost(now, lost(DEADLY, 2, now));
-    let told = here.records(now);
-    assert!(told.iter().any(|record| record.content == DEADLY), "{told:?}");
-    assert!(told.len() <= 5, "a datagram holds at most five records");
+    here.note_lost(now, lost_attempt(CRASHING_CONTENT, 1, now));
+    here.note_lost(now, lost_attempt(CRASHING_CONTENT, 2, now));
+    let records = here.records(now);
+    assert!(records.iter().any(|record| record.content == CRASHING_CONTENT), "{records:?}");
+    assert!(records.len() <= 5, "a datagram holds at most five records");
 }
 
 #[test]
@@ -140,21 +144,21 @@
         for number in 0..4 {
             let sent_at = lost_at + Duration::from_millis(10);
             lost_at = sent_at + Duration::from_millis(30);
-            here.note_lost(lost_at, lost(DEADLY, number, sent_at));
+            here.note_lost(lost_at, lost_attempt(CRASHING_CONTENT, number, sent_at));
         }
         let losses = here.records(lost_at);
         if is_known_before {
             there.merge(lost_at, &losses);
         }
         let answered = lost_at + Duration::from_millis(20);
-        here.note_answered(answered, DEADLY);
+        here.note_answered(answered, CRASHING_CONTENT);
         there.merge(answered + Duration::from_millis(1), &here.records(answered));
         // The losses were reported before the answer but arrive after it, by another route or from a busy node.
         there.merge(answered + Duration::from_millis(120), &losses);
         here.merge(answered + Duration::from_millis(150), &losses);
         let later = answered + Duration::from_millis(200);
-        let thought = [here.suspicion(later, DEADLY), there.suspicion(later, DEADLY)];
-        assert_eq!(thought, [Suspicion::None; 2], "known before: {is_known_before}");
+        let suspicions = [here.suspicion(later, CRASHING_CONTENT), there.suspicion(later, CRASHING_CONTENT)];
+        assert_eq!(suspicions, [Suspicion::None; 2], "known before: {is_known_before}");
     }
 }
 
@@ -164,25 +168,25 @@
     let mut now = BootTime::from_millis(1_000_000);
     for number in 0..3 {
         now = now + Duration::from_millis(50);
-        quarantine.note_lost(now, lost(DEADLY, number, now - Duration::from_millis(10)));
+        quarantine.note_lost(now, lost_attempt(CRASHING_CONTENT, number, now - Duration::from_millis(10)));
     }
     for number in 0..2000 {
         now = now + Duration::from_millis(1);
-        quarantine.note_lost(now, lost(ContentKey(number), number, now));
-        quarantine.note_lost(now, lost(ContentKey(number), number + 1, now));
+        quarantine.note_lost(now, lost_attempt(ContentKey(number), number, now));
+        quarantine.note_lost(now, lost_attempt(ContentKey(number), number + 1, now));
     }
-    assert_eq!(quarantine.suspicion(now, DEADLY), Suspicion::Quarantined);
+    assert_eq!(quarantine.suspicion(now, CRASHING_CONTENT), Suspicion::Quarantined);
     let (suspects, quarantined) = quarantine.counts(now);
     assert!(suspects < 256 && quarantined == 1, "{suspects} {quarantined}");
     assert!(
-        quarantine.records(now).iter().any(|record| record.content == DEADLY),
+        quarantine.records(now).iter().any(|record| record.content == CRASHING_CONTENT),
         "the quarantined content is among the records sent"
     );
 }
 
 /// Generates the loss of a searcher: the node out of three that observes it, the searcher, and the time since the
 /// previous loss in units of 10 ms.
-fn loss() -> impl Strategy<Value = (usize, u64, u64)> {
+fn any_loss() -> impl Strategy<Value = (usize, u64, u64)> {
     (0..3_usize, 0..4_u64, 1..40_u64)
 }
 
@@ -191,37 +195,37 @@
     /// clears it at all.
     #[test]
     fn nodes_that_tell_each_other_agree(
-        losses in proptest::collection::vec(loss(), 1..12),
+        losses in proptest::collection::vec(any_loss(), 1..12),
         envelopes in proptest::collection::vec((0..3_usize, 0..3_usize), 0..20),
         answering in 0..3_usize,
     ) {
         let mut nodes = [(); 3].map(|()| Quarantine::default());
         let mut now = BootTime::from_millis(1_000_000);
-        let tell = |nodes: &mut [Quarantine; 3], now, from: usize, to: usize| {
+        let send_records = |nodes: &mut [Quarantine; 3], now, from: usize, to: usize| {
             let records: Vec<CaseRecord> = nodes[from].records(now);
             nodes[to].merge(now, &records);
         };
-        let tell_all = |nodes: &mut [Quarantine; 3], now| {
+        let exchange_all = |nodes: &mut [Quarantine; 3], now| {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (0, 1), (1, 2), (2, 0)] {
-                tell(nodes, now, from, to);
+                send_records(nodes, now, from, to);
             }
         };
         let mut envelopes = envelopes.into_iter();
         for (node, searcher, gap) in losses {
             let sent_at = now;
             now = now + Duration::from_millis(gap * 10);
-            nodes[node].note_lost(now, lost(DEADLY, searcher, sent_at));
+            nodes[node].note_lost(now, lost_attempt(CRASHING_CONTENT, searcher, sent_at));
             if let Some((from, to)) = envelopes.next() {
-                tell(&mut nodes, now, from, to);
+                send_records(&mut nodes, now, from, to);
             }
         }
         now = now + Duration::from_millis(500);
-        tell_all(&mut nodes, now);
-        let thought = nodes.each_ref().map(|node| node.suspicion(now, DEADLY));
-        prop_assert!(thought.iter().all(|suspicion| *suspicion == thought[0]), "{thought:?}");
-        nodes[answering].note_answered(now, DEADLY);
-        tell_all(&mut nodes, now);
-        let thought = nodes.each_ref().map(|node| node.suspicion(now, DEADLY));
-        prop_assert!(thought.iter().all(|suspicion| *suspicion == Suspicion::None), "{thought:?}");
+        exchange_all(&mut nodes, now);
+        let suspicions = nodes.each_ref().map(|node| node.suspicion(now, CRASHING_CONTENT));
+        prop_assert!(suspicions.iter().all(|suspicion| *suspicion == suspicions[0]), "{suspicions:?}");
+        nodes[answering].note_answered(now, CRASHING_CONTENT);
+        exchange_all(&mut nodes, now);
+        let suspicions = nodes.each_ref().map(|node| node.suspicion(now, CRASHING_CONTENT));
+        prop_assert!(suspicions.iter().all(|suspicion| *suspicion == Suspicion::None), "{suspicions:?}");
     }
 }
--- a/crates/staircross-routing/tests/quotas.rs
+++ b/crates/staircross-routing/tests/quotas.rs
@@ -31,10 +31,10 @@
 }
 
 /// Returns two engines that share the quota of one tenant.
-fn fleet() -> Vec<Driver> {
+fn two_nodes() -> Vec<Driver> {
     let driver = |node| {
         let mut driver = Driver::with_settings(node_settings(node), with_tenant(), Vec::new());
-        driver.fleet_nodes(&NODES);
+        driver.set_fleet_nodes(&NODES);
         driver
     };
     NODES.map(driver).into_iter().collect()
@@ -42,13 +42,13 @@
 
 /// Advances the clock by one step and delivers the engines' messages to each other, unless the nodes are cut off.
 fn step(nodes: &mut [Driver], is_cut: bool) {
-    let mut told = Vec::new();
+    let mut in_transit = Vec::new();
     for (index, driver) in nodes.iter_mut().enumerate() {
-        driver.pass(STEP);
-        let envelopes = std::mem::take(&mut driver.quota_told);
-        told.extend(envelopes.into_iter().map(|(to, messages)| (NODES[index], to, messages)));
+        driver.advance(STEP);
+        let envelopes = std::mem::take(&mut driver.quota_messages);
+        in_transit.extend(envelopes.into_iter().map(|(to, messages)| (NODES[index], to, messages)));
     }
-    for (from, to, messages) in told.into_iter().filter(|_| !is_cut) {
+    for (from, to, messages) in in_transit.into_iter().filter(|_| !is_cut) {
         let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
         nodes[receiver].event(RoutingEvent::PeerQuota { from, messages });
     }
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_tenant_that_asks_ten_times_its_rate_of_two_nodes_gets_its_rate() {
-    let mut nodes = fleet();
+    let mut nodes = two_nodes();
     let admitted = offer(&mut nodes, 8, false);
     let settled: usize = admitted[3..].iter().sum();
     // In five seconds, the rate, half of the burst and a tenth of the permitted excess add up to 56.
@@ -80,7 +80,7 @@
 
 #[test]
 fn nodes_that_are_cut_off_from_each_other_keep_the_bound_together() {
-    let mut nodes = fleet();
+    let mut nodes = two_nodes();
     offer(&mut nodes, 2, false);
     let admitted = offer(&mut nodes, 5, true);
     let most = (RATE * 5.0 + 5.0) * 1.25 + 20.0;
@@ -90,7 +90,7 @@
 
 #[test]
 fn refused_requests_are_told_other_times_to_come_back() {
-    let mut nodes = fleet();
+    let mut nodes = two_nodes();
     offer(&mut nodes, 3, false);
     let tenant: Arc<str> = Arc::from("t");
     let driver = &mut nodes[0];
@@ -104,7 +104,7 @@
 
 #[test]
 fn what_peers_tell_of_quotas_is_recorded_and_plays_again() {
-    let mut nodes = fleet();
+    let mut nodes = two_nodes();
     offer(&mut nodes, 2, false);
     let driver = &mut nodes[1];
     let recorded = RecordedSettings::new("n", &node_settings(NODES[1]));
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -33,13 +33,13 @@
             let key = self.driver.request("/s/1");
             self.requests.push(key);
             self.end_rejected();
-            self.driver.pass_ms(5);
+            self.driver.advance_ms(5);
             self.end_rejected();
             while self.ended < self.driver.sends.len() {
                 self.end(answer(200, "p", Vec::new()));
                 self.end_rejected();
             }
-            self.driver.pass_ms(SPACING_MS - 5);
+            self.driver.advance_ms(SPACING_MS - 5);
         }
     }
 
@@ -65,13 +65,13 @@
     }
 }
 
-fn trio() -> Site {
+fn site_with_three_searchers() -> Site {
     Site::new(vec![searcher("a1", "x", "a"), searcher("a2", "x", "a"), searcher("b1", "x", "b")])
 }
 
 #[test]
 fn a_searcher_that_rejects_is_soon_asked_little_and_others_serve() {
-    let mut site = trio();
+    let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2"];
     site.load(20);
     site.arrivals.clear();
@@ -96,7 +96,7 @@
 
 #[test]
 fn where_all_reject_alike_all_are_still_asked() {
-    let mut site = trio();
+    let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2", "b1"];
     site.load(300);
     for instance in ["a1", "a2", "b1"] {
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -7,7 +7,7 @@
 use staircross_routing::{AttemptOutcome, ReportedLoad, RouteTarget, SearcherAnswer, SearcherReport};
 use std::sync::Arc;
 
-fn reported(percent: u32) -> AttemptOutcome {
+fn answer_with_report(percent: u32) -> AttemptOutcome {
     let load = ReportedLoad { running: 1, waiting: 0, slots: 5, host_slowness: Some(percent) };
     let report = SearcherReport { load: Some(load), cold: None };
     let AttemptOutcome::Answered(plain) = answer(200, "p", records(&[1])) else {
@@ -26,9 +26,9 @@
     let first = driver.request("/g/1");
     assert_eq!(driver.instances(first), ["a1"]);
     let attempt = driver.sends[0].attempt;
-    driver.pass_ms(5);
-    driver.end(attempt, reported(percent));
-    driver.pass_ms(wait_ms);
+    driver.advance_ms(5);
+    driver.end(attempt, answer_with_report(percent));
+    driver.advance_ms(wait_ms);
     let next = driver.request("/g/2");
     driver.instances(next)[0].clone()
 }
@@ -49,7 +49,7 @@
         let request = driver.request(&format!("/s/{number}"));
         assert_eq!(driver.reasons(request), [SendReason::First]);
         let attempt = driver.sends[driver.sends.len() - 1].attempt;
-        driver.pass_ms(5);
-        driver.end(attempt, reported(u32::MAX));
+        driver.advance_ms(5);
+        driver.end(attempt, answer_with_report(u32::MAX));
     }
 }
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -21,7 +21,7 @@
     let began = driver.now;
     driver.event(RoutingEvent::Arrived(arrival));
     assert_eq!(driver.sends[0].deadline, began + Duration::from_millis(1500));
-    driver.pass_ms(1499);
+    driver.advance_ms(1499);
     assert_eq!(driver.refusal(key), Some(ErrorKind::TimedOut));
 }
 
@@ -68,11 +68,11 @@
 #[test]
 fn extra_sends_stay_within_the_budget_in_every_window() {
     let mut driver = repeatable();
-    driver.fleet(&[("a", 1), ("b", 1), ("c", 1)], 3);
+    driver.set_fleet(&[("a", 1), ("b", 1), ("c", 1)], 3);
     for _ in 0..400 {
         driver.request("/r/1");
         let attempt = driver.sends.last().expect("sent").attempt;
-        driver.pass_ms(20);
+        driver.advance_ms(20);
         // The first answer of every request is lost; its retry is answered.
         driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
         if let Some(last) = driver.sends.last().filter(|last| last.attempt != attempt) {
@@ -106,7 +106,7 @@
     for _ in 0..80 {
         driver.request("/r/1");
         let attempt = driver.sends.last().expect("sent").attempt;
-        driver.pass_ms(5);
+        driver.advance_ms(5);
         driver.end(attempt, answer(200, "stamp", Vec::new()));
     }
     let count = |name: &str| driver.sends.iter().filter(|order| &*order.instance == name).count();
@@ -122,7 +122,7 @@
         driver.request("/r/1");
         let order = driver.sends.last().expect("sent").clone();
         let is_slow = &*order.instance == "r1";
-        driver.pass_ms(if is_slow { 200 } else { 5 });
+        driver.advance_ms(if is_slow { 200 } else { 5 });
         driver.end(order.attempt, answer(200, "stamp", Vec::new()));
     }
     let red = driver.sends.iter().filter(|order| &*order.instance == "r1").count();
@@ -149,7 +149,7 @@
     let mut entry = searcher("s1", "books", "a");
     entry.slots = 1;
     let mut driver = Driver::with(definition(1, vec![service_route("r", "books")], &["books"]), vec![entry]);
-    driver.fleet(&[("a", 40)], 40);
+    driver.set_fleet(&[("a", 40)], 40);
     let first = driver.request("/r/1");
     let second = driver.request("/r/2");
     assert_eq!(
@@ -165,10 +165,10 @@
 fn a_request_that_found_no_room_in_time_is_refused_as_not_run() {
     let mut driver =
         Driver::with(definition(1, vec![service_route("r", "books")], &["books"]), vec![searcher("s1", "books", "a")]);
-    driver.fleet(&[("a", 40)], 40);
+    driver.set_fleet(&[("a", 40)], 40);
     driver.request("/r/1");
     let second = driver.request("/r/2");
-    driver.pass_ms(4000);
+    driver.advance_ms(4000);
     assert_eq!(driver.refusal(second), Some(ErrorKind::Overloaded));
     assert!(driver.sent_for(second).is_empty());
 }
@@ -180,7 +180,7 @@
         let request = driver.request("/r/1");
         assert!(!driver.sent_for(request).is_empty(), "a request wasn't sent although three searchers are known");
         for attempt in driver.sent_for(request).iter().map(|order| order.attempt).collect::<Vec<_>>() {
-            driver.pass_ms(5);
+            driver.advance_ms(5);
             driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
         }
     }
@@ -192,7 +192,7 @@
     let mut few_connections = definition(1, vec![service_route("r", "books")], &["books"]);
     few_connections.services[0].max_connections = 3;
     let mut driver = Driver::with(few_connections, both);
-    driver.fleet(&[("a", 3)], 3);
+    driver.set_fleet(&[("a", 3)], 3);
     let first = driver.request("/r/1");
     let second = driver.request("/r/2");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -32,7 +32,7 @@
     let request = driver.request("/r/1");
     assert_eq!(driver.instances(request), ["s1"], "the searcher in the node's own zone is asked");
     let attempt = driver.sends[0].attempt;
-    driver.pass_ms(20);
+    driver.advance_ms(20);
     driver.end(attempt, answer(200, "stamp", b"body".to_vec()));
     let Some(Verdict::Passed(passed)) = driver.verdict(request) else {
         panic!("expected an answer, got {:?}", driver.verdict(request));
@@ -66,13 +66,13 @@
 fn an_unrepeatable_request_is_never_hedged() {
     let mut driver = unrepeatable();
     let request = driver.request("/r/1");
-    driver.pass_ms(3500);
+    driver.advance_ms(3500);
     assert_eq!(driver.sent_for(request).len(), 1);
 }
 
 /// Lets every searcher shed a request until it is refused, at its timeout at the latest. Checks that two searchers were
 /// asked. Returns the kind of the refusal.
-fn shed_until_over(driver: &mut Driver, request: RequestKey) -> ErrorKind {
+fn shed_until_refused(driver: &mut Driver, request: RequestKey) -> ErrorKind {
     let mut ended = driver.sent_for(request).len() - 1;
     for _ in 0..400 {
         if let Some(kind) = driver.refusal(request) {
@@ -85,7 +85,7 @@
         for attempt in open {
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        driver.pass_ms(10);
+        driver.advance_ms(10);
     }
     panic!("the request was held past its timeout");
 }
@@ -96,7 +96,7 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
-    let kind = shed_until_over(&mut driver, request);
+    let kind = shed_until_refused(&mut driver, request);
     assert_eq!(kind.executed(), Executed::Never, "{kind}: every attempt was answered as not run");
 }
 
@@ -105,7 +105,7 @@
     let mut driver = repeatable();
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
-    let kind = shed_until_over(&mut driver, request);
+    let kind = shed_until_refused(&mut driver, request);
     assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
 }
 
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns an admission that evaluated a wait of `ratio` times the tolerable one at each spacing from 0 to `until_ms`.
-fn judged(ratio: f64, until_ms: u64) -> Admission {
+fn evaluated(ratio: f64, until_ms: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..=until_ms / SPACING_MS {
         admission.evaluate(at(step * SPACING_MS), TOLERABLE.mul_f64(ratio), TOLERABLE);
@@ -56,7 +56,7 @@
         (4.0, 60_000, 0.05),
     ];
     for (ratio, until_ms, expected) in rows {
-        assert_close(judged(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
+        assert_close(evaluated(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
     }
 }
 
@@ -75,7 +75,7 @@
         (0.1, 1000, 1.0),
     ];
     for (ratio, after_ms, expected) in rows {
-        let mut admission = judged(4.0, 3750);
+        let mut admission = evaluated(4.0, 3750);
         admission.evaluate(at(3750 + after_ms), TOLERABLE.mul_f64(ratio), TOLERABLE);
         assert_close(admission.level(), expected, &format!("{ratio} {after_ms}"));
     }
@@ -85,7 +85,7 @@
 fn a_decrease_waits_for_its_effect_twice_the_wait_and_a_second_at_most() {
     // Inputs: wait in ms. Expected: ms from the decrease until the next evaluation is due.
     for (wait_ms, expected_ms) in [(150, 550), (400, 1050), (900, 1250)] {
-        let mut admission = judged(4.0, 3750);
+        let mut admission = evaluated(4.0, 3750);
         admission.evaluate(at(4000), ms(wait_ms), TOLERABLE);
         assert!(!admission.is_due(at(4000 + expected_ms - 1)), "{wait_ms}: early");
         assert!(admission.is_due(at(4000 + expected_ms)), "{wait_ms}: late");
@@ -94,7 +94,7 @@
 
 #[test]
 fn less_urgent_routes_are_taken_a_little_less() {
-    let admission = judged(4.0, 3750);
+    let admission = evaluated(4.0, 3750);
     for (ranks, expected) in [(0, 0.75), (1, 0.708_06), (2, 0.668_46)] {
         assert_close(admission.admitted_fraction(ranks), expected, &format!("{ranks}"));
     }
--- a/crates/staircross-routing/tests/rule_cold.rs
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -9,7 +9,7 @@
     BootTime::default() + Duration::from_millis(millis)
 }
 
-fn bearing(requests_per_s: Option<f64>) -> ColdStart {
+fn cold_start_of(requests_per_s: Option<f64>) -> ColdStart {
     ColdStart { requests_per_s, ..ColdStart::default() }
 }
 
@@ -27,7 +27,7 @@
         (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request is less than one.
     ];
     for (per_s, factor, slack, rank, serving, expected) in rows {
-        let found = cold_share(bearing(per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
+        let found = cold_share(cold_start_of(per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
         assert_eq!(found, expected, "{per_s:?} {factor} {slack} {rank:?} {serving}");
     }
 }
@@ -39,7 +39,7 @@
     for (instance, expected) in [("a", vec![3, 4, 5]), ("b", vec![2, 3, 4]), ("c", vec![1, 2, 3])] {
         let share = |rank| {
             let fleet = FleetRank { rank: Some(rank), serving: 10 };
-            cold_share(bearing(Some(5.0)), ColdBound::default(), instance, fleet)
+            cold_share(cold_start_of(Some(5.0)), ColdBound::default(), instance, fleet)
         };
         let sending: Vec<usize> = (0..10).filter(|rank| share(*rank) == Some(1)).collect();
         assert_eq!(sending, expected, "{instance}");
--- a/crates/staircross-routing/tests/rule_fair_share.rs
+++ b/crates/staircross-routing/tests/rule_fair_share.rs
@@ -9,7 +9,7 @@
     BootTime::default() + Duration::from_secs(seconds)
 }
 
-fn counted(demand: &[(&str, usize)]) -> FairShares {
+fn with_demand(demand: &[(&str, usize)]) -> FairShares {
     let mut shares = FairShares::default();
     for (tenant, requests) in demand {
         (0..*requests).for_each(|_| shares.count(at(0), Some(&Arc::from(*tenant))));
@@ -41,14 +41,14 @@
     for (row, demand, level, expected) in rows {
         let ends = [demand[0].0, demand[demand.len() - 1].0];
         for (tenant, expected) in ends.iter().zip(expected) {
-            assert_close(fraction(&mut counted(&demand), 0, tenant, level), expected, row);
+            assert_close(fraction(&mut with_demand(&demand), 0, tenant, level), expected, row);
         }
     }
 }
 
 #[test]
 fn what_was_taken_too_much_is_made_good_with_the_next_requests() {
-    let mut shares = counted(&[("a", 2), ("b", 18)]);
+    let mut shares = with_demand(&[("a", 2), ("b", 18)]);
     // Requests in order at a level of 0.5. Inputs: tenant. Expected: admitted fraction. The balance that is owed before
     // each request is 0, -0.5 and -0.3889.
     for (tenant, expected) in [("a", 1.0), ("b", 0.3889), ("b", 0.4012)] {
@@ -58,7 +58,7 @@
 
 #[test]
 fn counts_halve_in_seven_seconds() {
-    let mut shares = counted(&[("a", 8)]);
+    let mut shares = with_demand(&[("a", 8)]);
     (0..4).for_each(|_| shares.count(at(7), Some(&Arc::from("b"))));
     assert_close(fraction(&mut shares.clone(), 7, "a", 0.5), 0.5, "eight requests from seven seconds ago");
     assert_close(fraction(&mut shares, 7, "b", 0.5), 0.5, "four requests from now");
@@ -66,7 +66,7 @@
 
 #[test]
 fn requests_without_a_tenant_count_as_one_tenant() {
-    let mut shares = counted(&[("a", 2)]);
+    let mut shares = with_demand(&[("a", 2)]);
     (0..18).for_each(|_| shares.count(at(0), None));
     assert_close(shares.admitted_fraction(at(0), None, 0.5), 0.4444, "without a tenant");
 }
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -8,7 +8,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-const DEADLY: ContentKey = ContentKey(1);
+const CRASHING: ContentKey = ContentKey(1);
 const ANSWERED: ContentKey = ContentKey(2);
 const NEW: ContentKey = ContentKey(3);
 
@@ -22,7 +22,7 @@
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
         let (searcher, route) = (InstanceKey(number), RouteDigest::of("all"));
-        let lost = LostAttempt { content: DEADLY, route, searcher, sent_at: at(number * 10 - 5) };
+        let lost = LostAttempt { content: CRASHING, route, searcher, sent_at: at(number * 10 - 5) };
         quarantine.note_lost(at(number * 10), lost);
     }
     quarantine.note_answered(at(30), ANSWERED);
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -59,13 +59,13 @@
     names.iter().map(|name| Arc::from(*name)).collect()
 }
 
-fn limited(allowed: &[&str]) -> RouteDefinition {
+fn route_restricted_to(allowed: &[&str]) -> RouteDefinition {
     RouteDefinition { allowed_regions: regions(allowed), ..route("r", RouteTarget::Service(Arc::from("x"))) }
 }
 
 #[test]
 fn nothing_is_begun_that_too_few_shards_can_answer() {
-    let (anywhere, north) = (limited(&[]), limited(&["north"]));
+    let (anywhere, north) = (route_restricted_to(&[]), route_restricted_to(&["north"]));
     let south = TenantDefinition {
         name: Arc::from("t"),
         keys: Vec::new(),
