--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -44,34 +44,34 @@
     BootTime::default() + Duration::from_secs(100)
 }
 
-fn at(zone: &str) -> Searcher {
+fn searcher_in(zone: &str) -> Searcher {
     Searcher::new(now(), searcher(zone, "x", zone), MAX_CONNECTIONS)
 }
 
-fn with(mut searcher: Searcher, change: impl FnOnce(&mut Searcher)) -> Searcher {
+fn changed(mut searcher: Searcher, change: impl FnOnce(&mut Searcher)) -> Searcher {
     change(&mut searcher);
     searcher
 }
 
 /// Returns the searcher with this number of open attempts, each due in `due_ms`, or overdue if that is negative.
-fn busy(searcher: Searcher, attempts: u16, due_ms: i64) -> Searcher {
+fn with_open_attempts(searcher: Searcher, attempts: u16, due_ms: i64) -> Searcher {
     let due_at = if due_ms < 0 {
         now() - Duration::from_millis(due_ms.unsigned_abs())
     } else {
         now() + Duration::from_millis(due_ms.unsigned_abs())
     };
     let open = |number| OpenAttempt { attempt: AttemptKey { request: RequestKey(0), number }, sent_at: now(), due_at };
-    with(searcher, |searcher| (0..attempts).for_each(|number| searcher.note_sent(now(), open(number))))
+    changed(searcher, |searcher| (0..attempts).for_each(|number| searcher.note_sent(now(), open(number))))
 }
 
 /// Returns a searcher with one open attempt that has just rejected another connection.
-fn full() -> Searcher {
-    with(busy(at("a"), 1, 50), |searcher| searcher.note_connection_rejected(now()))
+fn at_capacity() -> Searcher {
+    changed(with_open_attempts(searcher_in("a"), 1, 50), |searcher| searcher.note_connection_rejected(now()))
 }
 
-fn reporting(percent: u32) -> Searcher {
+fn with_reported_slowness(percent: u32) -> Searcher {
     let load = ReportedLoad { running: 0, waiting: 0, slots: 5, host_slowness: Some(percent) };
-    with(at("a"), |searcher| searcher.note_report(now(), SearcherReport { load: Some(load), cold: None }))
+    changed(searcher_in("a"), |searcher| searcher.note_report(now(), SearcherReport { load: Some(load), cold: None }))
 }
 
 fn choice<'a>(route: &'a RouteDefinition, excluded: &'a [SearcherKey]) -> Choice<'a> {
@@ -83,38 +83,38 @@
     }
 }
 
-fn single() -> RouteDefinition {
+fn single_route() -> RouteDefinition {
     route("s", RouteTarget::Service(Arc::from("x")))
 }
 
 #[test]
 fn expected_time_adds_up_times_and_prices() {
-    let (place, route) = (place(), single());
+    let (place, route) = (place(), single_route());
     // Inputs: searcher. Expected: its expected time in ms.
     let rows = [
-        ("idle in the zone: 1 round trip, 20 work", at("a"), 21),
-        ("another zone: 2 round trip, 4 price", at("b"), 26),
-        ("another region: 24 round trip, 25 price", at("c"), 69),
+        ("idle in the zone: 1 round trip, 20 work", searcher_in("a"), 21),
+        ("another zone: 2 round trip, 4 price", searcher_in("b"), 26),
+        ("another region: 24 round trip, 25 price", searcher_in("c"), 69),
         (
             "two attempts count double for the zone's other node, and with the new one fill five slots",
-            busy(at("a"), 2, 50),
+            with_open_attempts(searcher_in("a"), 2, 50),
             21,
         ),
         (
             "five attempts count double, and with the new one exceed five slots by six: 24 queue",
-            busy(at("a"), 5, 50),
+            with_open_attempts(searcher_in("a"), 5, 50),
             45,
         ),
         (
             "five attempts in another zone count once, and with the new one exceed five slots by one: 4 queue",
-            busy(at("b"), 5, 50),
+            with_open_attempts(searcher_in("b"), 5, 50),
             30,
         ),
-        ("one attempt overdue by 15: 30 pause", busy(at("a"), 1, -15), 51),
-        ("a host three times slower: 60 work", reporting(300), 61),
-        ("a faster host counts as usual", reporting(50), 21),
-        ("rejected once, rate 0.3: 60 of the goal", with(at("a"), |it| it.note_rejection(now())), 81),
-        ("a removed entry: last resort", with(at("a"), |it| it.mark_lapsed(now())), 60_021),
+        ("one attempt overdue by 15: 30 pause", with_open_attempts(searcher_in("a"), 1, -15), 51),
+        ("a host three times slower: 60 work", with_reported_slowness(300), 61),
+        ("a faster host counts as usual", with_reported_slowness(50), 21),
+        ("rejected once, rate 0.3: 60 of the goal", changed(searcher_in("a"), |it| it.note_rejection(now())), 81),
+        ("a removed entry: last resort", changed(searcher_in("a"), |it| it.mark_lapsed(now())), 60_021),
     ];
     for (row, searcher, expected_ms) in rows {
         let found = expected_time(now(), &searcher, &place, &choice(&route, &[]));
@@ -126,19 +126,24 @@
 fn a_switch_that_is_off_leaves_its_term_out() {
     let off = RoutingPolicy::default();
     let rows = [
-        ("near_first", RoutingPolicy { near_first: false, ..off }, at("c"), 44),
-        ("avoid_overdue", RoutingPolicy { avoid_overdue: false, ..off }, busy(at("a"), 1, -15), 21),
-        ("reported_host", RoutingPolicy { reported_host: false, ..off }, reporting(300), 21),
+        ("near_first", RoutingPolicy { near_first: false, ..off }, searcher_in("c"), 44),
+        (
+            "avoid_overdue",
+            RoutingPolicy { avoid_overdue: false, ..off },
+            with_open_attempts(searcher_in("a"), 1, -15),
+            21,
+        ),
+        ("reported_host", RoutingPolicy { reported_host: false, ..off }, with_reported_slowness(300), 21),
         (
             "avoid_rejecting",
             RoutingPolicy { avoid_rejecting: false, ..off },
-            with(at("a"), |it| it.note_rejection(now())),
+            changed(searcher_in("a"), |it| it.note_rejection(now())),
             21,
         ),
     ];
     for (row, policy, searcher, expected_ms) in rows {
         let place = Place { policy, ..place() };
-        let found = expected_time(now(), &searcher, &place, &choice(&single(), &[]));
+        let found = expected_time(now(), &searcher, &place, &choice(&single_route(), &[]));
         assert_eq!(found.as_millis(), expected_ms, "{row}");
     }
 }
@@ -146,28 +151,34 @@
 #[test]
 fn the_best_that_may_be_asked_is_chosen() {
     let (near, far, south) = (SearcherKey(0), SearcherKey(1), SearcherKey(2));
-    let southern = RouteDefinition { allowed_regions: vec![Arc::from("south")], ..single() };
+    let southern = RouteDefinition { allowed_regions: vec![Arc::from("south")], ..single_route() };
     let none = Vec::new;
     // Inputs: route, excluded searchers, searcher in the zone of this node. Expected: searcher that is asked.
     let rows = [
-        ("the least expected time", single(), none(), at("a"), Some(near)),
-        ("excluded", single(), vec![near], at("a"), Some(far)),
-        ("all excluded", single(), vec![near, far, south], at("a"), None),
-        ("allowed regions", southern, none(), at("a"), Some(south)),
+        ("the least expected time", single_route(), none(), searcher_in("a"), Some(near)),
+        ("excluded", single_route(), vec![near], searcher_in("a"), Some(far)),
+        ("all excluded", single_route(), vec![near, far, south], searcher_in("a"), None),
+        ("allowed regions", southern, none(), searcher_in("a"), Some(south)),
         (
             "at capacity: nine of this node's share of nine connections",
-            single(),
+            single_route(),
+            none(),
+            with_open_attempts(searcher_in("a"), 9, 50),
+            Some(far),
+        ),
+        (
+            "unreachable a moment ago",
+            single_route(),
             none(),
-            busy(at("a"), 9, 50),
+            changed(searcher_in("a"), |it| it.note_unreachable(now())),
             Some(far),
         ),
-        ("unreachable a moment ago", single(), none(), with(at("a"), |it| it.note_unreachable(now())), Some(far)),
-        ("evacuated", single(), none(), with(at("a"), |it| it.set_evacuated(now(), true)), Some(far)),
-        ("marked as gone", single(), none(), with(at("a"), Searcher::mark_gone), Some(far)),
-        ("accepts no further connection", single(), none(), full(), Some(far)),
+        ("evacuated", single_route(), none(), changed(searcher_in("a"), |it| it.set_evacuated(now(), true)), Some(far)),
+        ("marked as gone", single_route(), none(), changed(searcher_in("a"), Searcher::mark_gone), Some(far)),
+        ("accepts no further connection", single_route(), none(), at_capacity(), Some(far)),
     ];
     for (row, route, excluded, first, expected) in rows {
-        let table = [first, at("b"), at("c")];
+        let table = [first, searcher_in("b"), searcher_in("c")];
         let mut random = ChaCha8Rng::seed_from_u64(1);
         let found = choose(now(), &choice(&route, &excluded), &[near, far, south], &table, &place(), &mut random);
         assert_eq!(found, expected, "{row}");
@@ -176,21 +187,21 @@
 
 #[test]
 fn searchers_within_a_tenth_of_the_best_share_the_work() {
-    let (mut place, route) = (place(), single());
+    let (mut place, route) = (place(), single_route());
     place.policy.near_first = false;
     // The expected time of the best searcher is 21 ms. Inputs: measured round trip to zone `b` in ms. Expected:
     // whether the searcher in `b` is asked too.
     for (round_trip_ms, expected) in [(1, true), (3, true), (4, false)] {
         place.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
-        assert_eq!(times_second(&place, &route, at("b")) > 0, expected, "{round_trip_ms}");
+        assert_eq!(times_second_chosen(&place, &route, searcher_in("b")) > 0, expected, "{round_trip_ms}");
     }
-    let share = times_second(&place, &route, at("a"));
+    let share = times_second_chosen(&place, &route, searcher_in("a"));
     assert!((400..600).contains(&share), "{share} of 1000");
 }
 
 /// Returns how often in 1000 choices the second of two searchers is chosen. The first is idle in the node's own zone.
-fn times_second(place: &Place, route: &RouteDefinition, second: Searcher) -> usize {
-    let table = [at("a"), second];
+fn times_second_chosen(place: &Place, route: &RouteDefinition, second: Searcher) -> usize {
+    let table = [searcher_in("a"), second];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let keys = [SearcherKey(0), SearcherKey(1)];
     let mut choose = || choose(now(), &choice(route, &[]), &keys, &table, place, &mut random);
@@ -218,6 +229,10 @@
         let fleet = FleetRank { rank: Some(0), serving: near + other };
         let restarted_at = restarted_s.map(|seconds| now() - Duration::from_secs(seconds));
         let place = Place { nodes_by_zone, fleet, restarted_at, ..place() };
-        assert_eq!(usable_connections(now(), &at(zone), &place), expected, "{zone} {near} {other} {restarted_s:?}");
+        assert_eq!(
+            usable_connections(now(), &searcher_in(zone), &place),
+            expected,
+            "{zone} {near} {other} {restarted_s:?}"
+        );
     }
 }
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -25,7 +25,7 @@
     BootTime::default() + Duration::from_millis(millis)
 }
 
-fn after(events: &[Event]) -> Quarantine {
+fn quarantine_after(events: &[Event]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for event in events {
         match *event {
@@ -72,13 +72,13 @@
         ),
     ];
     for (row, events, expected) in rows {
-        assert_eq!(after(&events).suspicion(at(2100), CONTENT), expected, "{row}");
+        assert_eq!(quarantine_after(&events).suspicion(at(2100), CONTENT), expected, "{row}");
     }
 }
 
 #[test]
 fn a_quarantined_content_is_tried_again_after_an_hour_and_a_route_is_on_alarm_for_15_s() {
-    let quarantine = after(&in_sequence());
+    let quarantine = quarantine_after(&in_sequence());
     // Inputs: seconds since the newest loss. Expected: suspicion, and whether the route is on alarm.
     let rows = [
         (0, Suspicion::Quarantined, true),
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -13,7 +13,7 @@
     BootTime::default() + Duration::from_millis(millis)
 }
 
-fn new() -> Searcher {
+fn new_searcher() -> Searcher {
     Searcher::new(at(0), searcher("x-1", "x", "a"), 40)
 }
 
@@ -35,7 +35,7 @@
         ("quicker than 0.6 counts as 0.6", vec![(0, 0.1)], 0.88, 0.94),
     ];
     for (row, answers, expected, later) in rows {
-        let mut searcher = new();
+        let mut searcher = new_searcher();
         answers.iter().for_each(|(sent, ratio)| searcher.note_answer(at(100), at(*sent), *ratio));
         assert_close(searcher.slowness(at(100)), expected, row);
         assert_close(searcher.slowness(at(4100)), later, row);
@@ -66,11 +66,11 @@
 fn failures_in_a_row_keep_work_away_ever_longer() {
     // Inputs: consecutive failures. Expected: ms for which the searcher is avoided.
     for (failures, expected) in [(1, 400), (2, 800), (3, 1600), (5, 6400), (9, 6400)] {
-        let mut searcher = new();
+        let mut searcher = new_searcher();
         (0..failures).for_each(|_| searcher.note_unreachable(at(0)));
         assert_eq!(searcher.avoided_until(), at(expected), "{failures}");
     }
-    let mut searcher = new();
+    let mut searcher = new_searcher();
     searcher.note_rejection(at(0));
     assert_eq!(searcher.avoided_until(), at(60), "the searcher rejected work");
     searcher.note_connection_rejected(at(0));
--- a/crates/staircross-routing/tests/rule_turns.rs
+++ b/crates/staircross-routing/tests/rule_turns.rs
@@ -10,7 +10,7 @@
     weights.iter().map(entry).collect()
 }
 
-fn next(turns: &mut WeightedRoundRobin, set: &[WeightedService], count: usize) -> String {
+fn next_services(turns: &mut WeightedRoundRobin, set: &[WeightedService], count: usize) -> String {
     (0..count).map(|_| turns.next(set).map_or_else(|| "-".to_owned(), |service| service.to_string())).collect()
 }
 
@@ -25,13 +25,13 @@
         (set(&[]), "--"),
     ];
     for (set, expected) in rows {
-        assert_eq!(next(&mut WeightedRoundRobin::default(), &set, expected.len()), expected);
+        assert_eq!(next_services(&mut WeightedRoundRobin::default(), &set, expected.len()), expected);
     }
 }
 
 #[test]
 fn a_changed_set_starts_over() {
     let mut turns = WeightedRoundRobin::default();
-    assert_eq!(next(&mut turns, &set(&[("a", 3), ("b", 1)]), 2), "ab");
-    assert_eq!(next(&mut turns, &set(&[("a", 1), ("b", 3)]), 4), "bbab");
+    assert_eq!(next_services(&mut turns, &set(&[("a", 3), ("b", 1)]), 2), "ab");
+    assert_eq!(next_services(&mut turns, &set(&[("a", 1), ("b", 3)]), 4), "bbab");
 }
--- a/crates/staircross-routing/tests/searcher_entries.rs
+++ b/crates/staircross-routing/tests/searcher_entries.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::requests::{repeatable, service_route};
-use common::{Driver, LAPSE_MS, answer, definition, searcher};
+use common::{Driver, LAPSE_GRACE_MS, answer, definition, searcher};
 use staircross_routing::engine::RoutingEvent;
 use staircross_routing::{AttemptOutcome, NotRun};
 use staircross_types::ErrorKind;
@@ -20,7 +20,7 @@
         let request = driver.request("/r/1");
         assert_eq!(driver.instances(request), ["s3"]);
         let attempt = driver.sends.last().expect("sent").attempt;
-        driver.pass_ms(5);
+        driver.advance_ms(5);
         driver.end(attempt, answer(200, "stamp", Vec::new()));
     }
 }
@@ -42,7 +42,7 @@
     let mut driver =
         Driver::with(definition(1, vec![service_route("r", "books")], &["books"]), vec![searcher("s1", "books", "a")]);
     driver.event(RoutingEvent::SearchersGone(vec![Arc::from("s1")]));
-    driver.pass_ms(LAPSE_MS);
+    driver.advance_ms(LAPSE_GRACE_MS);
     let refused = driver.request("/r/1");
     assert_eq!(driver.refusal(refused), Some(ErrorKind::NoReplica));
     driver.event(RoutingEvent::Searchers(vec![searcher("s1", "books", "a")]));
@@ -63,7 +63,7 @@
         1,
         "entries also lapse when the store was unavailable, so the searcher is still asked"
     );
-    driver.pass_ms(LAPSE_MS);
+    driver.advance_ms(LAPSE_GRACE_MS);
     let request = driver.request("/r/1");
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoReplica));
 }
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -2,61 +2,64 @@
 
 mod common;
 
-use common::mirror::{changes, configuration, listing, names, searcher};
-use common::store::{Store, is_watch_after};
+use common::mirror::{changes, configuration, listing, searcher, searcher_ids};
+use common::store::{ReaderDriver, is_watch_after};
 use staircross_routing::store_reader::{Lane, StoreCall, StoreReply};
 use staircross_routing::{Mirror, MirrorUpdate};
 
 #[test]
 fn a_lane_reads_once_then_watches_from_there() {
-    let mut store = Store::new();
-    assert_eq!(store.calls(0, Lane::Configuration), [StoreCall::List { lane: Lane::Configuration, after: None }]);
+    let mut driver = ReaderDriver::new();
+    assert_eq!(
+        driver.calls_within(0, Lane::Configuration),
+        [StoreCall::List { lane: Lane::Configuration, after: None }]
+    );
     let update = changes(vec![(5, configuration(1))]);
-    store.reply(Lane::Configuration, StoreReply::Items { update, at: 9, next: None });
-    let calls = store.calls(0, Lane::Configuration);
+    driver.reply(Lane::Configuration, StoreReply::Items { update, at: 9, next: None });
+    let calls = driver.calls_within(0, Lane::Configuration);
     assert!(is_watch_after(&calls[0], 9), "{calls:?}");
-    store.reply(Lane::Configuration, StoreReply::Changes { update: MirrorUpdate::default(), at: 12 });
-    let calls = store.calls(0, Lane::Configuration);
+    driver.reply(Lane::Configuration, StoreReply::Changes { update: MirrorUpdate::default(), at: 12 });
+    let calls = driver.calls_within(0, Lane::Configuration);
     assert!(is_watch_after(&calls[0], 12), "without changes the lane watches again at once: {calls:?}");
 }
 
 #[test]
 fn a_listing_of_several_pages_is_whole_only_with_the_last() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Searchers);
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Searchers);
     let first = changes(vec![(3, searcher("a", false))]);
     let next = Some("servers/a".to_owned());
-    store.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next: next.clone() });
-    assert!(store.learned.is_empty());
-    assert_eq!(store.calls(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next: next.clone() });
+    assert!(driver.learned.is_empty());
+    assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
     let second = changes(vec![(22, searcher("b", false))]);
-    store.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
-    let (_, whole) = &store.learned[0];
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
+    let (_, whole) = &driver.learned[0];
     assert!(whole.is_complete_for_searchers);
     assert_eq!((whole.items.len(), whole.up_to), (2, 20), "all changes are known only up to the first page's revision");
-    let calls = store.calls(0, Lane::Searchers);
+    let calls = driver.calls_within(0, Lane::Searchers);
     assert!(is_watch_after(&calls[0], 20), "{calls:?}");
 }
 
 #[test]
 fn after_news_a_lane_rests_so_that_a_storm_is_few_calls() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Configuration);
-    store.reply(
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Configuration);
+    driver.reply(
         Lane::Configuration,
         StoreReply::Items { update: changes(vec![(1, configuration(1))]), at: 1, next: None },
     );
-    let mut is_watching = !store.calls(0, Lane::Configuration).is_empty();
+    let mut is_watching = !driver.calls_within(0, Lane::Configuration).is_empty();
     let mut calls = 0;
     for step in 0..30 {
         // The configuration changes every 100 ms, and an open watch returns at once.
         if is_watching {
             let revision = step + 2;
             let update = changes(vec![(revision, configuration(revision))]);
-            store.reply(Lane::Configuration, StoreReply::Changes { update, at: revision });
+            driver.reply(Lane::Configuration, StoreReply::Changes { update, at: revision });
             is_watching = false;
         }
-        let made = store.calls(100, Lane::Configuration).len();
+        let made = driver.calls_within(100, Lane::Configuration).len();
         calls += made;
         is_watching |= made > 0;
     }
@@ -66,46 +69,46 @@
 
 #[test]
 fn a_forgotten_history_is_read_anew() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Searchers);
-    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
-    store.calls(0, Lane::Searchers);
-    store.reply(Lane::Searchers, StoreReply::HistoryGone);
-    assert_eq!(store.calls(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: None }]);
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Searchers);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
+    driver.calls_within(0, Lane::Searchers);
+    driver.reply(Lane::Searchers, StoreReply::HistoryGone);
+    assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: None }]);
 }
 
 #[test]
 fn a_broken_watch_goes_on_where_it_was() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Searchers);
-    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
-    store.calls(0, Lane::Searchers);
-    store.fail(Lane::Searchers);
-    let calls = store.calls(200, Lane::Searchers);
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Searchers);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
+    driver.calls_within(0, Lane::Searchers);
+    driver.fail(Lane::Searchers);
+    let calls = driver.calls_within(200, Lane::Searchers);
     assert!(is_watch_after(&calls[0], 4), "{calls:?}");
 }
 
 #[test]
 fn a_store_that_refuses_is_asked_ever_more_seldom_but_for_ever() {
-    let mut store = Store::new();
+    let mut driver = ReaderDriver::new();
     let mut calls = 0;
     for _ in 0..600 {
-        for _ in store.calls(100, Lane::Configuration) {
+        for _ in driver.calls_within(100, Lane::Configuration) {
             calls += 1;
-            store.reply(Lane::Configuration, StoreReply::Refused { status: 429 });
+            driver.reply(Lane::Configuration, StoreReply::Refused { status: 429 });
         }
     }
     assert!((55..130).contains(&calls), "{calls} calls in a minute");
-    assert_eq!(store.reachable, Vec::<bool>::new(), "the store was never reachable");
+    assert_eq!(driver.reachable, Vec::<bool>::new(), "the store was never reachable");
 }
 
 #[test]
 fn what_a_peer_told_is_watched_from_there() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Configuration);
-    store.fail(Lane::Configuration);
-    store.reader.on_peer_report(Lane::Configuration, 33);
-    let calls = store.calls(2000, Lane::Configuration);
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Configuration);
+    driver.fail(Lane::Configuration);
+    driver.reader.on_peer_report(Lane::Configuration, 33);
+    let calls = driver.calls_within(2000, Lane::Configuration);
     assert!(is_watch_after(&calls[0], 33), "{calls:?}");
 }
 
@@ -113,17 +116,17 @@
 /// moved the lane to its revision, so the first page was dropped and the last page was taken for the whole listing.
 #[test]
 fn a_page_that_comes_after_a_peers_report_is_not_taken_for_the_whole() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Searchers);
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Searchers);
     let next = Some("servers/a".to_owned());
     let first = changes(vec![(3, searcher("a", false))]);
-    store.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next });
-    store.calls(0, Lane::Searchers);
-    store.reader.on_peer_report(Lane::Searchers, 21);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next });
+    driver.calls_within(0, Lane::Searchers);
+    driver.reader.on_peer_report(Lane::Searchers, 21);
     let second = changes(vec![(4, searcher("b", false))]);
-    store.reply(Lane::Searchers, StoreReply::Items { update: second, at: 22, next: None });
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 22, next: None });
     let mut mirror = Mirror::default();
     mirror.merge(listing(21, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    store.learned.into_iter().for_each(|(_, update)| drop(mirror.merge(update)));
-    assert_eq!(names(&mirror), ["a", "b"]);
+    driver.learned.into_iter().for_each(|(_, update)| drop(mirror.merge(update)));
+    assert_eq!(searcher_ids(&mirror), ["a", "b"]);
 }
--- a/crates/staircross-routing/tests/store_lapses.rs
+++ b/crates/staircross-routing/tests/store_lapses.rs
@@ -1,10 +1,10 @@
-//! Searchers whose entries lapsed: how soon a store reader looks for them again, and when live searchers may be
+//! Searchers whose entries lapsed: how soon a store reader watches for them again, and when live searchers may be
 //! missing.
 
 mod common;
 
-use common::mirror::{changes, gone, searcher};
-use common::store::Store;
+use common::mirror::{changes, searcher, searcher_gone};
+use common::store::ReaderDriver;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_routing::MirrorUpdate;
@@ -14,30 +14,31 @@
 
 #[test]
 fn after_ends_of_entries_a_lane_looks_again_sooner() {
-    let mut store = Store::new();
-    store.calls(0, Lane::Searchers);
-    store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
-    store.calls(0, Lane::Searchers);
-    store.reply(Lane::Searchers, StoreReply::Changes { update: changes(vec![(11, gone("s"))]), at: 11 });
-    assert_eq!(store.calls(100, Lane::Searchers), []);
-    assert_eq!(store.calls(100, Lane::Searchers).len(), 1, "entries that only lapsed are soon written anew");
+    let mut driver = ReaderDriver::new();
+    driver.calls_within(0, Lane::Searchers);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+    driver.calls_within(0, Lane::Searchers);
+    driver.reply(Lane::Searchers, StoreReply::Changes { update: changes(vec![(11, searcher_gone("s"))]), at: 11 });
+    assert_eq!(driver.calls_within(100, Lane::Searchers), []);
+    assert_eq!(driver.calls_within(100, Lane::Searchers).len(), 1, "entries that only lapsed are soon written anew");
 }
 
 #[test]
 fn while_entries_that_lapsed_together_come_back_a_lane_looks_again_soon_after_each() {
     let rests_after = |count: usize| {
-        let mut store = Store::new();
-        store.calls(0, Lane::Searchers);
-        store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
-        store.calls(0, Lane::Searchers);
-        let ends = (0..count).map(|number| (11 + number as u64, gone(&format!("s{number}")))).collect();
-        store.reply(Lane::Searchers, StoreReply::Changes { update: changes(ends), at: 50 });
+        let mut driver = ReaderDriver::new();
+        driver.calls_within(0, Lane::Searchers);
+        driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+        driver.calls_within(0, Lane::Searchers);
+        let ends = (0..count).map(|number| (11 + number as u64, searcher_gone(&format!("s{number}")))).collect();
+        driver.reply(Lane::Searchers, StoreReply::Changes { update: changes(ends), at: 50 });
         let mut rests = Vec::new();
         for revision in 51..60 {
-            let rest = (1..20_u64).find(|_| !store.calls(50, Lane::Searchers).is_empty()).map(|steps| steps * 50);
+            let rest =
+                (1..20_u64).find(|_| !driver.calls_within(50, Lane::Searchers).is_empty()).map(|steps| steps * 50);
             rests.extend(rest);
             let back = changes(vec![(revision, searcher("s0", false))]);
-            store.reply(Lane::Searchers, StoreReply::Changes { update: back, at: revision });
+            driver.reply(Lane::Searchers, StoreReply::Changes { update: back, at: revision });
         }
         rests
     };
@@ -48,13 +49,13 @@
 #[test]
 fn a_process_started_anew_looks_again_soon_for_searchers_that_are_just_coming_back() {
     let rest_of = |reader: StoreReader| {
-        let mut store = Store { reader, ..Store::new() };
-        store.calls(0, Lane::Searchers);
-        store.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
-        store.calls(0, Lane::Searchers);
+        let mut driver = ReaderDriver { reader, ..ReaderDriver::new() };
+        driver.calls_within(0, Lane::Searchers);
+        driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
+        driver.calls_within(0, Lane::Searchers);
         let updates = changes(vec![(11, searcher("s", false))]);
-        store.reply(Lane::Searchers, StoreReply::Changes { update: updates, at: 11 });
-        (1..20_u64).find(|_| !store.calls(50, Lane::Searchers).is_empty()).map(|steps| steps * 50)
+        driver.reply(Lane::Searchers, StoreReply::Changes { update: updates, at: 11 });
+        (1..20_u64).find(|_| !driver.calls_within(50, Lane::Searchers).is_empty()).map(|steps| steps * 50)
     };
     let usual = StoreReader::new(ReaderSettings::default());
     assert_eq!(rest_of(usual), Some(900));
@@ -70,7 +71,7 @@
     assert!(young.may_lack_searchers(now));
     assert!(!young.may_lack_searchers(until));
     let lapse = |reader: &mut StoreReader, ends: usize| {
-        let items = (0..ends).map(|number| (30 + number as u64, gone(&format!("s{number}")))).collect();
+        let items = (0..ends).map(|number| (30 + number as u64, searcher_gone(&format!("s{number}")))).collect();
         let reply = StoreReply::Changes { update: changes(items), at: 50 };
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         reader.on_reply(until, Lane::Searchers, reply, &mut rng, &mut Vec::new());
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -31,7 +31,7 @@
     TenantDefinition { name: Arc::from(name), keys, priority: 0, quota: None, allowed_regions: Vec::new() }
 }
 
-fn within(tenant: TenantDefinition, regions: &[&str]) -> TenantDefinition {
+fn restricted_to(tenant: TenantDefinition, regions: &[&str]) -> TenantDefinition {
     TenantDefinition { allowed_regions: regions.iter().map(|region| Arc::from(*region)).collect(), ..tenant }
 }
 
@@ -41,7 +41,7 @@
 
 /// Returns a configuration of this version with these tenants. Its routes are `both` (a gather of two shards that needs
 /// both), `any` (a gather that needs one of them) and `one` (a single service).
-fn version(version: u64, tenants: &[TenantDefinition]) -> RoutingDefinition {
+fn definition_with(version: u64, tenants: &[TenantDefinition]) -> RoutingDefinition {
     let routes = vec![
         route("both", gather(&["x", "y"], 2, 1.0)),
         route("any", gather(&["x", "y"], 2, 0.5)),
@@ -56,12 +56,12 @@
         .to_vec()
 }
 
-fn with_kami() -> Driver {
-    Driver::with(version(1, &[tenant("kami", &[KEY]), tenant("nuro", &[OTHER_KEY])]), searchers())
+fn driver_with_two_tenants() -> Driver {
+    Driver::with(definition_with(1, &[tenant("kami", &[KEY]), tenant("nuro", &[OTHER_KEY])]), searchers())
 }
 
-fn without_key(number: u64) -> RoutingDefinition {
-    version(number, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
+fn definition_without_key(number: u64) -> RoutingDefinition {
+    definition_with(number, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
 }
 
 fn ask(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
@@ -73,74 +73,74 @@
 }
 
 /// Ends all attempts that were sent for a request so far with the same outcome.
-fn end_all(driver: &mut Driver, request: RequestKey, outcome: &AttemptOutcome) {
+fn end_attempts(driver: &mut Driver, request: RequestKey, outcome: &AttemptOutcome) {
     let attempts: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     attempts.into_iter().for_each(|attempt| driver.end(attempt, outcome.clone()));
 }
 
 #[test]
 fn a_request_whose_key_goes_while_it_waits_is_refused_right_then_as_not_run() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/one/1", KEY);
     for _ in 0..3 {
-        end_all(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
+        end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
     assert_eq!(driver.verdict(request), None, "the request waits for a searcher that accepts a connection");
     let sent = driver.sent_for(request).len();
-    driver.configure(without_key(2));
+    driver.configure(definition_without_key(2));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
-    driver.pass_ms(5000);
+    driver.advance_ms(5000);
     assert_eq!(driver.sent_for(request).len(), sent);
 }
 
 #[test]
 fn a_key_that_moves_keeps_the_tenant_that_its_request_began_with() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/one/1", KEY);
-    driver.configure(version(2, &[tenant("nuro", &[KEY])]));
-    end_all(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
-    let told: Vec<SentIdentity> = driver.sent_for(request).iter().map(|order| order.identity.clone()).collect();
-    assert_eq!(told, vec![SentIdentity::Tenant(Arc::from("kami")); 2]);
+    driver.configure(definition_with(2, &[tenant("nuro", &[KEY])]));
+    end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
+    let identities: Vec<SentIdentity> = driver.sent_for(request).iter().map(|order| order.identity.clone()).collect();
+    assert_eq!(identities, vec![SentIdentity::Tenant(Arc::from("kami")); 2]);
 }
 
 #[test]
 fn a_request_goes_on_when_there_are_no_tenants_any_more() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/one/1", KEY);
-    driver.configure(version(2, &[]));
-    end_all(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
+    driver.configure(definition_with(2, &[]));
+    end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
 }
 
 #[test]
 fn neither_retries_nor_hedges_are_sent_for_a_key_that_is_withdrawn() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let (failed, late) = (ask(&mut driver, "/one/1", KEY), ask(&mut driver, "/one/2", KEY));
-    driver.configure(without_key(2));
+    driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "running attempts may finish");
-    end_all(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
+    end_attempts(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.unsent, [(failed, UnsentCause::KeyRevoked)]);
     assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "the request may have run");
-    driver.pass_ms(3000);
+    driver.advance_ms(3000);
     assert_eq!(driver.reasons(late), [SendReason::First]);
-    end_all(&mut driver, late, &answer(200, "p", Vec::new()));
+    end_attempts(&mut driver, late, &answer(200, "p", Vec::new()));
     assert!(matches!(driver.verdict(late), Some(Verdict::Passed(_))));
 }
 
 #[test]
 fn a_withdrawn_key_whose_first_attempt_surely_did_not_run_is_refused_as_such() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/one/1", KEY);
-    driver.configure(without_key(2));
-    end_all(&mut driver, request, &AttemptOutcome::NotRun(NotRun::Stale));
+    driver.configure(definition_without_key(2));
+    end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::Stale));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
 }
 
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_taken_back_when_its_key_goes() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/both/1", KEY);
-    driver.configure(without_key(2));
+    driver.configure(definition_without_key(2));
     let sent: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     assert_eq!(driver.recalled, sent);
     for attempt in sent {
@@ -151,14 +151,14 @@
 
 #[test]
 fn parts_under_way_are_delivered_when_the_key_of_their_request_goes() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let request = ask(&mut driver, "/any/1", KEY);
     let (waiting, running) = (driver.sends[0].attempt, driver.sends[1].attempt);
     driver.end(waiting, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     let again = driver.sends[2].attempt;
     driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     assert_eq!(driver.sends.len(), 3, "one shard waits");
-    driver.configure(without_key(2));
+    driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "the other shard's attempt is running");
     driver.end(running, answer(200, "p", records(&[7])));
     assert_eq!(driver.sends.len(), 3);
@@ -168,12 +168,12 @@
 
 #[test]
 fn a_held_request_whose_key_is_gone_from_the_configuration_that_it_waited_for_is_never_sent() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let mut arrival = driver.arrival("/added/1");
     (arrival.credential, arrival.newest_version) = (credential(KEY), 2);
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
-    let mut next = without_key(2);
+    let mut next = definition_without_key(2);
     next.routes.push(route("added", service("x")));
     driver.configure(next);
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
@@ -184,7 +184,8 @@
 fn a_tenants_regions_bind_beside_its_routes() {
     let mut south_only = route("south", service("x"));
     south_only.allowed_regions = vec![Arc::from(SOUTH)];
-    let mut definition = version(1, &[within(tenant("kami", &[KEY]), &[NORTH]), tenant("nuro", &[OTHER_KEY])]);
+    let mut definition =
+        definition_with(1, &[restricted_to(tenant("kami", &[KEY]), &[NORTH]), tenant("nuro", &[OTHER_KEY])]);
     definition.routes.push(south_only);
     let here_and_there = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
     let mut driver = Driver::with(definition, here_and_there);
@@ -198,7 +199,7 @@
     assert_eq!(driver.instances(other), ["far"]);
     let bound = ask(&mut driver, "/one/1", KEY);
     assert_eq!(driver.instances(bound), ["near"]);
-    end_all(&mut driver, bound, &AttemptOutcome::Unknown(Unknown::Broken));
+    end_attempts(&mut driver, bound, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.instances(bound), ["near"], "a retry stays within the tenant's regions too");
     assert_eq!(driver.refusal(bound), Some(ErrorKind::BackEndsFailed));
 }
@@ -206,7 +207,7 @@
 #[test]
 fn a_tenants_rank_comes_before_its_routes() {
     let ranked = |name: &str, key: &str, priority| TenantDefinition { priority, ..tenant(name, &[key]) };
-    let mut definition = version(1, &[ranked("low", OTHER_KEY, 700), ranked("high", KEY, 3)]);
+    let mut definition = definition_with(1, &[ranked("low", OTHER_KEY, 700), ranked("high", KEY, 3)]);
     for (index, priority) in [(0, 2), (1, 4), (2, 5)] {
         definition.routes[index].priority = priority;
     }
@@ -215,8 +216,8 @@
     let routes = definition.routes.clone();
     let table = RouteTable::new(Arc::new(definition));
     let rank = |key: &str, route: usize| {
-        let whose = table.authenticate(&routes[route], credential(key)).expect("a known key");
-        table.rank(whose, &routes[route])
+        let tenant_key = table.authenticate(&routes[route], credential(key)).expect("a known key");
+        table.rank(tenant_key, &routes[route])
     };
     let order = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
     assert!(order.windows(2).all(|pair| pair[0] < pair[1]), "{order:?}");
@@ -229,7 +230,7 @@
 
 #[test]
 fn without_tenants_a_rank_is_its_routes() {
-    let mut definition = version(1, &[]);
+    let mut definition = definition_with(1, &[]);
     definition.routes[2].priority = 9;
     let route = definition.routes[2].clone();
     let table = RouteTable::new(Arc::new(definition));
@@ -238,7 +239,8 @@
 
 #[test]
 fn whoever_is_nobodys_comes_after_all_tenants() {
-    let mut definition = version(1, &[tenant("kami", &[KEY]), TenantDefinition { priority: 1, ..tenant("nuro", &[]) }]);
+    let mut definition =
+        definition_with(1, &[tenant("kami", &[KEY]), TenantDefinition { priority: 1, ..tenant("nuro", &[]) }]);
     definition.routes[2].is_public = true;
     let route = definition.routes[2].clone();
     let table = RouteTable::new(Arc::new(definition));
@@ -252,7 +254,7 @@
     assert_eq!(content.of_tenant(None), content);
     assert_ne!(content.of_tenant(Some("kami")), content);
     assert_ne!(content.of_tenant(Some("kami")), content.of_tenant(Some("nuro")));
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     // One tenant's request crashes its searchers until its content is quarantined.
     for number in 0..4 {
         let mut arrival = driver.arrival("/one/deadly");
@@ -260,9 +262,9 @@
         driver.event(RoutingEvent::Searchers(vec![searcher(&format!("x-new-{number}"), "x", "a")]));
         let request = arrival.key;
         driver.event(RoutingEvent::Arrived(arrival));
-        end_all(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
-        driver.pass_ms(300);
-        end_all(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
+        end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
+        driver.advance_ms(300);
+        end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     }
     let mut arrival = driver.arrival("/one/deadly");
     (arrival.credential, arrival.content) = (credential(KEY), content);
@@ -278,11 +280,11 @@
 
 /// Raises the alarm of the route `both` by the records of a peer that lost three searchers, one after the other, to one
 /// content.
-fn alarm(driver: &mut Driver) {
+fn raise_alarm(driver: &mut Driver) {
     let mut peer = Quarantine::default();
     for number in 0..3 {
         let sent_at = driver.now;
-        driver.pass_ms(10);
+        driver.advance_ms(10);
         let (content, route, searcher) = (ContentKey(66), RouteDigest::of("both"), InstanceKey(number));
         peer.note_lost(driver.now, LostAttempt { content, route, searcher, sent_at });
     }
@@ -294,8 +296,8 @@
 /// content of the tenant but were looked up under the content without a tenant.
 #[test]
 fn what_was_answered_for_a_tenant_goes_to_all_shards_at_once_during_an_alarm() {
-    let mut driver = with_kami();
-    alarm(&mut driver);
+    let mut driver = driver_with_two_tenants();
+    raise_alarm(&mut driver);
     let mut ask_again = || {
         let mut arrival = driver.arrival("/both/harmless");
         (arrival.credential, arrival.content) = (credential(KEY), ContentKey(77));
@@ -321,36 +323,36 @@
 
 #[test]
 fn a_node_that_knows_that_it_is_behind_asks_before_it_takes_a_key_by_an_old_view() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let withdrawn = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Doubtful);
     let other = ask_in_view(&mut driver, "/one/2", OTHER_KEY, ConfigurationView::Doubtful);
     assert!(driver.sends.is_empty());
-    driver.pass_ms(60);
-    driver.configure(without_key(2));
+    driver.advance_ms(60);
+    driver.configure(definition_without_key(2));
     assert_eq!(driver.refusal(withdrawn), Some(ErrorKind::Unauthorized));
     assert_eq!(driver.sent_for(other).len(), 1);
 }
 
 #[test]
 fn a_node_that_asked_in_vain_serves_by_what_it_knows() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     let served = ask_in_view(&mut driver, "/one/3", OTHER_KEY, ConfigurationView::Doubtful);
-    driver.pass_ms(499);
+    driver.advance_ms(499);
     assert!(driver.sent_for(served).is_empty());
-    driver.pass_ms(1);
+    driver.advance_ms(1);
     assert_eq!(driver.sent_for(served).len(), 1);
 }
 
 #[test]
 fn an_expired_view_lets_nobody_in_and_denies_nobody() {
-    let mut driver = with_kami();
+    let mut driver = driver_with_two_tenants();
     for key in [KEY, "unknown"] {
         let request = ask_in_view(&mut driver, "/one/1", key, ConfigurationView::Expired);
         assert_eq!(driver.refusal(request), Some(ErrorKind::Unconfirmed));
     }
     assert_eq!(ErrorKind::Unconfirmed.http_status(), 503);
     assert!(driver.sends.is_empty());
-    driver.configure(version(2, &[]));
+    driver.configure(definition_with(2, &[]));
     let request = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Expired);
     assert_eq!(driver.sent_for(request).len(), 1, "without tenants no key is needed");
 }
@@ -359,7 +361,7 @@
 fn what_a_tenant_asks_beyond_its_quota_is_refused_at_once_unsent_with_a_time_to_come_back() {
     let quota = Some(Quota { rate_per_s: 1.0, burst: 2.0 });
     let limited = TenantDefinition { quota, ..tenant("kami", &[KEY]) };
-    let mut driver = Driver::with(version(1, &[limited, tenant("nuro", &[OTHER_KEY])]), searchers());
+    let mut driver = Driver::with(definition_with(1, &[limited, tenant("nuro", &[OTHER_KEY])]), searchers());
     let requests: Vec<RequestKey> = (0..20).map(|_| ask(&mut driver, "/one/1", KEY)).collect();
     let refused: Vec<RequestKey> =
         requests.iter().copied().filter(|key| driver.refusal(*key) == Some(ErrorKind::OverQuota)).collect();
--- a/crates/staircross-routing/tests/views.rs
+++ b/crates/staircross-routing/tests/views.rs
@@ -11,7 +11,7 @@
 mod common;
 
 use common::mirror::{configuration, entry};
-use common::store::Store as Reader;
+use common::store::ReaderDriver;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use staircross_routing::store_reader::{Lane, ReadingMode, StoreCall, StoreReply};
@@ -25,7 +25,7 @@
 const ZONES: [&str; 2] = ["a", "b"];
 const LANES: [Lane; 2] = [Lane::Configuration, Lane::Searchers];
 /// Rounds in which all calls and questions under way must end.
-const SETTLING: usize = 200;
+const SETTLE_ROUNDS: usize = 200;
 
 #[derive(Clone, Copy, Debug)]
 enum Write {
@@ -42,20 +42,20 @@
 enum Step {
     Write(Write),
     /// A node's clock is advanced by some milliseconds, and the node makes the calls that are due.
-    Pass(usize, u16),
+    Advance(usize, u16),
     /// The store handles a node's call on a lane; the reply isn't delivered yet.
-    Handle(usize, usize),
+    HandleCall(usize, usize),
     /// The store's reply on a lane is delivered to a node.
-    Reply(usize, usize),
+    DeliverReply(usize, usize),
     /// A node's call on a lane fails.
-    Fail(usize, usize),
+    FailCall(usize, usize),
     /// A node asks a peer for changes if it sees that the peer is ahead.
-    Ask(usize, usize),
+    AskPeer(usize, usize),
     /// The peer that a node has asked produces the answer.
-    Answer(usize),
+    AnswerPeer(usize),
     /// A node merges the answer of its peer.
-    Take(usize),
-    Mode(usize, ReadingMode),
+    MergeAnswer(usize),
+    SetMode(usize, ReadingMode),
     Restart(usize),
 }
 
@@ -75,14 +75,14 @@
     let mode = prop::sample::select(vec![ReadingMode::Watching, ReadingMode::Following]);
     prop_oneof![
         8 => write().prop_map(Step::Write),
-        6 => (0..NODES, 1..1500_u16).prop_map(|(node, millis)| Step::Pass(node, millis)),
-        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Handle(node, lane)),
-        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Reply(node, lane)),
-        1 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Fail(node, lane)),
-        6 => (0..NODES, 0..NODES).prop_map(|(node, peer)| Step::Ask(node, peer)),
-        5 => (0..NODES).prop_map(Step::Answer),
-        5 => (0..NODES).prop_map(Step::Take),
-        1 => (0..NODES, mode).prop_map(|(node, mode)| Step::Mode(node, mode)),
+        6 => (0..NODES, 1..1500_u16).prop_map(|(node, millis)| Step::Advance(node, millis)),
+        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::HandleCall(node, lane)),
+        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::DeliverReply(node, lane)),
+        1 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::FailCall(node, lane)),
+        6 => (0..NODES, 0..NODES).prop_map(|(node, peer)| Step::AskPeer(node, peer)),
+        5 => (0..NODES).prop_map(Step::AnswerPeer),
+        5 => (0..NODES).prop_map(Step::MergeAnswer),
+        1 => (0..NODES, mode).prop_map(|(node, mode)| Step::SetMode(node, mode)),
         1 => (0..NODES).prop_map(Step::Restart),
     ]
 }
@@ -95,7 +95,7 @@
     born_ms: u64,
     items: BTreeMap<String, (u64, MirrorItem)>,
     history: Vec<(u64, String, MirrorItem)>,
-    forgotten: u64,
+    compacted_at: u64,
 }
 
 fn key_of(item: &MirrorItem) -> String {
@@ -109,7 +109,7 @@
     }
 }
 
-fn prefix(lane: Lane) -> &'static str {
+fn key_prefix(lane: Lane) -> &'static str {
     if lane == Lane::Configuration { "operator/" } else { "servers/" }
 }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    fn written(&self, number: u8) -> Option<SearcherEntry> {
+    fn entry_of(&self, number: u8) -> Option<SearcherEntry> {
         match self.items.get(&format!("servers/s{number}")) {
             Some((_, MirrorItem::Searcher { entry })) => Some(entry.clone()),
             _ => None,
@@ -148,7 +148,7 @@
             Write::Ready(number) => {
                 // A searcher that drains is replaced by a later incarnation.
                 self.born_ms += 1;
-                let born_ms = match self.written(number).filter(|entry| !entry.is_draining) {
+                let born_ms = match self.entry_of(number).filter(|entry| !entry.is_draining) {
                     Some(entry) => entry.born_ms,
                     None => self.born_ms,
                 };
@@ -158,13 +158,13 @@
                 });
             }
             Write::Draining(number) => {
-                if let Some(entry) = self.written(number) {
+                if let Some(entry) = self.entry_of(number) {
                     self.put(MirrorItem::Searcher { entry: SearcherEntry { is_draining: true, ..entry } });
                 }
             }
             Write::Gone(number) => self.remove(MirrorItem::SearcherGone { instance: Arc::from(format!("s{number}")) }),
             Write::Compact => {
-                self.forgotten = self.revision;
+                self.compacted_at = self.revision;
                 self.history.clear();
             }
         }
@@ -177,16 +177,16 @@
             StoreCall::List { lane, after } => {
                 let is_later = |key: &&String| after.as_ref().is_none_or(|after| *key > after);
                 let keys: Vec<&String> =
-                    self.items.keys().filter(|key| key.starts_with(prefix(*lane))).filter(is_later).collect();
+                    self.items.keys().filter(|key| key.starts_with(key_prefix(*lane))).filter(is_later).collect();
                 let items = keys.iter().take(PAGE).map(|key| self.items[*key].clone()).collect();
                 let next = (keys.len() > PAGE).then(|| keys[PAGE - 1].clone());
                 let update = MirrorUpdate { items, ..MirrorUpdate::default() };
                 Some(StoreReply::Items { update, at: self.revision, next })
             }
-            StoreCall::Watch { after, .. } if *after < self.forgotten => Some(StoreReply::HistoryGone),
+            StoreCall::Watch { after, .. } if *after < self.compacted_at => Some(StoreReply::HistoryGone),
             StoreCall::Watch { lane, after, .. } => {
                 let is_new =
-                    |change: &&(u64, String, MirrorItem)| change.0 > *after && change.1.starts_with(prefix(*lane));
+                    |change: &&(u64, String, MirrorItem)| change.0 > *after && change.1.starts_with(key_prefix(*lane));
                 let items: Vec<_> =
                     self.history.iter().filter(is_new).map(|(revision, _, item)| (*revision, item.clone())).collect();
                 let update = MirrorUpdate { items, ..MirrorUpdate::default() };
@@ -198,7 +198,7 @@
 
 /// A node's request for changes to a peer, or the peer's answer that the node hasn't merged yet.
 #[derive(Default)]
-enum Pull {
+enum PeerQuestion {
     #[default]
     None,
     Asked(usize, PeerKnowledge),
@@ -206,46 +206,46 @@
 }
 
 struct Node {
-    reader: Reader,
+    reader: ReaderDriver,
     mirror: Mirror,
-    out: BTreeMap<usize, StoreCall>,
+    open_calls: BTreeMap<usize, StoreCall>,
     replies: BTreeMap<usize, StoreReply>,
-    pull: Pull,
+    question: PeerQuestion,
 }
 
 impl Node {
     fn new() -> Self {
-        let (reader, mirror) = (Reader::new(), Mirror::default());
-        Node { reader, mirror, out: BTreeMap::new(), replies: BTreeMap::new(), pull: Pull::None }
+        let (reader, mirror) = (ReaderDriver::new(), Mirror::default());
+        Node { reader, mirror, open_calls: BTreeMap::new(), replies: BTreeMap::new(), question: PeerQuestion::None }
     }
 
-    fn take_actions(&mut self) {
+    fn apply_actions(&mut self) {
         for lane in std::mem::take(&mut self.reader.cancelled) {
-            self.out.remove(&(lane as usize));
+            self.open_calls.remove(&(lane as usize));
             self.replies.remove(&(lane as usize));
         }
         for (lane, call) in std::mem::take(&mut self.reader.calls) {
-            self.out.insert(lane as usize, call);
+            self.open_calls.insert(lane as usize, call);
         }
         for (_, update) in std::mem::take(&mut self.reader.learned) {
             self.mirror.merge(update);
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         // Only the calls on the probe lane are returned; the others are collected by `take_actions`.
-        let calls = self.reader.calls(millis, Lane::Probe);
-        self.take_actions();
+        let calls = self.reader.calls_within(millis, Lane::Probe);
+        self.apply_actions();
         if !calls.is_empty() {
             self.reader.reply(Lane::Probe, StoreReply::Alive);
-            self.take_actions();
+            self.apply_actions();
         }
     }
 
     fn reply(&mut self, lane: usize, reply: StoreReply) {
-        self.out.remove(&lane);
+        self.open_calls.remove(&lane);
         self.reader.reply(LANES[lane], reply);
-        self.take_actions();
+        self.apply_actions();
     }
 
     fn is_behind(&self, peer: &Node) -> bool {
@@ -300,51 +300,51 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Write(write) => self.store.write(write),
-            Step::Pass(node, millis) => self.nodes[node].pass(u64::from(millis)),
-            Step::Handle(node, lane) => {
-                let reply = self.nodes[node].out.get(&lane).and_then(|call| self.store.handle(call));
+            Step::Advance(node, millis) => self.nodes[node].advance(u64::from(millis)),
+            Step::HandleCall(node, lane) => {
+                let reply = self.nodes[node].open_calls.get(&lane).and_then(|call| self.store.handle(call));
                 if let Some(reply) = reply.filter(|_| !self.nodes[node].replies.contains_key(&lane)) {
                     self.nodes[node].replies.insert(lane, reply);
                 }
             }
-            Step::Reply(node, lane) => {
+            Step::DeliverReply(node, lane) => {
                 if let Some(reply) = self.nodes[node].replies.remove(&lane) {
                     self.nodes[node].reply(lane, reply);
                 }
             }
-            Step::Fail(node, lane) => {
+            Step::FailCall(node, lane) => {
                 let node = &mut self.nodes[node];
                 node.replies.remove(&lane);
-                if node.out.remove(&lane).is_some() {
+                if node.open_calls.remove(&lane).is_some() {
                     node.reader.fail(LANES[lane]);
-                    node.take_actions();
+                    node.apply_actions();
                 }
             }
-            Step::Ask(node, peer) => {
-                let is_free = matches!(self.nodes[node].pull, Pull::None);
+            Step::AskPeer(node, peer) => {
+                let is_free = matches!(self.nodes[node].question, PeerQuestion::None);
                 if node != peer && is_free && self.nodes[node].is_behind(&self.nodes[peer]) {
-                    self.nodes[node].pull = Pull::Asked(peer, self.nodes[node].knowledge());
+                    self.nodes[node].question = PeerQuestion::Asked(peer, self.nodes[node].knowledge());
                 }
             }
-            Step::Answer(node) => {
-                if let Pull::Asked(peer, knowledge) = self.nodes[node].pull {
-                    self.nodes[node].pull = Pull::Answered(self.nodes[peer].mirror.changes_for(knowledge));
+            Step::AnswerPeer(node) => {
+                if let PeerQuestion::Asked(peer, knowledge) = self.nodes[node].question {
+                    self.nodes[node].question = PeerQuestion::Answered(self.nodes[peer].mirror.changes_for(knowledge));
                 }
             }
-            Step::Take(node) => self.take(node),
-            Step::Mode(node, mode) => {
+            Step::MergeAnswer(node) => self.merge_answer(node),
+            Step::SetMode(node, mode) => {
                 common::store::set_mode(&mut self.nodes[node].reader, mode);
-                self.nodes[node].take_actions();
+                self.nodes[node].apply_actions();
             }
             Step::Restart(node) => self.nodes[node] = Node::new(),
         }
     }
 
     /// Lets a node merge a peer's answer and tell its store reader, as the gateway does.
-    fn take(&mut self, node: usize) {
+    fn merge_answer(&mut self, node: usize) {
         let newest = self.nodes.iter().map(|node| node.mirror.version()).max().unwrap_or_default();
         let node = &mut self.nodes[node];
-        let Pull::Answered(update) = std::mem::take(&mut node.pull) else {
+        let PeerQuestion::Answered(update) = std::mem::take(&mut node.question) else {
             return;
         };
         node.mirror.merge(update);
@@ -356,17 +356,17 @@
 
     /// Completes all calls and questions under way, with the first node watching the store.
     fn settle(&mut self) {
-        self.step(Step::Mode(0, ReadingMode::Watching));
-        for round in 0..SETTLING {
+        self.step(Step::SetMode(0, ReadingMode::Watching));
+        for round in 0..SETTLE_ROUNDS {
             for node in 0..NODES {
-                self.step(Step::Pass(node, 200));
+                self.step(Step::Advance(node, 200));
                 for lane in 0..LANES.len() {
-                    self.step(Step::Handle(node, lane));
-                    self.step(Step::Reply(node, lane));
+                    self.step(Step::HandleCall(node, lane));
+                    self.step(Step::DeliverReply(node, lane));
                 }
-                self.step(Step::Ask(node, round % NODES));
-                self.step(Step::Answer(node));
-                self.step(Step::Take(node));
+                self.step(Step::AskPeer(node, round % NODES));
+                self.step(Step::AnswerPeer(node));
+                self.step(Step::MergeAnswer(node));
             }
         }
     }
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -26,16 +26,16 @@
 }
 
 /// Returns the attempts of a request for one shard that the test hasn't ended.
-fn open(driver: &Driver, request: RequestKey, shard: &str, ended: &[AttemptKey]) -> Vec<AttemptKey> {
+fn open_attempts(driver: &Driver, request: RequestKey, shard: &str, ended: &[AttemptKey]) -> Vec<AttemptKey> {
     let orders = driver.sent_for(request);
     let ours = orders.iter().filter(|order| order.instance.starts_with(shard));
     ours.map(|order| order.attempt).filter(|attempt| !ended.contains(attempt)).collect()
 }
 
 /// Ends every open attempt for a shard with the same outcome until the engine sends no more at this time.
-fn end_all(driver: &mut Driver, request: RequestKey, shard: &str, ended: &mut Vec<AttemptKey>, how: NotRun) {
+fn end_open_attempts(driver: &mut Driver, request: RequestKey, shard: &str, ended: &mut Vec<AttemptKey>, how: NotRun) {
     loop {
-        let now_open = open(driver, request, shard, ended);
+        let now_open = open_attempts(driver, request, shard, ended);
         if now_open.is_empty() {
             return;
         }
@@ -52,14 +52,14 @@
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
     for _ in 0..5 {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
+        end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         assert_eq!(
             driver.verdict(request),
             None,
             "the request was given up after {} connections with most of its time left",
             ended.len()
         );
-        driver.pass_ms(150);
+        driver.advance_ms(150);
     }
     let tries = ended.len();
     assert!(
@@ -67,7 +67,7 @@
         "{tries} connections in 600 ms: the shard must neither be given up nor sent without pauses"
     );
     for shard in ["x", "y"] {
-        let attempt = *open(&driver, request, shard, &ended).last().expect("somebody is asked");
+        let attempt = *open_attempts(&driver, request, shard, &ended).last().expect("a searcher is asked");
         driver.end(attempt, answer(200, shard, records(&[1])));
     }
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
@@ -86,8 +86,8 @@
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
     while driver.verdict(request).is_none() {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
-        driver.pass_ms(10);
+        end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
+        driver.advance_ms(10);
         assert!(
             driver.now < driver.sent_at[0] + std::time::Duration::from_millis(TIMEOUT_MS),
             "the request was held past its timeout"
@@ -102,12 +102,12 @@
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
-    let sent = open(&driver, request, "y", &ended)[0];
+    end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
+    let sent = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(sent, AttemptOutcome::Unknown(Unknown::Broken));
     while driver.verdict(request).is_none() {
-        end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
-        driver.pass_ms(10);
+        end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
+        driver.advance_ms(10);
     }
     let kind = driver.refusal(request).expect("the request is refused, since shard `x` never answered");
     assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
@@ -119,10 +119,10 @@
     let requests: Vec<RequestKey> = (0..6).map(|number| driver.request(&format!("/q/{number}"))).collect();
     let mut ended = Vec::new();
     for request in &requests {
-        end_all(&mut driver, *request, "x", &mut ended, NotRun::ConnectionRejected);
+        end_open_attempts(&mut driver, *request, "x", &mut ended, NotRun::ConnectionRejected);
     }
     let before = driver.sends.len();
-    driver.pass_ms(130);
+    driver.advance_ms(130);
     let to_x = |driver: &Driver| -> Vec<AttemptKey> {
         let later = driver.sends[before..].iter().filter(|order| order.instance.starts_with("x"));
         later.map(|order| order.attempt).collect()
@@ -143,9 +143,9 @@
     let mut driver = two_shards(0.5);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::Unconnected);
-    driver.pass_ms(20);
-    let part = open(&driver, request, "y", &ended)[0];
+    end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::Unconnected);
+    driver.advance_ms(20);
+    let part = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(part, answer(200, "y", records(&[1])));
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 1));
     assert!(driver.unsent.contains(&(request, UnsentCause::Avoided)));
@@ -156,12 +156,12 @@
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::Unconnected);
-    let part = open(&driver, request, "y", &ended)[0];
+    end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::Unconnected);
+    let part = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(part, answer(200, "y", records(&[1])));
     assert_eq!(driver.verdict(request), None);
     driver.event(RoutingEvent::Searchers(vec![searcher("x-3", "x", "a")]));
-    let attempt = open(&driver, request, "x", &ended)[0];
+    let attempt = open_attempts(&driver, request, "x", &ended)[0];
     driver.end(attempt, answer(200, "x", records(&[2])));
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
 }
@@ -171,11 +171,11 @@
     let mut driver = two_shards(1.0);
     let first = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, first, "x", &mut ended, NotRun::ConnectionRejected);
+    end_open_attempts(&mut driver, first, "x", &mut ended, NotRun::ConnectionRejected);
     let second = driver.request("/q/2");
     assert_eq!(driver.verdict(second), None);
-    driver.pass_ms(150);
-    assert!(!open(&driver, second, "y", &ended).is_empty());
+    driver.advance_ms(150);
+    assert!(!open_attempts(&driver, second, "y", &ended).is_empty());
 }
 
 #[test]
@@ -183,10 +183,10 @@
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    end_all(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
+    end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
     driver.event(RoutingEvent::CallerGone(request));
     let before = driver.sends.len();
-    driver.pass_ms(1000);
+    driver.advance_ms(1000);
     assert_eq!(driver.sends.len(), before, "an attempt was sent for a caller that has left");
     assert_eq!(driver.engine.in_flight(), 0);
 }
@@ -198,16 +198,16 @@
     let settings = RoutingSettings { restarted_at, ..settings() };
     let mut driver = Driver::with_settings(settings, definition, vec![searcher("x-1", "x", "a")]);
     // Nine nodes of the zone share nine tenths of forty connections: four each.
-    driver.fleet(&[("a", 9)], 9);
+    driver.set_fleet(&[("a", 9)], 9);
     let requests: Vec<RequestKey> = (0..8).map(|number| driver.request(&format!("/q/{number}"))).collect();
     assert_eq!(driver.sends.len(), 1, "the node may use a quarter of four connections; the other requests wait");
     driver.end(driver.sends[0].attempt, answer(200, "x", records(&[1])));
     assert_eq!(driver.sends.len(), 2, "the waiting requests use the connection one after the other");
     assert!(requests[1..].iter().all(|request| driver.verdict(*request).is_none()));
-    driver.pass_ms(1100);
+    driver.advance_ms(1100);
     driver.request("/q/8");
     assert_eq!(driver.sends.len(), 3, "after a second the node may use two connections");
-    driver.pass_ms(2100);
+    driver.advance_ms(2100);
     driver.request("/q/9");
     driver.request("/q/10");
     driver.request("/q/11");
@@ -218,18 +218,18 @@
 fn a_shard_that_all_searchers_turned_away_for_lack_of_room_is_sent_again_when_the_budget_allows() {
     let mut driver = two_shards(1.0);
     let request = driver.request("/q/1");
-    let part = open(&driver, request, "y", &[])[0];
+    let part = open_attempts(&driver, request, "y", &[])[0];
     driver.end(part, answer(200, "y", records(&[1])));
     let mut ended = vec![part];
     for _ in 0..3 {
-        for attempt in open(&driver, request, "x", &ended) {
+        for attempt in open_attempts(&driver, request, "x", &ended) {
             ended.push(attempt);
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
         assert_eq!(driver.verdict(request), None, "the request was given up with most of its time left");
-        driver.pass_ms(100);
+        driver.advance_ms(100);
     }
-    let last = *open(&driver, request, "x", &ended).last().expect("asked again");
+    let last = *open_attempts(&driver, request, "x", &ended).last().expect("the shard is sent again");
     driver.end(last, answer(200, "x", records(&[2])));
     assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
     let orders = driver.sent_for(request);
@@ -242,10 +242,13 @@
 #[test]
 fn a_shard_whose_repeat_the_budget_refuses_waits_for_it() {
     let entries = vec![searcher("x-1", "x", "a"), searcher("x-2", "x", "a")];
-    let mut none_left = settings();
-    none_left.extra.slack = 0.0;
-    let mut driver =
-        Driver::with_settings(none_left, definition(1, vec![route("q", gather(&["x"], 2, 1.0))], &["x"]), entries);
+    let mut settings_without_slack = settings();
+    settings_without_slack.extra.slack = 0.0;
+    let mut driver = Driver::with_settings(
+        settings_without_slack,
+        definition(1, vec![route("q", gather(&["x"], 2, 1.0))], &["x"]),
+        entries,
+    );
     let request = driver.request("/q/0");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.verdict(request), None);
@@ -255,7 +258,7 @@
         let attempt = driver.sent_for(other)[0].attempt;
         driver.end(attempt, answer(200, "x", records(&[1])));
     }
-    driver.pass_ms(150);
+    driver.advance_ms(150);
     assert_eq!(
         driver.reasons(request),
         [SendReason::First, SendReason::Retry],
@@ -265,11 +268,11 @@
 
 #[test]
 fn a_failure_at_hand_is_passed_on_rather_than_kept_until_the_budget_allows() {
-    let mut none_left = settings();
-    none_left.extra.slack = 0.0;
+    let mut settings_without_slack = settings();
+    settings_without_slack.extra.slack = 0.0;
     let target = staircross_routing::RouteTarget::Service("x".into());
     let mut driver = Driver::with_settings(
-        none_left,
+        settings_without_slack,
         definition(1, vec![route("r", target)], &["x"]),
         vec![searcher("x-1", "x", "a"), searcher("x-2", "x", "a")],
     );
@@ -280,14 +283,14 @@
 
 #[test]
 fn a_shard_whose_turn_the_budget_will_not_reach_in_time_is_given_up_at_once() {
-    let mut none_left = settings();
-    none_left.extra.slack = 0.0;
+    let mut settings_without_slack = settings();
+    settings_without_slack.extra.slack = 0.0;
     let entries = vec![searcher("x-1", "x", "a"), searcher("x-2", "x", "a")];
     let definition = definition(1, vec![route("q", gather(&["x"], 2, 1.0))], &["x"]);
-    let mut driver = Driver::with_settings(none_left, definition, entries);
+    let mut driver = Driver::with_settings(settings_without_slack, definition, entries);
     let calm = driver.request("/q/0");
     driver.end(driver.sent_for(calm)[0].attempt, answer(200, "x", records(&[1])));
-    driver.pass_ms(9900);
+    driver.advance_ms(9900);
     let requests: Vec<RequestKey> = (1..=20).map(|number| driver.request(&format!("/q/{number}"))).collect();
     for request in &requests {
         let first = driver.sent_for(*request)[0].attempt;
