--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small driver around the routing engine.
+//! A driver that feeds events to a routing engine and collects its actions, with constructors of settings, routes and
+//! searchers. The clock is advanced by the test.
 #![allow(dead_code)]
 
 pub mod backends;
@@ -28,16 +29,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Host of all routes and requests.
 pub const HOST: &str = "shop.example";
-/// Time during which a searcher whose entry has gone is a last resort.
-pub const LAPSE_MS: u64 = 750;
+/// Time for which a searcher is still asked as a last resort after its entry was removed.
+pub const LAPSE_GRACE_MS: u64 = 750;
 
-/// One engine and everything that it wanted done.
+/// One engine and all actions that it has requested, by kind.
 pub struct Driver {
     pub engine: RoutingEngine,
     pub now: BootTime,
     pub sends: Vec<SendOrder>,
-    /// When each of them was sent.
+    /// Times at which `sends` were requested, in the same order.
     pub sent_at: Vec<BootTime>,
     pub abandoned: Vec<(AttemptKey, AbandonCause)>,
     pub recalled: Vec<AttemptKey>,
@@ -46,30 +48,31 @@
     pub left_out: Vec<(String, LeftOutCause)>,
     pub held: Vec<(RequestKey, HoldCause)>,
     pub finished: Vec<(RequestKey, Verdict)>,
-    /// When each of them ended.
+    /// Times at which the requests in `finished` ended, in the same order.
     pub finished_at: Vec<BootTime>,
     pub not_admitted: Vec<(RequestKey, f64)>,
     pub admission: Vec<(BootTime, AdmissionChange)>,
     pub suspicions: Vec<SuspicionChange>,
-    pub quota_told: Vec<(NodeId, Vec<QuotaMessage>)>,
+    pub quota_messages: Vec<(NodeId, Vec<QuotaMessage>)>,
     pub quota_changes: Vec<QuotaChange>,
-    /// Routes whose alarms were raised, or ended.
+    /// Alarms of routes in order: the route's name, and whether the alarm was raised (or ended).
     pub alarms: Vec<(String, bool)>,
-    /// What became of requests that came while their route was on alarm.
+    /// Steps of first probes, which are taken by requests that arrive while their route is on alarm.
     pub probe_steps: Vec<(RequestKey, ProbeStep)>,
-    /// All that was told and decided.
+    /// All events and the decisions on them, as they are recorded.
     pub turns: Vec<RecordedTurn>,
     paths: HashMap<RequestKey, String>,
     next_request: u64,
 }
 
+/// Returns settings of a node in zone `a`. Zones `a` and `b` are in the region `north`, zone `c` is in `south`.
 pub fn settings() -> RoutingSettings {
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
     RoutingSettings {
         extra: ExtraBound { ratio: 0.2, window: Duration::from_secs(10), slack: 50.0 },
         zone: Arc::from("a"),
         regions: regions.into_iter().map(|(zone, region)| (Arc::from(zone), Arc::from(region))).collect(),
-        lapse_grace: Duration::from_millis(LAPSE_MS),
+        lapse_grace: Duration::from_millis(LAPSE_GRACE_MS),
         cold: ColdBound::default(),
         max_requests: 1000,
         restarted_at: None,
@@ -81,6 +84,7 @@
     }
 }
 
+/// Returns the entry of a warm searcher with five slots.
 pub fn searcher(instance: &str, service: &str, zone: &str) -> SearcherEntry {
     SearcherEntry {
         instance: Arc::from(instance),
@@ -94,6 +98,7 @@
     }
 }
 
+/// Returns an idempotent route for the paths under `/NAME/`, with a goal of 250 ms and at most two attempts.
 pub fn route(name: &str, target: RouteTarget) -> RouteDefinition {
     RouteDefinition {
         name: Arc::from(name),
@@ -110,6 +115,7 @@
     }
 }
 
+/// Returns a target that gathers these shards.
 pub fn gather(shards: &[&str], top_k: usize, min_coverage: f64) -> RouteTarget {
     RouteTarget::Gather(GatherTarget {
         shards: shards.iter().map(|name| Arc::from(*name)).collect(),
@@ -118,11 +124,13 @@
     })
 }
 
+/// Returns a target that distributes requests to services by these weights.
 pub fn weighted(set: &[(&str, u32)]) -> RouteTarget {
     let entry = |(service, weight): &(&str, u32)| WeightedService { service: Arc::from(*service), weight: *weight };
     RouteTarget::Weighted(set.iter().map(entry).collect())
 }
 
+/// Returns a configuration without tenants whose services permit forty connections to each searcher.
 pub fn definition(version: u64, routes: Vec<RouteDefinition>, services: &[&str]) -> RoutingDefinition {
     let service =
         |name: &&str| ServiceEntry { name: Arc::from(*name), max_connections: 40, cold_start: ColdStart::default() };
@@ -135,11 +143,12 @@
     }
 }
 
-/// A body of records, each filled with one byte.
+/// Returns a body with one 16-byte record for each byte, filled with that byte.
 pub fn records(bytes: &[u8]) -> Vec<u8> {
     bytes.iter().flat_map(|byte| [*byte; 16]).collect()
 }
 
+/// Returns an answer of a searcher; an empty stamp stands for none.
 pub fn answer(status: u16, stamp: &str, body: Vec<u8>) -> AttemptOutcome {
     let stamp = (!stamp.is_empty()).then(|| stamp.as_bytes().to_vec());
     AttemptOutcome::Answered(Box::new(SearcherAnswer {
@@ -152,6 +161,7 @@
 }
 
 impl Driver {
+    /// Creates an engine that knows neither a configuration nor searchers.
     pub fn new() -> Self {
         Driver {
             engine: RoutingEngine::new(settings()),
@@ -169,7 +179,7 @@
             not_admitted: Vec::new(),
             admission: Vec::new(),
             suspicions: Vec::new(),
-            quota_told: Vec::new(),
+            quota_messages: Vec::new(),
             quota_changes: Vec::new(),
             alarms: Vec::new(),
             probe_steps: Vec::new(),
@@ -179,12 +189,12 @@
         }
     }
 
-    /// An engine with a configuration and searchers.
+    /// Creates an engine that knows a configuration and searchers, with the settings of [`settings`].
     pub fn with(definition: RoutingDefinition, searchers: Vec<SearcherEntry>) -> Self {
         Driver::with_settings(settings(), definition, searchers)
     }
 
-    /// The same with other settings.
+    /// Creates an engine with other settings than [`settings`] that knows a configuration and searchers.
     pub fn with_settings(
         settings: RoutingSettings,
         definition: RoutingDefinition,
@@ -201,6 +211,7 @@
         self.event(RoutingEvent::Configuration(Arc::new(RouteTable::new(Arc::new(definition)))));
     }
 
+    /// Passes an event to the engine, records the turn and collects the requested actions.
     pub fn event(&mut self, event: RoutingEvent) {
         let mut actions = Vec::new();
         let recorded = RecordedEvent::from(&event);
@@ -221,7 +232,7 @@
                 RoutingAction::KeyRefused { request, cause } => self.keys_refused.push((request, cause)),
                 RoutingAction::NotAdmitted { request, fraction, .. } => self.not_admitted.push((request, fraction)),
                 RoutingAction::Admission { change, .. } => self.admission.push((self.now, change)),
-                RoutingAction::SendQuotas { to, messages } => self.quota_told.push((to, messages)),
+                RoutingAction::SendQuotas { to, messages } => self.quota_messages.push((to, messages)),
                 RoutingAction::Quota(change) => self.quota_changes.push(change),
                 RoutingAction::Suspicion { change, .. } => self.suspicions.push(change),
                 RoutingAction::Alarm { route, is_raised } => self.alarms.push((route.to_string(), is_raised)),
@@ -234,6 +245,7 @@
         }
     }
 
+    /// Returns the arrival of a new request, without sending it to the engine.
     pub fn arrival(&mut self, path: &str) -> Arrival {
         let key = RequestKey(self.next_request);
         self.next_request += 1;
@@ -249,12 +261,13 @@
             configuration_view: ConfigurationView::Current,
             knows_searchers: true,
             link: CallerLink::default(),
-            // Each asks for something else, unless a test says otherwise.
+            // By default each request has a content of its own.
             content: ContentKey(key.0),
             credential: Credential::Missing,
         }
     }
 
+    /// Lets a new request arrive and returns its key.
     pub fn request(&mut self, path: &str) -> RequestKey {
         let arrival = self.arrival(path);
         let key = arrival.key;
@@ -262,12 +275,13 @@
         key
     }
 
+    /// Reports the outcome of an attempt to the engine.
     pub fn end(&mut self, attempt: AttemptKey, outcome: AttemptOutcome) {
         self.event(RoutingEvent::Ended { attempt, outcome });
     }
 
-    /// Lets time pass, waking the engine whenever it wants.
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances the clock by `span` and sends a tick at each wake-up time of the engine and at the end.
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(wake) = self.engine.next_wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
@@ -277,8 +291,8 @@
         self.event(RoutingEvent::Tick);
     }
 
-    pub fn pass_ms(&mut self, millis: u64) {
-        self.pass(Duration::from_millis(millis));
+    pub fn advance_ms(&mut self, millis: u64) {
+        self.advance(Duration::from_millis(millis));
     }
 
     pub fn path_of(&self, request: RequestKey) -> &str {
@@ -289,6 +303,7 @@
         self.finished.iter().find(|(key, _)| *key == request).map(|(_, verdict)| verdict)
     }
 
+    /// Returns the kind of refusal with which a request ended, if it was refused.
     pub fn refusal(&self, request: RequestKey) -> Option<staircross_types::ErrorKind> {
         match self.verdict(request) {
             Some(Verdict::Refused { kind, .. }) => Some(*kind),
@@ -296,26 +311,30 @@
         }
     }
 
+    /// Returns the attempts that were sent for a request, in order.
     pub fn sent_for(&self, request: RequestKey) -> Vec<&SendOrder> {
         self.sends.iter().filter(|order| order.attempt.request == request).collect()
     }
 
+    /// Returns the searchers to which a request was sent, in order.
     pub fn instances(&self, request: RequestKey) -> Vec<String> {
         self.sent_for(request).iter().map(|order| order.instance.to_string()).collect()
     }
 
+    /// Returns the reasons for which a request was sent, in order.
     pub fn reasons(&self, request: RequestKey) -> Vec<SendReason> {
         self.sent_for(request).iter().map(|order| order.reason).collect()
     }
 
-    /// The nodes that share tenants' quotas.
-    pub fn fleet_nodes(&mut self, nodes: &[NodeId]) {
+    /// Tells the engine that these nodes of zone `a` serve and share the tenants' quotas.
+    pub fn set_fleet_nodes(&mut self, nodes: &[NodeId]) {
         let nodes_by_zone = HashMap::from([(Arc::from("a"), nodes.len())]);
         let (serving, nodes) = (nodes.len(), Some(nodes.to_vec()));
         self.event(RoutingEvent::Fleet { nodes_by_zone, serving, rank: Some(0), slack_share: 1.0, nodes });
     }
 
-    pub fn fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
+    /// Tells the engine the number of nodes in each zone, and the number of serving nodes in all.
+    pub fn set_fleet(&mut self, zones: &[(&str, usize)], fleet: usize) {
         let nodes_by_zone: HashMap<Arc<str>, usize> =
             zones.iter().map(|(zone, count)| (Arc::from(*zone), *count)).collect();
         let slack_share = 1.0 / fleet as f64;
--- a/crates/staircross-routing/tests/common/store.rs
+++ b/crates/staircross-routing/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A store reader with a clock in the hands of the test: its calls are kept, their replies are given by the test.
+//! A store reader whose clock and replies are controlled by the test. Its calls are collected.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -9,8 +9,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// A store reader, the time, and all that the reader has wanted done.
-pub struct Store {
+/// A store reader, its clock, and the actions that it has requested, by kind.
+pub struct ReaderDriver {
     pub reader: StoreReader,
     pub random: ChaCha8Rng,
     pub now: BootTime,
@@ -20,9 +20,9 @@
     pub cancelled: Vec<Lane>,
 }
 
-impl Store {
+impl ReaderDriver {
     pub fn new() -> Self {
-        Store {
+        ReaderDriver {
             reader: StoreReader::new(ReaderSettings::default()),
             random: ChaCha8Rng::seed_from_u64(1),
             now: BootTime::from_millis(1000),
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Keeps what the reader wants done.
-    pub fn take(&mut self, actions: Vec<ReaderAction>) {
+    /// Collects the actions that the reader requests.
+    pub fn collect(&mut self, actions: Vec<ReaderAction>) {
         for action in actions {
             match action {
                 ReaderAction::Call { lane, call, .. } => self.calls.push((lane, call)),
@@ -45,13 +45,14 @@
         }
     }
 
-    /// Lets time pass and returns the calls made for a lane since the last time.
-    pub fn calls(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
+    /// Advances the clock and returns the calls made on a lane since they were last returned. Calls on other lanes are
+    /// kept.
+    pub fn calls_within(&mut self, millis: u64, lane: Lane) -> Vec<StoreCall> {
         let end = self.now + Duration::from_millis(millis);
         loop {
             let mut actions = Vec::new();
             self.reader.on_tick(self.now, &mut actions);
-            self.take(actions);
+            self.collect(actions);
             match self.reader.next_wake().filter(|wake| *wake <= end) {
                 Some(wake) => self.now = self.now.max(wake),
                 None => break,
@@ -64,29 +65,29 @@
         ours.into_iter().map(|(_, call)| call).collect()
     }
 
-    /// Answers the call of a lane that is under way.
+    /// Answers the open call of a lane.
     pub fn reply(&mut self, lane: Lane, reply: StoreReply) {
         let mut actions = Vec::new();
         self.reader.on_reply(self.now, lane, reply, &mut self.random, &mut actions);
-        self.take(actions);
+        self.collect(actions);
     }
 
-    /// Fails the call of a lane that is under way.
+    /// Fails the open call of a lane.
     pub fn fail(&mut self, lane: Lane) {
         let mut actions = Vec::new();
         self.reader.on_failed(self.now, lane, &mut self.random, &mut actions);
-        self.take(actions);
+        self.collect(actions);
     }
 }
 
-/// Whether a call watches for what came after a revision.
+/// Returns whether a call watches for changes after this revision.
 pub fn is_watch_after(call: &StoreCall, revision: u64) -> bool {
     matches!(call, StoreCall::Watch { after, .. } if *after == revision)
 }
 
-/// Sets the mode of the reader, and keeps what it wants done.
-pub fn set_mode(store: &mut Store, mode: ReadingMode) {
+/// Sets the mode of the reader and collects the actions that it requests.
+pub fn set_mode(driver: &mut ReaderDriver, mode: ReadingMode) {
     let mut actions = Vec::new();
-    store.reader.set_mode(store.now, mode, &mut actions);
-    store.take(actions);
+    driver.reader.set_mode(driver.now, mode, &mut actions);
+    driver.collect(actions);
 }
--- a/crates/staircross-routing/tests/fuzz.rs
+++ b/crates/staircross-routing/tests/fuzz.rs
@@ -1,12 +1,12 @@
-//! Random histories of the routing engine against plain rules.
+//! Random histories of the routing engine, checked against simple rules.
 //!
-//! The oracle keeps its own ledger of what was sent where and how each sending ended, and judges every
-//! action by it. It knows nothing of how the engine decides.
+//! The oracle in `history` keeps its own ledger of where each attempt was sent and how it ended, and checks every
+//! action against it. It doesn't depend on how the engine decides.
 
 mod common;
 mod history;
 
-use history::{any_step, play};
+use history::{any_step, run_history};
 use proptest::prelude::*;
 
 proptest! {
@@ -19,6 +19,6 @@
 
     #[test]
     fn random_histories_break_no_rule(steps in prop::collection::vec(any_step(), 1..160)) {
-        play(&steps)?;
+        run_history(&steps)?;
     }
 }
--- a/crates/staircross-routing/tests/mirror_peers.rs
+++ b/crates/staircross-routing/tests/mirror_peers.rs
@@ -1,15 +1,18 @@
-//! What a mirror sends to a peer that asks for changes: only what the peer lacks and takes.
+//! The changes that a mirror sends to a peer that asks: only what the peer lacks and accepts.
 
 mod common;
 
-use common::mirror::{NOTHING_KNOWN, changes, configuration, configuration_of, gone, known, listing, names, searcher};
+use common::mirror::{
+    NOTHING_KNOWN, changes, configuration, configuration_with_routes, knowledge, listing, searcher, searcher_gone,
+    searcher_ids,
+};
 use staircross_routing::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge};
 
 #[test]
 fn a_peer_that_has_the_configuration_is_not_sent_it_again() {
     let mut mirror = Mirror::default();
     mirror.merge(listing(10, vec![(3, searcher("a", false))]));
-    mirror.merge(changes(vec![(11, configuration(4)), (12, gone("a"))]));
+    mirror.merge(changes(vec![(11, configuration(4)), (12, searcher_gone("a"))]));
     let has_configuration = |version| {
         let peer = PeerKnowledge { revision: 10, version, evacuations: 0, accepts: AcceptedConfiguration::Small };
         let items = mirror.changes_for(peer).items;
@@ -23,20 +26,24 @@
 fn a_large_configuration_is_passed_on_only_to_those_that_take_it() {
     let with_routes = |count| {
         let mut mirror = Mirror::default();
-        mirror.merge(changes(vec![(11, configuration_of(count)), (12, searcher("a", false))]));
+        mirror.merge(changes(vec![(11, configuration_with_routes(count)), (12, searcher("a", false))]));
         mirror
     };
-    let passed = |mirror: &Mirror, accepts| {
+    let items_sent = |mirror: &Mirror, accepts| {
         mirror.changes_for(PeerKnowledge { revision: 0, version: 1, evacuations: 0, accepts }).items.len()
     };
-    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::Small), 2);
-    assert_eq!(passed(&with_routes(1000), AcceptedConfiguration::Small), 1, "the searcher alone");
+    assert_eq!(items_sent(&with_routes(200), AcceptedConfiguration::Small), 2);
+    assert_eq!(items_sent(&with_routes(1000), AcceptedConfiguration::Small), 1, "only the searcher is sent");
     assert_eq!(
-        passed(&with_routes(1000), AcceptedConfiguration::Any),
+        items_sent(&with_routes(1000), AcceptedConfiguration::Any),
         2,
-        "whoever the store doesn't serve must get it from a peer"
+        "a node that can't read the store must get the configuration from a peer"
+    );
+    assert_eq!(
+        items_sent(&with_routes(200), AcceptedConfiguration::None),
+        1,
+        "a peer that accepts no configuration is sent the searcher only"
     );
-    assert_eq!(passed(&with_routes(200), AcceptedConfiguration::None), 1, "the link is busy");
 }
 
 #[test]
@@ -48,8 +55,8 @@
     assert!(!update.is_complete_for_searchers);
     let mut newcomer = Mirror::default();
     newcomer.merge(update);
-    assert_eq!(names(&newcomer), ["b"]);
-    assert!(!newcomer.has_listing(), "a node that knows a part isn't ready by it");
+    assert_eq!(searcher_ids(&newcomer), ["b"]);
+    assert!(!newcomer.has_listing(), "a partial update must not count as a listing");
     partial.merge(listing(12, vec![(3, searcher("a", false)), (9, searcher("b", false))]));
     newcomer.merge(partial.changes_for(NOTHING_KNOWN));
     assert!(partial.has_listing() && newcomer.has_listing());
@@ -58,30 +65,31 @@
 #[test]
 fn a_follower_that_asks_for_a_configuration_is_not_told_the_whole_listing_again() {
     let mut reader = Mirror::default();
-    // Other items of the store changed after the last searcher: the listing is of a later revision.
+    // Other items of the store changed after the last searcher, so the listing has a later revision.
     reader.merge(listing(90, vec![(45, searcher("s", false)), (44, searcher("t", false))]));
     reader.merge(changes(vec![(20, configuration(1))]));
     let mut follower = Mirror::default();
     follower.merge(reader.changes_for(NOTHING_KNOWN));
     reader.merge(changes(vec![(95, configuration(2))]));
-    let told = reader.changes_for(known(&follower));
-    assert!(matches!(told.items.as_slice(), [(95, MirrorItem::ConfigurationChanges { .. })]), "{:?}", told.items);
-    assert!(!told.is_complete_for_searchers);
-    follower.merge(told);
+    let update = reader.changes_for(knowledge(&follower));
+    assert!(matches!(update.items.as_slice(), [(95, MirrorItem::ConfigurationChanges { .. })]), "{:?}", update.items);
+    assert!(!update.is_complete_for_searchers);
+    follower.merge(update);
     assert_eq!(follower.version(), 2);
-    reader.merge(changes(vec![(97, gone("s"))]));
-    follower.merge(reader.changes_for(known(&follower)));
-    assert_eq!(names(&follower), ["t"], "and hears of what changes later");
+    reader.merge(changes(vec![(97, searcher_gone("s"))]));
+    follower.merge(reader.changes_for(knowledge(&follower)));
+    assert_eq!(searcher_ids(&follower), ["t"], "later changes are sent");
 }
 
 #[test]
 fn a_node_without_a_listing_asks_for_everything() {
     let mut partial = Mirror::default();
     partial.merge(MirrorUpdate { items: vec![(9, searcher("b", false))], up_to: 60, ..MirrorUpdate::default() });
-    assert_eq!(partial.known_revision(), 0, "others may have changed before that one");
+    assert_eq!(partial.known_revision(), 0, "other items may have changed before the known one");
 }
 
-/// The first page of a listing was read at 20; `a`, which stands on it, drains at 21, and `b` on the second page changes at 22.
+/// Returns a mirror that read a listing while items changed. The first page was read at 20 and holds `a`, which drains
+/// at 21. The second page holds `b`, which changes at 22.
 fn listed_while_it_changed() -> Mirror {
     let mut mirror = Mirror::default();
     mirror.merge(listing(20, vec![(3, searcher("a", false)), (22, searcher("b", false))]));
@@ -95,31 +103,34 @@
     asker.merge(reader.changes_for(NOTHING_KNOWN));
     let watched = MirrorUpdate { up_to: 22, ..changes(vec![(21, searcher("a", true)), (22, searcher("b", false))]) };
     reader.merge(watched);
-    assert!(asker.newest_revision() < reader.newest_revision(), "it must find out that it is behind");
-    asker.merge(reader.changes_for(known(&asker)));
+    assert!(asker.newest_revision() < reader.newest_revision(), "the asker must notice that it is behind");
+    asker.merge(reader.changes_for(knowledge(&asker)));
     assert!(asker.searchers().any(|entry| &*entry.instance == "a" && entry.is_draining));
 }
 
 #[test]
 fn who_is_right_before_a_listing_is_told_which_searchers_it_left_out() {
     let mut reader = Mirror::default();
-    // `b` has gone at 20, and the reader never knew it.
+    // `b` was removed at 20, and the reader never knew it.
     reader.merge(listing(20, vec![(3, searcher("a", false))]));
     let mut asker = Mirror::default();
     asker.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    asker.merge(reader.changes_for(known(&asker)));
-    assert_eq!(names(&asker), ["a"]);
+    asker.merge(reader.changes_for(knowledge(&asker)));
+    assert_eq!(searcher_ids(&asker), ["a"]);
 }
 
 #[test]
 fn a_node_that_read_after_the_last_searcher_had_gone_counts_as_knowing_it() {
     let mut informed = Mirror::default();
     informed.merge(listing(10, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    informed.merge(MirrorUpdate { up_to: 20, ..changes(vec![(20, gone("b"))]) });
+    informed.merge(MirrorUpdate { up_to: 20, ..changes(vec![(20, searcher_gone("b"))]) });
     let mut newcomer = Mirror::default();
     newcomer.merge(listing(25, vec![(3, searcher("a", false))]));
-    newcomer.merge(informed.changes_for(known(&newcomer)));
-    assert!(newcomer.newest_revision() >= informed.newest_revision(), "else it goes on asking");
+    newcomer.merge(informed.changes_for(knowledge(&newcomer)));
+    assert!(
+        newcomer.newest_revision() >= informed.newest_revision(),
+        "the newcomer would otherwise ask again and again"
+    );
 }
 
 #[test]
@@ -127,8 +138,8 @@
     let mut node = Mirror::default();
     node.merge(listing(20, vec![(3, searcher("a", false))]));
     let changed = node.merge(listing(19, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    assert_eq!(changed.searchers, [], "it had gone by 20");
-    assert_eq!(names(&node), ["a"]);
+    assert_eq!(changed.searchers, [], "the searcher was removed by revision 20");
+    assert_eq!(searcher_ids(&node), ["a"]);
     node.merge(listing(30, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
-    assert_eq!(names(&node), ["a", "b"], "the store's newer word counts");
+    assert_eq!(searcher_ids(&node), ["a", "b"], "a newer listing of the store is effective");
 }
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -1,6 +1,6 @@
-//! All that an engine wants done, as lines of log names and numbers, and their digests by kind.
+//! A journal of all actions that an engine requests, as lines of log names and numbers with a digest for each kind.
 //!
-//! Nothing here depends on the names of types, variants or fields: lines hold over renames.
+//! The lines don't contain names of types, variants or fields, so renames don't change them.
 
 use staircross_quota::{QuotaChange, QuotaMessage};
 use staircross_routing::RoutingAction;
@@ -12,16 +12,18 @@
 use std::fmt::Write;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Directory that gets each drive's lines, to find the first one that differs.
-const LINES_TO: &str = "PINNED_LINES";
+/// Environment variable that names a directory. Each scenario writes its lines there, so that the first differing line
+/// can be found.
+const LINES_DIRECTORY_VARIABLE: &str = "PINNED_LINES";
 
+/// Number and digest of the lines of one kind.
 #[derive(Default)]
 struct Kind {
     count: usize,
     digest: Xxh3,
 }
 
-/// Lines of one drive.
+/// The lines of one scenario.
 #[derive(Default)]
 pub struct Journal {
     kinds: BTreeMap<String, Kind>,
@@ -30,7 +32,8 @@
 }
 
 impl Journal {
-    pub fn note(&mut self, now: BootTime, kind: &str, text: &str) {
+    /// Adds a line of a kind.
+    pub fn record(&mut self, now: BootTime, kind: &str, text: &str) {
         let line = format!("{} {kind} {text}\n", now.0);
         for entry in [self.kinds.entry(kind.to_owned()).or_default(), &mut self.all] {
             entry.count += 1;
@@ -39,23 +42,25 @@
         self.lines.push_str(&line);
     }
 
-    /// One line a kind: count and digest.
-    pub fn table(&self, drive: &str) -> String {
-        if let Some(directory) = std::env::var_os(LINES_TO) {
-            let path = std::path::Path::new(&directory).join(drive);
+    /// Returns a table with one line for each kind: its name, count and digest. Writes the lines of the scenario if
+    /// `PINNED_LINES` is set.
+    pub fn table(&self, scenario: &str) -> String {
+        if let Some(directory) = std::env::var_os(LINES_DIRECTORY_VARIABLE) {
+            let path = std::path::Path::new(&directory).join(scenario);
             std::fs::write(path, &self.lines).expect("the directory can be written to");
         }
         let mut table = String::new();
         let kinds = self.kinds.iter().map(|(name, kind)| (name.as_str(), kind));
         for (name, kind) in kinds.chain([("all", &self.all)]) {
-            writeln!(table, "{name:<32} {:>6} {:016x}", kind.count, kind.digest.digest()).expect("a string takes it");
+            writeln!(table, "{name:<32} {:>6} {:016x}", kind.count, kind.digest.digest())
+                .expect("writing to a string doesn't fail");
         }
         table
     }
 
-    pub fn action(&mut self, now: BootTime, action: &RoutingAction) {
+    pub fn record_action(&mut self, now: BootTime, action: &RoutingAction) {
         let (kind, text) = line(action);
-        self.note(now, &kind, &text);
+        self.record(now, &kind, &text);
     }
 }
 
@@ -63,6 +68,7 @@
     format!("{}.{}", attempt.request.0, attempt.number)
 }
 
+/// Returns the kind and the text of an action's line.
 fn line(action: &RoutingAction) -> (String, String) {
     match action {
         RoutingAction::Send(order) => (format!("send {}", order.reason.name()), send(order)),
@@ -147,14 +153,14 @@
             let counts = [counts.offered, counts.admitted, confirmed.offered, confirmed.admitted];
             format!("r {:x} {} {} {former:x}", report.tenant.0, report.epoch, counts.map(|it| it.to_string()).join(" "))
         }
-        QuotaMessage::Grant(word) => {
+        QuotaMessage::Grant(grant) => {
             let confirmed =
-                word.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
+                grant.confirmation.map(|it| format!("{} {} {}", it.epoch, it.counts.offered, it.counts.admitted));
             format!(
                 "w {:x} {} {} {}",
-                word.tenant.0,
-                word.granted_at,
-                word.admit_fraction,
+                grant.tenant.0,
+                grant.granted_at,
+                grant.admit_fraction,
                 confirmed.unwrap_or_default()
             )
         }
--- a/crates/staircross-routing/tests/pinned/world.rs
+++ b/crates/staircross-routing/tests/pinned/world.rs
@@ -1,4 +1,5 @@
-//! One engine, and searchers with slots, queues and connections that work, reject, end and come back, in simulated time.
+//! A simulation of one engine and its searchers, which have slots, queues and connections, and which answer, reject,
+//! crash and restart in simulated time.
 
 use super::journal::Journal;
 use crate::common::{HOST, answer, records};
@@ -20,26 +21,26 @@
 
 type Step = Box<dyn FnOnce(&mut World)>;
 
-/// Start of all drives.
+/// Time at which all scenarios start.
 pub const START: BootTime = BootTime::from_millis(1_000_000);
-/// Time between ticks that nothing asks for.
-const TICK: u64 = 250;
-/// Sub-requests that a searcher lets wait.
-const QUEUE: usize = 30;
+/// Time between the regular ticks, in milliseconds; the engine's wake-up times add others.
+const TICK_INTERVAL_MS: u64 = 250;
+/// Most sub-requests that a searcher queues; it sheds any further ones.
+const MAX_QUEUED: usize = 30;
 
-/// One searcher.
+/// One simulated searcher.
 pub struct Searcher {
     pub entry: SearcherEntry,
-    /// How many times longer than usual its work takes.
+    /// Factor by which its work takes longer than usual.
     pub slowness: f64,
-    /// Connections that it accepts.
-    pub connections: usize,
-    /// Time until a connection is up, in milliseconds.
-    pub connecting: u64,
+    /// Most connections that it accepts.
+    pub max_connections: usize,
+    /// Time until a connection is established, in milliseconds.
+    pub connect_ms: u64,
     pub is_reachable: bool,
-    /// Fraction of its answers that are failures.
-    pub failing: f64,
-    open: usize,
+    /// Fraction of its answers that have status 500.
+    pub failure_fraction: f64,
+    open_connections: usize,
     busy: usize,
     queue: VecDeque<AttemptKey>,
 }
@@ -57,17 +58,18 @@
     phase: Phase,
 }
 
+/// One engine, its searchers and the attempts between them.
 pub struct World {
     pub engine: RoutingEngine,
     pub now: BootTime,
     pub journal: Journal,
     pub random: ChaCha8Rng,
     pub searchers: BTreeMap<String, Searcher>,
-    /// Usual work in milliseconds.
-    pub work: f64,
-    /// Contents that end whoever runs them.
-    pub deadly: BTreeSet<u64>,
-    /// Messages to peers that nobody has taken yet.
+    /// Usual time of work in milliseconds.
+    pub work_ms: f64,
+    /// Contents that crash the searchers that run them.
+    pub crashing_contents: BTreeSet<u64>,
+    /// Quota messages to peers that the test hasn't delivered yet.
     pub outbox: Vec<(NodeId, Vec<QuotaMessage>)>,
     steps: BTreeMap<(BootTime, u64), Step>,
     attempts: BTreeMap<AttemptKey, Attempt>,
@@ -84,8 +86,8 @@
             journal: Journal::default(),
             random: ChaCha8Rng::seed_from_u64(5),
             searchers: BTreeMap::new(),
-            work: 20.0,
-            deadly: BTreeSet::new(),
+            work_ms: 20.0,
+            crashing_contents: BTreeSet::new(),
             outbox: Vec::new(),
             steps: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -99,7 +101,7 @@
         if !entries.is_empty() {
             world.start(entries);
         }
-        world.tick_on();
+        world.tick_regularly();
         world
     }
 
@@ -107,16 +109,17 @@
         self.event(RoutingEvent::Configuration(Arc::new(RouteTable::new(Arc::new(definition)))));
     }
 
+    /// Starts searchers and tells the engine of their entries.
     pub fn start(&mut self, entries: Vec<SearcherEntry>) {
         for entry in &entries {
             let searcher = Searcher {
                 entry: entry.clone(),
                 slowness: 1.0,
-                connections: 40,
-                connecting: 0,
+                max_connections: 40,
+                connect_ms: 0,
                 is_reachable: true,
-                failing: 0.0,
-                open: 0,
+                failure_fraction: 0.0,
+                open_connections: 0,
                 busy: 0,
                 queue: VecDeque::new(),
             };
@@ -125,24 +128,26 @@
         self.event(RoutingEvent::Searchers(entries));
     }
 
-    fn tick_on(&mut self) {
+    /// Sends a tick to the engine and schedules the next one.
+    fn tick_regularly(&mut self) {
         self.event(RoutingEvent::Tick);
-        self.after(TICK as f64, World::tick_on);
+        self.after(TICK_INTERVAL_MS as f64, World::tick_regularly);
     }
 
-    /// Does something at a time in milliseconds since the start.
+    /// Schedules a step at a time in milliseconds since the start.
     pub fn at(&mut self, millis: f64, step: impl FnOnce(&mut World) + 'static) {
         self.sequence += 1;
         let time = START + Duration::from_micros((millis * 1000.0) as u64);
         self.steps.insert((time, self.sequence), Box::new(step));
     }
 
+    /// Schedules a step after a time in milliseconds from now.
     pub fn after(&mut self, millis: f64, step: impl FnOnce(&mut World) + 'static) {
         let since = self.now.since(START).as_secs_f64() * 1000.0;
         self.at(since + millis, step);
     }
 
-    /// Plays until a time in milliseconds since the start.
+    /// Runs the simulation until a time in milliseconds since the start.
     pub fn run(&mut self, millis: u64) {
         let end = START + Duration::from_millis(millis);
         loop {
@@ -162,6 +167,7 @@
         self.now = end;
     }
 
+    /// Returns the arrival of a new request with a content of its own, without sending it to the engine.
     pub fn arrival(&mut self, path: &str) -> Arrival {
         let key = RequestKey(self.next_request);
         self.next_request += 1;
@@ -181,13 +187,14 @@
         }
     }
 
-    /// Offers requests at random times between two milliseconds; `make` shapes the arrival by its number.
-    pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, make: fn(&mut Arrival, usize)) {
+    /// Schedules requests at random times within `span` (in milliseconds since the start), at a mean rate of `per_s`.
+    /// `change` adjusts each arrival, given its number.
+    pub fn offer(&mut self, span: (f64, f64), per_s: f64, path: &'static str, change: fn(&mut Arrival, usize)) {
         let (mut at, mut number) = (span.0, 0);
         while at < span.1 {
             self.at(at, move |world| {
                 let mut arrival = world.arrival(path);
-                make(&mut arrival, number);
+                change(&mut arrival, number);
                 world.arrive(arrival);
             });
             number += 1;
@@ -200,24 +207,25 @@
         self.event(RoutingEvent::Arrived(arrival));
     }
 
-    /// The callers of the newest requests leave.
-    pub fn newest_callers_leave(&mut self, count: u64) {
+    /// Tells the engine that the callers of the newest requests have disconnected.
+    pub fn disconnect_newest_callers(&mut self, count: u64) {
         let newest = self.next_request.saturating_sub(count)..self.next_request;
         newest.for_each(|key| self.event(RoutingEvent::CallerGone(RequestKey(key))));
     }
 
+    /// Passes an event to the engine, records the requested actions in the journal and simulates their effects.
     pub fn event(&mut self, event: RoutingEvent) {
         let mut actions = Vec::new();
         self.engine.on_event(self.now, event, &mut actions);
         for action in &actions {
-            self.journal.action(self.now, action);
+            self.journal.record_action(self.now, action);
         }
         for action in actions {
             match action {
                 RoutingAction::Send(order) => self.connect(&order),
                 RoutingAction::Abandon { attempt, answer_timeout, .. } => self.abandon(attempt, answer_timeout),
                 RoutingAction::Recall { attempt } if self.phase(attempt) == Some(Phase::Connecting) => {
-                    self.after(0.1, move |world| world.end(attempt, AttemptOutcome::Cancelled));
+                    self.after(0.1, move |world| world.end_attempt(attempt, AttemptOutcome::Cancelled));
                 }
                 RoutingAction::SendQuotas { to, messages } => self.outbox.push((to, messages)),
                 _ => {}
@@ -232,58 +240,58 @@
     fn connect(&mut self, order: &SendOrder) {
         let (key, instance) = (order.attempt, order.instance.to_string());
         let searcher = self.searchers.get_mut(&instance).expect("only searchers that were started are asked");
-        searcher.open += 1;
-        let (is_full, connecting) = (searcher.open > searcher.connections, searcher.connecting);
+        searcher.open_connections += 1;
+        let (is_full, connect_ms) = (searcher.open_connections > searcher.max_connections, searcher.connect_ms);
         let is_reachable = searcher.is_reachable;
         self.attempts.insert(key, Attempt { instance, searcher: order.searcher, phase: Phase::Connecting });
         if !is_reachable {
-            self.after(3.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
+            self.after(3.0, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::Unconnected)));
         } else if is_full {
-            self.after(1.0, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::ConnectionRejected)));
-        } else if connecting > 0 {
-            self.after(connecting as f64, move |world| world.begin(key, connecting));
+            self.after(1.0, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::ConnectionRejected)));
+        } else if connect_ms > 0 {
+            self.after(connect_ms as f64, move |world| world.complete_connection(key, connect_ms));
         } else {
-            self.queue(key);
+            self.enqueue(key);
         }
     }
 
-    fn begin(&mut self, key: AttemptKey, connecting: u64) {
+    fn complete_connection(&mut self, key: AttemptKey, connect_ms: u64) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let searcher = attempt.searcher;
-        self.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(connecting) });
+        self.event(RoutingEvent::Connected { searcher, took: Duration::from_millis(connect_ms) });
         self.event(RoutingEvent::Begun { attempt: key });
-        self.queue(key);
+        self.enqueue(key);
     }
 
-    fn queue(&mut self, key: AttemptKey) {
+    fn enqueue(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else { return };
         attempt.phase = Phase::Queued;
-        let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
-        if searcher.queue.len() >= QUEUE {
-            self.after(0.5, move |world| world.end(key, AttemptOutcome::NotRun(NotRun::Shed)));
+        let searcher = self.searchers.get_mut(&attempt.instance).expect("the searcher was started");
+        if searcher.queue.len() >= MAX_QUEUED {
+            self.after(0.5, move |world| world.end_attempt(key, AttemptOutcome::NotRun(NotRun::Shed)));
             return;
         }
         searcher.queue.push_back(key);
         let instance = attempt.instance.clone();
-        self.take_next(&instance);
+        self.start_next(&instance);
     }
 
-    fn take_next(&mut self, instance: &str) {
-        let searcher = self.searchers.get_mut(instance).expect("it was started");
+    fn start_next(&mut self, instance: &str) {
+        let searcher = self.searchers.get_mut(instance).expect("the searcher was started");
         if searcher.busy >= searcher.entry.slots as usize {
             return;
         }
         let Some(key) = searcher.queue.pop_front() else { return };
         searcher.busy += 1;
-        let took = self.work * searcher.slowness * self.random.random_range(0.6..1.4);
-        self.attempts.get_mut(&key).expect("it waited").phase = Phase::Running;
-        self.after(took, move |world| world.finish(key));
+        let took = self.work_ms * searcher.slowness * self.random.random_range(0.6..1.4);
+        self.attempts.get_mut(&key).expect("the attempt was queued").phase = Phase::Running;
+        self.after(took, move |world| world.finish_work(key));
     }
 
-    fn finish(&mut self, key: AttemptKey) {
+    fn finish_work(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let instance = attempt.instance.clone();
-        if self.deadly.contains(&self.contents[&key.request]) {
+        if self.crashing_contents.contains(&self.contents[&key.request]) {
             return self.crash(&instance);
         }
         let searcher = &self.searchers[&instance];
@@ -293,21 +301,22 @@
             slots: searcher.entry.slots,
             host_slowness: (searcher.slowness > 2.0).then_some((searcher.slowness * 100.0) as u32),
         };
-        let status = if self.random.random_bool(searcher.failing) { 500 } else { 200 };
+        let status = if self.random.random_bool(searcher.failure_fraction) { 500 } else { 200 };
         let body = records(&[key.request.0 as u8, instance.len() as u8, key.number as u8]);
         let mut outcome = answer(status, &instance, body);
         if let AttemptOutcome::Answered(answer) = &mut outcome {
             answer.report.load = Some(load);
         }
-        self.end(key, outcome);
+        self.end_attempt(key, outcome);
     }
 
-    /// Ends a searcher with all that it has; another start of it comes some seconds later.
+    /// Crashes a searcher, which breaks its attempts. Its entry is removed after 0.4 s, and an instance that replaces
+    /// it starts after 4 s.
     pub fn crash(&mut self, instance: &str) {
-        self.searchers.get_mut(instance).expect("it was started").is_reachable = false;
-        let of_it = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
-        let keys: Vec<AttemptKey> = of_it.map(|(key, _)| *key).collect();
-        keys.into_iter().for_each(|key| self.end(key, AttemptOutcome::Unknown(Unknown::Broken)));
+        self.searchers.get_mut(instance).expect("the searcher was started").is_reachable = false;
+        let its_attempts = self.attempts.iter().filter(|(_, attempt)| attempt.instance == instance);
+        let keys: Vec<AttemptKey> = its_attempts.map(|(key, _)| *key).collect();
+        keys.into_iter().for_each(|key| self.end_attempt(key, AttemptOutcome::Unknown(Unknown::Broken)));
         let gone = instance.to_owned();
         self.after(400.0, move |world| world.event(RoutingEvent::SearchersGone(vec![Arc::from(gone)])));
         let mut entry = self.searchers[instance].entry.clone();
@@ -316,6 +325,7 @@
         self.after(4000.0, move |world| world.start(vec![entry]));
     }
 
+    /// Ends an abandoned attempt: a running one after the engine's answer_timeout, any other after 0.2 ms.
     fn abandon(&mut self, key: AttemptKey, answer_timeout: Duration) {
         let outcome = match self.phase(key) {
             Some(Phase::Running) => AttemptOutcome::Unknown(Unknown::Unanswered),
@@ -324,16 +334,16 @@
         };
         let is_running = matches!(outcome, AttemptOutcome::Unknown(_));
         let wait = if is_running { answer_timeout.as_secs_f64() * 1000.0 } else { 0.2 };
-        self.after(wait, move |world| world.end(key, outcome));
+        self.after(wait, move |world| world.end_attempt(key, outcome));
     }
 
-    fn end(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
+    fn end_attempt(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
-        let searcher = self.searchers.get_mut(&attempt.instance).expect("it was started");
-        searcher.open -= 1;
+        let searcher = self.searchers.get_mut(&attempt.instance).expect("the searcher was started");
+        searcher.open_connections -= 1;
         searcher.queue.retain(|queued| *queued != key);
         searcher.busy -= usize::from(attempt.phase == Phase::Running);
         self.event(RoutingEvent::Ended { attempt: key, outcome });
-        self.take_next(&attempt.instance);
+        self.start_next(&attempt.instance);
     }
 }
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -1,4 +1,4 @@
-//! Searchers that reject work though their health is good.
+//! Searchers that reject work although they are healthy.
 
 mod common;
 
@@ -10,7 +10,7 @@
 /// Time between requests, in milliseconds.
 const SPACING_MS: u64 = 20;
 
-/// Searchers of one service in the node's own zone, of which some reject.
+/// A node and the searchers of one service, of which some reject all requests.
 struct Site {
     driver: Driver,
     rejecting: Vec<&'static str>,
@@ -27,19 +27,19 @@
         Site { driver, rejecting: Vec::new(), arrivals: BTreeMap::new(), requests: Vec::new(), ended: 0 }
     }
 
-    /// Sends requests; whoever rejects does so at once, the others answer after 5 ms.
-    fn load(&mut self, requests: usize) {
+    /// Sends requests. Rejecting searchers reject at once; the others answer after 5 ms.
+    fn send_requests(&mut self, requests: usize) {
         for _ in 0..requests {
             let key = self.driver.request("/s/1");
             self.requests.push(key);
             self.end_rejected();
-            self.driver.pass_ms(5);
+            self.driver.advance_ms(5);
             self.end_rejected();
             while self.ended < self.driver.sends.len() {
                 self.end(answer(200, "p", Vec::new()));
                 self.end_rejected();
             }
-            self.driver.pass_ms(SPACING_MS - 5);
+            self.driver.advance_ms(SPACING_MS - 5);
         }
     }
 
@@ -65,19 +65,19 @@
     }
 }
 
-fn trio() -> Site {
+fn site_with_three_searchers() -> Site {
     Site::new(vec![searcher("a1", "x", "a"), searcher("a2", "x", "a"), searcher("b1", "x", "b")])
 }
 
 #[test]
 fn a_searcher_that_rejects_is_soon_asked_little_and_others_serve() {
-    let mut site = trio();
+    let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2"];
-    site.load(20);
+    site.send_requests(20);
     site.arrivals.clear();
-    site.load(200);
+    site.send_requests(200);
     let rejected = site.arrivals("a1") + site.arrivals("a2");
-    assert!(rejected < 20, "{rejected} of 200 requests were rejected first");
+    assert!(rejected < 20, "{rejected} attempts for 200 requests were rejected");
     assert_eq!(site.unserved(), 0);
 }
 
@@ -85,21 +85,21 @@
 fn a_searcher_that_has_recovered_gets_work_again_within_seconds() {
     let mut site = Site::new(vec![searcher("a1", "x", "a"), searcher("a2", "x", "a")]);
     site.rejecting = vec!["a1"];
-    site.load(100);
+    site.send_requests(100);
     site.rejecting.clear();
-    // Eighteen seconds, in which the estimate that nothing confirms halves more than four times.
-    site.load(900);
+    // In these eighteen seconds the estimate halves more than four times, as nothing confirms it.
+    site.send_requests(900);
     site.arrivals.clear();
-    site.load(100);
+    site.send_requests(100);
     assert!(site.arrivals("a1") > 20);
 }
 
 #[test]
 fn where_all_reject_alike_all_are_still_asked() {
-    let mut site = trio();
+    let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2", "b1"];
-    site.load(300);
+    site.send_requests(300);
     for instance in ["a1", "a2", "b1"] {
-        assert!(site.arrivals(instance) > 15, "{instance} was forgotten");
+        assert!(site.arrivals(instance) > 15, "{instance} isn't asked any more");
     }
 }
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -1,4 +1,4 @@
-//! Reports of searchers' hosts, and when they are passed over for them.
+//! Searchers that report a slow host, and for how long others are preferred to them.
 
 mod common;
 
@@ -7,27 +7,28 @@
 use staircross_routing::{AttemptOutcome, ReportedLoad, RouteTarget, SearcherAnswer, SearcherReport};
 use std::sync::Arc;
 
-fn reported(percent: u32) -> AttemptOutcome {
+fn answer_with_report(percent: u32) -> AttemptOutcome {
     let load = ReportedLoad { running: 1, waiting: 0, slots: 5, host_slowness: Some(percent) };
     let report = SearcherReport { load: Some(load), cold: None };
     let AttemptOutcome::Answered(plain) = answer(200, "p", records(&[1])) else {
-        unreachable!("an answer is an answer");
+        unreachable!("`answer` returns an answer");
     };
     AttemptOutcome::Answered(Box::new(SearcherAnswer { report, ..*plain }))
 }
 
-/// Who is asked next after `a1` has answered with a report.
+/// Returns the searcher that is asked `wait_ms` after `a1` answered with a report that its host's work takes `percent`
+/// of the usual time.
 fn next_after_report(percent: u32, wait_ms: u64) -> String {
     let routes = vec![route("g", gather(&["x"], 1, 1.0))];
-    // The second is a zone away: without a report the near one is asked.
+    // The second searcher is in another zone, so without a report the first one is asked.
     let searchers = vec![searcher("a1", "x", "a"), searcher("b1", "x", "b")];
     let mut driver = Driver::with(definition(1, routes, &["x"]), searchers);
     let first = driver.request("/g/1");
     assert_eq!(driver.instances(first), ["a1"]);
     let attempt = driver.sends[0].attempt;
-    driver.pass_ms(5);
-    driver.end(attempt, reported(percent));
-    driver.pass_ms(wait_ms);
+    driver.advance_ms(5);
+    driver.end(attempt, answer_with_report(percent));
+    driver.advance_ms(wait_ms);
     let next = driver.request("/g/2");
     driver.instances(next)[0].clone()
 }
@@ -36,8 +37,8 @@
 fn a_searcher_whose_host_is_slow_at_the_moment_is_passed_over_for_a_moment() {
     assert_eq!(next_after_report(100, 0), "a1");
     assert_eq!(next_after_report(400, 0), "b1");
-    assert_eq!(next_after_report(400, 3000), "a1", "the report is old");
-    assert_eq!(next_after_report(10, 0), "a1", "nobody is faster than usual by saying so");
+    assert_eq!(next_after_report(400, 3000), "a1", "the report is outdated");
+    assert_eq!(next_after_report(10, 0), "a1", "a report of a fast host has no effect");
 }
 
 #[test]
@@ -48,7 +49,7 @@
         let request = driver.request(&format!("/s/{number}"));
         assert_eq!(driver.reasons(request), [SendReason::First]);
         let attempt = driver.sends[driver.sends.len() - 1].attempt;
-        driver.pass_ms(5);
-        driver.end(attempt, reported(u32::MAX));
+        driver.advance_ms(5);
+        driver.end(attempt, answer_with_report(u32::MAX));
     }
 }
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to one service: at most once, refusals, retries, and what is passed on.
+//! Requests to one service: at-most-once execution, refusals, retries, and the answers that are passed on.
 
 mod common;
 
@@ -30,9 +30,9 @@
 fn an_answer_is_passed_on_as_it_is() {
     let mut driver = repeatable();
     let request = driver.request("/r/1");
-    assert_eq!(driver.instances(request), ["s1"], "the searcher of the own zone is asked");
+    assert_eq!(driver.instances(request), ["s1"], "the searcher in the node's own zone is asked");
     let attempt = driver.sends[0].attempt;
-    driver.pass_ms(20);
+    driver.advance_ms(20);
     driver.end(attempt, answer(200, "stamp", b"body".to_vec()));
     let Some(Verdict::Passed(passed)) = driver.verdict(request) else {
         panic!("expected an answer, got {:?}", driver.verdict(request));
@@ -59,25 +59,25 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "502 makes no promise");
+    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that nothing ran");
 }
 
 #[test]
 fn an_unrepeatable_request_is_never_hedged() {
     let mut driver = unrepeatable();
     let request = driver.request("/r/1");
-    driver.pass_ms(3500);
+    driver.advance_ms(3500);
     assert_eq!(driver.sent_for(request).len(), 1);
 }
 
-/// Has every searcher turn a request away for lack of room until it is refused, by its time-out at the latest; two
-/// searchers are asked, each with pauses.
-fn shed_until_over(driver: &mut Driver, request: RequestKey) -> ErrorKind {
+/// Lets every searcher shed a request until it is refused, at its timeout at the latest. Checks that two searchers were
+/// asked. Returns the kind of the refusal.
+fn shed_until_refused(driver: &mut Driver, request: RequestKey) -> ErrorKind {
     let mut ended = driver.sent_for(request).len() - 1;
     for _ in 0..400 {
         if let Some(kind) = driver.refusal(request) {
             let instances: BTreeSet<String> = driver.instances(request).into_iter().collect();
-            assert_eq!(instances.len(), 2, "as many searchers as attempts are allowed: {instances:?}");
+            assert_eq!(instances.len(), 2, "as many searchers are asked as attempts are allowed: {instances:?}");
             return kind;
         }
         let open: Vec<AttemptKey> = driver.sent_for(request).iter().skip(ended).map(|order| order.attempt).collect();
@@ -85,9 +85,9 @@
         for attempt in open {
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        driver.pass_ms(10);
+        driver.advance_ms(10);
     }
-    panic!("held past its time-out");
+    panic!("the request was held past its timeout");
 }
 
 #[test]
@@ -96,8 +96,8 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
-    let kind = shed_until_over(&mut driver, request);
-    assert_eq!(kind.executed(), Executed::Never, "{kind}: all that was sent was answered: not run");
+    let kind = shed_until_refused(&mut driver, request);
+    assert_eq!(kind.executed(), Executed::Never, "{kind}: every attempt was answered as not run");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut driver = repeatable();
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
-    let kind = shed_until_over(&mut driver, request);
+    let kind = shed_until_refused(&mut driver, request);
     assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
 }
 
@@ -168,7 +168,11 @@
     let mut driver = unrepeatable();
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
-    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "it may have run, and there is time");
+    assert_eq!(
+        driver.refusal(request),
+        Some(ErrorKind::BackEndsFailed),
+        "the request may have run, and its deadline hasn't passed"
+    );
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.unsent, [(request, UnsentCause::NotRepeatable)]);
 
@@ -177,6 +181,6 @@
     for number in 0..2 {
         driver.end(driver.sends[number].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     }
-    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "its route allows two");
+    assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed), "the route allows two attempts");
     assert_eq!(driver.unsent, [(request, UnsentCause::MaxAttempts)]);
 }
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -1,4 +1,4 @@
-//! First probes by themselves, as a table: which requests are sent to one shard first.
+//! Tables of the rule of first probes without an engine: which requests are sent to one shard first.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -8,7 +8,7 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-const DEADLY: ContentKey = ContentKey(1);
+const CRASHING: ContentKey = ContentKey(1);
 const ANSWERED: ContentKey = ContentKey(2);
 const NEW: ContentKey = ContentKey(3);
 
@@ -16,12 +16,13 @@
     BootTime::default() + Duration::from_secs(seconds)
 }
 
-/// A content of the route `all` ended three searchers, one after the other, until second 30; another was answered.
+/// Returns a quarantine in which one content of the route `all` crashed three searchers, one after the other, until
+/// second 30. Another content was answered.
 fn alarmed() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
         let (searcher, route) = (InstanceKey(number), RouteDigest::of("all"));
-        let lost = LostAttempt { content: DEADLY, route, searcher, sent_at: at(number * 10 - 5) };
+        let lost = LostAttempt { content: CRASHING, route, searcher, sent_at: at(number * 10 - 5) };
         quarantine.note_lost(at(number * 10), lost);
     }
     quarantine.note_answered(at(30), ANSWERED);
@@ -39,7 +40,7 @@
         ("no alarm", &calm, on, "all", NEW, 31, false),
         ("another route", &alarmed, on, "other", NEW, 31, false),
         ("answered lately", &alarmed, on, "all", ANSWERED, 31, false),
-        ("the alarm is over", &alarmed, on, "all", NEW, 45, false),
+        ("the alarm has ended", &alarmed, on, "all", NEW, 45, false),
         ("routing.first_probes = false", &alarmed, no_probes, "all", NEW, 31, false),
         ("routing.quarantine = false", &alarmed, no_quarantine, "all", NEW, 31, false),
     ];
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -1,4 +1,4 @@
-//! The rule of answering, refusing and giving up: inputs and verdicts, with no engine around.
+//! Tables of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or refused.
 
 mod common;
 
@@ -22,7 +22,8 @@
 #[test]
 fn a_node_without_room_refuses_at_once() {
     let rows = [
-        // Too late to its work, requests held of at most 100; refused.
+        // Inputs: whether the node is late with its work, requests in flight (of at most 100).
+        // Expected: kind of the refusal.
         (false, 99, None),
         (false, 100, Some(ErrorKind::Overloaded)),
         (true, 0, Some(ErrorKind::Overloaded)),
@@ -36,7 +37,8 @@
 #[test]
 fn the_deadline_is_ten_milliseconds_before_the_callers_patience_or_the_routes_timeout_ends() {
     let rows = [
-        // The caller's patience, what the request waited to be read; deadline after.
+        // Inputs: timeout of the caller, time that the request waited to be read.
+        // Expected: time until the deadline. All times are in ms.
         (None, 0, Some(3990)),
         (Some(9000), 0, Some(3990)),
         (Some(1000), 0, Some(990)),
@@ -57,13 +59,13 @@
     names.iter().map(|name| Arc::from(*name)).collect()
 }
 
-fn limited(allowed: &[&str]) -> RouteDefinition {
+fn route_restricted_to(allowed: &[&str]) -> RouteDefinition {
     RouteDefinition { allowed_regions: regions(allowed), ..route("r", RouteTarget::Service(Arc::from("x"))) }
 }
 
 #[test]
 fn nothing_is_begun_that_too_few_shards_can_answer() {
-    let (anywhere, north) = (limited(&[]), limited(&["north"]));
+    let (anywhere, north) = (route_restricted_to(&[]), route_restricted_to(&["north"]));
     let south = TenantDefinition {
         name: Arc::from("t"),
         keys: Vec::new(),
@@ -74,7 +76,8 @@
     let (all, some) = (AllowedRegions::new(&anywhere, None), AllowedRegions::new(&north, None));
     let none = AllowedRegions::new(&north, Some(&south));
     let rows = [
-        // Shards that can be asked of at least 3, whether all searchers are known, regions; begun, or held or refused with which kind.
+        // At least 3 shards must answer. Inputs: shards that can be asked, whether all searchers are known, allowed
+        // regions. Expected: whether the request is begun, held or refused, and with which kind.
         (3, true, all, "begin"),
         (3, false, some, "begin"),
         (2, true, all, "refuse no_replica"),
@@ -115,8 +118,8 @@
 
 #[test]
 fn a_request_ends_when_nothing_more_can_come_too_little_can_or_it_is_time() {
-    // Of four shards three make an answer.
-    let waits = Progress {
+    // The request has four shards, and parts of three make an answer.
+    let waiting = Progress {
         parts: 0,
         open: 4,
         min_shards: 3,
@@ -126,22 +129,22 @@
         awaits_outcome: false,
     };
     let rows = [
-        (waits, EndDecision::Continue),
-        (Progress { parts: 3, open: 1, ..waits }, EndDecision::Continue),
-        (Progress { parts: 4, open: 0, ..waits }, EndDecision::Answer),
-        (Progress { parts: 3, open: 0, ..waits }, EndDecision::Answer),
-        (Progress { parts: 3, open: 1, is_past_goal: true, ..waits }, EndDecision::Answer),
-        (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waits }, EndDecision::Answer),
-        // Too little for an answer: late is worth something, nothing isn't.
-        (Progress { parts: 2, open: 2, is_past_goal: true, ..waits }, EndDecision::Continue),
-        (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waits }, EndDecision::Continue),
-        (Progress { parts: 2, open: 2, is_past_goal: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
-        (Progress { parts: 3, open: 1, is_past_goal: true, is_past_deadline: true, ..waits }, EndDecision::Answer),
-        // Two are lost.
-        (Progress { parts: 1, open: 1, ..waits }, EndDecision::Fail),
-        (Progress { parts: 0, open: 1, awaits_outcome: true, ..waits }, EndDecision::Continue),
-        (Progress { parts: 0, open: 0, awaits_outcome: true, ..waits }, EndDecision::Fail),
-        (Progress { parts: 0, open: 1, awaits_outcome: true, is_past_deadline: true, ..waits }, EndDecision::Fail),
+        (waiting, EndDecision::Continue),
+        (Progress { parts: 3, open: 1, ..waiting }, EndDecision::Continue),
+        (Progress { parts: 4, open: 0, ..waiting }, EndDecision::Answer),
+        (Progress { parts: 3, open: 0, ..waiting }, EndDecision::Answer),
+        (Progress { parts: 3, open: 1, is_past_goal: true, ..waiting }, EndDecision::Answer),
+        (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waiting }, EndDecision::Answer),
+        // Too few parts for an answer: a late answer is better than none.
+        (Progress { parts: 2, open: 2, is_past_goal: true, ..waiting }, EndDecision::Continue),
+        (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waiting }, EndDecision::Continue),
+        (Progress { parts: 2, open: 2, is_past_goal: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
+        (Progress { parts: 3, open: 1, is_past_goal: true, is_past_deadline: true, ..waiting }, EndDecision::Answer),
+        // Two of four shards are lost, so three parts can't be reached.
+        (Progress { parts: 1, open: 1, ..waiting }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, awaits_outcome: true, ..waiting }, EndDecision::Continue),
+        (Progress { parts: 0, open: 0, awaits_outcome: true, ..waiting }, EndDecision::Fail),
+        (Progress { parts: 0, open: 1, awaits_outcome: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
     ];
     for (progress, standing) in rows {
         assert_eq!(decide_end(progress), standing, "{progress:?}");
@@ -162,7 +165,8 @@
 #[test]
 fn a_request_that_may_have_run_is_never_refused_as_not_run() {
     let rows = [
-        // May have run, deadline over, key revoked; kind.
+        // Inputs: whether the request may have run, the deadline has passed, the key is revoked.
+        // Expected: kind of the refusal.
         (false, false, false, ErrorKind::NotDelivered),
         (false, true, false, ErrorKind::Overloaded),
         (true, false, false, ErrorKind::BackEndsFailed),
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -1,4 +1,4 @@
-//! The rule of hedges: inputs and verdicts, with no engine around.
+//! Tables of the hedging rule without an engine.
 
 use staircross_routing::RoutingPolicy;
 use staircross_routing::decision::hedging::{
@@ -23,16 +23,18 @@
 
 #[test]
 fn a_hedge_goes_out_when_it_is_unusually_late_or_the_goal_is_near_but_not_before_usual_work_is_done() {
-    // Round trip 2 ms, to the farthest other 10 ms; usual work 20 ms, unusually long 80 ms.
+    // The round trip to the searcher is 2 ms and to the farthest other one 10 ms. Usual work takes 20 ms, unusually
+    // long work 80 ms.
     let rows = [
-        // Factor, time left to answer, hedged after.
+        // Inputs: delay factor, time left to answer in ms. Expected: time until the hedge in ms.
         (1.0, 500, 82),
         (0.5, 500, 42),
         (1.3, 500, 106),
-        // Another searcher needs 10 ms and twice the usual work: 50 ms before the time to answer is over.
+        // Another searcher needs its round trip of 10 ms and twice the usual work: the hedge goes out 50 ms before the
+        // time to answer is over.
         (1.0, 100, 50),
         (1.0, 90, 40),
-        // Never before the round trip and 1.5 times the usual work.
+        // A hedge never goes out before the round trip and 1.5 times the usual work have passed.
         (1.0, 60, 32),
         (0.1, 500, 32),
         (1.0, 0, 32),
@@ -60,19 +62,19 @@
     let late = LateAttempt { is_idempotent: true, is_key_revoked: false, is_alone: true, may_be_sent: true };
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { hedges: false, ..on };
-    let (rested, rests) = (BootTime::default(), NOW + ms(700));
+    let (no_pause, pause_end) = (BootTime::default(), NOW + ms(700));
     let hedge = HedgeDecision::Hedge { again_at: NOW + ms(25) };
     let rows = [
-        (late, rested, on, hedge),
+        (late, no_pause, on, hedge),
         (late, NOW, on, hedge),
-        (late, rests, on, HedgeDecision::NotBefore(rests)),
-        (late, rested, off, HedgeDecision::Never),
-        (LateAttempt { is_idempotent: false, ..late }, rested, on, HedgeDecision::Never),
-        (LateAttempt { is_idempotent: false, ..late }, rests, on, HedgeDecision::Never),
-        (LateAttempt { is_key_revoked: true, ..late }, rested, on, HedgeDecision::Never),
-        (LateAttempt { is_alone: false, ..late }, rested, on, HedgeDecision::Never),
-        (LateAttempt { is_alone: false, ..late }, rests, on, HedgeDecision::NotBefore(rests)),
-        (LateAttempt { may_be_sent: false, ..late }, rested, on, HedgeDecision::Never),
+        (late, pause_end, on, HedgeDecision::NotBefore(pause_end)),
+        (late, no_pause, off, HedgeDecision::Never),
+        (LateAttempt { is_idempotent: false, ..late }, no_pause, on, HedgeDecision::Never),
+        (LateAttempt { is_idempotent: false, ..late }, pause_end, on, HedgeDecision::Never),
+        (LateAttempt { is_key_revoked: true, ..late }, no_pause, on, HedgeDecision::Never),
+        (LateAttempt { is_alone: false, ..late }, no_pause, on, HedgeDecision::Never),
+        (LateAttempt { is_alone: false, ..late }, pause_end, on, HedgeDecision::NotBefore(pause_end)),
+        (LateAttempt { may_be_sent: false, ..late }, no_pause, on, HedgeDecision::Never),
     ];
     for (late, until, policy, verdict) in rows {
         assert_eq!(decide_hedge(NOW, late, until, &policy), verdict, "{late:?} {until:?}");
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -1,4 +1,5 @@
-//! What is believed of a searcher by what it did, as tables: how slow it is, how much it rejects, when it may be asked again.
+//! Tables of the estimates of a searcher: how slow it is, which fraction of work it rejects, and until when it is
+//! avoided.
 
 mod common;
 
@@ -12,7 +13,7 @@
     BootTime::default() + Duration::from_millis(millis)
 }
 
-fn new() -> Searcher {
+fn new_searcher() -> Searcher {
     Searcher::new(at(0), searcher("x-1", "x", "a"), 40)
 }
 
@@ -22,7 +23,8 @@
 
 #[test]
 fn one_slow_answer_says_little_and_one_sent_after_it_says_much() {
-    // Answers as (sent at, times the usual work), all known at 100 ms; slowness at 100 ms and 4 s later.
+    // Inputs: answers as (time of sending in ms, work as a multiple of the usual one), all received at 100 ms.
+    // Expected: slowness at 100 ms and 4 s later.
     let rows = [
         ("none", vec![], 1.0, 1.0),
         ("usual", vec![(0, 2.0)], 1.3, 1.15),
@@ -33,7 +35,7 @@
         ("quicker than 0.6 counts as 0.6", vec![(0, 0.1)], 0.88, 0.94),
     ];
     for (row, answers, expected, later) in rows {
-        let mut searcher = new();
+        let mut searcher = new_searcher();
         answers.iter().for_each(|(sent, ratio)| searcher.note_answer(at(100), at(*sent), *ratio));
         assert_close(searcher.slowness(at(100)), expected, row);
         assert_close(searcher.slowness(at(4100)), later, row);
@@ -42,7 +44,7 @@
 
 #[test]
 fn a_rejection_counts_more_than_an_answer_and_is_forgotten_within_fifteen_seconds() {
-    // Whether each of what was sent was rejected, ms since; the rate.
+    // Inputs: whether each attempt was rejected, ms since then. Expected: rejection rate.
     let rows = [
         (vec![true], 0, 0.3),
         (vec![true, true], 0, 0.51),
@@ -62,17 +64,17 @@
 
 #[test]
 fn failures_in_a_row_keep_work_away_ever_longer() {
-    // Failures in a row; ms for which it is avoided.
+    // Inputs: consecutive failures. Expected: ms for which the searcher is avoided.
     for (failures, expected) in [(1, 400), (2, 800), (3, 1600), (5, 6400), (9, 6400)] {
-        let mut searcher = new();
+        let mut searcher = new_searcher();
         (0..failures).for_each(|_| searcher.note_unreachable(at(0)));
         assert_eq!(searcher.avoided_until(), at(expected), "{failures}");
     }
-    let mut searcher = new();
+    let mut searcher = new_searcher();
     searcher.note_rejection(at(0));
-    assert_eq!(searcher.avoided_until(), at(60), "it rejected work");
+    assert_eq!(searcher.avoided_until(), at(60), "the searcher rejected work");
     searcher.note_connection_rejected(at(0));
-    assert_eq!(searcher.avoided_until(), at(120), "it accepted no connection");
+    assert_eq!(searcher.avoided_until(), at(120), "the searcher rejected a connection");
     searcher.note_answer(at(10), at(0), 1.0);
-    assert_eq!(searcher.avoided_until(), BootTime::default(), "it answered");
+    assert_eq!(searcher.avoided_until(), BootTime::default(), "the searcher answered");
 }
--- a/crates/staircross-routing/tests/views.rs
+++ b/crates/staircross-routing/tests/views.rs
@@ -1,14 +1,17 @@
-//! Several nodes that read the store and ask each other, in any order of calls, replies, losses and writes: in the end each knows what the store holds.
+//! Several nodes read the store and ask each other for changes, with calls, replies, failures and writes in any order.
+//! In the end each node must know what the store holds.
 //!
-//! Seen: a node that takes a drained searcher for ready, or one that has gone for live, or a zone for evacuated, for good. Why: of the newest change that
-//! a node knew, it was taken that all before it were known too. They aren't where a listing's pages were read while items changed: a later page shows a change, and one
-//! before it on an earlier page was missed. Whoever then asked a peer, or watched, from the newest change on never heard of it. Shown by the shortest
-//! histories that fail: a first page is read, a searcher on it drains, one on a later page changes, and a peer asks between the last page and the watch.
+//! Guards against a node that permanently considers a drained searcher ready, a removed one live, or a zone evacuated.
+//! This happened because a node that knew a change was assumed to know all earlier ones. That is wrong if items change
+//! while the pages of a listing are read: a later page shows a change, and an earlier change of an item on a previous
+//! page is missed. A node that then asked a peer or watched from the newest change on never learned of it. In the
+//! shortest failing histories, a first page is read, a searcher on it drains, one on a later page changes, and a peer
+//! asks between the last page and the watch.
 
 mod common;
 
 use common::mirror::{configuration, entry};
-use common::store::Store as Reader;
+use common::store::ReaderDriver;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use staircross_routing::store_reader::{Lane, ReadingMode, StoreCall, StoreReply};
@@ -17,13 +20,15 @@
 use std::sync::Arc;
 
 const NODES: usize = 3;
+/// Items on each page of a listing.
 const PAGE: usize = 2;
 const SEARCHERS: u8 = 5;
 const ZONES: [&str; 2] = ["a", "b"];
 const LANES: [Lane; 2] = [Lane::Configuration, Lane::Searchers];
-/// Rounds after which all that is under way has come to its end.
-const SETTLING: usize = 200;
+/// Rounds after which all open calls and exchanges with peers have ended.
+const SETTLE_ROUNDS: usize = 200;
 
+/// A write to the store, or the compaction of its history.
 #[derive(Clone, Copy, Debug)]
 enum Write {
     Configuration,
@@ -35,21 +40,26 @@
     Compact,
 }
 
+/// One step of a history. Nodes, peers and lanes are given by their index.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write(Write),
-    /// Time passes at a node, which makes the calls that are due.
-    Pass(usize, u16),
-    /// The store handles a node's call; the reply is on its way.
-    Handle(usize, usize),
-    Reply(usize, usize),
-    Fail(usize, usize),
-    /// A node asks one that it sees to be ahead.
-    Ask(usize, usize),
-    /// Whoever was asked writes the answer.
-    Answer(usize),
-    Take(usize),
-    Mode(usize, ReadingMode),
+    /// A node's clock is advanced by some milliseconds, and the node makes the calls that are due.
+    Advance(usize, u16),
+    /// The store handles a node's call on a lane; the reply isn't delivered yet.
+    HandleCall(usize, usize),
+    /// The store's reply on a lane is delivered to a node.
+    DeliverReply(usize, usize),
+    /// A node's call on a lane fails.
+    FailCall(usize, usize),
+    /// A node asks a peer for changes if it sees that the peer is ahead.
+    AskPeer(usize, usize),
+    /// The peer that a node has asked produces the answer.
+    AnswerPeer(usize),
+    /// A node merges the answer of its peer.
+    MergeAnswer(usize),
+    SetMode(usize, ReadingMode),
+    /// A node restarts without any knowledge.
     Restart(usize),
 }
 
@@ -69,19 +79,19 @@
     let mode = prop::sample::select(vec![ReadingMode::Watching, ReadingMode::Following]);
     prop_oneof![
         8 => write().prop_map(Step::Write),
-        6 => (0..NODES, 1..1500_u16).prop_map(|(node, millis)| Step::Pass(node, millis)),
-        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Handle(node, lane)),
-        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Reply(node, lane)),
-        1 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::Fail(node, lane)),
-        6 => (0..NODES, 0..NODES).prop_map(|(node, peer)| Step::Ask(node, peer)),
-        5 => (0..NODES).prop_map(Step::Answer),
-        5 => (0..NODES).prop_map(Step::Take),
-        1 => (0..NODES, mode).prop_map(|(node, mode)| Step::Mode(node, mode)),
+        6 => (0..NODES, 1..1500_u16).prop_map(|(node, millis)| Step::Advance(node, millis)),
+        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::HandleCall(node, lane)),
+        8 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::DeliverReply(node, lane)),
+        1 => (0..NODES, 0..LANES.len()).prop_map(|(node, lane)| Step::FailCall(node, lane)),
+        6 => (0..NODES, 0..NODES).prop_map(|(node, peer)| Step::AskPeer(node, peer)),
+        5 => (0..NODES).prop_map(Step::AnswerPeer),
+        5 => (0..NODES).prop_map(Step::MergeAnswer),
+        1 => (0..NODES, mode).prop_map(|(node, mode)| Step::SetMode(node, mode)),
         1 => (0..NODES).prop_map(Step::Restart),
     ]
 }
 
-/// The store: what stands under each key, and all changes since it last forgot them.
+/// The simulated store: the item under each key, and all changes since the last compaction.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -89,7 +99,7 @@
     born_ms: u64,
     items: BTreeMap<String, (u64, MirrorItem)>,
     history: Vec<(u64, String, MirrorItem)>,
-    forgotten: u64,
+    compacted_at: u64,
 }
 
 fn key_of(item: &MirrorItem) -> String {
@@ -103,7 +113,7 @@
     }
 }
 
-fn prefix(lane: Lane) -> &'static str {
+fn key_prefix(lane: Lane) -> &'static str {
     if lane == Lane::Configuration { "operator/" } else { "servers/" }
 }
 
@@ -123,7 +133,7 @@
         }
     }
 
-    fn written(&self, number: u8) -> Option<SearcherEntry> {
+    fn entry_of(&self, number: u8) -> Option<SearcherEntry> {
         match self.items.get(&format!("servers/s{number}")) {
             Some((_, MirrorItem::Searcher { entry })) => Some(entry.clone()),
             _ => None,
@@ -140,9 +150,9 @@
             Write::Evacuate(zone) => self.put(evacuation(zone, true)),
             Write::EndEvacuation(zone) => self.remove(evacuation(zone, false)),
             Write::Ready(number) => {
-                // One that drains is replaced by a later incarnation.
+                // A searcher that drains is replaced by a later incarnation.
                 self.born_ms += 1;
-                let born_ms = match self.written(number).filter(|entry| !entry.is_draining) {
+                let born_ms = match self.entry_of(number).filter(|entry| !entry.is_draining) {
                     Some(entry) => entry.born_ms,
                     None => self.born_ms,
                 };
@@ -152,35 +162,35 @@
                 });
             }
             Write::Draining(number) => {
-                if let Some(entry) = self.written(number) {
+                if let Some(entry) = self.entry_of(number) {
                     self.put(MirrorItem::Searcher { entry: SearcherEntry { is_draining: true, ..entry } });
                 }
             }
             Write::Gone(number) => self.remove(MirrorItem::SearcherGone { instance: Arc::from(format!("s{number}")) }),
             Write::Compact => {
-                self.forgotten = self.revision;
+                self.compacted_at = self.revision;
                 self.history.clear();
             }
         }
     }
 
-    /// The reply to a call; none while a watch has nothing to report.
+    /// Returns the reply to a call, or none while a watch has no changes to report.
     fn handle(&self, call: &StoreCall) -> Option<StoreReply> {
         match call {
             StoreCall::Probe => Some(StoreReply::Alive),
             StoreCall::List { lane, after } => {
                 let is_later = |key: &&String| after.as_ref().is_none_or(|after| *key > after);
                 let keys: Vec<&String> =
-                    self.items.keys().filter(|key| key.starts_with(prefix(*lane))).filter(is_later).collect();
+                    self.items.keys().filter(|key| key.starts_with(key_prefix(*lane))).filter(is_later).collect();
                 let items = keys.iter().take(PAGE).map(|key| self.items[*key].clone()).collect();
                 let next = (keys.len() > PAGE).then(|| keys[PAGE - 1].clone());
                 let update = MirrorUpdate { items, ..MirrorUpdate::default() };
                 Some(StoreReply::Items { update, at: self.revision, next })
             }
-            StoreCall::Watch { after, .. } if *after < self.forgotten => Some(StoreReply::HistoryGone),
+            StoreCall::Watch { after, .. } if *after < self.compacted_at => Some(StoreReply::HistoryGone),
             StoreCall::Watch { lane, after, .. } => {
                 let is_new =
-                    |change: &&(u64, String, MirrorItem)| change.0 > *after && change.1.starts_with(prefix(*lane));
+                    |change: &&(u64, String, MirrorItem)| change.0 > *after && change.1.starts_with(key_prefix(*lane));
                 let items: Vec<_> =
                     self.history.iter().filter(is_new).map(|(revision, _, item)| (*revision, item.clone())).collect();
                 let update = MirrorUpdate { items, ..MirrorUpdate::default() };
@@ -190,9 +200,9 @@
     }
 }
 
-/// What is under way at a node: its question to a peer, or the answer to it.
+/// A node's request for changes to a peer, or the peer's answer that the node hasn't merged yet.
 #[derive(Default)]
-enum Pull {
+enum PeerExchange {
     #[default]
     None,
     Asked(usize, PeerKnowledge),
@@ -200,46 +210,46 @@
 }
 
 struct Node {
-    reader: Reader,
+    reader: ReaderDriver,
     mirror: Mirror,
-    out: BTreeMap<usize, StoreCall>,
+    open_calls: BTreeMap<usize, StoreCall>,
     replies: BTreeMap<usize, StoreReply>,
-    pull: Pull,
+    exchange: PeerExchange,
 }
 
 impl Node {
     fn new() -> Self {
-        let (reader, mirror) = (Reader::new(), Mirror::default());
-        Node { reader, mirror, out: BTreeMap::new(), replies: BTreeMap::new(), pull: Pull::None }
+        let (reader, mirror) = (ReaderDriver::new(), Mirror::default());
+        Node { reader, mirror, open_calls: BTreeMap::new(), replies: BTreeMap::new(), exchange: PeerExchange::None }
     }
 
-    fn take_actions(&mut self) {
+    fn apply_actions(&mut self) {
         for lane in std::mem::take(&mut self.reader.cancelled) {
-            self.out.remove(&(lane as usize));
+            self.open_calls.remove(&(lane as usize));
             self.replies.remove(&(lane as usize));
         }
         for (lane, call) in std::mem::take(&mut self.reader.calls) {
-            self.out.insert(lane as usize, call);
+            self.open_calls.insert(lane as usize, call);
         }
         for (_, update) in std::mem::take(&mut self.reader.learned) {
             self.mirror.merge(update);
         }
     }
 
-    fn pass(&mut self, millis: u64) {
-        // All calls are kept; those returned are of one lane.
-        let calls = self.reader.calls(millis, Lane::Probe);
-        self.take_actions();
+    fn advance(&mut self, millis: u64) {
+        // Only the calls on the probe lane are returned; the others are collected by `apply_actions`.
+        let calls = self.reader.calls_within(millis, Lane::Probe);
+        self.apply_actions();
         if !calls.is_empty() {
             self.reader.reply(Lane::Probe, StoreReply::Alive);
-            self.take_actions();
+            self.apply_actions();
         }
     }
 
     fn reply(&mut self, lane: usize, reply: StoreReply) {
-        self.out.remove(&lane);
+        self.open_calls.remove(&lane);
         self.reader.reply(LANES[lane], reply);
-        self.take_actions();
+        self.apply_actions();
     }
 
     fn is_behind(&self, peer: &Node) -> bool {
@@ -257,7 +267,7 @@
         }
     }
 
-    /// Ids with their starts and whether they drain, evacuated zones, and the version of the configuration.
+    /// Returns what this node knows, for comparison with the store.
     fn view(&self) -> View {
         let searchers = self.mirror.searchers();
         View {
@@ -270,6 +280,7 @@
     }
 }
 
+/// Searchers by id with their starts and whether they drain, evacuated zones, and the version of the configuration.
 #[derive(Debug, PartialEq, Eq)]
 struct View {
     searchers: BTreeMap<String, (u64, bool)>,
@@ -293,51 +304,51 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Write(write) => self.store.write(write),
-            Step::Pass(node, millis) => self.nodes[node].pass(u64::from(millis)),
-            Step::Handle(node, lane) => {
-                let reply = self.nodes[node].out.get(&lane).and_then(|call| self.store.handle(call));
+            Step::Advance(node, millis) => self.nodes[node].advance(u64::from(millis)),
+            Step::HandleCall(node, lane) => {
+                let reply = self.nodes[node].open_calls.get(&lane).and_then(|call| self.store.handle(call));
                 if let Some(reply) = reply.filter(|_| !self.nodes[node].replies.contains_key(&lane)) {
                     self.nodes[node].replies.insert(lane, reply);
                 }
             }
-            Step::Reply(node, lane) => {
+            Step::DeliverReply(node, lane) => {
                 if let Some(reply) = self.nodes[node].replies.remove(&lane) {
                     self.nodes[node].reply(lane, reply);
                 }
             }
-            Step::Fail(node, lane) => {
+            Step::FailCall(node, lane) => {
                 let node = &mut self.nodes[node];
                 node.replies.remove(&lane);
-                if node.out.remove(&lane).is_some() {
+                if node.open_calls.remove(&lane).is_some() {
                     node.reader.fail(LANES[lane]);
-                    node.take_actions();
+                    node.apply_actions();
                 }
             }
-            Step::Ask(node, peer) => {
-                let is_free = matches!(self.nodes[node].pull, Pull::None);
+            Step::AskPeer(node, peer) => {
+                let is_free = matches!(self.nodes[node].exchange, PeerExchange::None);
                 if node != peer && is_free && self.nodes[node].is_behind(&self.nodes[peer]) {
-                    self.nodes[node].pull = Pull::Asked(peer, self.nodes[node].knowledge());
+                    self.nodes[node].exchange = PeerExchange::Asked(peer, self.nodes[node].knowledge());
                 }
             }
-            Step::Answer(node) => {
-                if let Pull::Asked(peer, knowledge) = self.nodes[node].pull {
-                    self.nodes[node].pull = Pull::Answered(self.nodes[peer].mirror.changes_for(knowledge));
+            Step::AnswerPeer(node) => {
+                if let PeerExchange::Asked(peer, knowledge) = self.nodes[node].exchange {
+                    self.nodes[node].exchange = PeerExchange::Answered(self.nodes[peer].mirror.changes_for(knowledge));
                 }
             }
-            Step::Take(node) => self.take(node),
-            Step::Mode(node, mode) => {
+            Step::MergeAnswer(node) => self.merge_answer(node),
+            Step::SetMode(node, mode) => {
                 common::store::set_mode(&mut self.nodes[node].reader, mode);
-                self.nodes[node].take_actions();
+                self.nodes[node].apply_actions();
             }
             Step::Restart(node) => self.nodes[node] = Node::new(),
         }
     }
 
-    /// A node takes a peer's answer, as the gateway does.
-    fn take(&mut self, node: usize) {
+    /// Lets a node merge a peer's answer and tell its store reader, as the gateway does.
+    fn merge_answer(&mut self, node: usize) {
         let newest = self.nodes.iter().map(|node| node.mirror.version()).max().unwrap_or_default();
         let node = &mut self.nodes[node];
-        let Pull::Answered(update) = std::mem::take(&mut node.pull) else {
+        let PeerExchange::Answered(update) = std::mem::take(&mut node.exchange) else {
             return;
         };
         node.mirror.merge(update);
@@ -347,19 +358,19 @@
         }
     }
 
-    /// Everything under way comes to its end; the first node reads.
+    /// Completes all open calls and exchanges with peers. The first node watches the store.
     fn settle(&mut self) {
-        self.step(Step::Mode(0, ReadingMode::Watching));
-        for round in 0..SETTLING {
+        self.step(Step::SetMode(0, ReadingMode::Watching));
+        for round in 0..SETTLE_ROUNDS {
             for node in 0..NODES {
-                self.step(Step::Pass(node, 200));
+                self.step(Step::Advance(node, 200));
                 for lane in 0..LANES.len() {
-                    self.step(Step::Handle(node, lane));
-                    self.step(Step::Reply(node, lane));
+                    self.step(Step::HandleCall(node, lane));
+                    self.step(Step::DeliverReply(node, lane));
                 }
-                self.step(Step::Ask(node, round % NODES));
-                self.step(Step::Answer(node));
-                self.step(Step::Take(node));
+                self.step(Step::AskPeer(node, round % NODES));
+                self.step(Step::AnswerPeer(node));
+                self.step(Step::MergeAnswer(node));
             }
         }
     }
@@ -389,7 +400,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(), failure_persistence: None, max_shrink_iters: 20_000, rng_seed: RngSeed::Fixed(seed()), ..ProptestConfig::default() })]
 
-    /// `VIEW_CASES=20000 VIEW_SEED=2 cargo test -p staircross-routing --test views` plays others.
+    /// `VIEW_CASES=20000 VIEW_SEED=2 cargo test -p staircross-routing --test views` runs other histories.
     #[test]
     fn in_the_end_all_nodes_know_what_the_store_holds(steps in prop::collection::vec(step(), 0..80)) {
         let mut world = World::new();
@@ -399,7 +410,7 @@
         for (number, node) in world.nodes.iter().enumerate() {
             prop_assert_eq!(&node.view(), &expected, "node {}", number);
             let is_ahead = |peer: &Node| node.is_behind(peer);
-            prop_assert!(!world.nodes.iter().any(is_ahead), "node {} goes on asking", number);
+            prop_assert!(!world.nodes.iter().any(is_ahead), "node {} would ask its peers again and again", number);
         }
     }
 }
