--- a/crates/session/staircross-lab/src/demo.rs
+++ b/crates/session/staircross-lab/src/demo.rs
@@ -1,4 +1,6 @@
-//! The guided tour: one process, a whole fleet over loopback, and what goes wrong with it.
+//! A scripted demo: starts a fleet over loopback in one process, injects faults and shows the replies.
+//!
+//! The demo ends with an error if something that it shows does not happen.
 
 use crate::fleet::{FIRST_SNAPSHOT, Fleet, FleetError, FleetPlan, ServicePlan, action_policy, search_policy};
 use crate::report::Reporter;
@@ -13,43 +15,43 @@
 use std::time::{Duration, Instant};
 
 quick_error! {
-    /// Why the demo ended early.
+    /// Reason why the demo ended early.
     #[derive(Debug)]
     pub enum DemoError {
-        /// The fleet didn't start.
+        /// The fleet did not start.
         Fleet(error: FleetError) {
             from()
             display("{error}")
         }
-        /// A call failed.
+        /// A call to a node failed.
         Client(error: ClientError) {
             from()
             display("{error}")
         }
-        /// The corpus can't be read.
+        /// The corpus could not be read.
         Corpus(error: staircross_standin::corpus::CorpusError) {
             from()
             display("{error}")
         }
-        /// Something that the demo shows didn't happen.
+        /// Something that the demo shows did not happen.
         NotShown { what: &'static str } {
             display("the demo expected: {what}")
         }
     }
 }
 
-/// The shipped clauses.
+/// Contract clauses that ship with the program, as JSON lines.
 pub const CLAUSES: &str = include_str!("../corpus/clauses.jsonl");
-/// The shipped campsite pitches.
+/// Campsite pitches that ship with the program, as JSON lines.
 pub const PITCHES: &str = include_str!("../corpus/pitches.jsonl");
 
-/// How the demo is run.
+/// Options of the demo.
 pub struct DemoOptions {
-    /// Print JSON.
+    /// Whether the demo prints JSON instead of text.
     pub json: bool,
-    /// Documents for the clause service instead of the shipped ones.
+    /// Path of the documents for the clause service. Without it, the shipped clauses are used.
     pub corpus: Option<PathBuf>,
-    /// The nodes' log filter.
+    /// Log filter of the nodes.
     pub log: String,
 }
 
@@ -63,7 +65,7 @@
 
 const CLAUSE_SHARDS: u32 = 8;
 
-/// Runs the demo.
+/// Runs all chapters of the demo in one session.
 pub fn run(options: &DemoOptions) -> Result<(), DemoError> {
     let reporter = Reporter { json: options.json };
     let clauses = match &options.corpus {
@@ -182,7 +184,7 @@
     fn straggler(&self) -> Result<(), DemoError> {
         self.reporter.chapter("One searcher becomes very slow");
         let id = SearcherId(1);
-        // Enough quick answers first, so that the nodes know what is normal.
+        // The nodes need enough quick answers first to know the usual latency.
         for _ in 0..40 {
             self.client.query(self.session, "SEARCH 'insurance' IN SERVICE clauses LIMIT 1")?;
         }
@@ -263,7 +265,7 @@
         Ok(())
     }
 
-    /// Waits until every live member holds a revision.
+    /// Waits until every live node holds at least this revision of the document.
     fn wait_in_force(&self, revision: u64) -> Result<(), DemoError> {
         let deadline = Instant::now() + Duration::from_secs(10);
         while Instant::now() < deadline {
@@ -314,7 +316,7 @@
     }
 }
 
-/// The documents of the next version: every wording is marked as amended.
+/// Returns the documents of the next version. Each title is marked with the version.
 fn amend(corpus: &Corpus) -> Corpus {
     let mut amended = corpus.clone();
     for document in &mut amended.documents {
--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in one process over loopback TCP: platform, searchers, nodes.
+//! Runs a platform stand-in, searcher stand-ins and real nodes in one process. They talk over loopback TCP.
 
 use quick_error::quick_error;
 use staircross_config::{
@@ -14,96 +14,97 @@
 use std::time::{Duration, Instant};
 
 quick_error! {
-    /// Why a fleet can't be started.
+    /// Reason why a fleet could not be started.
     #[derive(Debug)]
     pub enum FleetError {
-        /// No port, or a listener can't be started.
+        /// No port is free, or a listener could not be started.
         Io(error: std::io::Error) {
             from()
             display("{error}")
         }
-        /// A node can't be started.
+        /// A node could not be started.
         Node(error: NodeError) {
             from()
             display("{error}")
         }
-        /// The fleet didn't become ready.
+        /// The fleet did not become ready within the timeout.
         NotReady { what: String } {
             display("not ready in time: {what}")
         }
     }
 }
 
-/// One service of a planned fleet.
+/// Describes one service of a fleet to start.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// How its requests are treated.
+    /// Policy for the requests of the service.
     pub policy: ServicePolicy,
-    /// Its searchers.
+    /// Number of searchers.
     pub searchers: u32,
-    /// Its shards.
+    /// Number of shards of the index.
     pub shards: u32,
-    /// Replicas of each shard.
+    /// Number of replicas of each shard.
     pub replicas: u32,
-    /// Its documents.
+    /// Documents that the searchers hold.
     pub corpus: Corpus,
-    /// Time that each call takes at a searcher.
+    /// Time that a searcher works on each call.
     pub work: Duration,
 }
 
-/// A planned fleet.
+/// Describes a fleet to start.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Its services.
+    /// Services of the fleet.
     pub services: Vec<ServicePlan>,
-    /// Its zones; searchers and nodes are spread over them in turn.
+    /// Zones of the fleet. Searchers and nodes are assigned to them round-robin.
     pub zones: Vec<&'static str>,
-    /// Its nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// The nodes' log filter.
+    /// Log filter of the nodes.
     pub log: String,
 }
 
-/// A running fleet. Its processes' parts run until the process ends.
+/// A running fleet. The platform and the searchers run until the process ends.
 pub struct Fleet {
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: PlatformStandin,
-    /// The searchers.
+    /// Stand-ins for the searchers, by id.
     pub searchers: BTreeMap<SearcherId, SearcherStandin>,
-    /// The nodes, until they are taken out for a stop.
+    /// Nodes by index. A node that is taken out to be stopped leaves `None`.
     pub nodes: Vec<Option<Node>>,
-    /// Caller addresses of the nodes.
+    /// Address of each node for callers, by index.
     pub callers: Vec<SocketAddr>,
-    /// The document last published.
+    /// Document that was published last.
     pub document: PlatformDocument,
-    /// Settings of the nodes, to start replacements with.
+    /// Settings of each node, by index. A replacement can be started with them.
     pub settings: Vec<Settings>,
     plan: FleetPlan,
 }
 
-/// Slots and connections of the searchers, as at the users' drafting and guest search services.
+/// Number of sub-requests that a searcher runs at a time, as at the users' drafting and guest search services.
 const SLOTS: u32 = 5;
+/// Number of connections that a searcher accepts, as at the users' drafting and guest search services.
 const CONNECTIONS: u32 = 70;
-/// Longest wait for a fleet to be ready.
+/// Time after which a fleet that is not ready counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The first snapshot of every service.
+/// Snapshot that every service starts with.
 pub const FIRST_SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
 
-/// A policy for searches.
+/// Returns a policy for a service that searches.
 pub fn search_policy(wait_ms: u64, least_coverage_per_mille: u32, priority: Priority) -> ServicePolicy {
     ServicePolicy { wait_ms, least_coverage_per_mille, priority, ..ServicePolicy::default() }
 }
 
-/// A policy for actions.
+/// Returns a policy for a service that executes actions. They are neither hedged nor retried.
 pub fn action_policy(wait_ms: u64) -> ServicePolicy {
     ServicePolicy { wait_ms, repeatable: false, hedge_per_mille: 0, retry_per_mille: 0, ..ServicePolicy::default() }
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node answers for every service.
+    /// Starts the platform, the searchers and the nodes, and waits until every node is ready.
     pub fn start(plan: FleetPlan) -> Result<Fleet, FleetError> {
         let document = make_document(&plan)?;
         let platform_address = free_address()?;
@@ -126,12 +127,12 @@
         Ok(fleet)
     }
 
-    /// A client of the node at `index`.
+    /// Returns a client of the node at `index`.
     pub fn client(&self, index: usize) -> NodeClient {
         NodeClient::new(self.callers[index])
     }
 
-    /// Waits until every node may act and sees every searcher serving.
+    /// Waits until every node reports that it is ready, sees all nodes alive and lists all searchers as serving.
     pub fn wait_ready(&self) -> Result<(), FleetError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for index in 0..self.callers.len() {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Lets one searcher take up a snapshot.
+    /// Makes one searcher load its shards of the snapshot of `map`, if it is listed for the service.
     pub fn publish_at(&self, id: SearcherId, service: &str, corpus: &Corpus, map: &ShardMap) {
         let Some(searcher) = self.searchers.get(&id) else {
             return;
@@ -178,25 +179,25 @@
         }
     }
 
-    /// Searchers of a service.
+    /// Returns the ids of the searchers of a service.
     pub fn searchers_of(&self, service: &str) -> Vec<SearcherId> {
         let definition = self.document.services.iter().find(|definition| definition.name.0 == service);
         definition.map_or(Vec::new(), |definition| definition.searchers.iter().map(|searcher| searcher.id).collect())
     }
 
-    /// A shard map like the service's first, for another snapshot and number of shards.
+    /// Returns a shard map for a snapshot, with the replica count of the service's plan.
     pub fn make_map(&self, service: &str, snapshot: Snapshot, shards: u32) -> ShardMap {
         let replicas = self.plan.services.iter().find(|plan| plan.name == service).map_or(1, |plan| plan.replicas);
         place_shards(snapshot, shards, replicas, &self.searchers_of(service))
     }
 
-    /// Publishes an edited document, as an operator does.
+    /// Replaces the document and publishes it, as an operator does.
     pub fn publish(&mut self, document: PlatformDocument) {
         self.document = document;
         self.platform.publish(self.document.clone());
     }
 
-    /// Publishes a document in which `service` has these shard maps.
+    /// Replaces the shard maps of a service and publishes the document as a new revision.
     pub fn publish_maps(&mut self, service: &str, maps: Vec<ShardMap>) {
         self.document.revision += 1;
         for definition in &mut self.document.services {
@@ -207,20 +208,20 @@
         self.platform.publish(self.document.clone());
     }
 
-    /// Shard maps of a service in the document last published.
+    /// Returns the shard maps of a service in the document that was published last.
     pub fn maps_of(&self, service: &str) -> Vec<ShardMap> {
         let definition = self.document.services.iter().find(|definition| definition.name.0 == service);
         definition.map_or(Vec::new(), |definition| definition.shard_maps.clone())
     }
 }
 
-/// Shards of a map that a searcher holds.
+/// Returns the shards that a map assigns to a searcher.
 pub fn held_shards(map: &ShardMap, id: SearcherId) -> Vec<ShardId> {
     let held = map.shards.iter().filter(|placement| placement.replicas.contains(&id));
     held.map(|placement| placement.shard).collect()
 }
 
-/// Places each shard's replicas on consecutive searchers.
+/// Assigns the replicas of each shard to consecutive searchers, starting one searcher further for each shard.
 pub fn place_shards(snapshot: Snapshot, shards: u32, replicas: u32, searchers: &[SearcherId]) -> ShardMap {
     let place = |shard: u32| {
         let replicas = replicas.min(searchers.len() as u32);
--- a/crates/session/staircross-lab/src/fuzz/reference.rs
+++ b/crates/session/staircross-lab/src/fuzz/reference.rs
@@ -1,18 +1,19 @@
-//! The reference of the model: it knows nothing but the seed, because the oracle judges
-//! what happened and every operation is valid at any moment.
+//! The reference state machine of the fuzz test.
+//!
+//! Its state is only the seed: the oracle judges the history, and every operation is valid in any state.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use std::fmt::Debug;
 use std::marker::PhantomData;
 
-/// An operation that can be generated.
+/// An operation that the fuzz test can generate.
 pub trait Generated: Clone + Debug + 'static {
-    /// Generates one operation.
+    /// Returns the strategy that generates one operation.
     fn generate() -> BoxedStrategy<Self>;
 }
 
-/// A seed, then any operations.
+/// A reference state machine whose state is a random seed and which allows any operation at any time.
 pub struct SeedAnd<O>(PhantomData<O>);
 
 impl<O: Generated> ReferenceStateMachine for SeedAnd<O> {
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -1,8 +1,8 @@
-//! The fuzz model of the request engine.
+//! Operations of the fuzz test, and the system under test that they are applied to.
 //!
-//! An operation is a request, a fault or a change; any may come at any moment, together or twice.
-//! All numbers in operations are taken modulo what there is, so every sequence is valid and
-//! shrinking can leave out any operation.
+//! An operation is a request, a fault, a change or the passing of time. Operations come in any order, overlap and
+//! repeat. Numbers in operations are taken modulo the number of sessions, nodes, searchers or intents that exist. Every
+//! sequence is therefore valid, and shrinking can remove any operation.
 
 use super::reference::{Generated, SeedAnd};
 use super::summary::FuzzSummary;
@@ -17,63 +17,63 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One operation.
+/// One operation of the fuzz test. `latency_first` selects the service that puts latency before coverage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// A caller searches.
+    /// A caller sends a search.
     Search { session: u8, latency_first: bool },
-    /// A caller acts once.
+    /// A caller sends a new action.
     Act { session: u8 },
-    /// A caller sends an action again, with its ticket.
+    /// A caller sends an earlier action again with the same ticket.
     Repeat { intent: u8 },
-    /// A new index version.
+    /// A new version of the index is published.
     Publish { latency_first: bool },
-    /// A new partition.
+    /// The index is published with another number of shards.
     Repartition { shards: u8 },
-    /// A searcher takes up all listed snapshots.
+    /// A searcher loads its shards of all listed snapshots.
     TakeUp { searcher: u8 },
-    /// Every searcher does.
+    /// Every searcher loads its shards of all listed snapshots.
     TakeUpEverywhere,
     /// A searcher drops its oldest snapshot.
     Retire { searcher: u8 },
-    /// The oldest snapshot is listed no more.
+    /// The oldest snapshot of a service is removed from the configuration.
     Unlist { latency_first: bool },
-    /// A searcher begins to leave.
+    /// A searcher drains. With `misleads`, its state endpoint hides that.
     Drain { searcher: u8, misleads: bool },
     /// The platform lists a searcher as leaving.
     ListLeaving { searcher: u8 },
-    /// A searcher dies.
+    /// A searcher crashes.
     CrashSearcher { searcher: u8 },
-    /// A searcher comes back.
+    /// A searcher restarts.
     RestartSearcher { searcher: u8 },
-    /// A searcher is paused.
+    /// The process of a searcher is paused.
     PauseSearcher { searcher: u8, millis: u16 },
-    /// A searcher's next replies are wrong.
+    /// The next `count` replies of a searcher have a fault.
     WrongReplies { searcher: u8, fault: u8, count: u8 },
-    /// A shard copy becomes slow, or all are quick again.
+    /// One shard becomes slow at a searcher, or with a factor of 1 all its shards run at normal speed again.
     SlowCopy { searcher: u8, factor: u8 },
-    /// A node is paused.
+    /// The process of a node is paused.
     PauseNode { node: u8, millis: u16 },
-    /// A node dies.
+    /// A node crashes.
     CrashNode { node: u8 },
-    /// A node comes back as a new run.
+    /// A node that is down starts again.
     StartNode { node: u8 },
     /// A node stops as planned.
     StopNode { node: u8 },
-    /// Two nodes are cut off from each other, in one direction or both.
+    /// The network between two nodes is cut, in one direction or both.
     CutNodes { from: u8, to: u8, both: bool },
-    /// A node and a searcher are cut off from each other.
+    /// The network between a node and a searcher is cut, in one direction or both.
     CutSearcher { node: u8, searcher: u8, both: bool, to_node: bool },
-    /// All cuts heal.
+    /// All network cuts are removed.
     Heal,
-    /// A caller goes away.
+    /// The caller of a node's oldest open request disconnects.
     CallerLeaves { node: u8 },
-    /// Time passes.
+    /// Simulated time passes.
     Wait { millis: u16 },
 }
 
 impl Operation {
-    /// The kind of fault, for counting; `None` for requests and time.
+    /// Returns the key under which the operation is counted. Returns `None` for new requests and for time.
     pub fn fault_kind(&self) -> Option<&'static str> {
         Some(match self {
             Operation::Search { .. } | Operation::Act { .. } | Operation::Wait { .. } => return None,
@@ -125,7 +125,7 @@
     FAULTS[usize::from(number) % FAULTS.len()]
 }
 
-/// Generates one operation.
+/// Returns the strategy that generates one operation.
 pub fn operation() -> BoxedStrategy<Operation> {
     let requests = prop_oneof![
         6 => (any::<u8>(), any::<bool>()).prop_map(|(session, latency_first)| Operation::Search { session, latency_first }),
@@ -186,15 +186,15 @@
     }
 }
 
-/// The reference of this model.
+/// Reference state machine of the fuzz test.
 pub type RequestModel = SeedAnd<Operation>;
 
-/// The system under test: a simulated fleet with a few sessions.
+/// System under test: a simulated fleet with a few open sessions.
 pub struct RequestRun {
-    /// The fleet.
+    /// Simulated fleet.
     pub world: World,
     sessions: Vec<usize>,
-    /// Counts so far.
+    /// Counts of the operations and outcomes so far.
     pub summary: FuzzSummary,
 }
 
@@ -202,10 +202,10 @@
 const LATENCY_SERVICE: &str = "pitches";
 const ACTION_SERVICE: &str = "bookings";
 const SESSIONS: usize = 4;
-/// Time at the end for everything to finish: the longest wait bound, pause and probe together.
+/// Time at the end of a case for everything to finish. It covers the longest wait bound, pause and probe together.
 const FINISH: Duration = Duration::from_secs(8);
 
-/// The small fleet of the model: three nodes in three zones, three services.
+/// Returns the settings of a small fleet with three nodes in three zones and three services.
 pub fn settings() -> WorldSettings {
     let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_copies: BTreeMap::new() };
     let search = ServicePolicy {
@@ -243,14 +243,14 @@
 }
 
 impl RequestRun {
-    /// A fresh fleet.
+    /// Starts a fleet and opens the sessions.
     pub fn new(seed: u64) -> Self {
         let mut world = World::new(settings(), seed);
         let sessions = (0..SESSIONS).map(|index| world.open_session(index % 3)).collect();
         RequestRun { world, sessions, summary: FuzzSummary::default() }
     }
 
-    /// Applies one operation.
+    /// Counts and applies one operation, and lets a little time pass.
     pub fn apply(&mut self, operation: &Operation) {
         self.summary.steps += 1;
         if let Some(kind) = operation.fault_kind() {
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Lets everything finish and judges the history.
+    /// Removes network cuts, lets all requests finish and returns the violations that the oracle finds.
     pub fn finish(&mut self) -> Vec<Violation> {
         self.world.heal();
         self.world.run_for(FINISH);
--- a/crates/session/staircross-lab/src/fuzz/runner.rs
+++ b/crates/session/staircross-lab/src/fuzz/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the fuzz model over many cases on all cores and shrinks what it finds.
+//! Runs many cases of the fuzz test on all cores and shrinks the operations of failing cases.
 
 use super::request_model::{Operation, RequestModel, RequestRun};
 use super::summary::{FoundViolation, FuzzSummary, texts};
@@ -8,18 +8,18 @@
 use std::cell::RefCell;
 use std::sync::atomic::Ordering;
 
-/// How much to run.
+/// Options of a fuzz run.
 #[derive(Clone, Copy, Debug)]
 pub struct FuzzOptions {
-    /// Seed of all cases.
+    /// Seed from which all cases are generated.
     pub seed: u64,
-    /// Cases.
+    /// Number of cases.
     pub cases: u32,
-    /// Operations per case.
+    /// Number of operations per case.
     pub steps: usize,
 }
 
-/// Runs one case and returns its counts and what was broken.
+/// Runs one case and returns its counts and the violations as text.
 fn run_case(seed: u64, operations: &[Operation]) -> (FuzzSummary, Vec<String>) {
     let mut run = RequestRun::new(seed);
     for operation in operations {
@@ -29,7 +29,7 @@
     (run.summary, texts(&violations))
 }
 
-/// Runs the model on all cores. Each part has its own seed, so the result doesn't depend on timing.
+/// Runs the cases on all cores. Each thread has its own seed, so the result does not depend on timing.
 pub fn run(options: FuzzOptions) -> FuzzSummary {
     let parts = std::thread::available_parallelism().map_or(1, |count| count.get() as u32).min(options.cases.max(1));
     let mut total = FuzzSummary::default();
@@ -58,7 +58,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = RequestModel::sequential_strategy(options.steps..options.steps + 1);
     let result = runner.run(&strategy, |(seed, operations, seen)| {
-        // The strategy first drops what was never reached; here every operation is.
+        // When it shrinks, the strategy first drops operations that were not reached. Here all are reached.
         if let Some(seen) = seen {
             seen.store(operations.len(), Ordering::SeqCst);
         }
--- a/crates/session/staircross-lab/src/fuzz/summary.rs
+++ b/crates/session/staircross-lab/src/fuzz/summary.rs
@@ -1,44 +1,44 @@
-//! What a fuzz run tried and found.
+//! Counts and violations of a fuzz run.
 
 use crate::sim::{History, Violation};
 use serde::Serialize;
 use staircross_search::Outcome;
 use std::collections::BTreeMap;
 
-/// Counts over all cases.
+/// Counts over all cases of a fuzz run, and the violations found.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FuzzSummary {
-    /// Cases run.
+    /// Number of cases that ran.
     pub cases: u64,
-    /// Operations applied.
+    /// Number of operations that were applied.
     pub steps: u64,
-    /// Requests made.
+    /// Number of requests that callers made.
     pub requests: u64,
-    /// Answers given.
+    /// Number of answers to searches.
     pub answers: u64,
-    /// Refusals given.
+    /// Number of refusals.
     pub refusals: u64,
-    /// Actions that ran.
+    /// Number of times that a searcher executed an action.
     pub actions: u64,
-    /// Faults applied, by kind.
+    /// Number of faults and other counted operations, by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Broken promises, each with the shrunk operations that lead to it.
+    /// Failing cases, each with the shrunk operations that lead to the violations.
     pub violations: Vec<FoundViolation>,
 }
 
-/// A broken promise and how to see it again.
+/// Violations of one case, with the seed and the operations that reproduce them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FoundViolation {
-    /// What was broken.
+    /// Descriptions of the violations.
     pub what: Vec<String>,
-    /// Seed of the world.
+    /// Seed of the simulated fleet.
     pub world_seed: u64,
-    /// The operations, shrunk.
+    /// Operations of the case after shrinking.
     pub operations: Vec<String>,
 }
 
 impl FuzzSummary {
-    /// Adds another's counts.
+    /// Adds the counts and violations of another summary.
     pub fn add(&mut self, other: FuzzSummary) {
         self.cases += other.cases;
         self.steps += other.steps;
@@ -52,12 +52,12 @@
         self.violations.extend(other.violations);
     }
 
-    /// Counts a fault or another operation.
+    /// Counts one operation of a kind.
     pub fn count(&mut self, kind: &str) {
         *self.faults.entry(kind.to_owned()).or_default() += 1;
     }
 
-    /// Adds the counts of a history of requests.
+    /// Adds the requests, outcomes and executed actions of a history.
     pub fn add_history(&mut self, history: &History) {
         self.requests += history.requests.len() as u64;
         for (_, outcome) in history.requests.values().flat_map(|record| &record.outcomes) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Violations as texts.
+/// Returns the violations as text.
 pub fn texts(violations: &[Violation]) -> Vec<String> {
     violations.iter().map(ToString::to_string).collect()
 }
--- a/crates/session/staircross-lab/src/lib.rs
+++ b/crates/session/staircross-lab/src/lib.rs
@@ -1,13 +1,13 @@
-//! Trying staircross out: demo, simulator and fuzz model.
+//! Tools to try and test the query tier: a demo, a simulator and a stateful fuzz test.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`fleet`] | a whole fleet over loopback in one process |
-//! | [`demo`] | the guided tour |
-//! | [`fuzz`] | the stateful fuzz model, as a test and from the command line |
-//! | [`sim`] | a simulated fleet and the oracle |
-//! | [`timed_queue`] | events by time |
-//! | [`report`] | one line per request, for people or as JSON |
+//! | [`fleet`] | a platform, searchers and nodes that run in one process and talk over loopback TCP |
+//! | [`demo`] | a scripted demo that injects faults into such a fleet |
+//! | [`fuzz`] | the stateful fuzz test, which runs under `cargo test` and from the command line |
+//! | [`sim`] | a simulated fleet, and the oracle that checks its history |
+//! | [`timed_queue`] | the queue of events that the simulator runs on |
+//! | [`report`] | the output of the demo, as text or JSON |
 
 pub mod demo;
 pub mod fleet;
--- a/crates/session/staircross-lab/src/main.rs
+++ b/crates/session/staircross-lab/src/main.rs
@@ -1,4 +1,6 @@
-//! The lab's command line. Exit codes: 0 done, 1 failed or a violation found, 2 wrong usage.
+//! Command line of `staircross-lab`.
+//!
+//! The exit code is 0 on success, 1 if the command failed or found a violation, and 2 for wrong usage.
 
 use staircross_lab::demo::{self, DemoOptions};
 use staircross_lab::fuzz::runner::{self, FuzzOptions};
--- a/crates/session/staircross-lab/src/report.rs
+++ b/crates/session/staircross-lab/src/report.rs
@@ -1,12 +1,12 @@
-//! One line per request, for people or as JSON.
+//! Prints the progress and the replies of the demo, as text or as JSON lines.
 
 use serde::Serialize;
 use staircross_node::api::{ReplyBody, StatementReply};
 
-/// Prints what happens, in one of two ways.
+/// Prints the output of the demo.
 #[derive(Clone, Copy, Debug)]
 pub struct Reporter {
-    /// JSON, one object a line, instead of text.
+    /// Whether replies are printed as JSON, one object per line, instead of text.
     pub json: bool,
 }
 
@@ -19,21 +19,21 @@
 }
 
 impl Reporter {
-    /// Announces a chapter; says nothing in JSON.
+    /// Prints the title of a chapter. Prints nothing in JSON mode.
     pub fn chapter(&self, title: &str) {
         if !self.json {
             println!("\n== {title}");
         }
     }
 
-    /// Says something to people; says nothing in JSON.
+    /// Prints an explanation. Prints nothing in JSON mode.
     pub fn note(&self, text: &str) {
         if !self.json {
             println!("   {text}");
         }
     }
 
-    /// Reports a request and its reply.
+    /// Prints a statement and its reply.
     pub fn reply(&self, chapter: &str, statement: &str, reply: &StatementReply) {
         if !self.json {
             println!("{statement}\n   {}", describe(reply));
@@ -46,7 +46,7 @@
     }
 }
 
-/// One line about a reply.
+/// Summarizes a reply in one line.
 pub fn describe(reply: &StatementReply) -> String {
     match &reply.body {
         ReplyBody::Answer(answer) => {
--- a/crates/session/staircross-lab/src/sim.rs
+++ b/crates/session/staircross-lab/src/sim.rs
@@ -1,12 +1,12 @@
-//! A simulated fleet: the real root and leaf engines, in simulated time and network.
+//! A simulated fleet. It runs the real root and leaf engines on simulated time and a simulated network.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`world`] | nodes, searchers, messages and the event queue |
-//! | [`searcher`] | simulated searchers with slots, faults and a ledger |
-//! | [`network`] | delays and cuts |
-//! | [`records`] | what callers asked and got |
-//! | [`oracle`] | the plain check of every answer against the ledger |
+//! | [`world`] | nodes, callers, messages and the event queue |
+//! | [`searcher`] | simulated searchers with slots, a queue and faults |
+//! | [`network`] | message delays and network cuts |
+//! | [`records`] | the history: requests, their outcomes and the work that searchers executed |
+//! | [`oracle`] | the check of every outcome against the history |
 
 pub mod network;
 pub mod oracle;
--- a/crates/session/staircross-lab/src/sim/network.rs
+++ b/crates/session/staircross-lab/src/sim/network.rs
@@ -1,27 +1,27 @@
-//! Delays and cuts between places.
+//! The simulated network: message delays, and cuts between nodes and searchers.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A node or a searcher, by its index.
+/// A sender or receiver of messages, by its index in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Place {
-    /// A node.
+    /// Index of a node.
     Node(usize),
-    /// A searcher.
+    /// Index of a searcher.
     Searcher(usize),
 }
 
-/// Usual one-way delays, as the users give them.
+/// One-way message delays. The defaults are the usual delays that the users state.
 #[derive(Clone, Debug)]
 pub struct Delays {
-    /// Within a zone.
+    /// Delay within a zone.
     pub near: Duration,
-    /// Between zones.
+    /// Delay between zones.
     pub far: Duration,
-    /// Random part, at most.
+    /// Upper bound of the random delay that is added to each message.
     pub jitter: Duration,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The network: one-way cuts and delays.
+/// The simulated network, with its delays and the directions that are cut.
 #[derive(Default)]
 pub struct Network {
     delays: Delays,
@@ -39,27 +39,27 @@
 }
 
 impl Network {
-    /// A whole network.
+    /// Returns a network without cuts.
     pub fn new(delays: Delays) -> Self {
         Network { delays, cuts: BTreeSet::new() }
     }
 
-    /// Cuts one direction.
+    /// Drops all further messages in one direction.
     pub fn cut(&mut self, from: Place, to: Place) {
         self.cuts.insert((from, to));
     }
 
-    /// Heals everything.
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Whether a message gets through now.
+    /// Returns whether a message that is sent now gets through.
     pub fn is_open(&self, from: Place, to: Place) -> bool {
         !self.cuts.contains(&(from, to))
     }
 
-    /// Time that a message takes.
+    /// Draws the delay of one message.
     pub fn delay(&self, same_zone: bool, random: &mut ChaCha8Rng) -> Duration {
         let base = if same_zone { self.delays.near } else { self.delays.far };
         let jitter = self.delays.jitter.as_micros() as u64;
--- a/crates/session/staircross-lab/src/sim/oracle.rs
+++ b/crates/session/staircross-lab/src/sim/oracle.rs
@@ -1,8 +1,21 @@
-//! The oracle: compares every answer with what truly ran. Plain on purpose; read it top to bottom.
+//! The oracle checks the history of a simulated run: it compares every outcome with the work that searchers executed.
 //!
-//! Simulated documents say where they come from: a hit's id is `snapshot/shard/term`, every shard
-//! matches exactly one document, and the first term of a search and the note of an action are
-//! unique. So each promise is a comparison.
+//! The promises, by their numbers:
+//!
+//! - 0: Every request gets an outcome, unless the node that holds it crashes. Any system must keep this promise.
+//! - 1: An answer comes from one published snapshot, and each included shard ran at that snapshot for that request.
+//!   Within a session no later request sees an older snapshot.
+//! - 2: The coverage lists every shard of the snapshot exactly once, as included or missing. The hits and the count
+//!   come from the included shards alone.
+//! - 3: A request gets at most one outcome, and only the outcome of its own work.
+//! - 4: A request that was refused as never executed did not run anywhere.
+//! - 5: An action runs at most once, however often the caller sends it.
+//! - 6: A searcher gets no new work more than [`LEAVING_GRACE_MS`] after it began to leave.
+//! - 7: A planned stop of a node interrupts no request and no sub-request.
+//!
+//! Simulated data makes each check a plain comparison. The id of a hit is `snapshot/shard/term`, every shard matches
+//! exactly one document, the first term of a search is unique to the request, and the note of an action is unique to
+//! the caller's intent. The checks are kept simple on purpose and can be read from top to bottom.
 
 use super::records::{History, RequestRecord};
 use staircross_search::{Answer, Outcome, Work};
@@ -10,12 +23,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A broken promise. The numbers are those of the brief's list.
+/// A broken promise. The module documentation lists the promises by number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which promise; 0 for what every system must do.
+    /// Number of the promise.
     pub promise: u8,
-    /// What was seen.
+    /// Description of the observation that breaks the promise.
     pub what: String,
 }
 
@@ -25,10 +38,10 @@
     }
 }
 
-/// A leaving searcher may get new work this long after it began to leave.
+/// Time after a searcher begins to leave during which it may still get new work.
 pub const LEAVING_GRACE_MS: u64 = 4000;
 
-/// Checks a whole history.
+/// Checks a history and returns all violations.
 pub fn check_history(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     for record in history.requests.values() {
@@ -52,11 +65,12 @@
         found.push(Violation { promise: 6, what });
     }
     for cut in &history.cut_offs {
-        let what = format!("a planned stop cut off {} requests, {} sub-requests", cut.requests, cut.sub_requests);
+        let what =
+            format!("a planned stop interrupted {} requests and {} sub-requests", cut.requests, cut.sub_requests);
         found.push(Violation { promise: 7, what });
     }
     if history.unknown_outcomes > 0 {
-        let what = format!("{} final words to requests that nobody made", history.unknown_outcomes);
+        let what = format!("{} outcomes for requests that no caller made", history.unknown_outcomes);
         found.push(Violation { promise: 3, what });
     }
     found
@@ -65,14 +79,11 @@
 fn check_one_final_word(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
     let request = record.request;
     if record.outcomes.len() > 1 {
-        found.push(Violation {
-            promise: 3,
-            what: format!("request {request} got {} final words", record.outcomes.len()),
-        });
+        found.push(Violation { promise: 3, what: format!("request {request} got {} outcomes", record.outcomes.len()) });
     }
     let is_overdue = record.outcomes.is_empty() && !record.holder_crashed && history.ended > record.due;
     if is_overdue {
-        found.push(Violation { promise: 0, what: format!("request {request} never got a final word") });
+        found.push(Violation { promise: 0, what: format!("request {request} got no outcome") });
     }
 }
 
@@ -85,7 +96,7 @@
         return;
     };
 
-    // Promise 2: included and missing together are the snapshot's own shards, each once.
+    // Promise 2: the included and the missing shards together are the shards of the snapshot, each listed once.
     let Some(map) = history.maps.get(&(record.service.clone(), answer.snapshot)) else {
         flag(1, format!("snapshot {} was never published", answer.snapshot));
         return;
@@ -98,10 +109,17 @@
         flag(2, format!("coverage lists {told:?}, the snapshot has {expected:?}"));
     }
     if answer.matched != answer.coverage.included.len() as u64 {
-        flag(2, format!("{} documents counted in {} shards", answer.matched, answer.coverage.included.len()));
+        flag(
+            2,
+            format!(
+                "the answer counts {} documents, {} shards are included",
+                answer.matched,
+                answer.coverage.included.len()
+            ),
+        );
     }
 
-    // Promises 1 and 3: every hit is of the snapshot, of an included shard, and of this request.
+    // Promises 1, 2 and 3: every hit comes from the answer's snapshot, from an included shard and from this request.
     let own_term = query.terms.first().cloned().unwrap_or_default();
     let mut seen = BTreeSet::new();
     for hit in &answer.hits {
@@ -109,43 +127,50 @@
         if hit.document != expected {
             let (promise, kind) =
                 if hit.document.ends_with(&format!("/{own_term}")) { (1, "snapshot") } else { (3, "request") };
-            flag(promise, format!("hit {} is of another {kind}, expected {expected}", hit.document));
+            flag(promise, format!("hit {} belongs to another {kind}, expected {expected}", hit.document));
         }
         if !seen.insert(hit.shard) || !answer.coverage.included.contains(&hit.shard) {
-            flag(2, format!("a hit of shard {} is double or of a shard not included", hit.shard));
+            flag(2, format!("shard {} has several hits or is not included", hit.shard));
         }
     }
     if seen.len() != answer.coverage.included.len() {
-        flag(2, format!("{} shards are included, hits come from {}", answer.coverage.included.len(), seen.len()));
+        flag(
+            2,
+            format!("{} shards are included, hits come from {} shards", answer.coverage.included.len(), seen.len()),
+        );
     }
 
-    // Promise 1 against the ledger: each included shard truly ran for this request at that snapshot.
+    // Promise 1: the history has an execution of each included shard for this request at that snapshot.
     let ran: BTreeSet<ShardId> = runs_of(history, request)
         .filter(|run| run.snapshot == answer.snapshot)
         .flat_map(|run| run.shards.iter().copied())
         .collect();
     for shard in answer.coverage.included.iter().filter(|shard| !ran.contains(shard)) {
-        flag(1, format!("shard {shard} is included and never ran at snapshot {}", answer.snapshot));
+        flag(1, format!("shard {shard} is included but did not run at snapshot {}", answer.snapshot));
     }
 }
 
 fn check_acted(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
     let Work::Act(command) = &record.work else {
-        found.push(Violation { promise: 3, what: format!("request {}: a search got a receipt", record.request) });
+        found.push(Violation {
+            promise: 3,
+            what: format!("request {}: a search got the receipt of an action", record.request),
+        });
         return;
     };
     let ran = history.runs.iter().any(|run| run.note.as_ref() == Some(&command.note));
     if !ran {
         found.push(Violation {
             promise: 3,
-            what: format!("request {}: receipt for an action that never ran", record.request),
+            what: format!("request {}: got a receipt for an action that did not run", record.request),
         });
     }
 }
 
 fn check_never_ran(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
     if let Some(run) = runs_of(history, record.request).next() {
-        let what = format!("request {} was refused as not run, and ran at searcher {}", record.request, run.searcher);
+        let what =
+            format!("request {} was refused as never executed but ran at searcher {}", record.request, run.searcher);
         found.push(Violation { promise: 4, what });
     }
 }
@@ -160,7 +185,7 @@
     }
 }
 
-/// A request made after an answer was given never sees an older snapshot, within a session.
+/// Checks that no request sees an older snapshot than an answer that its session got before the request was made.
 fn check_floors(history: &History, found: &mut Vec<Violation>) {
     let answers: Vec<(&RequestRecord, staircross_types::BootTime, &Answer)> = history
         .requests
@@ -179,7 +204,7 @@
         for (earlier, _, older) in before {
             if newer.snapshot < older.snapshot {
                 let what = format!(
-                    "request {} saw snapshot {} after {} had seen {}",
+                    "request {} saw snapshot {} after request {} of the session had seen {}",
                     later.request, newer.snapshot, earlier.request, older.snapshot
                 );
                 found.push(Violation { promise: 1, what });
@@ -192,12 +217,12 @@
     history.runs.iter().filter(move |run| run.attempt.request == request)
 }
 
-/// Id of the one document that a simulated shard matches.
+/// Returns the id of the one document of a simulated shard that matches a search.
 pub fn document_id(snapshot: &str, shard: ShardId, term: &str) -> String {
     format!("{snapshot}/{shard}/{term}")
 }
 
-/// The one hit of a simulated shard.
+/// Returns the one hit of a simulated shard.
 pub fn simulated_hit(snapshot: &str, shard: ShardId, term: &str) -> Hit {
     Hit { document: document_id(snapshot, shard, term), shard, score: 1.0, title: String::new() }
 }
--- a/crates/session/staircross-lab/src/sim/records.rs
+++ b/crates/session/staircross-lab/src/sim/records.rs
@@ -1,4 +1,6 @@
-//! What callers asked and got, and what searchers truly ran: all that the oracle looks at.
+//! The history of a simulated run: the requests of callers, their outcomes, and the work that searchers executed.
+//!
+//! The oracle decides from these records alone.
 
 use staircross_search::{Outcome, Work};
 use staircross_types::{
@@ -6,77 +8,79 @@
 };
 use std::collections::BTreeMap;
 
-/// One request of a caller.
+/// One request of a caller, with its outcomes.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// The session.
+    /// Session in which the request was made.
     pub session: SessionToken,
-    /// The service asked.
+    /// Service that the request addresses.
     pub service: ServiceName,
-    /// What was asked; its first term or note is unique to the request.
+    /// Requested work. The first term of a search is unique to the request. The note of an action is unique to the
+    /// caller's intent, and each repetition of the action has the same note.
     pub work: Work,
-    /// The ticket of an action.
+    /// Ticket of an action; `None` for a search.
     pub ticket: Option<Ticket>,
-    /// When it was submitted.
+    /// Time at which the caller sent the request.
     pub submitted: BootTime,
-    /// Every final word, in order. There must be one at the most.
+    /// All outcomes that the root reported, in order, with their times. More than one is a violation.
     pub outcomes: Vec<(BootTime, Outcome)>,
-    /// Whether the node that held it crashed before the final word.
+    /// Whether the node that held the request crashed before it reported an outcome.
     pub holder_crashed: bool,
-    /// Latest time for the final word, pauses of the holder included.
+    /// Time after which a request without an outcome is a violation. Pauses of the node that holds the request extend
+    /// it.
     pub due: BootTime,
 }
 
-/// One piece of work that truly ran.
+/// One sub-request that a searcher executed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRecord {
-    /// Its identity.
+    /// Attempt that the sub-request belongs to.
     pub attempt: AttemptId,
-    /// Where.
+    /// Searcher that executed the sub-request.
     pub searcher: SearcherId,
-    /// On which snapshot.
+    /// Snapshot that the sub-request read.
     pub snapshot: Snapshot,
-    /// On which shards.
+    /// Shards that the sub-request covered.
     pub shards: Vec<ShardId>,
-    /// For an action: its note, unique to the caller's intention.
+    /// Note of an action, which is unique to the caller's intent; `None` for a search.
     pub note: Option<String>,
 }
 
-/// New work that reached a leaving searcher.
+/// A sub-request that reached a searcher after it had begun to leave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateArrival {
-    /// Where.
+    /// Searcher that the sub-request reached.
     pub searcher: SearcherId,
-    /// How long it had been leaving, in milliseconds.
+    /// Time since the searcher began to leave, in milliseconds.
     pub after_ms: u64,
 }
 
-/// Work cut off by a planned stop.
+/// A planned stop that ended the node while work was in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CutOff {
-    /// Requests without a final word when the node ended.
+    /// Number of requests that had no outcome when the node ended.
     pub requests: usize,
-    /// Sub-requests that its leaf had not answered when the node ended.
+    /// Number of calls to searchers without a reply when the node ended.
     pub sub_requests: usize,
 }
 
-/// The whole history of one simulated run.
+/// History of one simulated run, from which the oracle judges it.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// All requests.
+    /// All requests of callers, by id.
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// All that ran, in order.
+    /// All sub-requests that searchers executed, in the order in which they started.
     pub runs: Vec<RunRecord>,
-    /// All shard maps that were ever published, by service and snapshot.
+    /// All shard maps that were published at any time, by service and snapshot.
     pub maps: BTreeMap<(ServiceName, Snapshot), ShardMap>,
-    /// New work that reached leaving searchers.
+    /// Sub-requests that reached searchers after they had begun to leave, early and late ones.
     pub late_arrivals: Vec<LateArrival>,
-    /// Planned stops that cut something off.
+    /// Planned stops that ended a node while work was in flight.
     pub cut_offs: Vec<CutOff>,
-    /// Final words to requests that nobody made.
+    /// Number of outcomes for requests that no caller made.
     pub unknown_outcomes: usize,
-    /// When the run ended.
+    /// Time up to which the simulation has run.
     pub ended: BootTime,
 }
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -1,4 +1,4 @@
-//! Simulated searchers: slots, snapshots, drain, cold start, slowness, scripted reply faults.
+//! Simulated searchers, with slots, a queue, snapshots, draining, cold starts, slow shards and scripted reply faults.
 
 use super::oracle::simulated_hit;
 use super::records::RunRecord;
@@ -9,100 +9,101 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A way in which the next reply is wrong.
+/// A fault of one reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ReplyFault {
-    /// Runs, and no reply comes.
+    /// The sub-request runs, but no reply comes.
     Lost,
-    /// The reply comes after a long time.
+    /// The reply comes after an additional delay.
     Late,
     /// The reply comes twice.
     Doubled,
-    /// The reply names another request and holds its hits.
+    /// The reply names another request and has its hits.
     Crossed,
-    /// The reply breaks off.
+    /// The reply ends early.
     Truncated,
     /// The reply comes from another snapshot.
     WrongSnapshot,
     /// The reply lacks a shard.
     OmittedShard,
-    /// The reply has a shard that wasn't asked for.
+    /// The reply has a shard that was not requested.
     ForeignShard,
 }
 
-/// Time that work takes.
+/// Distribution of the time that a sub-request takes.
 #[derive(Clone, Debug)]
 pub struct WorkTime {
-    /// Median of one sub-request.
+    /// Median time of one sub-request.
     pub median: Duration,
-    /// Spread: the logarithm of a sample is normal with this deviation.
+    /// Standard deviation of the logarithm of the time, which is normally distributed.
     pub sigma: f64,
-    /// Shard copies that are slow, with the factor.
+    /// Shards whose copy at this searcher is slow, with the factor by which it is slower.
     pub slow_copies: BTreeMap<ShardId, f64>,
 }
 
 impl WorkTime {
-    /// One sample for a sub-request on these shards: as slow as its slowest shard.
+    /// Draws the time of a sub-request on these shards. The slowest shard determines it.
     pub fn sample(&self, shards: &[ShardId], random: &mut ChaCha8Rng) -> Duration {
         let factor = shards.iter().filter_map(|shard| self.slow_copies.get(shard)).copied().fold(1.0, f64::max);
-        // Sum of uniform samples: close enough to a normal one, and the same on every machine.
+        // A sum of uniform samples is close enough to a normal one and is the same on every machine.
         let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
         self.median.mul_f64(factor * (self.sigma * normal).exp())
     }
 }
 
-/// What a searcher does with an arriving sub-request.
+/// Decision of a searcher about an arriving sub-request.
 pub enum Arrival {
-    /// Starts it; the reply is ready after this time.
+    /// The sub-request starts, and its reply is ready after this time.
     Started(Duration),
-    /// Keeps it until a slot is free.
+    /// The sub-request waits for a free slot.
     Queued,
-    /// Refuses it.
+    /// The sub-request is refused and does not run.
     Refused(NotRunReason),
 }
 
-/// One simulated searcher.
+/// State of one simulated searcher.
 pub struct SimSearcher {
-    /// Its number.
+    /// Id of the searcher.
     pub id: SearcherId,
-    /// Its run.
+    /// Incarnation of the searcher; each start gives a new one.
     pub incarnation: SearcherIncarnation,
-    /// Its zone.
+    /// Index of the searcher's zone.
     pub zone: usize,
-    /// Whether the process runs.
+    /// Whether the process is running.
     pub is_up: bool,
-    /// When it began to leave.
+    /// Time at which the searcher began to drain or the platform listed it as leaving, if either happened. If its state
+    /// endpoint hides the drain, this is the time at which a node first gets a refusal because of the drain.
     pub leaving_since: Option<BootTime>,
-    /// Whether it refuses work because it leaves. Not so when only the platform says that it leaves.
+    /// Whether the searcher drains and refuses new work. It does not when only the platform lists it as leaving.
     pub refuses: bool,
-    /// Whether its state endpoint hides that it leaves.
+    /// Whether the state endpoint hides that the searcher drains.
     pub misleads: bool,
-    /// Stopped until then, by a pause.
+    /// End of the current pause of the process.
     pub paused_until: BootTime,
-    /// Snapshots held, with their shards.
+    /// Shards that the searcher holds, by snapshot.
     pub held: BTreeMap<Snapshot, BTreeSet<ShardId>>,
-    /// Slots.
+    /// Number of sub-requests that run at a time.
     pub slots: usize,
-    /// Sub-requests that may wait for a slot.
+    /// Number of sub-requests that may wait for a slot.
     pub queue_bound: usize,
-    /// Sub-requests running.
+    /// Number of sub-requests that are running.
     pub active: usize,
-    /// Sub-requests waiting, with the node to reply to and the time they are good for.
+    /// Sub-requests that wait for a slot, each with the index of the node to reply to and its deadline.
     pub queue: VecDeque<(usize, SubRequest, BootTime)>,
-    /// Time that work takes.
+    /// Distribution of the time that a sub-request takes.
     pub work_time: WorkTime,
-    /// Slower until then, after a cold start.
+    /// End of the time after a restart during which work takes longer.
     pub cold_until: BootTime,
-    /// Wrong replies to come.
+    /// Faults of the next replies, one for each reply.
     pub faults: VecDeque<ReplyFault>,
     next_entry: u64,
 }
 
-/// How much slower a cold searcher is.
+/// Factor by which work takes longer after a restart.
 const COLD_FACTOR: f64 = 4.0;
 
 impl SimSearcher {
-    /// A searcher that holds nothing yet.
+    /// Returns a running searcher that holds no snapshot yet.
     pub fn new(id: SearcherId, zone: usize, slots: usize, work_time: WorkTime) -> Self {
         SimSearcher {
             id,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Starts again as a new run, cold; what was running is gone.
+    /// Starts a new, cold incarnation. Sub-requests that were running or waiting are lost.
     pub fn restart(&mut self, now: BootTime) {
         self.incarnation.0 += 1;
         self.is_up = true;
@@ -137,7 +138,7 @@
         self.cold_until = now + Duration::from_secs(2);
     }
 
-    /// What its state endpoint says.
+    /// Returns the reply of the state endpoint.
     pub fn evidence(&self) -> Evidence {
         Evidence {
             incarnation: self.incarnation,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Takes an arriving sub-request.
+    /// Starts, queues or refuses an arriving sub-request.
     pub fn arrive(&mut self, now: BootTime, from: usize, request: &SubRequest, random: &mut ChaCha8Rng) -> Arrival {
         if self.refuses {
             return Arrival::Refused(NotRunReason::Draining);
@@ -169,13 +170,13 @@
         Arrival::Refused(NotRunReason::Shed)
     }
 
-    /// Time that a sub-request takes.
+    /// Draws the time that a sub-request takes if it starts now.
     pub fn time_for(&self, now: BootTime, request: &SubRequest, random: &mut ChaCha8Rng) -> Duration {
         let span = self.work_time.sample(&request.shards, random);
         if now < self.cold_until { span.mul_f64(COLD_FACTOR) } else { span }
     }
 
-    /// The ledger's entry for a sub-request that runs.
+    /// Returns the history record of a sub-request that this searcher executes.
     pub fn run_record(&self, request: &SubRequest) -> RunRecord {
         let note = match &request.work {
             Work::Act(command) => Some(command.note.clone()),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The true reply to a sub-request that has run.
+    /// Returns the correct reply to a sub-request that has run.
     pub fn true_reply(&mut self, request: &SubRequest) -> SubReply {
         let outcome = match &request.work {
             Work::Act(command) => {
@@ -218,15 +219,15 @@
     }
 }
 
-/// Applies a fault to a true reply, as the searcher client of a node would report it.
+/// Applies a fault to a correct reply and returns what the searcher client of a node reports.
 ///
-/// `None`: no reply comes.
+/// Returns `None` if no reply comes.
 pub fn distort(fault: ReplyFault, mut reply: SubReply) -> Option<SubReply> {
     use staircross_search::UnknownReason;
     match fault {
         ReplyFault::Lost => return None,
         ReplyFault::Late | ReplyFault::Doubled => {}
-        // The client compares identities and digests, and reports what doesn't match as broken.
+        // The client compares ids and digests and reports a reply that does not match as broken.
         ReplyFault::Crossed | ReplyFault::Truncated => reply.outcome = SubOutcome::Unknown(UnknownReason::Broken),
         ReplyFault::WrongSnapshot => {
             reply.snapshot.version += 1000;
--- a/crates/session/staircross-lab/src/sim/world.rs
+++ b/crates/session/staircross-lab/src/sim/world.rs
@@ -1,7 +1,16 @@
-//! The simulated fleet: nodes with the real engines, searchers, messages, time.
+//! The simulated fleet: nodes with the real engines, searchers, callers, messages and time.
 //!
-//! Everything happens through one queue of timed events, so a run is a function of its settings,
-//! its seed and the operations applied to it.
+//! One queue of timed events drives the whole simulation. A simulation is therefore a function of its settings, its
+//! seed and the operations that are applied to it.
+//!
+//! | module | holds |
+//! | --- | --- |
+//! | `between` | the actions of root and leaf engines, and messages between nodes |
+//! | `events` | the handling of each event |
+//! | `faults` | faults, configuration changes and restarts |
+//! | `requests` | callers, their sessions and their requests |
+//! | `searchers` | calls and probes from leaves to searchers |
+//! | `settings` | size, services and delays of the fleet |
 
 mod between;
 mod events;
@@ -31,7 +40,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A node.
+/// A simulated node. It runs one root engine and one leaf engine.
 pub(crate) struct SimNode {
     pub id: NodeId,
     pub zone: usize,
@@ -39,68 +48,77 @@
     pub leaf: LeafEngine,
     pub is_up: bool,
     pub is_stopping: bool,
+    /// Time at which the node began its planned stop.
     pub stopping_since: Option<BootTime>,
+    /// Number of consecutive ticks of a stopping node without anything in flight.
     pub idle_ticks: u32,
+    /// End of the current pause of the process. Events that reach the node earlier wait until then.
     pub paused_until: BootTime,
     pub ownership: OwnershipMap,
+    /// Index of the node whose leaf got each open attempt of this node's root.
     pub routes: BTreeMap<AttemptId, usize>,
+    /// Calls of the leaf to searchers that have no result yet.
     pub sends: BTreeMap<AttemptId, PendingSend>,
-    /// When a `Wake` is due; far in the future when none is.
+    /// Time of the next scheduled `Wake`; `FAR_FUTURE` if none is scheduled.
     pub wake_at: BootTime,
+    /// Sequence number of the next request that this node takes.
     pub next_sequence: u64,
-    /// Sessions as last copied to other nodes.
+    /// Number of the node's current start, counted from 1. Messages to an earlier start are dropped.
     pub runs: u64,
 }
 
-/// A call to a searcher that has no end yet.
+/// A call to a searcher that has no result yet.
 pub(crate) struct PendingSend {
     pub request: SubRequest,
+    /// Index of the searcher.
     pub searcher: usize,
+    /// Whether the sub-request has reached the running searcher.
     pub has_arrived: bool,
 }
 
-/// What happens at a time.
+/// An event of the simulation. `node` is the index of the node that handles it or that made the call, and `run` the
+/// start of that node that the event belongs to.
 pub(crate) enum SimEvent {
-    /// A node looks at the time, regularly.
+    /// The periodic tick of a node.
     Tick(usize),
-    /// A node's root wants to look at the time.
+    /// The time at which a root engine asked to be called.
     Wake(usize),
-    /// A caller's request reaches a node that was paused.
+    /// A paused node wakes and reads a request that a caller sent during the pause.
     Submit { node: usize, run: u64, submission: Box<staircross_search::Submission> },
-    /// A planned stop begins.
+    /// A node gets the signal to stop as planned.
     BeginStop { node: usize, run: u64 },
-    /// A root's request reaches a leaf.
+    /// A sub-request of the root of node `from` reaches a leaf.
     LeafRequest { node: usize, run: u64, from: usize, request: SubRequest },
-    /// A root's cancellation reaches a leaf.
+    /// A cancellation by the root of node `from` reaches a leaf.
     LeafCancel { node: usize, run: u64, from: usize, attempt: AttemptId },
-    /// A leaf's reply reaches a root.
+    /// The reply of a leaf reaches a root.
     RootReply { node: usize, run: u64, reply: SubReply },
-    /// A node's worker writes a call to a searcher.
+    /// A worker thread of a node sends a sub-request to a searcher.
     WorkerSend { node: usize, run: u64, request: SubRequest, send_before: BootTime },
-    /// A call reaches a searcher.
+    /// A sub-request reaches a searcher. `has_waited` is set when it is handled after a pause of the searcher.
     SearcherArrival { node: usize, run: u64, request: SubRequest, has_waited: bool },
-    /// A searcher has done its work.
+    /// A searcher has finished a sub-request.
     SearcherDone { searcher: usize, incarnation: u128, node: usize, run: u64, request: SubRequest },
-    /// A call's end reaches the node's leaf.
+    /// The result of a call to a searcher reaches the leaf. `incarnation` is that of the searcher, if it replied.
     LeafReply { node: usize, run: u64, reply: SubReply, incarnation: Option<SearcherIncarnation> },
-    /// A call has waited long enough.
+    /// The timeout of a call to a searcher expires.
     SendTimeout { node: usize, run: u64, attempt: AttemptId },
-    /// A probe reaches a searcher.
+    /// A probe by a node reaches a searcher.
     ProbeArrival { node: usize, run: u64, searcher: usize, asked_at: BootTime },
-    /// A probe's end reaches the node's leaf.
+    /// The result of a probe reaches the leaf.
     Probed { node: usize, run: u64, event: LeafEvent },
-    /// A view reaches a root.
+    /// A view of a searcher reaches the engines of a node.
     View { node: usize, view: SearcherView },
-    /// A configuration reaches a node.
+    /// The services of a configuration reach a node.
     Services { node: usize, services: Vec<Arc<ServiceDefinition>> },
-    /// A view of the members reaches a node.
+    /// A list of the cluster members reaches a node.
     Members { node: usize, members: Vec<Member> },
-    /// A node reads the platform's list.
+    /// A node reads the platform's list of leaving searchers.
     ReadList { node: usize },
 }
 
 impl SimEvent {
-    /// The node whose thread handles the event; it waits while that node is paused.
+    /// Returns the node that handles the event, if any. The event waits while that node is paused.
     fn node(&self) -> Option<usize> {
         match self {
             SimEvent::Tick(node)
@@ -123,10 +141,10 @@
     }
 }
 
-/// Time between ticks of a node, as in the runtime.
+/// Time between two ticks of a node. It equals `TICK` of the node's runtime.
 const TICK: Duration = Duration::from_millis(20);
 
-/// The simulated fleet.
+/// A simulated fleet with its event queue and its history.
 pub struct World {
     pub(crate) settings: WorldSettings,
     pub(crate) random: ChaCha8Rng,
@@ -136,26 +154,29 @@
     pub(crate) nodes: Vec<SimNode>,
     pub(crate) searchers: Vec<SimSearcher>,
     pub(crate) services: Vec<ServiceDefinition>,
+    /// Searchers that the platform lists as leaving.
     pub(crate) listed: BTreeSet<SearcherId>,
     pub(crate) intents: Vec<requests::Intent>,
     pub(crate) sessions: Vec<requests::SimSession>,
+    /// Index of the session of each request without an outcome, by node index and sequence number.
     pub(crate) pending: BTreeMap<(usize, u64), usize>,
+    /// Index of the first searcher of the service that is added next.
     next_service_searcher: usize,
-    /// Everything that the oracle looks at.
+    /// History of the simulation, which the oracle checks.
     pub history: History,
-    /// Sub-requests that reached searchers and started there.
+    /// Number of sub-requests that searchers have started.
     pub started_sub_requests: u64,
-    /// Events handled.
+    /// Number of events that were handled.
     pub events_handled: u64,
 }
 
-/// The first snapshot of every simulated service.
+/// Snapshot that every simulated service starts with.
 pub const FIRST_SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
-/// Time that a fresh world runs before it is used, so that probes and views have gone round.
+/// Time that a new fleet runs before it is used, so that searchers are probed and their views reach all nodes.
 const SETTLING: Duration = Duration::from_millis(1500);
 
 impl World {
-    /// A fresh fleet, settled.
+    /// Starts a fleet and runs it until its nodes know the searchers.
     pub fn new(settings: WorldSettings, seed: u64) -> World {
         let mut world = World {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -187,7 +208,7 @@
         world
     }
 
-    /// The present time.
+    /// Returns the simulated time.
     pub fn now(&self) -> BootTime {
         self.now
     }
@@ -228,7 +249,7 @@
         }
     }
 
-    /// Lets a searcher take up its shards of a snapshot.
+    /// Makes a searcher load its shards of the snapshot of `map`, if it has any.
     pub(crate) fn hold(&mut self, index: usize, map: &ShardMap) {
         let searcher = &mut self.searchers[index];
         let shards: BTreeSet<ShardId> = map
@@ -278,7 +299,7 @@
         self.queue.push(at, event);
     }
 
-    /// Lets time pass.
+    /// Handles all events of the next `span` of simulated time.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(end) {
@@ -289,7 +310,7 @@
         self.history.ended = end;
     }
 
-    /// Handles an event, or keeps it until its node's pause is over.
+    /// Handles an event, or postpones it to the end of its node's pause.
     fn handle_or_defer(&mut self, event: SimEvent) {
         if let Some(node) = event.node() {
             let until = self.nodes[node].paused_until;
@@ -302,7 +323,7 @@
         self.handle(event);
     }
 
-    /// Tells every node who the members are, each at its own time.
+    /// Sends the list of members to every node, each after its own random delay up to `at_most`.
     pub(crate) fn announce_members(&mut self, at_most: Duration) {
         let members: Vec<Member> = self
             .nodes
@@ -326,7 +347,7 @@
         }
     }
 
-    /// Tells every node the services in force, each at its own time.
+    /// Sends the current services to every node, each after its own random delay up to `at_most`.
     pub(crate) fn announce_services(&mut self, at_most: Duration) {
         let services: Vec<Arc<ServiceDefinition>> = self.services.iter().cloned().map(Arc::new).collect();
         for node in 0..self.nodes.len() {
@@ -358,7 +379,7 @@
         self.schedule_wake(node);
     }
 
-    /// Makes sure that a root is woken when it wants to be.
+    /// Schedules a `Wake` for the time that the root asks for, unless an earlier one is scheduled.
     fn schedule_wake(&mut self, node: usize) {
         let Some(wake) = self.nodes[node].root.next_wake() else {
             return;
@@ -380,7 +401,7 @@
     std::net::SocketAddr::from(([127, 0, 0, 1], port as u16))
 }
 
-/// Places each shard's replicas on consecutive searchers.
+/// Assigns the replicas of each shard to consecutive searchers, starting one searcher further for each shard.
 pub fn place(snapshot: Snapshot, shards: u32, replicas: usize, ids: &[SearcherId]) -> ShardMap {
     let one = |shard: u32| {
         let count = replicas.min(ids.len());
--- a/crates/session/staircross-lab/src/sim/world/between.rs
+++ b/crates/session/staircross-lab/src/sim/world/between.rs
@@ -1,4 +1,4 @@
-//! Between nodes: from roots to leaves and back.
+//! Carries out the actions of root and leaf engines, and transmits messages between nodes.
 
 use super::{PendingSend, SimEvent, World};
 use crate::sim::network::Place;
@@ -22,6 +22,7 @@
         self.nodes.iter().position(|node| node.id == id)
     }
 
+    /// Sends a sub-request of a root to the leaf that owns the searcher.
     pub(super) fn route(&mut self, node: usize, request: SubRequest) {
         let turn = request.attempt.request.sequence + u64::from(request.attempt.attempt);
         let owners = self.nodes[node].ownership.owners_in_turn(request.searcher, turn);
@@ -40,7 +41,7 @@
         let (from, to) = (Place::Node(node), Place::Node(target));
         let delay = self.delay_between(from, to);
         if !self.nodes[target].is_up || !self.network.is_open(from, to) {
-            // A peer that can't be connected to: certainly not delivered.
+            // The connection to the peer fails, so the sub-request was certainly not delivered.
             let reply = not_run(&request, NotRunReason::NotOwner);
             self.schedule_root_reply(node, delay, reply);
             return;
@@ -49,6 +50,7 @@
         self.schedule(delay, SimEvent::LeafRequest { node: target, run, from: node, request });
     }
 
+    /// Sends the cancellation of an attempt to the leaf that got the attempt.
     pub(super) fn route_cancel(&mut self, node: usize, attempt: AttemptId) {
         let Some(target) = self.nodes[node].routes.remove(&attempt) else {
             return;
@@ -68,6 +70,7 @@
         self.schedule(after, SimEvent::RootReply { node, run, reply });
     }
 
+    /// Sends a reply of a leaf to a root. The reply is lost if the network is cut between their nodes.
     pub(super) fn reply_to_root(&mut self, from: usize, to: usize, reply: SubReply) {
         let (source, target) = (Place::Node(from), Place::Node(to));
         if from != to && !self.network.is_open(source, target) {
@@ -81,7 +84,7 @@
         for action in actions {
             match action {
                 LeafAction::Send { request, send_before } => {
-                    // A worker thread takes over; a pause may come in between.
+                    // A worker thread sends the sub-request. The node may be paused before it does.
                     let run = self.nodes[node].runs;
                     let searcher = request.searcher.0 as usize;
                     let pending = PendingSend { request: request.clone(), searcher, has_arrived: false };
--- a/crates/session/staircross-lab/src/sim/world/events.rs
+++ b/crates/session/staircross-lab/src/sim/world/events.rs
@@ -1,4 +1,4 @@
-//! What each event means for the node or searcher that it reaches.
+//! Handles the events of the simulation.
 
 use super::{SimEvent, TICK, World};
 use staircross_search::{LeafEvent, RootEvent};
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether the node still is the run that a message was meant for.
+    /// Returns whether the node is up and in its start number `run`. Messages to an earlier start are dropped.
     pub(super) fn is_run(&self, node: usize, run: u64) -> bool {
         self.nodes[node].is_up && self.nodes[node].runs == run
     }
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -1,4 +1,6 @@
-//! What goes wrong, or is changed, in the simulated fleet.
+//! Faults, configuration changes, drains, restarts and planned stops of the simulated fleet.
+//!
+//! The public functions take any number for a node, searcher or service and use it modulo the number that exist.
 
 use super::{SimEvent, World, place};
 use crate::sim::network::Place;
@@ -9,9 +11,10 @@
 use staircross_types::{SearcherId, ShardMap, Snapshot};
 use std::time::Duration;
 
-/// Time during which a stopping node goes on taking requests, as in the runtime.
+/// Least time between the begin of a planned stop and its end, during which the node still takes requests. It equals
+/// `STOP_LINGER` of the node's runtime.
 const STOP_LINGER: Duration = Duration::from_millis(1500);
-/// Ticks without anything in flight before a stopping node ends, as in the runtime.
+/// Number of consecutive ticks without anything in flight after which a stopping node ends, as in the node's runtime.
 const IDLE_TICKS_TO_END: u32 = 6;
 
 impl World {
@@ -19,8 +22,9 @@
         service % self.services.len()
     }
 
-    /// Publishes a new snapshot of a service: searchers take it up at their own time, and the
-    /// configuration lists it. With `shards`, the index is cut anew.
+    /// Lists a new snapshot of a service in the configuration. Each searcher loads it later, by [`World::take_up`].
+    ///
+    /// With `shards`, the index is repartitioned into that number of shards.
     pub fn publish(&mut self, service: usize, shards: Option<u32>) {
         let index = self.service_index(service);
         let newest = self.services[index].shard_maps.iter().map(|map| map.snapshot).max();
@@ -36,7 +40,7 @@
         let count = shards.unwrap_or(self.settings.services[index].shards);
         let replicas = self.settings.services[index].replicas;
         let mut ids: Vec<SearcherId> = self.services[index].searchers.iter().map(|searcher| searcher.id).collect();
-        // Another placement each time: moving shards is part of a repartition.
+        // Each snapshot gets another random placement, because a repartition also moves shards.
         let shift = self.random.random_range(0..ids.len());
         ids.rotate_left(shift);
         let map = place(snapshot, count, replicas, &ids);
@@ -45,7 +49,7 @@
         self.announce_services(self.settings.update_delay);
     }
 
-    /// Lets one searcher take up every snapshot that the configuration lists.
+    /// Makes one searcher load its shards of every snapshot that the configuration lists.
     pub fn take_up(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         let id = self.searchers[index].id;
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Lets one searcher drop its oldest snapshot.
+    /// Makes one searcher drop its oldest snapshot, unless it is the only one.
     pub fn retire(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         if self.searchers[index].held.len() > 1 {
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Takes the oldest snapshot of a service out of the configuration.
+    /// Removes the oldest snapshot of a service from the configuration, unless it is the only one.
     pub fn unlist(&mut self, service: usize) {
         let index = self.service_index(service);
         let maps = &mut self.services[index].shard_maps;
@@ -79,7 +83,7 @@
         }
     }
 
-    /// A searcher begins to leave and refuses new work; its state endpoint may hide it.
+    /// Makes a searcher drain and refuse new work. With `misleads`, its state endpoint hides that.
     pub fn drain(&mut self, searcher: usize, misleads: bool) {
         let index = searcher % self.searchers.len();
         let now = self.now;
@@ -89,13 +93,13 @@
         }
         searcher.refuses = true;
         searcher.misleads = misleads;
-        // While its state endpoint hides it, its first refusal is the first that anybody can know.
+        // If the state endpoint hides the drain, no node can know of it before the first refusal.
         if !searcher.misleads {
             searcher.leaving_since.get_or_insert(now);
         }
     }
 
-    /// The platform lists a searcher as leaving; the searcher itself knows nothing of it.
+    /// Makes the platform list a searcher as leaving. The searcher itself does not know of it and still takes work.
     pub fn list_leaving(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         let now = self.now;
@@ -107,13 +111,13 @@
         }
     }
 
-    /// A searcher dies.
+    /// Crashes a searcher.
     pub fn crash_searcher(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         self.searchers[index].is_up = false;
     }
 
-    /// A searcher comes back as a new run, cold.
+    /// Restarts a searcher as a new, cold incarnation, and removes it from the platform's list of leaving searchers.
     pub fn restart_searcher(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         let now = self.now;
@@ -125,14 +129,14 @@
         }
     }
 
-    /// A searcher's process is stopped for a while.
+    /// Pauses the process of a searcher for `span`.
     pub fn pause_searcher(&mut self, searcher: usize, span: Duration) {
         let index = searcher % self.searchers.len();
         let until = self.now + span;
         self.searchers[index].paused_until = self.searchers[index].paused_until.max(until);
     }
 
-    /// The next replies of a searcher are wrong.
+    /// Applies a fault to the next `count` replies of a searcher, after the faults that are queued already.
     pub fn add_reply_faults(&mut self, searcher: usize, fault: ReplyFault, count: usize) {
         let index = searcher % self.searchers.len();
         for _ in 0..count {
@@ -140,7 +144,8 @@
         }
     }
 
-    /// One copy of a shard becomes slow, or all are quick again.
+    /// Makes the copy of the first shard of a searcher's newest snapshot slower by `factor`. A factor of 1 or less
+    /// makes all its copies run at normal speed again.
     pub fn slow_copy(&mut self, searcher: usize, factor: f64) {
         let index = searcher % self.searchers.len();
         let held = self.searchers[index].held.values().next_back();
@@ -153,7 +158,7 @@
         }
     }
 
-    /// A node's process is stopped for a while and wakes late.
+    /// Pauses the process of a node for `span`, and extends the due times of its open requests.
     pub fn pause_node(&mut self, node: usize, span: Duration) {
         let index = node % self.nodes.len();
         let until = self.now + span;
@@ -168,7 +173,7 @@
         }
     }
 
-    /// A node dies with everything it holds.
+    /// Crashes a node. All its state is lost.
     pub fn crash_node(&mut self, node: usize) {
         let index = node % self.nodes.len();
         if !self.nodes[index].is_up {
@@ -186,8 +191,8 @@
         self.announce_members(updates);
     }
 
-    /// A searcher whose leaving only its own refusals told of, and only to nodes that are gone now,
-    /// must be found out anew.
+    /// Clears the leaving time of each searcher that hides its drain and that no remaining node knows to be leaving.
+    /// The next refusal sets it again.
     fn forget_what_nobody_knows(&mut self) {
         for index in 0..self.searchers.len() {
             let id = self.searchers[index].id;
@@ -200,7 +205,8 @@
         }
     }
 
-    /// Roots whose connection to a dead leaf breaks report what they had sent there as unknown.
+    /// Breaks connections to a crashed node. The roots of other nodes learn that the outcomes of the sub-requests that
+    /// they sent there are unknown.
     fn break_routes(&mut self, dead: usize) {
         for node in 0..self.nodes.len() {
             let lost: Vec<_> = {
@@ -211,7 +217,7 @@
                 let Some((searcher, snapshot)) = self.nodes[node].root.attempt_target(attempt) else {
                     continue;
                 };
-                // Some connections break at once; over others nothing is ever heard again.
+                // Some connections break at once. On the others no reply and no error ever comes.
                 if self.random.random_bool(0.7) {
                     let outcome = SubOutcome::Unknown(UnknownReason::Broken);
                     let reply = SubReply { attempt, searcher, snapshot, outcome, worked: Default::default() };
@@ -223,7 +229,7 @@
         }
     }
 
-    /// A node that is down starts as a new run.
+    /// Starts a node that is down, with empty state and a new id.
     pub fn start_node(&mut self, node: usize) {
         let index = node % self.nodes.len();
         if self.nodes[index].is_up {
@@ -245,7 +251,7 @@
             .flat_map(|other| other.root.views().cloned())
             .filter(|view| view.evidence.is_some())
             .collect();
-        // The engine keeps views in a hash map; a run must not depend on its order.
+        // The engine keeps views in a hash map, and the simulation must not depend on its iteration order.
         views.sort_by_key(|view| view.searcher);
         for view in views {
             let delay = self.random_up_to(self.settings.update_delay);
@@ -253,14 +259,14 @@
         }
     }
 
-    /// A node begins a planned stop.
+    /// Begins a planned stop of a node, unless it is the last one that is up and not stopping.
     pub fn stop_node(&mut self, node: usize) {
         let index = node % self.nodes.len();
         let staying = self.nodes.iter().filter(|node| node.is_up && !node.is_stopping).count();
         if !self.nodes[index].is_up || self.nodes[index].is_stopping || staying < 2 {
             return;
         }
-        // A signal to a paused process is handled when it wakes.
+        // A paused process handles the signal when it wakes, so the stop begins through an event.
         self.nodes[index].is_stopping = true;
         let run = self.nodes[index].runs;
         self.schedule(Duration::ZERO, SimEvent::BeginStop { node: index, run });
@@ -273,7 +279,7 @@
         self.announce_members(self.settings.update_delay);
     }
 
-    /// Ends a stopping node once its engines say that nothing is in flight.
+    /// Ends a stopping node once its engines have reported for long enough that nothing is in flight.
     pub(super) fn finish_stop_if_idle(&mut self, node: usize) {
         let since = self.nodes[node].stopping_since;
         if since.is_none_or(|since| self.now.since(since) < STOP_LINGER) {
@@ -284,7 +290,7 @@
         if self.nodes[node].idle_ticks < IDLE_TICKS_TO_END {
             return;
         }
-        // The engines may be wrong; what the world sees decides.
+        // The engines may be wrong about what is in flight, so the simulation's own records decide.
         let id = self.nodes[node].id;
         let unfinished = self
             .history
@@ -303,7 +309,7 @@
         self.announce_members(self.settings.update_delay);
     }
 
-    /// Cuts two places off from each other, in one direction or both.
+    /// Drops all messages from `from` to `to`, and with `both` also those in the other direction.
     pub fn cut(&mut self, from: Place, to: Place, both: bool) {
         self.network.cut(from, to);
         if both {
@@ -311,12 +317,12 @@
         }
     }
 
-    /// Heals all cuts.
+    /// Removes all network cuts.
     pub fn heal(&mut self) {
         self.network.heal();
     }
 
-    /// The caller of a node's oldest request goes away.
+    /// Tells a node that the caller of its oldest open request is gone, unless the node is down or paused.
     pub fn caller_leaves(&mut self, node: usize) {
         let index = node % self.nodes.len();
         let id = self.nodes[index].id;
@@ -332,12 +338,12 @@
         }
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes, including those that are down.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Number of searchers.
+    /// Returns the number of searchers, including those that are down.
     pub fn searcher_count(&self) -> usize {
         self.searchers.len()
     }
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -1,4 +1,4 @@
-//! Callers of the simulated fleet: their sessions, what they ask and what they are told.
+//! Callers of the simulated fleet: their sessions, their requests and the outcomes.
 
 use super::{SimEvent, World};
 use crate::sim::records::RequestRecord;
@@ -7,31 +7,35 @@
 use staircross_types::{ActionCommand, AttemptId, BootTime, RequestId, SearchQuery, ServiceName, SessionToken, Ticket};
 use std::time::Duration;
 
-/// A caller's wish to act once, which it may send several times.
+/// An action that a caller wants executed once. The caller may send it several times with the same ticket.
 #[derive(Clone, Debug)]
 pub(crate) struct Intent {
+    /// Index of the session.
     pub session: usize,
     pub ticket: Ticket,
+    /// Text of the action, which is unique to the intent.
     pub note: String,
     pub service: ServiceName,
 }
 
-/// A caller's session.
+/// A session of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct SimSession {
     pub token: SessionToken,
+    /// Index of the node that holds the session.
     pub node: usize,
-    /// The state as last copied to other nodes.
+    /// Session state that was copied to other nodes last.
     pub copy: Option<SessionState>,
 }
 
-/// Slack for a final word after the wait bound, besides pauses.
+/// Time after the wait bound within which a request must get its outcome. Pauses of the node extend it.
 const FINAL_WORD_SLACK: Duration = Duration::from_millis(200);
-/// Hits asked for: more than there are shards, so that every included shard shows.
+/// Number of hits that a search requests. It exceeds the number of shards, so that the answer has a hit of every
+/// included shard.
 const LIMIT: u32 = 10_000;
 
 impl World {
-    /// Opens a session at a node.
+    /// Opens a session at a node and returns its index.
     pub fn open_session(&mut self, node: usize) -> usize {
         let token = SessionToken(self.random.random());
         self.nodes[node].root.sessions.open(self.now, token);
@@ -40,8 +44,10 @@
         self.sessions.len() - 1
     }
 
-    /// The node that holds a session; moves it when that node is gone, or leaving and the caller
-    /// has no request in flight there: a caller learns where to go from a reply.
+    /// Returns the node that holds a session, and moves the session to another node where needed.
+    ///
+    /// A session moves if its node is down. It also moves if its node is stopping and the caller has no request in
+    /// flight there: callers learn from a reply which node to turn to. Returns `None` if no node can take the session.
     fn node_of_session(&mut self, session: usize) -> Option<usize> {
         let node = self.sessions[session].node;
         let is_waiting = self.pending.iter().any(|((holder, _), owner)| *holder == node && *owner == session);
@@ -57,7 +63,7 @@
         Some(next)
     }
 
-    /// Sends a search in a session.
+    /// Sends a search in a session. Returns the request id, or `None` if no node can take the session.
     pub fn search(&mut self, session: usize, service: &ServiceName) -> Option<RequestId> {
         let node = self.node_of_session(session)?;
         let request = self.next_request(node);
@@ -67,7 +73,7 @@
         Some(request)
     }
 
-    /// Mints a ticket and sends an action with it; returns the intent, to be sent again.
+    /// Mints a ticket and sends an action with it. Returns the index of the intent, with which it can be sent again.
     pub fn act(&mut self, session: usize, service: &ServiceName) -> Option<usize> {
         let node = self.node_of_session(session)?;
         let token = self.sessions[session].token;
@@ -82,7 +88,7 @@
         Some(intent)
     }
 
-    /// Sends an intent's action, for the first time or again.
+    /// Sends the action of an intent, for the first time or again.
     pub fn send_intent(&mut self, intent: usize) {
         let Some(Intent { session, ticket, note, service }) = self.intents.get(intent).cloned() else {
             return;
@@ -95,7 +101,7 @@
         self.submit(node, session, request, service, work, Some(ticket));
     }
 
-    /// Number of intents so far.
+    /// Returns the number of intents so far.
     pub fn intents(&self) -> usize {
         self.intents.len()
     }
@@ -145,7 +151,7 @@
             ticket,
         };
         if self.now < self.nodes[node].paused_until {
-            // The caller's request waits in the paused process's socket.
+            // The request waits in the socket of the paused process.
             let at = self.nodes[node].paused_until;
             self.schedule_submission(node, at, submission);
         } else {
@@ -158,7 +164,7 @@
         self.schedule_at(at, SimEvent::Submit { node, run, submission: Box::new(submission) });
     }
 
-    /// Copies a session's state to other nodes, as the runtime does before a reply.
+    /// Copies the state of a session for other nodes, as a node's runtime does before it replies.
     fn copy_session(&mut self, session: usize) {
         let SimSession { token, node, .. } = self.sessions[session];
         let state = self.nodes[node].root.sessions.get(token).cloned();
@@ -167,6 +173,7 @@
         }
     }
 
+    /// Records the outcome of a request and closes its attempts.
     pub(super) fn finish(&mut self, node: usize, request: RequestId, outcome: Outcome) {
         let now = self.now;
         let own: Vec<AttemptId> = {
--- a/crates/session/staircross-lab/src/sim/world/searchers.rs
+++ b/crates/session/staircross-lab/src/sim/world/searchers.rs
@@ -1,4 +1,4 @@
-//! Between leaf and searchers: sending, working, answering, probing.
+//! Calls and probes from leaves to searchers, and their replies.
 
 use super::{SimEvent, World};
 use crate::sim::network::Place;
@@ -9,14 +9,16 @@
 use staircross_types::{AttemptId, BootTime, SearcherId, SearcherIncarnation};
 use std::time::Duration;
 
-/// Longest wait for a connection, as in the runtime.
+/// Time after which an attempt to connect fails. It equals `CONNECT_TIMEOUT` of the node's runtime.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Extra wait for a reply, as in the runtime.
+/// Time that a node waits for a reply beyond the remaining time of the sub-request. It equals `REPLY_GRACE` of the
+/// node's runtime.
 const REPLY_GRACE: Duration = Duration::from_millis(50);
-/// A late reply comes this much later, at most.
+/// Upper bound of the additional delay of a late reply.
 const LATE_BY: Duration = Duration::from_millis(1500);
 
 impl World {
+    /// Sends a sub-request to a searcher, unless it is too late or the searcher can't be reached.
     pub(super) fn worker_send(&mut self, node: usize, request: SubRequest, send_before: BootTime) {
         let run = self.nodes[node].runs;
         if self.now >= send_before {
@@ -44,7 +46,7 @@
 
     pub(super) fn searcher_arrival(&mut self, node: usize, run: u64, request: SubRequest, has_waited: bool) {
         let index = request.searcher.0 as usize;
-        // New work counts when it gets to the machine, however long a paused process lets it wait.
+        // A sub-request counts as arrived when it reaches the machine, even if a paused searcher reads it later.
         if let (false, Some(since)) = (has_waited, self.searchers[index].leaving_since) {
             let after_ms = self.now.since(since).as_millis() as u64;
             self.history.late_arrivals.push(LateArrival { searcher: request.searcher, after_ms });
@@ -70,7 +72,8 @@
         }
     }
 
-    /// From here on somebody knows that the searcher leaves, whatever its state endpoint says.
+    /// Sets the leaving time when a node gets the first refusal of a searcher that drains. From then on a node knows
+    /// of the drain even if the state endpoint hides it.
     pub(super) fn note_refusal_heard(&mut self, reply: &SubReply, incarnation: Option<SearcherIncarnation>) {
         let searcher = &mut self.searchers[reply.searcher.0 as usize];
         let is_refusal = reply.outcome == SubOutcome::NotRun(NotRunReason::Draining);
@@ -87,6 +90,7 @@
         self.schedule(span, SimEvent::SearcherDone { searcher, incarnation, node, run, request });
     }
 
+    /// Sends the reply of a finished sub-request, with the next scripted fault, and starts work from the queue.
     pub(super) fn searcher_done(&mut self, index: usize, node: usize, run: u64, request: SubRequest) {
         self.searchers[index].active -= 1;
         let true_reply = self.searchers[index].true_reply(&request);
@@ -105,6 +109,7 @@
         self.start_queued(index);
     }
 
+    /// Starts sub-requests from the queue while slots are free, and refuses those that are past their deadline.
     pub(super) fn start_queued(&mut self, index: usize) {
         while self.searchers[index].active < self.searchers[index].slots {
             let Some((node, request, good_until)) = self.searchers[index].queue.pop_front() else {
@@ -122,6 +127,7 @@
         }
     }
 
+    /// Sends a reply to a node after the network delay and `later`. The reply is lost if the network is cut.
     pub(super) fn reply_from_searcher(
         &mut self,
         searcher: usize,
@@ -138,6 +144,7 @@
         }
     }
 
+    /// Reports a call without a reply to the leaf as unknown.
     pub(super) fn send_timeout(&mut self, node: usize, run: u64, attempt: AttemptId) {
         if !self.is_run(node, run) {
             return;
--- a/crates/session/staircross-lab/src/sim/world/settings.rs
+++ b/crates/session/staircross-lab/src/sim/world/settings.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: its services, size and times.
+//! Settings of a simulated fleet: its size, services and delays.
 
 use crate::sim::network::Delays;
 use crate::sim::searcher::WorkTime;
@@ -7,40 +7,40 @@
 use staircross_types::ServiceName;
 use std::time::Duration;
 
-/// One simulated service.
+/// Describes one simulated service.
 #[derive(Clone, Debug)]
 pub struct SimService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// How its requests are treated.
+    /// Policy for the requests of the service.
     pub policy: ServicePolicy,
-    /// Its searchers.
+    /// Number of searchers.
     pub searchers: usize,
-    /// Slots of each.
+    /// Number of sub-requests that each searcher runs at a time.
     pub slots: usize,
-    /// Its shards.
+    /// Number of shards of the index.
     pub shards: u32,
-    /// Replicas of each shard.
+    /// Number of replicas of each shard.
     pub replicas: usize,
-    /// Time that work takes.
+    /// Distribution of the time that a sub-request takes.
     pub work_time: WorkTime,
 }
 
-/// A simulated fleet's size and times.
+/// Describes a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct WorldSettings {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones.
+    /// Number of zones. Nodes and searchers are assigned to them round-robin.
     pub zones: usize,
-    /// Services.
+    /// Services of the fleet.
     pub services: Vec<SimService>,
-    /// Network delays.
+    /// Message delays of the network.
     pub delays: Delays,
-    /// Bounds of the roots.
+    /// Settings of the root engines.
     pub root: RootSettings,
-    /// Bounds of the leaves.
+    /// Settings of the leaf engines.
     pub leaf: LeafSettings,
-    /// Time for updates of members, views and configuration to reach a node, at most.
+    /// Upper bound of the time that updates of members, views and configuration take to reach a node.
     pub update_delay: Duration,
 }
--- a/crates/session/staircross-lab/src/timed_queue.rs
+++ b/crates/session/staircross-lab/src/timed_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of events by time; events of one time come in the order in which they were added.
+//! A queue of events ordered by time. Events with equal times leave it in the order in which they were added.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -29,7 +29,7 @@
     }
 }
 
-/// Events waiting for their time.
+/// A priority queue of events, earliest first.
 pub struct TimedQueue<T, E> {
     entries: BinaryHeap<Reverse<Entry<T, E>>>,
     next_order: u64,
@@ -42,13 +42,13 @@
 }
 
 impl<T: Ord + Copy, E> TimedQueue<T, E> {
-    /// Adds an event.
+    /// Adds an event that is due at `at`.
     pub fn push(&mut self, at: T, event: E) {
         self.next_order += 1;
         self.entries.push(Reverse(Entry { at, order: self.next_order, event }));
     }
 
-    /// Takes the earliest event if it is due by `end`, with its time.
+    /// Removes and returns the earliest event with its time, if it is due at `end` or earlier.
     pub fn pop_until(&mut self, end: T) -> Option<(T, E)> {
         let is_due = self.entries.peek().is_some_and(|Reverse(entry)| entry.at <= end);
         if !is_due {
--- a/crates/session/staircross-lab/tests/fuzz_requests.rs
+++ b/crates/session/staircross-lab/tests/fuzz_requests.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the request engine, with fixed seeds so that every run gives the same verdict.
+//! Stateful fuzz test of the request engines. The seeds are fixed, so every run has the same result.
 
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -32,7 +32,8 @@
     fn promises_hold_under_any_faults(sequential 150..200 => RequestTest);
 }
 
-/// Found by fuzzing: a stop that had lingered through a pause ended with a request still unread.
+/// Guards against a planned stop that ends with a request unread. The node is paused while it stops, a request arrives
+/// during the pause, and the least time of a stop is over when the node wakes. Found by fuzzing.
 #[test]
 fn stop_during_a_pause_reads_what_waits() {
     for seed in 0..20 {
@@ -50,7 +51,7 @@
     }
 }
 
-/// The model is a function of its seed and operations.
+/// A simulation is a function of its seed and its operations.
 #[test]
 fn same_seed_gives_the_same_history() {
     let history = || {
--- a/crates/session/staircross-lab/tests/oracle.rs
+++ b/crates/session/staircross-lab/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle is itself tested: one bad history per promise must be flagged, and a good one not.
+//! Tests of the oracle: it must flag a bad history for each promise, and must not flag a good one.
 
 use staircross_lab::sim::oracle::{LEAVING_GRACE_MS, check_history, simulated_hit};
 use staircross_lab::sim::records::{CutOff, History, LateArrival, RequestRecord, RunRecord};
@@ -43,7 +43,7 @@
     Work::Act(ActionCommand { verb: "v".into(), target: "t".into(), note: note.into() })
 }
 
-/// A good answer: shard 0 included, shard 1 late.
+/// Returns a correct answer in which shard 0 is included and shard 1 is missing because it was late.
 fn answer(sequence: u64, snapshot: Snapshot) -> Answer {
     let hit = simulated_hit(&snapshot.to_string(), ShardId(0), &format!("q{sequence}"));
     Answer {
--- a/crates/session/staircross-lab/tests/pinned_help.rs
+++ b/crates/session/staircross-lab/tests/pinned_help.rs
@@ -1,8 +1,8 @@
-//! The help of the program: its demo and its fuzzer.
+//! The help text of the program and of its subcommands `demo` and `fuzz` must not change unnoticed.
 
 use std::process::Command;
 
-/// The section of one subcommand.
+/// Returns the section of one subcommand from the whole help text.
 fn section(whole: &str, subcommand: &str) -> String {
     let title = format!("\nstaircross-lab {subcommand}\n");
     let start = whole.find(&title).expect("has the subcommand") + 1;
--- a/crates/session/staircross-lab/tests/replies.rs
+++ b/crates/session/staircross-lab/tests/replies.rs
@@ -1,5 +1,5 @@
-//! Wrong replies over real connections: coverage is stated truly, nothing foreign is in the answer,
-//! and the HTTP client repeats nothing.
+//! Faulty replies over real connections. The answer must list exactly the shards of the faulty searcher as missing and
+//! have hits of the included shards only, and an action must not be sent again when its reply is lost.
 
 use staircross_config::Priority;
 use staircross_lab::demo::{CLAUSES, PITCHES};
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// One replica per shard, so that whatever a searcher spoils is missing.
+/// Searcher that replies wrongly. Each shard has one replica, so the shards of this searcher are missing in the answer.
 const FAULTY: SearcherId = SearcherId(1);
 const SHARDS: usize = 6;
 
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    /// Asks while one searcher misbehaves and checks what is claimed against what is true.
+    /// Searches while one searcher has a fault, and checks that exactly its shards are missing, for the given cause.
     fn assert_only_faulty_is_missing(&self, whole: &AnswerBody, fault: Fault, cause: MissingCause) {
         self.break_searcher(FAULTY, fault.clone());
         let answer = self.ask();
@@ -85,8 +85,8 @@
         let expected: BTreeSet<&str> =
             whole.hits.iter().filter(|hit| !lost.contains(&hit.shard)).map(|hit| hit.document.as_str()).collect();
         let got: BTreeSet<&str> = answer.hits.iter().map(|hit| hit.document.as_str()).collect();
-        assert_eq!(got, expected, "{fault:?}: exactly the documents of the included shards");
-        // A searcher that failed several times is left alone for a while; let that pass.
+        assert_eq!(got, expected, "{fault:?}: the hits must be exactly the documents of the included shards");
+        // A node sends nothing to a searcher for a while after several failures. The test waits until that is over.
         std::thread::sleep(Duration::from_millis(300));
     }
 }
@@ -101,7 +101,7 @@
     bench.assert_only_faulty_is_missing(&whole, Fault::WrongSnapshot, MissingCause::Unreachable);
     bench.assert_only_faulty_is_missing(&whole, Fault::DamageReply, MissingCause::Unreachable);
     bench.assert_only_faulty_is_missing(&whole, Fault::Slow { delay_ms: 1500 }, MissingCause::Late);
-    assert_eq!(bench.ask().shards_included, SHARDS, "mended, the answer is whole again");
+    assert_eq!(bench.ask().shards_included, SHARDS, "without faults, the answer includes all shards again");
 }
 
 #[test]
@@ -122,5 +122,5 @@
         }
     }
     let ran: usize = bench.fleet.searchers.values().map(|searcher| searcher.ledger().count_actions("n1")).sum();
-    assert_eq!(ran, 1, "it ran once, and neither node nor HTTP client sent it again");
+    assert_eq!(ran, 1, "the action must run once: neither the node nor the HTTP client may send it again");
 }
