--- a/crates/session/staircross-lab/src/demo.rs
+++ b/crates/session/staircross-lab/src/demo.rs
@@ -34,7 +34,7 @@
             display("{error}")
         }
         /// Something that the demo shows did not happen.
-        NotShown { what: &'static str } {
+        ExpectationFailed { what: &'static str } {
             display("the demo expected: {what}")
         }
     }
@@ -99,7 +99,7 @@
         shards: CLAUSE_SHARDS,
         replicas: 3,
         corpus: clauses.clone(),
-        work: Duration::from_millis(4),
+        work_time: Duration::from_millis(4),
     };
     let pitch_service = ServicePlan {
         name: "pitches",
@@ -124,7 +124,7 @@
 }
 
 impl Demo {
-    fn ask(&self, chapter: &str, statement: &str) -> Result<StatementReply, DemoError> {
+    fn run_statement(&self, chapter: &str, statement: &str) -> Result<StatementReply, DemoError> {
         let reply = self.client.query(self.session, statement)?;
         self.reporter.reply(chapter, statement, &reply);
         Ok(reply)
@@ -132,28 +132,28 @@
 
     fn search(&self) -> Result<(), DemoError> {
         self.reporter.chapter("Clause search and pitch search over 8 shards each");
-        self.ask("search", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 3")?;
-        self.ask("search", "SEARCH 'caravan electricity' IN SERVICE pitches WAIT 200 MS LIMIT 3")?;
-        self.ask("search", "PULL '' IN SERVICE clauses LIMIT 5")?;
-        self.ask("search", "SEARCH 'audit' IN clauses WAIT soon")?;
+        self.run_statement("search", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 3")?;
+        self.run_statement("search", "SEARCH 'caravan electricity' IN SERVICE pitches WAIT 200 MS LIMIT 3")?;
+        self.run_statement("search", "PULL '' IN SERVICE clauses LIMIT 5")?;
+        self.run_statement("search", "SEARCH 'audit' IN clauses WAIT soon")?;
         Ok(())
     }
 
     fn roll_over(&mut self) -> Result<(), DemoError> {
         self.reporter.chapter("A new index version arrives while queries run");
         let snapshot = Snapshot { version: 2, ..FIRST_SNAPSHOT };
-        let newer = amend(&self.clauses);
-        let map = self.fleet.make_map("clauses", snapshot, CLAUSE_SHARDS);
-        let mut maps = self.fleet.maps_of("clauses");
+        let newer = mark_as_amended(&self.clauses);
+        let map = self.fleet.make_shard_map("clauses", snapshot, CLAUSE_SHARDS);
+        let mut maps = self.fleet.shard_maps_of("clauses");
         maps.push(map.clone());
         let searchers = self.fleet.searchers_of("clauses");
-        self.fleet.publish_maps("clauses", maps);
+        self.fleet.publish_shard_maps("clauses", maps);
         for (done, id) in searchers.iter().enumerate() {
             if done == 1 {
                 self.reporter.note("one searcher of six has version 2; answers still come from version 1 as a whole");
             }
-            self.ask("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1")?;
-            self.fleet.publish_at(*id, "clauses", &newer, &map);
+            self.run_statement("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1")?;
+            self.fleet.load_snapshot_at(*id, "clauses", &newer, &map);
             std::thread::sleep(Duration::from_millis(150));
         }
         let reached = self.wait_for_snapshot("2.1.1")?;
@@ -164,8 +164,8 @@
                 searcher.control(ControlCommand::Retire { snapshot: FIRST_SNAPSHOT });
             }
         }
-        self.fleet.publish_maps("clauses", vec![map]);
-        self.ask("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1")?;
+        self.fleet.publish_shard_maps("clauses", vec![map]);
+        self.run_statement("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1")?;
         Ok(())
     }
 
@@ -178,7 +178,7 @@
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        Err(DemoError::NotShown { what: "the service moves to the new version" })
+        Err(DemoError::ExpectationFailed { what: "the service moves to the new version" })
     }
 
     fn straggler(&self) -> Result<(), DemoError> {
@@ -188,31 +188,31 @@
         for _ in 0..40 {
             self.client.query(self.session, "SEARCH 'insurance' IN SERVICE clauses LIMIT 1")?;
         }
-        self.control(id, ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 600 }, calls: None });
+        self.control_searcher(id, ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 600 }, calls: None });
         self.reporter.note("its shards are asked of other replicas too, within the hedge budget, then it is avoided");
         for _ in 0..4 {
-            self.ask("straggler", "SEARCH 'insurance certificates' IN SERVICE clauses LIMIT 1")?;
+            self.run_statement("straggler", "SEARCH 'insurance certificates' IN SERVICE clauses LIMIT 1")?;
         }
-        self.control(id, ControlCommand::ClearFaults);
+        self.control_searcher(id, ControlCommand::ClearFaults);
         Ok(())
     }
 
     fn lost_replica(&self) -> Result<(), DemoError> {
         self.reporter.chapter("A replica is lost, then every replica of one shard");
-        self.control(SearcherId(2), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
-        self.ask("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
+        self.control_searcher(SearcherId(2), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
+        self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
         for id in [3, 4] {
-            self.control(SearcherId(id), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
+            self.control_searcher(SearcherId(id), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
         }
         std::thread::sleep(Duration::from_millis(1500));
         self.reporter.note("shards that lived only on the three lost searchers are listed as missing:");
-        self.ask("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
-        self.ask("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
+        self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
+        self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
         for id in [2, 3, 4] {
-            self.control(SearcherId(id), ControlCommand::ClearFaults);
+            self.control_searcher(SearcherId(id), ControlCommand::ClearFaults);
         }
         std::thread::sleep(Duration::from_millis(1500));
-        self.ask("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
+        self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
         Ok(())
     }
 
@@ -220,32 +220,32 @@
         self.reporter.chapter("A booking is confirmed, and the confirmation is sent again");
         let ticket = self.client.mint_ticket(self.session)?;
         let statement = format!("RUN confirm ON 'pitch-017' IN SERVICE bookings NOTE 'stay-4711' TICKET '{ticket}'");
-        self.ask("confirm", &statement)?;
-        self.ask("confirm", &statement)?;
-        let ran: usize =
+        self.run_statement("confirm", &statement)?;
+        self.run_statement("confirm", &statement)?;
+        let executions: usize =
             self.fleet.searchers.values().map(|searcher| searcher.ledger().count_actions("stay-4711")).sum();
-        self.reporter.note(&format!("the searchers' ledgers show that it ran {ran} time"));
-        if ran != 1 {
-            return Err(DemoError::NotShown { what: "the confirmation runs once" });
+        self.reporter.note(&format!("the searchers' ledgers show that it ran {executions} time"));
+        if executions != 1 {
+            return Err(DemoError::ExpectationFailed { what: "the confirmation runs once" });
         }
-        self.ask("confirm", "RUN confirm ON 'pitch-018' IN SERVICE bookings")?;
+        self.run_statement("confirm", "RUN confirm ON 'pitch-018' IN SERVICE bookings")?;
         Ok(())
     }
 
     fn drain(&self) -> Result<(), DemoError> {
         self.reporter.chapter("A searcher is drained");
         let id = SearcherId(7);
-        self.control(id, ControlCommand::Drain);
-        self.ask("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
+        self.control_searcher(id, ControlCommand::Drain);
+        self.run_statement("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
         std::thread::sleep(Duration::from_millis(1200));
         let before = self.ledger_length(id);
         for _ in 0..5 {
-            self.ask("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
+            self.run_statement("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
         }
         let new_work = self.ledger_length(id) - before;
         self.reporter.note(&format!("pieces of work at searcher {id} after the drain: {new_work}"));
         if new_work != 0 {
-            return Err(DemoError::NotShown { what: "a drained searcher gets no new work" });
+            return Err(DemoError::ExpectationFailed { what: "a drained searcher gets no new work" });
         }
         Ok(())
     }
@@ -257,8 +257,8 @@
             self.reporter.reply("change", statement, &reply);
             if let ReplyBody::Planned { document } = reply.body {
                 let revision = document.revision;
-                self.fleet.publish(*document);
-                self.wait_in_force(revision)?;
+                self.fleet.publish_document(*document);
+                self.wait_for_revision(revision)?;
                 self.reporter.note(&format!("revision {revision} is in force at every node"));
             }
         }
@@ -266,7 +266,7 @@
     }
 
     /// Waits until every live node holds at least this revision of the document.
-    fn wait_in_force(&self, revision: u64) -> Result<(), DemoError> {
+    fn wait_for_revision(&self, revision: u64) -> Result<(), DemoError> {
         let deadline = Instant::now() + Duration::from_secs(10);
         while Instant::now() < deadline {
             let members = self.client.status()?.members;
@@ -276,36 +276,40 @@
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        Err(DemoError::NotShown { what: "the change is in force everywhere" })
+        Err(DemoError::ExpectationFailed { what: "the change is in force everywhere" })
     }
 
     fn planned_stop(&mut self) -> Result<(), DemoError> {
         self.reporter.chapter("The node that holds the session stops as planned, with a request in flight");
         for id in self.fleet.searchers_of("clauses") {
-            self.control(id, ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 300 }, calls: Some(1) });
+            self.control_searcher(
+                id,
+                ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 300 }, calls: Some(1) },
+            );
         }
         let client = self.client.clone();
         let session = self.session;
         let statement = "SEARCH 'warranty' IN SERVICE clauses LIMIT 1";
         let in_flight = std::thread::spawn(move || client.query(session, statement));
         std::thread::sleep(Duration::from_millis(60));
-        let node = self.fleet.nodes[0].take().ok_or(DemoError::NotShown { what: "a node to stop" })?;
+        let node = self.fleet.nodes[0].take().ok_or(DemoError::ExpectationFailed { what: "a node to stop" })?;
         node.begin_stop();
-        let reply = in_flight.join().map_err(|_| DemoError::NotShown { what: "the request in flight ends" })??;
+        let reply =
+            in_flight.join().map_err(|_| DemoError::ExpectationFailed { what: "the request in flight ends" })??;
         self.reporter.reply("planned stop", statement, &reply);
         let Some(next) = reply.moved_to else {
-            return Err(DemoError::NotShown { what: "the reply names the node to turn to" });
+            return Err(DemoError::ExpectationFailed { what: "the reply names the node to turn to" });
         };
         self.reporter.note(&format!("the reply names {next}; the same session goes on there:"));
         self.client = NodeClient::new(next);
-        self.ask("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
+        self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         node.wait();
         self.reporter.note("the stopped node has ended; nothing in flight was cut");
-        self.ask("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
+        self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         Ok(())
     }
 
-    fn control(&self, id: SearcherId, command: ControlCommand) {
+    fn control_searcher(&self, id: SearcherId, command: ControlCommand) {
         if let Some(searcher) = self.fleet.searchers.get(&id) {
             searcher.control(command);
         }
@@ -317,7 +321,7 @@
 }
 
 /// Returns the documents of the next version. Each title is marked with the version.
-fn amend(corpus: &Corpus) -> Corpus {
+fn mark_as_amended(corpus: &Corpus) -> Corpus {
     let mut amended = corpus.clone();
     for document in &mut amended.documents {
         document.title.push_str(" [version 2]");
--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -50,7 +50,7 @@
     /// Documents that the searchers hold.
     pub corpus: Corpus,
     /// Time that a searcher works on each call.
-    pub work: Duration,
+    pub work_time: Duration,
 }
 
 /// Describes a fleet to start.
@@ -75,7 +75,7 @@
     /// Nodes by index. A node that is taken out to be stopped leaves `None`.
     pub nodes: Vec<Option<Node>>,
     /// Address of each node for callers, by index.
-    pub callers: Vec<SocketAddr>,
+    pub caller_addresses: Vec<SocketAddr>,
     /// Document that was published last.
     pub document: PlatformDocument,
     /// Settings of each node, by index. A replacement can be started with them.
@@ -115,7 +115,7 @@
             platform,
             searchers,
             nodes: Vec::new(),
-            callers: settings.iter().map(|settings| settings.node.listen).collect(),
+            caller_addresses: settings.iter().map(|settings| settings.node.listen).collect(),
             document,
             settings,
             plan,
@@ -129,13 +129,13 @@
 
     /// Returns a client of the node at `index`.
     pub fn client(&self, index: usize) -> NodeClient {
-        NodeClient::new(self.callers[index])
+        NodeClient::new(self.caller_addresses[index])
     }
 
     /// Waits until every node reports that it is ready, sees all nodes alive and lists all searchers as serving.
     pub fn wait_ready(&self) -> Result<(), FleetError> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        for index in 0..self.callers.len() {
+        for index in 0..self.caller_addresses.len() {
             while !self.is_ready(index) {
                 if Instant::now() >= deadline {
                     return Err(FleetError::NotReady { what: format!("node {index}") });
@@ -167,7 +167,7 @@
     }
 
     /// Makes one searcher load its shards of the snapshot of `map`, if it is listed for the service.
-    pub fn publish_at(&self, id: SearcherId, service: &str, corpus: &Corpus, map: &ShardMap) {
+    pub fn load_snapshot_at(&self, id: SearcherId, service: &str, corpus: &Corpus, map: &ShardMap) {
         let Some(searcher) = self.searchers.get(&id) else {
             return;
         };
@@ -175,7 +175,7 @@
             definition.name.0 == service && definition.searchers.iter().any(|searcher| searcher.id == id)
         });
         if is_listed {
-            searcher.publish(map.snapshot, corpus, &held_shards(map, id), map.shards.len());
+            searcher.publish(map.snapshot, corpus, &assigned_shards(map, id), map.shards.len());
         }
     }
 
@@ -186,19 +186,19 @@
     }
 
     /// Returns a shard map for a snapshot, with the replica count of the service's plan.
-    pub fn make_map(&self, service: &str, snapshot: Snapshot, shards: u32) -> ShardMap {
+    pub fn make_shard_map(&self, service: &str, snapshot: Snapshot, shards: u32) -> ShardMap {
         let replicas = self.plan.services.iter().find(|plan| plan.name == service).map_or(1, |plan| plan.replicas);
         place_shards(snapshot, shards, replicas, &self.searchers_of(service))
     }
 
     /// Replaces the document and publishes it, as an operator does.
-    pub fn publish(&mut self, document: PlatformDocument) {
+    pub fn publish_document(&mut self, document: PlatformDocument) {
         self.document = document;
         self.platform.publish(self.document.clone());
     }
 
     /// Replaces the shard maps of a service and publishes the document as a new revision.
-    pub fn publish_maps(&mut self, service: &str, maps: Vec<ShardMap>) {
+    pub fn publish_shard_maps(&mut self, service: &str, maps: Vec<ShardMap>) {
         self.document.revision += 1;
         for definition in &mut self.document.services {
             if definition.name.0 == service {
@@ -209,27 +209,27 @@
     }
 
     /// Returns the shard maps of a service in the document that was published last.
-    pub fn maps_of(&self, service: &str) -> Vec<ShardMap> {
+    pub fn shard_maps_of(&self, service: &str) -> Vec<ShardMap> {
         let definition = self.document.services.iter().find(|definition| definition.name.0 == service);
         definition.map_or(Vec::new(), |definition| definition.shard_maps.clone())
     }
 }
 
 /// Returns the shards that a map assigns to a searcher.
-pub fn held_shards(map: &ShardMap, id: SearcherId) -> Vec<ShardId> {
-    let held = map.shards.iter().filter(|placement| placement.replicas.contains(&id));
-    held.map(|placement| placement.shard).collect()
+pub fn assigned_shards(map: &ShardMap, id: SearcherId) -> Vec<ShardId> {
+    let assigned = map.shards.iter().filter(|placement| placement.replicas.contains(&id));
+    assigned.map(|placement| placement.shard).collect()
 }
 
 /// Assigns the replicas of each shard to consecutive searchers, starting one searcher further for each shard.
 pub fn place_shards(snapshot: Snapshot, shards: u32, replicas: u32, searchers: &[SearcherId]) -> ShardMap {
-    let place = |shard: u32| {
+    let place_shard = |shard: u32| {
         let replicas = replicas.min(searchers.len() as u32);
         let start = shard as usize;
         let chosen = (0..replicas as usize).map(|step| searchers[(start + step) % searchers.len()]).collect();
         ShardPlacement { shard: ShardId(shard), replicas: chosen }
     };
-    ShardMap { snapshot, shards: (0..shards).map(place).collect() }
+    ShardMap { snapshot, shards: (0..shards).map(place_shard).collect() }
 }
 
 fn make_document(plan: &FleetPlan) -> std::io::Result<PlatformDocument> {
@@ -273,12 +273,12 @@
                 slots: searcher.slots,
                 queue: searcher.slots,
                 connections: searcher.connections,
-                work: service.work,
+                work: service.work_time,
                 cold: Duration::ZERO,
             };
             let standin = SearcherStandin::start(settings)?;
             for map in &definition.shard_maps {
-                standin.publish(map.snapshot, &service.corpus, &held_shards(map, searcher.id), map.shards.len());
+                standin.publish(map.snapshot, &service.corpus, &assigned_shards(map, searcher.id), map.shards.len());
             }
             running.insert(searcher.id, standin);
         }
--- a/crates/session/staircross-lab/src/fuzz/reference.rs
+++ b/crates/session/staircross-lab/src/fuzz/reference.rs
@@ -8,15 +8,15 @@
 use std::marker::PhantomData;
 
 /// An operation that the fuzz test can generate.
-pub trait Generated: Clone + Debug + 'static {
+pub trait GeneratedOperation: Clone + Debug + 'static {
     /// Returns the strategy that generates one operation.
-    fn generate() -> BoxedStrategy<Self>;
+    fn strategy() -> BoxedStrategy<Self>;
 }
 
 /// A reference state machine whose state is a random seed and which allows any operation at any time.
-pub struct SeedAnd<O>(PhantomData<O>);
+pub struct SeedOnlyReference<O>(PhantomData<O>);
 
-impl<O: Generated> ReferenceStateMachine for SeedAnd<O> {
+impl<O: GeneratedOperation> ReferenceStateMachine for SeedOnlyReference<O> {
     type State = u64;
     type Transition = O;
 
@@ -25,7 +25,7 @@
     }
 
     fn transitions(_seed: &u64) -> BoxedStrategy<O> {
-        O::generate()
+        O::strategy()
     }
 
     fn apply(seed: u64, _operation: &O) -> u64 {
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -4,11 +4,11 @@
 //! repeat. Numbers in operations are taken modulo the number of sessions, nodes, searchers or intents that exist. Every
 //! sequence is therefore valid, and shrinking can remove any operation.
 
-use super::reference::{Generated, SeedAnd};
+use super::reference::{GeneratedOperation, SeedOnlyReference};
 use super::summary::FuzzSummary;
 use crate::sim::network::Delays;
 use crate::sim::world::SimService;
-use crate::sim::{Place, ReplyFault, Violation, WorkTime, World, WorldSettings, check_history};
+use crate::sim::{Endpoint, ReplyFault, Violation, WorkTime, World, WorldSettings, check_history};
 use proptest::prelude::*;
 use serde::{Deserialize, Serialize};
 use staircross_config::{Priority, ServicePolicy};
@@ -126,7 +126,7 @@
 }
 
 /// Returns the strategy that generates one operation.
-pub fn operation() -> BoxedStrategy<Operation> {
+pub fn operation_strategy() -> BoxedStrategy<Operation> {
     let requests = prop_oneof![
         6 => (any::<u8>(), any::<bool>()).prop_map(|(session, latency_first)| Operation::Search { session, latency_first }),
         3 => any::<u8>().prop_map(|session| Operation::Act { session }),
@@ -180,17 +180,17 @@
     prop_oneof![8 => requests, 3 => index_changes, 3 => searcher_faults, 2 => node_faults, 5 => time].boxed()
 }
 
-impl Generated for Operation {
-    fn generate() -> BoxedStrategy<Self> {
-        operation()
+impl GeneratedOperation for Operation {
+    fn strategy() -> BoxedStrategy<Self> {
+        operation_strategy()
     }
 }
 
 /// Reference state machine of the fuzz test.
-pub type RequestModel = SeedAnd<Operation>;
+pub type RequestModel = SeedOnlyReference<Operation>;
 
 /// System under test: a simulated fleet with a few open sessions.
-pub struct RequestRun {
+pub struct RequestHarness {
     /// Simulated fleet.
     pub world: World,
     sessions: Vec<usize>,
@@ -203,10 +203,10 @@
 const ACTION_SERVICE: &str = "bookings";
 const SESSIONS: usize = 4;
 /// Time at the end of a case for everything to finish. It covers the longest wait bound, pause and probe together.
-const FINISH: Duration = Duration::from_secs(8);
+const FINISH_TIME: Duration = Duration::from_secs(8);
 
 /// Returns the settings of a small fleet with three nodes in three zones and three services.
-pub fn settings() -> WorldSettings {
+pub fn fleet_settings() -> WorldSettings {
     let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_copies: BTreeMap::new() };
     let search = ServicePolicy {
         wait_ms: 400,
@@ -242,12 +242,12 @@
     }
 }
 
-impl RequestRun {
+impl RequestHarness {
     /// Starts a fleet and opens the sessions.
     pub fn new(seed: u64) -> Self {
-        let mut world = World::new(settings(), seed);
+        let mut world = World::new(fleet_settings(), seed);
         let sessions = (0..SESSIONS).map(|index| world.open_session(index % 3)).collect();
-        RequestRun { world, sessions, summary: FuzzSummary::default() }
+        RequestHarness { world, sessions, summary: FuzzSummary::default() }
     }
 
     /// Counts and applies one operation, and lets a little time pass.
@@ -256,14 +256,14 @@
         if let Some(kind) = operation.fault_kind() {
             self.summary.count(kind);
         }
-        self.do_operation(operation);
+        self.dispatch_operation(operation);
         self.world.run_for(Duration::from_micros(300));
     }
 
-    fn do_operation(&mut self, operation: &Operation) {
+    fn dispatch_operation(&mut self, operation: &Operation) {
         let world = &mut self.world;
         let millis = |millis: &u16| Duration::from_millis(u64::from(*millis));
-        let service_number = |latency_first: &bool| usize::from(*latency_first);
+        let service_index = |latency_first: &bool| usize::from(*latency_first);
         match operation {
             Operation::Search { session, latency_first } => {
                 let name = if *latency_first { LATENCY_SERVICE } else { COVERAGE_SERVICE };
@@ -273,17 +273,19 @@
                 world.act(self.sessions[usize::from(*session) % SESSIONS], &ServiceName::new(ACTION_SERVICE));
             }
             Operation::Repeat { intent } => {
-                if world.intents() > 0 {
-                    world.send_intent(usize::from(*intent) % world.intents());
+                if world.intent_count() > 0 {
+                    world.send_intent(usize::from(*intent) % world.intent_count());
                 }
             }
-            Operation::Publish { latency_first } => world.publish(service_number(latency_first), None),
-            Operation::Repartition { shards } => world.publish(0, Some(u32::from(*shards))),
-            Operation::TakeUp { searcher } => world.take_up(usize::from(*searcher)),
-            Operation::TakeUpEverywhere => (0..world.searcher_count()).for_each(|index| world.take_up(index)),
-            Operation::Retire { searcher } => world.retire(usize::from(*searcher)),
-            Operation::Unlist { latency_first } => world.unlist(service_number(latency_first)),
-            Operation::Drain { searcher, misleads } => world.drain(usize::from(*searcher), *misleads),
+            Operation::Publish { latency_first } => world.publish_snapshot(service_index(latency_first), None),
+            Operation::Repartition { shards } => world.publish_snapshot(0, Some(u32::from(*shards))),
+            Operation::TakeUp { searcher } => world.load_listed_snapshots(usize::from(*searcher)),
+            Operation::TakeUpEverywhere => {
+                (0..world.searcher_count()).for_each(|index| world.load_listed_snapshots(index))
+            }
+            Operation::Retire { searcher } => world.drop_oldest_snapshot(usize::from(*searcher)),
+            Operation::Unlist { latency_first } => world.unlist_oldest_snapshot(service_index(latency_first)),
+            Operation::Drain { searcher, misleads } => world.drain_searcher(usize::from(*searcher), *misleads),
             Operation::ListLeaving { searcher } => world.list_leaving(usize::from(*searcher)),
             Operation::CrashSearcher { searcher } => world.crash_searcher(usize::from(*searcher)),
             Operation::RestartSearcher { searcher } => world.restart_searcher(usize::from(*searcher)),
@@ -302,25 +304,25 @@
                 let count = world.node_count();
                 let (from, to) = (usize::from(*from) % count, usize::from(*to) % count);
                 if from != to {
-                    world.cut(Place::Node(from), Place::Node(to), *both);
+                    world.cut_network(Endpoint::Node(from), Endpoint::Node(to), *both);
                 }
             }
             Operation::CutSearcher { node, searcher, both, to_node } => {
-                let node = Place::Node(usize::from(*node) % world.node_count());
-                let searcher = Place::Searcher(usize::from(*searcher) % world.searcher_count());
+                let node = Endpoint::Node(usize::from(*node) % world.node_count());
+                let searcher = Endpoint::Searcher(usize::from(*searcher) % world.searcher_count());
                 let (from, to) = if *to_node { (searcher, node) } else { (node, searcher) };
-                world.cut(from, to, *both);
+                world.cut_network(from, to, *both);
             }
-            Operation::Heal => world.heal(),
-            Operation::CallerLeaves { node } => world.caller_leaves(usize::from(*node)),
+            Operation::Heal => world.heal_network(),
+            Operation::CallerLeaves { node } => world.disconnect_oldest_caller(usize::from(*node)),
             Operation::Wait { millis: span } => world.run_for(millis(span)),
         }
     }
 
     /// Removes network cuts, lets all requests finish and returns the violations that the oracle finds.
     pub fn finish(&mut self) -> Vec<Violation> {
-        self.world.heal();
-        self.world.run_for(FINISH);
+        self.world.heal_network();
+        self.world.run_for(FINISH_TIME);
         self.summary.cases += 1;
         self.summary.add_history(&self.world.history);
         check_history(&self.world.history)
--- a/crates/session/staircross-lab/src/fuzz/runner.rs
+++ b/crates/session/staircross-lab/src/fuzz/runner.rs
@@ -1,7 +1,7 @@
 //! Runs many cases of the fuzz test on all cores and shrinks the operations of failing cases.
 
-use super::request_model::{Operation, RequestModel, RequestRun};
-use super::summary::{FoundViolation, FuzzSummary, texts};
+use super::request_model::{Operation, RequestHarness, RequestModel};
+use super::summary::{FoundViolation, FuzzSummary, violation_texts};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 use proptest_state_machine::ReferenceStateMachine;
 use staircross_types::body_digest;
@@ -21,12 +21,12 @@
 
 /// Runs one case and returns its counts and the violations as text.
 fn run_case(seed: u64, operations: &[Operation]) -> (FuzzSummary, Vec<String>) {
-    let mut run = RequestRun::new(seed);
+    let mut harness = RequestHarness::new(seed);
     for operation in operations {
-        run.apply(operation);
+        harness.apply(operation);
     }
-    let violations = run.finish();
-    (run.summary, texts(&violations))
+    let violations = harness.finish();
+    (harness.summary, violation_texts(&violations))
 }
 
 /// Runs the cases on all cores. Each thread has its own seed, so the result does not depend on timing.
@@ -37,7 +37,7 @@
         let handles: Vec<_> = (0..parts)
             .map(|part| {
                 let cases = options.cases / parts + u32::from(part < options.cases % parts);
-                scope.spawn(move || run_fraction(options, part, cases))
+                scope.spawn(move || run_part(options, part, cases))
             })
             .collect();
         handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
@@ -51,7 +51,8 @@
     total
 }
 
-fn run_fraction(options: FuzzOptions, part: u32, cases: u32) -> FuzzSummary {
+/// Runs the cases of one thread. The summary has the first failing case, with its operations shrunk.
+fn run_part(options: FuzzOptions, part: u32, cases: u32) -> FuzzSummary {
     let summary = RefCell::new(FuzzSummary::default());
     let config = Config { cases, failure_persistence: None, max_shrink_iters: 4000, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed_bytes(options.seed, part));
@@ -82,6 +83,7 @@
     summary
 }
 
+/// Returns the seed of the random generator of one thread.
 fn seed_bytes(seed: u64, part: u32) -> [u8; 32] {
     let mut bytes = [0_u8; 32];
     bytes[..8].copy_from_slice(&seed.to_be_bytes());
--- a/crates/session/staircross-lab/src/fuzz/summary.rs
+++ b/crates/session/staircross-lab/src/fuzz/summary.rs
@@ -67,11 +67,11 @@
                 Outcome::Acted(_) => {}
             }
         }
-        self.actions += history.runs.iter().filter(|run| run.note.is_some()).count() as u64;
+        self.actions += history.executions.iter().filter(|execution| execution.note.is_some()).count() as u64;
     }
 }
 
 /// Returns the violations as text.
-pub fn texts(violations: &[Violation]) -> Vec<String> {
+pub fn violation_texts(violations: &[Violation]) -> Vec<String> {
     violations.iter().map(ToString::to_string).collect()
 }
--- a/crates/session/staircross-lab/src/report.rs
+++ b/crates/session/staircross-lab/src/report.rs
@@ -11,7 +11,7 @@
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct ReplyLine<'a> {
     chapter: &'a str,
     statement: &'a str,
     #[serde(flatten)]
@@ -39,7 +39,7 @@
             println!("{statement}\n   {}", describe(reply));
             return;
         }
-        match serde_json::to_string(&Line { chapter, statement, reply }) {
+        match serde_json::to_string(&ReplyLine { chapter, statement, reply }) {
             Ok(line) => println!("{line}"),
             Err(error) => eprintln!("unprintable reply: {error}"),
         }
--- a/crates/session/staircross-lab/src/sim.rs
+++ b/crates/session/staircross-lab/src/sim.rs
@@ -14,7 +14,7 @@
 pub mod searcher;
 pub mod world;
 
-pub use network::Place;
+pub use network::Endpoint;
 pub use oracle::{Violation, check_history};
 pub use records::{History, RequestRecord};
 pub use searcher::{ReplyFault, WorkTime};
--- a/crates/session/staircross-lab/src/sim/network.rs
+++ b/crates/session/staircross-lab/src/sim/network.rs
@@ -7,7 +7,7 @@
 
 /// A sender or receiver of messages, by its index in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Place {
+pub enum Endpoint {
     /// Index of a node.
     Node(usize),
     /// Index of a searcher.
@@ -18,16 +18,20 @@
 #[derive(Clone, Debug)]
 pub struct Delays {
     /// Delay within a zone.
-    pub near: Duration,
+    pub same_zone: Duration,
     /// Delay between zones.
-    pub far: Duration,
+    pub cross_zone: Duration,
     /// Upper bound of the random delay that is added to each message.
-    pub jitter: Duration,
+    pub max_jitter: Duration,
 }
 
 impl Default for Delays {
     fn default() -> Self {
-        Delays { near: Duration::from_micros(200), far: Duration::from_millis(1), jitter: Duration::from_micros(200) }
+        Delays {
+            same_zone: Duration::from_micros(200),
+            cross_zone: Duration::from_millis(1),
+            max_jitter: Duration::from_micros(200),
+        }
     }
 }
 
@@ -35,7 +39,7 @@
 #[derive(Default)]
 pub struct Network {
     delays: Delays,
-    cuts: BTreeSet<(Place, Place)>,
+    cuts: BTreeSet<(Endpoint, Endpoint)>,
 }
 
 impl Network {
@@ -45,7 +49,7 @@
     }
 
     /// Drops all further messages in one direction.
-    pub fn cut(&mut self, from: Place, to: Place) {
+    pub fn cut(&mut self, from: Endpoint, to: Endpoint) {
         self.cuts.insert((from, to));
     }
 
@@ -55,14 +59,14 @@
     }
 
     /// Returns whether a message that is sent now gets through.
-    pub fn is_open(&self, from: Place, to: Place) -> bool {
+    pub fn can_deliver(&self, from: Endpoint, to: Endpoint) -> bool {
         !self.cuts.contains(&(from, to))
     }
 
     /// Draws the delay of one message.
-    pub fn delay(&self, same_zone: bool, random: &mut ChaCha8Rng) -> Duration {
-        let base = if same_zone { self.delays.near } else { self.delays.far };
-        let jitter = self.delays.jitter.as_micros() as u64;
-        base + Duration::from_micros(random.random_range(0..=jitter))
+    pub fn draw_delay(&self, is_same_zone: bool, random: &mut ChaCha8Rng) -> Duration {
+        let base = if is_same_zone { self.delays.same_zone } else { self.delays.cross_zone };
+        let max_jitter = self.delays.max_jitter.as_micros() as u64;
+        base + Duration::from_micros(random.random_range(0..=max_jitter))
     }
 }
--- a/crates/session/staircross-lab/src/sim/oracle.rs
+++ b/crates/session/staircross-lab/src/sim/oracle.rs
@@ -43,54 +43,55 @@
 
 /// Checks a history and returns all violations.
 pub fn check_history(history: &History) -> Vec<Violation> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for record in history.requests.values() {
-        check_one_final_word(history, record, &mut found);
+        check_single_outcome(history, record, &mut violations);
         for (_, outcome) in &record.outcomes {
             match outcome {
-                Outcome::Answer(answer) => check_answer(history, record, answer, &mut found),
-                Outcome::Acted(_) => check_acted(history, record, &mut found),
+                Outcome::Answer(answer) => check_answer(history, record, answer, &mut violations),
+                Outcome::Acted(_) => check_receipt(history, record, &mut violations),
                 Outcome::Refusal(refusal) if refusal.kind.executed() == Executed::Never => {
-                    check_never_ran(history, record, &mut found);
+                    check_not_executed(history, record, &mut violations);
                 }
                 Outcome::Refusal(_) => {}
             }
         }
     }
-    check_at_most_once(history, &mut found);
-    check_floors(history, &mut found);
-    for arrival in history.late_arrivals.iter().filter(|arrival| arrival.after_ms > LEAVING_GRACE_MS) {
+    check_at_most_once(history, &mut violations);
+    check_snapshot_order(history, &mut violations);
+    for arrival in history.leaving_arrivals.iter().filter(|arrival| arrival.after_ms > LEAVING_GRACE_MS) {
         let what =
             format!("searcher {} got new work {} ms after it began to leave", arrival.searcher, arrival.after_ms);
-        found.push(Violation { promise: 6, what });
+        violations.push(Violation { promise: 6, what });
     }
-    for cut in &history.cut_offs {
+    for stop in &history.unclean_stops {
         let what =
-            format!("a planned stop interrupted {} requests and {} sub-requests", cut.requests, cut.sub_requests);
-        found.push(Violation { promise: 7, what });
+            format!("a planned stop interrupted {} requests and {} sub-requests", stop.requests, stop.sub_requests);
+        violations.push(Violation { promise: 7, what });
     }
-    if history.unknown_outcomes > 0 {
-        let what = format!("{} outcomes for requests that no caller made", history.unknown_outcomes);
-        found.push(Violation { promise: 3, what });
+    if history.unmatched_outcomes > 0 {
+        let what = format!("{} outcomes for requests that no caller made", history.unmatched_outcomes);
+        violations.push(Violation { promise: 3, what });
     }
-    found
+    violations
 }
 
-fn check_one_final_word(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
+fn check_single_outcome(history: &History, record: &RequestRecord, violations: &mut Vec<Violation>) {
     let request = record.request;
     if record.outcomes.len() > 1 {
-        found.push(Violation { promise: 3, what: format!("request {request} got {} outcomes", record.outcomes.len()) });
+        violations
+            .push(Violation { promise: 3, what: format!("request {request} got {} outcomes", record.outcomes.len()) });
     }
-    let is_overdue = record.outcomes.is_empty() && !record.holder_crashed && history.ended > record.due;
+    let is_overdue = record.outcomes.is_empty() && !record.node_crashed && history.ended_at > record.outcome_due;
     if is_overdue {
-        found.push(Violation { promise: 0, what: format!("request {request} got no outcome") });
+        violations.push(Violation { promise: 0, what: format!("request {request} got no outcome") });
     }
 }
 
-fn check_answer(history: &History, record: &RequestRecord, answer: &Answer, found: &mut Vec<Violation>) {
+fn check_answer(history: &History, record: &RequestRecord, answer: &Answer, violations: &mut Vec<Violation>) {
     let request = record.request;
     let mut flag =
-        |promise: u8, what: String| found.push(Violation { promise, what: format!("request {request}: {what}") });
+        |promise: u8, what: String| violations.push(Violation { promise, what: format!("request {request}: {what}") });
     let Work::Search(query) = &record.work else {
         flag(3, "an action got a search answer".to_owned());
         return;
@@ -102,21 +103,14 @@
         return;
     };
     let expected: Vec<ShardId> = map.shards.iter().map(|placement| placement.shard).collect();
-    let mut told: Vec<ShardId> = answer.coverage.included.clone();
-    told.extend(answer.coverage.missing.iter().map(|missing| missing.shard));
-    told.sort_unstable();
-    if told != expected {
-        flag(2, format!("coverage lists {told:?}, the snapshot has {expected:?}"));
+    let mut listed: Vec<ShardId> = answer.coverage.included.clone();
+    listed.extend(answer.coverage.missing.iter().map(|missing| missing.shard));
+    listed.sort_unstable();
+    if listed != expected {
+        flag(2, format!("coverage lists {listed:?}, the snapshot has {expected:?}"));
     }
     if answer.matched != answer.coverage.included.len() as u64 {
-        flag(
-            2,
-            format!(
-                "the answer counts {} documents, {} shards are included",
-                answer.matched,
-                answer.coverage.included.len()
-            ),
-        );
+        flag(2, format!("{} documents for {} included shards", answer.matched, answer.coverage.included.len()));
     }
 
     // Promises 1, 2 and 3: every hit comes from the answer's snapshot, from an included shard and from this request.
@@ -134,59 +128,58 @@
         }
     }
     if seen.len() != answer.coverage.included.len() {
-        flag(
-            2,
-            format!("{} shards are included, hits come from {} shards", answer.coverage.included.len(), seen.len()),
-        );
+        flag(2, format!("{} shards included but {} with hits", answer.coverage.included.len(), seen.len()));
     }
 
     // Promise 1: the history has an execution of each included shard for this request at that snapshot.
-    let ran: BTreeSet<ShardId> = runs_of(history, request)
-        .filter(|run| run.snapshot == answer.snapshot)
-        .flat_map(|run| run.shards.iter().copied())
+    let executed_shards: BTreeSet<ShardId> = executions_of(history, request)
+        .filter(|execution| execution.snapshot == answer.snapshot)
+        .flat_map(|execution| execution.shards.iter().copied())
         .collect();
-    for shard in answer.coverage.included.iter().filter(|shard| !ran.contains(shard)) {
+    for shard in answer.coverage.included.iter().filter(|shard| !executed_shards.contains(shard)) {
         flag(1, format!("shard {shard} is included but did not run at snapshot {}", answer.snapshot));
     }
 }
 
-fn check_acted(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
+fn check_receipt(history: &History, record: &RequestRecord, violations: &mut Vec<Violation>) {
     let Work::Act(command) = &record.work else {
-        found.push(Violation {
+        violations.push(Violation {
             promise: 3,
             what: format!("request {}: a search got the receipt of an action", record.request),
         });
         return;
     };
-    let ran = history.runs.iter().any(|run| run.note.as_ref() == Some(&command.note));
-    if !ran {
-        found.push(Violation {
+    let was_executed = history.executions.iter().any(|execution| execution.note.as_ref() == Some(&command.note));
+    if !was_executed {
+        violations.push(Violation {
             promise: 3,
             what: format!("request {}: got a receipt for an action that did not run", record.request),
         });
     }
 }
 
-fn check_never_ran(history: &History, record: &RequestRecord, found: &mut Vec<Violation>) {
-    if let Some(run) = runs_of(history, record.request).next() {
-        let what =
-            format!("request {} was refused as never executed but ran at searcher {}", record.request, run.searcher);
-        found.push(Violation { promise: 4, what });
+fn check_not_executed(history: &History, record: &RequestRecord, violations: &mut Vec<Violation>) {
+    if let Some(execution) = executions_of(history, record.request).next() {
+        let what = format!(
+            "request {} was refused as never executed but ran at searcher {}",
+            record.request, execution.searcher
+        );
+        violations.push(Violation { promise: 4, what });
     }
 }
 
-fn check_at_most_once(history: &History, found: &mut Vec<Violation>) {
+fn check_at_most_once(history: &History, violations: &mut Vec<Violation>) {
     let mut counts: BTreeMap<&String, usize> = BTreeMap::new();
-    for note in history.runs.iter().filter_map(|run| run.note.as_ref()) {
+    for note in history.executions.iter().filter_map(|execution| execution.note.as_ref()) {
         *counts.entry(note).or_default() += 1;
     }
     for (note, count) in counts.into_iter().filter(|(_, count)| *count > 1) {
-        found.push(Violation { promise: 5, what: format!("action {note} ran {count} times") });
+        violations.push(Violation { promise: 5, what: format!("action {note} ran {count} times") });
     }
 }
 
 /// Checks that no request sees an older snapshot than an answer that its session got before the request was made.
-fn check_floors(history: &History, found: &mut Vec<Violation>) {
+fn check_snapshot_order(history: &History, violations: &mut Vec<Violation>) {
     let answers: Vec<(&RequestRecord, staircross_types::BootTime, &Answer)> = history
         .requests
         .values()
@@ -199,7 +192,7 @@
         .collect();
     for (later, _, newer) in &answers {
         let before = answers.iter().filter(|(earlier, at, _)| {
-            earlier.session == later.session && earlier.service == later.service && *at < later.submitted
+            earlier.session == later.session && earlier.service == later.service && *at < later.submitted_at
         });
         for (earlier, _, older) in before {
             if newer.snapshot < older.snapshot {
@@ -207,14 +200,14 @@
                     "request {} saw snapshot {} after request {} of the session had seen {}",
                     later.request, newer.snapshot, earlier.request, older.snapshot
                 );
-                found.push(Violation { promise: 1, what });
+                violations.push(Violation { promise: 1, what });
             }
         }
     }
 }
 
-fn runs_of(history: &History, request: RequestId) -> impl Iterator<Item = &super::records::RunRecord> {
-    history.runs.iter().filter(move |run| run.attempt.request == request)
+fn executions_of(history: &History, request: RequestId) -> impl Iterator<Item = &super::records::ExecutionRecord> {
+    history.executions.iter().filter(move |execution| execution.attempt.request == request)
 }
 
 /// Returns the id of the one document of a simulated shard that matches a search.
--- a/crates/session/staircross-lab/src/sim/records.rs
+++ b/crates/session/staircross-lab/src/sim/records.rs
@@ -23,19 +23,19 @@
     /// Ticket of an action; `None` for a search.
     pub ticket: Option<Ticket>,
     /// Time at which the caller sent the request.
-    pub submitted: BootTime,
+    pub submitted_at: BootTime,
     /// All outcomes that the root reported, in order, with their times. More than one is a violation.
     pub outcomes: Vec<(BootTime, Outcome)>,
     /// Whether the node that held the request crashed before it reported an outcome.
-    pub holder_crashed: bool,
+    pub node_crashed: bool,
     /// Time after which a request without an outcome is a violation. Pauses of the node that holds the request extend
     /// it.
-    pub due: BootTime,
+    pub outcome_due: BootTime,
 }
 
 /// One sub-request that a searcher executed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunRecord {
+pub struct ExecutionRecord {
     /// Attempt that the sub-request belongs to.
     pub attempt: AttemptId,
     /// Searcher that executed the sub-request.
@@ -50,7 +50,7 @@
 
 /// A sub-request that reached a searcher after it had begun to leave.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LateArrival {
+pub struct LeavingArrival {
     /// Searcher that the sub-request reached.
     pub searcher: SearcherId,
     /// Time since the searcher began to leave, in milliseconds.
@@ -59,7 +59,7 @@
 
 /// A planned stop that ended the node while work was in flight.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CutOff {
+pub struct UncleanStop {
     /// Number of requests that had no outcome when the node ended.
     pub requests: usize,
     /// Number of calls to searchers without a reply when the node ended.
@@ -72,15 +72,15 @@
     /// All requests of callers, by id.
     pub requests: BTreeMap<RequestId, RequestRecord>,
     /// All sub-requests that searchers executed, in the order in which they started.
-    pub runs: Vec<RunRecord>,
+    pub executions: Vec<ExecutionRecord>,
     /// All shard maps that were published at any time, by service and snapshot.
     pub maps: BTreeMap<(ServiceName, Snapshot), ShardMap>,
     /// Sub-requests that reached searchers after they had begun to leave, early and late ones.
-    pub late_arrivals: Vec<LateArrival>,
+    pub leaving_arrivals: Vec<LeavingArrival>,
     /// Planned stops that ended a node while work was in flight.
-    pub cut_offs: Vec<CutOff>,
+    pub unclean_stops: Vec<UncleanStop>,
     /// Number of outcomes for requests that no caller made.
-    pub unknown_outcomes: usize,
+    pub unmatched_outcomes: usize,
     /// Time up to which the simulation has run.
-    pub ended: BootTime,
+    pub ended_at: BootTime,
 }
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -1,7 +1,7 @@
 //! Simulated searchers, with slots, a queue, snapshots, draining, cold starts, slow shards and scripted reply faults.
 
 use super::oracle::simulated_hit;
-use super::records::RunRecord;
+use super::records::ExecutionRecord;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use staircross_search::{ActionReceipt, Evidence, NotRunReason, SubOutcome, SubReply, SubRequest, Work};
@@ -52,7 +52,7 @@
 }
 
 /// Decision of a searcher about an arriving sub-request.
-pub enum Arrival {
+pub enum Admission {
     /// The sub-request starts, and its reply is ready after this time.
     Started(Duration),
     /// The sub-request waits for a free slot.
@@ -75,17 +75,17 @@
     /// endpoint hides the drain, this is the time at which a node first gets a refusal because of the drain.
     pub leaving_since: Option<BootTime>,
     /// Whether the searcher drains and refuses new work. It does not when only the platform lists it as leaving.
-    pub refuses: bool,
+    pub is_draining: bool,
     /// Whether the state endpoint hides that the searcher drains.
-    pub misleads: bool,
+    pub hides_draining: bool,
     /// End of the current pause of the process.
     pub paused_until: BootTime,
     /// Shards that the searcher holds, by snapshot.
-    pub held: BTreeMap<Snapshot, BTreeSet<ShardId>>,
+    pub shards_by_snapshot: BTreeMap<Snapshot, BTreeSet<ShardId>>,
     /// Number of sub-requests that run at a time.
     pub slots: usize,
     /// Number of sub-requests that may wait for a slot.
-    pub queue_bound: usize,
+    pub queue_capacity: usize,
     /// Number of sub-requests that are running.
     pub active: usize,
     /// Sub-requests that wait for a slot, each with the index of the node to reply to and its deadline.
@@ -95,8 +95,8 @@
     /// End of the time after a restart during which work takes longer.
     pub cold_until: BootTime,
     /// Faults of the next replies, one for each reply.
-    pub faults: VecDeque<ReplyFault>,
-    next_entry: u64,
+    pub reply_faults: VecDeque<ReplyFault>,
+    last_entry: u64,
 }
 
 /// Factor by which work takes longer after a restart.
@@ -111,18 +111,18 @@
             zone,
             is_up: true,
             leaving_since: None,
-            refuses: false,
-            misleads: false,
+            is_draining: false,
+            hides_draining: false,
             paused_until: BootTime::default(),
-            held: BTreeMap::new(),
+            shards_by_snapshot: BTreeMap::new(),
             slots,
-            queue_bound: slots,
+            queue_capacity: slots,
             active: 0,
             queue: VecDeque::new(),
             work_time,
             cold_until: BootTime::default(),
-            faults: VecDeque::new(),
-            next_entry: 0,
+            reply_faults: VecDeque::new(),
+            last_entry: 0,
         }
     }
 
@@ -131,8 +131,8 @@
         self.incarnation.0 += 1;
         self.is_up = true;
         self.leaving_since = None;
-        self.refuses = false;
-        self.misleads = false;
+        self.is_draining = false;
+        self.hides_draining = false;
         self.active = 0;
         self.queue.clear();
         self.cold_until = now + Duration::from_secs(2);
@@ -142,47 +142,47 @@
     pub fn evidence(&self) -> Evidence {
         Evidence {
             incarnation: self.incarnation,
-            snapshots: self.held.keys().copied().collect(),
-            draining: self.refuses && !self.misleads,
+            snapshots: self.shards_by_snapshot.keys().copied().collect(),
+            draining: self.is_draining && !self.hides_draining,
         }
     }
 
     /// Starts, queues or refuses an arriving sub-request.
-    pub fn arrive(&mut self, now: BootTime, from: usize, request: &SubRequest, random: &mut ChaCha8Rng) -> Arrival {
-        if self.refuses {
-            return Arrival::Refused(NotRunReason::Draining);
+    pub fn admit(&mut self, now: BootTime, from: usize, request: &SubRequest, random: &mut ChaCha8Rng) -> Admission {
+        if self.is_draining {
+            return Admission::Refused(NotRunReason::Draining);
         }
         let holds_all = self
-            .held
+            .shards_by_snapshot
             .get(&request.snapshot)
             .is_some_and(|shards| request.shards.iter().all(|shard| shards.contains(shard)));
         if !holds_all {
-            return Arrival::Refused(NotRunReason::SnapshotGone);
+            return Admission::Refused(NotRunReason::SnapshotGone);
         }
         if self.active < self.slots {
             self.active += 1;
-            return Arrival::Started(self.time_for(now, request, random));
+            return Admission::Started(self.sample_work_time(now, request, random));
         }
-        if self.queue.len() < self.queue_bound {
+        if self.queue.len() < self.queue_capacity {
             self.queue.push_back((from, request.clone(), now + request.remaining));
-            return Arrival::Queued;
+            return Admission::Queued;
         }
-        Arrival::Refused(NotRunReason::Shed)
+        Admission::Refused(NotRunReason::Shed)
     }
 
     /// Draws the time that a sub-request takes if it starts now.
-    pub fn time_for(&self, now: BootTime, request: &SubRequest, random: &mut ChaCha8Rng) -> Duration {
+    pub fn sample_work_time(&self, now: BootTime, request: &SubRequest, random: &mut ChaCha8Rng) -> Duration {
         let span = self.work_time.sample(&request.shards, random);
         if now < self.cold_until { span.mul_f64(COLD_FACTOR) } else { span }
     }
 
     /// Returns the history record of a sub-request that this searcher executes.
-    pub fn run_record(&self, request: &SubRequest) -> RunRecord {
+    pub fn execution_record(&self, request: &SubRequest) -> ExecutionRecord {
         let note = match &request.work {
             Work::Act(command) => Some(command.note.clone()),
             Work::Search(_) => None,
         };
-        RunRecord {
+        ExecutionRecord {
             attempt: request.attempt,
             searcher: self.id,
             snapshot: request.snapshot,
@@ -192,11 +192,11 @@
     }
 
     /// Returns the correct reply to a sub-request that has run.
-    pub fn true_reply(&mut self, request: &SubRequest) -> SubReply {
+    pub fn correct_reply(&mut self, request: &SubRequest) -> SubReply {
         let outcome = match &request.work {
             Work::Act(command) => {
-                self.next_entry += 1;
-                SubOutcome::Acted(ActionReceipt { entry: self.next_entry, message: command.note.clone() })
+                self.last_entry += 1;
+                SubOutcome::Acted(ActionReceipt { entry: self.last_entry, message: command.note.clone() })
             }
             Work::Search(query) => {
                 let term = query.terms.first().cloned().unwrap_or_default();
@@ -222,7 +222,7 @@
 /// Applies a fault to a correct reply and returns what the searcher client of a node reports.
 ///
 /// Returns `None` if no reply comes.
-pub fn distort(fault: ReplyFault, mut reply: SubReply) -> Option<SubReply> {
+pub fn apply_reply_fault(fault: ReplyFault, mut reply: SubReply) -> Option<SubReply> {
     use staircross_search::UnknownReason;
     match fault {
         ReplyFault::Lost => return None,
--- a/crates/session/staircross-lab/src/sim/world.rs
+++ b/crates/session/staircross-lab/src/sim/world.rs
@@ -5,14 +5,14 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `between` | the actions of root and leaf engines, and messages between nodes |
+//! | `actions` | the actions of root and leaf engines, and messages between nodes |
 //! | `events` | the handling of each event |
 //! | `faults` | faults, configuration changes and restarts |
 //! | `requests` | callers, their sessions and their requests |
 //! | `searchers` | calls and probes from leaves to searchers |
 //! | `settings` | size, services and delays of the fleet |
 
-mod between;
+mod actions;
 mod events;
 mod faults;
 mod requests;
@@ -21,7 +21,7 @@
 
 pub use settings::{SimService, WorldSettings};
 
-use super::network::{Network, Place};
+use super::network::{Endpoint, Network};
 use super::records::History;
 use super::searcher::SimSearcher;
 use crate::timed_queue::TimedQueue;
@@ -56,19 +56,19 @@
     pub paused_until: BootTime,
     pub ownership: OwnershipMap,
     /// Index of the node whose leaf got each open attempt of this node's root.
-    pub routes: BTreeMap<AttemptId, usize>,
+    pub attempt_targets: BTreeMap<AttemptId, usize>,
     /// Calls of the leaf to searchers that have no result yet.
-    pub sends: BTreeMap<AttemptId, PendingSend>,
+    pub open_calls: BTreeMap<AttemptId, OpenCall>,
     /// Time of the next scheduled `Wake`; `FAR_FUTURE` if none is scheduled.
     pub wake_at: BootTime,
     /// Sequence number of the next request that this node takes.
     pub next_sequence: u64,
-    /// Number of the node's current start, counted from 1. Messages to an earlier start are dropped.
-    pub runs: u64,
+    /// Number of times that the node has started. Messages to an earlier generation are dropped.
+    pub generation: u64,
 }
 
 /// A call to a searcher that has no result yet.
-pub(crate) struct PendingSend {
+pub(crate) struct OpenCall {
     pub request: SubRequest,
     /// Index of the searcher.
     pub searcher: usize,
@@ -76,37 +76,37 @@
     pub has_arrived: bool,
 }
 
-/// An event of the simulation. `node` is the index of the node that handles it or that made the call, and `run` the
-/// start of that node that the event belongs to.
+/// An event of the simulation. `node` is the index of the node that handles it or that made the call. `generation` is
+/// the generation of that node that the event belongs to.
 pub(crate) enum SimEvent {
     /// The periodic tick of a node.
     Tick(usize),
     /// The time at which a root engine asked to be called.
     Wake(usize),
     /// A paused node wakes and reads a request that a caller sent during the pause.
-    Submit { node: usize, run: u64, submission: Box<staircross_search::Submission> },
+    Submit { node: usize, generation: u64, submission: Box<staircross_search::Submission> },
     /// A node gets the signal to stop as planned.
-    BeginStop { node: usize, run: u64 },
+    BeginStop { node: usize, generation: u64 },
     /// A sub-request of the root of node `from` reaches a leaf.
-    LeafRequest { node: usize, run: u64, from: usize, request: SubRequest },
+    LeafRequest { node: usize, generation: u64, from: usize, request: SubRequest },
     /// A cancellation by the root of node `from` reaches a leaf.
-    LeafCancel { node: usize, run: u64, from: usize, attempt: AttemptId },
+    LeafCancel { node: usize, generation: u64, from: usize, attempt: AttemptId },
     /// The reply of a leaf reaches a root.
-    RootReply { node: usize, run: u64, reply: SubReply },
+    RootReply { node: usize, generation: u64, reply: SubReply },
     /// A worker thread of a node sends a sub-request to a searcher.
-    WorkerSend { node: usize, run: u64, request: SubRequest, send_before: BootTime },
+    WorkerSend { node: usize, generation: u64, request: SubRequest, send_before: BootTime },
     /// A sub-request reaches a searcher. `has_waited` is set when it is handled after a pause of the searcher.
-    SearcherArrival { node: usize, run: u64, request: SubRequest, has_waited: bool },
+    SearcherArrival { node: usize, generation: u64, request: SubRequest, has_waited: bool },
     /// A searcher has finished a sub-request.
-    SearcherDone { searcher: usize, incarnation: u128, node: usize, run: u64, request: SubRequest },
+    SearcherDone { searcher: usize, incarnation: u128, node: usize, generation: u64, request: SubRequest },
     /// The result of a call to a searcher reaches the leaf. `incarnation` is that of the searcher, if it replied.
-    LeafReply { node: usize, run: u64, reply: SubReply, incarnation: Option<SearcherIncarnation> },
+    CallResult { node: usize, generation: u64, reply: SubReply, incarnation: Option<SearcherIncarnation> },
     /// The timeout of a call to a searcher expires.
-    SendTimeout { node: usize, run: u64, attempt: AttemptId },
+    CallTimeout { node: usize, generation: u64, attempt: AttemptId },
     /// A probe by a node reaches a searcher.
-    ProbeArrival { node: usize, run: u64, searcher: usize, asked_at: BootTime },
+    ProbeArrival { node: usize, generation: u64, searcher: usize, asked_at: BootTime },
     /// The result of a probe reaches the leaf.
-    Probed { node: usize, run: u64, event: LeafEvent },
+    Probed { node: usize, generation: u64, event: LeafEvent },
     /// A view of a searcher reaches the engines of a node.
     View { node: usize, view: SearcherView },
     /// The services of a configuration reach a node.
@@ -114,7 +114,7 @@
     /// A list of the cluster members reaches a node.
     Members { node: usize, members: Vec<Member> },
     /// A node reads the platform's list of leaving searchers.
-    ReadList { node: usize },
+    ReadLeavingList { node: usize },
 }
 
 impl SimEvent {
@@ -129,20 +129,20 @@
             | SimEvent::LeafCancel { node, .. }
             | SimEvent::RootReply { node, .. }
             | SimEvent::WorkerSend { node, .. }
-            | SimEvent::LeafReply { node, .. }
-            | SimEvent::SendTimeout { node, .. }
+            | SimEvent::CallResult { node, .. }
+            | SimEvent::CallTimeout { node, .. }
             | SimEvent::Probed { node, .. }
             | SimEvent::View { node, .. }
             | SimEvent::Services { node, .. }
             | SimEvent::Members { node, .. }
-            | SimEvent::ReadList { node } => Some(*node),
+            | SimEvent::ReadLeavingList { node } => Some(*node),
             SimEvent::SearcherArrival { .. } | SimEvent::SearcherDone { .. } | SimEvent::ProbeArrival { .. } => None,
         }
     }
 }
 
 /// Time between two ticks of a node. It equals `TICK` of the node's runtime.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A simulated fleet with its event queue and its history.
 pub struct World {
@@ -155,13 +155,13 @@
     pub(crate) searchers: Vec<SimSearcher>,
     pub(crate) services: Vec<ServiceDefinition>,
     /// Searchers that the platform lists as leaving.
-    pub(crate) listed: BTreeSet<SearcherId>,
+    pub(crate) listed_as_leaving: BTreeSet<SearcherId>,
     pub(crate) intents: Vec<requests::Intent>,
     pub(crate) sessions: Vec<requests::SimSession>,
-    /// Index of the session of each request without an outcome, by node index and sequence number.
-    pub(crate) pending: BTreeMap<(usize, u64), usize>,
+    /// Index of the session of each request that has no outcome yet, by node index and sequence number.
+    pub(crate) open_requests: BTreeMap<(usize, u64), usize>,
     /// Index of the first searcher of the service that is added next.
-    next_service_searcher: usize,
+    next_searcher_index: usize,
     /// History of the simulation, which the oracle checks.
     pub history: History,
     /// Number of sub-requests that searchers have started.
@@ -173,7 +173,7 @@
 /// Snapshot that every simulated service starts with.
 pub const FIRST_SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
 /// Time that a new fleet runs before it is used, so that searchers are probed and their views reach all nodes.
-const SETTLING: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 impl World {
     /// Starts a fleet and runs it until its nodes know the searchers.
@@ -186,11 +186,11 @@
             nodes: Vec::new(),
             searchers: Vec::new(),
             services: Vec::new(),
-            listed: BTreeSet::new(),
+            listed_as_leaving: BTreeSet::new(),
             intents: Vec::new(),
             sessions: Vec::new(),
-            pending: BTreeMap::new(),
-            next_service_searcher: 0,
+            open_requests: BTreeMap::new(),
+            next_searcher_index: 0,
             history: History::default(),
             started_sub_requests: 0,
             events_handled: 0,
@@ -199,12 +199,12 @@
         for service in world.settings.services.clone() {
             world.add_service(&service);
         }
-        for zone in 0..world.settings.nodes {
-            world.add_node(zone);
+        for index in 0..world.settings.nodes {
+            world.add_node(index);
         }
         world.announce_members(Duration::ZERO);
         world.announce_services(Duration::ZERO);
-        world.run_for(SETTLING);
+        world.run_for(SETTLE_TIME);
         world
     }
 
@@ -214,8 +214,8 @@
     }
 
     fn add_service(&mut self, service: &SimService) {
-        let first = self.next_service_searcher;
-        self.next_service_searcher += service.searchers;
+        let first = self.next_searcher_index;
+        self.next_searcher_index += service.searchers;
         let mut definitions = Vec::new();
         for index in 0..service.searchers {
             let id = SearcherId((first + index) as u32);
@@ -224,7 +224,7 @@
             self.searchers.push(searcher);
             definitions.push(SearcherDefinition {
                 id,
-                address: address(20_000 + id.0 as usize),
+                address: loopback_address(20_000 + id.0 as usize),
                 zone: ZoneName::new(format!("zone-{zone}")),
                 group: GroupId((first * 1000 + index / 4) as u32),
                 slots: service.slots as u32,
@@ -232,8 +232,8 @@
             });
         }
         let ids: Vec<SearcherId> = definitions.iter().map(|definition| definition.id).collect();
-        let map = place(FIRST_SNAPSHOT, service.shards, service.replicas, &ids);
-        self.hold_everywhere(&map);
+        let map = place_shards(FIRST_SNAPSHOT, service.shards, service.replicas, &ids);
+        self.load_shards_everywhere(&map);
         self.history.maps.insert((service.name.clone(), map.snapshot), map.clone());
         self.services.push(ServiceDefinition {
             name: service.name.clone(),
@@ -243,14 +243,14 @@
         });
     }
 
-    fn hold_everywhere(&mut self, map: &ShardMap) {
+    fn load_shards_everywhere(&mut self, map: &ShardMap) {
         for index in 0..self.searchers.len() {
-            self.hold(index, map);
+            self.load_shards(index, map);
         }
     }
 
     /// Makes a searcher load its shards of the snapshot of `map`, if it has any.
-    pub(crate) fn hold(&mut self, index: usize, map: &ShardMap) {
+    pub(crate) fn load_shards(&mut self, index: usize, map: &ShardMap) {
         let searcher = &mut self.searchers[index];
         let shards: BTreeSet<ShardId> = map
             .shards
@@ -259,19 +259,19 @@
             .map(|placement| placement.shard)
             .collect();
         if !shards.is_empty() {
-            searcher.held.insert(map.snapshot, shards);
+            searcher.shards_by_snapshot.insert(map.snapshot, shards);
         }
     }
 
     fn add_node(&mut self, index: usize) {
         let zone = index % self.settings.zones;
-        let node = self.fresh_node(index, zone, 1);
+        let node = self.new_node(index, zone, 1);
         self.nodes.push(node);
-        self.schedule(TICK, SimEvent::Tick(index));
+        self.schedule(TICK_INTERVAL, SimEvent::Tick(index));
     }
 
-    pub(crate) fn fresh_node(&mut self, index: usize, zone: usize, run: u64) -> SimNode {
-        let id = NodeId((index as u128 + 1) << 64 | u128::from(run));
+    pub(crate) fn new_node(&mut self, index: usize, zone: usize, generation: u64) -> SimNode {
+        let id = NodeId((index as u128 + 1) << 64 | u128::from(generation));
         SimNode {
             id,
             zone,
@@ -283,11 +283,11 @@
             idle_ticks: 0,
             paused_until: BootTime::default(),
             ownership: OwnershipMap::default(),
-            routes: BTreeMap::new(),
-            sends: BTreeMap::new(),
+            attempt_targets: BTreeMap::new(),
+            open_calls: BTreeMap::new(),
             wake_at: BootTime::FAR_FUTURE,
             next_sequence: 1,
-            runs: run,
+            generation,
         }
     }
 
@@ -302,16 +302,16 @@
     /// Handles all events of the next `span` of simulated time.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some((at, event)) = self.queue.pop_until(end) {
+        while let Some((at, event)) = self.queue.pop_due(end) {
             self.now = self.now.max(at);
-            self.handle_or_defer(event);
+            self.handle_or_postpone(event);
         }
         self.now = end;
-        self.history.ended = end;
+        self.history.ended_at = end;
     }
 
     /// Handles an event, or postpones it to the end of its node's pause.
-    fn handle_or_defer(&mut self, event: SimEvent) {
+    fn handle_or_postpone(&mut self, event: SimEvent) {
         if let Some(node) = event.node() {
             let until = self.nodes[node].paused_until;
             if self.now < until {
@@ -320,7 +320,7 @@
             }
         }
         self.events_handled += 1;
-        self.handle(event);
+        self.handle_event(event);
     }
 
     /// Sends the list of members to every node, each after its own random delay up to `at_most`.
@@ -332,8 +332,8 @@
             .filter(|(_, node)| node.is_up)
             .map(|(index, node)| Member {
                 node: node.id,
-                peer_address: address(10_000 + index),
-                caller_address: address(11_000 + index),
+                peer_address: loopback_address(10_000 + index),
+                caller_address: loopback_address(11_000 + index),
                 region: "region".to_owned(),
                 zone: ZoneName::new(format!("zone-{}", node.zone)),
                 state: if node.is_stopping { MemberState::Leaving } else { MemberState::Alive },
@@ -342,7 +342,7 @@
             })
             .collect();
         for node in 0..self.nodes.len() {
-            let delay = self.random_up_to(at_most);
+            let delay = self.random_delay(at_most);
             self.schedule(delay, SimEvent::Members { node, members: members.clone() });
         }
     }
@@ -351,31 +351,34 @@
     pub(crate) fn announce_services(&mut self, at_most: Duration) {
         let services: Vec<Arc<ServiceDefinition>> = self.services.iter().cloned().map(Arc::new).collect();
         for node in 0..self.nodes.len() {
-            let delay = self.random_up_to(at_most);
+            let delay = self.random_delay(at_most);
             self.schedule(delay, SimEvent::Services { node, services: services.clone() });
         }
     }
 
-    pub(crate) fn random_up_to(&mut self, at_most: Duration) -> Duration {
+    /// Draws a delay up to `at_most`, uniformly distributed.
+    pub(crate) fn random_delay(&mut self, at_most: Duration) -> Duration {
         Duration::from_micros(self.random.random_range(0..=at_most.as_micros() as u64))
     }
 
-    pub(crate) fn delay_between(&mut self, from: Place, to: Place) -> Duration {
-        let same_zone = self.zone_of(from) == self.zone_of(to);
-        self.network.delay(same_zone, &mut self.random)
+    /// Draws the delay of one message between two endpoints.
+    pub(crate) fn draw_delay(&mut self, from: Endpoint, to: Endpoint) -> Duration {
+        let is_same_zone = self.zone_of(from) == self.zone_of(to);
+        self.network.draw_delay(is_same_zone, &mut self.random)
     }
 
-    fn zone_of(&self, place: Place) -> usize {
-        match place {
-            Place::Node(index) => self.nodes[index].zone,
-            Place::Searcher(index) => self.searchers[index].zone,
+    fn zone_of(&self, endpoint: Endpoint) -> usize {
+        match endpoint {
+            Endpoint::Node(index) => self.nodes[index].zone,
+            Endpoint::Searcher(index) => self.searchers[index].zone,
         }
     }
 
-    pub(crate) fn root_event(&mut self, node: usize, event: RootEvent) {
+    /// Passes an event to the root engine of a node and carries out the resulting actions.
+    pub(crate) fn handle_root_event(&mut self, node: usize, event: RootEvent) {
         let mut actions = Vec::new();
         self.nodes[node].root.on_event(self.now, event, &mut actions);
-        self.do_root(node, actions);
+        self.apply_root_actions(node, actions);
         self.schedule_wake(node);
     }
 
@@ -390,23 +393,24 @@
         }
     }
 
-    pub(crate) fn leaf_event(&mut self, node: usize, event: LeafEvent) {
+    /// Passes an event to the leaf engine of a node and carries out the resulting actions.
+    pub(crate) fn handle_leaf_event(&mut self, node: usize, event: LeafEvent) {
         let mut actions = Vec::new();
         self.nodes[node].leaf.on_event(self.now, event, &mut actions);
-        self.do_leaf(node, actions);
+        self.apply_leaf_actions(node, actions);
     }
 }
 
-fn address(port: usize) -> std::net::SocketAddr {
+fn loopback_address(port: usize) -> std::net::SocketAddr {
     std::net::SocketAddr::from(([127, 0, 0, 1], port as u16))
 }
 
 /// Assigns the replicas of each shard to consecutive searchers, starting one searcher further for each shard.
-pub fn place(snapshot: Snapshot, shards: u32, replicas: usize, ids: &[SearcherId]) -> ShardMap {
-    let one = |shard: u32| {
+pub fn place_shards(snapshot: Snapshot, shards: u32, replicas: usize, ids: &[SearcherId]) -> ShardMap {
+    let place_shard = |shard: u32| {
         let count = replicas.min(ids.len());
         let chosen = (0..count).map(|step| ids[(shard as usize + step) % ids.len()]).collect();
         ShardPlacement { shard: ShardId(shard), replicas: chosen }
     };
-    ShardMap { snapshot, shards: (0..shards).map(one).collect() }
+    ShardMap { snapshot, shards: (0..shards).map(place_shard).collect() }
 }
--- a/crates/session/staircross-lab/src/sim/world/between.rs
+++ b/crates/session/staircross-lab/src/sim/world/actions.rs
@@ -1,108 +1,108 @@
 //! Carries out the actions of root and leaf engines, and transmits messages between nodes.
 
-use super::{PendingSend, SimEvent, World};
-use crate::sim::network::Place;
+use super::{OpenCall, SimEvent, World};
+use crate::sim::network::Endpoint;
 use staircross_search::leaf::not_run;
 use staircross_search::{LeafAction, LeafEvent, NotRunReason, RootAction, SubReply, SubRequest};
 use staircross_types::{AttemptId, NodeId};
 use std::time::Duration;
 
 impl World {
-    pub(super) fn do_root(&mut self, node: usize, actions: Vec<RootAction>) {
+    pub(super) fn apply_root_actions(&mut self, node: usize, actions: Vec<RootAction>) {
         for action in actions {
             match action {
-                RootAction::Send(request) => self.route(node, request),
-                RootAction::Cancel { attempt, .. } => self.route_cancel(node, attempt),
-                RootAction::Finish { request, outcome } => self.finish(node, request, outcome),
+                RootAction::Send(request) => self.send_sub_request(node, request),
+                RootAction::Cancel { attempt, .. } => self.send_cancellation(node, attempt),
+                RootAction::Finish { request, outcome } => self.record_outcome(node, request, outcome),
             }
         }
     }
 
-    pub(super) fn index_of(&self, id: NodeId) -> Option<usize> {
+    pub(super) fn node_index(&self, id: NodeId) -> Option<usize> {
         self.nodes.iter().position(|node| node.id == id)
     }
 
     /// Sends a sub-request of a root to the leaf that owns the searcher.
-    pub(super) fn route(&mut self, node: usize, request: SubRequest) {
+    pub(super) fn send_sub_request(&mut self, node: usize, request: SubRequest) {
         let turn = request.attempt.request.sequence + u64::from(request.attempt.attempt);
         let owners = self.nodes[node].ownership.owners_in_turn(request.searcher, turn);
-        let target = owners.first().and_then(|owner| self.index_of(*owner));
+        let target = owners.first().and_then(|owner| self.node_index(*owner));
         let Some(target) = target else {
             let reply = not_run(&request, NotRunReason::NotOwner);
-            self.reply_to_root(node, node, reply);
+            self.send_reply_to_root(node, node, reply);
             return;
         };
-        self.nodes[node].routes.insert(request.attempt, target);
+        self.nodes[node].attempt_targets.insert(request.attempt, target);
         if target == node {
             let from = self.nodes[node].id;
-            self.leaf_event(node, LeafEvent::Request { from, request });
+            self.handle_leaf_event(node, LeafEvent::Request { from, request });
             return;
         }
-        let (from, to) = (Place::Node(node), Place::Node(target));
-        let delay = self.delay_between(from, to);
-        if !self.nodes[target].is_up || !self.network.is_open(from, to) {
+        let (from, to) = (Endpoint::Node(node), Endpoint::Node(target));
+        let delay = self.draw_delay(from, to);
+        if !self.nodes[target].is_up || !self.network.can_deliver(from, to) {
             // The connection to the peer fails, so the sub-request was certainly not delivered.
             let reply = not_run(&request, NotRunReason::NotOwner);
             self.schedule_root_reply(node, delay, reply);
             return;
         }
-        let run = self.nodes[target].runs;
-        self.schedule(delay, SimEvent::LeafRequest { node: target, run, from: node, request });
+        let generation = self.nodes[target].generation;
+        self.schedule(delay, SimEvent::LeafRequest { node: target, generation, from: node, request });
     }
 
     /// Sends the cancellation of an attempt to the leaf that got the attempt.
-    pub(super) fn route_cancel(&mut self, node: usize, attempt: AttemptId) {
-        let Some(target) = self.nodes[node].routes.remove(&attempt) else {
+    pub(super) fn send_cancellation(&mut self, node: usize, attempt: AttemptId) {
+        let Some(target) = self.nodes[node].attempt_targets.remove(&attempt) else {
             return;
         };
-        let run = self.nodes[target].runs;
-        let delay = self.delay_between(Place::Node(node), Place::Node(target));
+        let generation = self.nodes[target].generation;
+        let delay = self.draw_delay(Endpoint::Node(node), Endpoint::Node(target));
         if target == node {
             let from = self.nodes[node].id;
-            self.leaf_event(node, LeafEvent::Cancel { from, attempt });
-        } else if self.network.is_open(Place::Node(node), Place::Node(target)) {
-            self.schedule(delay, SimEvent::LeafCancel { node: target, run, from: node, attempt });
+            self.handle_leaf_event(node, LeafEvent::Cancel { from, attempt });
+        } else if self.network.can_deliver(Endpoint::Node(node), Endpoint::Node(target)) {
+            self.schedule(delay, SimEvent::LeafCancel { node: target, generation, from: node, attempt });
         }
     }
 
     pub(super) fn schedule_root_reply(&mut self, node: usize, after: Duration, reply: SubReply) {
-        let run = self.nodes[node].runs;
-        self.schedule(after, SimEvent::RootReply { node, run, reply });
+        let generation = self.nodes[node].generation;
+        self.schedule(after, SimEvent::RootReply { node, generation, reply });
     }
 
     /// Sends a reply of a leaf to a root. The reply is lost if the network is cut between their nodes.
-    pub(super) fn reply_to_root(&mut self, from: usize, to: usize, reply: SubReply) {
-        let (source, target) = (Place::Node(from), Place::Node(to));
-        if from != to && !self.network.is_open(source, target) {
+    pub(super) fn send_reply_to_root(&mut self, from: usize, to: usize, reply: SubReply) {
+        let (source, target) = (Endpoint::Node(from), Endpoint::Node(to));
+        if from != to && !self.network.can_deliver(source, target) {
             return;
         }
-        let delay = if from == to { Duration::ZERO } else { self.delay_between(source, target) };
+        let delay = if from == to { Duration::ZERO } else { self.draw_delay(source, target) };
         self.schedule_root_reply(to, delay, reply);
     }
 
-    pub(super) fn do_leaf(&mut self, node: usize, actions: Vec<LeafAction>) {
+    pub(super) fn apply_leaf_actions(&mut self, node: usize, actions: Vec<LeafAction>) {
         for action in actions {
             match action {
                 LeafAction::Send { request, send_before } => {
                     // A worker thread sends the sub-request. The node may be paused before it does.
-                    let run = self.nodes[node].runs;
+                    let generation = self.nodes[node].generation;
                     let searcher = request.searcher.0 as usize;
-                    let pending = PendingSend { request: request.clone(), searcher, has_arrived: false };
-                    self.nodes[node].sends.insert(request.attempt, pending);
-                    let delay = self.random_up_to(Duration::from_micros(100));
-                    self.schedule(delay, SimEvent::WorkerSend { node, run, request, send_before });
+                    let call = OpenCall { request: request.clone(), searcher, has_arrived: false };
+                    self.nodes[node].open_calls.insert(request.attempt, call);
+                    let delay = self.random_delay(Duration::from_micros(100));
+                    self.schedule(delay, SimEvent::WorkerSend { node, generation, request, send_before });
                 }
                 LeafAction::CancelAtSearcher { .. } => {}
                 LeafAction::Probe { searcher } => self.send_probe(node, searcher),
                 LeafAction::Reply { to, reply } => {
-                    if let Some(target) = self.index_of(to) {
-                        self.reply_to_root(node, target, reply);
+                    if let Some(target) = self.node_index(to) {
+                        self.send_reply_to_root(node, target, reply);
                     }
                 }
                 LeafAction::PublishView(view) => {
                     for other in 0..self.nodes.len() {
                         let at_most = self.settings.update_delay;
-                        let delay = if other == node { Duration::ZERO } else { self.random_up_to(at_most) };
+                        let delay = if other == node { Duration::ZERO } else { self.random_delay(at_most) };
                         self.schedule(delay, SimEvent::View { node: other, view: view.clone() });
                     }
                 }
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -2,9 +2,9 @@
 //!
 //! The public functions take any number for a node, searcher or service and use it modulo the number that exist.
 
-use super::{SimEvent, World, place};
-use crate::sim::network::Place;
-use crate::sim::records::CutOff;
+use super::{SimEvent, World, place_shards};
+use crate::sim::network::Endpoint;
+use crate::sim::records::UncleanStop;
 use crate::sim::searcher::ReplyFault;
 use rand::Rng;
 use staircross_search::{LeafEvent, RootEvent, SubOutcome, SubReply, UnknownReason};
@@ -22,10 +22,11 @@
         service % self.services.len()
     }
 
-    /// Lists a new snapshot of a service in the configuration. Each searcher loads it later, by [`World::take_up`].
+    /// Lists a new snapshot of a service in the configuration. Each searcher loads it later, by
+    /// [`World::load_listed_snapshots`].
     ///
     /// With `shards`, the index is repartitioned into that number of shards.
-    pub fn publish(&mut self, service: usize, shards: Option<u32>) {
+    pub fn publish_snapshot(&mut self, service: usize, shards: Option<u32>) {
         let index = self.service_index(service);
         let newest = self.services[index].shard_maps.iter().map(|map| map.snapshot).max();
         let Some(newest) = newest else {
@@ -43,14 +44,14 @@
         // Each snapshot gets another random placement, because a repartition also moves shards.
         let shift = self.random.random_range(0..ids.len());
         ids.rotate_left(shift);
-        let map = place(snapshot, count, replicas, &ids);
+        let map = place_shards(snapshot, count, replicas, &ids);
         self.history.maps.insert((self.services[index].name.clone(), snapshot), map.clone());
         self.services[index].shard_maps.push(map);
         self.announce_services(self.settings.update_delay);
     }
 
     /// Makes one searcher load its shards of every snapshot that the configuration lists.
-    pub fn take_up(&mut self, searcher: usize) {
+    pub fn load_listed_snapshots(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         let id = self.searchers[index].id;
         let maps: Vec<ShardMap> = self
@@ -60,20 +61,20 @@
             .flat_map(|service| service.shard_maps.iter().cloned())
             .collect();
         for map in maps {
-            self.hold(index, &map);
+            self.load_shards(index, &map);
         }
     }
 
     /// Makes one searcher drop its oldest snapshot, unless it is the only one.
-    pub fn retire(&mut self, searcher: usize) {
+    pub fn drop_oldest_snapshot(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
-        if self.searchers[index].held.len() > 1 {
-            self.searchers[index].held.pop_first();
+        if self.searchers[index].shards_by_snapshot.len() > 1 {
+            self.searchers[index].shards_by_snapshot.pop_first();
         }
     }
 
     /// Removes the oldest snapshot of a service from the configuration, unless it is the only one.
-    pub fn unlist(&mut self, service: usize) {
+    pub fn unlist_oldest_snapshot(&mut self, service: usize) {
         let index = self.service_index(service);
         let maps = &mut self.services[index].shard_maps;
         if maps.len() > 1 {
@@ -83,18 +84,18 @@
         }
     }
 
-    /// Makes a searcher drain and refuse new work. With `misleads`, its state endpoint hides that.
-    pub fn drain(&mut self, searcher: usize, misleads: bool) {
+    /// Makes a searcher drain and refuse new work. With `hides_draining`, its state endpoint hides that.
+    pub fn drain_searcher(&mut self, searcher: usize, hides_draining: bool) {
         let index = searcher % self.searchers.len();
         let now = self.now;
         let searcher = &mut self.searchers[index];
-        if !searcher.is_up || searcher.refuses {
+        if !searcher.is_up || searcher.is_draining {
             return;
         }
-        searcher.refuses = true;
-        searcher.misleads = misleads;
+        searcher.is_draining = true;
+        searcher.hides_draining = hides_draining;
         // If the state endpoint hides the drain, no node can know of it before the first refusal.
-        if !searcher.misleads {
+        if !searcher.hides_draining {
             searcher.leaving_since.get_or_insert(now);
         }
     }
@@ -104,10 +105,10 @@
         let index = searcher % self.searchers.len();
         let now = self.now;
         self.searchers[index].leaving_since.get_or_insert(now);
-        self.listed.insert(self.searchers[index].id);
+        self.listed_as_leaving.insert(self.searchers[index].id);
         for node in 0..self.nodes.len() {
-            let delay = self.random_up_to(Duration::from_secs(1));
-            self.schedule(delay, SimEvent::ReadList { node });
+            let delay = self.random_delay(Duration::from_secs(1));
+            self.schedule(delay, SimEvent::ReadLeavingList { node });
         }
     }
 
@@ -122,10 +123,10 @@
         let index = searcher % self.searchers.len();
         let now = self.now;
         let id = self.searchers[index].id;
-        self.listed.remove(&id);
+        self.listed_as_leaving.remove(&id);
         self.searchers[index].restart(now);
         for node in 0..self.nodes.len() {
-            self.schedule(Duration::from_millis(500), SimEvent::ReadList { node });
+            self.schedule(Duration::from_millis(500), SimEvent::ReadLeavingList { node });
         }
     }
 
@@ -140,7 +141,7 @@
     pub fn add_reply_faults(&mut self, searcher: usize, fault: ReplyFault, count: usize) {
         let index = searcher % self.searchers.len();
         for _ in 0..count {
-            self.searchers[index].faults.push_back(fault);
+            self.searchers[index].reply_faults.push_back(fault);
         }
     }
 
@@ -148,8 +149,8 @@
     /// makes all its copies run at normal speed again.
     pub fn slow_copy(&mut self, searcher: usize, factor: f64) {
         let index = searcher % self.searchers.len();
-        let held = self.searchers[index].held.values().next_back();
-        let shard = held.and_then(|shards| shards.iter().next().copied());
+        let newest_shards = self.searchers[index].shards_by_snapshot.values().next_back();
+        let shard = newest_shards.and_then(|shards| shards.iter().next().copied());
         match shard {
             Some(shard) if factor > 1.0 => {
                 self.searchers[index].work_time.slow_copies.insert(shard, factor);
@@ -169,7 +170,7 @@
         let id = self.nodes[index].id;
         let own = self.history.requests.values_mut().filter(|record| record.request.node == id);
         for record in own.filter(|record| record.outcomes.is_empty()) {
-            record.due = record.due + span;
+            record.outcome_due = record.outcome_due + span;
         }
     }
 
@@ -182,24 +183,24 @@
         self.nodes[index].is_up = false;
         let id = self.nodes[index].id;
         for record in self.history.requests.values_mut().filter(|record| record.request.node == id) {
-            record.holder_crashed |= record.outcomes.is_empty();
+            record.node_crashed |= record.outcomes.is_empty();
         }
-        self.pending.retain(|(holder, _), _| *holder != index);
-        self.break_routes(index);
-        self.forget_what_nobody_knows();
+        self.open_requests.retain(|(node, _), _| *node != index);
+        self.break_connections_to(index);
+        self.clear_unobserved_leaving();
         let updates = self.settings.update_delay + Duration::from_secs(3);
         self.announce_members(updates);
     }
 
     /// Clears the leaving time of each searcher that hides its drain and that no remaining node knows to be leaving.
     /// The next refusal sets it again.
-    fn forget_what_nobody_knows(&mut self) {
+    fn clear_unobserved_leaving(&mut self) {
         for index in 0..self.searchers.len() {
             let id = self.searchers[index].id;
             let knows =
                 |node: &super::SimNode| node.is_up && node.root.views().any(|view| view.searcher == id && view.leaving);
-            let is_known = self.nodes.iter().any(knows) || self.listed.contains(&id);
-            if self.searchers[index].misleads && !is_known {
+            let is_known = self.nodes.iter().any(knows) || self.listed_as_leaving.contains(&id);
+            if self.searchers[index].hides_draining && !is_known {
                 self.searchers[index].leaving_since = None;
             }
         }
@@ -207,11 +208,11 @@
 
     /// Breaks connections to a crashed node. The roots of other nodes learn that the outcomes of the sub-requests that
     /// they sent there are unknown.
-    fn break_routes(&mut self, dead: usize) {
+    fn break_connections_to(&mut self, dead: usize) {
         for node in 0..self.nodes.len() {
             let lost: Vec<_> = {
-                let routes = self.nodes[node].routes.iter();
-                routes.filter(|(_, target)| **target == dead).map(|(attempt, _)| *attempt).collect()
+                let attempt_targets = self.nodes[node].attempt_targets.iter();
+                attempt_targets.filter(|(_, target)| **target == dead).map(|(attempt, _)| *attempt).collect()
             };
             for attempt in lost {
                 let Some((searcher, snapshot)) = self.nodes[node].root.attempt_target(attempt) else {
@@ -221,9 +222,9 @@
                 if self.random.random_bool(0.7) {
                     let outcome = SubOutcome::Unknown(UnknownReason::Broken);
                     let reply = SubReply { attempt, searcher, snapshot, outcome, worked: Default::default() };
-                    let run = self.nodes[node].runs;
-                    let delay = self.random_up_to(Duration::from_millis(5));
-                    self.schedule(delay, SimEvent::RootReply { node, run, reply });
+                    let generation = self.nodes[node].generation;
+                    let delay = self.random_delay(Duration::from_millis(5));
+                    self.schedule(delay, SimEvent::RootReply { node, generation, reply });
                 }
             }
         }
@@ -235,14 +236,15 @@
         if self.nodes[index].is_up {
             return;
         }
-        let run = self.nodes[index].runs + 1;
+        let generation = self.nodes[index].generation + 1;
         let zone = self.nodes[index].zone;
-        self.nodes[index] = self.fresh_node(index, zone, run);
+        self.nodes[index] = self.new_node(index, zone, generation);
         self.announce_members(self.settings.update_delay);
         self.announce_services(self.settings.update_delay);
         self.resend_views(index);
     }
 
+    /// Sends all views that live nodes have of searchers to one node.
     fn resend_views(&mut self, node: usize) {
         let mut views: Vec<_> = self
             .nodes
@@ -254,7 +256,7 @@
         // The engine keeps views in a hash map, and the simulation must not depend on its iteration order.
         views.sort_by_key(|view| view.searcher);
         for view in views {
-            let delay = self.random_up_to(self.settings.update_delay);
+            let delay = self.random_delay(self.settings.update_delay);
             self.schedule(delay, SimEvent::View { node, view });
         }
     }
@@ -268,14 +270,15 @@
         }
         // A paused process handles the signal when it wakes, so the stop begins through an event.
         self.nodes[index].is_stopping = true;
-        let run = self.nodes[index].runs;
-        self.schedule(Duration::ZERO, SimEvent::BeginStop { node: index, run });
+        let generation = self.nodes[index].generation;
+        self.schedule(Duration::ZERO, SimEvent::BeginStop { node: index, generation });
     }
 
+    /// Marks a node as stopping, tells its leaf engine and announces the change to all nodes.
     pub(super) fn begin_stop(&mut self, node: usize) {
         let now = self.now;
         self.nodes[node].stopping_since = Some(now);
-        self.leaf_event(node, LeafEvent::Stop);
+        self.handle_leaf_event(node, LeafEvent::Stop);
         self.announce_members(self.settings.update_delay);
     }
 
@@ -296,21 +299,21 @@
             .history
             .requests
             .values()
-            .filter(|record| record.request.node == id && record.outcomes.is_empty() && !record.holder_crashed);
+            .filter(|record| record.request.node == id && record.outcomes.is_empty() && !record.node_crashed);
         let requests = unfinished.count();
-        let sub_requests = self.nodes[node].sends.len();
+        let sub_requests = self.nodes[node].open_calls.len();
         if requests + sub_requests > 0 {
-            self.history.cut_offs.push(CutOff { requests, sub_requests });
+            self.history.unclean_stops.push(UncleanStop { requests, sub_requests });
         }
         self.nodes[node].is_up = false;
         self.nodes[node].is_stopping = false;
         self.nodes[node].stopping_since = None;
-        self.forget_what_nobody_knows();
+        self.clear_unobserved_leaving();
         self.announce_members(self.settings.update_delay);
     }
 
     /// Drops all messages from `from` to `to`, and with `both` also those in the other direction.
-    pub fn cut(&mut self, from: Place, to: Place, both: bool) {
+    pub fn cut_network(&mut self, from: Endpoint, to: Endpoint, both: bool) {
         self.network.cut(from, to);
         if both {
             self.network.cut(to, from);
@@ -318,12 +321,12 @@
     }
 
     /// Removes all network cuts.
-    pub fn heal(&mut self) {
+    pub fn heal_network(&mut self) {
         self.network.heal();
     }
 
     /// Tells a node that the caller of its oldest open request is gone, unless the node is down or paused.
-    pub fn caller_leaves(&mut self, node: usize) {
+    pub fn disconnect_oldest_caller(&mut self, node: usize) {
         let index = node % self.nodes.len();
         let id = self.nodes[index].id;
         let oldest = self
@@ -334,7 +337,7 @@
             .map(|record| record.request);
         let is_awake = self.nodes[index].is_up && self.now >= self.nodes[index].paused_until;
         if let Some(request) = oldest.filter(|_| is_awake) {
-            self.root_event(index, RootEvent::CallerGone(request));
+            self.handle_root_event(index, RootEvent::CallerGone(request));
         }
     }
 
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -25,22 +25,22 @@
     /// Index of the node that holds the session.
     pub node: usize,
     /// Session state that was copied to other nodes last.
-    pub copy: Option<SessionState>,
+    pub replicated_state: Option<SessionState>,
 }
 
 /// Time after the wait bound within which a request must get its outcome. Pauses of the node extend it.
-const FINAL_WORD_SLACK: Duration = Duration::from_millis(200);
+const OUTCOME_SLACK: Duration = Duration::from_millis(200);
 /// Number of hits that a search requests. It exceeds the number of shards, so that the answer has a hit of every
 /// included shard.
-const LIMIT: u32 = 10_000;
+const HIT_LIMIT: u32 = 10_000;
 
 impl World {
     /// Opens a session at a node and returns its index.
     pub fn open_session(&mut self, node: usize) -> usize {
         let token = SessionToken(self.random.random());
         self.nodes[node].root.sessions.open(self.now, token);
-        let copy = self.nodes[node].root.sessions.get(token).cloned();
-        self.sessions.push(SimSession { token, node, copy });
+        let replicated_state = self.nodes[node].root.sessions.get(token).cloned();
+        self.sessions.push(SimSession { token, node, replicated_state });
         self.sessions.len() - 1
     }
 
@@ -48,15 +48,15 @@
     ///
     /// A session moves if its node is down. It also moves if its node is stopping and the caller has no request in
     /// flight there: callers learn from a reply which node to turn to. Returns `None` if no node can take the session.
-    fn node_of_session(&mut self, session: usize) -> Option<usize> {
+    fn node_for_session(&mut self, session: usize) -> Option<usize> {
         let node = self.sessions[session].node;
-        let is_waiting = self.pending.iter().any(|((holder, _), owner)| *holder == node && *owner == session);
+        let is_waiting = self.open_requests.iter().any(|((holder, _), asking)| *holder == node && *asking == session);
         if self.nodes[node].is_up && (!self.nodes[node].is_stopping || is_waiting) {
             return Some(node);
         }
         let next = (0..self.nodes.len()).find(|index| self.nodes[*index].is_up && !self.nodes[*index].is_stopping)?;
         let token = self.sessions[session].token;
-        if let Some(state) = self.sessions[session].copy.clone() {
+        if let Some(state) = self.sessions[session].replicated_state.clone() {
             self.nodes[next].root.sessions.adopt(self.now, token, state);
         }
         self.sessions[session].node = next;
@@ -65,22 +65,22 @@
 
     /// Sends a search in a session. Returns the request id, or `None` if no node can take the session.
     pub fn search(&mut self, session: usize, service: &ServiceName) -> Option<RequestId> {
-        let node = self.node_of_session(session)?;
-        let request = self.next_request(node);
+        let node = self.node_for_session(session)?;
+        let request = self.next_request_id(node);
         let terms = vec![format!("q{}-{}", node, request.sequence)];
-        let work = Work::Search(SearchQuery { terms, limit: LIMIT, after: None });
+        let work = Work::Search(SearchQuery { terms, limit: HIT_LIMIT, after: None });
         self.submit(node, session, request, service.clone(), work, None);
         Some(request)
     }
 
     /// Mints a ticket and sends an action with it. Returns the index of the intent, with which it can be sent again.
     pub fn act(&mut self, session: usize, service: &ServiceName) -> Option<usize> {
-        let node = self.node_of_session(session)?;
+        let node = self.node_for_session(session)?;
         let token = self.sessions[session].token;
         let ticket = Ticket { node: self.nodes[node].id, serial: self.random.random() };
         let now = self.now;
         self.nodes[node].root.sessions.touch(now, token)?.add_ticket(ticket);
-        self.copy_session(session);
+        self.replicate_session(session);
         let note = format!("intent-{}", self.intents.len());
         self.intents.push(Intent { session, ticket, note, service: service.clone() });
         let intent = self.intents.len() - 1;
@@ -93,20 +93,20 @@
         let Some(Intent { session, ticket, note, service }) = self.intents.get(intent).cloned() else {
             return;
         };
-        let Some(node) = self.node_of_session(session) else {
+        let Some(node) = self.node_for_session(session) else {
             return;
         };
-        let request = self.next_request(node);
+        let request = self.next_request_id(node);
         let work = Work::Act(ActionCommand { verb: "confirm".to_owned(), target: note.clone(), note });
         self.submit(node, session, request, service, work, Some(ticket));
     }
 
     /// Returns the number of intents so far.
-    pub fn intents(&self) -> usize {
+    pub fn intent_count(&self) -> usize {
         self.intents.len()
     }
 
-    fn next_request(&mut self, node: usize) -> RequestId {
+    fn next_request_id(&mut self, node: usize) -> RequestId {
         let sequence = self.nodes[node].next_sequence;
         self.nodes[node].next_sequence += 1;
         RequestId { node: self.nodes[node].id, sequence }
@@ -133,13 +133,13 @@
                 service: service.clone(),
                 work: work.clone(),
                 ticket,
-                submitted: self.now,
+                submitted_at: self.now,
                 outcomes: Vec::new(),
-                holder_crashed: false,
-                due: handled_at + wait + FINAL_WORD_SLACK,
+                node_crashed: false,
+                outcome_due: handled_at + wait + OUTCOME_SLACK,
             },
         );
-        self.pending.insert((node, request.sequence), session);
+        self.open_requests.insert((node, request.sequence), session);
         let submission = Submission {
             request,
             session: token,
@@ -155,40 +155,40 @@
             let at = self.nodes[node].paused_until;
             self.schedule_submission(node, at, submission);
         } else {
-            self.root_event(node, RootEvent::Submit(submission));
+            self.handle_root_event(node, RootEvent::Submit(submission));
         }
     }
 
     fn schedule_submission(&mut self, node: usize, at: BootTime, submission: Submission) {
-        let run = self.nodes[node].runs;
-        self.schedule_at(at, SimEvent::Submit { node, run, submission: Box::new(submission) });
+        let generation = self.nodes[node].generation;
+        self.schedule_at(at, SimEvent::Submit { node, generation, submission: Box::new(submission) });
     }
 
     /// Copies the state of a session for other nodes, as a node's runtime does before it replies.
-    fn copy_session(&mut self, session: usize) {
+    fn replicate_session(&mut self, session: usize) {
         let SimSession { token, node, .. } = self.sessions[session];
         let state = self.nodes[node].root.sessions.get(token).cloned();
         if state.is_some() {
-            self.sessions[session].copy = state;
+            self.sessions[session].replicated_state = state;
         }
     }
 
     /// Records the outcome of a request and closes its attempts.
-    pub(super) fn finish(&mut self, node: usize, request: RequestId, outcome: Outcome) {
+    pub(super) fn record_outcome(&mut self, node: usize, request: RequestId, outcome: Outcome) {
         let now = self.now;
         let own: Vec<AttemptId> = {
-            let routes = &self.nodes[node].routes;
-            routes.keys().filter(|attempt| attempt.request == request).copied().collect()
+            let attempt_targets = &self.nodes[node].attempt_targets;
+            attempt_targets.keys().filter(|attempt| attempt.request == request).copied().collect()
         };
         for attempt in own {
-            self.nodes[node].routes.remove(&attempt);
+            self.nodes[node].attempt_targets.remove(&attempt);
         }
         match self.history.requests.get_mut(&request) {
             Some(record) => record.outcomes.push((now, outcome)),
-            None => self.history.unknown_outcomes += 1,
+            None => self.history.unmatched_outcomes += 1,
         }
-        if let Some(session) = self.pending.remove(&(node, request.sequence)) {
-            self.copy_session(session);
+        if let Some(session) = self.open_requests.remove(&(node, request.sequence)) {
+            self.replicate_session(session);
         }
     }
 }
--- a/crates/session/staircross-lab/src/timed_queue.rs
+++ b/crates/session/staircross-lab/src/timed_queue.rs
@@ -49,7 +49,7 @@
     }
 
     /// Removes and returns the earliest event with its time, if it is due at `end` or earlier.
-    pub fn pop_until(&mut self, end: T) -> Option<(T, E)> {
+    pub fn pop_due(&mut self, end: T) -> Option<(T, E)> {
         let is_due = self.entries.peek().is_some_and(|Reverse(entry)| entry.at <= end);
         if !is_due {
             return None;
--- a/crates/session/staircross-lab/tests/fuzz_requests.rs
+++ b/crates/session/staircross-lab/tests/fuzz_requests.rs
@@ -2,25 +2,25 @@
 
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use staircross_lab::fuzz::request_model::{Operation, RequestModel, RequestRun};
+use staircross_lab::fuzz::request_model::{Operation, RequestHarness, RequestModel};
 
 struct RequestTest;
 
 impl StateMachineTest for RequestTest {
-    type SystemUnderTest = RequestRun;
+    type SystemUnderTest = RequestHarness;
     type Reference = RequestModel;
 
-    fn init_test(seed: &u64) -> RequestRun {
-        RequestRun::new(*seed)
+    fn init_test(seed: &u64) -> RequestHarness {
+        RequestHarness::new(*seed)
     }
 
-    fn apply(mut run: RequestRun, _: &u64, operation: Operation) -> RequestRun {
-        run.apply(&operation);
-        run
+    fn apply(mut harness: RequestHarness, _: &u64, operation: Operation) -> RequestHarness {
+        harness.apply(&operation);
+        harness
     }
 
-    fn teardown(mut run: RequestRun, _: <RequestModel as ReferenceStateMachine>::State) {
-        let violations = run.finish();
+    fn teardown(mut harness: RequestHarness, _: <RequestModel as ReferenceStateMachine>::State) {
+        let violations = harness.finish();
         assert!(violations.is_empty(), "{violations:?}");
     }
 }
@@ -37,7 +37,7 @@
 #[test]
 fn stop_during_a_pause_reads_what_waits() {
     for seed in 0..20 {
-        let mut run = RequestRun::new(seed);
+        let mut harness = RequestHarness::new(seed);
         for operation in [
             Operation::Search { session: 2, latency_first: false },
             Operation::StopNode { node: 2 },
@@ -45,9 +45,9 @@
             Operation::Wait { millis: 20 },
             Operation::Search { session: 2, latency_first: false },
         ] {
-            run.apply(&operation);
+            harness.apply(&operation);
         }
-        assert_eq!(run.finish(), Vec::new(), "seed {seed}");
+        assert_eq!(harness.finish(), Vec::new(), "seed {seed}");
     }
 }
 
@@ -55,15 +55,15 @@
 #[test]
 fn same_seed_gives_the_same_history() {
     let history = || {
-        let mut run = RequestRun::new(5);
+        let mut harness = RequestHarness::new(5);
         for step in 0..120_u8 {
-            run.apply(&Operation::Search { session: step, latency_first: step % 2 == 0 });
-            run.apply(&Operation::PauseNode { node: step, millis: u16::from(step) * 3 });
-            run.apply(&Operation::CrashSearcher { searcher: step / 20 });
-            run.apply(&Operation::Wait { millis: 9 });
+            harness.apply(&Operation::Search { session: step, latency_first: step % 2 == 0 });
+            harness.apply(&Operation::PauseNode { node: step, millis: u16::from(step) * 3 });
+            harness.apply(&Operation::CrashSearcher { searcher: step / 20 });
+            harness.apply(&Operation::Wait { millis: 9 });
         }
-        run.finish();
-        format!("{:?}", run.world.history)
+        harness.finish();
+        format!("{:?}", harness.world.history)
     };
     assert_eq!(history(), history());
 }
--- a/crates/session/staircross-lab/tests/oracle.rs
+++ b/crates/session/staircross-lab/tests/oracle.rs
@@ -1,7 +1,7 @@
 //! Tests of the oracle: it must flag a bad history for each promise, and must not flag a good one.
 
 use staircross_lab::sim::oracle::{LEAVING_GRACE_MS, check_history, simulated_hit};
-use staircross_lab::sim::records::{CutOff, History, LateArrival, RequestRecord, RunRecord};
+use staircross_lab::sim::records::{ExecutionRecord, History, LeavingArrival, RequestRecord, UncleanStop};
 use staircross_search::{ActionReceipt, Answer, Outcome, Refusal, Work};
 use staircross_types::{
     ActionCommand, AttemptId, BootTime, Coverage, ErrorKind, MissingCause, MissingShard, NodeId, RequestId,
@@ -17,8 +17,8 @@
 }
 
 fn map(snapshot: Snapshot) -> ShardMap {
-    let place = |shard| ShardPlacement { shard: ShardId(shard), replicas: vec![SearcherId(1)] };
-    ShardMap { snapshot, shards: vec![place(0), place(1)] }
+    let place_shard = |shard| ShardPlacement { shard: ShardId(shard), replicas: vec![SearcherId(1)] };
+    ShardMap { snapshot, shards: vec![place_shard(0), place_shard(1)] }
 }
 
 fn record(sequence: u64, work: Work, outcome: Outcome) -> RequestRecord {
@@ -28,10 +28,10 @@
         service: ServiceName::new("s"),
         work,
         ticket: None,
-        submitted: BootTime::from_millis(sequence * 100),
+        submitted_at: BootTime::from_millis(sequence * 100),
         outcomes: vec![(BootTime::from_millis(sequence * 100 + 10), outcome)],
-        holder_crashed: false,
-        due: BootTime::from_millis(sequence * 100 + 400),
+        node_crashed: false,
+        outcome_due: BootTime::from_millis(sequence * 100 + 400),
     }
 }
 
@@ -61,8 +61,8 @@
     }
 }
 
-fn run(sequence: u64, snapshot: Snapshot, note: Option<&str>) -> RunRecord {
-    RunRecord {
+fn execution(sequence: u64, snapshot: Snapshot, note: Option<&str>) -> ExecutionRecord {
+    ExecutionRecord {
         attempt: AttemptId { request: id(sequence), attempt: 1 },
         searcher: SearcherId(1),
         snapshot,
@@ -71,27 +71,30 @@
     }
 }
 
-fn history(records: Vec<RequestRecord>, runs: Vec<RunRecord>) -> History {
+fn history(records: Vec<RequestRecord>, executions: Vec<ExecutionRecord>) -> History {
     let service = ServiceName::new("s");
     History {
         requests: records.into_iter().map(|record| (record.request, record)).collect(),
-        runs,
+        executions,
         maps: [SNAPSHOT, OLDER].into_iter().map(|snapshot| ((service.clone(), snapshot), map(snapshot))).collect(),
-        ended: BootTime::from_millis(100_000),
+        ended_at: BootTime::from_millis(100_000),
         ..History::default()
     }
 }
 
-fn one_answer(change: impl FnOnce(&mut Answer)) -> History {
+fn history_with_answer(change: impl FnOnce(&mut Answer)) -> History {
     let mut given = answer(1, SNAPSHOT);
     change(&mut given);
-    history(vec![record(1, search(1), Outcome::Answer(Box::new(given)))], vec![run(1, SNAPSHOT, None)])
+    history(vec![record(1, search(1), Outcome::Answer(Box::new(given)))], vec![execution(1, SNAPSHOT, None)])
 }
 
 #[track_caller]
 fn assert_flags(history: &History, promise: u8) {
-    let found = check_history(history);
-    assert!(found.iter().any(|violation| violation.promise == promise), "promise {promise} not flagged: {found:?}");
+    let violations = check_history(history);
+    assert!(
+        violations.iter().any(|violation| violation.promise == promise),
+        "promise {promise} not flagged: {violations:?}"
+    );
 }
 
 #[test]
@@ -105,20 +108,25 @@
             record(3, act("a"), receipt),
             record(4, search(4), refusal),
         ],
-        vec![run(1, OLDER, None), run(2, SNAPSHOT, None), run(3, SNAPSHOT, Some("a"))],
+        vec![execution(1, OLDER, None), execution(2, SNAPSHOT, None), execution(3, SNAPSHOT, Some("a"))],
     );
     assert_eq!(check_history(&good), Vec::new());
 }
 
 #[test]
 fn promise_1_hit_of_another_snapshot() {
-    assert_flags(&one_answer(|answer| answer.hits[0] = simulated_hit(&OLDER.to_string(), ShardId(0), "q1")), 1);
+    assert_flags(
+        &history_with_answer(|answer| answer.hits[0] = simulated_hit(&OLDER.to_string(), ShardId(0), "q1")),
+        1,
+    );
 }
 
 #[test]
 fn promise_1_shard_that_ran_at_another_snapshot() {
-    let mixed =
-        history(vec![record(1, search(1), Outcome::Answer(Box::new(answer(1, SNAPSHOT))))], vec![run(1, OLDER, None)]);
+    let mixed = history(
+        vec![record(1, search(1), Outcome::Answer(Box::new(answer(1, SNAPSHOT))))],
+        vec![execution(1, OLDER, None)],
+    );
     assert_flags(&mixed, 1);
 }
 
@@ -128,32 +136,35 @@
         record(1, search(1), Outcome::Answer(Box::new(answer(1, SNAPSHOT)))),
         record(2, search(2), Outcome::Answer(Box::new(answer(2, OLDER)))),
     ];
-    assert_flags(&history(records, vec![run(1, SNAPSHOT, None), run(2, OLDER, None)]), 1);
+    assert_flags(&history(records, vec![execution(1, SNAPSHOT, None), execution(2, OLDER, None)]), 1);
 }
 
 #[test]
 fn promise_2_shard_neither_included_nor_missing() {
-    assert_flags(&one_answer(|answer| answer.coverage.missing.clear()), 2);
+    assert_flags(&history_with_answer(|answer| answer.coverage.missing.clear()), 2);
 }
 
 #[test]
 fn promise_2_shard_claimed_without_its_documents() {
-    assert_flags(&one_answer(|answer| answer.hits.clear()), 2);
+    assert_flags(&history_with_answer(|answer| answer.hits.clear()), 2);
 }
 
 #[test]
 fn promise_2_shard_counted_twice() {
-    assert_flags(&one_answer(|answer| answer.matched = 2), 2);
+    assert_flags(&history_with_answer(|answer| answer.matched = 2), 2);
 }
 
 #[test]
 fn promise_3_hit_of_another_request() {
-    assert_flags(&one_answer(|answer| answer.hits[0] = simulated_hit(&SNAPSHOT.to_string(), ShardId(0), "q99")), 3);
+    assert_flags(
+        &history_with_answer(|answer| answer.hits[0] = simulated_hit(&SNAPSHOT.to_string(), ShardId(0), "q99")),
+        3,
+    );
 }
 
 #[test]
 fn promise_3_two_final_words() {
-    let mut doubled = one_answer(|_| {});
+    let mut doubled = history_with_answer(|_| {});
     for record in doubled.requests.values_mut() {
         let again = record.outcomes[0].clone();
         record.outcomes.push(again);
@@ -170,35 +181,35 @@
 #[test]
 fn promise_4_refused_as_not_run_and_ran() {
     let refusal = Outcome::Refusal(Refusal::new(ErrorKind::NotDelivered, ""));
-    assert_flags(&history(vec![record(1, search(1), refusal)], vec![run(1, SNAPSHOT, None)]), 4);
+    assert_flags(&history(vec![record(1, search(1), refusal)], vec![execution(1, SNAPSHOT, None)]), 4);
 }
 
 #[test]
 fn promise_5_action_ran_twice() {
     let unknown = Outcome::Refusal(Refusal::new(ErrorKind::OutcomeUnknown, ""));
-    let twice = vec![run(1, SNAPSHOT, Some("a")), run(2, SNAPSHOT, Some("a"))];
+    let twice = vec![execution(1, SNAPSHOT, Some("a")), execution(2, SNAPSHOT, Some("a"))];
     assert_flags(&history(vec![record(1, act("a"), unknown)], twice), 5);
 }
 
 #[test]
 fn promise_6_new_work_at_a_leaving_searcher() {
     let mut late = history(Vec::new(), Vec::new());
-    late.late_arrivals.push(LateArrival { searcher: SearcherId(1), after_ms: LEAVING_GRACE_MS });
+    late.leaving_arrivals.push(LeavingArrival { searcher: SearcherId(1), after_ms: LEAVING_GRACE_MS });
     assert_eq!(check_history(&late), Vec::new());
-    late.late_arrivals.push(LateArrival { searcher: SearcherId(1), after_ms: LEAVING_GRACE_MS + 1 });
+    late.leaving_arrivals.push(LeavingArrival { searcher: SearcherId(1), after_ms: LEAVING_GRACE_MS + 1 });
     assert_flags(&late, 6);
 }
 
 #[test]
 fn promise_7_planned_stop_that_cuts() {
     let mut cut = history(Vec::new(), Vec::new());
-    cut.cut_offs.push(CutOff { requests: 1, sub_requests: 0 });
+    cut.unclean_stops.push(UncleanStop { requests: 1, sub_requests: 0 });
     assert_flags(&cut, 7);
 }
 
 #[test]
 fn request_without_a_final_word() {
-    let mut silent = one_answer(|_| {});
+    let mut silent = history_with_answer(|_| {});
     silent.requests.values_mut().for_each(|record| record.outcomes.clear());
     assert_flags(&silent, 0);
 }
--- a/crates/session/staircross-lab/tests/replies.rs
+++ b/crates/session/staircross-lab/tests/replies.rs
@@ -16,13 +16,13 @@
 const FAULTY: SearcherId = SearcherId(1);
 const SHARDS: usize = 6;
 
-struct Bench {
+struct TestFleet {
     fleet: Fleet,
     client: NodeClient,
     session: SessionToken,
 }
 
-impl Bench {
+impl TestFleet {
     fn new() -> Self {
         let clauses = ServicePlan {
             name: "clauses",
@@ -31,7 +31,7 @@
             shards: SHARDS as u32,
             replicas: 1,
             corpus: Corpus::parse("clauses", CLAUSES).expect("well-formed"),
-            work: Duration::ZERO,
+            work_time: Duration::ZERO,
         };
         let bookings = ServicePlan {
             name: "bookings",
@@ -44,18 +44,18 @@
         let fleet = Fleet::start(plan).expect("the fleet starts");
         let client = fleet.client(0);
         let session = client.open_session().expect("a session opens");
-        Bench { fleet, client, session }
+        TestFleet { fleet, client, session }
     }
 
-    fn break_searcher(&self, id: SearcherId, fault: Fault) {
+    fn inject_fault(&self, id: SearcherId, fault: Fault) {
         self.fleet.searchers[&id].control(ControlCommand::AddFault { fault, calls: None });
     }
 
-    fn mend(&self) {
+    fn clear_faults(&self) {
         self.fleet.searchers.values().for_each(|searcher| searcher.control(ControlCommand::ClearFaults));
     }
 
-    fn ask(&self) -> AnswerBody {
+    fn search(&self) -> AnswerBody {
         let reply = self.client.query(self.session, "SEARCH 'notice' IN SERVICE clauses LIMIT 1000");
         match reply.expect("the node replies").body {
             ReplyBody::Answer(answer) => answer,
@@ -64,7 +64,7 @@
     }
 
     fn shards_of(&self, id: SearcherId) -> BTreeSet<ShardId> {
-        let map = &self.fleet.maps_of("clauses")[0];
+        let map = &self.fleet.shard_maps_of("clauses")[0];
         map.shards
             .iter()
             .filter(|placement| placement.replicas.contains(&id))
@@ -73,17 +73,17 @@
     }
 
     /// Searches while one searcher has a fault, and checks that exactly its shards are missing, for the given cause.
-    fn assert_only_faulty_is_missing(&self, whole: &AnswerBody, fault: Fault, cause: MissingCause) {
-        self.break_searcher(FAULTY, fault.clone());
-        let answer = self.ask();
-        self.mend();
+    fn assert_only_faulty_is_missing(&self, complete: &AnswerBody, fault: Fault, cause: MissingCause) {
+        self.inject_fault(FAULTY, fault.clone());
+        let answer = self.search();
+        self.clear_faults();
         let lost = self.shards_of(FAULTY);
         let missing: BTreeSet<ShardId> = answer.shards_missing.iter().map(|missing| missing.shard).collect();
         assert_eq!(missing, lost, "{fault:?}");
         assert!(answer.shards_missing.iter().all(|missing| missing.cause == cause), "{fault:?}: {answer:?}");
         assert_eq!(answer.shards_included + missing.len(), answer.shards_total, "{fault:?}");
         let expected: BTreeSet<&str> =
-            whole.hits.iter().filter(|hit| !lost.contains(&hit.shard)).map(|hit| hit.document.as_str()).collect();
+            complete.hits.iter().filter(|hit| !lost.contains(&hit.shard)).map(|hit| hit.document.as_str()).collect();
         let got: BTreeSet<&str> = answer.hits.iter().map(|hit| hit.document.as_str()).collect();
         assert_eq!(got, expected, "{fault:?}: the hits must be exactly the documents of the included shards");
         // A node sends nothing to a searcher for a while after several failures. The test waits until that is over.
@@ -93,27 +93,27 @@
 
 #[test]
 fn wrong_replies_are_stated_as_missing_and_never_merged() {
-    let bench = Bench::new();
-    let whole = bench.ask();
-    assert_eq!((whole.shards_included, whole.shards_missing.len()), (SHARDS, 0));
-    bench.assert_only_faulty_is_missing(&whole, Fault::CrossReply, MissingCause::Unreachable);
-    bench.assert_only_faulty_is_missing(&whole, Fault::TruncateReply, MissingCause::Unreachable);
-    bench.assert_only_faulty_is_missing(&whole, Fault::WrongSnapshot, MissingCause::Unreachable);
-    bench.assert_only_faulty_is_missing(&whole, Fault::DamageReply, MissingCause::Unreachable);
-    bench.assert_only_faulty_is_missing(&whole, Fault::Slow { delay_ms: 1500 }, MissingCause::Late);
-    assert_eq!(bench.ask().shards_included, SHARDS, "without faults, the answer includes all shards again");
+    let test_fleet = TestFleet::new();
+    let complete = test_fleet.search();
+    assert_eq!((complete.shards_included, complete.shards_missing.len()), (SHARDS, 0));
+    test_fleet.assert_only_faulty_is_missing(&complete, Fault::CrossReply, MissingCause::Unreachable);
+    test_fleet.assert_only_faulty_is_missing(&complete, Fault::TruncateReply, MissingCause::Unreachable);
+    test_fleet.assert_only_faulty_is_missing(&complete, Fault::WrongSnapshot, MissingCause::Unreachable);
+    test_fleet.assert_only_faulty_is_missing(&complete, Fault::DamageReply, MissingCause::Unreachable);
+    test_fleet.assert_only_faulty_is_missing(&complete, Fault::Slow { delay_ms: 1500 }, MissingCause::Late);
+    assert_eq!(test_fleet.search().shards_included, SHARDS, "without faults, the answer includes all shards again");
 }
 
 #[test]
 fn action_whose_reply_is_lost_is_not_sent_again() {
-    let bench = Bench::new();
-    for id in bench.fleet.searchers_of("bookings") {
-        bench.break_searcher(id, Fault::LoseReply);
+    let test_fleet = TestFleet::new();
+    for id in test_fleet.fleet.searchers_of("bookings") {
+        test_fleet.inject_fault(id, Fault::LoseReply);
     }
-    let ticket = bench.client.mint_ticket(bench.session).expect("a ticket");
+    let ticket = test_fleet.client.mint_ticket(test_fleet.session).expect("a ticket");
     let statement = format!("RUN confirm ON 'pitch-001' IN SERVICE bookings NOTE 'n1' TICKET '{ticket}'");
     for _ in 0..2 {
-        let reply = bench.client.query(bench.session, &statement).expect("the node replies");
+        let reply = test_fleet.client.query(test_fleet.session, &statement).expect("the node replies");
         match reply.body {
             ReplyBody::Refusal(refusal) => {
                 assert_eq!((refusal.error, refusal.executed), (ErrorKind::OutcomeUnknown, Executed::Maybe));
@@ -121,6 +121,6 @@
             other => panic!("expected a refusal, got {other:?}"),
         }
     }
-    let ran: usize = bench.fleet.searchers.values().map(|searcher| searcher.ledger().count_actions("n1")).sum();
+    let ran: usize = test_fleet.fleet.searchers.values().map(|searcher| searcher.ledger().count_actions("n1")).sum();
     assert_eq!(ran, 1, "the action must run once: neither the node nor the HTTP client may send it again");
 }
