--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -16,26 +16,26 @@
 
 import rounds
 
-SOURCES = {
+SWITCH_SOURCES = {
     "routing": (pathlib.Path("crates/staircross-routing/src/policy.rs"), "RoutingPolicy"),
     "node": (pathlib.Path("crates/staircross-gateway/src/settings.rs"), "NodePolicy"),
 }
 
 
-def switches():
+def policy_switches():
     """Returns all switches as keys under [policy]. They are the boolean fields of the policy structs in the Rust sources."""
-    found = []
-    for table, (source, name) in SOURCES.items():
+    keys = []
+    for table, (source, name) in SWITCH_SOURCES.items():
         body = re.search(rf"pub struct {name} {{(.*?)\n}}", source.read_text(), re.S).group(1)
-        found += [f"{table}.{field}" for field in re.findall(r"pub (\w+): bool", body)]
-    return found
+        keys += [f"{table}.{field}" for field in re.findall(r"pub (\w+): bool", body)]
+    return keys
 
 
-def played(args, site, off):
+def run_site(args, site, switch):
     """Runs the days of a site with one mechanism off, or with all on, and returns the figures."""
-    why = args.why + (f": {off} off" if off else ": all on")
+    why = args.why + (f": {switch} off" if switch else ": all on")
     options = types.SimpleNamespace(bench=args.bench, site=site, cpu=False, why=why, jobs=args.jobs, seeds=args.seeds)
-    return rounds.play_all(options, rounds.troubled(site), [f"{off} = false"] if off else [])
+    return rounds.run_days(options, rounds.days_with_faults(site), [f"{switch} = false"] if switch else [])
 
 
 def main():
@@ -49,22 +49,22 @@
     parser.add_argument("--out")
     parser.add_argument("--why", required=True)
     args = parser.parse_args()
-    wanted = args.switches.split(",") if args.switches else switches()
-    all_on = {site: played(args, site, None) for site in args.sites}
-    kept = {"all on": all_on}
+    selected = args.switches.split(",") if args.switches else policy_switches()
+    all_on = {site: run_site(args, site, None) for site in args.sites}
+    runs_by_switch = {"all on": all_on}
     print("| off |", " | ".join(pathlib.Path(site).stem for site in args.sites), "| broken |")
     print("| --- |", " --- |" * (len(args.sites) + 1))
-    for off in wanted:
-        cells, broken, kept[off] = [], 0, {}
+    for switch in selected:
+        cells, broken_runs, runs_by_switch[switch] = [], 0, {}
         for site in args.sites:
-            plays = played(args, site, off)
-            kept[off][site] = plays
-            change, error = rounds.difference(plays, all_on[site])
+            runs = run_site(args, site, switch)
+            runs_by_switch[switch][site] = runs
+            change, error = rounds.paired_difference(runs, all_on[site])
             cells.append(f"{-change:+.4f} ± {error:.4f}")
-            broken += sum(1 for play in plays if play["breaks"])
-        print(f"| `{off}` |", " | ".join(cells), f"| {broken} |", flush=True)
+            broken_runs += sum(1 for run in runs if run["breaks"])
+        print(f"| `{switch}` |", " | ".join(cells), f"| {broken_runs} |", flush=True)
         if args.out:
-            pathlib.Path(args.out).write_text(json.dumps(kept))
+            pathlib.Path(args.out).write_text(json.dumps(runs_by_switch))
 
 
 if __name__ == "__main__":
--- a/bench/bound.py
+++ b/bench/bound.py
@@ -34,15 +34,15 @@
 
 WINDOW_S = 2.0
 # Number of evenly spaced times in a window at which the state of the searchers is evaluated.
-MOMENTS = 4
+SAMPLES_PER_WINDOW = 4
 # Prices that depend on the deployment alone, so that no policy can avoid them.
-FIXED_PRICES = {"machine-seconds"}
+UNAVOIDABLE_PRICES = {"machine-seconds"}
 # Time from the return of power until a process of ours answers, in seconds. It was measured at 0.1 to 0.2 s.
-START_S = 0.1
+RESTART_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
-class Strike:
+class SearcherFault:
     """A fault of some searchers of shards for a time."""
 
     start: float
@@ -50,35 +50,35 @@
     # Number of searchers that are affected.
     count: int
     # Factor by which their work takes longer; infinite if they are down.
-    slower: float
+    slowdown: float
     # Whether the fault affects all searchers of one shard instead of any searchers.
     whole_shard: bool
 
-    def is_on(self, time):
+    def is_active(self, time):
         return self.start <= time < self.end
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
+class RequestClass:
     """A class of requests."""
 
     name: str
     # Latency objective.
-    aim_s: float
+    objective_s: float
     # Fraction of the credit that a late answer earns.
-    late_part: float
+    late_worth: float
     # Mean work time at a searcher.
-    work_s: float
+    mean_work_s: float
     # Fraction of all requests that belong to the class.
     share: float
     # Worth of one request.
     worth: float
     # Least fraction of the shards that an answer must cover; None for a class that one searcher answers.
-    least: float | None
+    min_coverage: float | None
 
 
 @dataclasses.dataclass(frozen=True)
-class Shards:
+class ShardSet:
     """The shards of an index that is in force from a time on."""
 
     since: float
@@ -87,177 +87,189 @@
     # Number of sub-requests that a searcher runs at a time.
     slots: int
     # Fraction of the time in which a searcher pauses.
-    pause: float
+    pause_fraction: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Dark:
+class PowerLoss:
     """A time in which some machines have no power."""
 
     start: float
     end: float
     # Fraction of the machines that have no power.
-    part: float
+    machine_share: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Day:
     """The data of a day that the bound is computed from."""
 
-    kinds: list
+    classes: list
     shards: list
-    strikes: list
-    dark: list
+    searcher_faults: list
+    power_losses: list
     # Time from a node to a searcher and back.
-    way_s: float
+    searcher_round_trip_s: float
     # Time between caller and node that counts towards the latency: four one-way delays.
-    caller_s: float
+    caller_delay_s: float
     # Number of requests in each window, by the start of the window.
-    asked: dict
+    requests_by_window: dict
     # Number of requests that waited for a look-up at a machine without power.
-    stalled: float
+    stalled_lookups: float
 
 
-def credit(missing, count, least):
+def credit(missing, count, min_coverage):
     """Returns the credit of an answer that lacks `missing` of `count` shards."""
-    return ((count - missing) / count) ** 2 if count - missing >= math.ceil(least * count) else 0.0
+    return ((count - missing) / count) ** 2 if count - missing >= math.ceil(min_coverage * count) else 0.0
 
 
-def served_parts(day, kinds, shards, slowness, rate):
+def served_fractions(day, classes, shards, slowness, rate):
     """Returns, for each shard, the fraction of the requests of each class that it can serve in time."""
     found = []
     for replicas in slowness:
-        offered = {kind.name: rate * kind.share for kind in kinds}
-        parts = {}
-        left = 1.0
+        offered = {request_class.name: rate * request_class.share for request_class in classes}
+        fractions = {}
+        free_share = 1.0
         # The class with the shortest objective gets slots first. The other classes share what it leaves.
-        for kind in sorted(kinds, key=lambda kind: kind.aim_s):
-            budget = kind.aim_s - day.way_s - day.caller_s
-            useful = [x for x in replicas if kind.work_s * x <= budget]
-            capacity = left * sum(shards.slots * (1.0 - shards.pause) / (kind.work_s * x) for x in useful)
-            demand = offered[kind.name]
-            part = 0.0 if not useful else min(1.0, capacity / demand) if demand > 0.0 else 1.0
+        for request_class in sorted(classes, key=lambda request_class: request_class.objective_s):
+            budget = request_class.objective_s - day.searcher_round_trip_s - day.caller_delay_s
+            useful = [slowdown for slowdown in replicas if request_class.mean_work_s * slowdown <= budget]
+            capacity = free_share * sum(
+                shards.slots * (1.0 - shards.pause_fraction) / (request_class.mean_work_s * slowdown) for slowdown in useful
+            )
+            demand = offered[request_class.name]
+            fraction = 0.0 if not useful else min(1.0, capacity / demand) if demand > 0.0 else 1.0
             if capacity > 0.0:
-                left *= max(0.0, 1.0 - demand * part / capacity)
-            parts[kind.name] = part * (1.0 - shards.pause ** len(useful))
-        found.append(parts)
+                free_share *= max(0.0, 1.0 - demand * fraction / capacity)
+            fractions[request_class.name] = fraction * (1.0 - shards.pause_fraction ** len(useful))
+        found.append(fractions)
     return found
 
 
-def gathered(parts, least):
+def max_gather_credit(fractions, min_coverage):
     """Returns the highest credit of a class, over all choices of the requests that each shard serves.
 
     Each shard can serve a fraction of the requests. An answer counts if at most `spare` shards are missing. It then has at least
     n - spare of the n worst shards, so the sum of what these shards serve bounds the number of answers that count. It can earn
     more if fewer answers count and each of them lacks fewer shards.
     """
-    count = len(parts)
-    spare = count - math.ceil(least * count)
-    most, within_worst = 1.0, 0.0
-    for number, part in enumerate(sorted(parts), start=1):
-        within_worst += part
+    count = len(fractions)
+    spare = count - math.ceil(min_coverage * count)
+    max_served, sum_of_worst = 1.0, 0.0
+    for number, fraction in enumerate(sorted(fractions), start=1):
+        sum_of_worst += fraction
         if number > spare:
-            most = min(most, within_worst / (number - spare))
-    if most <= 0.0:
+            max_served = min(max_served, sum_of_worst / (number - spare))
+    if max_served <= 0.0:
         return 0.0
-    short = sum(1 for part in parts if part < 1.0)
-    misses = sum(1.0 - part for part in parts)
+    short_shards = sum(1 for fraction in fractions if fraction < 1.0)
+    misses = sum(1.0 - fraction for fraction in fractions)
     # Fractions of the answers that count if each of these lacks exactly `lacking` shards. The other answers then lack every
     # shard that can't serve all requests.
-    evenly = [(short - misses) / (short - lacking) for lacking in range(min(spare, short - 1) + 1)] if short else []
-    return max(earned(served, misses, short, count, least) for served in [*evenly, most] if 0.0 < served <= most)
+    candidates = (
+        [(short_shards - misses) / (short_shards - lacking) for lacking in range(min(spare, short_shards - 1) + 1)]
+        if short_shards
+        else []
+    )
+    return max(
+        spread_credit(served, misses, short_shards, count, min_coverage)
+        for served in [*candidates, max_served]
+        if 0.0 < served <= max_served
+    )
 
 
-def earned(served, misses, short, count, least):
+def spread_credit(served, misses, short_shards, count, min_coverage):
     """Returns the credit if the fraction `served` of the answers counts and the misses that remain are spread evenly over them."""
-    each = max(0.0, misses - (1.0 - served) * short) / served
-    fewer = math.floor(each + 1e-9)
-    between = credit(fewer, count, least) - credit(fewer + 1, count, least)
-    return served * (credit(fewer, count, least) - between * max(0.0, each - fewer))
+    misses_per_answer = max(0.0, misses - (1.0 - served) * short_shards) / served
+    whole_misses = math.floor(misses_per_answer + 1e-9)
+    credit_step = credit(whole_misses, count, min_coverage) - credit(whole_misses + 1, count, min_coverage)
+    return served * (credit(whole_misses, count, min_coverage) - credit_step * max(0.0, misses_per_answer - whole_misses))
 
 
-def state(day, shards, time, rng_by_strike):
+def replica_slowness(day, shards, time, seeds):
     """Returns by what factor each replica of each shard is slower at a time: 1 if it is healthy, infinite if it is down."""
     slowness = [[1.0] * shards.replicas for _ in range(shards.count)]
-    places = [(shard, replica) for shard in range(shards.count) for replica in range(shards.replicas)]
-    for strike, seed in zip(day.strikes, rng_by_strike):
-        if not strike.is_on(time):
+    all_replicas = [(shard, replica) for shard in range(shards.count) for replica in range(shards.replicas)]
+    for fault, seed in zip(day.searcher_faults, seeds):
+        if not fault.is_active(time):
             continue
         rng = random.Random(seed)
-        if strike.whole_shard:
+        if fault.whole_shard:
             shard = rng.randrange(shards.count)
-            struck = [(shard, replica) for replica in range(shards.replicas)]
+            affected = [(shard, replica) for replica in range(shards.replicas)]
         else:
-            struck = rng.sample(places, min(strike.count, len(places)))
-        for shard, replica in struck:
-            slowness[shard][replica] *= strike.slower
+            affected = rng.sample(all_replicas, min(fault.count, len(all_replicas)))
+        for shard, replica in affected:
+            slowness[shard][replica] *= fault.slowdown
     return slowness
 
 
-def stalled_part(day, start, asked):
+def stalled_fraction(day, start, request_count):
     """Returns the fraction of a window's requests that wait for a look-up at a machine without power."""
-    overlap = lambda dark, at: max(0.0, min(dark.end, at + WINDOW_S) - max(dark.start, at)) * dark.part
-    some = [dark for dark in day.dark if dark.part < 1.0]
-    weights = {at: sum(overlap(dark, at) for dark in some) * count for at, count in day.asked.items()}
+    overlap = lambda loss, at: max(0.0, min(loss.end, at + WINDOW_S) - max(loss.start, at)) * loss.machine_share
+    partial_losses = [loss for loss in day.power_losses if loss.machine_share < 1.0]
+    weights = {at: sum(overlap(loss, at) for loss in partial_losses) * count for at, count in day.requests_by_window.items()}
     total = sum(weights.values())
-    return min(1.0, day.stalled * weights[start] / total / asked) if total > 0.0 and asked else 0.0
+    return min(1.0, day.stalled_lookups * weights[start] / total / request_count) if total > 0.0 and request_count else 0.0
 
 
-def powerless_part(day, start):
+def powerless_fraction(day, start):
     """Returns the fraction of a window in which no machine has power or none has restarted far enough to answer."""
-    spans = [(dark.start, dark.end + START_S) for dark in day.dark if dark.part >= 1.0]
+    spans = [(loss.start, loss.end + RESTART_S) for loss in day.power_losses if loss.machine_share >= 1.0]
     return min(1.0, sum(max(0.0, min(end, start + WINDOW_S) - max(begin, start)) for begin, end in spans) / WINDOW_S)
 
 
-def bound_of_window(day, start, draws, seed):
+def window_bounds(day, start, draws, seed):
     """Returns the bound of each class in a window, and the fraction of the requests that callers and power losses make late."""
-    asked = day.asked[start]
-    rate = asked / WINDOW_S
-    gathers = [kind for kind in day.kinds if kind.least is not None]
-    sums = {kind.name: 0.0 for kind in day.kinds}
+    request_count = day.requests_by_window[start]
+    rate = request_count / WINDOW_S
+    gather_classes = [request_class for request_class in day.classes if request_class.min_coverage is not None]
+    sums = {request_class.name: 0.0 for request_class in day.classes}
     for draw in range(draws):
-        seeds = [f"{seed}/{draw}/{index}" for index in range(len(day.strikes))]
-        for moment in range(MOMENTS):
-            time = start + (moment + 0.5) * WINDOW_S / MOMENTS
-            shards = max((known for known in day.shards if known.since <= time), key=lambda known: known.since)
-            parts = served_parts(day, gathers, shards, state(day, shards, time, seeds), rate)
-            for kind in day.kinds:
-                if kind.least is None:
-                    sums[kind.name] += 1.0
+        seeds = [f"{seed}/{draw}/{index}" for index in range(len(day.searcher_faults))]
+        for sample in range(SAMPLES_PER_WINDOW):
+            time = start + (sample + 0.5) * WINDOW_S / SAMPLES_PER_WINDOW
+            shards = max((shard_set for shard_set in day.shards if shard_set.since <= time), key=lambda shard_set: shard_set.since)
+            fractions = served_fractions(day, gather_classes, shards, replica_slowness(day, shards, time, seeds), rate)
+            for request_class in day.classes:
+                if request_class.min_coverage is None:
+                    sums[request_class.name] += 1.0
                 else:
-                    sums[kind.name] += gathered([shard[kind.name] for shard in parts], kind.least)
-    outside = max(stalled_part(day, start, asked), powerless_part(day, start))
+                    sums[request_class.name] += max_gather_credit(
+                        [shard[request_class.name] for shard in fractions], request_class.min_coverage
+                    )
+    lost_fraction = max(stalled_fraction(day, start, request_count), powerless_fraction(day, start))
     bounds = {}
-    for kind in day.kinds:
-        in_time = sums[kind.name] / (draws * MOMENTS)
-        served = in_time + (1.0 - in_time) * kind.late_part
-        bounds[kind.name] = (1.0 - outside) * served + outside * kind.late_part
-    return bounds, outside
+    for request_class in day.classes:
+        in_time = sums[request_class.name] / (draws * SAMPLES_PER_WINDOW)
+        served = in_time + (1.0 - in_time) * request_class.late_worth
+        bounds[request_class.name] = (1.0 - lost_fraction) * served + lost_fraction * request_class.late_worth
+    return bounds, lost_fraction
 
 
-def weighted(kinds, values):
+def worth_weighted_mean(classes, values):
     """Returns the mean over the classes, weighted by the worth of their requests."""
-    total = sum(kind.share * kind.worth for kind in kinds)
-    return sum(values[kind.name] * kind.share * kind.worth for kind in kinds) / total
+    total = sum(request_class.share * request_class.worth for request_class in classes)
+    return sum(values[request_class.name] * request_class.share * request_class.worth for request_class in classes) / total
 
 
 def shard_sets(site, report):
     """Returns the shards from the start of the day and, if the index is resharded, the new shards from the time of the event."""
     found = []
-    cut = next((event for event in report["events"] if event["kind"].startswith("reshard")), None)
+    reshard = next((event for event in report["events"] if event["kind"].startswith("reshard")), None)
     for service in site["services"]:
-        if "copies" not in service or (service.get("later") and cut is None):
+        if "copies" not in service or (service.get("later") and reshard is None):
             continue
-        since = cut["at_s"] + 3.0 if service.get("later") else -math.inf
+        since = reshard["at_s"] + 3.0 if service.get("later") else -math.inf
         replicas = sum(place["count"] for place in service["servers"])
-        pause = service.get("pause_ms", 0) / 1000.0 / service.get("pause_every_s", math.inf)
-        found.append(Shards(since, service["copies"], replicas, service["slots"], pause))
+        pause_fraction = service.get("pause_ms", 0) / 1000.0 / service.get("pause_every_s", math.inf)
+        found.append(ShardSet(since, service["copies"], replicas, service["slots"], pause_fraction))
     return found
 
 
-def strikes_of(site, day, report):
+def read_searcher_faults(site, day, report):
     """Returns the faults that affect searchers of shards."""
-    gathers = {service["name"] for service in site["services"] if "copies" in service}
+    sharded_services = {service["name"] for service in site["services"] if "copies" in service}
     found = []
     for event in report["events"]:
         kind = event["kind"].split(" ")[0]
@@ -267,58 +279,58 @@
         same = lambda fault: fault["kind"] == kind and abs(fault["at"] - event["at_s"]) < 0.05
         fault = next((fault for fault in day.get("faults", []) if same(fault)), {})
         service = fault.get("service", "")
-        if service and service.split("~")[0] not in gathers:
+        if service and service.split("~")[0] not in sharded_services:
             continue
-        how = fault.get("how", "")
-        end = math.inf if "gone" in how else event["to_s"]
-        slower = fault.get("x", 4.0) if kind == "srv_slow" else math.inf
-        whole = "all" in how.split() and "across" not in how
-        found.append(Strike(event["at_s"], end, int(counted.group(1)), slower, whole))
+        variant = fault.get("how", "")
+        end = math.inf if "gone" in variant else event["to_s"]
+        slowdown = fault.get("x", 4.0) if kind == "srv_slow" else math.inf
+        is_whole_shard = "all" in variant.split() and "across" not in variant
+        found.append(SearcherFault(event["at_s"], end, int(counted.group(1)), slowdown, is_whole_shard))
     return found
 
 
-def dark_of(day, report):
+def read_power_losses(day, report):
     """Returns the times in which machines have no power."""
     found = []
     for event in report["events"]:
         kind = event["kind"].split(" ")[0]
         named = len([name for name in re.split(r", | and ", event["what"]) if name and not name[0].isdigit()])
         more = re.search(r"and (\d+) more", event["what"])
-        part = (named + (int(more.group(1)) if more else 0)) / report["machines"]
+        machine_share = (named + (int(more.group(1)) if more else 0)) / report["machines"]
         if kind == "closing":
-            found.append(Dark(event["at_s"], event["at_s"] + day.get("closing", {}).get("down_s", 0.0), 1.0))
+            found.append(PowerLoss(event["at_s"], event["at_s"] + day.get("closing", {}).get("down_s", 0.0), 1.0))
         elif kind in ("node_kill", "herd_kill") and "power" in event["kind"]:
-            found.append(Dark(event["at_s"], event["to_s"], part))
+            found.append(PowerLoss(event["at_s"], event["to_s"], machine_share))
     return found
 
 
-def read_day(site, day, report):
+def build_day(site, script, report):
     """Collects the data for the bound from the site, the day and the report."""
-    requests = {kind["name"]: kind["n"] for kind in report["classes"]}
+    requests = {request_class["name"]: request_class["n"] for request_class in report["classes"]}
     total = sum(requests.values()) or 1
-    kinds = [
-        Kind(
-            name=kind["name"],
-            aim_s=kind["aim_ms"] / 1000.0,
-            late_part=kind["late_worth"],
-            work_s=kind["work_ms"]["mean"] / 1000.0,
-            share=requests.get(kind["name"], 0) / total,
-            worth=kind["worth"],
-            least=kind.get("gather", {}).get("least"),
+    classes = [
+        RequestClass(
+            name=request_class["name"],
+            objective_s=request_class["aim_ms"] / 1000.0,
+            late_worth=request_class["late_worth"],
+            mean_work_s=request_class["work_ms"]["mean"] / 1000.0,
+            share=requests.get(request_class["name"], 0) / total,
+            worth=request_class["worth"],
+            min_coverage=request_class.get("gather", {}).get("least"),
         )
-        for kind in site["classes"]
+        for request_class in site["classes"]
     ]
     failed = next((re.match(r"(\d+) of \d+ look-ups", hint) for hint in report["hints"] if "look-ups" in hint), None)
     net = site["net"]
     return Day(
-        kinds=kinds,
+        classes=classes,
         shards=shard_sets(site, report),
-        strikes=strikes_of(site, day, report),
-        dark=dark_of(day, report),
-        way_s=2.0 * net["cross_zone_ms"] / 1000.0,
-        caller_s=4.0 * net["client_ms"] / 1000.0,
-        asked={float(window["name"]): window["n"] for window in report["windows"]},
-        stalled=float(failed.group(1)) if failed else 0.0,
+        searcher_faults=read_searcher_faults(site, script, report),
+        power_losses=read_power_losses(script, report),
+        searcher_round_trip_s=2.0 * net["cross_zone_ms"] / 1000.0,
+        caller_delay_s=4.0 * net["client_ms"] / 1000.0,
+        requests_by_window={float(window["name"]): window["n"] for window in report["windows"]},
+        stalled_lookups=float(failed.group(1)) if failed else 0.0,
     )
 
 
@@ -333,36 +345,36 @@
     args = parser.parse_args()
     site = tomllib.loads(pathlib.Path(args.site).read_text())
     report = json.loads(pathlib.Path(args.report).read_text())
-    named = next((day for day in site["day"] if day["name"] == args.day), None)
-    if named is None:
+    script = next((day for day in site["day"] if day["name"] == args.day), None)
+    if script is None:
         raise SystemExit(f"{args.site}: no day {args.day}; there are {', '.join(day['name'] for day in site['day'])}")
-    day = read_day(site, named, report)
+    day = build_day(site, script, report)
     print("second   asked  reached  bound    ours   of the rest: callers and power, searchers")
     totals = {"asked": 0, "reached": 0.0, "bound": 0.0}
-    by_kind = {kind.name: 0.0 for kind in day.kinds}
+    by_class = {request_class.name: 0.0 for request_class in day.classes}
     bounds = []
     for window in report["windows"]:
-        start, asked = float(window["name"]), window["n"]
-        values, outside = bound_of_window(day, start, args.draws, args.seed)
-        bound = max(weighted(day.kinds, values), window["worth"])
-        late = sum(kind.late_part * kind.share * kind.worth for kind in day.kinds)
-        late /= sum(kind.share * kind.worth for kind in day.kinds)
-        callers = min(1.0 - bound, outside * (1.0 - late))
+        start, request_count = float(window["name"]), window["n"]
+        values, lost_fraction = window_bounds(day, start, args.draws, args.seed)
+        bound = max(worth_weighted_mean(day.classes, values), window["worth"])
+        late_credit = sum(request_class.late_worth * request_class.share * request_class.worth for request_class in day.classes)
+        late_credit /= sum(request_class.share * request_class.worth for request_class in day.classes)
+        callers = min(1.0 - bound, lost_fraction * (1.0 - late_credit))
         searchers = max(0.0, 1.0 - bound - callers)
-        print(f"{start:6.0f} {asked:7} {window['worth']:8.3f} {bound:6.3f} {bound - window['worth']:7.3f}   {callers:.3f} {searchers:.3f}")
+        print(f"{start:6.0f} {request_count:7} {window['worth']:8.3f} {bound:6.3f} {bound - window['worth']:7.3f}   {callers:.3f} {searchers:.3f}")
         bounds.append(bound)
-        totals["asked"] += asked
-        totals["reached"] += asked * window["worth"]
-        totals["bound"] += asked * bound
-        for kind in day.kinds:
-            by_kind[kind.name] += asked * values[kind.name]
-    asked = totals["asked"] or 1
+        totals["asked"] += request_count
+        totals["reached"] += request_count * window["worth"]
+        totals["bound"] += request_count * bound
+        for request_class in day.classes:
+            by_class[request_class.name] += request_count * values[request_class.name]
+    request_count = totals["asked"] or 1
     best = {
-        "whole day": totals["bound"] / asked,
+        "whole day": totals["bound"] / request_count,
         "worst windows": sum(sorted(bounds)[:2]) / max(1, len(bounds[:2])),
-        "worst class": min(value / asked for value in by_kind.values()),
+        "worst class": min(value / request_count for value in by_class.values()),
     }
-    fixed = sum(price for name, _, price in report["prices"] if name in FIXED_PRICES)
+    unavoidable = sum(price for name, _, price in report["prices"] if name in UNAVOIDABLE_PRICES)
     print("\npart              weight  reached  bound")
     worth = 0.0
     for name, weight, value in report["parts"]:
@@ -372,8 +384,8 @@
         worth += weight * bound
         print(f"{name:17} {weight:6.2f} {value:8.3f} {bound:6.3f}")
     prices = sum(price for _, _, price in report["prices"])
-    print(f"{'prices':17} {'':6} {prices:8.3f} {fixed:6.3f}")
-    print(f"{'worth':17} {'':6} {report['G']:8.3f} {worth - fixed:6.3f}")
+    print(f"{'prices':17} {'':6} {prices:8.3f} {unavoidable:6.3f}")
+    print(f"{'worth':17} {'':6} {report['G']:8.3f} {worth - unavoidable:6.3f}")
 
 
 if __name__ == "__main__":
--- a/bench/kinds.py
+++ b/bench/kinds.py
@@ -125,22 +125,22 @@
 TIMES = [1.0, 12.0, 26.0]
 
 
-def entry(label, fields, at):
+def toml_entry(label, fields, at):
     """Returns one entry of a day file as inline TOML."""
     kind = label.split("-")[0]
     return f'{{ kind = "{kind}", at = {at}, {fields} }}'
 
 
-def day(label, where, fields, pair, seed):
+def day_toml(label, table, fields, pair, seed):
     """Returns the day file of one kind."""
     entries = {PLAN: [], FAULT: []}
     # These kinds happen once a day: adding machines, resharding, a big configuration and the loss of many machines at once.
     times = TIMES[1:2] if label.split("-")[0] in ("add_nodes", "reshard", "big_config", "herd_kill") else TIMES
     for at in times:
-        entries[where].append(entry(label, fields, at))
+        entries[table].append(toml_entry(label, fields, at))
     if pair:
-        pair_label, pair_where, pair_fields = next(kind for kind in KINDS if kind[0] == pair)
-        entries[pair_where].append(entry(pair_label, pair_fields, 11.5))
+        pair_label, pair_table, pair_fields = next(kind for kind in KINDS if kind[0] == pair)
+        entries[pair_table].append(toml_entry(pair_label, pair_fields, 11.5))
     lines = ["[[day]]", f'name = "{label}"', 'slot = "trouble"', f"seed = {seed}"]
     for name, rows in entries.items():
         lines.append(f"{name} = [")
@@ -149,14 +149,14 @@
     return "\n".join(lines) + "\n"
 
 
-def play(bench, site, path, why):
+def run_bench(bench, site, path, why):
     """Runs the day in a file and returns what the bench prints."""
     command = [bench, "run", site, str(path), "--why", why]
     output = subprocess.run(command, capture_output=True, text=True, check=False).stdout
     return output
 
 
-def read(output, label):
+def table_columns(output, label):
     """Returns the columns of a table row from the output of the bench."""
     row = re.search(r"^(\S.*?)\s+\d+/\d+\s+(\S+)\s+(\S+)\s+(\S+)\s+(\S+)\s+(\S+)(.*)$", output, re.M)
     if not row:
@@ -181,28 +181,28 @@
     arguments = parser.parse_args()
     if arguments.keep:
         arguments.keep.mkdir(parents=True, exist_ok=True)
-        play_table(arguments, arguments.keep)
+        run_table(arguments, arguments.keep)
     else:
         with tempfile.TemporaryDirectory() as folder:
-            play_table(arguments, pathlib.Path(folder))
+            run_table(arguments, pathlib.Path(folder))
 
 
-def play_table(arguments, folder):
+def run_table(arguments, folder):
     """Runs the wanted kinds in parallel, with the day files in a folder, and prints the table."""
     site_name = pathlib.Path(arguments.site).stem
-    wanted = [kind for kind in KINDS if not arguments.only or kind[0] in arguments.only.split(",")]
+    selected = [kind for kind in KINDS if not arguments.only or kind[0] in arguments.only.split(",")]
 
-    def one(kind):
-        label, where, fields = kind
+    def run_kind(kind):
+        label, table, fields = kind
         suffix = f"+{arguments.pair}" if arguments.pair else ""
         path = folder / f"{label}{suffix}.toml"
-        path.write_text(day(label, where, fields, arguments.pair, arguments.seed))
+        path.write_text(day_toml(label, table, fields, arguments.pair, arguments.seed))
         why = f"{arguments.why}: {label}{suffix} on {site_name}"
-        return label + suffix, read(play(arguments.bench, arguments.site, path, why), label)
+        return label + suffix, table_columns(run_bench(arguments.bench, arguments.site, path, why), label)
 
     print(f"| kind on {site_name} | rules | served | worth |\n| --- | --- | ---: | ---: |")
     with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
-        for label, row in pool.map(one, wanted):
+        for label, row in pool.map(run_kind, selected):
             print(f"| `{label}` | {row} |", flush=True)
 
 
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -21,12 +21,12 @@
 import tempfile
 import tomllib
 
-TEMPLATE = pathlib.Path("deploy/node.toml.template")
-POLICY = "[policy]\n"
-PARTS = {"whole day": "whole", "worst windows": "windows", "worst class": "class", "nines": "nines"}
+SETTINGS_TEMPLATE = pathlib.Path("deploy/node.toml.template")
+POLICY_HEADER = "[policy]\n"
+PART_KEYS = {"whole day": "whole", "worst windows": "windows", "worst class": "class", "nines": "nines"}
 
 
-def troubled(site):
+def days_with_faults(site):
     """Returns the names of the standard days that have faults."""
     days = tomllib.loads(pathlib.Path(site).read_text())["day"]
     return [day["name"] for day in days if day["slot"] != "quiet"]
@@ -38,50 +38,50 @@
     return range(int(first), int(last) + 1)
 
 
-def play(args, day, seed):
+def run_day(args, day, seed):
     """Runs one day with one seed and returns the figures of the report."""
-    with tempfile.NamedTemporaryFile(suffix=".json") as report:
-        command = [args.bench, "run", args.site, day, "--seed", str(seed), "--report", report.name, "--why", args.why]
+    with tempfile.NamedTemporaryFile(suffix=".json") as report_file:
+        command = [args.bench, "run", args.site, day, "--seed", str(seed), "--report", report_file.name, "--why", args.why]
         command += [] if args.cpu else ["--no-cpu"]
-        run = subprocess.run(command, capture_output=True, text=True)
+        completed = subprocess.run(command, capture_output=True, text=True)
         try:
-            found = json.loads(pathlib.Path(report.name).read_text())
+            report = json.loads(pathlib.Path(report_file.name).read_text())
         except json.JSONDecodeError:
-            sys.exit(f"{day} seed {seed}: no report\n{run.stdout}{run.stderr}")
-    parts = {PARTS[name]: value for name, _, value in found["parts"] if name in PARTS}
+            sys.exit(f"{day} seed {seed}: no report\n{completed.stdout}{completed.stderr}")
+    parts = {PART_KEYS[name]: value for name, _, value in report["parts"] if name in PART_KEYS}
     # A price can be missing on a day; it then counts as 0.
-    price_of = {name: price or 0.0 for name, _, price in found["prices"]}
-    causes = {cause: count for cause, count, _ in found["unserved_by"]}
+    price_of = {name: price or 0.0 for name, _, price in report["prices"]}
+    causes = {cause: count for cause, count, _ in report["unserved_by"]}
     return {
         "day": day,
         "seed": seed,
-        "worth": found["G"],
+        "worth": report["G"],
         **parts,
         "prices": sum(price_of.values()),
         "price_of": {name: price for name, price in price_of.items() if price >= 0.0005},
-        "unserved": 1e4 * found["unserved"],
+        "unserved": 1e4 * report["unserved"],
         "unserved_by": causes,
-        "tries": found["ends"],
-        "windows_by": [(window["name"], window["worth"]) for window in found["windows"]],
-        "breaks": sorted(found["breaks"]),
+        "tries": report["ends"],
+        "windows_by": [(window["name"], window["worth"]) for window in report["windows"]],
+        "breaks": sorted(report["breaks"]),
     }
 
 
-def play_all(args, days, policy):
+def run_days(args, days, policy):
     """Runs each day with each seed. The lines of `policy` are under [policy] in the settings template meanwhile."""
-    template = TEMPLATE.read_text()
-    if policy and POLICY not in template:
-        sys.exit(f"{TEMPLATE} has no [policy] table")
+    template = SETTINGS_TEMPLATE.read_text()
+    if policy and POLICY_HEADER not in template:
+        sys.exit(f"{SETTINGS_TEMPLATE} has no [policy] table")
     try:
         if policy:
-            TEMPLATE.write_text(template.replace(POLICY, POLICY + "".join(f"{line}\n" for line in policy)))
+            SETTINGS_TEMPLATE.write_text(template.replace(POLICY_HEADER, POLICY_HEADER + "".join(f"{line}\n" for line in policy)))
         subprocess.run([args.bench, "build"], check=True, capture_output=True)
         with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
-            wanted = [(day, seed) for day in days for seed in args.seeds]
-            return list(pool.map(lambda one: play(args, *one), wanted))
+            days_and_seeds = [(day, seed) for day in days for seed in args.seeds]
+            return list(pool.map(lambda day_and_seed: run_day(args, *day_and_seed), days_and_seeds))
     finally:
         if policy:
-            TEMPLATE.write_text(template)
+            SETTINGS_TEMPLATE.write_text(template)
 
 
 def mean(values):
@@ -90,24 +90,24 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def difference(plays, before):
+def paired_difference(runs, before):
     """Returns the mean difference of worth over equal days and seeds, and its standard error."""
-    old = {(play["day"], play["seed"]): play["worth"] for play in before}
-    deltas = [play["worth"] - old[play["day"], play["seed"]] for play in plays if (play["day"], play["seed"]) in old]
+    worth_before = {(run["day"], run["seed"]): run["worth"] for run in before}
+    deltas = [run["worth"] - worth_before[run["day"], run["seed"]] for run in runs if (run["day"], run["seed"]) in worth_before]
     if len(deltas) < 2:
         return mean(deltas), float("nan")
-    centre = mean(deltas)
-    spread = math.sqrt(sum((delta - centre) ** 2 for delta in deltas) / (len(deltas) - 1))
-    return centre, spread / math.sqrt(len(deltas))
+    mean_delta = mean(deltas)
+    spread = math.sqrt(sum((delta - mean_delta) ** 2 for delta in deltas) / (len(deltas) - 1))
+    return mean_delta, spread / math.sqrt(len(deltas))
 
 
-def row(name, plays, before):
+def print_row(name, runs, before):
     """Prints one line of the table."""
-    columns = [f"{mean(play.get(key, 0.0) for play in plays):6.3f}" for key in ["worth", *PARTS.values(), "prices"]]
-    unserved = f"{mean(play['unserved'] for play in plays):8.1f}"
-    tries = [f"{mean(play['tries'].get(status, 0) for play in plays):6.1f}" for status in ("502", "503", "504")]
-    broken = sum(1 for play in plays if play["breaks"])
-    change = "" if before is None else "  {:+.4f} ± {:.4f}".format(*difference(plays, before))
+    columns = [f"{mean(run.get(key, 0.0) for run in runs):6.3f}" for key in ["worth", *PART_KEYS.values(), "prices"]]
+    unserved = f"{mean(run['unserved'] for run in runs):8.1f}"
+    tries = [f"{mean(run['tries'].get(status, 0) for run in runs):6.1f}" for status in ("502", "503", "504")]
+    broken = sum(1 for run in runs if run["breaks"])
+    change = "" if before is None else "  {:+.4f} ± {:.4f}".format(*paired_difference(runs, before))
     print(f"{name:12}", *columns, unserved, *tries, f"{broken:7}{change}")
 
 
@@ -125,18 +125,18 @@
     parser.add_argument("--set", action="append", default=[], metavar="KEY=VALUE")
     parser.add_argument("--why", required=True)
     args = parser.parse_args()
-    days = args.days.split(",") if args.days else troubled(args.site)
+    days = args.days.split(",") if args.days else days_with_faults(args.site)
     before = json.loads(pathlib.Path(args.against).read_text()) if args.against else None
-    plays = play_all(args, days, args.set)
+    runs = run_days(args, days, args.set)
     print("day           worth  whole window  class  nines prices unserved    502    503    504  broken")
     for day in days:
-        row(day, [found for found in plays if found["day"] == day], before)
-    row("mean", plays, before)
-    for found in plays:
-        if found["breaks"]:
-            print("broken:", found["day"], "seed", found["seed"], *found["breaks"])
+        print_row(day, [run for run in runs if run["day"] == day], before)
+    print_row("mean", runs, before)
+    for run in runs:
+        if run["breaks"]:
+            print("broken:", run["day"], "seed", run["seed"], *run["breaks"])
     if args.out:
-        pathlib.Path(args.out).write_text(json.dumps(plays))
+        pathlib.Path(args.out).write_text(json.dumps(runs))
 
 
 if __name__ == "__main__":
