--- a/crates/session/staircross-lab/src/demo.rs
+++ b/crates/session/staircross-lab/src/demo.rs
@@ -72,25 +72,25 @@
         Some(path) => Corpus::read(path)?,
         None => Corpus::parse("clauses", CLAUSES)?,
     };
-    reporter.chapter("Starting a platform, 15 searchers in 3 zones and 3 nodes on loopback");
-    let fleet = Fleet::start(plan(&clauses, &options.log)?)?;
+    reporter.print_chapter("Starting a platform, 15 searchers in 3 zones and 3 nodes on loopback");
+    let fleet = Fleet::start(fleet_plan(&clauses, &options.log)?)?;
     let client = fleet.client(0);
     let session = client.open_session()?;
-    reporter.note("a session is open at the first node; it stays open through all that follows");
+    reporter.print_note("a session is open at the first node; it stays open through all that follows");
     let mut demo = Demo { fleet, reporter, client, session, clauses };
-    demo.search()?;
-    demo.roll_over()?;
-    demo.straggler()?;
-    demo.lost_replica()?;
-    demo.confirm_twice()?;
-    demo.drain()?;
-    demo.change_policy()?;
-    demo.planned_stop()?;
-    reporter.chapter("Done: one session, open from beginning to end");
+    demo.show_search()?;
+    demo.show_roll_over()?;
+    demo.show_straggler()?;
+    demo.show_lost_replica()?;
+    demo.show_repeated_action()?;
+    demo.show_drain()?;
+    demo.show_policy_change()?;
+    demo.show_planned_stop()?;
+    reporter.print_chapter("Done: one session, open from beginning to end");
     Ok(())
 }
 
-fn plan(clauses: &Corpus, log: &str) -> Result<FleetPlan, DemoError> {
+fn fleet_plan(clauses: &Corpus, log: &str) -> Result<FleetPlan, DemoError> {
     let pitches = Corpus::parse("pitches", PITCHES)?;
     let clause_service = ServicePlan {
         name: "clauses",
@@ -126,12 +126,12 @@
 impl Demo {
     fn run_statement(&self, chapter: &str, statement: &str) -> Result<StatementReply, DemoError> {
         let reply = self.client.query(self.session, statement)?;
-        self.reporter.reply(chapter, statement, &reply);
+        self.reporter.print_reply(chapter, statement, &reply);
         Ok(reply)
     }
 
-    fn search(&self) -> Result<(), DemoError> {
-        self.reporter.chapter("Clause search and pitch search over 8 shards each");
+    fn show_search(&self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("Clause search and pitch search over 8 shards each");
         self.run_statement("search", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 3")?;
         self.run_statement("search", "SEARCH 'caravan electricity' IN SERVICE pitches WAIT 200 MS LIMIT 3")?;
         self.run_statement("search", "PULL '' IN SERVICE clauses LIMIT 5")?;
@@ -139,8 +139,8 @@
         Ok(())
     }
 
-    fn roll_over(&mut self) -> Result<(), DemoError> {
-        self.reporter.chapter("A new index version arrives while queries run");
+    fn show_roll_over(&mut self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("A new index version arrives while queries run");
         let snapshot = Snapshot { version: 2, ..FIRST_SNAPSHOT };
         let newer = mark_as_amended(&self.clauses);
         let map = self.fleet.make_shard_map("clauses", snapshot, CLAUSE_SHARDS);
@@ -150,15 +150,16 @@
         self.fleet.publish_shard_maps("clauses", maps);
         for (done, id) in searchers.iter().enumerate() {
             if done == 1 {
-                self.reporter.note("one searcher of six has version 2; answers still come from version 1 as a whole");
+                self.reporter
+                    .print_note("one searcher of six has version 2; answers still come from version 1 as a whole");
             }
             self.run_statement("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1")?;
             self.fleet.load_snapshot_at(*id, "clauses", &newer, &map);
             std::thread::sleep(Duration::from_millis(150));
         }
         let reached = self.wait_for_snapshot("2.1.1")?;
-        self.reporter.note("every shard of version 2 is covered now, so the service has moved to it:");
-        self.reporter.reply("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1", &reached);
+        self.reporter.print_note("every shard of version 2 is covered now, so the service has moved to it:");
+        self.reporter.print_reply("roll-over", "SEARCH 'audit notice' IN SERVICE clauses LIMIT 1", &reached);
         for id in &searchers {
             if let Some(searcher) = self.fleet.searchers.get(id) {
                 searcher.control(ControlCommand::Retire { snapshot: FIRST_SNAPSHOT });
@@ -181,15 +182,16 @@
         Err(DemoError::ExpectationFailed { what: "the service moves to the new version" })
     }
 
-    fn straggler(&self) -> Result<(), DemoError> {
-        self.reporter.chapter("One searcher becomes very slow");
+    fn show_straggler(&self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("One searcher becomes very slow");
         let id = SearcherId(1);
         // The nodes need enough quick answers first to know the usual latency.
         for _ in 0..40 {
             self.client.query(self.session, "SEARCH 'insurance' IN SERVICE clauses LIMIT 1")?;
         }
         self.control_searcher(id, ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 600 }, calls: None });
-        self.reporter.note("its shards are asked of other replicas too, within the hedge budget, then it is avoided");
+        self.reporter
+            .print_note("its shards are asked of other replicas too, within the hedge budget, then it is avoided");
         for _ in 0..4 {
             self.run_statement("straggler", "SEARCH 'insurance certificates' IN SERVICE clauses LIMIT 1")?;
         }
@@ -197,15 +199,15 @@
         Ok(())
     }
 
-    fn lost_replica(&self) -> Result<(), DemoError> {
-        self.reporter.chapter("A replica is lost, then every replica of one shard");
+    fn show_lost_replica(&self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("A replica is lost, then every replica of one shard");
         self.control_searcher(SearcherId(2), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
         self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
         for id in [3, 4] {
             self.control_searcher(SearcherId(id), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
         }
         std::thread::sleep(Duration::from_millis(1500));
-        self.reporter.note("shards that lived only on the three lost searchers are listed as missing:");
+        self.reporter.print_note("shards that lived only on the three lost searchers are listed as missing:");
         self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
         self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
         for id in [2, 3, 4] {
@@ -216,15 +218,15 @@
         Ok(())
     }
 
-    fn confirm_twice(&self) -> Result<(), DemoError> {
-        self.reporter.chapter("A booking is confirmed, and the confirmation is sent again");
+    fn show_repeated_action(&self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("A booking is confirmed, and the confirmation is sent again");
         let ticket = self.client.mint_ticket(self.session)?;
         let statement = format!("RUN confirm ON 'pitch-017' IN SERVICE bookings NOTE 'stay-4711' TICKET '{ticket}'");
         self.run_statement("confirm", &statement)?;
         self.run_statement("confirm", &statement)?;
         let executions: usize =
             self.fleet.searchers.values().map(|searcher| searcher.ledger().count_actions("stay-4711")).sum();
-        self.reporter.note(&format!("the searchers' ledgers show that it ran {executions} time"));
+        self.reporter.print_note(&format!("the searchers' ledgers show that it ran {executions} time"));
         if executions != 1 {
             return Err(DemoError::ExpectationFailed { what: "the confirmation runs once" });
         }
@@ -232,8 +234,8 @@
         Ok(())
     }
 
-    fn drain(&self) -> Result<(), DemoError> {
-        self.reporter.chapter("A searcher is drained");
+    fn show_drain(&self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("A searcher is drained");
         let id = SearcherId(7);
         self.control_searcher(id, ControlCommand::Drain);
         self.run_statement("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
@@ -243,23 +245,24 @@
             self.run_statement("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
         }
         let new_work = self.ledger_length(id) - before;
-        self.reporter.note(&format!("pieces of work at searcher {id} after the drain: {new_work}"));
+        self.reporter.print_note(&format!("pieces of work at searcher {id} after the drain: {new_work}"));
         if new_work != 0 {
             return Err(DemoError::ExpectationFailed { what: "a drained searcher gets no new work" });
         }
         Ok(())
     }
 
-    fn change_policy(&mut self) -> Result<(), DemoError> {
-        self.reporter.chapter("An operator changes a policy: a node plans the document, the platform publishes it");
+    fn show_policy_change(&mut self) -> Result<(), DemoError> {
+        self.reporter
+            .print_chapter("An operator changes a policy: a node plans the document, the platform publishes it");
         for statement in ["ALTER SERVICE pitches SET WAIT 9000000 MS", "ALTER SERVICE pitches SET WAIT 300 MS"] {
             let reply = self.client.command(statement)?;
-            self.reporter.reply("change", statement, &reply);
+            self.reporter.print_reply("change", statement, &reply);
             if let ReplyBody::Planned { document } = reply.body {
                 let revision = document.revision;
                 self.fleet.publish_document(*document);
                 self.wait_for_revision(revision)?;
-                self.reporter.note(&format!("revision {revision} is in force at every node"));
+                self.reporter.print_note(&format!("revision {revision} is in force at every node"));
             }
         }
         Ok(())
@@ -279,8 +282,8 @@
         Err(DemoError::ExpectationFailed { what: "the change is in force everywhere" })
     }
 
-    fn planned_stop(&mut self) -> Result<(), DemoError> {
-        self.reporter.chapter("The node that holds the session stops as planned, with a request in flight");
+    fn show_planned_stop(&mut self) -> Result<(), DemoError> {
+        self.reporter.print_chapter("The node that holds the session stops as planned, with a request in flight");
         for id in self.fleet.searchers_of("clauses") {
             self.control_searcher(
                 id,
@@ -296,15 +299,15 @@
         node.begin_stop();
         let reply =
             in_flight.join().map_err(|_| DemoError::ExpectationFailed { what: "the request in flight ends" })??;
-        self.reporter.reply("planned stop", statement, &reply);
+        self.reporter.print_reply("planned stop", statement, &reply);
         let Some(next) = reply.moved_to else {
             return Err(DemoError::ExpectationFailed { what: "the reply names the node to turn to" });
         };
-        self.reporter.note(&format!("the reply names {next}; the same session goes on there:"));
+        self.reporter.print_note(&format!("the reply names {next}; the same session goes on there:"));
         self.client = NodeClient::new(next);
         self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         node.wait();
-        self.reporter.note("the stopped node has ended; nothing in flight was cut");
+        self.reporter.print_note("the stopped node has ended; nothing in flight was cut");
         self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         Ok(())
     }
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -111,6 +111,7 @@
     }
 }
 
+/// Maps a random number to a fault.
 fn reply_fault(number: u8) -> ReplyFault {
     const FAULTS: [ReplyFault; 8] = [
         ReplyFault::Lost,
@@ -201,7 +202,7 @@
 const COVERAGE_SERVICE: &str = "clauses";
 const LATENCY_SERVICE: &str = "pitches";
 const ACTION_SERVICE: &str = "bookings";
-const SESSIONS: usize = 4;
+const SESSION_COUNT: usize = 4;
 /// Time at the end of a case for everything to finish. It covers the longest wait bound, pause and probe together.
 const FINISH_TIME: Duration = Duration::from_secs(8);
 
@@ -246,7 +247,7 @@
     /// Starts a fleet and opens the sessions.
     pub fn new(seed: u64) -> Self {
         let mut world = World::new(fleet_settings(), seed);
-        let sessions = (0..SESSIONS).map(|index| world.open_session(index % 3)).collect();
+        let sessions = (0..SESSION_COUNT).map(|index| world.open_session(index % 3)).collect();
         RequestHarness { world, sessions, summary: FuzzSummary::default() }
     }
 
@@ -254,7 +255,7 @@
     pub fn apply(&mut self, operation: &Operation) {
         self.summary.steps += 1;
         if let Some(kind) = operation.fault_kind() {
-            self.summary.count(kind);
+            self.summary.count_operation(kind);
         }
         self.dispatch_operation(operation);
         self.world.run_for(Duration::from_micros(300));
@@ -267,10 +268,10 @@
         match operation {
             Operation::Search { session, latency_first } => {
                 let name = if *latency_first { LATENCY_SERVICE } else { COVERAGE_SERVICE };
-                world.search(self.sessions[usize::from(*session) % SESSIONS], &ServiceName::new(name));
+                world.search(self.sessions[usize::from(*session) % SESSION_COUNT], &ServiceName::new(name));
             }
             Operation::Act { session } => {
-                world.act(self.sessions[usize::from(*session) % SESSIONS], &ServiceName::new(ACTION_SERVICE));
+                world.act(self.sessions[usize::from(*session) % SESSION_COUNT], &ServiceName::new(ACTION_SERVICE));
             }
             Operation::Repeat { intent } => {
                 if world.intent_count() > 0 {
--- a/crates/session/staircross-lab/src/fuzz/runner.rs
+++ b/crates/session/staircross-lab/src/fuzz/runner.rs
@@ -43,7 +43,7 @@
         handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
     });
     let finished = results.len() as u32;
-    results.into_iter().for_each(|summary| total.add(summary));
+    results.into_iter().for_each(|summary| total.merge(summary));
     if finished < parts {
         let what = vec![format!("{} of {parts} workers ended in a panic", parts - finished)];
         total.violations.push(FoundViolation { what, world_seed: 0, operations: Vec::new() });
@@ -64,7 +64,7 @@
             seen.store(operations.len(), Ordering::SeqCst);
         }
         let (counts, violations) = run_case(seed, &operations);
-        summary.borrow_mut().add(counts);
+        summary.borrow_mut().merge(counts);
         if violations.is_empty() { Ok(()) } else { Err(TestCaseError::fail(violations.join("; "))) }
     });
     let mut summary = summary.into_inner();
--- a/crates/session/staircross-lab/src/fuzz/summary.rs
+++ b/crates/session/staircross-lab/src/fuzz/summary.rs
@@ -39,7 +39,7 @@
 
 impl FuzzSummary {
     /// Adds the counts and violations of another summary.
-    pub fn add(&mut self, other: FuzzSummary) {
+    pub fn merge(&mut self, other: FuzzSummary) {
         self.cases += other.cases;
         self.steps += other.steps;
         self.requests += other.requests;
@@ -53,7 +53,7 @@
     }
 
     /// Counts one operation of a kind.
-    pub fn count(&mut self, kind: &str) {
+    pub fn count_operation(&mut self, kind: &str) {
         *self.faults.entry(kind.to_owned()).or_default() += 1;
     }
 
--- a/crates/session/staircross-lab/src/report.rs
+++ b/crates/session/staircross-lab/src/report.rs
@@ -20,23 +20,23 @@
 
 impl Reporter {
     /// Prints the title of a chapter. Prints nothing in JSON mode.
-    pub fn chapter(&self, title: &str) {
+    pub fn print_chapter(&self, title: &str) {
         if !self.json {
             println!("\n== {title}");
         }
     }
 
     /// Prints an explanation. Prints nothing in JSON mode.
-    pub fn note(&self, text: &str) {
+    pub fn print_note(&self, text: &str) {
         if !self.json {
             println!("   {text}");
         }
     }
 
     /// Prints a statement and its reply.
-    pub fn reply(&self, chapter: &str, statement: &str, reply: &StatementReply) {
+    pub fn print_reply(&self, chapter: &str, statement: &str, reply: &StatementReply) {
         if !self.json {
-            println!("{statement}\n   {}", describe(reply));
+            println!("{statement}\n   {}", summarize_reply(reply));
             return;
         }
         match serde_json::to_string(&ReplyLine { chapter, statement, reply }) {
@@ -47,7 +47,7 @@
 }
 
 /// Summarizes a reply in one line.
-pub fn describe(reply: &StatementReply) -> String {
+pub fn summarize_reply(reply: &StatementReply) -> String {
     match &reply.body {
         ReplyBody::Answer(answer) => {
             let missing: Vec<String> = answer
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -43,7 +43,7 @@
 
 impl WorkTime {
     /// Draws the time of a sub-request on these shards. The slowest shard determines it.
-    pub fn sample(&self, shards: &[ShardId], random: &mut ChaCha8Rng) -> Duration {
+    pub fn draw(&self, shards: &[ShardId], random: &mut ChaCha8Rng) -> Duration {
         let factor = shards.iter().filter_map(|shard| self.slow_copies.get(shard)).copied().fold(1.0, f64::max);
         // A sum of uniform samples is close enough to a normal one and is the same on every machine.
         let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
@@ -161,7 +161,7 @@
         }
         if self.active < self.slots {
             self.active += 1;
-            return Admission::Started(self.sample_work_time(now, request, random));
+            return Admission::Started(self.draw_work_time(now, request, random));
         }
         if self.queue.len() < self.queue_capacity {
             self.queue.push_back((from, request.clone(), now + request.remaining));
@@ -171,8 +171,8 @@
     }
 
     /// Draws the time that a sub-request takes if it starts now.
-    pub fn sample_work_time(&self, now: BootTime, request: &SubRequest, random: &mut ChaCha8Rng) -> Duration {
-        let span = self.work_time.sample(&request.shards, random);
+    pub fn draw_work_time(&self, now: BootTime, request: &SubRequest, random: &mut ChaCha8Rng) -> Duration {
+        let span = self.work_time.draw(&request.shards, random);
         if now < self.cold_until { span.mul_f64(COLD_FACTOR) } else { span }
     }
 
--- a/crates/session/staircross-lab/src/sim/world.rs
+++ b/crates/session/staircross-lab/src/sim/world.rs
@@ -213,6 +213,7 @@
         self.now
     }
 
+    /// Adds a service with its searchers, which hold the first snapshot.
     fn add_service(&mut self, service: &SimService) {
         let first = self.next_searcher_index;
         self.next_searcher_index += service.searchers;
@@ -270,6 +271,7 @@
         self.schedule(TICK_INTERVAL, SimEvent::Tick(index));
     }
 
+    /// Returns a node with empty state. Its id depends on its index and generation.
     pub(crate) fn new_node(&mut self, index: usize, zone: usize, generation: u64) -> SimNode {
         let id = NodeId((index as u128 + 1) << 64 | u128::from(generation));
         SimNode {
@@ -342,7 +344,7 @@
             })
             .collect();
         for node in 0..self.nodes.len() {
-            let delay = self.random_delay(at_most);
+            let delay = self.draw_delay_up_to(at_most);
             self.schedule(delay, SimEvent::Members { node, members: members.clone() });
         }
     }
@@ -351,18 +353,18 @@
     pub(crate) fn announce_services(&mut self, at_most: Duration) {
         let services: Vec<Arc<ServiceDefinition>> = self.services.iter().cloned().map(Arc::new).collect();
         for node in 0..self.nodes.len() {
-            let delay = self.random_delay(at_most);
+            let delay = self.draw_delay_up_to(at_most);
             self.schedule(delay, SimEvent::Services { node, services: services.clone() });
         }
     }
 
     /// Draws a delay up to `at_most`, uniformly distributed.
-    pub(crate) fn random_delay(&mut self, at_most: Duration) -> Duration {
+    pub(crate) fn draw_delay_up_to(&mut self, at_most: Duration) -> Duration {
         Duration::from_micros(self.random.random_range(0..=at_most.as_micros() as u64))
     }
 
     /// Draws the delay of one message between two endpoints.
-    pub(crate) fn draw_delay(&mut self, from: Endpoint, to: Endpoint) -> Duration {
+    pub(crate) fn draw_network_delay(&mut self, from: Endpoint, to: Endpoint) -> Duration {
         let is_same_zone = self.zone_of(from) == self.zone_of(to);
         self.network.draw_delay(is_same_zone, &mut self.random)
     }
--- a/crates/session/staircross-lab/src/sim/world/actions.rs
+++ b/crates/session/staircross-lab/src/sim/world/actions.rs
@@ -39,7 +39,7 @@
             return;
         }
         let (from, to) = (Endpoint::Node(node), Endpoint::Node(target));
-        let delay = self.draw_delay(from, to);
+        let delay = self.draw_network_delay(from, to);
         if !self.nodes[target].is_up || !self.network.can_deliver(from, to) {
             // The connection to the peer fails, so the sub-request was certainly not delivered.
             let reply = not_run(&request, NotRunReason::NotOwner);
@@ -56,7 +56,7 @@
             return;
         };
         let generation = self.nodes[target].generation;
-        let delay = self.draw_delay(Endpoint::Node(node), Endpoint::Node(target));
+        let delay = self.draw_network_delay(Endpoint::Node(node), Endpoint::Node(target));
         if target == node {
             let from = self.nodes[node].id;
             self.handle_leaf_event(node, LeafEvent::Cancel { from, attempt });
@@ -65,6 +65,7 @@
         }
     }
 
+    /// Delivers a reply to the current generation of a root's node after a delay.
     pub(super) fn schedule_root_reply(&mut self, node: usize, after: Duration, reply: SubReply) {
         let generation = self.nodes[node].generation;
         self.schedule(after, SimEvent::RootReply { node, generation, reply });
@@ -76,7 +77,7 @@
         if from != to && !self.network.can_deliver(source, target) {
             return;
         }
-        let delay = if from == to { Duration::ZERO } else { self.draw_delay(source, target) };
+        let delay = if from == to { Duration::ZERO } else { self.draw_network_delay(source, target) };
         self.schedule_root_reply(to, delay, reply);
     }
 
@@ -89,9 +90,10 @@
                     let searcher = request.searcher.0 as usize;
                     let call = OpenCall { request: request.clone(), searcher, has_arrived: false };
                     self.nodes[node].open_calls.insert(request.attempt, call);
-                    let delay = self.random_delay(Duration::from_micros(100));
+                    let delay = self.draw_delay_up_to(Duration::from_micros(100));
                     self.schedule(delay, SimEvent::WorkerSend { node, generation, request, send_before });
                 }
+                // Simulated searchers do not cancel work.
                 LeafAction::CancelAtSearcher { .. } => {}
                 LeafAction::Probe { searcher } => self.send_probe(node, searcher),
                 LeafAction::Reply { to, reply } => {
@@ -102,7 +104,7 @@
                 LeafAction::PublishView(view) => {
                     for other in 0..self.nodes.len() {
                         let at_most = self.settings.update_delay;
-                        let delay = if other == node { Duration::ZERO } else { self.random_delay(at_most) };
+                        let delay = if other == node { Duration::ZERO } else { self.draw_delay_up_to(at_most) };
                         self.schedule(delay, SimEvent::View { node: other, view: view.clone() });
                     }
                 }
--- a/crates/session/staircross-lab/src/sim/world/events.rs
+++ b/crates/session/staircross-lab/src/sim/world/events.rs
@@ -107,6 +107,8 @@
         self.schedule(TICK_INTERVAL, SimEvent::Tick(node));
     }
 
+    /// Computes from the members which node owns which searchers. Passes the node's shares and the platform's list of
+    /// leaving searchers to its leaf.
     pub(super) fn handle_members(&mut self, node: usize, members: &[staircross_cluster::Member]) {
         if !self.nodes[node].is_up {
             return;
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -107,7 +107,7 @@
         self.searchers[index].leaving_since.get_or_insert(now);
         self.listed_as_leaving.insert(self.searchers[index].id);
         for node in 0..self.nodes.len() {
-            let delay = self.random_delay(Duration::from_secs(1));
+            let delay = self.draw_delay_up_to(Duration::from_secs(1));
             self.schedule(delay, SimEvent::ReadLeavingList { node });
         }
     }
@@ -223,7 +223,7 @@
                     let outcome = SubOutcome::Unknown(UnknownReason::Broken);
                     let reply = SubReply { attempt, searcher, snapshot, outcome, worked: Default::default() };
                     let generation = self.nodes[node].generation;
-                    let delay = self.random_delay(Duration::from_millis(5));
+                    let delay = self.draw_delay_up_to(Duration::from_millis(5));
                     self.schedule(delay, SimEvent::RootReply { node, generation, reply });
                 }
             }
@@ -256,7 +256,7 @@
         // The engine keeps views in a hash map, and the simulation must not depend on its iteration order.
         views.sort_by_key(|view| view.searcher);
         for view in views {
-            let delay = self.random_delay(self.settings.update_delay);
+            let delay = self.draw_delay_up_to(self.settings.update_delay);
             self.schedule(delay, SimEvent::View { node, view });
         }
     }
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -112,6 +112,8 @@
         RequestId { node: self.nodes[node].id, sequence }
     }
 
+    /// Records a request in the history and passes it to the root of a node, at the end of the pause if the node is
+    /// paused.
     fn submit(
         &mut self,
         node: usize,
--- a/crates/session/staircross-lab/src/sim/world/searchers.rs
+++ b/crates/session/staircross-lab/src/sim/world/searchers.rs
@@ -33,7 +33,7 @@
             self.schedule(CONNECT_TIMEOUT, SimEvent::CallResult { node, generation, reply, incarnation: None });
             return;
         }
-        let delay = self.draw_delay(from, to);
+        let delay = self.draw_network_delay(from, to);
         if !self.searchers[searcher].is_up {
             let reply = not_run(&request, NotRunReason::Unconnected);
             self.schedule(delay * 2, SimEvent::CallResult { node, generation, reply, incarnation: None });
@@ -44,6 +44,7 @@
         self.schedule(delay, SimEvent::SearcherArrival { node, generation, request, has_waited: false });
     }
 
+    /// Offers a sub-request to a searcher, at the end of the pause if the searcher is paused.
     pub(super) fn handle_searcher_arrival(
         &mut self,
         node: usize,
@@ -88,6 +89,7 @@
         }
     }
 
+    /// Records that a searcher executes a sub-request, and schedules the end of the work after `span`.
     pub(super) fn start_work(
         &mut self,
         searcher: usize,
@@ -114,7 +116,7 @@
         };
         if let Some(reply) = reply {
             let extra_delay =
-                if fault == Some(ReplyFault::Late) { self.random_delay(MAX_LATE_DELAY) } else { Duration::ZERO };
+                if fault == Some(ReplyFault::Late) { self.draw_delay_up_to(MAX_LATE_DELAY) } else { Duration::ZERO };
             if fault == Some(ReplyFault::Doubled) {
                 self.send_searcher_reply(index, node, generation, reply.clone(), Duration::from_millis(3));
             }
@@ -136,7 +138,7 @@
                 continue;
             }
             self.searchers[index].active += 1;
-            let span = self.searchers[index].sample_work_time(self.now, &request, &mut self.random);
+            let span = self.searchers[index].draw_work_time(self.now, &request, &mut self.random);
             self.start_work(index, node, generation, request, span);
         }
     }
@@ -152,7 +154,7 @@
     ) {
         let (from, to) = (Endpoint::Searcher(searcher), Endpoint::Node(node));
         if self.network.can_deliver(from, to) {
-            let delay = self.draw_delay(from, to) + extra_delay;
+            let delay = self.draw_network_delay(from, to) + extra_delay;
             let incarnation = Some(self.searchers[searcher].incarnation);
             self.schedule(delay, SimEvent::CallResult { node, generation, reply, incarnation });
         }
@@ -173,12 +175,13 @@
         self.handle_leaf_event(node, LeafEvent::Reply { reply, run: None });
     }
 
+    /// Sends a probe to a searcher. If it can't be reached, the leaf gets a result without evidence.
     pub(super) fn send_probe(&mut self, node: usize, searcher: SearcherId) {
         let index = searcher.0 as usize;
         let generation = self.nodes[node].generation;
         let asked_at = self.now;
         let (from, to) = (Endpoint::Node(node), Endpoint::Searcher(index));
-        let delay = self.draw_delay(from, to);
+        let delay = self.draw_network_delay(from, to);
         if self.searchers[index].is_up && self.network.can_deliver(from, to) {
             self.schedule(delay, SimEvent::ProbeArrival { node, generation, searcher: index, asked_at });
         } else {
@@ -187,6 +190,8 @@
         }
     }
 
+    /// Replies to a probe, at the end of the pause if the searcher is paused. If the searcher is down or the network is
+    /// cut, no reply comes.
     pub(super) fn handle_probe_arrival(&mut self, node: usize, generation: u64, index: usize, asked_at: BootTime) {
         let paused_until = self.searchers[index].paused_until;
         if self.now < paused_until {
@@ -199,7 +204,7 @@
         }
         let evidence = Some(self.searchers[index].evidence());
         let searcher = self.searchers[index].id;
-        let delay = self.draw_delay(from, to);
+        let delay = self.draw_network_delay(from, to);
         let event = LeafEvent::Probed { searcher, asked_at, evidence };
         self.schedule(delay, SimEvent::Probed { node, generation, event });
     }
