--- a/crates/session/staircross-lab/src/fuzz/reference.rs
+++ b/crates/session/staircross-lab/src/fuzz/reference.rs
@@ -1,21 +1,22 @@
-//! The reference of the model: it knows nothing but the seed, because the oracle judges
-//! what happened and every operation is valid at any moment.
+//! The reference state machine of the fuzz test.
+//!
+//! Its state is only the seed: the oracle judges the history, and every operation is valid in any state.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 use std::fmt::Debug;
 use std::marker::PhantomData;
 
-/// An operation that can be generated.
-pub trait Generated: Clone + Debug + 'static {
-    /// Generates one operation.
-    fn generate() -> BoxedStrategy<Self>;
+/// An operation that the fuzz test can generate.
+pub trait GeneratedOperation: Clone + Debug + 'static {
+    /// Returns the strategy that generates one operation.
+    fn strategy() -> BoxedStrategy<Self>;
 }
 
-/// A seed, then any operations.
-pub struct SeedAnd<O>(PhantomData<O>);
+/// A reference state machine whose state is a random seed and which allows any operation at any time.
+pub struct SeedOnlyReference<O>(PhantomData<O>);
 
-impl<O: Generated> ReferenceStateMachine for SeedAnd<O> {
+impl<O: GeneratedOperation> ReferenceStateMachine for SeedOnlyReference<O> {
     type State = u64;
     type Transition = O;
 
@@ -24,7 +25,7 @@
     }
 
     fn transitions(_seed: &u64) -> BoxedStrategy<O> {
-        O::generate()
+        O::strategy()
     }
 
     fn apply(seed: u64, _operation: &O) -> u64 {
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -1,14 +1,14 @@
-//! The fuzz model of the request engine.
+//! Operations of the fuzz test, and the system under test that they are applied to.
 //!
-//! An operation is a request, a fault or a change; any may come at any moment, together or twice.
-//! All numbers in operations are taken modulo what there is, so every sequence is valid and
-//! shrinking can leave out any operation.
+//! An operation is a request, a fault, a change or the passing of time. Operations come in any order, overlap and
+//! repeat. Numbers in operations are taken modulo the number of sessions, nodes, searchers or intents that exist. Every
+//! sequence is therefore valid, and shrinking can remove any operation.
 
-use super::reference::{Generated, SeedAnd};
+use super::reference::{GeneratedOperation, SeedOnlyReference};
 use super::summary::FuzzSummary;
 use crate::sim::network::Delays;
 use crate::sim::world::SimService;
-use crate::sim::{Place, ReplyFault, Violation, WorkTime, World, WorldSettings, check_history};
+use crate::sim::{Endpoint, ReplyFault, Violation, WorkTime, World, WorldSettings, check_history};
 use proptest::prelude::*;
 use serde::{Deserialize, Serialize};
 use staircross_config::{Priority, ServicePolicy};
@@ -17,63 +17,63 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One operation.
+/// One operation of the fuzz test. `latency_first` selects the service that puts latency before coverage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Operation {
-    /// A caller searches.
+    /// A caller sends a search.
     Search { session: u8, latency_first: bool },
-    /// A caller acts once.
+    /// A caller sends a new action.
     Act { session: u8 },
-    /// A caller sends an action again, with its ticket.
+    /// A caller sends an earlier action again with the same ticket.
     Repeat { intent: u8 },
-    /// A new index version.
+    /// A new version of the index is published.
     Publish { latency_first: bool },
-    /// A new partition.
+    /// The index is published with another number of shards.
     Repartition { shards: u8 },
-    /// A searcher takes up all listed snapshots.
+    /// A searcher loads its shards of all listed snapshots.
     TakeUp { searcher: u8 },
-    /// Every searcher does.
+    /// Every searcher loads its shards of all listed snapshots.
     TakeUpEverywhere,
     /// A searcher drops its oldest snapshot.
     Retire { searcher: u8 },
-    /// The oldest snapshot is listed no more.
+    /// The oldest snapshot of a service is removed from the configuration.
     Unlist { latency_first: bool },
-    /// A searcher begins to leave.
+    /// A searcher drains. With `misleads`, its state endpoint hides that.
     Drain { searcher: u8, misleads: bool },
     /// The platform lists a searcher as leaving.
     ListLeaving { searcher: u8 },
-    /// A searcher dies.
+    /// A searcher crashes.
     CrashSearcher { searcher: u8 },
-    /// A searcher comes back.
+    /// A searcher restarts.
     RestartSearcher { searcher: u8 },
-    /// A searcher is paused.
+    /// The process of a searcher is paused.
     PauseSearcher { searcher: u8, millis: u16 },
-    /// A searcher's next replies are wrong.
+    /// The next `count` replies of a searcher have a fault.
     WrongReplies { searcher: u8, fault: u8, count: u8 },
-    /// A shard copy becomes slow, or all are quick again.
+    /// One shard becomes slow at a searcher, or with a factor of 1 all its shards run at normal speed again.
     SlowCopy { searcher: u8, factor: u8 },
-    /// A node is paused.
+    /// The process of a node is paused.
     PauseNode { node: u8, millis: u16 },
-    /// A node dies.
+    /// A node crashes.
     CrashNode { node: u8 },
-    /// A node comes back as a new run.
+    /// A node that is down starts again.
     StartNode { node: u8 },
     /// A node stops as planned.
     StopNode { node: u8 },
-    /// Two nodes are cut off from each other, in one direction or both.
+    /// The network between two nodes is cut, in one direction or both.
     CutNodes { from: u8, to: u8, both: bool },
-    /// A node and a searcher are cut off from each other.
+    /// The network between a node and a searcher is cut, in one direction or both.
     CutSearcher { node: u8, searcher: u8, both: bool, to_node: bool },
-    /// All cuts heal.
+    /// All network cuts are removed.
     Heal,
-    /// A caller goes away.
+    /// The caller of a node's oldest open request disconnects.
     CallerLeaves { node: u8 },
-    /// Time passes.
+    /// Simulated time passes.
     Wait { millis: u16 },
 }
 
 impl Operation {
-    /// The kind of fault, for counting; `None` for requests and time.
+    /// Returns the key under which the operation is counted. Returns `None` for new requests and for time.
     pub fn fault_kind(&self) -> Option<&'static str> {
         Some(match self {
             Operation::Search { .. } | Operation::Act { .. } | Operation::Wait { .. } => return None,
@@ -111,6 +111,7 @@
     }
 }
 
+/// Maps a random number to a fault.
 fn reply_fault(number: u8) -> ReplyFault {
     const FAULTS: [ReplyFault; 8] = [
         ReplyFault::Lost,
@@ -125,8 +126,8 @@
     FAULTS[usize::from(number) % FAULTS.len()]
 }
 
-/// Generates one operation.
-pub fn operation() -> BoxedStrategy<Operation> {
+/// Returns the strategy that generates one operation.
+pub fn operation_strategy() -> BoxedStrategy<Operation> {
     let requests = prop_oneof![
         6 => (any::<u8>(), any::<bool>()).prop_map(|(session, latency_first)| Operation::Search { session, latency_first }),
         3 => any::<u8>().prop_map(|session| Operation::Act { session }),
@@ -180,33 +181,33 @@
     prop_oneof![8 => requests, 3 => index_changes, 3 => searcher_faults, 2 => node_faults, 5 => time].boxed()
 }
 
-impl Generated for Operation {
-    fn generate() -> BoxedStrategy<Self> {
-        operation()
+impl GeneratedOperation for Operation {
+    fn strategy() -> BoxedStrategy<Self> {
+        operation_strategy()
     }
 }
 
-/// The reference of this model.
-pub type RequestModel = SeedAnd<Operation>;
+/// Reference state machine of the fuzz test.
+pub type RequestModel = SeedOnlyReference<Operation>;
 
-/// The system under test: a simulated fleet with a few sessions.
-pub struct RequestRun {
-    /// The fleet.
+/// System under test: a simulated fleet with a few open sessions.
+pub struct RequestHarness {
+    /// Simulated fleet.
     pub world: World,
     sessions: Vec<usize>,
-    /// Counts so far.
+    /// Counts of the operations and outcomes so far.
     pub summary: FuzzSummary,
 }
 
 const COVERAGE_SERVICE: &str = "clauses";
 const LATENCY_SERVICE: &str = "pitches";
 const ACTION_SERVICE: &str = "bookings";
-const SESSIONS: usize = 4;
-/// Time at the end for everything to finish: the longest wait bound, pause and probe together.
-const FINISH: Duration = Duration::from_secs(8);
+const SESSION_COUNT: usize = 4;
+/// Time at the end of a case for everything to finish. It covers the longest wait bound, pause and probe together.
+const FINISH_TIME: Duration = Duration::from_secs(8);
 
-/// The small fleet of the model: three nodes in three zones, three services.
-pub fn settings() -> WorldSettings {
+/// Returns the settings of a small fleet with three nodes in three zones and three services.
+pub fn fleet_settings() -> WorldSettings {
     let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_copies: BTreeMap::new() };
     let search = ServicePolicy {
         wait_ms: 400,
@@ -242,48 +243,50 @@
     }
 }
 
-impl RequestRun {
-    /// A fresh fleet.
+impl RequestHarness {
+    /// Starts a fleet and opens the sessions.
     pub fn new(seed: u64) -> Self {
-        let mut world = World::new(settings(), seed);
-        let sessions = (0..SESSIONS).map(|index| world.open_session(index % 3)).collect();
-        RequestRun { world, sessions, summary: FuzzSummary::default() }
+        let mut world = World::new(fleet_settings(), seed);
+        let sessions = (0..SESSION_COUNT).map(|index| world.open_session(index % 3)).collect();
+        RequestHarness { world, sessions, summary: FuzzSummary::default() }
     }
 
-    /// Applies one operation.
+    /// Counts and applies one operation, and lets a little time pass.
     pub fn apply(&mut self, operation: &Operation) {
         self.summary.steps += 1;
         if let Some(kind) = operation.fault_kind() {
-            self.summary.count(kind);
+            self.summary.count_operation(kind);
         }
-        self.do_operation(operation);
+        self.dispatch_operation(operation);
         self.world.run_for(Duration::from_micros(300));
     }
 
-    fn do_operation(&mut self, operation: &Operation) {
+    fn dispatch_operation(&mut self, operation: &Operation) {
         let world = &mut self.world;
         let millis = |millis: &u16| Duration::from_millis(u64::from(*millis));
-        let service_number = |latency_first: &bool| usize::from(*latency_first);
+        let service_index = |latency_first: &bool| usize::from(*latency_first);
         match operation {
             Operation::Search { session, latency_first } => {
                 let name = if *latency_first { LATENCY_SERVICE } else { COVERAGE_SERVICE };
-                world.search(self.sessions[usize::from(*session) % SESSIONS], &ServiceName::new(name));
+                world.search(self.sessions[usize::from(*session) % SESSION_COUNT], &ServiceName::new(name));
             }
             Operation::Act { session } => {
-                world.act(self.sessions[usize::from(*session) % SESSIONS], &ServiceName::new(ACTION_SERVICE));
+                world.act(self.sessions[usize::from(*session) % SESSION_COUNT], &ServiceName::new(ACTION_SERVICE));
             }
             Operation::Repeat { intent } => {
-                if world.intents() > 0 {
-                    world.send_intent(usize::from(*intent) % world.intents());
+                if world.intent_count() > 0 {
+                    world.send_intent(usize::from(*intent) % world.intent_count());
                 }
             }
-            Operation::Publish { latency_first } => world.publish(service_number(latency_first), None),
-            Operation::Repartition { shards } => world.publish(0, Some(u32::from(*shards))),
-            Operation::TakeUp { searcher } => world.take_up(usize::from(*searcher)),
-            Operation::TakeUpEverywhere => (0..world.searcher_count()).for_each(|index| world.take_up(index)),
-            Operation::Retire { searcher } => world.retire(usize::from(*searcher)),
-            Operation::Unlist { latency_first } => world.unlist(service_number(latency_first)),
-            Operation::Drain { searcher, misleads } => world.drain(usize::from(*searcher), *misleads),
+            Operation::Publish { latency_first } => world.publish_snapshot(service_index(latency_first), None),
+            Operation::Repartition { shards } => world.publish_snapshot(0, Some(u32::from(*shards))),
+            Operation::TakeUp { searcher } => world.load_listed_snapshots(usize::from(*searcher)),
+            Operation::TakeUpEverywhere => {
+                (0..world.searcher_count()).for_each(|index| world.load_listed_snapshots(index))
+            }
+            Operation::Retire { searcher } => world.drop_oldest_snapshot(usize::from(*searcher)),
+            Operation::Unlist { latency_first } => world.unlist_oldest_snapshot(service_index(latency_first)),
+            Operation::Drain { searcher, misleads } => world.drain_searcher(usize::from(*searcher), *misleads),
             Operation::ListLeaving { searcher } => world.list_leaving(usize::from(*searcher)),
             Operation::CrashSearcher { searcher } => world.crash_searcher(usize::from(*searcher)),
             Operation::RestartSearcher { searcher } => world.restart_searcher(usize::from(*searcher)),
@@ -302,25 +305,25 @@
                 let count = world.node_count();
                 let (from, to) = (usize::from(*from) % count, usize::from(*to) % count);
                 if from != to {
-                    world.cut(Place::Node(from), Place::Node(to), *both);
+                    world.cut_network(Endpoint::Node(from), Endpoint::Node(to), *both);
                 }
             }
             Operation::CutSearcher { node, searcher, both, to_node } => {
-                let node = Place::Node(usize::from(*node) % world.node_count());
-                let searcher = Place::Searcher(usize::from(*searcher) % world.searcher_count());
+                let node = Endpoint::Node(usize::from(*node) % world.node_count());
+                let searcher = Endpoint::Searcher(usize::from(*searcher) % world.searcher_count());
                 let (from, to) = if *to_node { (searcher, node) } else { (node, searcher) };
-                world.cut(from, to, *both);
+                world.cut_network(from, to, *both);
             }
-            Operation::Heal => world.heal(),
-            Operation::CallerLeaves { node } => world.caller_leaves(usize::from(*node)),
+            Operation::Heal => world.heal_network(),
+            Operation::CallerLeaves { node } => world.disconnect_oldest_caller(usize::from(*node)),
             Operation::Wait { millis: span } => world.run_for(millis(span)),
         }
     }
 
-    /// Lets everything finish and judges the history.
+    /// Removes network cuts, lets all requests finish and returns the violations that the oracle finds.
     pub fn finish(&mut self) -> Vec<Violation> {
-        self.world.heal();
-        self.world.run_for(FINISH);
+        self.world.heal_network();
+        self.world.run_for(FINISH_TIME);
         self.summary.cases += 1;
         self.summary.add_history(&self.world.history);
         check_history(&self.world.history)
--- a/crates/session/staircross-lab/src/report.rs
+++ b/crates/session/staircross-lab/src/report.rs
@@ -1,17 +1,17 @@
-//! One line per request, for people or as JSON.
+//! Prints the progress and the replies of the demo, as text or as JSON lines.
 
 use serde::Serialize;
 use staircross_node::api::{ReplyBody, StatementReply};
 
-/// Prints what happens, in one of two ways.
+/// Prints the output of the demo.
 #[derive(Clone, Copy, Debug)]
 pub struct Reporter {
-    /// JSON, one object a line, instead of text.
+    /// Whether replies are printed as JSON, one object per line, instead of text.
     pub json: bool,
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct ReplyLine<'a> {
     chapter: &'a str,
     statement: &'a str,
     #[serde(flatten)]
@@ -19,35 +19,35 @@
 }
 
 impl Reporter {
-    /// Announces a chapter; says nothing in JSON.
-    pub fn chapter(&self, title: &str) {
+    /// Prints the title of a chapter. Prints nothing in JSON mode.
+    pub fn print_chapter(&self, title: &str) {
         if !self.json {
             println!("\n== {title}");
         }
     }
 
-    /// Says something to people; says nothing in JSON.
-    pub fn note(&self, text: &str) {
+    /// Prints an explanation. Prints nothing in JSON mode.
+    pub fn print_note(&self, text: &str) {
         if !self.json {
             println!("   {text}");
         }
     }
 
-    /// Reports a request and its reply.
-    pub fn reply(&self, chapter: &str, statement: &str, reply: &StatementReply) {
+    /// Prints a statement and its reply.
+    pub fn print_reply(&self, chapter: &str, statement: &str, reply: &StatementReply) {
         if !self.json {
-            println!("{statement}\n   {}", describe(reply));
+            println!("{statement}\n   {}", summarize_reply(reply));
             return;
         }
-        match serde_json::to_string(&Line { chapter, statement, reply }) {
+        match serde_json::to_string(&ReplyLine { chapter, statement, reply }) {
             Ok(line) => println!("{line}"),
             Err(error) => eprintln!("unprintable reply: {error}"),
         }
     }
 }
 
-/// One line about a reply.
-pub fn describe(reply: &StatementReply) -> String {
+/// Summarizes a reply in one line.
+pub fn summarize_reply(reply: &StatementReply) -> String {
     match &reply.body {
         ReplyBody::Answer(answer) => {
             let missing: Vec<String> = answer
