--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -1,4 +1,4 @@
-//! How often the requests under which searchers were lost are pushed to peers at once.
+//! Tests how often records of requests during which searchers were lost are pushed to peers.
 
 use staircross_gateway::case_pushes::CasePushLimiter;
 use staircross_types::BootTime;
@@ -8,12 +8,15 @@
 fn news_just_after_other_news_is_pushed_at_once() {
     let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
-    assert!(!pushes.take(now), "no news");
+    assert!(!pushes.take(now), "no update has been noted");
     pushes.note_update();
     assert!(pushes.take(now));
-    assert!(!pushes.take(now), "it is told");
+    assert!(!pushes.take(now), "the update has been pushed already");
     pushes.note_update();
-    assert!(pushes.take(now + Duration::from_millis(2)), "the request to blame needn't be the first that is suspected");
+    assert!(
+        pushes.take(now + Duration::from_millis(2)),
+        "the request that crashes searchers needn't be the first suspect"
+    );
 }
 
 #[test]
@@ -25,5 +28,5 @@
         pushes.take(now + Duration::from_millis(*ms))
     };
     let made = (0..10_000).filter(is_pushed).count();
-    assert!((100..=104).contains(&made), "{made}");
+    assert!((100..=104).contains(&made), "{made} pushes");
 }
--- a/crates/staircross-gateway/tests/confirmation.rs
+++ b/crates/staircross-gateway/tests/confirmation.rs
@@ -1,4 +1,4 @@
-//! Until when a node knows that its configuration was the newest.
+//! Tests up to which time a node knows that its configuration was the newest.
 
 use staircross_gateway::fleet::{Confirmation, ConfirmedVersion};
 use staircross_types::BootTime;
--- a/crates/staircross-gateway/tests/directory.rs
+++ b/crates/staircross-gateway/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which nodes callers are sent to, whichever node is asked.
+//! Tests which nodes callers are sent to, whichever node answers them.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -14,12 +14,12 @@
 }
 
 fn candidate(number: u16, zone: &str, region: &str) -> Candidate {
-    // Ids are random in life; here their order isn't that of the numbers.
+    // Node ids are random in production. Here their order differs from the order of the numbers.
     let node = NodeId(u128::from(number.wrapping_mul(40_503)));
     Candidate { node, addr: addr(number), zone: zone.to_owned(), region: region.to_owned(), load: 1 }
 }
 
-/// Six zones in three regions, `per_zone` nodes each.
+/// Returns `per_zone` nodes in each of six zones, which lie in three regions.
 fn fleet(per_zone: u16) -> Vec<Candidate> {
     let zones = [("a", "n"), ("b", "m"), ("c", "s"), ("d", "n"), ("e", "m"), ("f", "s")];
     let node = |i: u16| {
@@ -37,7 +37,7 @@
     ask_within(directory, zone, region, &[])
 }
 
-/// For requests that may be served in the allowed regions alone.
+/// Returns the addresses in an answer on requests that may be served only in the allowed regions.
 fn ask_within(directory: &Directory, zone: &str, region: &str, allowed: &[&str]) -> BTreeSet<SocketAddr> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let allowed: Vec<Arc<str>> = allowed.iter().map(|region| Arc::from(*region)).collect();
@@ -53,7 +53,7 @@
     let nodes: Vec<Candidate> = fleet(2).into_iter().filter(|node| node.region != "n").collect();
     let directory = Directory::new(nodes.clone(), None);
     assert_eq!(ask_within(&directory, "a", "n", &["s"]), of_region(&nodes, "s"));
-    assert_eq!(ask_within(&directory, "a", "n", &["n"]).len(), nodes.len(), "any, where no allowed one has a node");
+    assert_eq!(ask_within(&directory, "a", "n", &["n"]).len(), nodes.len(), "all nodes, if no allowed region has any");
 }
 
 #[test]
@@ -124,7 +124,7 @@
 fn a_serving_node_that_goes_is_replaced_and_the_others_stay() {
     let nodes = fleet(12);
     let before = ask(&Directory::new(nodes.clone(), Some(67)), "b", "m");
-    let gone = *before.first().expect("somebody serves");
+    let gone = *before.first().expect("some node serves");
     let left: Vec<Candidate> = nodes.into_iter().filter(|node| node.addr != gone).collect();
     let after = ask(&Directory::new(left, Some(67)), "b", "m");
     assert_eq!(after.len(), before.len());
@@ -145,7 +145,7 @@
     let mut nodes = fleet(12);
     nodes.iter_mut().for_each(|node| node.load = 30);
     let directory = Directory::new(nodes, Some(67));
-    assert_eq!(ask(&directory, "a", "n").len(), 9, "12 nodes of 30 in 100 are 9 of 40 in 100");
+    assert_eq!(ask(&directory, "a", "n").len(), 9, "12 nodes with a load of 30 % are as much as 9 nodes with 40 %");
 }
 
 #[test]
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -1,4 +1,5 @@
-//! What one node tells of tenants' quotas reaches the other as a datagram, and is counted under a purpose of its own.
+//! Tests that a message on tenants' quotas reaches its node in a datagram, and that its bytes are counted under a
+//! purpose of their own.
 
 use mio::net::UdpSocket;
 use staircross_gateway::fleet::{Fleet, FleetEvent, FleetIdentity};
@@ -22,7 +23,7 @@
     FleetIdentity { node: NodeId(node), peers, callers: peers, region: "north".to_owned(), zone: "a".to_owned() }
 }
 
-/// Plays turns of both nodes until `is_done` is content with the second one's events.
+/// Ticks both nodes until `is_done` returns true for the nodes and the second one's events.
 fn play(fleets: &mut [Fleet; 2], now: &mut BootTime, mut is_done: impl FnMut(&mut [Fleet; 2], &[FleetEvent]) -> bool) {
     for _ in 0..MAX_TURNS {
         *now = *now + TURN;
@@ -36,7 +37,7 @@
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("it didn't come in {MAX_TURNS} turns");
+    panic!("`is_done` didn't return true in {MAX_TURNS} ticks");
 }
 
 #[test]
@@ -51,7 +52,7 @@
     fleets.iter_mut().for_each(|fleet| fleet.set_ready(true, &mut Vec::new()));
     let both = Some(vec![NodeId(1), NodeId(2)]);
     play(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
-    assert_eq!(fleets[1].take_changed_quota_nodes(), None, "told once");
+    assert_eq!(fleets[1].take_changed_quota_nodes(), None, "the change is reported only once");
 
     let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
     fleets[0].send_quotas(NodeId(2), vec![grant]);
--- a/crates/staircross-gateway/tests/forms/mod.rs
+++ b/crates/staircross-gateway/tests/forms/mod.rs
@@ -1,6 +1,6 @@
-//! Encoded forms for the pins: written as JSON text, compared as CBOR bytes.
+//! Helpers for tests of encoded forms, which are written as JSON text and compared as CBOR bytes.
 //!
-//! Strings of the shape `h'0a0b'` stand for bytes. Nothing here names a Rust type or field.
+//! Strings such as `h'0a0b'` stand for bytes. Nothing in this module names a Rust type or field.
 #![allow(dead_code)]
 
 use ciborium::Value;
@@ -9,13 +9,13 @@
 use staircross_wire::frame::{decode, encode};
 use std::fmt::Write;
 
-/// The bytes of a form.
+/// Returns the CBOR bytes of a form that is given as JSON text.
 pub fn bytes_of(form: &str) -> Vec<u8> {
     let value: Value = serde_json::from_str(form).unwrap_or_else(|error| panic!("{error} in {form}"));
     encode(&with_bytes(value)).expect("a value is encoded")
 }
 
-/// What was encoded, as one line.
+/// Returns encoded bytes as one line of text.
 pub fn diagnostic(bytes: &[u8]) -> String {
     let mut text = String::new();
     write_value(&decode::<Value>(bytes).expect("CBOR"), &mut text);
@@ -31,20 +31,21 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// Reads each form as a `T` and writes it again: the same bytes come out.
+/// Decodes each form as a `T`, encodes it again and checks that the bytes are the same. Returns the forms as text for a
+/// snapshot.
 pub fn pin<T: Serialize + DeserializeOwned>(forms: &[&str]) -> String {
     let mut text = String::new();
     for form in forms {
         let bytes = bytes_of(form);
         let written = rewritten::<T>(&bytes);
-        assert_eq!(diagnostic(&written), diagnostic(&bytes), "what was read is written otherwise");
+        assert_eq!(diagnostic(&written), diagnostic(&bytes), "the decoded value is encoded in another form");
         assert_eq!(written, bytes, "{form}");
         add(&mut text, &written);
     }
     text
 }
 
-/// Reads forms that lack what may be absent, and writes what they stand for.
+/// Decodes forms that lack optional fields as a `T`, encodes them again and returns the result as text for a snapshot.
 pub fn pin_sparse<T: Serialize + DeserializeOwned>(forms: &[&str]) -> String {
     let mut text = String::new();
     for form in forms {
@@ -55,11 +56,11 @@
 
 fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Vec<u8> {
     let read: T = decode(bytes).unwrap_or_else(|error| panic!("{error} in {}", diagnostic(bytes)));
-    encode(&read).expect("it is encoded")
+    encode(&read).expect("the value is encoded")
 }
 
 fn add(text: &mut String, bytes: &[u8]) {
-    writeln!(text, "{}\n  {}", diagnostic(bytes), hex(bytes)).expect("strings take all");
+    writeln!(text, "{}\n  {}", diagnostic(bytes), hex(bytes)).expect("writing to a string succeeds");
 }
 
 fn with_bytes(value: Value) -> Value {
@@ -88,7 +89,7 @@
         Value::Float(number) => text.push_str(&format!("{number:?}")),
         Value::Bool(flag) => text.push_str(&flag.to_string()),
         Value::Null => text.push_str("null"),
-        other => panic!("nothing here is encoded as {other:?}"),
+        other => panic!("unexpected CBOR value {other:?}"),
     }
 }
 
--- a/crates/staircross-gateway/tests/http_call.rs
+++ b/crates/staircross-gateway/tests/http_call.rs
@@ -1,4 +1,4 @@
-//! Calls to the store and to peers over real loopback sockets, with the clock in the test's hands.
+//! Tests calls to the store and to peers over loopback sockets, with the time set by the test.
 
 use mio::{Events, Poll};
 use staircross_gateway::http_call::{CallOutcome, HttpClient};
@@ -11,11 +11,13 @@
 
 const KIND: SocketKind = SocketKind::Store;
 const START: BootTime = BootTime(1_000_000);
+/// Timeout that the call is made with.
 const PATIENCE: Duration = Duration::from_millis(500);
+/// Maximum time for which a test waits for bytes to arrive.
 const LONG: Duration = Duration::from_secs(20);
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n";
 
-/// A caller with a call out, and the server's end of its connection.
+/// A client with a call in flight, and the server's end of its connection.
 struct Fixture {
     poll: Poll,
     caller: HttpClient,
@@ -40,14 +42,14 @@
         fixture
     }
 
-    /// Takes what readiness there is.
+    /// Polls once and handles the readiness events. Returns the outcome if the call ends.
     fn turn(&mut self) -> Option<CallOutcome> {
         let mut events = Events::with_capacity(8);
         self.poll.poll(&mut events, Some(Duration::from_millis(10))).expect("polls");
         let limits = ServerLimits { head_bytes: 1 << 16, body_bytes: 1 << 20 };
         for event in &events {
             let mut io = IoContext { now: self.now, registry: self.poll.registry(), buffer: &mut self.buf, limits };
-            let id = SocketId::from_token(event.token()).expect("a token of the caller");
+            let id = SocketId::from_token(event.token()).expect("a token of the client");
             if let Some(outcome) = self.caller.on_ready(id, event.is_writable(), &mut io) {
                 return Some(outcome);
             }
@@ -61,14 +63,15 @@
         let mut buf = [0; 256];
         while !matches!(self.server.read(&mut buf), Ok(count) if count > 0) {
             assert_eq!(self.turn(), None);
-            assert!(Instant::now() < end, "the request doesn't come");
+            assert!(Instant::now() < end, "the request doesn't arrive");
         }
         self.server.set_nonblocking(false).expect("a socket option");
     }
 
-    /// Sends a piece of the answer, and has the caller read it.
+    /// Sends a part of the answer and waits until the client has read it. Returns the outcome if the call ends.
     fn answer(&mut self, piece: &[u8]) -> Option<CallOutcome> {
-        self.server.write_all(piece).expect("the caller is there");
+        self.server.write_all(piece).expect("the connection is open");
+        // Resets the count of bytes.
         let before = self.caller.take_bytes();
         assert!(before < usize::MAX);
         let end = Instant::now() + LONG;
@@ -78,11 +81,12 @@
                 return Some(outcome);
             }
             read += self.caller.take_bytes();
-            assert!(Instant::now() < end, "the piece doesn't come");
+            assert!(Instant::now() < end, "the part doesn't arrive");
         }
         None
     }
 
+    /// Advances the time by `span`. Returns the outcome if the call ends.
     fn pass(&mut self, span: Duration) -> Option<CallOutcome> {
         self.now = self.now + span;
         self.caller.on_tick(self.now)
@@ -101,7 +105,7 @@
     let mut fixture = Fixture::new();
     assert_eq!(fixture.answer(HEAD), None);
     for letter in [b"a", b"b", b"c", b"d", b"e"] {
-        assert_eq!(fixture.pass(Duration::from_millis(900)), None, "it is on its way");
+        assert_eq!(fixture.pass(Duration::from_millis(900)), None, "the answer is still arriving");
         assert_eq!(fixture.answer(letter), None);
     }
     assert!(matches!(fixture.answer(b"f"), Some(CallOutcome::Answered(answer)) if answer.body == b"abcdef"));
--- a/crates/staircross-gateway/tests/peer_answers.rs
+++ b/crates/staircross-gateway/tests/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What counts of the answers sent to peers.
+//! Tests that answers to peers are counted for one second.
 
 use staircross_gateway::peer_answers::{PeerAnswerTotals, RecentPeerAnswers};
 use staircross_types::BootTime;
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateway nodes, as one node sends and reads them on a socket.
+//! Tests that datagrams between gateway nodes keep their encoded form, as one node sends and receives them on a socket.
 
 mod forms;
 
@@ -17,6 +17,7 @@
 const CASE: &str = r#"{"c":77,"l":[{"s":5,"b":900,"e":800,"v":true}],"a":12,"r":99}"#;
 const TURNS: usize = 500;
 
+/// Node 1, and a plain socket in the place of node 2.
 struct Pair {
     fleet: Fleet,
     address: SocketAddr,
@@ -25,7 +26,7 @@
 }
 
 impl Pair {
-    /// Node 1, whose seed is a bare socket in the place of node 2.
+    /// Creates node 1, whose seed is the plain socket in the place of node 2.
     fn new() -> Pair {
         let peer = PeerSocket::bind("127.0.0.1:0").expect("a free port");
         peer.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
@@ -56,7 +57,7 @@
         buf[..length].to_vec()
     }
 
-    /// Sends node 1 a datagram of node 2 and gives what node 1 makes of it.
+    /// Sends node 1 a datagram from node 2, and returns the events that it causes.
     fn send(&mut self, form: &str) -> Vec<FleetEvent> {
         self.peer.send_to(&bytes_of(form), self.address).expect("it is sent");
         for _ in 0..TURNS {
@@ -66,10 +67,10 @@
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        panic!("nothing came of {form}");
+        panic!("no event after the datagram {form}");
     }
 
-    /// Makes node 2 known.
+    /// Makes node 2 known to node 1.
     fn introduce(&mut self) {
         let port = self.peer.local_addr().expect("it is bound").port();
         let join = format!(
@@ -81,7 +82,7 @@
         assert!(matches!(&events[..], [FleetEvent::Member { .. }]), "{events:?}");
     }
 
-    /// The next datagram for which something holds.
+    /// Returns the next datagram from node 1 for whose text `holds` returns true.
     fn receive_where(&self, holds: impl Fn(&str) -> bool) -> Vec<u8> {
         (0..TURNS).map(|_| self.receive()).find(|bytes| holds(&diagnostic(bytes))).expect("such a datagram")
     }
@@ -116,7 +117,7 @@
     pair.fleet.leave(MemberState::Leaving, &mut Vec::new());
     let bytes = pair.receive_where(|text| text.contains("leaving") && text.contains("\"q\": [{\"c\""));
     let text = diagnostic(&bytes);
-    // Numbers of probes, the order of what is new and ports depend on chance.
+    // The rest is left out, since the numbers of probes, the order of updates and the ports are random.
     let (head, _) = text.split_once("\"m\"").expect("a message of the membership");
     insta::assert_snapshot!("cases", head);
 }
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -1,7 +1,8 @@
-//! Lines of the log keep the names of their events, of their fields, and of the values that stand for something.
+//! Tests that log lines keep the names of their events and fields, and the names of the values that fields can have.
 //!
-//! Lines are made all over the code, so they are taken from its text: each literal with an `event=` in it, and its fields in
-//! their order. Where a line is made doesn't matter, only what it says.
+//! Log lines are written in many places of the code, so the test reads them from the source text: it takes each string
+//! literal with a field such as `event=`, and compares the fields in their order. Where a line is written doesn't
+//! matter.
 
 use staircross_cluster::MemberState;
 use staircross_gateway::recorder::RecordingEnd;
@@ -27,7 +28,8 @@
     }
 }
 
-/// All string literals of a source file; escapes stay but for a line's end, which joins lines.
+/// Returns all string literals of a source file. Escapes are kept, except that a backslash at the end of a line joins
+/// it with the next one.
 fn literals(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
@@ -54,7 +56,7 @@
     found
 }
 
-/// The names before each `=`, in order; of the event its value, of others a value that is no placeholder.
+/// Returns the words of a literal in their order, with `…` for each placeholder.
 fn fields(literal: &str) -> String {
     let field = |word: &str| -> String {
         let Some((name, value)) = word.split_once('=') else {
@@ -65,6 +67,7 @@
     literal.split_whitespace().map(field).collect::<Vec<String>>().join(" ")
 }
 
+/// Whether a literal is part of a log line: it has a field `name=` and contains no `/`, `&` or `#`.
 fn is_part_of_a_line(literal: &str) -> bool {
     let is_name = |word: &str| {
         word.split_once('=')
@@ -73,6 +76,7 @@
     literal.split_whitespace().any(is_name) && !literal.contains(['/', '&', '#'])
 }
 
+/// Returns the masked log lines of the gateway's and the platform's source files.
 fn lines() -> BTreeSet<String> {
     let here = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
@@ -106,6 +110,7 @@
     format!("{what}: {}\n", names.into_iter().collect::<Vec<&str>>().join(" "))
 }
 
+/// Returns the names of the values in log lines on requests and attempts.
 fn of_requests() -> String {
     use UnsentCause::*;
     let not_run = [NotRun::Unconnected, NotRun::ConnectionRejected, NotRun::Stale, NotRun::Shed, NotRun::OtherInstance];
@@ -140,11 +145,12 @@
     .concat()
 }
 
+/// Returns the names of the values in log lines on the node, its peers and the store.
 fn of_the_node() -> String {
     let levels = [Suspicion::None, Suspicion::Suspect, Suspicion::Quarantined];
     let roles = [StoreRole::Reader, StoreRole::Follower, StoreRole::Prober];
     let kinds = [KeyKind::Configuration, KeyKind::Searcher, KeyKind::Evacuation, KeyKind::Unknown];
-    // The line on a member shows its state by the name that it has in the code.
+    // The log line on a member prints its state with `Debug`.
     let states = [MemberState::Alive, MemberState::Leaving, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     let states = states.map(|state| format!("state of member: {state:?}\n")).concat();
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
@@ -162,6 +168,7 @@
     .concat()
 }
 
+/// Returns the texts of the reasons in log lines on unusable items of the store.
 fn of_unreadable_items() -> String {
     let reasons = [
         UnreadableReason::Item,
--- a/crates/staircross-gateway/tests/pinned_messages.rs
+++ b/crates/staircross-gateway/tests/pinned_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between gateway nodes keep their encoded form: nodes of two builds serve in one fleet.
+//! Tests that messages between gateway nodes keep their encoded form, since nodes of two builds serve in one fleet.
 
 mod forms;
 
@@ -18,7 +18,7 @@
     r#"{"n":"h'00000000000000000000000000000001'","p":{"V4":[[127,0,0,1],1]},"c":{"V4":[[127,0,0,1],2]},"r":"n","z":"a","s":"left","v":1}"#,
 ];
 
-/// `@` stands for a member.
+/// Messages of the membership protocol, in which `@` stands for a member.
 const MEMBERSHIP: [&str; 9] = [
     r#"{"p":{"n":7,"w":[]}}"#,
     r#"{"p":{"n":7,"w":[@]}}"#,
--- a/crates/staircross-gateway/tests/pinned_metrics.rs
+++ b/crates/staircross-gateway/tests/pinned_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page keeps its names, types and labels.
+//! Tests that the metrics page keeps its names, types and labels.
 
 use staircross_gateway::metrics::{Gauges, Metrics, StoreCallCounters};
 use staircross_gateway::traffic::{Purpose, Reach, Traffic};
@@ -23,11 +23,11 @@
         Reach::ALL.iter().for_each(|reach| traffic.count(purpose, *reach, 1000));
     }
     let page = metrics.render(RoutingCounters::default(), Gauges::default(), traffic);
-    // Refusals and routes stand in the order of a hash map.
+    // Refusals and routes are printed in the order of a hash map, so their lines are sorted here.
     insta::assert_snapshot!(with_sorted_runs(&page));
 }
 
-/// Each run of lines after a line on a type, sorted.
+/// Returns the page with the lines between any two `#` lines sorted.
 fn with_sorted_runs(page: &str) -> String {
     let mut text = String::new();
     let mut run: Vec<&str> = Vec::new();
--- a/crates/staircross-gateway/tests/pinned_recordings.rs
+++ b/crates/staircross-gateway/tests/pinned_recordings.rs
@@ -1,4 +1,4 @@
-//! Recordings keep their encoded form: those of earlier builds are replayed by later ones.
+//! Tests that recordings keep their encoded form, since later builds replay the recordings of earlier ones.
 
 mod forms;
 
@@ -6,7 +6,7 @@
 use staircross_routing::recording::Record;
 use staircross_wire::frame::decode;
 
-/// Bounds, grounds of decisions and settings that stand in several records.
+// Bounds, policies, definitions and entries that occur in several records.
 const EXTRA: &str = r#"{"ratio":0.2,"window":{"secs":10,"nanos":0},"slack":58.0}"#;
 const COLD: &str = r#"{"factor":1.5,"slack":2.0}"#;
 const QUOTA: &str = r#"{"window":{"secs":1,"nanos":500},"over":0.1,"slack":3.0}"#;
@@ -22,7 +22,7 @@
 const CASE: &str = r#"{"c":77,"l":[{"s":5,"b":900,"e":800,"v":true}],"a":12,"r":99}"#;
 const KEY: &str = r#"[0,1,2,3,4,5,6,7,8,9,10,11,12,13,14,15]"#;
 
-/// Every kind of refusal.
+/// Names of all kinds of refusals.
 const KINDS: [&str; 33] = [
     "bad_syntax",
     "bad_request",
@@ -164,7 +164,7 @@
     insta::assert_snapshot!("sparse_records", pin_sparse::<Record>(&[&begin, &turn(arrived, "")]));
 }
 
-/// One turn as bytes that a build has written.
+/// The bytes of a turn as a build wrote it to a recording, in hexadecimal digits.
 const WRITTEN: &str = "a1645475726ea362617419\
 03e8656576656e74645469636b696465636973696f6e7380";
 
--- a/crates/staircross-gateway/tests/pinned_settings.rs
+++ b/crates/staircross-gateway/tests/pinned_settings.rs
@@ -1,8 +1,9 @@
-//! Settings keep their keys, defaults and errors.
+//! Tests that settings keep their keys, their defaults and the texts of errors.
 
 use staircross_gateway::GatewaySettings;
 use std::fmt::Write;
 
+/// Settings without any optional key.
 const LEAST: &str = r#"[node]
 name = "n1"
 zone = "hall"
@@ -26,7 +27,7 @@
 directory_ttl_s = 5
 "#;
 
-/// Keys that may be absent, by table.
+/// Optional keys, by the table that they are added to.
 const FURTHER: [(&str, &str); 3] = [
     ("[node]", "seeds = [\"127.0.0.1:7104\"]\nfirst_start = true\nrecord = \"/tmp/r\"\nrecord_mb = 5\nlog = false\n"),
     ("[listen]", "metrics = \"127.0.0.1:7005\"\n"),
@@ -94,12 +95,12 @@
 fn missing_keys_are_told() {
     let mut text = String::new();
     for line in LEAST.lines().filter(|line| !line.starts_with("hall")) {
-        write!(text, "without {line}: {}", outcome(&LEAST.replace(line, ""))).expect("strings take all");
+        write!(text, "without {line}: {}", outcome(&LEAST.replace(line, ""))).expect("writing to a string succeeds");
     }
     insta::assert_snapshot!(text);
 }
 
-/// A value of a wrong type, and one outside of any range, for each figure.
+/// Sets each key in turn to values that are out of range or of a wrong type.
 #[test]
 fn bad_values_are_told_with_what_is_allowed() {
     let lines = LEAST.lines().chain(FURTHER.iter().flat_map(|(_, keys)| keys.lines())).chain(LIMITS.lines());
@@ -107,13 +108,13 @@
     for key in lines.filter_map(|line| line.split_once(" = ")).map(|(key, _)| key) {
         for bad in ["-1", "1e12", "nan", "\"x\""] {
             let Some(whole) = with(key, bad) else { continue };
-            write!(text, "{key} = {bad}: {}", outcome(&whole)).expect("strings take all");
+            write!(text, "{key} = {bad}: {}", outcome(&whole)).expect("writing to a string succeeds");
         }
     }
     insta::assert_snapshot!(text);
 }
 
-/// The settings with another value of a key.
+/// Returns the settings with the given value for `key`, or `None` if there is no such key.
 fn with(key: &str, value: &str) -> Option<String> {
     let line = format!("{key} = {value}");
     let old = LEAST.lines().find(|line| line.split(" = ").next() == Some(key));
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to searchers over real loopback sockets, with the clock in the test's hands.
+//! Tests connections to searchers over loopback sockets, with the time set by the test.
 
 use mio::{Events, Poll};
 use rustix::net::sockopt::set_socket_linger;
@@ -16,6 +16,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+/// Maximum time for which a test waits for an event.
 const LONG: Duration = Duration::from_secs(20);
 const START: BootTime = BootTime(1_000_000);
 const NAMES: HeaderNames = HeaderNames {
@@ -32,7 +33,7 @@
     report: |_| SearcherReport::default(),
 };
 
-/// A pool whose time stands still unless the test moves it.
+/// A pool whose time stays the same unless the test changes it.
 struct Fixture {
     poll: Poll,
     pool: Pool,
@@ -42,12 +43,13 @@
 }
 
 impl Fixture {
-    /// Fresh connections are proved for ever.
+    /// Creates a pool that proves all fresh connections: it sends nothing on a connection that hasn't stayed open for a
+    /// moment.
     fn new() -> Self {
         Fixture::with_proving_until(BootTime::FAR_FUTURE)
     }
 
-    /// Fresh connections are proved until then.
+    /// Creates a pool that proves all fresh connections until the given time.
     fn with_proving_until(until: BootTime) -> Self {
         Fixture {
             poll: Poll::new().expect("a poll"),
@@ -75,7 +77,7 @@
         self.with_io(|pool, io, events| pool.send(order, request, io, events));
     }
 
-    /// Takes readiness until `is_done` holds of the events so far.
+    /// Handles readiness events until `is_done` returns true for the pool's events so far.
     fn until(&mut self, what: &str, is_done: impl Fn(&[PoolEvent]) -> bool) {
         let end = Instant::now() + LONG;
         let mut ready = Events::with_capacity(16);
@@ -131,7 +133,7 @@
 }
 
 fn reset(stream: TcpStream) {
-    set_socket_linger(&stream, Some(Duration::ZERO)).expect("lingering set");
+    set_socket_linger(&stream, Some(Duration::ZERO)).expect("the linger option is set");
     drop(stream);
 }
 
@@ -148,11 +150,11 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("it comes up", is_connected);
+    fixture.until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
-    assert!(fixture.pool.next_wake().is_some_and(|due| due > fixture.now), "it is being proved");
+    assert!(fixture.pool.next_wake().is_some_and(|due| due > fixture.now), "the connection is being proved");
     reset(stream);
-    // Time stands still, so however late the reset comes, nothing has been sent.
+    // The time stays the same, so nothing has been sent however late the reset arrives.
     fixture.until("the reset", is_ended);
     assert!(
         matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::ConnectionRejected))),
@@ -168,9 +170,9 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("it comes up", is_connected);
+    fixture.until("the connection is established", is_connected);
     let (mut stream, _) = listener.accept().expect("a connection");
-    let due = fixture.pool.next_wake().expect("it is being proved");
+    let due = fixture.pool.next_wake().expect("the connection is being proved");
     fixture.now = due;
     fixture.with_io(|pool, io, events| pool.on_tick(io, events));
     let mut buf = [0; 512];
@@ -188,13 +190,13 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("it comes up", is_connected);
+    fixture.until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
-    stream.set_nonblocking(true).expect("no blocking");
-    let due = fixture.pool.next_wake().expect("it is being proved");
+    stream.set_nonblocking(true).expect("the stream is set non-blocking");
+    let due = fixture.pool.next_wake().expect("the connection is being proved");
     fixture.now = due - Duration::from_micros(1);
     fixture.with_io(|pool, io, events| pool.on_tick(io, events));
-    assert_eq!(fixture.pool.next_wake(), Some(due), "still being proved");
+    assert_eq!(fixture.pool.next_wake(), Some(due), "the connection is still being proved");
     let waiting = stream.peek(&mut [0; 1]).map_err(|error| error.kind());
     assert_eq!(waiting, Err(std::io::ErrorKind::WouldBlock), "nothing was sent");
 }
@@ -204,14 +206,14 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("it comes up", is_connected);
+    fixture.until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
     reset(stream);
-    // The reset has arrived, and the pool hasn't been told when it begins to use the connection.
+    // The reset has arrived, but the pool begins to use the connection before it handles the readiness event.
     let mut ready = Events::with_capacity(16);
     fixture.poll.poll(&mut ready, Some(LONG)).expect("polling");
     assert!(ready.iter().any(|event| event.is_readable()), "the reset has arrived");
-    fixture.now = fixture.pool.next_wake().expect("it is being proved");
+    fixture.now = fixture.pool.next_wake().expect("the connection is being proved");
     fixture.with_io(|pool, io, events| pool.on_tick(io, events));
     assert!(
         matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::ConnectionRejected))),
@@ -220,7 +222,7 @@
     );
 }
 
-/// Two requests at once, both answered: two connections rest.
+/// Sends two requests at once and answers both, which leaves two idle connections.
 fn two_at_rest() -> (Fixture, TcpListener) {
     let (listener, address) = listener();
     let mut fixture = Fixture::with_proving_until(BootTime::default());
@@ -229,16 +231,16 @@
     }
     let connected =
         |events: &[PoolEvent]| events.iter().filter(|event| matches!(event, PoolEvent::Connected { .. })).count() == 2;
-    fixture.until("both come up", connected);
+    fixture.until("both connections are established", connected);
     for _ in 0..2 {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut buf = [0; 512];
         let _count = stream.read(&mut buf).expect("the request");
         stream.write_all(b"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 0\r\n\r\n").expect("answered");
-        // Whoever ends first would close; the sockets live as long as the listener's test.
+        // Dropping the stream would close the connection, so it is left open until the process ends.
         std::mem::forget(stream);
     }
-    fixture.until("both are answered", |events| {
+    fixture.until("both requests are answered", |events| {
         events.iter().filter(|event| matches!(event, PoolEvent::Ended { .. })).count() == 2
     });
     assert_eq!(fixture.pool.connection_count(), 2);
@@ -253,7 +255,7 @@
     assert_eq!(fixture.pool.connection_count(), 2);
     fixture.now = START + Duration::from_millis(1600);
     fixture.sweep(Duration::MAX);
-    assert_eq!(fixture.pool.connection_count(), 1, "the one used last stays");
+    assert_eq!(fixture.pool.connection_count(), 1, "the most recently used connection stays open");
     fixture.now = START + Duration::from_secs(20);
     fixture.sweep(Duration::MAX);
     assert_eq!(fixture.pool.connection_count(), 1);
@@ -274,12 +276,13 @@
 fn connections_to_a_searcher_that_turned_another_away_are_left_to_others_soon() {
     let (mut fixture, listener) = two_at_rest();
     let address = listener.local_addr().expect("its address");
-    // Both that rest are used; a third is reset, as by a searcher that has as many as it takes.
+    // Two of the requests use the idle connections. The third needs a new one, which is reset, as by a searcher that
+    // has reached its connection limit.
     let before = fixture.events.len();
     for number in 2..5 {
         fixture.send_numbered(address, number);
     }
-    fixture.until("the third comes up", |events| is_connected(&events[before..]));
+    fixture.until("the third connection is established", |events| is_connected(&events[before..]));
     let (stream, _) = listener.accept().expect("a connection");
     reset(stream);
     fixture.until("the reset", |events| is_ended(&events[before..]));
@@ -287,7 +290,7 @@
     assert!(fixture.pool.is_contested(SearcherKey(0), fixture.now));
     assert!(!fixture.pool.is_contested(SearcherKey(1), fixture.now), "another searcher");
     let later = fixture.now + Duration::from_secs(6);
-    assert!(!fixture.pool.is_contested(SearcherKey(0), later), "it may have room again");
+    assert!(!fixture.pool.is_contested(SearcherKey(0), later), "the searcher may accept connections again");
 }
 
 #[test]
@@ -295,7 +298,7 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::with_proving_until(BootTime::default());
     fixture.send_numbered(address, 0);
-    fixture.until("it comes up", is_connected);
+    fixture.until("the connection is established", is_connected);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 16]).expect("the request");
     fixture.send_numbered(address, 1);
@@ -311,5 +314,5 @@
     assert_eq!(fixture.pool.connection_count(), 1);
     fixture.now = START + Duration::from_millis(400);
     fixture.sweep(Duration::MAX);
-    assert_eq!(fixture.pool.connection_count(), 0, "others need it more");
+    assert_eq!(fixture.pool.connection_count(), 0, "an idle connection to a contested searcher is closed soon");
 }
--- a/crates/staircross-gateway/tests/recorder.rs
+++ b/crates/staircross-gateway/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! Recordings are bounded.
+//! Tests that a recording ends at its maximum size and contains only complete records.
 
 use staircross_gateway::recorder::{Recorder, RecordingEnd};
 use staircross_routing::recording::{Record, RecordedEvent, RecordedTurn};
@@ -13,7 +13,8 @@
 fn a_recording_ends_when_its_file_is_full_and_what_is_there_is_whole() {
     let path = std::env::temp_dir().join(format!("staircross-recorder-{}.bin", std::process::id()));
     let mut recorder = Recorder::create(&path, 1000).expect("a file");
-    let ended = (0..1000).map(|at| recorder.write(&tick(at))).position(|outcome| outcome.is_err()).expect("it ends");
+    let ended =
+        (0..1000).map(|at| recorder.write(&tick(at))).position(|outcome| outcome.is_err()).expect("the recording ends");
     assert_eq!(recorder.write(&tick(0)), Err(RecordingEnd::Full));
     drop(recorder);
     let bytes = std::fs::read(&path).expect("the file");
--- a/crates/staircross-gateway/tests/round_trip.rs
+++ b/crates/staircross-gateway/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! The kernel tells how far an accepted peer is.
+//! Tests that the kernel reports the round-trip time of an accepted connection.
 
 use staircross_gateway::round_trip::round_trip;
 use std::net::{TcpListener, TcpStream};
--- a/crates/staircross-gateway/tests/server.rs
+++ b/crates/staircross-gateway/tests/server.rs
@@ -1,4 +1,4 @@
-//! Listeners that close, and connections that go on.
+//! Tests that the server still reads connections that were made before their listener closed.
 
 use mio::{Events, Poll};
 use staircross_gateway::server::{Endpoint, Server, ServerEvent};
@@ -9,13 +9,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Time without a request after which callers count as idle.
 const REST: Duration = Duration::from_millis(500);
 
 fn at(millis: u64) -> BootTime {
     BootTime::from_millis(millis)
 }
 
-/// Hands the server what its connections have, until a request is whole.
+/// Passes readiness events to the server until a request is complete. Returns whether one was.
 fn next_request(server: &mut Server, poll: &mut Poll, now: BootTime) -> bool {
     let mut waiting = Events::with_capacity(16);
     let mut buffer = Box::new([0_u8; staircross_gateway::socket::READ_CHUNK]);
@@ -47,9 +48,9 @@
     caller.write_all(b"GET / HTTP/1.1\r\nHost: shop\r\n\r\n").expect("sent");
 
     server.stop_listening(at(1000), Endpoint::Callers, poll.registry());
-    assert!(TcpStream::connect(address).is_err(), "connecting is refused");
+    assert!(TcpStream::connect(address).is_err(), "new connections are refused");
     assert!(!server.are_callers_idle(at(1000), REST));
     assert!(server.are_callers_idle(at(1500), REST));
-    assert!(next_request(&mut server, &mut poll, at(1600)), "the request is read");
+    assert!(next_request(&mut server, &mut poll, at(1600)), "the request from before the listener closed is read");
     assert!(server.is_busy());
 }
--- a/crates/staircross-gateway/tests/settings.rs
+++ b/crates/staircross-gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is refused, and how the error names it.
+//! Tests which settings are refused, and that the error names the place of the mistake.
 
 use staircross_gateway::GatewaySettings;
 use staircross_gateway::settings::{NodePolicy, PolicySettings};
--- a/crates/staircross-gateway/tests/socket.rs
+++ b/crates/staircross-gateway/tests/socket.rs
@@ -1,4 +1,4 @@
-//! Tokens: each socket has one of its own, and it comes back as the same socket.
+//! Tests that a socket's id can be read back from its token, and that other tokens are no sockets.
 
 use mio::Token;
 use staircross_gateway::socket::{SocketId, SocketKind};
--- a/crates/staircross-gateway/tests/store_role.rs
+++ b/crates/staircross-gateway/tests/store_role.rs
@@ -1,18 +1,20 @@
-//! Who reads the store in a region, and for how long others rely on it.
+//! Tests when a node reads the store itself, and for how long it relies on the readers of its region instead.
 
 use staircross_gateway::store_role::{StoreRole, StoreRoleSelector};
 use staircross_types::BootTime;
 use std::time::Duration;
 
+/// Time without a heartbeat after which a follower becomes a prober.
 const SILENCE: Duration = Duration::from_millis(1200);
-/// Time after which a node is taken to know its region.
+/// Time after a start, in milliseconds, after which a region counts as settled even if members still change: 0.8 of
+/// the heartbeat timeout.
 const SETTLED: u64 = 960;
 
 fn at(millis: u64) -> BootTime {
     BootTime::from_millis(1_000_000 + millis)
 }
 
-/// A node that has just started.
+/// Returns the selector of a node that has just started.
 fn started() -> StoreRoleSelector {
     StoreRoleSelector::new(at(0), SILENCE)
 }
@@ -30,10 +32,14 @@
     let mut patient = StoreRoleSelector::new(at(0), SILENCE * 4);
     patient.note_member_change(at(1000));
     assert_eq!(patient.decide(at(2199), true), StoreRole::Follower);
-    assert_eq!(patient.decide(at(2200), true), StoreRole::Reader, "nobody else was learned of");
+    assert_eq!(patient.decide(at(2200), true), StoreRole::Reader, "no member has changed since");
     let mut busy = started();
     busy.note_member_change(at(SETTLED - 10));
-    assert_eq!(busy.decide(at(SETTLED), true), StoreRole::Reader, "news may not wait for ever");
+    assert_eq!(
+        busy.decide(at(SETTLED), true),
+        StoreRole::Reader,
+        "changes of members put off reading only for a limited time"
+    );
 }
 
 #[test]
@@ -49,7 +55,7 @@
     keeper.note_heartbeat(at(2000));
     assert_eq!(keeper.decide(at(2001), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(2002), true), StoreRole::Reader);
-    assert_eq!(keeper.decide(at(2003), false), StoreRole::Follower, "its word is still fresh");
+    assert_eq!(keeper.decide(at(2003), false), StoreRole::Follower, "the heartbeat is still recent");
 }
 
 #[test]
@@ -58,19 +64,27 @@
     keeper.note_heartbeat(at(0));
     assert_eq!(keeper.decide(at(1199), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(1200), false), StoreRole::Prober);
-    assert_eq!(keeper.decide(at(9000), false), StoreRole::Prober, "a store that is away isn't read");
+    assert_eq!(keeper.decide(at(9000), false), StoreRole::Prober, "a store that doesn't answer probes isn't read");
     keeper.note_probe_answered(at(9000));
-    assert_eq!(keeper.decide(at(9395), false), StoreRole::Prober, "its readers find the store too, if they live");
+    assert_eq!(
+        keeper.decide(at(9395), false),
+        StoreRole::Prober,
+        "the region's readers get time to reach the store too"
+    );
     assert_eq!(keeper.decide(at(9397), false), StoreRole::Reader);
     keeper.note_heartbeat(at(9500));
-    assert_eq!(keeper.decide(at(9600), false), StoreRole::Reader, "readers that come and go aren't relied on");
+    assert_eq!(
+        keeper.decide(at(9600), false),
+        StoreRole::Reader,
+        "a node that had to read by itself continues to read for a while"
+    );
     keeper.note_heartbeat(at(19_300));
     assert_eq!(keeper.decide(at(19_400), false), StoreRole::Follower);
 }
 
 #[test]
 fn a_node_reads_by_itself_well_within_the_time_that_news_may_take() {
-    // The silence that is borne is 0.4 of that time.
+    // The heartbeat timeout is 0.4 of the bound on updates.
     let bound = SILENCE.mul_f64(1.0 / 0.4);
     let mut keeper = started();
     let mut now = 0;
@@ -91,7 +105,11 @@
     keeper.note_heartbeat(at(5100));
     assert_eq!(keeper.decide(at(5100), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(6300), false), StoreRole::Prober);
-    assert_eq!(keeper.decide(at(6800), false), StoreRole::Prober, "the answer of the time before says nothing");
+    assert_eq!(
+        keeper.decide(at(6800), false),
+        StoreRole::Prober,
+        "an answer from the earlier time as a prober doesn't count"
+    );
 }
 
 #[test]
@@ -126,7 +144,7 @@
 fn at_the_first_start_of_a_fleet_the_others_wait_for_their_readers_but_not_for_ever() {
     let mut keeper = started().with_first_start(at(0));
     assert_eq!(keeper.decide(at(2699), false), StoreRole::Follower);
-    assert_eq!(keeper.decide(at(2700), false), StoreRole::Prober, "nobody has told anything");
+    assert_eq!(keeper.decide(at(2700), false), StoreRole::Prober, "no heartbeat has arrived");
     let mut told = started().with_first_start(at(0));
     told.note_heartbeat(at(2500));
     assert_eq!(told.decide(at(2700), false), StoreRole::Follower);
@@ -138,7 +156,7 @@
     keeper.note_heartbeat(at(0));
     assert_eq!(keeper.decide(at(1), false), StoreRole::Follower);
     keeper.note_pull_failed(at(2));
-    assert_eq!(keeper.decide(at(3), false), StoreRole::Reader, "although signs are fresh");
+    assert_eq!(keeper.decide(at(3), false), StoreRole::Reader, "although the heartbeat is recent");
     keeper.note_heartbeat(at(9900));
     assert_eq!(keeper.decide(at(9950), false), StoreRole::Reader);
     assert_eq!(keeper.decide(at(10_003), false), StoreRole::Follower);
@@ -150,7 +168,10 @@
     assert_eq!(keeper.decide(at(SETTLED), true), StoreRole::Reader);
     let behind_since = Some(at(2000));
     assert!(!keeper.should_pull_any_size(at(2000), true, behind_since));
-    assert!(!keeper.should_pull_any_size(at(2899), true, behind_since), "the store is being read by others too");
+    assert!(
+        !keeper.should_pull_any_size(at(2899), true, behind_since),
+        "a store that many nodes read at once takes a while to answer"
+    );
     assert!(keeper.should_pull_any_size(at(2900), true, behind_since));
     assert!(keeper.should_pull_any_size(at(2000), false, behind_since));
 }
--- a/crates/staircross-gateway/tests/tenant_metrics.rs
+++ b/crates/staircross-gateway/tests/tenant_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by tenant: bounded, and the sums tell the rest.
+//! Tests that the number of tenants with metrics of their own is limited, and that the totals count all tenants.
 
 use staircross_gateway::tenant_metrics::TenantMetrics;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
     let mut metrics = TenantMetrics::default();
     let mut text = String::new();
     metrics.render(&mut text);
-    assert_eq!(text, "", "nothing is told where there are no tenants");
+    assert_eq!(text, "", "nothing is printed before the first request of a tenant");
     for number in 0..10_000_u64 {
         let name = Arc::from(format!("t{number}"));
         for asked in 0..=(number / 9_990) {
--- a/crates/staircross-gateway/tests/traffic.rs
+++ b/crates/staircross-gateway/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes by purpose and distance.
+//! Tests the counts of bytes by purpose and distance.
 
 use staircross_gateway::traffic::{Purpose, Reach, Traffic};
 use staircross_routing::decision::placement::Distance;
--- a/crates/staircross-gateway/tests/unreadable_log.rs
+++ b/crates/staircross-gateway/tests/unreadable_log.rs
@@ -1,4 +1,4 @@
-//! Items that can't be used are logged once for each change.
+//! Tests that an unusable item of the store is logged once for each of its revisions.
 
 use staircross_gateway::unreadable_log::UnreadableLog;
 use staircross_routing::{KeyKind, UnreadableItem, UnreadableReason};
@@ -13,7 +13,7 @@
     assert!(log.insert(&item(1, 5)));
     assert!(!log.insert(&item(1, 5)));
     assert!(log.insert(&item(2, 5)), "another item");
-    assert!(log.insert(&item(1, 6)), "a change of the first");
+    assert!(log.insert(&item(1, 6)), "a new revision of the first item");
     (10..3000).for_each(|number| assert!(log.insert(&item(number, 1))));
-    assert!(!log.insert(&item(2999, 1)), "however many there were");
+    assert!(!log.insert(&item(2999, 1)), "the last item is remembered although the log was cleared when it was full");
 }
