--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -6,27 +6,27 @@
 
 #[test]
 fn news_just_after_other_news_is_pushed_at_once() {
-    let mut pushes = CasePushLimiter::default();
+    let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
-    assert!(!pushes.take(now), "no update has been noted");
-    pushes.note_update();
-    assert!(pushes.take(now));
-    assert!(!pushes.take(now), "the update has been pushed already");
-    pushes.note_update();
+    assert!(!limiter.take(now), "no update has been noted");
+    limiter.note_update();
+    assert!(limiter.take(now));
+    assert!(!limiter.take(now), "the update has been pushed already");
+    limiter.note_update();
     assert!(
-        pushes.take(now + Duration::from_millis(2)),
+        limiter.take(now + Duration::from_millis(2)),
         "the request that crashes searchers needn't be the first suspect"
     );
 }
 
 #[test]
 fn in_the_long_run_ten_pushes_a_second_are_made() {
-    let mut pushes = CasePushLimiter::default();
+    let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
-        pushes.note_update();
-        pushes.take(now + Duration::from_millis(*ms))
+        limiter.note_update();
+        limiter.take(now + Duration::from_millis(*ms))
     };
-    let made = (0..10_000).filter(is_pushed).count();
-    assert!((100..=104).contains(&made), "{made} pushes");
+    let push_count = (0..10_000).filter(is_pushed).count();
+    assert!((100..=104).contains(&push_count), "{push_count} pushes");
 }
--- a/crates/staircross-gateway/tests/directory.rs
+++ b/crates/staircross-gateway/tests/directory.rs
@@ -33,18 +33,18 @@
     DirectoryQuery { host: None, zone: Some(zone.to_owned()), region: Some(region.to_owned()) }
 }
 
-fn ask(directory: &Directory, zone: &str, region: &str) -> BTreeSet<SocketAddr> {
-    ask_within(directory, zone, region, &[])
+fn addresses(directory: &Directory, zone: &str, region: &str) -> BTreeSet<SocketAddr> {
+    addresses_within(directory, zone, region, &[])
 }
 
 /// Returns the addresses in an answer on requests that may be served only in the allowed regions.
-fn ask_within(directory: &Directory, zone: &str, region: &str, allowed: &[&str]) -> BTreeSet<SocketAddr> {
+fn addresses_within(directory: &Directory, zone: &str, region: &str, allowed: &[&str]) -> BTreeSet<SocketAddr> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let allowed: Vec<Arc<str>> = allowed.iter().map(|region| Arc::from(*region)).collect();
     directory.addresses_for(&query(zone, region), &allowed, &mut rng).into_iter().collect()
 }
 
-fn of_region(nodes: &[Candidate], region: &str) -> BTreeSet<SocketAddr> {
+fn addresses_of_region(nodes: &[Candidate], region: &str) -> BTreeSet<SocketAddr> {
     nodes.iter().filter(|node| node.region == region).map(|node| node.addr).collect()
 }
 
@@ -52,16 +52,20 @@
 fn callers_whose_region_is_gone_are_sent_to_an_allowed_one() {
     let nodes: Vec<Candidate> = fleet(2).into_iter().filter(|node| node.region != "n").collect();
     let directory = Directory::new(nodes.clone(), None);
-    assert_eq!(ask_within(&directory, "a", "n", &["s"]), of_region(&nodes, "s"));
-    assert_eq!(ask_within(&directory, "a", "n", &["n"]).len(), nodes.len(), "all nodes, if no allowed region has any");
+    assert_eq!(addresses_within(&directory, "a", "n", &["s"]), addresses_of_region(&nodes, "s"));
+    assert_eq!(
+        addresses_within(&directory, "a", "n", &["n"]).len(),
+        nodes.len(),
+        "all nodes, if no allowed region has any"
+    );
 }
 
 #[test]
 fn callers_stay_in_their_own_region_if_others_are_allowed() {
     let nodes = fleet(2);
     let directory = Directory::new(nodes.clone(), None);
-    let own: BTreeSet<SocketAddr> = of_zone(&nodes, "a").map(|node| node.addr).collect();
-    assert_eq!(ask_within(&directory, "a", "n", &["s"]), own);
+    let own: BTreeSet<SocketAddr> = nodes_of_zone(&nodes, "a").map(|node| node.addr).collect();
+    assert_eq!(addresses_within(&directory, "a", "n", &["s"]), own);
 }
 
 #[test]
@@ -69,9 +73,9 @@
     let mut nodes = fleet(2);
     nodes.iter_mut().filter(|node| node.zone == "a").for_each(|node| node.load = 100);
     let directory = Directory::new(nodes.clone(), None);
-    let named = ask_within(&directory, "a", "n", &["s"]);
-    assert!(named.is_disjoint(&of_region(&nodes, "m")));
-    assert!(!named.is_disjoint(&of_region(&nodes, "s")));
+    let answer = addresses_within(&directory, "a", "n", &["s"]);
+    assert!(answer.is_disjoint(&addresses_of_region(&nodes, "m")));
+    assert!(!answer.is_disjoint(&addresses_of_region(&nodes, "s")));
 }
 
 #[test]
@@ -83,7 +87,7 @@
     assert_eq!(ranks, (0..serving).collect());
 }
 
-fn of_zone<'a>(nodes: &'a [Candidate], zone: &'a str) -> impl Iterator<Item = &'a Candidate> {
+fn nodes_of_zone<'a>(nodes: &'a [Candidate], zone: &'a str) -> impl Iterator<Item = &'a Candidate> {
     nodes.iter().filter(move |node| node.zone == zone)
 }
 
@@ -91,7 +95,7 @@
 fn a_small_fleet_serves_with_all_its_nodes() {
     let nodes = fleet(2);
     let directory = Directory::new(nodes.clone(), Some(40));
-    assert_eq!(ask(&directory, "a", "n"), of_zone(&nodes, "a").map(|node| node.addr).collect());
+    assert_eq!(addresses(&directory, "a", "n"), nodes_of_zone(&nodes, "a").map(|node| node.addr).collect());
     assert_eq!(directory.reserve_count(), 0);
 }
 
@@ -99,7 +103,7 @@
 fn a_fleet_without_shards_serves_with_all_its_nodes() {
     let directory = Directory::new(fleet(50), None);
     assert_eq!(directory.reserve_count(), 0);
-    assert_eq!(ask(&directory, "a", "n").len(), 50);
+    assert_eq!(addresses(&directory, "a", "n").len(), 50);
 }
 
 #[test]
@@ -117,16 +121,16 @@
     let mut reversed = nodes.clone();
     reversed.reverse();
     let (one, other) = (Directory::new(nodes, Some(67)), Directory::new(reversed, Some(67)));
-    assert_eq!(ask(&one, "c", "s"), ask(&other, "c", "s"));
+    assert_eq!(addresses(&one, "c", "s"), addresses(&other, "c", "s"));
 }
 
 #[test]
 fn a_serving_node_that_goes_is_replaced_and_the_others_stay() {
     let nodes = fleet(12);
-    let before = ask(&Directory::new(nodes.clone(), Some(67)), "b", "m");
+    let before = addresses(&Directory::new(nodes.clone(), Some(67)), "b", "m");
     let gone = *before.first().expect("some node serves");
     let left: Vec<Candidate> = nodes.into_iter().filter(|node| node.addr != gone).collect();
-    let after = ask(&Directory::new(left, Some(67)), "b", "m");
+    let after = addresses(&Directory::new(left, Some(67)), "b", "m");
     assert_eq!(after.len(), before.len());
     assert!(!after.contains(&gone));
     assert_eq!(before.intersection(&after).count(), before.len() - 1);
@@ -137,7 +141,7 @@
     let mut nodes = fleet(60);
     nodes.push(candidate(900, "small", "n"));
     nodes.push(candidate(901, "small", "n"));
-    assert_eq!(ask(&Directory::new(nodes, Some(10)), "small", "n").len(), 2);
+    assert_eq!(addresses(&Directory::new(nodes, Some(10)), "small", "n").len(), 2);
 }
 
 #[test]
@@ -145,7 +149,11 @@
     let mut nodes = fleet(12);
     nodes.iter_mut().for_each(|node| node.load = 30);
     let directory = Directory::new(nodes, Some(67));
-    assert_eq!(ask(&directory, "a", "n").len(), 9, "12 nodes with a load of 30 % are as much as 9 nodes with 40 %");
+    assert_eq!(
+        addresses(&directory, "a", "n").len(),
+        9,
+        "12 nodes with a load of 30 % are as much as 9 nodes with 40 %"
+    );
 }
 
 #[test]
@@ -154,45 +162,45 @@
     nodes[0].load = 90;
     let pressed = nodes[0].addr;
     let directory = Directory::new(nodes, Some(40));
-    assert!(!ask(&directory, "a", "n").contains(&pressed));
+    assert!(!addresses(&directory, "a", "n").contains(&pressed));
 }
 
 #[test]
 fn reserves_join_where_all_serving_nodes_are_pressed() {
     let mut nodes = fleet(12);
-    let serving = ask(&Directory::new(nodes.clone(), Some(67)), "a", "n");
+    let serving = addresses(&Directory::new(nodes.clone(), Some(67)), "a", "n");
     nodes.iter_mut().filter(|node| serving.contains(&node.addr)).for_each(|node| node.load = 80);
     let directory = Directory::new(nodes.clone(), Some(67));
-    let now = ask(&directory, "a", "n");
-    assert!(!now.is_empty() && now.is_disjoint(&serving), "{now:?}");
-    assert!(now.iter().all(|addr| of_zone(&nodes, "a").any(|node| node.addr == *addr)));
+    let answer = addresses(&directory, "a", "n");
+    assert!(!answer.is_empty() && answer.is_disjoint(&serving), "{answer:?}");
+    assert!(answer.iter().all(|addr| nodes_of_zone(&nodes, "a").any(|node| node.addr == *addr)));
 }
 
 #[test]
 fn farther_nodes_with_room_share_the_callers_of_a_zone_that_is_pressed_as_a_whole() {
     let mut nodes = fleet(1);
     nodes[0].load = 90;
-    let addresses = ask(&Directory::new(nodes.clone(), Some(40)), "a", "n");
-    assert!(addresses.contains(&nodes[0].addr));
-    assert_eq!(addresses.len(), 3);
+    let answer = addresses(&Directory::new(nodes.clone(), Some(40)), "a", "n");
+    assert!(answer.contains(&nodes[0].addr));
+    assert_eq!(answer.len(), 3);
 }
 
 #[test]
 fn callers_of_a_zone_without_nodes_are_sent_to_their_region() {
     let nodes: Vec<Candidate> = fleet(12).into_iter().filter(|node| node.zone != "a").collect();
     let directory = Directory::new(nodes.clone(), Some(67));
-    let addresses = ask(&directory, "a", "n");
-    assert!(!addresses.is_empty());
-    assert!(addresses.iter().all(|addr| of_zone(&nodes, "d").any(|node| node.addr == *addr)));
+    let answer = addresses(&directory, "a", "n");
+    assert!(!answer.is_empty());
+    assert!(answer.iter().all(|addr| nodes_of_zone(&nodes, "d").any(|node| node.addr == *addr)));
 }
 
 #[test]
 fn an_answer_never_has_more_addresses_than_callers_take() {
     let directory = Directory::new((0..200).map(|i| candidate(i, "a", "n")).collect(), None);
-    assert_eq!(ask(&directory, "a", "n").len(), 64);
+    assert_eq!(addresses(&directory, "a", "n").len(), 64);
 }
 
 #[test]
 fn nobody_ready_is_no_address() {
-    assert!(ask(&Directory::new(Vec::new(), Some(40)), "a", "n").is_empty());
+    assert!(addresses(&Directory::new(Vec::new(), Some(40)), "a", "n").is_empty());
 }
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const TURN: Duration = Duration::from_millis(20);
-const MAX_TURNS: usize = 500;
+const TICK: Duration = Duration::from_millis(20);
+const MAX_TICKS: usize = 500;
 
 fn socket() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
@@ -24,9 +24,13 @@
 }
 
 /// Ticks both nodes until `is_done` returns true for the nodes and the second one's events.
-fn play(fleets: &mut [Fleet; 2], now: &mut BootTime, mut is_done: impl FnMut(&mut [Fleet; 2], &[FleetEvent]) -> bool) {
-    for _ in 0..MAX_TURNS {
-        *now = *now + TURN;
+fn tick_until(
+    fleets: &mut [Fleet; 2],
+    now: &mut BootTime,
+    mut is_done: impl FnMut(&mut [Fleet; 2], &[FleetEvent]) -> bool,
+) {
+    for _ in 0..MAX_TICKS {
+        *now = *now + TICK;
         let mut events = [Vec::new(), Vec::new()];
         for (fleet, events) in fleets.iter_mut().zip(&mut events) {
             fleet.on_readable(*now, events);
@@ -37,7 +41,7 @@
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("`is_done` didn't return true in {MAX_TURNS} ticks");
+    panic!("`is_done` didn't return true in {MAX_TICKS} ticks");
 }
 
 #[test]
@@ -48,17 +52,17 @@
         Fleet::new(identity(1, first_address), vec![second_address], first, now),
         Fleet::new(identity(2, second_address), vec![first_address], second, now),
     ];
-    play(&mut fleets, &mut now, |fleets, _| fleets.iter().all(|fleet| fleet.live_count() == 2));
+    tick_until(&mut fleets, &mut now, |fleets, _| fleets.iter().all(|fleet| fleet.live_count() == 2));
     fleets.iter_mut().for_each(|fleet| fleet.set_ready(true, &mut Vec::new()));
     let both = Some(vec![NodeId(1), NodeId(2)]);
-    play(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
+    tick_until(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
     assert_eq!(fleets[1].take_changed_quota_nodes(), None, "the change is reported only once");
 
     let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
     fleets[0].send_quotas(NodeId(2), vec![grant]);
-    let told = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
-    play(&mut fleets, &mut now, |_, events| events.contains(&told));
-    let counted: u64 =
+    let expected = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
+    tick_until(&mut fleets, &mut now, |_, events| events.contains(&expected));
+    let quota_bytes: u64 =
         fleets[0].traffic.counted().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
-    assert!((50..250).contains(&counted), "{counted} bytes");
+    assert!((50..250).contains(&quota_bytes), "{quota_bytes} bytes");
 }
--- a/crates/staircross-gateway/tests/forms/mod.rs
+++ b/crates/staircross-gateway/tests/forms/mod.rs
@@ -12,7 +12,7 @@
 /// Returns the CBOR bytes of a form that is given as JSON text.
 pub fn bytes_of(form: &str) -> Vec<u8> {
     let value: Value = serde_json::from_str(form).unwrap_or_else(|error| panic!("{error} in {form}"));
-    encode(&with_bytes(value)).expect("a value is encoded")
+    encode(&parse_byte_strings(value)).expect("a value is encoded")
 }
 
 /// Returns encoded bytes as one line of text.
@@ -37,10 +37,10 @@
     let mut text = String::new();
     for form in forms {
         let bytes = bytes_of(form);
-        let written = rewritten::<T>(&bytes);
+        let written = reencode::<T>(&bytes);
         assert_eq!(diagnostic(&written), diagnostic(&bytes), "the decoded value is encoded in another form");
         assert_eq!(written, bytes, "{form}");
-        add(&mut text, &written);
+        append_form(&mut text, &written);
     }
     text
 }
@@ -49,28 +49,30 @@
 pub fn pin_sparse<T: Serialize + DeserializeOwned>(forms: &[&str]) -> String {
     let mut text = String::new();
     for form in forms {
-        add(&mut text, &rewritten::<T>(&bytes_of(form)));
+        append_form(&mut text, &reencode::<T>(&bytes_of(form)));
     }
     text
 }
 
-fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Vec<u8> {
+fn reencode<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Vec<u8> {
     let read: T = decode(bytes).unwrap_or_else(|error| panic!("{error} in {}", diagnostic(bytes)));
     encode(&read).expect("the value is encoded")
 }
 
-fn add(text: &mut String, bytes: &[u8]) {
+fn append_form(text: &mut String, bytes: &[u8]) {
     writeln!(text, "{}\n  {}", diagnostic(bytes), hex(bytes)).expect("writing to a string succeeds");
 }
 
-fn with_bytes(value: Value) -> Value {
+fn parse_byte_strings(value: Value) -> Value {
     match value {
         Value::Text(text) => match text.strip_prefix("h'").and_then(|rest| rest.strip_suffix('\'')) {
             Some(digits) => Value::Bytes(from_hex(digits)),
             None => Value::Text(text),
         },
-        Value::Array(items) => Value::Array(items.into_iter().map(with_bytes).collect()),
-        Value::Map(entries) => Value::Map(entries.into_iter().map(|(key, value)| (key, with_bytes(value))).collect()),
+        Value::Array(items) => Value::Array(items.into_iter().map(parse_byte_strings).collect()),
+        Value::Map(entries) => {
+            Value::Map(entries.into_iter().map(|(key, value)| (key, parse_byte_strings(value))).collect())
+        }
         other => other,
     }
 }
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 const CASE: &str = r#"{"c":77,"l":[{"s":5,"b":900,"e":800,"v":true}],"a":12,"r":99}"#;
-const TURNS: usize = 500;
+const MAX_TICKS: usize = 500;
 
 /// Node 1, and a plain socket in the place of node 2.
 struct Pair {
@@ -60,7 +60,7 @@
     /// Sends node 1 a datagram from node 2, and returns the events that it causes.
     fn send(&mut self, form: &str) -> Vec<FleetEvent> {
         self.peer.send_to(&bytes_of(form), self.address).expect("it is sent");
-        for _ in 0..TURNS {
+        for _ in 0..MAX_TICKS {
             let events = self.tick();
             if !events.is_empty() {
                 return events;
@@ -84,7 +84,7 @@
 
     /// Returns the next datagram from node 1 for whose text `holds` returns true.
     fn receive_where(&self, holds: impl Fn(&str) -> bool) -> Vec<u8> {
-        (0..TURNS).map(|_| self.receive()).find(|bytes| holds(&diagnostic(bytes))).expect("such a datagram")
+        (0..MAX_TICKS).map(|_| self.receive()).find(|bytes| holds(&diagnostic(bytes))).expect("such a datagram")
     }
 }
 
@@ -103,8 +103,8 @@
 fn quotas_are_sent_alone() {
     let mut pair = Pair::new();
     pair.introduce();
-    let word = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
-    pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(word)]);
+    let grant = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
+    pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(grant)]);
     insta::assert_snapshot!("quotas", shown(&pair.receive_where(|text| text.contains("\"u\""))));
 }
 
@@ -142,8 +142,8 @@
     assert_eq!(encode(staircross_wire::frame::encode(&cases[0])), diagnostic(&bytes_of(CASE)));
     assert_eq!(*from, NodeId(2));
     assert_eq!(messages.len(), 1);
-    let word = diagnostic(&bytes_of(r#"{"w":{"t":5,"s":1000000,"p":0.25}}"#));
-    assert_eq!(encode(staircross_wire::frame::encode(&messages[0])), word);
+    let expected = diagnostic(&bytes_of(r#"{"w":{"t":5,"s":1000000,"p":0.25}}"#));
+    assert_eq!(encode(staircross_wire::frame::encode(&messages[0])), expected);
     assert_eq!(member.node, NodeId(2));
     assert_eq!(pair.fleet.newest_version(), 7, "the announcement is read");
 }
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -17,11 +17,11 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-fn sources(folder: &Path, files: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, files: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, files);
+            collect_sources(&path, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             files.push(path);
         }
@@ -68,7 +68,7 @@
 }
 
 /// Whether a literal is part of a log line: it has a field `name=` and contains no `/`, `&` or `#`.
-fn is_part_of_a_line(literal: &str) -> bool {
+fn is_log_text(literal: &str) -> bool {
     let is_name = |word: &str| {
         word.split_once('=')
             .is_some_and(|(name, _)| !name.is_empty() && name.chars().all(|c| c.is_ascii_lowercase() || c == '_'))
@@ -80,13 +80,12 @@
 fn lines() -> BTreeSet<String> {
     let here = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    sources(&here.join("src"), &mut files);
-    sources(&here.join("../../platform/src"), &mut files);
+    collect_sources(&here.join("src"), &mut files);
+    collect_sources(&here.join("../../platform/src"), &mut files);
     let mut lines = BTreeSet::new();
     for file in files {
         let text = std::fs::read_to_string(file).expect("a source file");
-        lines
-            .extend(literals(&text).iter().filter(|literal| is_part_of_a_line(literal)).map(|literal| fields(literal)));
+        lines.extend(literals(&text).iter().filter(|literal| is_log_text(literal)).map(|literal| fields(literal)));
     }
     lines
 }
@@ -106,7 +105,7 @@
     assert_eq!(fields(&found[0]), "event=a b=… c=… …");
 }
 
-fn listed(what: &str, names: impl IntoIterator<Item = &'static str>) -> String {
+fn line_of_names(what: &str, names: impl IntoIterator<Item = &'static str>) -> String {
     format!("{what}: {}\n", names.into_iter().collect::<Vec<&str>>().join(" "))
 }
 
@@ -133,14 +132,14 @@
     let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
     let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Revoked];
     [
-        listed("attempt that didn't run", not_run.map(NotRun::name)),
-        listed("attempt that may have run", unknown.map(Unknown::name)),
-        listed("reason of an attempt", reasons.map(SendReason::name)),
-        listed("cause of unsent", unsent.map(UnsentCause::name)),
-        listed("cause of left_out", left_out.map(LeftOutCause::name)),
-        listed("cause of held", held.map(HoldCause::name)),
-        listed("cause of key_refused", keys.map(KeyRefusal::name)),
-        listed("refusals", ErrorKind::ALL.iter().map(|kind| kind.name())),
+        line_of_names("attempt that didn't run", not_run.map(NotRun::name)),
+        line_of_names("attempt that may have run", unknown.map(Unknown::name)),
+        line_of_names("reason of an attempt", reasons.map(SendReason::name)),
+        line_of_names("cause of unsent", unsent.map(UnsentCause::name)),
+        line_of_names("cause of left_out", left_out.map(LeftOutCause::name)),
+        line_of_names("cause of held", held.map(HoldCause::name)),
+        line_of_names("cause of key_refused", keys.map(KeyRefusal::name)),
+        line_of_names("refusals", ErrorKind::ALL.iter().map(|kind| kind.name())),
     ]
     .concat()
 }
@@ -156,13 +155,13 @@
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
     let reaches = [Distance::OwnZone, Distance::OwnRegion, Distance::Far].map(Reach::Known);
     [
-        listed("level of suspicion", levels.map(Suspicion::name)),
-        listed("role", roles.map(StoreRole::name)),
-        listed("lane", Lane::ALL.map(Lane::name)),
-        listed("kind of unreadable_item", kinds.map(KeyKind::name)),
-        listed("cause of recording_ended", ends.map(RecordingEnd::name)),
-        listed("purpose", Purpose::ALL.map(Purpose::name)),
-        listed("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
+        line_of_names("level of suspicion", levels.map(Suspicion::name)),
+        line_of_names("role", roles.map(StoreRole::name)),
+        line_of_names("lane", Lane::ALL.map(Lane::name)),
+        line_of_names("kind of unreadable_item", kinds.map(KeyKind::name)),
+        line_of_names("cause of recording_ended", ends.map(RecordingEnd::name)),
+        line_of_names("purpose", Purpose::ALL.map(Purpose::name)),
+        line_of_names("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
         states,
     ]
     .concat()
--- a/crates/staircross-gateway/tests/pinned_messages.rs
+++ b/crates/staircross-gateway/tests/pinned_messages.rs
@@ -85,9 +85,9 @@
         [7,{"Searcher":{"entry":{"instance":"i-2","service":"s","address":{"V4":[[127,0,0,1],9001]},
         "zone":"hall","slots":8,"is_draining":false,"cold_ms":0}}}],[8,{"SearcherGone":{"instance":"i-3"}}],
         [9,{"Evacuation":{"zone":"hall","is_active":true}}]"#;
-    let whole = r#"{"items":[],"is_complete_for_searchers":true,"up_to":12,"all_evacuations_at":3}"#;
-    let reach = r#"{"items":[],"is_complete_for_searchers":false,"up_to":12,"newest":9,"operator_up_to":11}"#;
-    let others = [whole.to_owned(), reach.to_owned()];
+    let complete_listing = r#"{"items":[],"is_complete_for_searchers":true,"up_to":12,"all_evacuations_at":3}"#;
+    let with_newest = r#"{"items":[],"is_complete_for_searchers":false,"up_to":12,"newest":9,"operator_up_to":11}"#;
+    let others = [complete_listing.to_owned(), with_newest.to_owned()];
     [update(&definition), update(&without_tenants), update(&delta), update(searchers)]
         .into_iter()
         .chain(others)
--- a/crates/staircross-gateway/tests/pinned_recordings.rs
+++ b/crates/staircross-gateway/tests/pinned_recordings.rs
@@ -23,7 +23,7 @@
 const KEY: &str = r#"[0,1,2,3,4,5,6,7,8,9,10,11,12,13,14,15]"#;
 
 /// Names of all kinds of refusals.
-const KINDS: [&str; 33] = [
+const REFUSAL_KINDS: [&str; 33] = [
     "bad_syntax",
     "bad_request",
     "too_large",
@@ -131,11 +131,11 @@
     decisions.push(r#"{"Abandon":{"attempt":{"request":3,"number":1}}}"#.to_owned());
     decisions.push(finish(r#"{"Merged":{"parts":2,"missing":1}}"#));
     decisions.push(finish(r#"{"Passed":{"status":404}}"#));
-    decisions.extend(KINDS.map(|kind| finish(&format!(r#"{{"Refused":"{kind}"}}"#))));
+    decisions.extend(REFUSAL_KINDS.map(|kind| finish(&format!(r#"{{"Refused":"{kind}"}}"#))));
     decisions
 }
 
-fn all() -> Vec<String> {
+fn all_records() -> Vec<String> {
     let mut records = vec![begin()];
     records.extend(events().iter().map(|event| turn(event, "")));
     let ended = |outcome: &String| {
@@ -148,7 +148,7 @@
 
 #[test]
 fn each_record_is_read_and_written_as_it_was() {
-    let records = all();
+    let records = all_records();
     let forms: Vec<&str> = records.iter().map(String::as_str).collect();
     insta::assert_snapshot!("records", pin::<Record>(&forms));
 }
@@ -165,12 +165,12 @@
 }
 
 /// The bytes of a turn as a build wrote it to a recording, in hexadecimal digits.
-const WRITTEN: &str = "a1645475726ea362617419\
+const WRITTEN_TURN: &str = "a1645475726ea362617419\
 03e8656576656e74645469636b696465636973696f6e7380";
 
 #[test]
 fn bytes_kept_as_data_are_read() {
-    let bytes = from_hex(WRITTEN);
+    let bytes = from_hex(WRITTEN_TURN);
     assert_eq!(diagnostic(&bytes), diagnostic(&bytes_of(&turn(r#""Tick""#, ""))));
     decode::<Record>(&bytes).expect("a record");
 }
--- a/crates/staircross-gateway/tests/pinned_settings.rs
+++ b/crates/staircross-gateway/tests/pinned_settings.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 /// Settings without any optional key.
-const LEAST: &str = r#"[node]
+const REQUIRED: &str = r#"[node]
 name = "n1"
 zone = "hall"
 region = "north"
@@ -28,7 +28,7 @@
 "#;
 
 /// Optional keys, by the table that they are added to.
-const FURTHER: [(&str, &str); 3] = [
+const OPTIONAL: [(&str, &str); 3] = [
     ("[node]", "seeds = [\"127.0.0.1:7104\"]\nfirst_start = true\nrecord = \"/tmp/r\"\nrecord_mb = 5\nlog = false\n"),
     ("[listen]", "metrics = \"127.0.0.1:7005\"\n"),
     (
@@ -38,7 +38,7 @@
     ),
 ];
 const LIMITS: &str = "[limits]\nmemory_mb = 512\ndescriptors = 4096\nlink_mbps = 20\n";
-const ROUTING: [&str; 16] = [
+const ROUTING_POLICY: [&str; 16] = [
     "hedges",
     "hedge_pressure",
     "avoid_slow",
@@ -56,7 +56,7 @@
     "first_probes",
     "caller_distance",
 ];
-const NODE: [&str; 5] = ["proving", "contested_rest", "serving_part", "store_readers", "probe_first"];
+const NODE_POLICY: [&str; 5] = ["proving", "contested_rest", "serving_part", "store_readers", "probe_first"];
 
 fn outcome(text: &str) -> String {
     match GatewaySettings::from_toml("node.toml", text) {
@@ -67,15 +67,15 @@
 
 #[test]
 fn every_key_is_taken() {
-    let mut text = LEAST.to_owned();
-    for (table, keys) in FURTHER {
+    let mut text = REQUIRED.to_owned();
+    for (table, keys) in OPTIONAL {
         text = text.replace(table, &format!("{table}\n{keys}"));
     }
     text.push_str(LIMITS);
     text.push_str("[policy.routing]\n");
-    ROUTING.iter().for_each(|key| text.push_str(&format!("{key} = false\n")));
+    ROUTING_POLICY.iter().for_each(|key| text.push_str(&format!("{key} = false\n")));
     text.push_str("[policy.node]\n");
-    NODE.iter().for_each(|key| text.push_str(&format!("{key} = false\n")));
+    NODE_POLICY.iter().for_each(|key| text.push_str(&format!("{key} = false\n")));
     assert_eq!(outcome(&text), "taken\n");
 }
 
@@ -83,10 +83,10 @@
 fn unknown_keys_are_told_with_all_that_are_known() {
     let mut text = String::new();
     for table in ["[node]", "[listen]", "[store]", "[bounds]"] {
-        text.push_str(&outcome(&LEAST.replace(table, &format!("{table}\ncolour = 1"))));
+        text.push_str(&outcome(&REQUIRED.replace(table, &format!("{table}\ncolour = 1"))));
     }
     for table in ["[limits]", "[policy]", "[policy.routing]", "[policy.node]", "[colours]"] {
-        text.push_str(&outcome(&format!("{LEAST}{table}\ncolour = 1\n")));
+        text.push_str(&outcome(&format!("{REQUIRED}{table}\ncolour = 1\n")));
     }
     insta::assert_snapshot!(text);
 }
@@ -94,8 +94,8 @@
 #[test]
 fn missing_keys_are_told() {
     let mut text = String::new();
-    for line in LEAST.lines().filter(|line| !line.starts_with("hall")) {
-        write!(text, "without {line}: {}", outcome(&LEAST.replace(line, ""))).expect("writing to a string succeeds");
+    for line in REQUIRED.lines().filter(|line| !line.starts_with("hall")) {
+        write!(text, "without {line}: {}", outcome(&REQUIRED.replace(line, ""))).expect("writing to a string succeeds");
     }
     insta::assert_snapshot!(text);
 }
@@ -103,11 +103,11 @@
 /// Sets each key in turn to values that are out of range or of a wrong type.
 #[test]
 fn bad_values_are_told_with_what_is_allowed() {
-    let lines = LEAST.lines().chain(FURTHER.iter().flat_map(|(_, keys)| keys.lines())).chain(LIMITS.lines());
+    let lines = REQUIRED.lines().chain(OPTIONAL.iter().flat_map(|(_, keys)| keys.lines())).chain(LIMITS.lines());
     let mut text = String::new();
     for key in lines.filter_map(|line| line.split_once(" = ")).map(|(key, _)| key) {
         for bad in ["-1", "1e12", "nan", "\"x\""] {
-            let Some(whole) = with(key, bad) else { continue };
+            let Some(whole) = with_value(key, bad) else { continue };
             write!(text, "{key} = {bad}: {}", outcome(&whole)).expect("writing to a string succeeds");
         }
     }
@@ -115,22 +115,23 @@
 }
 
 /// Returns the settings with the given value for `key`, or `None` if there is no such key.
-fn with(key: &str, value: &str) -> Option<String> {
+fn with_value(key: &str, value: &str) -> Option<String> {
     let line = format!("{key} = {value}");
-    let old = LEAST.lines().find(|line| line.split(" = ").next() == Some(key));
+    let old = REQUIRED.lines().find(|line| line.split(" = ").next() == Some(key));
     if let Some(old) = old {
-        return Some(LEAST.replace(old, &line));
+        return Some(REQUIRED.replace(old, &line));
     }
     if LIMITS.contains(&format!("{key} = ")) {
-        return Some(format!("{LEAST}[limits]\n{line}\n"));
+        return Some(format!("{REQUIRED}[limits]\n{line}\n"));
     }
-    let (table, _) = FURTHER.iter().find(|(_, keys)| keys.lines().any(|line| line.split(" = ").next() == Some(key)))?;
-    Some(LEAST.replace(table, &format!("{table}\n{line}")))
+    let (table, _) =
+        OPTIONAL.iter().find(|(_, keys)| keys.lines().any(|line| line.split(" = ").next() == Some(key)))?;
+    Some(REQUIRED.replace(table, &format!("{table}\n{line}")))
 }
 
 #[test]
 fn defaults() {
-    let settings = GatewaySettings::from_toml("node.toml", LEAST).expect("the settings are good");
+    let settings = GatewaySettings::from_toml("node.toml", REQUIRED).expect("the settings are good");
     let (bounds, limits, node) = (settings.bounds, settings.limits, settings.node);
     let text = format!(
         "seeds {:?}\nfirst_start {}\nrecord {:?}\nrecord_mb {}\nlog {}\nmetrics {:?}\ncold_factor {}\ncold_slack {}\n\
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum time for which a test waits for an event.
-const LONG: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const START: BootTime = BootTime(1_000_000);
 const NAMES: HeaderNames = HeaderNames {
     request_id: "Id",
@@ -78,8 +78,8 @@
     }
 
     /// Handles readiness events until `is_done` returns true for the pool's events so far.
-    fn until(&mut self, what: &str, is_done: impl Fn(&[PoolEvent]) -> bool) {
-        let end = Instant::now() + LONG;
+    fn wait_until(&mut self, what: &str, is_done: impl Fn(&[PoolEvent]) -> bool) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         let mut ready = Events::with_capacity(16);
         while !is_done(&self.events) {
             assert!(Instant::now() < end, "{what}: {:?}", self.events);
@@ -92,8 +92,8 @@
         }
     }
 
-    fn sweep(&mut self, most_rest: Duration) {
-        self.pool.sweep(self.now, most_rest, &mut self.events);
+    fn sweep(&mut self, max_idle: Duration) {
+        self.pool.sweep(self.now, max_idle, &mut self.events);
     }
 
     fn outcome(&self) -> Option<&AttemptOutcome> {
@@ -150,12 +150,12 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("the connection is established", is_connected);
+    fixture.wait_until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
     assert!(fixture.pool.next_wake().is_some_and(|due| due > fixture.now), "the connection is being proved");
     reset(stream);
     // The time stays the same, so nothing has been sent however late the reset arrives.
-    fixture.until("the reset", is_ended);
+    fixture.wait_until("the reset", is_ended);
     assert!(
         matches!(fixture.outcome(), Some(AttemptOutcome::NotRun(NotRun::ConnectionRejected))),
         "{:?}",
@@ -170,7 +170,7 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("the connection is established", is_connected);
+    fixture.wait_until("the connection is established", is_connected);
     let (mut stream, _) = listener.accept().expect("a connection");
     let due = fixture.pool.next_wake().expect("the connection is being proved");
     fixture.now = due;
@@ -180,7 +180,7 @@
     assert!(buf[..count].starts_with(b"GET /one HTTP/1.1\r\n"));
     assert!(fixture.outcome().is_none());
     reset(stream);
-    fixture.until("the reset", is_ended);
+    fixture.wait_until("the reset", is_ended);
     assert!(matches!(fixture.outcome(), Some(AttemptOutcome::Unknown(Unknown::Broken))), "{:?}", fixture.events);
     assert_eq!(fixture.pool.counters.connections_rejected, 0);
 }
@@ -190,7 +190,7 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("the connection is established", is_connected);
+    fixture.wait_until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
     stream.set_nonblocking(true).expect("the stream is set non-blocking");
     let due = fixture.pool.next_wake().expect("the connection is being proved");
@@ -206,12 +206,12 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::new();
     fixture.send(address);
-    fixture.until("the connection is established", is_connected);
+    fixture.wait_until("the connection is established", is_connected);
     let (stream, _) = listener.accept().expect("a connection");
     reset(stream);
     // The reset has arrived, but the pool begins to use the connection before it handles the readiness event.
     let mut ready = Events::with_capacity(16);
-    fixture.poll.poll(&mut ready, Some(LONG)).expect("polling");
+    fixture.poll.poll(&mut ready, Some(WAIT_TIMEOUT)).expect("polling");
     assert!(ready.iter().any(|event| event.is_readable()), "the reset has arrived");
     fixture.now = fixture.pool.next_wake().expect("the connection is being proved");
     fixture.with_io(|pool, io, events| pool.on_tick(io, events));
@@ -223,7 +223,7 @@
 }
 
 /// Sends two requests at once and answers both, which leaves two idle connections.
-fn two_at_rest() -> (Fixture, TcpListener) {
+fn two_idle_connections() -> (Fixture, TcpListener) {
     let (listener, address) = listener();
     let mut fixture = Fixture::with_proving_until(BootTime::default());
     for number in 0..2 {
@@ -231,7 +231,7 @@
     }
     let connected =
         |events: &[PoolEvent]| events.iter().filter(|event| matches!(event, PoolEvent::Connected { .. })).count() == 2;
-    fixture.until("both connections are established", connected);
+    fixture.wait_until("both connections are established", connected);
     for _ in 0..2 {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut buf = [0; 512];
@@ -240,7 +240,7 @@
         // Dropping the stream would close the connection, so it is left open until the process ends.
         std::mem::forget(stream);
     }
-    fixture.until("both requests are answered", |events| {
+    fixture.wait_until("both requests are answered", |events| {
         events.iter().filter(|event| matches!(event, PoolEvent::Ended { .. })).count() == 2
     });
     assert_eq!(fixture.pool.connection_count(), 2);
@@ -249,7 +249,7 @@
 
 #[test]
 fn a_connection_besides_the_one_used_last_does_not_rest_for_long() {
-    let (mut fixture, _listener) = two_at_rest();
+    let (mut fixture, _listener) = two_idle_connections();
     fixture.now = START + Duration::from_millis(1400);
     fixture.sweep(Duration::MAX);
     assert_eq!(fixture.pool.connection_count(), 2);
@@ -266,7 +266,7 @@
 
 #[test]
 fn a_node_that_serves_no_callers_lets_go_of_resting_connections() {
-    let (mut fixture, _listener) = two_at_rest();
+    let (mut fixture, _listener) = two_idle_connections();
     fixture.now = START + Duration::from_millis(1100);
     fixture.sweep(Duration::from_secs(1));
     assert_eq!(fixture.pool.connection_count(), 0);
@@ -274,7 +274,7 @@
 
 #[test]
 fn connections_to_a_searcher_that_turned_another_away_are_left_to_others_soon() {
-    let (mut fixture, listener) = two_at_rest();
+    let (mut fixture, listener) = two_idle_connections();
     let address = listener.local_addr().expect("its address");
     // Two of the requests use the idle connections. The third needs a new one, which is reset, as by a searcher that
     // has reached its connection limit.
@@ -282,10 +282,10 @@
     for number in 2..5 {
         fixture.send_numbered(address, number);
     }
-    fixture.until("the third connection is established", |events| is_connected(&events[before..]));
+    fixture.wait_until("the third connection is established", |events| is_connected(&events[before..]));
     let (stream, _) = listener.accept().expect("a connection");
     reset(stream);
-    fixture.until("the reset", |events| is_ended(&events[before..]));
+    fixture.wait_until("the reset", |events| is_ended(&events[before..]));
     assert_eq!(fixture.pool.connection_count(), 2);
     assert!(fixture.pool.is_contested(SearcherKey(0), fixture.now));
     assert!(!fixture.pool.is_contested(SearcherKey(1), fixture.now), "another searcher");
@@ -298,16 +298,17 @@
     let (listener, address) = listener();
     let mut fixture = Fixture::with_proving_until(BootTime::default());
     fixture.send_numbered(address, 0);
-    fixture.until("the connection is established", is_connected);
+    fixture.wait_until("the connection is established", is_connected);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 16]).expect("the request");
     fixture.send_numbered(address, 1);
-    let (connections_rejected, _) = listener.accept().expect("a second connection");
-    reset(connections_rejected);
-    fixture.until("the reset", is_ended);
+    let (rejected, _) = listener.accept().expect("a second connection");
+    reset(rejected);
+    fixture.wait_until("the reset", is_ended);
     stream.write_all(b"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 0\r\n\r\n").expect("answered");
-    let ends = |events: &[PoolEvent]| events.iter().filter(|event| matches!(event, PoolEvent::Ended { .. })).count();
-    fixture.until("the answer", |events| ends(events) == 2);
+    let ended_count =
+        |events: &[PoolEvent]| events.iter().filter(|event| matches!(event, PoolEvent::Ended { .. })).count();
+    fixture.wait_until("the answer", |events| ended_count(events) == 2);
     assert_eq!(fixture.pool.connection_count(), 1);
     fixture.now = START + Duration::from_millis(200);
     fixture.sweep(Duration::MAX);
--- a/crates/staircross-gateway/tests/server.rs
+++ b/crates/staircross-gateway/tests/server.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Time without a request after which callers count as idle.
-const REST: Duration = Duration::from_millis(500);
+const IDLE_TIME: Duration = Duration::from_millis(500);
 
 fn at(millis: u64) -> BootTime {
     BootTime::from_millis(millis)
@@ -18,20 +18,20 @@
 
 /// Passes readiness events to the server until a request is complete. Returns whether one was.
 fn next_request(server: &mut Server, poll: &mut Poll, now: BootTime) -> bool {
-    let mut waiting = Events::with_capacity(16);
+    let mut poll_events = Events::with_capacity(16);
     let mut buffer = Box::new([0_u8; staircross_gateway::socket::READ_CHUNK]);
     for _ in 0..100 {
-        poll.poll(&mut waiting, Some(Duration::from_millis(20))).expect("polls");
-        let mut events = Vec::new();
-        for event in &waiting {
+        poll.poll(&mut poll_events, Some(Duration::from_millis(20))).expect("polls");
+        let mut server_events = Vec::new();
+        for event in &poll_events {
             let id = SocketId::from_token(event.token()).expect("a token of the server");
             let limits = ServerLimits { head_bytes: 4096, body_bytes: 4096 };
             let mut io = IoContext { now, registry: poll.registry(), buffer: &mut buffer, limits };
             if id.kind == SocketKind::Inbound {
-                server.on_ready(id, event.is_writable(), &mut io, &mut events);
+                server.on_ready(id, event.is_writable(), &mut io, &mut server_events);
             }
         }
-        if events.iter().any(|event| matches!(event, ServerEvent::Request { .. })) {
+        if server_events.iter().any(|event| matches!(event, ServerEvent::Request { .. })) {
             return true;
         }
     }
@@ -49,8 +49,8 @@
 
     server.stop_listening(at(1000), Endpoint::Callers, poll.registry());
     assert!(TcpStream::connect(address).is_err(), "new connections are refused");
-    assert!(!server.are_callers_idle(at(1000), REST));
-    assert!(server.are_callers_idle(at(1500), REST));
+    assert!(!server.are_callers_idle(at(1000), IDLE_TIME));
+    assert!(server.are_callers_idle(at(1500), IDLE_TIME));
     assert!(next_request(&mut server, &mut poll, at(1600)), "the request from before the listener closed is read");
     assert!(server.is_busy());
 }
--- a/crates/staircross-gateway/tests/settings.rs
+++ b/crates/staircross-gateway/tests/settings.rs
@@ -4,7 +4,7 @@
 use staircross_gateway::settings::{NodePolicy, PolicySettings};
 use staircross_routing::RoutingPolicy;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [node]
 name = "n1"
 zone = "hall"
@@ -28,18 +28,18 @@
 directory_ttl_s = 5
 "#;
 
-fn error(text: &str) -> String {
+fn error_text(text: &str) -> String {
     GatewaySettings::from_toml("node.toml", text).expect_err("the settings are bad").to_string()
 }
 
 #[test]
 fn good_settings_are_taken() {
-    GatewaySettings::from_toml("node.toml", GOOD).expect("the settings are good");
+    GatewaySettings::from_toml("node.toml", VALID).expect("the settings are good");
 }
 
 #[test]
 fn quotas_hold_without_any_excess_where_settings_say_nothing() {
-    let settings = GatewaySettings::from_toml("node.toml", GOOD).expect("the settings are good");
+    let settings = GatewaySettings::from_toml("node.toml", VALID).expect("the settings are good");
     let bounds = settings.bounds;
     assert_eq!((bounds.quota_window_s, bounds.quota_over, bounds.quota_slack), (1.0, 0.0, 0.0));
 }
@@ -63,15 +63,15 @@
         ("[node]", "[limits]\ndescriptors = 100\n[node]", "limits.descriptors"),
     ];
     for (good, bad, key) in cases {
-        let message = error(&GOOD.replace(good, bad));
+        let message = error_text(&VALID.replace(good, bad));
         assert!(message.starts_with(key) && message.contains("allowed:"), "{bad}: {message}");
     }
 }
 
 #[test]
 fn unknown_keys_and_broken_text_name_the_file() {
-    for text in [GOOD.replace("[store]", "[store]\ncolour = 1"), GOOD.replace("[store]", "[store")] {
-        let message = error(&text);
+    for text in [VALID.replace("[store]", "[store]\ncolour = 1"), VALID.replace("[store]", "[store")] {
+        let message = error_text(&text);
         assert!(message.starts_with("node.toml:"), "{message}");
     }
 }
@@ -79,11 +79,11 @@
 #[test]
 fn a_mechanism_is_on_unless_the_policy_turns_it_off() {
     let settings = |text: &str| GatewaySettings::from_toml("node.toml", text).expect("the settings are good");
-    assert_eq!(settings(GOOD).policy, PolicySettings::default());
-    let off = settings(&format!("{GOOD}[policy]\nrouting.hedges = false\nnode.proving = false\n"));
+    assert_eq!(settings(VALID).policy, PolicySettings::default());
+    let off = settings(&format!("{VALID}[policy]\nrouting.hedges = false\nnode.proving = false\n"));
     let routing = RoutingPolicy { hedges: false, ..RoutingPolicy::default() };
     let node = NodePolicy { proving: false, ..NodePolicy::default() };
     assert_eq!(off.policy, PolicySettings { routing, node });
-    let message = error(&format!("{GOOD}[policy]\nrouting.hedgehogs = false\n"));
+    let message = error_text(&format!("{VALID}[policy]\nrouting.hedgehogs = false\n"));
     assert!(message.contains("hedgehogs"), "{message}");
 }
--- a/crates/staircross-gateway/tests/tenant_metrics.rs
+++ b/crates/staircross-gateway/tests/tenant_metrics.rs
@@ -11,8 +11,8 @@
     assert_eq!(text, "", "nothing is printed before the first request of a tenant");
     for number in 0..10_000_u64 {
         let name = Arc::from(format!("t{number}"));
-        for asked in 0..=(number / 9_990) {
-            metrics.count(&name, asked > 0);
+        for request_index in 0..=(number / 9_990) {
+            metrics.count(&name, request_index > 0);
         }
     }
     metrics.render(&mut text);
