--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -15,7 +15,7 @@
 
 fn socket() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
-    let address = socket.local_addr().expect("it is bound");
+    let address = socket.local_addr().expect("the socket is bound");
     (socket, address)
 }
 
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -30,9 +30,9 @@
     fn new() -> Pair {
         let peer = PeerSocket::bind("127.0.0.1:0").expect("a free port");
         peer.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
-        let seed = peer.local_addr().expect("it is bound");
+        let seed = peer.local_addr().expect("the socket is bound");
         let socket = UdpSocket::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
-        let address = socket.local_addr().expect("it is bound");
+        let address = socket.local_addr().expect("the socket is bound");
         let identity = FleetIdentity {
             node: NodeId(1),
             peers: "192.0.2.1:7004".parse().expect("an address"),
@@ -59,7 +59,7 @@
 
     /// Sends node 1 a datagram from node 2, and returns the events that it causes.
     fn send(&mut self, form: &str) -> Vec<FleetEvent> {
-        self.peer.send_to(&bytes_of(form), self.address).expect("it is sent");
+        self.peer.send_to(&bytes_of(form), self.address).expect("the datagram is sent");
         for _ in 0..MAX_TICKS {
             let events = self.tick();
             if !events.is_empty() {
@@ -72,7 +72,7 @@
 
     /// Makes node 2 known to node 1.
     fn introduce(&mut self) {
-        let port = self.peer.local_addr().expect("it is bound").port();
+        let port = self.peer.local_addr().expect("the socket is bound").port();
         let join = format!(
             r#"{{"f":"h'00000000000000000000000000000002'","t":null,"a":{{"v":0,"r":0,"l":0}},"m":{{"Join":{{"member":
             {{"n":"h'00000000000000000000000000000002'","p":{{"V4":[[127,0,0,1],{port}]}},"c":{{"V4":[[192,0,2,2],7001]}},
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Returns all string literals of a source file. Escapes are kept, except that a backslash at the end of a line joins
-/// it with the next one.
+/// Returns all string literals of a source file outside of comment lines. Escapes are kept, except that a backslash at
+/// the end of a line joins it with the next one.
 fn literals(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
