--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -132,6 +132,7 @@
     (listener, address)
 }
 
+/// Closes a connection with a reset, which a linger time of zero causes.
 fn reset(stream: TcpStream) {
     set_socket_linger(&stream, Some(Duration::ZERO)).expect("the linger option is set");
     drop(stream);
