--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -1,4 +1,4 @@
-//! How often the requests under which searchers were lost are pushed to peers at once.
+//! Tests how often records of requests during which searchers were lost are pushed to peers.
 
 use staircross_gateway::case_pushes::CasePushLimiter;
 use staircross_types::BootTime;
@@ -6,24 +6,27 @@
 
 #[test]
 fn news_just_after_other_news_is_pushed_at_once() {
-    let mut pushes = CasePushLimiter::default();
+    let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
-    assert!(!pushes.take(now), "no news");
-    pushes.note_update();
-    assert!(pushes.take(now));
-    assert!(!pushes.take(now), "it is told");
-    pushes.note_update();
-    assert!(pushes.take(now + Duration::from_millis(2)), "the request to blame needn't be the first that is suspected");
+    assert!(!limiter.take(now), "no update has been noted");
+    limiter.note_update();
+    assert!(limiter.take(now));
+    assert!(!limiter.take(now), "the update has been pushed already");
+    limiter.note_update();
+    assert!(
+        limiter.take(now + Duration::from_millis(2)),
+        "the request that crashes searchers needn't be the first suspect"
+    );
 }
 
 #[test]
 fn in_the_long_run_ten_pushes_a_second_are_made() {
-    let mut pushes = CasePushLimiter::default();
+    let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
-        pushes.note_update();
-        pushes.take(now + Duration::from_millis(*ms))
+        limiter.note_update();
+        limiter.take(now + Duration::from_millis(*ms))
     };
-    let made = (0..10_000).filter(is_pushed).count();
-    assert!((100..=104).contains(&made), "{made}");
+    let push_count = (0..10_000).filter(is_pushed).count();
+    assert!((100..=104).contains(&push_count), "{push_count} pushes");
 }
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateway nodes, as one node sends and reads them on a socket.
+//! Tests that datagrams between gateway nodes keep their encoded form, as one node sends and receives them on a socket.
 
 mod forms;
 
@@ -15,8 +15,9 @@
 use std::time::Duration;
 
 const CASE: &str = r#"{"c":77,"l":[{"s":5,"b":900,"e":800,"v":true}],"a":12,"r":99}"#;
-const TURNS: usize = 500;
+const MAX_TICKS: usize = 500;
 
+/// Node 1, and a plain socket in the place of node 2.
 struct Pair {
     fleet: Fleet,
     address: SocketAddr,
@@ -25,13 +26,13 @@
 }
 
 impl Pair {
-    /// Node 1, whose seed is a bare socket in the place of node 2.
+    /// Creates node 1, whose seed is the plain socket in the place of node 2.
     fn new() -> Pair {
         let peer = PeerSocket::bind("127.0.0.1:0").expect("a free port");
         peer.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
-        let seed = peer.local_addr().expect("it is bound");
+        let seed = peer.local_addr().expect("the socket is bound");
         let socket = UdpSocket::bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
-        let address = socket.local_addr().expect("it is bound");
+        let address = socket.local_addr().expect("the socket is bound");
         let identity = FleetIdentity {
             node: NodeId(1),
             peers: "192.0.2.1:7004".parse().expect("an address"),
@@ -56,22 +57,22 @@
         buf[..length].to_vec()
     }
 
-    /// Sends node 1 a datagram of node 2 and gives what node 1 makes of it.
+    /// Sends node 1 a datagram from node 2, and returns the events that it causes.
     fn send(&mut self, form: &str) -> Vec<FleetEvent> {
-        self.peer.send_to(&bytes_of(form), self.address).expect("it is sent");
-        for _ in 0..TURNS {
+        self.peer.send_to(&bytes_of(form), self.address).expect("the datagram is sent");
+        for _ in 0..MAX_TICKS {
             let events = self.tick();
             if !events.is_empty() {
                 return events;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        panic!("nothing came of {form}");
+        panic!("no event after the datagram {form}");
     }
 
-    /// Makes node 2 known.
+    /// Makes node 2 known to node 1.
     fn introduce(&mut self) {
-        let port = self.peer.local_addr().expect("it is bound").port();
+        let port = self.peer.local_addr().expect("the socket is bound").port();
         let join = format!(
             r#"{{"f":"h'00000000000000000000000000000002'","t":null,"a":{{"v":0,"r":0,"l":0}},"m":{{"Join":{{"member":
             {{"n":"h'00000000000000000000000000000002'","p":{{"V4":[[127,0,0,1],{port}]}},"c":{{"V4":[[192,0,2,2],7001]}},
@@ -81,9 +82,9 @@
         assert!(matches!(&events[..], [FleetEvent::Member { .. }]), "{events:?}");
     }
 
-    /// The next datagram for which something holds.
+    /// Returns the next datagram from node 1 for whose text `holds` returns true.
     fn receive_where(&self, holds: impl Fn(&str) -> bool) -> Vec<u8> {
-        (0..TURNS).map(|_| self.receive()).find(|bytes| holds(&diagnostic(bytes))).expect("such a datagram")
+        (0..MAX_TICKS).map(|_| self.receive()).find(|bytes| holds(&diagnostic(bytes))).expect("such a datagram")
     }
 }
 
@@ -102,8 +103,8 @@
 fn quotas_are_sent_alone() {
     let mut pair = Pair::new();
     pair.introduce();
-    let word = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
-    pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(word)]);
+    let grant = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
+    pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(grant)]);
     insta::assert_snapshot!("quotas", shown(&pair.receive_where(|text| text.contains("\"u\""))));
 }
 
@@ -116,7 +117,7 @@
     pair.fleet.leave(MemberState::Leaving, &mut Vec::new());
     let bytes = pair.receive_where(|text| text.contains("leaving") && text.contains("\"q\": [{\"c\""));
     let text = diagnostic(&bytes);
-    // Numbers of probes, the order of what is new and ports depend on chance.
+    // The rest is left out, since the numbers of probes, the order of updates and the ports are random.
     let (head, _) = text.split_once("\"m\"").expect("a message of the membership");
     insta::assert_snapshot!("cases", head);
 }
@@ -141,8 +142,8 @@
     assert_eq!(encode(staircross_wire::frame::encode(&cases[0])), diagnostic(&bytes_of(CASE)));
     assert_eq!(*from, NodeId(2));
     assert_eq!(messages.len(), 1);
-    let word = diagnostic(&bytes_of(r#"{"w":{"t":5,"s":1000000,"p":0.25}}"#));
-    assert_eq!(encode(staircross_wire::frame::encode(&messages[0])), word);
+    let expected = diagnostic(&bytes_of(r#"{"w":{"t":5,"s":1000000,"p":0.25}}"#));
+    assert_eq!(encode(staircross_wire::frame::encode(&messages[0])), expected);
     assert_eq!(member.node, NodeId(2));
     assert_eq!(pair.fleet.newest_version(), 7, "the announcement is read");
 }
--- a/crates/staircross-gateway/tests/pinned_log.rs
+++ b/crates/staircross-gateway/tests/pinned_log.rs
@@ -1,7 +1,8 @@
-//! Lines of the log keep the names of their events, of their fields, and of the values that stand for something.
+//! Tests that log lines keep the names of their events and fields, and the names of the values that fields can have.
 //!
-//! Lines are made all over the code, so they are taken from its text: each literal with an `event=` in it, and its fields in
-//! their order. Where a line is made doesn't matter, only what it says.
+//! Log lines are written in many places of the code, so the test reads them from the source text: it takes each string
+//! literal with a field such as `event=`, and compares the fields in their order. Where a line is written doesn't
+//! matter.
 
 use staircross_cluster::MemberState;
 use staircross_gateway::recorder::RecordingEnd;
@@ -16,18 +17,19 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-fn sources(folder: &Path, files: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, files: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, files);
+            collect_sources(&path, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             files.push(path);
         }
     }
 }
 
-/// All string literals of a source file; escapes stay but for a line's end, which joins lines.
+/// Returns all string literals of a source file outside of comment lines. Escapes are kept, except that a backslash at
+/// the end of a line joins it with the next one.
 fn literals(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
@@ -54,7 +56,7 @@
     found
 }
 
-/// The names before each `=`, in order; of the event its value, of others a value that is no placeholder.
+/// Returns the words of a literal in their order, with `…` for each placeholder.
 fn fields(literal: &str) -> String {
     let field = |word: &str| -> String {
         let Some((name, value)) = word.split_once('=') else {
@@ -65,7 +67,8 @@
     literal.split_whitespace().map(field).collect::<Vec<String>>().join(" ")
 }
 
-fn is_part_of_a_line(literal: &str) -> bool {
+/// Whether a literal is part of a log line: it has a field `name=` and contains no `/`, `&` or `#`.
+fn is_log_text(literal: &str) -> bool {
     let is_name = |word: &str| {
         word.split_once('=')
             .is_some_and(|(name, _)| !name.is_empty() && name.chars().all(|c| c.is_ascii_lowercase() || c == '_'))
@@ -73,16 +76,16 @@
     literal.split_whitespace().any(is_name) && !literal.contains(['/', '&', '#'])
 }
 
+/// Returns the masked log lines of the gateway's and the platform's source files.
 fn lines() -> BTreeSet<String> {
     let here = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    sources(&here.join("src"), &mut files);
-    sources(&here.join("../../platform/src"), &mut files);
+    collect_sources(&here.join("src"), &mut files);
+    collect_sources(&here.join("../../platform/src"), &mut files);
     let mut lines = BTreeSet::new();
     for file in files {
         let text = std::fs::read_to_string(file).expect("a source file");
-        lines
-            .extend(literals(&text).iter().filter(|literal| is_part_of_a_line(literal)).map(|literal| fields(literal)));
+        lines.extend(literals(&text).iter().filter(|literal| is_log_text(literal)).map(|literal| fields(literal)));
     }
     lines
 }
@@ -102,10 +105,11 @@
     assert_eq!(fields(&found[0]), "event=a b=… c=… …");
 }
 
-fn listed(what: &str, names: impl IntoIterator<Item = &'static str>) -> String {
+fn line_of_names(what: &str, names: impl IntoIterator<Item = &'static str>) -> String {
     format!("{what}: {}\n", names.into_iter().collect::<Vec<&str>>().join(" "))
 }
 
+/// Returns the names of the values in log lines on requests and attempts.
 fn of_requests() -> String {
     use UnsentCause::*;
     let not_run = [NotRun::Unconnected, NotRun::ConnectionRejected, NotRun::Stale, NotRun::Shed, NotRun::OtherInstance];
@@ -128,40 +132,42 @@
     let held = [HoldCause::NoConfiguration, HoldCause::OldConfiguration, HoldCause::NoSearchers];
     let keys = [KeyRefusal::Missing, KeyRefusal::Unknown, KeyRefusal::Malformed, KeyRefusal::Revoked];
     [
-        listed("attempt that didn't run", not_run.map(NotRun::name)),
-        listed("attempt that may have run", unknown.map(Unknown::name)),
-        listed("reason of an attempt", reasons.map(SendReason::name)),
-        listed("cause of unsent", unsent.map(UnsentCause::name)),
-        listed("cause of left_out", left_out.map(LeftOutCause::name)),
-        listed("cause of held", held.map(HoldCause::name)),
-        listed("cause of key_refused", keys.map(KeyRefusal::name)),
-        listed("refusals", ErrorKind::ALL.iter().map(|kind| kind.name())),
+        line_of_names("attempt that didn't run", not_run.map(NotRun::name)),
+        line_of_names("attempt that may have run", unknown.map(Unknown::name)),
+        line_of_names("reason of an attempt", reasons.map(SendReason::name)),
+        line_of_names("cause of unsent", unsent.map(UnsentCause::name)),
+        line_of_names("cause of left_out", left_out.map(LeftOutCause::name)),
+        line_of_names("cause of held", held.map(HoldCause::name)),
+        line_of_names("cause of key_refused", keys.map(KeyRefusal::name)),
+        line_of_names("refusals", ErrorKind::ALL.iter().map(|kind| kind.name())),
     ]
     .concat()
 }
 
+/// Returns the names of the values in log lines on the node, its peers and the store.
 fn of_the_node() -> String {
     let levels = [Suspicion::None, Suspicion::Suspect, Suspicion::Quarantined];
     let roles = [StoreRole::Reader, StoreRole::Follower, StoreRole::Prober];
     let kinds = [KeyKind::Configuration, KeyKind::Searcher, KeyKind::Evacuation, KeyKind::Unknown];
-    // The line on a member shows its state by the name that it has in the code.
+    // The log line on a member prints its state with `Debug`.
     let states = [MemberState::Alive, MemberState::Leaving, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     let states = states.map(|state| format!("state of member: {state:?}\n")).concat();
     let ends = [RecordingEnd::Full, RecordingEnd::Failed];
     let reaches = [Distance::OwnZone, Distance::SameRegion, Distance::OtherRegion].map(Reach::Known);
     [
-        listed("level of suspicion", levels.map(Suspicion::name)),
-        listed("role", roles.map(StoreRole::name)),
-        listed("lane", Lane::ALL.map(Lane::name)),
-        listed("kind of unreadable_item", kinds.map(KeyKind::name)),
-        listed("cause of recording_ended", ends.map(RecordingEnd::name)),
-        listed("purpose", Purpose::ALL.map(Purpose::name)),
-        listed("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
+        line_of_names("level of suspicion", levels.map(Suspicion::name)),
+        line_of_names("role", roles.map(StoreRole::name)),
+        line_of_names("lane", Lane::ALL.map(Lane::name)),
+        line_of_names("kind of unreadable_item", kinds.map(KeyKind::name)),
+        line_of_names("cause of recording_ended", ends.map(RecordingEnd::name)),
+        line_of_names("purpose", Purpose::ALL.map(Purpose::name)),
+        line_of_names("reach", reaches.into_iter().chain([Reach::Unknown]).map(Reach::name)),
         states,
     ]
     .concat()
 }
 
+/// Returns the texts of the reasons in log lines on unusable items of the store.
 fn of_unreadable_items() -> String {
     let reasons = [
         UnreadableReason::Item,
--- a/crates/staircross-gateway/tests/pinned_recordings.rs
+++ b/crates/staircross-gateway/tests/pinned_recordings.rs
@@ -1,4 +1,4 @@
-//! Recordings keep their encoded form: those of earlier builds are replayed by later ones.
+//! Tests that recordings keep their encoded form, since later builds replay the recordings of earlier ones.
 
 mod forms;
 
@@ -6,7 +6,7 @@
 use staircross_routing::recording::Record;
 use staircross_wire::frame::decode;
 
-/// Bounds, grounds of decisions and settings that stand in several records.
+// Bounds, policies, definitions and entries that occur in several records.
 const EXTRA: &str = r#"{"ratio":0.2,"window":{"secs":10,"nanos":0},"slack":58.0}"#;
 const COLD: &str = r#"{"factor":1.5,"slack":2.0}"#;
 const QUOTA: &str = r#"{"window":{"secs":1,"nanos":500},"over":0.1,"slack":3.0}"#;
@@ -22,8 +22,8 @@
 const CASE: &str = r#"{"c":77,"l":[{"s":5,"b":900,"e":800,"v":true}],"a":12,"r":99}"#;
 const KEY: &str = r#"[0,1,2,3,4,5,6,7,8,9,10,11,12,13,14,15]"#;
 
-/// Every kind of refusal.
-const KINDS: [&str; 33] = [
+/// Names of all kinds of refusals.
+const REFUSAL_KINDS: [&str; 33] = [
     "bad_syntax",
     "bad_request",
     "too_large",
@@ -131,11 +131,11 @@
     decisions.push(r#"{"Abandon":{"attempt":{"request":3,"number":1}}}"#.to_owned());
     decisions.push(finish(r#"{"Merged":{"parts":2,"missing":1}}"#));
     decisions.push(finish(r#"{"Passed":{"status":404}}"#));
-    decisions.extend(KINDS.map(|kind| finish(&format!(r#"{{"Refused":"{kind}"}}"#))));
+    decisions.extend(REFUSAL_KINDS.map(|kind| finish(&format!(r#"{{"Refused":"{kind}"}}"#))));
     decisions
 }
 
-fn all() -> Vec<String> {
+fn all_records() -> Vec<String> {
     let mut records = vec![begin()];
     records.extend(events().iter().map(|event| turn(event, "")));
     let ended = |outcome: &String| {
@@ -148,7 +148,7 @@
 
 #[test]
 fn each_record_is_read_and_written_as_it_was() {
-    let records = all();
+    let records = all_records();
     let forms: Vec<&str> = records.iter().map(String::as_str).collect();
     insta::assert_snapshot!("records", pin::<Record>(&forms));
 }
@@ -164,13 +164,13 @@
     insta::assert_snapshot!("sparse_records", pin_sparse::<Record>(&[&begin, &turn(arrived, "")]));
 }
 
-/// One turn as bytes that a build has written.
-const WRITTEN: &str = "a1645475726ea362617419\
+/// The bytes of a turn as a build wrote it to a recording, in hexadecimal digits.
+const WRITTEN_TURN: &str = "a1645475726ea362617419\
 03e8656576656e74645469636b696465636973696f6e7380";
 
 #[test]
 fn bytes_kept_as_data_are_read() {
-    let bytes = from_hex(WRITTEN);
+    let bytes = from_hex(WRITTEN_TURN);
     assert_eq!(diagnostic(&bytes), diagnostic(&bytes_of(&turn(r#""Tick""#, ""))));
     decode::<Record>(&bytes).expect("a record");
 }
