--- a/crates/staircross-routing/tests/rule_allowed_regions.rs
+++ b/crates/staircross-routing/tests/rule_allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Tables of the allowed-regions rule without an engine: the regions of the route, of the tenant and of the searcher.
+//! Tables of the allowed regions rule without an engine: the regions of the route, of the tenant and of the searcher.
 
 mod common;
 
