--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -1,4 +1,4 @@
-//! Cost of judging whose a request is: from the text of its key to its tenant and rank.
+//! Benchmarks of the authentication of a request: from the text of its API key to its tenant and rank.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use staircross_routing::{
@@ -7,9 +7,9 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// A customer's fleet, and the most that is planned for.
+/// Numbers of tenants to measure: those of a customer's fleet, and the most that is planned for.
 const TENANTS: [usize; 2] = [78, 10_000];
-/// Keys of each, as while they are exchanged.
+/// Number of keys of each tenant. A tenant has two while it exchanges its key for a new one.
 const KEYS: usize = 2;
 
 fn key(tenant: usize, number: usize) -> String {
@@ -55,7 +55,7 @@
         let mut asked = keys.iter().cycle();
         criterion.bench_function(&format!("judge_key_{tenants}_tenants"), |bencher| {
             bencher.iter(|| {
-                let key = asked.next().expect("keys go round");
+                let key = asked.next().expect("the cycle of keys never ends");
                 let credential =
                     KeyDigest::of(black_box(key.as_bytes())).map_or(Credential::Malformed, Credential::Key);
                 let whose = table.authenticate(&route, credential).expect("a known key");
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -1,4 +1,4 @@
-//! The time within which a node must answer, by the round trip to the caller.
+//! The time that a node has for an answer, which depends on the route's goal and the round trip to the caller.
 
 mod common;
 
@@ -44,6 +44,8 @@
 #[test]
 fn an_answer_is_due_by_the_goal_less_what_its_request_waited_and_never_after_the_deadline() {
     let now = BootTime::from_millis(100_000);
+    // Inputs: usable goal, time that the request waited to be read, time until the deadline. Expected: time until the
+    // answer is due. All times are in ms.
     for (goal, waited, deadline, after) in
         [(200, 0, 1000, 200), (200, 50, 1000, 150), (200, 300, 1000, 0), (200, 0, 90, 90)]
     {
@@ -52,7 +54,8 @@
     }
 }
 
-/// Returns the time from a request's arrival until it is answered with one of four shards missing.
+/// Returns the time from a request's arrival to its answer if three of four shards answer at once and the fourth never
+/// does.
 fn partial_answer_after(link: CallerLink) -> Duration {
     let shards = ["w", "x", "y", "z"];
     let searchers = shards.map(|shard| searcher(&format!("{shard}-a"), shard, "a")).to_vec();
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! The time at which a hedge is sent, by the budget for extra sends that is left.
+//! The time at which a hedge is sent, which depends on how much of the budget for extra sends is left.
 
 mod common;
 
@@ -11,9 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Time that a searcher usually takes for a request, in milliseconds.
 const WORK_MS: u64 = 10;
 
-/// Returns a driver that has learned the work of its route from 200 answers of 10 ms, of which every eighth took 60 ms.
+/// Returns a driver that has learned the usual work of its route from 200 answers. Every eighth of them took 60 ms, the
+/// others 10 ms.
 fn driver_with_known_work() -> Driver {
     let routes = vec![route("s", RouteTarget::Service(Arc::from("x")))];
     let searchers = vec![searcher("a1", "x", "a"), searcher("a2", "x", "a")];
@@ -28,7 +30,7 @@
     driver
 }
 
-/// Advances the clock until the request is hedged, and returns the time it took in milliseconds.
+/// Advances the clock until the request is hedged, and returns the time since the call in milliseconds.
 fn hedged_after(driver: &mut Driver, request: RequestKey) -> u64 {
     let sent = driver.now;
     while driver.sent_for(request).len() < 2 {
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive before a node knows the configuration or the searchers that they need.
+//! Requests that are held because they arrive before the node knows the configuration or the searchers that they need.
 
 mod common;
 
@@ -9,13 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time for which a request is held, in milliseconds.
+/// Maximum time for which a request is held, in milliseconds.
 const HOLD_MS: u64 = 500;
 
+/// Returns a configuration of this version with the service `books` and one route of this name to it.
 fn one_service(version: u64, name: &str) -> RoutingDefinition {
     definition(version, vec![route(name, RouteTarget::Service(Arc::from("books")))], &["books"])
 }
 
+/// Lets a request arrive after `change` has adjusted the arrival, and returns its key.
 fn arrive(driver: &mut Driver, path: &str, change: impl FnOnce(&mut Arrival)) -> RequestKey {
     let mut arrival = driver.arrival(path);
     change(&mut arrival);
@@ -118,7 +120,7 @@
     driver.event(RoutingEvent::CallerGone(request));
     assert_eq!(driver.engine.in_flight(), 0);
     driver.configure(one_service(1, "r"));
-    assert!(driver.sends.is_empty(), "an attempt was sent for a caller that has left");
+    assert!(driver.sends.is_empty(), "nothing may be sent for a caller that has left");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -1,5 +1,5 @@
-//! The engine's decisions about quotas, API keys, restarts, and requests that arrive before configuration or searchers
-//! are known, pinned as in `pinned_decisions.rs`.
+//! The engine's decisions about quotas, API keys, restarts, and requests that arrive before the configuration or the
+//! searchers are known. They are compared with snapshots, as in `pinned_decisions.rs`.
 
 mod common;
 mod pinned;
@@ -17,9 +17,10 @@
 
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
 
-/// Leaves an arrival as it is.
+/// Leaves an arrival unchanged, for traffic without special properties.
 fn unchanged(_: &mut Arrival, _: usize) {}
 
+/// Returns the entries of two searchers for each shard.
 fn entries(slots: u32) -> Vec<SearcherEntry> {
     let copies =
         |shard: &str| ["x", "y"].map(|copy| SearcherEntry { slots, ..searcher(&format!("{shard}{copy}"), shard, "a") });
@@ -53,7 +54,8 @@
 
 const NODES: [NodeId; 3] = [NodeId(11), NodeId(12), NodeId(13)];
 
-/// Returns a node of a fleet of three, two of whose tenants exceed their quotas from second 3 to second 11.
+/// Returns the world of one node of a fleet of three. Two of its three tenants exceed their quotas from second 3 to
+/// second 11.
 fn quota_node(node: NodeId) -> World {
     let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
@@ -81,6 +83,7 @@
             sent.extend(world.outbox.drain(..).map(|(to, messages)| (from, to, messages)));
         }
         for (from, to, messages) in sent {
+            // From second 6 to second 9, the second node's messages are lost in both directions.
             let is_silent = (6000..9000).contains(&now) && (from == NODES[1] || to == NODES[1]);
             let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
             if !is_silent {
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -1,4 +1,4 @@
-//! Searchers that reject work although they are healthy.
+//! Searchers that are healthy but reject requests: work moves to others, and returns after the searchers recover.
 
 mod common;
 
@@ -10,12 +10,14 @@
 /// Time between requests, in milliseconds.
 const SPACING_MS: u64 = 20;
 
-/// A node and the searchers of one service, of which some reject all requests.
+/// A node and the searchers of one service. Those listed as `rejecting` reject all requests.
 struct Site {
     driver: Driver,
     rejecting: Vec<&'static str>,
+    /// Number of attempts that each searcher received.
     arrivals: BTreeMap<String, usize>,
     requests: Vec<RequestKey>,
+    /// Number of sends, counted from the first, whose attempts have ended.
     ended: usize,
 }
 
@@ -27,7 +29,7 @@
         Site { driver, rejecting: Vec::new(), arrivals: BTreeMap::new(), requests: Vec::new(), ended: 0 }
     }
 
-    /// Sends requests. Rejecting searchers reject at once; the others answer after 5 ms.
+    /// Sends this number of requests. Rejecting searchers reject at once; the others answer after 5 ms.
     fn send_requests(&mut self, requests: usize) {
         for _ in 0..requests {
             let key = self.driver.request("/s/1");
@@ -43,12 +45,14 @@
         }
     }
 
+    /// Ends the next attempts as rejected, up to the first one whose searcher doesn't reject.
     fn end_rejected(&mut self) {
         while self.driver.sends.get(self.ended).is_some_and(|order| self.rejecting.contains(&&*order.instance)) {
             self.end(AttemptOutcome::NotRun(NotRun::Shed));
         }
     }
 
+    /// Ends the earliest attempt that is still open.
     fn end(&mut self, outcome: AttemptOutcome) {
         let order = self.driver.sends[self.ended].clone();
         self.ended += 1;
@@ -56,10 +60,12 @@
         self.driver.end(order.attempt, outcome);
     }
 
+    /// Returns the number of attempts that a searcher received, and resets it.
     fn arrivals(&mut self, instance: &str) -> usize {
         self.arrivals.remove(instance).unwrap_or_default()
     }
 
+    /// Returns the number of requests that were refused.
     fn unserved(&self) -> usize {
         self.requests.iter().filter(|key| self.driver.refusal(**key).is_some()).count()
     }
@@ -87,7 +93,7 @@
     site.rejecting = vec!["a1"];
     site.send_requests(100);
     site.rejecting.clear();
-    // In these eighteen seconds the estimate halves more than four times, as nothing confirms it.
+    // In these 18 s, the estimated rejection rate halves more than four times, as the searcher rejects nothing more.
     site.send_requests(900);
     site.arrivals.clear();
     site.send_requests(100);
--- a/crates/staircross-routing/tests/replay.rs
+++ b/crates/staircross-routing/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The replay of recorded events makes the same decisions, and reports a decision that differs.
+//! The replay of a recording: it makes the recorded decisions again, and reports requests whose decisions differ.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SHARDS: [&str; 3] = ["s0", "s1", "s2"];
 
-/// Records six seconds of traffic with a slow searcher, hedges and an overload.
+/// Records 6 s of traffic with a slow searcher, hedges and an overload, and returns the settings and the turns.
 fn recorded() -> (RecordedSettings, Vec<RecordedTurn>) {
     let settings = RoutingSettings { max_requests: 10_000, ..settings() };
     let copies = |shard: &str| ["x", "y", "z"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
@@ -24,6 +24,7 @@
     (RecordedSettings::new("n", &settings), std::mem::take(&mut backends.driver.turns))
 }
 
+/// Replays the turns with these settings and returns the requests whose decisions differ from the recorded ones.
 fn differences(settings: &RecordedSettings, turns: &[RecordedTurn]) -> Vec<Difference> {
     let mut replay = Replay::new(settings);
     turns.iter().cloned().flat_map(|turn| replay.play(turn)).collect()
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -1,4 +1,4 @@
-//! Searchers that report a slow host, and for how long others are preferred to them.
+//! Searchers that report a slow host: other searchers are preferred until the report is outdated.
 
 mod common;
 
@@ -7,6 +7,7 @@
 use staircross_routing::{AttemptOutcome, ReportedLoad, RouteTarget, SearcherAnswer, SearcherReport};
 use std::sync::Arc;
 
+/// Returns an answer that reports that the host's work takes `percent` of the usual time.
 fn answer_with_report(percent: u32) -> AttemptOutcome {
     let load = ReportedLoad { running: 1, waiting: 0, slots: 5, host_slowness: Some(percent) };
     let report = SearcherReport { load: Some(load), cold: None };
@@ -16,11 +17,11 @@
     AttemptOutcome::Answered(Box::new(SearcherAnswer { report, ..*plain }))
 }
 
-/// Returns the searcher that is asked `wait_ms` after `a1` answered with a report that its host's work takes `percent`
+/// Returns the searcher that gets the next request, `wait_ms` after `a1` reported that its host's work takes `percent`
 /// of the usual time.
 fn next_after_report(percent: u32, wait_ms: u64) -> String {
     let routes = vec![route("g", gather(&["x"], 1, 1.0))];
-    // The second searcher is in another zone, so without a report the first one is asked.
+    // `b1` is in another zone, so `a1` is preferred as long as it has reported nothing.
     let searchers = vec![searcher("a1", "x", "a"), searcher("b1", "x", "b")];
     let mut driver = Driver::with(definition(1, routes, &["x"]), searchers);
     let first = driver.request("/g/1");
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds of requests to one service: deadlines, extra sends, requests in flight, capacity of searchers, and shares of
-//! weighted services.
+//! Limits on requests to one service: deadlines, the budget for extra sends, requests in flight, and connections to
+//! searchers. Also the shares of weighted services.
 
 mod common;
 
@@ -34,7 +34,7 @@
     let key = late.key;
     driver.event(RoutingEvent::Arrived(late));
     assert_eq!(driver.refusal(key), Some(ErrorKind::Overloaded));
-    assert!(driver.sends.is_empty(), "nothing may be sent for a caller that has left");
+    assert!(driver.sends.is_empty(), "nothing may be sent once the caller's timeout has passed");
 
     let mut half = driver.arrival("/r/2");
     half.caller_timeout = Some(Duration::from_millis(1000));
@@ -80,10 +80,11 @@
             driver.end(again, answer(200, "stamp", Vec::new()));
         }
     }
+    // The bound is a fifth of the requests and this node's third of the slack of 50.
     let extras = driver.sends.iter().filter(|order| order.reason == SendReason::Retry).count() as f64;
     let own_slack = 50.0 / 3.0;
     assert!(extras <= 400.0 * 0.2 + own_slack, "{extras} retries for 400 requests");
-    assert!(extras >= 40.0, "{extras} retries: the budget must be used");
+    assert!(extras >= 40.0, "{extras} retries for 400 requests: the budget must be used");
     assert!(
         driver.unsent.iter().any(|(_, cause)| *cause == UnsentCause::OverBudget),
         "extra sends that the budget refuses are reported"
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests to one service: at-most-once execution, refusals, retries, and the answers that are passed on.
+//! Requests to one service: routing by path, at-most-once execution, retries, refusals, and the answers that are passed
+//! on to the caller.
 
 mod common;
 
@@ -59,7 +60,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that nothing ran");
+    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that the request did not run");
 }
 
 #[test]
@@ -70,8 +71,8 @@
     assert_eq!(driver.sent_for(request).len(), 1);
 }
 
-/// Lets every searcher shed a request until it is refused, at its timeout at the latest. Checks that two searchers were
-/// asked. Returns the kind of the refusal.
+/// Ends every open attempt of a request as shed until the engine refuses the request, and returns the kind of the
+/// refusal. Fails if the request isn't refused within its timeout, or if it wasn't sent to exactly two searchers.
 fn shed_until_refused(driver: &mut Driver, request: RequestKey) -> ErrorKind {
     let mut ended = driver.sent_for(request).len() - 1;
     for _ in 0..400 {
@@ -97,7 +98,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
     let kind = shed_until_refused(&mut driver, request);
-    assert_eq!(kind.executed(), Executed::Never, "{kind}: every attempt was answered as not run");
+    assert_eq!(kind.executed(), Executed::Never, "{kind}: no attempt has run");
 }
 
 #[test]
@@ -106,7 +107,7 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     let kind = shed_until_refused(&mut driver, request);
-    assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
+    assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that the request did not run");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -1,11 +1,13 @@
-//! Tables of the admission rules without an engine: the tolerable wait for a goal, when a limit begins and how it
-//! changes, the fraction admitted by rank, the usual work, and the wait that is evaluated.
+//! Table tests of the admission rules without an engine: the tolerable wait for a goal, when a limit begins and how
+//! it changes, the fraction that is admitted by rank, the usual work, and the wait that is evaluated.
 
 use staircross_routing::decision::admission::{Admission, UsualWork, Wait, tolerable_wait};
 use staircross_types::BootTime;
 use std::time::Duration;
 
+/// Time between two evaluations, in milliseconds.
 const SPACING_MS: u64 = 250;
+/// The tolerable wait.
 const TOLERABLE: Duration = Duration::from_millis(100);
 
 fn at(millis: u64) -> BootTime {
@@ -95,6 +97,7 @@
 #[test]
 fn less_urgent_routes_are_taken_a_little_less() {
     let admission = evaluated(4.0, 3750);
+    // Inputs: number of ranks below the most urgent one. Expected: admitted fraction.
     for (ranks, expected) in [(0, 0.75), (1, 0.708_06), (2, 0.668_46)] {
         assert_close(admission.admitted_fraction(ranks), expected, &format!("{ranks}"));
     }
@@ -102,7 +105,7 @@
 
 #[test]
 fn usual_work_is_the_least_median_and_rises_with_what_is_refused() {
-    // After half a second of samples of 10 ms follow 10 s of samples.
+    // Samples of 10 ms are recorded for 0.5 s, and the later samples for 10 s.
     // Inputs: work of the later samples in ms, admission level. Expected: usual work at the end in ms.
     for (later_ms, level, expected) in [(10, 1.0, 10.0), (5, 1.0, 5.0), (40, 1.0, 10.2), (40, 0.5, 11.573)] {
         let mut usual = UsualWork::default();
--- a/crates/staircross-routing/tests/rule_allowed_regions.rs
+++ b/crates/staircross-routing/tests/rule_allowed_regions.rs
@@ -1,4 +1,5 @@
-//! Tables of the allowed regions rule without an engine: the regions of the route, of the tenant and of the searcher.
+//! Table tests of the rule for allowed regions without an engine: the regions of the route, of the tenant and of the
+//! searcher.
 
 mod common;
 
@@ -53,6 +54,7 @@
     }
 }
 
+/// Returns a route and a tenant with these allowed regions.
 fn definitions(of_route: &[&str], of_tenant: &[&str]) -> (RouteDefinition, TenantDefinition) {
     let route = route("s", RouteTarget::Service(Arc::from("x")));
     let route = RouteDefinition { allowed_regions: regions(of_route), ..route };
--- a/crates/staircross-routing/tests/rule_cold.rs
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -1,4 +1,5 @@
-//! Tables of the rule of cold searchers without an engine: how much a node may send to one, and when.
+//! Table tests of the rule for cold searchers without an engine: how many requests a node may send to one, and
+//! when.
 
 use staircross_routing::decision::cold::{ColdSends, FleetRank, cold_share};
 use staircross_routing::{ColdBound, ColdStart};
@@ -22,7 +23,7 @@
         (Some(10.0), 1.0, 0.0, Some(0), 2, Some(3)),
         (Some(10.0), 1.0, 0.0, Some(1), 4, Some(1)),
         (Some(10.0), 1.5, 5.0, Some(1), 4, Some(3)),
-        (Some(10.0), 1.0, 0.0, None, 2, Some(0)), // A node without a rank is a reserve.
+        (Some(10.0), 1.0, 0.0, None, 2, Some(0)), // A reserve node has no rank and sends nothing.
         (Some(10.0), 1.0, 0.0, Some(0), 0, Some(6)),
         (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request is less than one.
     ];
@@ -34,7 +35,7 @@
 
 #[test]
 fn where_the_bound_is_less_than_one_each_some_nodes_send_one_and_others_for_the_next_searcher() {
-    // A searcher takes five requests per second and there are ten nodes.
+    // Ten nodes serve, and the searcher takes five requests per second, of which three are divided among the nodes.
     // Inputs: id of the searcher. Expected: ranks of the nodes that may send it one request.
     for (instance, expected) in [("a", vec![3, 4, 5]), ("b", vec![2, 3, 4]), ("c", vec![1, 2, 3])] {
         let share = |rank| {
--- a/crates/staircross-routing/tests/rule_extra_budget.rs
+++ b/crates/staircross-routing/tests/rule_extra_budget.rs
@@ -1,4 +1,5 @@
-//! Tables of the budget for extra sends without an engine.
+//! Table tests of the budget for extra sends without an engine: which sends it pays for, how many it permits, and when
+//! it recovers.
 
 use staircross_routing::decision::extra_budget::{ExtraBound, ExtraWindow, is_paid};
 use staircross_routing::state::request::SendReason;
@@ -11,7 +12,7 @@
     ExtraBound { ratio: 0.2, window: Duration::from_secs(10), slack }
 }
 
-/// Returns a window in which this number of requests was counted at `NOW`.
+/// Returns a window that has counted this number of requests, all at `NOW`.
 fn window(requests: u32, bound: &ExtraBound) -> ExtraWindow {
     let mut window = ExtraWindow::default();
     (0..requests).for_each(|_| window.count_request(NOW, bound));
@@ -20,6 +21,7 @@
 
 #[test]
 fn only_what_may_run_besides_another_attempt_is_paid() {
+    // Inputs: reason of a send. Expected: whether the send is paid from the budget.
     let rows = [
         (SendReason::First, false),
         (SendReason::Reroute, false),
@@ -54,6 +56,7 @@
 #[test]
 fn what_was_spent_is_back_once_it_has_left_the_window() {
     let bound = bound(10.0);
+    // Inputs: ms since the budget was used up. Expected: whether an extra send is permitted.
     for (after_ms, is_permitted) in [(0, false), (9_000, false), (10_000, false), (10_500, true)] {
         let mut window = window(0, &bound);
         while window.try_spend(NOW, &bound, 1.0) {}
--- a/crates/staircross-routing/tests/rule_fair_share.rs
+++ b/crates/staircross-routing/tests/rule_fair_share.rs
@@ -1,4 +1,4 @@
-//! Tables of the fair-share rule without an engine: the demand of each tenant, and the fraction that is admitted.
+//! Table tests of the fair-share rule without an engine: the demand of each tenant, and the fraction that is admitted.
 
 use staircross_routing::decision::fair_share::FairShares;
 use staircross_types::BootTime;
@@ -9,6 +9,7 @@
     BootTime::default() + Duration::from_secs(seconds)
 }
 
+/// Returns the shares after each tenant has sent the given number of requests at second 0.
 fn with_demand(demand: &[(&str, usize)]) -> FairShares {
     let mut shares = FairShares::default();
     for (tenant, requests) in demand {
@@ -49,8 +50,8 @@
 #[test]
 fn what_was_taken_too_much_is_made_good_with_the_next_requests() {
     let mut shares = with_demand(&[("a", 2), ("b", 18)]);
-    // Requests in order at a level of 0.5. Inputs: tenant. Expected: admitted fraction. The balance that is owed before
-    // each request is 0, -0.5 and -0.3889.
+    // Three requests in order, at a level of 0.5. Inputs: tenant. Expected: admitted fraction. The requests owed before
+    // each of them are 0, -0.5 and -0.3889.
     for (tenant, expected) in [("a", 1.0), ("b", 0.3889), ("b", 0.4012)] {
         assert_close(fraction(&mut shares, 0, tenant, 0.5), expected, tenant);
     }
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -1,4 +1,4 @@
-//! Tables of the rule of first probes without an engine: which requests are sent to one shard first.
+//! Table tests of the rule of first probes without an engine: which requests are sent to one shard first.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,8 +16,8 @@
     BootTime::default() + Duration::from_secs(seconds)
 }
 
-/// Returns a quarantine in which one content of the route `all` crashed three searchers, one after the other, until
-/// second 30. Another content was answered.
+/// Returns a quarantine in which the route `all` is on alarm: the content `CRASHING` crashed three searchers, one after
+/// the other, the last one in second 30. The content `ANSWERED` was answered then.
 fn alarmed() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -1,4 +1,5 @@
-//! Tables of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or refused.
+//! Table tests of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or
+//! refused.
 
 mod common;
 
@@ -99,11 +100,13 @@
 
 #[test]
 fn a_hold_takes_a_quarter_of_the_callers_patience_and_half_a_second_at_most() {
+    // Inputs: timeout of the caller. Expected: time until the hold ends. All times are in ms.
     for (caller_timeout, after) in [(None, 500), (Some(400), 100), (Some(2000), 500), (Some(60_000), 500)] {
         assert_eq!(hold_until(NOW, caller_timeout.map(ms)), NOW + ms(after), "{caller_timeout:?}");
     }
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { holds: false, ..on };
+    // Inputs: number of requests that are held already, policy. Expected: whether another one may be held.
     for (held, policy, may) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
         assert_eq!(may_hold(held, &policy), may, "{held}");
     }
@@ -111,6 +114,7 @@
 
 #[test]
 fn a_shard_waits_only_for_what_comes_before_the_deadline() {
+    // Inputs: time of the retry. `NOW` is the deadline. Expected: whether the retry is too late.
     for (retry_at, late) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
         assert_eq!(is_too_late(retry_at, NOW), late);
     }
@@ -118,7 +122,8 @@
 
 #[test]
 fn a_request_ends_when_nothing_more_can_come_too_little_can_or_it_is_time() {
-    // The request has four shards, and parts of three make an answer.
+    // The request has four shards, and parts of at least three make an answer.
+    // Inputs: progress of the request. Expected: whether it continues, is answered or fails.
     let waiting = Progress {
         parts: 0,
         open: 4,
@@ -153,6 +158,7 @@
 
 #[test]
 fn a_searchers_own_failure_is_passed_on_unless_it_is_one_part_of_several_or_promises_not_run() {
+    // Inputs: status of the failure, whether the request is a gather. Expected: whether the failure is passed on.
     for (status, is_gather, passed) in [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
     {
         let AttemptOutcome::Answered(failure) = answer(status, "", Vec::new()) else {
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -1,4 +1,4 @@
-//! Tables of the hedging rule without an engine.
+//! Table tests of the hedging rule without an engine: when a hedge is sent, and whether.
 
 use staircross_routing::RoutingPolicy;
 use staircross_routing::decision::hedging::{
@@ -15,6 +15,7 @@
 
 #[test]
 fn the_more_of_the_budget_is_left_the_earlier_a_hedge_goes_out() {
+    // Inputs: unspent fraction of the budget, `None` if hedges disregard it. Expected: delay factor of the hedge.
     let rows = [(None, 1.0), (Some(1.0), 0.5), (Some(0.5), 0.9), (Some(0.0), 1.3)];
     for (spare, factor) in rows {
         assert!((hedge_delay_factor(spare) - factor).abs() < 1e-9, "{spare:?}");
@@ -30,8 +31,8 @@
         (1.0, 500, 82),
         (0.5, 500, 42),
         (1.3, 500, 106),
-        // Another searcher needs its round trip of 10 ms and twice the usual work: the hedge goes out 50 ms before the
-        // time to answer is over.
+        // Another searcher needs its round trip of 10 ms and twice the usual work, so the hedge goes out 50 ms before
+        // the answer is due.
         (1.0, 100, 50),
         (1.0, 90, 40),
         // A hedge never goes out before the round trip and 1.5 times the usual work have passed.
@@ -50,6 +51,8 @@
 fn only_a_restarted_process_rests_and_for_two_seconds() {
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { start_rest: false, ..on };
+    // Inputs: time of the restart (`None` for the first process on its machine), policy. Expected: time until which hedges
+    // are paused.
     let rows =
         [(None, on, BootTime::default()), (Some(NOW), on, NOW + ms(2000)), (Some(NOW), off, BootTime::default())];
     for (restarted_at, policy, until) in rows {
@@ -64,6 +67,7 @@
     let off = RoutingPolicy { hedges: false, ..on };
     let (no_pause, pause_end) = (BootTime::default(), NOW + ms(700));
     let hedge = HedgeDecision::Hedge { again_at: NOW + ms(25) };
+    // Inputs: late attempt, time until which hedges are paused, policy. Expected: decision.
     let rows = [
         (late, no_pause, on, hedge),
         (late, NOW, on, hedge),
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -1,5 +1,5 @@
-//! Tables of the placement rules without an engine: the expected time of a searcher, which searchers are left out, and
-//! how connections are divided among nodes.
+//! Table tests of the placement rules without an engine: the expected time of a searcher, which searchers are left out,
+//! and how connections are divided among nodes.
 
 mod common;
 
@@ -24,8 +24,8 @@
 const GOAL_MS: u64 = 200;
 const MAX_CONNECTIONS: u32 = 40;
 
-/// Returns the place of a node in zone `a`. Zones `a` and `b` are in the region `north`, zone `c` is in `south`. Two
-/// nodes serve in `a` and two in `b`.
+/// Returns the placement context of a node in zone `a`. Zones `a` and `b` are in the region `north`, zone `c` is in
+/// `south`. Two nodes serve in `a` and two in `b`.
 fn place() -> PlacementContext {
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     PlacementContext {
@@ -53,7 +53,8 @@
     searcher
 }
 
-/// Returns the searcher with this number of open attempts, each due in `due_ms`, or overdue if that is negative.
+/// Returns the searcher with this number of open attempts, each of them due in `due_ms`. A negative `due_ms` means that
+/// they are overdue.
 fn with_open_attempts(searcher: Searcher, attempts: u16, due_ms: i64) -> Searcher {
     let due_at = if due_ms < 0 {
         now() - Duration::from_millis(due_ms.unsigned_abs())
@@ -70,6 +71,7 @@
     changed(with_open_attempts(searcher_in("a"), 1, 50), |searcher| searcher.note_connection_rejected(now()))
 }
 
+/// Returns a searcher that has reported that its host's work takes `percent` of the usual time.
 fn with_reported_slowness(percent: u32) -> Searcher {
     let load = ReportedLoad { running: 0, waiting: 0, slots: 5, host_slowness: Some(percent) };
     changed(searcher_in("a"), |searcher| searcher.note_report(now(), SearcherReport { load: Some(load), cold: None }))
@@ -126,6 +128,7 @@
 #[test]
 fn a_switch_that_is_off_leaves_its_term_out() {
     let all_on = RoutingPolicy::default();
+    // Inputs: policy, searcher. Expected: its expected time in ms.
     let rows = [
         ("near_first", RoutingPolicy { near_first: false, ..all_on }, searcher_in("c"), 44),
         (
@@ -190,7 +193,7 @@
 fn searchers_within_a_tenth_of_the_best_share_the_work() {
     let (mut place, route) = (place(), single_route());
     place.policy.near_first = false;
-    // The expected time of the best searcher is 21 ms. Inputs: measured round trip to zone `b` in ms. Expected:
+    // The best searcher has an expected time of 21 ms. Inputs: measured round trip to zone `b` in ms. Expected:
     // whether the searcher in `b` is asked too.
     for (round_trip_ms, expected) in [(1, true), (3, true), (4, false)] {
         place.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -1,4 +1,4 @@
-//! Tables of the quarantine rule without an engine: the events of a content, and its resulting suspicion.
+//! Table tests of the quarantine rule without an engine: the events of a content, and the suspicion that results.
 
 use staircross_routing::decision::quarantine::{LostAttempt, Quarantine, Suspicion};
 use staircross_routing::{ContentKey, InstanceKey, RouteDigest};
@@ -108,7 +108,8 @@
             quarantine.note_lost(at(10), lost);
         }
     }
-    // Expected: contents of each datagram. Three are newly suspect ones, the newest first, and then follow two in turn.
+    // Expected: contents of each datagram. Up to three newly suspect ones come first, the newest of them at the front.
+    // Up to two others follow in turn, unless the datagram already has them.
     for expected in [vec![7, 6, 5, 0, 1], vec![4, 3, 2], vec![1, 0, 4, 5], vec![6, 7]] {
         let sent: Vec<u64> = quarantine.next_records(at(1000)).iter().map(|record| record.content.0).collect();
         assert_eq!(sent, expected);
--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -1,4 +1,4 @@
-//! Tables of the retry rule without an engine.
+//! Table tests of the retry rule without an engine: whether a request is sent again, to which searchers, and when.
 
 mod common;
 
@@ -44,6 +44,8 @@
 
 #[test]
 fn what_may_have_run_is_sent_again_only_if_it_may_run_twice() {
+    // Inputs: outcome of an attempt.
+    // Expected: whether the attempt may have run, next step for a request that may run twice, and for one that may not.
     let rows = [
         (AttemptOutcome::Unknown(Unknown::Broken), true, RETRY, NextStep::NotRepeatable),
         (AttemptOutcome::Unknown(Unknown::Malformed), true, RETRY, NextStep::NotRepeatable),
@@ -87,6 +89,8 @@
 
 #[test]
 fn a_failure_at_hand_is_passed_on_rather_than_kept_unless_it_is_one_part_of_several() {
+    // Inputs: whether a searcher's own failure was received, kind of request.
+    // Expected: whether a retry that the budget refuses waits for the budget.
     let rows = [(false, PLAIN, true), (true, PLAIN, false), (false, GATHER, true), (true, GATHER, true)];
     for (has_failure, kind, waits) in rows {
         assert_eq!(may_wait(has_failure, kind), waits, "{has_failure} {kind:?}");
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -1,4 +1,4 @@
-//! Tables of the estimates of a searcher: how slow it is, which fraction of work it rejects, and until when it is
+//! Table tests of the estimates of a searcher: how slow it is, which fraction of work it rejects, and until when it is
 //! avoided.
 
 mod common;
--- a/crates/staircross-routing/tests/rule_turns.rs
+++ b/crates/staircross-routing/tests/rule_turns.rs
@@ -1,4 +1,4 @@
-//! Tables of weighted round robin without an engine: the weights, and the services in the order in which they are
+//! Table tests of weighted round robin without an engine: the weights, and the services in the order in which they are
 //! chosen.
 
 use staircross_routing::configuration::definition::WeightedService;
@@ -16,6 +16,7 @@
 
 #[test]
 fn services_take_turns_by_their_weights() {
+    // Inputs: weighted services. Expected: the services in the order in which they are chosen, `-` for none.
     let rows = [
         (set(&[("a", 1)]), "aaaa"),
         (set(&[("a", 1), ("b", 1)]), "baba"),
--- a/crates/staircross-routing/tests/searcher_entries.rs
+++ b/crates/staircross-routing/tests/searcher_entries.rs
@@ -1,4 +1,5 @@
-//! Searchers whose entries change: they drain, lapse, are written anew, or another instance takes over the address.
+//! Changes of searchers' entries in the store: a searcher drains, its entry lapses or is written again, or another
+//! instance takes over its address.
 
 mod common;
 
@@ -55,7 +56,7 @@
     let mut driver = repeatable();
     driver.event(RoutingEvent::SearchersGone(["s1", "s2"].map(Arc::from).to_vec()));
     let request = driver.request("/r/1");
-    assert_eq!(driver.instances(request), ["s3"], "a searcher with an entry is preferred, however far it is");
+    assert_eq!(driver.instances(request), ["s3"], "a searcher with an entry is preferred, however far away it is");
     driver.event(RoutingEvent::SearchersGone(vec![Arc::from("s3")]));
     let request = driver.request("/r/1");
     assert_eq!(
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -1,4 +1,5 @@
-//! The lanes of a store reader: a listing, then watches from its revision, and the pauses between calls.
+//! The lanes of a store reader. A lane lists its items and then watches from the revision of the listing, with pauses
+//! between the calls.
 
 mod common;
 
@@ -52,7 +53,7 @@
     let mut is_watching = !driver.calls_within(0, Lane::Configuration).is_empty();
     let mut calls = 0;
     for step in 0..30 {
-        // The configuration changes every 100 ms, and an open watch returns at once.
+        // The configuration changes every 100 ms, and an open watch returns each change at once.
         if is_watching {
             let revision = step + 2;
             let update = changes(vec![(revision, configuration(revision))]);
@@ -64,7 +65,7 @@
         is_watching |= made > 0;
     }
     assert!(calls <= 8, "{calls} calls in 3 s of frequent changes");
-    assert!(calls >= 4, "{calls} calls: changes must not be learned seconds late");
+    assert!(calls >= 4, "{calls} calls in 3 s: changes must not be learned seconds late");
 }
 
 #[test]
@@ -112,8 +113,9 @@
     assert!(is_watch_after(&calls[0], 33), "{calls:?}");
 }
 
-/// Guards against the loss of all searchers of a listing's first page. A peer's answer that arrived between two pages
-/// moved the lane to its revision, so the first page was dropped and the last page was taken for the whole listing.
+/// Guards against the loss of all searchers on a listing's first page. A peer's answer that arrived between two pages
+/// set the lane to the revision of the answer. The first page was dropped, and the last page was taken for the whole
+/// listing.
 #[test]
 fn a_page_that_comes_after_a_peers_report_is_not_taken_for_the_whole() {
     let mut driver = ReaderDriver::new();
--- a/crates/staircross-routing/tests/store_modes.rs
+++ b/crates/staircross-routing/tests/store_modes.rs
@@ -1,4 +1,4 @@
-//! The modes of a store reader: reading once, following a peer, only probing, and watching.
+//! The modes of a store reader: it reads once, follows a peer, only probes the store, or watches it.
 
 mod common;
 
@@ -53,7 +53,7 @@
     let mut probes = 0;
     for _ in 0..20 {
         for lane in lanes {
-            assert_eq!(driver.calls_within(500, lane), [], "no expensive call is made");
+            assert_eq!(driver.calls_within(500, lane), [], "no listing, which is expensive, is requested");
         }
         let asked = driver.calls_within(0, Lane::Probe).len();
         probes += asked;
@@ -71,7 +71,7 @@
         driver.reply(lane, StoreReply::Items { update: MirrorUpdate::default(), at: 4, next: None });
     }
     driver.calls_within(60_000, Lane::Probe);
-    assert_eq!(driver.calls_within(60_000, Lane::Probe), [], "no calls are made once everything is read");
+    assert_eq!(driver.calls_within(60_000, Lane::Probe), [], "no probe is sent once everything is read");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     assert_eq!(
         read_configuration(&mut driver),
         [StoreCall::List { lane: Lane::Configuration, after: None }],
-        "the next configuration is read too"
+        "each further order reads the configuration again"
     );
 }
 
@@ -123,7 +123,7 @@
     assert!(!driver.reader.is_reachable(), "the store hasn't answered yet");
     driver.calls_within(0, Lane::Probe);
     driver.reply(Lane::Probe, StoreReply::Alive);
-    assert!(driver.reader.is_reachable(), "followers may rely on this reader");
+    assert!(driver.reader.is_reachable(), "the store has answered, so followers may rely on this reader");
     driver.fail(Lane::Searchers);
     assert!(!driver.reader.is_reachable());
 }
@@ -162,7 +162,7 @@
     let mut driver = ReaderDriver::new();
     driver.calls_within(0, Lane::Searchers);
     driver.reply(Lane::Searchers, StoreReply::Items { update: MirrorUpdate::default(), at: 10, next: None });
-    assert_eq!(driver.calls_within(0, Lane::Searchers).len(), 1, "it watches");
+    assert_eq!(driver.calls_within(0, Lane::Searchers).len(), 1, "the reader watches");
     set_mode(&mut driver, ReadingMode::Following);
     driver.calls.clear();
     assert!(driver.cancelled.contains(&Lane::Searchers) && driver.cancelled.contains(&Lane::Probe));
--- a/crates/staircross-routing/tests/tenant_cost.rs
+++ b/crates/staircross-routing/tests/tenant_cost.rs
@@ -1,4 +1,4 @@
-//! Checking an API key must not allocate memory, since it is done for each request, with a known key or not.
+//! Checking an API key must not allocate memory: it is done for each request, whether the key is known or not.
 
 use staircross_routing::{CallerLimits, Credential, KeyDigest, RouteTable, RoutingDefinition, TenantDefinition};
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -12,16 +12,16 @@
     static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
 }
 
-// SAFETY: all calls are forwarded unchanged to the system's allocator.
+// SAFETY: all calls are forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.with(|count| count.set(count.get() + 1));
-        // SAFETY: the caller keeps the contract.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc::alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, memory: *mut u8, layout: Layout) {
-        // SAFETY: the caller keeps the contract.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc::dealloc`.
         unsafe { System.dealloc(memory, layout) }
     }
 }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: revoked keys, ranks, allowed regions, outdated configurations and quotas.
+//! Requests of tenants: revoked keys, allowed regions, ranks, quarantined contents, outdated configurations and quotas.
 
 mod common;
 
@@ -60,10 +60,12 @@
     Driver::with(definition_with(1, &[tenant("kami", &[KEY]), tenant("nuro", &[OTHER_KEY])]), searchers())
 }
 
+/// Returns a configuration of this version in which `KEY` is withdrawn.
 fn definition_without_key(number: u64) -> RoutingDefinition {
     definition_with(number, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
 }
 
+/// Lets a request with this API key arrive.
 fn ask(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
     let mut arrival = driver.arrival(path);
     arrival.credential = credential(key);
@@ -157,7 +159,7 @@
     driver.end(waiting, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     let again = driver.sends[2].attempt;
     driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
-    assert_eq!(driver.sends.len(), 3, "one shard waits");
+    assert_eq!(driver.sends.len(), 3, "one shard waits for a searcher that accepts a connection");
     driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "the other shard's attempt is running");
     driver.end(running, answer(200, "p", records(&[7])));
@@ -278,8 +280,8 @@
     assert_ne!(driver.refusal(others), Some(ErrorKind::Quarantined));
 }
 
-/// Raises the alarm of the route `both` by the records of a peer that lost three searchers, one after the other, to one
-/// content.
+/// Raises the alarm of the route `both`: a peer reports that one content has crashed three searchers, one after the
+/// other.
 fn raise_alarm(driver: &mut Driver) {
     let mut peer = Quarantine::default();
     for number in 0..3 {
@@ -314,6 +316,8 @@
     assert_eq!(ask_again(), 2, "the content was answered");
 }
 
+/// Lets a request with this API key arrive at a node with this view of the configuration. A peer is known to have
+/// version 2 of it.
 fn ask_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
     let arrival =
         Arrival { credential: credential(key), configuration_view: view, newest_version: 2, ..driver.arrival(path) };
