--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 
 /// Numbers of tenants to measure: those of a customer's fleet, and the most that is planned for.
-const TENANTS: [usize; 2] = [78, 10_000];
+const TENANT_COUNTS: [usize; 2] = [78, 10_000];
 /// Number of keys of each tenant. A tenant has two while it exchanges its key for a new one.
-const KEYS: usize = 2;
+const KEYS_PER_TENANT: usize = 2;
 
 fn key(tenant: usize, number: usize) -> String {
     format!("{tenant:08x}-n8hkcaac6dnv-{number}")
 }
 
 fn tenant(index: usize) -> TenantDefinition {
-    let digests = (0..KEYS).map(|number| KeyDigest::of(key(index, number).as_bytes()).expect("a key"));
+    let digests = (0..KEYS_PER_TENANT).map(|number| KeyDigest::of(key(index, number).as_bytes()).expect("a key"));
     TenantDefinition {
         name: Arc::from(format!("t{index}")),
         keys: digests.collect(),
@@ -47,19 +47,19 @@
     RouteTable::new(Arc::new(definition))
 }
 
-fn judging(criterion: &mut Criterion) {
-    for tenants in TENANTS {
+fn benchmark_authentication(criterion: &mut Criterion) {
+    for tenants in TENANT_COUNTS {
         let table = table(tenants);
         let route = table.definition().routes[0].clone();
-        let keys: Vec<String> = (0..tenants).map(|index| key(index, index % KEYS)).collect();
-        let mut asked = keys.iter().cycle();
+        let keys: Vec<String> = (0..tenants).map(|index| key(index, index % KEYS_PER_TENANT)).collect();
+        let mut next_keys = keys.iter().cycle();
         criterion.bench_function(&format!("judge_key_{tenants}_tenants"), |bencher| {
             bencher.iter(|| {
-                let key = asked.next().expect("the cycle of keys never ends");
+                let key = next_keys.next().expect("the cycle of keys never ends");
                 let credential =
                     KeyDigest::of(black_box(key.as_bytes())).map_or(Credential::Malformed, Credential::Key);
-                let whose = table.authenticate(&route, credential).expect("a known key");
-                black_box(table.rank(whose, &route))
+                let tenant_key = table.authenticate(&route, credential).expect("a known key");
+                black_box(table.rank(tenant_key, &route))
             });
         });
         let credential = Credential::Key(KeyDigest::of(keys[0].as_bytes()).expect("a key"));
@@ -69,5 +69,5 @@
     }
 }
 
-criterion_group!(benches, judging);
+criterion_group!(benches, benchmark_authentication);
 criterion_main!(benches);
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn link(millis: f64, is_new_connection: bool) -> CallerLink {
-    CallerLink { round_trip: Some(Duration::from_secs_f64(millis / 1000.0)), is_new_connection }
+fn link(round_trip_ms: f64, is_new_connection: bool) -> CallerLink {
+    CallerLink { round_trip: Some(Duration::from_secs_f64(round_trip_ms / 1000.0)), is_new_connection }
 }
 
 fn usable_goal_of(goal_ms: u64, link: CallerLink) -> Duration {
@@ -46,11 +46,11 @@
     let now = BootTime::from_millis(100_000);
     // Inputs: usable goal, time that the request waited to be read, time until the deadline. Expected: time until the
     // answer is due. All times are in ms.
-    for (goal, waited, deadline, after) in
+    for (goal, waited, deadline, due_after) in
         [(200, 0, 1000, 200), (200, 50, 1000, 150), (200, 300, 1000, 0), (200, 0, 90, 90)]
     {
-        let [goal, waited, deadline, after] = [goal, waited, deadline, after].map(Duration::from_millis);
-        assert_eq!(answer_by(now, goal, waited, now + deadline), now + after);
+        let [goal, waited, deadline, due_after] = [goal, waited, deadline, due_after].map(Duration::from_millis);
+        assert_eq!(answer_by(now, goal, waited, now + deadline), now + due_after);
     }
 }
 
--- a/crates/staircross-routing/tests/hedging.rs
+++ b/crates/staircross-routing/tests/hedging.rs
@@ -16,7 +16,7 @@
 
 /// Returns a driver that has learned the usual work of its route from 200 answers. Every eighth of them took 60 ms, the
 /// others 10 ms.
-fn driver_with_known_work() -> Driver {
+fn driver_with_known_work_time() -> Driver {
     let routes = vec![route("s", RouteTarget::Service(Arc::from("x")))];
     let searchers = vec![searcher("a1", "x", "a"), searcher("a2", "x", "a")];
     let mut driver = Driver::with(definition(1, routes, &["x"]), searchers);
@@ -31,13 +31,13 @@
 }
 
 /// Advances the clock until the request is hedged, and returns the time since the call in milliseconds.
-fn hedged_after(driver: &mut Driver, request: RequestKey) -> u64 {
-    let sent = driver.now;
+fn advance_until_hedged(driver: &mut Driver, request: RequestKey) -> u64 {
+    let began = driver.now;
     while driver.sent_for(request).len() < 2 {
         driver.advance_ms(1);
-        assert!(driver.now < sent + Duration::from_secs(2), "the request was never hedged");
+        assert!(driver.now < began + Duration::from_secs(2), "the request was never hedged");
     }
-    driver.now.since(sent).as_millis() as u64
+    driver.now.since(began).as_millis() as u64
 }
 
 /// Sends requests whose first answer is lost, so that their retries use up most of the budget.
@@ -54,13 +54,13 @@
 
 #[test]
 fn hedges_go_out_later_when_little_of_the_budget_is_left() {
-    let mut full_budget = driver_with_known_work();
+    let mut full_budget = driver_with_known_work_time();
     let request = full_budget.request("/s/1");
-    let early = hedged_after(&mut full_budget, request);
-    let mut spent_budget = driver_with_known_work();
+    let early = advance_until_hedged(&mut full_budget, request);
+    let mut spent_budget = driver_with_known_work_time();
     spend_most_of_the_budget(&mut spent_budget);
     let request = spent_budget.request("/s/1");
-    let late = hedged_after(&mut spent_budget, request);
+    let late = advance_until_hedged(&mut spent_budget, request);
     assert!(early < late, "hedged after {early} ms with all of the budget, after {late} ms with little");
 }
 
@@ -75,12 +75,12 @@
         let now = BootTime::from_millis(1_000_000);
         let mut window = ExtraWindow::default();
         (0..requests).for_each(|_| window.count_request(now, &bound));
-        let mut before = window.spare_fraction(now, &bound, 1.0);
+        let mut previous = window.spare_fraction(now, &bound, 1.0);
         for _ in 0..sends {
             window.try_spend(now, &bound, 1.0);
-            let after = window.spare_fraction(now, &bound, 1.0);
-            prop_assert!((0.0..=1.0).contains(&after) && after <= before);
-            before = after;
+            let spare = window.spare_fraction(now, &bound, 1.0);
+            prop_assert!((0.0..=1.0).contains(&spare) && spare <= previous);
+            previous = spare;
         }
     }
 }
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -21,7 +21,7 @@
 fn unchanged(_: &mut Arrival, _: usize) {}
 
 /// Returns the entries of two searchers for each shard.
-fn entries(slots: u32) -> Vec<SearcherEntry> {
+fn searcher_entries(slots: u32) -> Vec<SearcherEntry> {
     let copies =
         |shard: &str| ["x", "y"].map(|copy| SearcherEntry { slots, ..searcher(&format!("{shard}{copy}"), shard, "a") });
     SHARDS.iter().flat_map(|shard| copies(shard)).collect()
@@ -60,7 +60,7 @@
     let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
     let settings = RoutingSettings { node, quota, ..settings_for_many_requests() };
-    let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), entries(5));
+    let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), searcher_entries(5));
     let nodes_by_zone = [(Arc::from("a"), NODES.len())].into_iter().collect();
     let nodes = Some(NODES.to_vec());
     world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_share: 1.0, nodes });
@@ -77,12 +77,12 @@
 fn quotas_of_three_nodes_of_which_one_falls_silent() {
     let mut worlds = NODES.map(quota_node);
     for now in (10..=16_000).step_by(10) {
-        let mut sent = Vec::new();
+        let mut messages_sent = Vec::new();
         for (from, world) in NODES.into_iter().zip(&mut worlds) {
             world.run(now);
-            sent.extend(world.outbox.drain(..).map(|(to, messages)| (from, to, messages)));
+            messages_sent.extend(world.outbox.drain(..).map(|(to, messages)| (from, to, messages)));
         }
-        for (from, to, messages) in sent {
+        for (from, to, messages) in messages_sent {
             // From second 6 to second 9, the second node's messages are lost in both directions.
             let is_silent = (6000..9000).contains(&now) && (from == NODES[1] || to == NODES[1]);
             let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
@@ -112,8 +112,8 @@
         arrival.newest_version = number as u64 % 4;
     });
     world.at(600.0, |world| world.configure(definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS)));
-    world.at(1200.0, |world| world.start(entries(5)[..4].to_vec()));
-    world.at(1300.0, |world| world.start(entries(5)[4..].to_vec()));
+    world.at(1200.0, |world| world.start(searcher_entries(5)[..4].to_vec()));
+    world.at(1300.0, |world| world.start(searcher_entries(5)[4..].to_vec()));
     world.at(2200.0, |world| {
         let mut newer = with_tenants(2, vec![tenant("t1", None)]);
         newer.routes.push(route("new", gather(&SHARDS[..2], 10, 0.5)));
@@ -127,8 +127,11 @@
 #[test]
 fn keys_revoked_while_their_requests_wait() {
     let tenants = |names: &[&str]| names.iter().map(|name| tenant(name, None)).collect::<Vec<_>>();
-    let mut world =
-        World::new(settings_for_many_requests(), Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))), entries(2));
+    let mut world = World::new(
+        settings_for_many_requests(),
+        Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))),
+        searcher_entries(2),
+    );
     for searcher in world.searchers.values_mut() {
         searcher.connect_ms = 15;
         searcher.slowness = 3.0;
@@ -149,7 +152,7 @@
     let settings = RoutingSettings { restarted_at: Some(START), ..settings_for_many_requests() };
     let mut definition = definition(1, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS);
     definition.services.iter_mut().for_each(|service| service.max_connections = 40);
-    let mut world = World::new(settings, Some(definition), entries(5));
+    let mut world = World::new(settings, Some(definition), searcher_entries(5));
     let nodes_by_zone = [(Arc::from("a"), 4)].into_iter().collect();
     world.event(RoutingEvent::Fleet { nodes_by_zone, serving: 4, rank: Some(2), slack_share: 0.25, nodes: None });
     for instance in ["s0x", "s2y"] {
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -15,10 +15,10 @@
     driver: Driver,
     rejecting: Vec<&'static str>,
     /// Number of attempts that each searcher received.
-    arrivals: BTreeMap<String, usize>,
+    attempts_received: BTreeMap<String, usize>,
     requests: Vec<RequestKey>,
     /// Number of sends, counted from the first, whose attempts have ended.
-    ended: usize,
+    ended_sends: usize,
 }
 
 impl Site {
@@ -26,7 +26,7 @@
         let mut route = route("s", RouteTarget::Service(Arc::from("x")));
         route.max_attempts = searchers.len() as u32;
         let driver = Driver::with(definition(1, vec![route], &["x"]), searchers);
-        Site { driver, rejecting: Vec::new(), arrivals: BTreeMap::new(), requests: Vec::new(), ended: 0 }
+        Site { driver, rejecting: Vec::new(), attempts_received: BTreeMap::new(), requests: Vec::new(), ended_sends: 0 }
     }
 
     /// Sends this number of requests. Rejecting searchers reject at once; the others answer after 5 ms.
@@ -37,8 +37,8 @@
             self.end_rejected();
             self.driver.advance_ms(5);
             self.end_rejected();
-            while self.ended < self.driver.sends.len() {
-                self.end(answer(200, "p", Vec::new()));
+            while self.ended_sends < self.driver.sends.len() {
+                self.end_next(answer(200, "p", Vec::new()));
                 self.end_rejected();
             }
             self.driver.advance_ms(SPACING_MS - 5);
@@ -47,26 +47,26 @@
 
     /// Ends the next attempts as rejected, up to the first one whose searcher doesn't reject.
     fn end_rejected(&mut self) {
-        while self.driver.sends.get(self.ended).is_some_and(|order| self.rejecting.contains(&&*order.instance)) {
-            self.end(AttemptOutcome::NotRun(NotRun::Shed));
+        while self.driver.sends.get(self.ended_sends).is_some_and(|order| self.rejecting.contains(&&*order.instance)) {
+            self.end_next(AttemptOutcome::NotRun(NotRun::Shed));
         }
     }
 
     /// Ends the earliest attempt that is still open.
-    fn end(&mut self, outcome: AttemptOutcome) {
-        let order = self.driver.sends[self.ended].clone();
-        self.ended += 1;
-        *self.arrivals.entry(order.instance.to_string()).or_default() += 1;
+    fn end_next(&mut self, outcome: AttemptOutcome) {
+        let order = self.driver.sends[self.ended_sends].clone();
+        self.ended_sends += 1;
+        *self.attempts_received.entry(order.instance.to_string()).or_default() += 1;
         self.driver.end(order.attempt, outcome);
     }
 
     /// Returns the number of attempts that a searcher received, and resets it.
-    fn arrivals(&mut self, instance: &str) -> usize {
-        self.arrivals.remove(instance).unwrap_or_default()
+    fn take_attempts_received(&mut self, instance: &str) -> usize {
+        self.attempts_received.remove(instance).unwrap_or_default()
     }
 
     /// Returns the number of requests that were refused.
-    fn unserved(&self) -> usize {
+    fn count_refused(&self) -> usize {
         self.requests.iter().filter(|key| self.driver.refusal(**key).is_some()).count()
     }
 }
@@ -80,11 +80,11 @@
     let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2"];
     site.send_requests(20);
-    site.arrivals.clear();
+    site.attempts_received.clear();
     site.send_requests(200);
-    let rejected = site.arrivals("a1") + site.arrivals("a2");
+    let rejected = site.take_attempts_received("a1") + site.take_attempts_received("a2");
     assert!(rejected < 20, "{rejected} attempts for 200 requests were rejected");
-    assert_eq!(site.unserved(), 0);
+    assert_eq!(site.count_refused(), 0);
 }
 
 #[test]
@@ -95,9 +95,9 @@
     site.rejecting.clear();
     // In these 18 s, the estimated rejection rate halves more than four times, as the searcher rejects nothing more.
     site.send_requests(900);
-    site.arrivals.clear();
+    site.attempts_received.clear();
     site.send_requests(100);
-    assert!(site.arrivals("a1") > 20);
+    assert!(site.take_attempts_received("a1") > 20);
 }
 
 #[test]
@@ -106,6 +106,6 @@
     site.rejecting = vec!["a1", "a2", "b1"];
     site.send_requests(300);
     for instance in ["a1", "a2", "b1"] {
-        assert!(site.arrivals(instance) > 15, "{instance} isn't asked any more");
+        assert!(site.take_attempts_received(instance) > 15, "{instance} isn't asked any more");
     }
 }
--- a/crates/staircross-routing/tests/reported_host.rs
+++ b/crates/staircross-routing/tests/reported_host.rs
@@ -19,7 +19,7 @@
 
 /// Returns the searcher that gets the next request, `wait_ms` after `a1` reported that its host's work takes `percent`
 /// of the usual time.
-fn next_after_report(percent: u32, wait_ms: u64) -> String {
+fn searcher_after_report(percent: u32, wait_ms: u64) -> String {
     let routes = vec![route("g", gather(&["x"], 1, 1.0))];
     // `b1` is in another zone, so `a1` is preferred as long as it has reported nothing.
     let searchers = vec![searcher("a1", "x", "a"), searcher("b1", "x", "b")];
@@ -36,10 +36,10 @@
 
 #[test]
 fn a_searcher_whose_host_is_slow_at_the_moment_is_passed_over_for_a_moment() {
-    assert_eq!(next_after_report(100, 0), "a1");
-    assert_eq!(next_after_report(400, 0), "b1");
-    assert_eq!(next_after_report(400, 3000), "a1", "the report is outdated");
-    assert_eq!(next_after_report(10, 0), "a1", "a report of a fast host has no effect");
+    assert_eq!(searcher_after_report(100, 0), "a1");
+    assert_eq!(searcher_after_report(400, 0), "b1");
+    assert_eq!(searcher_after_report(400, 3000), "a1", "the report is outdated");
+    assert_eq!(searcher_after_report(10, 0), "a1", "a report of a fast host has no effect");
 }
 
 #[test]
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -28,19 +28,19 @@
 #[test]
 fn time_that_a_request_waited_to_be_read_is_taken_off() {
     let mut driver = repeatable();
-    let mut late = driver.arrival("/r/1");
-    late.caller_timeout = Some(Duration::from_millis(1000));
-    late.waited = Duration::from_millis(1000);
-    let key = late.key;
-    driver.event(RoutingEvent::Arrived(late));
+    let mut expired = driver.arrival("/r/1");
+    expired.caller_timeout = Some(Duration::from_millis(1000));
+    expired.waited = Duration::from_millis(1000);
+    let key = expired.key;
+    driver.event(RoutingEvent::Arrived(expired));
     assert_eq!(driver.refusal(key), Some(ErrorKind::Overloaded));
     assert!(driver.sends.is_empty(), "nothing may be sent once the caller's timeout has passed");
 
-    let mut half = driver.arrival("/r/2");
-    half.caller_timeout = Some(Duration::from_millis(1000));
-    half.waited = Duration::from_millis(400);
+    let mut delayed = driver.arrival("/r/2");
+    delayed.caller_timeout = Some(Duration::from_millis(1000));
+    delayed.waited = Duration::from_millis(400);
     let began = driver.now;
-    driver.event(RoutingEvent::Arrived(half));
+    driver.event(RoutingEvent::Arrived(delayed));
     assert_eq!(driver.sends[0].deadline, began + Duration::from_millis(600));
 }
 
@@ -76,15 +76,15 @@
         // The first answer of every request is lost; its retry is answered.
         driver.end(attempt, AttemptOutcome::Unknown(Unknown::Broken));
         if let Some(last) = driver.sends.last().filter(|last| last.attempt != attempt) {
-            let again = last.attempt;
-            driver.end(again, answer(200, "stamp", Vec::new()));
+            let retry = last.attempt;
+            driver.end(retry, answer(200, "stamp", Vec::new()));
         }
     }
     // The bound is a fifth of the requests and this node's third of the slack of 50.
-    let extras = driver.sends.iter().filter(|order| order.reason == SendReason::Retry).count() as f64;
-    let own_slack = 50.0 / 3.0;
-    assert!(extras <= 400.0 * 0.2 + own_slack, "{extras} retries for 400 requests");
-    assert!(extras >= 40.0, "{extras} retries for 400 requests: the budget must be used");
+    let retries = driver.sends.iter().filter(|order| order.reason == SendReason::Retry).count() as f64;
+    let slack_of_node = 50.0 / 3.0;
+    assert!(retries <= 400.0 * 0.2 + slack_of_node, "{retries} retries for 400 requests");
+    assert!(retries >= 40.0, "{retries} retries for 400 requests: the budget must be used");
     assert!(
         driver.unsent.iter().any(|(_, cause)| *cause == UnsentCause::OverBudget),
         "extra sends that the budget refuses are reported"
@@ -189,10 +189,10 @@
 
 #[test]
 fn a_repeat_that_had_to_wait_for_room_still_counts_as_one() {
-    let both = vec![searcher("s1", "books", "a"), searcher("s2", "books", "a")];
-    let mut few_connections = definition(1, vec![service_route("r", "books")], &["books"]);
-    few_connections.services[0].max_connections = 3;
-    let mut driver = Driver::with(few_connections, both);
+    let two_searchers = vec![searcher("s1", "books", "a"), searcher("s2", "books", "a")];
+    let mut definition_with_few_connections = definition(1, vec![service_route("r", "books")], &["books"]);
+    definition_with_few_connections.services[0].max_connections = 3;
+    let mut driver = Driver::with(definition_with_few_connections, two_searchers);
     driver.set_fleet(&[("a", 3)], 3);
     let first = driver.request("/r/1");
     let second = driver.request("/r/2");
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -15,14 +15,14 @@
 
 #[test]
 fn an_unknown_path_has_no_route_and_the_longest_prefix_wins() {
-    let mut longer = service_route("r/deep", "deep");
-    longer.path_prefix = Arc::from("/r/deep/");
-    let routes = vec![service_route("r", "books"), longer];
+    let mut deep_route = service_route("r/deep", "deep");
+    deep_route.path_prefix = Arc::from("/r/deep/");
+    let routes = vec![service_route("r", "books"), deep_route];
     let mut searchers = three_searchers();
     searchers.push(searcher("d1", "deep", "a"));
     let mut driver = Driver::with(definition(1, routes, &["books", "deep"]), searchers);
-    let lost = driver.request("/elsewhere/1");
-    assert_eq!(driver.refusal(lost), Some(ErrorKind::NoRoute));
+    let unrouted = driver.request("/elsewhere/1");
+    assert_eq!(driver.refusal(unrouted), Some(ErrorKind::NoRoute));
     let deep = driver.request("/r/deep/1");
     assert_eq!(driver.instances(deep), ["d1"]);
 }
@@ -123,10 +123,10 @@
 
 #[test]
 fn a_kept_connection_that_had_ended_costs_nothing_and_bars_nobody() {
-    let only = vec![searcher("i-1", "one", "a")];
-    let mut once = service_route("r", "one");
-    once.is_idempotent = false;
-    let mut driver = Driver::with(definition(1, vec![once], &["one"]), only);
+    let searchers = vec![searcher("i-1", "one", "a")];
+    let mut once_only_route = service_route("r", "one");
+    once_only_route.is_idempotent = false;
+    let mut driver = Driver::with(definition(1, vec![once_only_route], &["one"]), searchers);
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Stale));
     driver.end(driver.sends[1].attempt, AttemptOutcome::NotRun(NotRun::Stale));
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns an admission that evaluated a wait of `ratio` times the tolerable one at each spacing from 0 to `until_ms`.
-fn evaluated(ratio: f64, until_ms: u64) -> Admission {
+fn admission_after_evaluations(ratio: f64, until_ms: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..=until_ms / SPACING_MS {
         admission.evaluate(at(step * SPACING_MS), TOLERABLE.mul_f64(ratio), TOLERABLE);
@@ -58,7 +58,7 @@
         (4.0, 60_000, 0.05),
     ];
     for (ratio, until_ms, expected) in rows {
-        assert_close(evaluated(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
+        assert_close(admission_after_evaluations(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
     }
 }
 
@@ -77,7 +77,7 @@
         (0.1, 1000, 1.0),
     ];
     for (ratio, after_ms, expected) in rows {
-        let mut admission = evaluated(4.0, 3750);
+        let mut admission = admission_after_evaluations(4.0, 3750);
         admission.evaluate(at(3750 + after_ms), TOLERABLE.mul_f64(ratio), TOLERABLE);
         assert_close(admission.level(), expected, &format!("{ratio} {after_ms}"));
     }
@@ -87,7 +87,7 @@
 fn a_decrease_waits_for_its_effect_twice_the_wait_and_a_second_at_most() {
     // Inputs: wait in ms. Expected: ms from the decrease until the next evaluation is due.
     for (wait_ms, expected_ms) in [(150, 550), (400, 1050), (900, 1250)] {
-        let mut admission = evaluated(4.0, 3750);
+        let mut admission = admission_after_evaluations(4.0, 3750);
         admission.evaluate(at(4000), ms(wait_ms), TOLERABLE);
         assert!(!admission.is_due(at(4000 + expected_ms - 1)), "{wait_ms}: early");
         assert!(admission.is_due(at(4000 + expected_ms)), "{wait_ms}: late");
@@ -96,7 +96,7 @@
 
 #[test]
 fn less_urgent_routes_are_taken_a_little_less() {
-    let admission = evaluated(4.0, 3750);
+    let admission = admission_after_evaluations(4.0, 3750);
     // Inputs: number of ranks below the most urgent one. Expected: admitted fraction.
     for (ranks, expected) in [(0, 0.75), (1, 0.708_06), (2, 0.668_46)] {
         assert_close(admission.admitted_fraction(ranks), expected, &format!("{ranks}"));
@@ -130,6 +130,6 @@
         let mut wait = Wait::at_group(1);
         (0..24).for_each(|step| wait.record(at(step * apart_ms), ms(30)));
         let found = wait.for_admission(at(23 * apart_ms + age_ms)).map(|wait| wait.as_secs_f64() * 1000.0);
-        assert_eq!(found.map(|wait| wait.round() as u64), expected, "{apart_ms} {age_ms}");
+        assert_eq!(found.map(|wait_ms| wait_ms.round() as u64), expected, "{apart_ms} {age_ms}");
     }
 }
--- a/crates/staircross-routing/tests/rule_allowed_regions.rs
+++ b/crates/staircross-routing/tests/rule_allowed_regions.rs
@@ -29,7 +29,7 @@
         (&["north", "south"], &["south"], Some("north"), false),
     ];
     for (of_route, of_tenant, region, expected) in rows {
-        let (route, tenant) = definitions(of_route, of_tenant);
+        let (route, tenant) = route_and_tenant(of_route, of_tenant);
         let allowed = AllowedRegions::new(&route, Some(&tenant));
         assert_eq!(allowed.allow(region.map(Arc::from).as_ref()), expected, "{of_route:?} {of_tenant:?} {region:?}");
     }
@@ -48,14 +48,14 @@
         (&["north"], &["south"], false, true),
     ];
     for (of_route, of_tenant, are_all, are_none) in rows {
-        let (route, tenant) = definitions(of_route, of_tenant);
+        let (route, tenant) = route_and_tenant(of_route, of_tenant);
         let allowed = AllowedRegions::new(&route, Some(&tenant));
         assert_eq!((allowed.are_all(), allowed.are_none()), (are_all, are_none), "{of_route:?} {of_tenant:?}");
     }
 }
 
 /// Returns a route and a tenant with these allowed regions.
-fn definitions(of_route: &[&str], of_tenant: &[&str]) -> (RouteDefinition, TenantDefinition) {
+fn route_and_tenant(of_route: &[&str], of_tenant: &[&str]) -> (RouteDefinition, TenantDefinition) {
     let route = route("s", RouteTarget::Service(Arc::from("x")));
     let route = RouteDefinition { allowed_regions: regions(of_route), ..route };
     let allowed_regions = regions(of_tenant);
--- a/crates/staircross-routing/tests/rule_cold.rs
+++ b/crates/staircross-routing/tests/rule_cold.rs
@@ -27,9 +27,10 @@
         (Some(10.0), 1.0, 0.0, Some(0), 0, Some(6)),
         (Some(1.0), 1.0, 0.0, Some(0), 1, Some(0)), // Six tenths of a request is less than one.
     ];
-    for (per_s, factor, slack, rank, serving, expected) in rows {
-        let found = cold_share(cold_start_of(per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
-        assert_eq!(found, expected, "{per_s:?} {factor} {slack} {rank:?} {serving}");
+    for (requests_per_s, factor, slack, rank, serving, expected) in rows {
+        let found =
+            cold_share(cold_start_of(requests_per_s), ColdBound { factor, slack }, "x", FleetRank { rank, serving });
+        assert_eq!(found, expected, "{requests_per_s:?} {factor} {slack} {rank:?} {serving}");
     }
 }
 
--- a/crates/staircross-routing/tests/rule_extra_budget.rs
+++ b/crates/staircross-routing/tests/rule_extra_budget.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns a window that has counted this number of requests, all at `NOW`.
-fn window(requests: u32, bound: &ExtraBound) -> ExtraWindow {
+fn window_with_requests(requests: u32, bound: &ExtraBound) -> ExtraWindow {
     let mut window = ExtraWindow::default();
     (0..requests).for_each(|_| window.count_request(NOW, bound));
     window
@@ -28,8 +28,8 @@
         (SendReason::Hedge, true),
         (SendReason::Retry, true),
     ];
-    for (reason, paid) in rows {
-        assert_eq!(is_paid(reason), paid, "{reason:?}");
+    for (reason, expected) in rows {
+        assert_eq!(is_paid(reason), expected, "{reason:?}");
     }
 }
 
@@ -47,7 +47,7 @@
     ];
     for (requests, slack, share, permitted) in rows {
         let bound = bound(slack);
-        let mut window = window(requests, &bound);
+        let mut window = window_with_requests(requests, &bound);
         let sent = (0..200).filter(|_| window.try_spend(NOW, &bound, share)).count();
         assert_eq!(sent, permitted, "{requests} {slack} {share}");
     }
@@ -58,7 +58,7 @@
     let bound = bound(10.0);
     // Inputs: ms since the budget was used up. Expected: whether an extra send is permitted.
     for (after_ms, is_permitted) in [(0, false), (9_000, false), (10_000, false), (10_500, true)] {
-        let mut window = window(0, &bound);
+        let mut window = window_with_requests(0, &bound);
         while window.try_spend(NOW, &bound, 1.0) {}
         let later = NOW + Duration::from_millis(after_ms);
         assert_eq!(window.try_spend(later, &bound, 1.0), is_permitted, "{after_ms}");
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -18,7 +18,7 @@
 
 /// Returns a quarantine in which the route `all` is on alarm: the content `CRASHING` crashed three searchers, one after
 /// the other, the last one in second 30. The content `ANSWERED` was answered then.
-fn alarmed() -> Quarantine {
+fn alarmed_quarantine() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
         let (searcher, route) = (InstanceKey(number), RouteDigest::of("all"));
@@ -34,7 +34,7 @@
     let on = RoutingPolicy::default();
     let no_probes = RoutingPolicy { first_probes: false, ..on };
     let no_quarantine = RoutingPolicy { quarantine: false, ..on };
-    let (calm, alarmed) = (Quarantine::default(), alarmed());
+    let (calm, alarmed) = (Quarantine::default(), alarmed_quarantine());
     let rows = [
         ("on alarm, a new content", &alarmed, on, "all", NEW, 31, true),
         ("no alarm", &calm, on, "all", NEW, 31, false),
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -107,16 +107,16 @@
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { holds: false, ..on };
     // Inputs: number of requests that are held already, policy. Expected: whether another one may be held.
-    for (held, policy, may) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
-        assert_eq!(may_hold(held, &policy), may, "{held}");
+    for (held, policy, expected) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
+        assert_eq!(may_hold(held, &policy), expected, "{held}");
     }
 }
 
 #[test]
 fn a_shard_waits_only_for_what_comes_before_the_deadline() {
     // Inputs: time of the retry. `NOW` is the deadline. Expected: whether the retry is too late.
-    for (retry_at, late) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
-        assert_eq!(is_too_late(retry_at, NOW), late);
+    for (retry_at, expected) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
+        assert_eq!(is_too_late(retry_at, NOW), expected);
     }
 }
 
@@ -151,20 +151,21 @@
         (Progress { parts: 0, open: 0, awaits_outcome: true, ..waiting }, EndDecision::Fail),
         (Progress { parts: 0, open: 1, awaits_outcome: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
     ];
-    for (progress, standing) in rows {
-        assert_eq!(decide_end(progress), standing, "{progress:?}");
+    for (progress, expected) in rows {
+        assert_eq!(decide_end(progress), expected, "{progress:?}");
     }
 }
 
 #[test]
 fn a_searchers_own_failure_is_passed_on_unless_it_is_one_part_of_several_or_promises_not_run() {
     // Inputs: status of the failure, whether the request is a gather. Expected: whether the failure is passed on.
-    for (status, is_gather, passed) in [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
+    for (status, is_gather, expected) in
+        [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
     {
         let AttemptOutcome::Answered(failure) = answer(status, "", Vec::new()) else {
             panic!("an answer");
         };
-        assert_eq!(is_passed_on(&failure, is_gather), passed, "{status}");
+        assert_eq!(is_passed_on(&failure, is_gather), expected, "{status}");
     }
 }
 
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -51,12 +51,12 @@
 fn only_a_restarted_process_rests_and_for_two_seconds() {
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { start_rest: false, ..on };
-    // Inputs: time of the restart (`None` for the first process on its machine), policy. Expected: time until which hedges
-    // are paused.
+    // Inputs: time of the restart (`None` for the first process on its machine), policy. Expected: time until which
+    // hedges are paused.
     let rows =
         [(None, on, BootTime::default()), (Some(NOW), on, NOW + ms(2000)), (Some(NOW), off, BootTime::default())];
-    for (restarted_at, policy, until) in rows {
-        assert_eq!(hedges_paused_until(restarted_at, &policy), until);
+    for (restarted_at, policy, expected) in rows {
+        assert_eq!(hedges_paused_until(restarted_at, &policy), expected);
     }
 }
 
@@ -80,7 +80,7 @@
         (LateAttempt { is_alone: false, ..late }, pause_end, on, HedgeDecision::NotBefore(pause_end)),
         (LateAttempt { may_be_sent: false, ..late }, no_pause, on, HedgeDecision::Never),
     ];
-    for (late, until, policy, verdict) in rows {
-        assert_eq!(decide_hedge(NOW, late, until, &policy), verdict, "{late:?} {until:?}");
+    for (late, paused_until, policy, expected) in rows {
+        assert_eq!(decide_hedge(NOW, late, paused_until, &policy), expected, "{late:?} {paused_until:?}");
     }
 }
--- a/crates/staircross-routing/tests/rule_placement.rs
+++ b/crates/staircross-routing/tests/rule_placement.rs
@@ -26,7 +26,7 @@
 
 /// Returns the placement context of a node in zone `a`. Zones `a` and `b` are in the region `north`, zone `c` is in
 /// `south`. Two nodes serve in `a` and two in `b`.
-fn place() -> PlacementContext {
+fn context() -> PlacementContext {
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     PlacementContext {
         zone: Arc::from("a"),
@@ -92,7 +92,7 @@
 
 #[test]
 fn expected_time_adds_up_times_and_prices() {
-    let (place, route) = (place(), single_route());
+    let (context, route) = (context(), single_route());
     // Inputs: searcher. Expected: its expected time in ms.
     let rows = [
         ("idle in the zone: 1 round trip, 20 work", searcher_in("a"), 21),
@@ -120,7 +120,7 @@
         ("a removed entry: last resort", changed(searcher_in("a"), |it| it.mark_lapsed(now())), 60_021),
     ];
     for (row, searcher, expected_ms) in rows {
-        let found = expected_time(now(), &searcher, &place, &choice(&route, &[]));
+        let found = expected_time(now(), &searcher, &context, &choice(&route, &[]));
         assert_eq!(found.as_millis(), expected_ms, "{row}");
     }
 }
@@ -146,8 +146,8 @@
         ),
     ];
     for (row, policy, searcher, expected_ms) in rows {
-        let place = PlacementContext { policy, ..place() };
-        let found = expected_time(now(), &searcher, &place, &choice(&single_route(), &[]));
+        let context = PlacementContext { policy, ..context() };
+        let found = expected_time(now(), &searcher, &context, &choice(&single_route(), &[]));
         assert_eq!(found.as_millis(), expected_ms, "{row}");
     }
 }
@@ -184,31 +184,31 @@
     for (row, route, excluded, first, expected) in rows {
         let table = [first, searcher_in("b"), searcher_in("c")];
         let mut random = ChaCha8Rng::seed_from_u64(1);
-        let found = choose(now(), &choice(&route, &excluded), &[near, far, south], &table, &place(), &mut random);
+        let found = choose(now(), &choice(&route, &excluded), &[near, far, south], &table, &context(), &mut random);
         assert_eq!(found, expected, "{row}");
     }
 }
 
 #[test]
 fn searchers_within_a_tenth_of_the_best_share_the_work() {
-    let (mut place, route) = (place(), single_route());
-    place.policy.near_first = false;
+    let (mut context, route) = (context(), single_route());
+    context.policy.near_first = false;
     // The best searcher has an expected time of 21 ms. Inputs: measured round trip to zone `b` in ms. Expected:
     // whether the searcher in `b` is asked too.
     for (round_trip_ms, expected) in [(1, true), (3, true), (4, false)] {
-        place.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
-        assert_eq!(times_second_chosen(&place, &route, searcher_in("b")) > 0, expected, "{round_trip_ms}");
+        context.round_trips.insert(Arc::from("b"), Duration::from_millis(round_trip_ms));
+        assert_eq!(times_second_chosen(&context, &route, searcher_in("b")) > 0, expected, "{round_trip_ms}");
     }
-    let share = times_second_chosen(&place, &route, searcher_in("a"));
+    let share = times_second_chosen(&context, &route, searcher_in("a"));
     assert!((400..600).contains(&share), "{share} of 1000");
 }
 
 /// Returns how often in 1000 choices the second of two searchers is chosen. The first is idle in the node's own zone.
-fn times_second_chosen(place: &PlacementContext, route: &RouteDefinition, second: Searcher) -> usize {
+fn times_second_chosen(context: &PlacementContext, route: &RouteDefinition, second: Searcher) -> usize {
     let table = [searcher_in("a"), second];
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let keys = [SearcherKey(0), SearcherKey(1)];
-    let mut choose = || choose(now(), &choice(route, &[]), &keys, &table, place, &mut random);
+    let mut choose = || choose(now(), &choice(route, &[]), &keys, &table, context, &mut random);
     (0..1000).filter(|_| choose() == Some(keys[1])).count()
 }
 
@@ -228,15 +228,15 @@
         ("a", 1, 3, Some(1), 9),
         ("a", 1, 3, Some(3), 18),
     ];
-    for (zone, near, other, restarted_s, expected) in rows {
-        let nodes_by_zone = HashMap::from([(Arc::from("a"), near), (Arc::from("b"), other)]);
-        let fleet = FleetRank { rank: Some(0), serving: near + other };
+    for (zone, nodes_in_a, nodes_in_b, restarted_s, expected) in rows {
+        let nodes_by_zone = HashMap::from([(Arc::from("a"), nodes_in_a), (Arc::from("b"), nodes_in_b)]);
+        let fleet = FleetRank { rank: Some(0), serving: nodes_in_a + nodes_in_b };
         let restarted_at = restarted_s.map(|seconds| now() - Duration::from_secs(seconds));
-        let place = PlacementContext { nodes_by_zone, fleet, restarted_at, ..place() };
+        let context = PlacementContext { nodes_by_zone, fleet, restarted_at, ..context() };
         assert_eq!(
-            usable_connections(now(), &searcher_in(zone), &place),
+            usable_connections(now(), &searcher_in(zone), &context),
             expected,
-            "{zone} {near} {other} {restarted_s:?}"
+            "{zone} {nodes_in_a} {nodes_in_b} {restarted_s:?}"
         );
     }
 }
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -49,20 +49,20 @@
 }
 
 /// Returns the losses of three searchers, each of which was sent the content after the previous one was lost.
-fn in_sequence() -> Vec<Event> {
+fn three_losses_in_sequence() -> Vec<Event> {
     vec![lost(1, 2000, 2010), lost(2, 2020, 2030), lost(3, 2040, 2050)]
 }
 
 #[test]
 fn losses_since_the_last_answer_make_a_content_suspect_and_a_sequence_of_three_quarantined() {
-    let with = |more: &[Event]| [in_sequence().as_slice(), more].concat();
+    let with = |more: &[Event]| [three_losses_in_sequence().as_slice(), more].concat();
     let rows = [
         ("nothing lost", vec![], Suspicion::None),
         ("one loss", vec![lost(1, 2000, 2010)], Suspicion::None),
         ("two losses", vec![lost(1, 2000, 2010), lost(2, 2000, 2010)], Suspicion::Suspect),
         ("one searcher twice", vec![lost(1, 2000, 2010), lost(1, 2020, 2030)], Suspicion::None),
         ("three at once", vec![lost(1, 2000, 2010), lost(2, 2000, 2011), lost(3, 2000, 2012)], Suspicion::Suspect),
-        ("three in sequence", in_sequence(), Suspicion::Quarantined),
+        ("three in sequence", three_losses_in_sequence(), Suspicion::Quarantined),
         ("answered since", with(&[Answered { at: 2060 }]), Suspicion::None),
         ("one lost searcher is alive", with(&[Alive { searcher: 2, sent: 2040, at: 2070 }]), Suspicion::Suspect),
         (
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_quarantined_content_is_tried_again_after_an_hour_and_a_route_is_on_alarm_for_15_s() {
-    let quarantine = quarantine_after(&in_sequence());
+    let quarantine = quarantine_after(&three_losses_in_sequence());
     // Inputs: seconds since the newest loss. Expected: suspicion, and whether the route is on alarm.
     let rows = [
         (0, Suspicion::Quarantined, true),
--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -12,9 +12,9 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-const PLAIN: RequestKind = RequestKind { is_idempotent: true, is_gather: false };
-const GATHER: RequestKind = RequestKind { is_gather: true, ..PLAIN };
-const ONCE: RequestKind = RequestKind { is_idempotent: false, ..PLAIN };
+const REPEATABLE: RequestKind = RequestKind { is_idempotent: true, is_gather: false };
+const GATHER: RequestKind = RequestKind { is_gather: true, ..REPEATABLE };
+const NOT_REPEATABLE: RequestKind = RequestKind { is_idempotent: false, ..REPEATABLE };
 const RETRY: NextStep = NextStep::SendAgain(SendReason::Retry);
 const REROUTE: NextStep = NextStep::SendAgain(SendReason::Reroute);
 
@@ -36,8 +36,8 @@
     for (status, stamp, plain, gather, once) in rows {
         let outcome = answer(status, stamp, Vec::new());
         assert!(may_have_run(&outcome), "{status}");
-        for (kind, verdict) in [(PLAIN, plain), (GATHER, gather), (ONCE, once)] {
-            assert_eq!(next_step(&outcome, kind), verdict, "{status} {stamp} {kind:?}");
+        for (kind, expected) in [(REPEATABLE, plain), (GATHER, gather), (NOT_REPEATABLE, once)] {
+            assert_eq!(next_step(&outcome, kind), expected, "{status} {stamp} {kind:?}");
         }
     }
 }
@@ -60,9 +60,9 @@
     ];
     for (outcome, ran, plain, once) in rows {
         assert_eq!(may_have_run(&outcome), ran, "{outcome:?}");
-        assert_eq!(next_step(&outcome, PLAIN), plain, "{outcome:?}");
+        assert_eq!(next_step(&outcome, REPEATABLE), plain, "{outcome:?}");
         assert_eq!(next_step(&outcome, GATHER), plain, "{outcome:?}");
-        assert_eq!(next_step(&outcome, ONCE), once, "{outcome:?}");
+        assert_eq!(next_step(&outcome, NOT_REPEATABLE), once, "{outcome:?}");
     }
 }
 
@@ -81,8 +81,8 @@
     ];
     for (reason, is_counted, with_waiting, without) in rows {
         for (policy, may_be_asked_again) in [(on, with_waiting), (off, without)] {
-            let verdict = SearcherReuse { is_counted, may_be_asked_again };
-            assert_eq!(reuse_after_not_run(reason, &policy), verdict, "{reason:?}");
+            let expected = SearcherReuse { is_counted, may_be_asked_again };
+            assert_eq!(reuse_after_not_run(reason, &policy), expected, "{reason:?}");
         }
     }
 }
@@ -91,7 +91,7 @@
 fn a_failure_at_hand_is_passed_on_rather_than_kept_unless_it_is_one_part_of_several() {
     // Inputs: whether a searcher's own failure was received, kind of request.
     // Expected: whether a retry that the budget refuses waits for the budget.
-    let rows = [(false, PLAIN, true), (true, PLAIN, false), (false, GATHER, true), (true, GATHER, true)];
+    let rows = [(false, REPEATABLE, true), (true, REPEATABLE, false), (false, GATHER, true), (true, GATHER, true)];
     for (has_failure, kind, waits) in rows {
         assert_eq!(may_wait(has_failure, kind), waits, "{has_failure} {kind:?}");
     }
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -35,9 +35,13 @@
     assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
     let second = changes(vec![(22, searcher("b", false))]);
     driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
-    let (_, whole) = &driver.learned[0];
-    assert!(whole.is_complete_for_searchers);
-    assert_eq!((whole.items.len(), whole.up_to), (2, 20), "all changes are known only up to the first page's revision");
+    let (_, listing) = &driver.learned[0];
+    assert!(listing.is_complete_for_searchers);
+    assert_eq!(
+        (listing.items.len(), listing.up_to),
+        (2, 20),
+        "all changes are known only up to the first page's revision"
+    );
     let calls = driver.calls_within(0, Lane::Searchers);
     assert!(is_watch_after(&calls[0], 20), "{calls:?}");
 }
@@ -60,9 +64,9 @@
             driver.reply(Lane::Configuration, StoreReply::Changes { update, at: revision });
             is_watching = false;
         }
-        let made = driver.calls_within(100, Lane::Configuration).len();
-        calls += made;
-        is_watching |= made > 0;
+        let new_calls = driver.calls_within(100, Lane::Configuration).len();
+        calls += new_calls;
+        is_watching |= new_calls > 0;
     }
     assert!(calls <= 8, "{calls} calls in 3 s of frequent changes");
     assert!(calls >= 4, "{calls} calls in 3 s: changes must not be learned seconds late");
--- a/crates/staircross-routing/tests/store_modes.rs
+++ b/crates/staircross-routing/tests/store_modes.rs
@@ -55,9 +55,9 @@
         for lane in lanes {
             assert_eq!(driver.calls_within(500, lane), [], "no listing, which is expensive, is requested");
         }
-        let asked = driver.calls_within(0, Lane::Probe).len();
-        probes += asked;
-        (0..asked).for_each(|_| driver.fail(Lane::Probe));
+        let new_probes = driver.calls_within(0, Lane::Probe).len();
+        probes += new_probes;
+        (0..new_probes).for_each(|_| driver.fail(Lane::Probe));
     }
     assert!(probes >= 10, "{probes} probes in 20 s");
     driver.calls_within(1000, Lane::Probe);
--- a/crates/staircross-routing/tests/tenant_cost.rs
+++ b/crates/staircross-routing/tests/tenant_cost.rs
@@ -48,10 +48,10 @@
     }));
     let keys: Vec<String> = (0..20_000).map(key).collect();
     let before = ALLOCATIONS.with(Cell::get);
-    let held =
+    let accepted =
         keys.iter().filter_map(|key| KeyDigest::of(key.as_bytes())).filter(|key| table.accepts(Credential::Key(*key)));
-    let held = held.count();
+    let accepted = accepted.count();
     assert_eq!(ALLOCATIONS.with(Cell::get), before);
-    assert_eq!(held, 10_000);
+    assert_eq!(accepted, 10_000);
     assert!(before > 10_000, "the allocator must count the preparation's allocations");
 }
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -61,12 +61,12 @@
 }
 
 /// Returns a configuration of this version in which `KEY` is withdrawn.
-fn definition_without_key(number: u64) -> RoutingDefinition {
-    definition_with(number, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
+fn definition_without_key(version: u64) -> RoutingDefinition {
+    definition_with(version, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
 }
 
 /// Lets a request with this API key arrive.
-fn ask(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
+fn request_with_key(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
     let mut arrival = driver.arrival(path);
     arrival.credential = credential(key);
     let request = arrival.key;
@@ -83,7 +83,7 @@
 #[test]
 fn a_request_whose_key_goes_while_it_waits_is_refused_right_then_as_not_run() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     for _ in 0..3 {
         end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
@@ -98,7 +98,7 @@
 #[test]
 fn a_key_that_moves_keeps_the_tenant_that_its_request_began_with() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_with(2, &[tenant("nuro", &[KEY])]));
     end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     let identities: Vec<SentIdentity> = driver.sent_for(request).iter().map(|order| order.identity.clone()).collect();
@@ -108,7 +108,7 @@
 #[test]
 fn a_request_goes_on_when_there_are_no_tenants_any_more() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_with(2, &[]));
     end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
@@ -117,22 +117,23 @@
 #[test]
 fn neither_retries_nor_hedges_are_sent_for_a_key_that_is_withdrawn() {
     let mut driver = driver_with_two_tenants();
-    let (failed, late) = (ask(&mut driver, "/one/1", KEY), ask(&mut driver, "/one/2", KEY));
+    let (failed, unfinished) =
+        (request_with_key(&mut driver, "/one/1", KEY), request_with_key(&mut driver, "/one/2", KEY));
     driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "running attempts may finish");
     end_attempts(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.unsent, [(failed, UnsentCause::KeyRevoked)]);
     assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "the request may have run");
     driver.advance_ms(3000);
-    assert_eq!(driver.reasons(late), [SendReason::First]);
-    end_attempts(&mut driver, late, &answer(200, "p", Vec::new()));
-    assert!(matches!(driver.verdict(late), Some(Verdict::Passed(_))));
+    assert_eq!(driver.reasons(unfinished), [SendReason::First]);
+    end_attempts(&mut driver, unfinished, &answer(200, "p", Vec::new()));
+    assert!(matches!(driver.verdict(unfinished), Some(Verdict::Passed(_))));
 }
 
 #[test]
 fn a_withdrawn_key_whose_first_attempt_surely_did_not_run_is_refused_as_such() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_without_key(2));
     end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::Stale));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
@@ -141,7 +142,7 @@
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_taken_back_when_its_key_goes() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/both/1", KEY);
+    let request = request_with_key(&mut driver, "/both/1", KEY);
     driver.configure(definition_without_key(2));
     let sent: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     assert_eq!(driver.recalled, sent);
@@ -154,11 +155,11 @@
 #[test]
 fn parts_under_way_are_delivered_when_the_key_of_their_request_goes() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/any/1", KEY);
+    let request = request_with_key(&mut driver, "/any/1", KEY);
     let (waiting, running) = (driver.sends[0].attempt, driver.sends[1].attempt);
     driver.end(waiting, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
-    let again = driver.sends[2].attempt;
-    driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
+    let retry = driver.sends[2].attempt;
+    driver.end(retry, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     assert_eq!(driver.sends.len(), 3, "one shard waits for a searcher that accepts a connection");
     driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "the other shard's attempt is running");
@@ -189,21 +190,21 @@
     let mut definition =
         definition_with(1, &[restricted_to(tenant("kami", &[KEY]), &[NORTH]), tenant("nuro", &[OTHER_KEY])]);
     definition.routes.push(south_only);
-    let here_and_there = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
-    let mut driver = Driver::with(definition, here_and_there);
+    let searchers_in_both_regions = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
+    let mut driver = Driver::with(definition, searchers_in_both_regions);
     // No searcher may ever be asked for this request, so it isn't held although not all searchers are known.
     let mut arrival = driver.arrival("/south/1");
     (arrival.credential, arrival.knows_searchers) = (credential(KEY), false);
-    let nowhere = arrival.key;
+    let unservable = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
-    assert_eq!(driver.refusal(nowhere), Some(ErrorKind::NoAllowedReplica));
-    let other = ask(&mut driver, "/south/2", OTHER_KEY);
+    assert_eq!(driver.refusal(unservable), Some(ErrorKind::NoAllowedReplica));
+    let other = request_with_key(&mut driver, "/south/2", OTHER_KEY);
     assert_eq!(driver.instances(other), ["far"]);
-    let bound = ask(&mut driver, "/one/1", KEY);
-    assert_eq!(driver.instances(bound), ["near"]);
-    end_attempts(&mut driver, bound, &AttemptOutcome::Unknown(Unknown::Broken));
-    assert_eq!(driver.instances(bound), ["near"], "a retry stays within the tenant's regions too");
-    assert_eq!(driver.refusal(bound), Some(ErrorKind::BackEndsFailed));
+    let restricted = request_with_key(&mut driver, "/one/1", KEY);
+    assert_eq!(driver.instances(restricted), ["near"]);
+    end_attempts(&mut driver, restricted, &AttemptOutcome::Unknown(Unknown::Broken));
+    assert_eq!(driver.instances(restricted), ["near"], "a retry stays within the tenant's regions too");
+    assert_eq!(driver.refusal(restricted), Some(ErrorKind::BackEndsFailed));
 }
 
 #[test]
@@ -246,8 +247,8 @@
     definition.routes[2].is_public = true;
     let route = definition.routes[2].clone();
     let table = RouteTable::new(Arc::new(definition));
-    let tenants_least = table.rank(Some(staircross_routing::TenantKey(1)), &route);
-    assert!(table.rank(None, &route) > tenants_least);
+    let lowest_tenant_rank = table.rank(Some(staircross_routing::TenantKey(1)), &route);
+    assert!(table.rank(None, &route) > lowest_tenant_rank);
 }
 
 #[test]
@@ -275,9 +276,9 @@
     assert_eq!(driver.refusal(again), Some(ErrorKind::Quarantined));
     let mut arrival = driver.arrival("/one/deadly");
     (arrival.credential, arrival.content) = (credential(OTHER_KEY), content);
-    let others = arrival.key;
+    let other = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
-    assert_ne!(driver.refusal(others), Some(ErrorKind::Quarantined));
+    assert_ne!(driver.refusal(other), Some(ErrorKind::Quarantined));
 }
 
 /// Raises the alarm of the route `both`: a peer reports that one content has crashed three searchers, one after the
@@ -300,7 +301,7 @@
 fn what_was_answered_for_a_tenant_goes_to_all_shards_at_once_during_an_alarm() {
     let mut driver = driver_with_two_tenants();
     raise_alarm(&mut driver);
-    let mut ask_again = || {
+    let mut repeat_request = || {
         let mut arrival = driver.arrival("/both/harmless");
         (arrival.credential, arrival.content) = (credential(KEY), ContentKey(77));
         let request = arrival.key;
@@ -312,13 +313,13 @@
         }
         sent
     };
-    assert_eq!(ask_again(), 1, "the content hasn't been answered yet");
-    assert_eq!(ask_again(), 2, "the content was answered");
+    assert_eq!(repeat_request(), 1, "the content hasn't been answered yet");
+    assert_eq!(repeat_request(), 2, "the content was answered");
 }
 
 /// Lets a request with this API key arrive at a node with this view of the configuration. A peer is known to have
 /// version 2 of it.
-fn ask_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
+fn request_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
     let arrival =
         Arrival { credential: credential(key), configuration_view: view, newest_version: 2, ..driver.arrival(path) };
     let request = arrival.key;
@@ -329,8 +330,8 @@
 #[test]
 fn a_node_that_knows_that_it_is_behind_asks_before_it_takes_a_key_by_an_old_view() {
     let mut driver = driver_with_two_tenants();
-    let withdrawn = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Doubtful);
-    let other = ask_in_view(&mut driver, "/one/2", OTHER_KEY, ConfigurationView::Doubtful);
+    let withdrawn = request_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Doubtful);
+    let other = request_in_view(&mut driver, "/one/2", OTHER_KEY, ConfigurationView::Doubtful);
     assert!(driver.sends.is_empty());
     driver.advance_ms(60);
     driver.configure(definition_without_key(2));
@@ -341,7 +342,7 @@
 #[test]
 fn a_node_that_asked_in_vain_serves_by_what_it_knows() {
     let mut driver = driver_with_two_tenants();
-    let served = ask_in_view(&mut driver, "/one/3", OTHER_KEY, ConfigurationView::Doubtful);
+    let served = request_in_view(&mut driver, "/one/3", OTHER_KEY, ConfigurationView::Doubtful);
     driver.advance_ms(499);
     assert!(driver.sent_for(served).is_empty());
     driver.advance_ms(1);
@@ -352,13 +353,13 @@
 fn an_expired_view_lets_nobody_in_and_denies_nobody() {
     let mut driver = driver_with_two_tenants();
     for key in [KEY, "unknown"] {
-        let request = ask_in_view(&mut driver, "/one/1", key, ConfigurationView::Expired);
+        let request = request_in_view(&mut driver, "/one/1", key, ConfigurationView::Expired);
         assert_eq!(driver.refusal(request), Some(ErrorKind::Unconfirmed));
     }
     assert_eq!(ErrorKind::Unconfirmed.http_status(), 503);
     assert!(driver.sends.is_empty());
     driver.configure(definition_with(2, &[]));
-    let request = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Expired);
+    let request = request_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Expired);
     assert_eq!(driver.sent_for(request).len(), 1, "without tenants no key is needed");
 }
 
@@ -367,7 +368,7 @@
     let quota = Some(Quota { rate_per_s: 1.0, burst: 2.0 });
     let limited = TenantDefinition { quota, ..tenant("kami", &[KEY]) };
     let mut driver = Driver::with(definition_with(1, &[limited, tenant("nuro", &[OTHER_KEY])]), searchers());
-    let requests: Vec<RequestKey> = (0..20).map(|_| ask(&mut driver, "/one/1", KEY)).collect();
+    let requests: Vec<RequestKey> = (0..20).map(|_| request_with_key(&mut driver, "/one/1", KEY)).collect();
     let refused: Vec<RequestKey> =
         requests.iter().copied().filter(|key| driver.refusal(*key) == Some(ErrorKind::OverQuota)).collect();
     assert!((15..20).contains(&refused.len()), "{} of 20 refused", refused.len());
@@ -378,6 +379,6 @@
         };
         assert!(!wait.is_zero());
     }
-    let other = ask(&mut driver, "/one/1", OTHER_KEY);
+    let other = request_with_key(&mut driver, "/one/1", OTHER_KEY);
     assert_eq!(driver.sent_for(other).len(), 1, "another tenant isn't affected");
 }
