--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -12,12 +12,12 @@
 /// Number of keys of each tenant. A tenant has two while it exchanges its key for a new one.
 const KEYS_PER_TENANT: usize = 2;
 
-fn key(tenant: usize, number: usize) -> String {
+fn key_text(tenant: usize, number: usize) -> String {
     format!("{tenant:08x}-n8hkcaac6dnv-{number}")
 }
 
 fn tenant(index: usize) -> TenantDefinition {
-    let digests = (0..KEYS_PER_TENANT).map(|number| KeyDigest::of(key(index, number).as_bytes()).expect("a key"));
+    let digests = (0..KEYS_PER_TENANT).map(|number| KeyDigest::of(key_text(index, number).as_bytes()).expect("a key"));
     TenantDefinition {
         name: Arc::from(format!("t{index}")),
         keys: digests.collect(),
@@ -27,7 +27,7 @@
     }
 }
 
-fn table(tenants: usize) -> RouteTable {
+fn table_with_tenants(tenant_count: usize) -> RouteTable {
     let route = RouteDefinition {
         name: Arc::from("one"),
         host: Arc::from("shop.example"),
@@ -41,19 +41,19 @@
         allowed_regions: Vec::new(),
         is_public: false,
     };
-    let tenants = (0..tenants).map(tenant).collect();
+    let tenants = (0..tenant_count).map(tenant).collect();
     let (routes, services) = (vec![route], Vec::new());
     let definition = RoutingDefinition { version: 1, routes, services, limits: CallerLimits::default(), tenants };
     RouteTable::new(Arc::new(definition))
 }
 
 fn benchmark_authentication(criterion: &mut Criterion) {
-    for tenants in TENANT_COUNTS {
-        let table = table(tenants);
+    for tenant_count in TENANT_COUNTS {
+        let table = table_with_tenants(tenant_count);
         let route = table.definition().routes[0].clone();
-        let keys: Vec<String> = (0..tenants).map(|index| key(index, index % KEYS_PER_TENANT)).collect();
+        let keys: Vec<String> = (0..tenant_count).map(|index| key_text(index, index % KEYS_PER_TENANT)).collect();
         let mut next_keys = keys.iter().cycle();
-        criterion.bench_function(&format!("judge_key_{tenants}_tenants"), |bencher| {
+        criterion.bench_function(&format!("judge_key_{tenant_count}_tenants"), |bencher| {
             bencher.iter(|| {
                 let key = next_keys.next().expect("the cycle of keys never ends");
                 let credential =
@@ -63,7 +63,7 @@
             });
         });
         let credential = Credential::Key(KeyDigest::of(keys[0].as_bytes()).expect("a key"));
-        criterion.bench_function(&format!("judge_digest_{tenants}_tenants"), |bencher| {
+        criterion.bench_function(&format!("judge_digest_{tenant_count}_tenants"), |bencher| {
             bencher.iter(|| black_box(table.accepts(black_box(credential))));
         });
     }
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -56,7 +56,7 @@
 
 /// Returns the time from a request's arrival to its answer if three of four shards answer at once and the fourth never
 /// does.
-fn partial_answer_after(link: CallerLink) -> Duration {
+fn time_to_partial_answer(link: CallerLink) -> Duration {
     let shards = ["w", "x", "y", "z"];
     let searchers = shards.map(|shard| searcher(&format!("{shard}-a"), shard, "a")).to_vec();
     let mut driver = Driver::with(definition(1, vec![route("q", gather(&shards, 3, 0.5))], &shards), searchers);
@@ -73,6 +73,6 @@
 
 #[test]
 fn the_parts_that_are_in_go_out_early_enough_for_their_caller() {
-    assert_eq!(partial_answer_after(link(1.0, true)), Duration::from_millis(236));
-    assert_eq!(partial_answer_after(link(20.0, true)), Duration::from_millis(160));
+    assert_eq!(time_to_partial_answer(link(1.0, true)), Duration::from_millis(236));
+    assert_eq!(time_to_partial_answer(link(20.0, true)), Duration::from_millis(160));
 }
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -13,8 +13,8 @@
 const HOLD_MS: u64 = 500;
 
 /// Returns a configuration of this version with the service `books` and one route of this name to it.
-fn definition_with_route(version: u64, name: &str) -> RoutingDefinition {
-    definition(version, vec![route(name, RouteTarget::Service(Arc::from("books")))], &["books"])
+fn definition_with_route(version: u64, route_name: &str) -> RoutingDefinition {
+    definition(version, vec![route(route_name, RouteTarget::Service(Arc::from("books")))], &["books"])
 }
 
 /// Lets a request arrive after `change` has adjusted the arrival, and returns its key.
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -22,9 +22,9 @@
 
 /// Returns the entries of two searchers for each shard.
 fn searcher_entries(slots: u32) -> Vec<SearcherEntry> {
-    let copies =
+    let searchers_of =
         |shard: &str| ["x", "y"].map(|copy| SearcherEntry { slots, ..searcher(&format!("{shard}{copy}"), shard, "a") });
-    SHARDS.iter().flat_map(|shard| copies(shard)).collect()
+    SHARDS.iter().flat_map(|shard| searchers_of(shard)).collect()
 }
 
 fn settings_for_many_requests() -> RoutingSettings {
@@ -44,7 +44,7 @@
     TenantDefinition { name: Arc::from(name), keys: vec![key_of(name)], priority: 1, quota, allowed_regions }
 }
 
-fn with_tenants(version: u64, tenants: Vec<TenantDefinition>) -> RoutingDefinition {
+fn definition_with_tenants(version: u64, tenants: Vec<TenantDefinition>) -> RoutingDefinition {
     RoutingDefinition { tenants, ..definition(version, vec![route("q", gather(&SHARDS, 10, 0.75))], &SHARDS) }
 }
 
@@ -56,11 +56,11 @@
 
 /// Returns the world of one node of a fleet of three. Two of its three tenants exceed their quotas from second 3 to
 /// second 11.
-fn quota_node(node: NodeId) -> World {
+fn world_of_quota_node(node: NodeId) -> World {
     let quota = QuotaBound { window: Duration::from_secs(5), over: 0.25, slack: 20.0 };
     let tenants = ["t1", "t2", "t3"].map(|name| tenant(name, Some(Quota { rate_per_s: 20.0, burst: 10.0 })));
     let settings = RoutingSettings { node, quota, ..settings_for_many_requests() };
-    let mut world = World::new(settings, Some(with_tenants(1, tenants.to_vec())), searcher_entries(5));
+    let mut world = World::new(settings, Some(definition_with_tenants(1, tenants.to_vec())), searcher_entries(5));
     let nodes_by_zone = [(Arc::from("a"), NODES.len())].into_iter().collect();
     let nodes = Some(NODES.to_vec());
     world.event(RoutingEvent::Fleet { nodes_by_zone, serving: NODES.len(), rank: Some(0), slack_share: 1.0, nodes });
@@ -75,7 +75,7 @@
 
 #[test]
 fn quotas_of_three_nodes_of_which_one_falls_silent() {
-    let mut worlds = NODES.map(quota_node);
+    let mut worlds = NODES.map(world_of_quota_node);
     for now in (10..=16_000).step_by(10) {
         let mut messages_sent = Vec::new();
         for (from, world) in NODES.into_iter().zip(&mut worlds) {
@@ -115,11 +115,11 @@
     world.at(1200.0, |world| world.start(searcher_entries(5)[..4].to_vec()));
     world.at(1300.0, |world| world.start(searcher_entries(5)[4..].to_vec()));
     world.at(2200.0, |world| {
-        let mut newer = with_tenants(2, vec![tenant("t1", None)]);
+        let mut newer = definition_with_tenants(2, vec![tenant("t1", None)]);
         newer.routes.push(route("new", gather(&SHARDS[..2], 10, 0.5)));
         world.configure(newer);
     });
-    world.at(4000.0, |world| world.configure(with_tenants(3, vec![tenant("t1", None), tenant("t2", None)])));
+    world.at(4000.0, |world| world.configure(definition_with_tenants(3, vec![tenant("t1", None), tenant("t2", None)])));
     world.run(9000);
     assert_pinned("holds", &world);
 }
@@ -129,7 +129,7 @@
     let tenants = |names: &[&str]| names.iter().map(|name| tenant(name, None)).collect::<Vec<_>>();
     let mut world = World::new(
         settings_for_many_requests(),
-        Some(with_tenants(1, tenants(&["t1", "t2", "t3"]))),
+        Some(definition_with_tenants(1, tenants(&["t1", "t2", "t3"]))),
         searcher_entries(2),
     );
     for searcher in world.searchers.values_mut() {
@@ -141,7 +141,7 @@
     for (at, version, names) in [(1500.0, 2, &["t1", "t3"][..]), (2500.0, 3, &["t3"]), (4000.0, 4, &["t1", "t2", "t3"])]
     {
         let tenants = tenants(names);
-        world.at(at, move |world| world.configure(with_tenants(version, tenants)));
+        world.at(at, move |world| world.configure(definition_with_tenants(version, tenants)));
     }
     world.run(9000);
     assert_pinned("revoked_keys", &world);
--- a/crates/staircross-routing/tests/replay.rs
+++ b/crates/staircross-routing/tests/replay.rs
@@ -13,8 +13,8 @@
 /// Records 6 s of traffic with a slow searcher, hedges and an overload, and returns the settings and the turns.
 fn record_traffic() -> (RecordedSettings, Vec<RecordedTurn>) {
     let settings = RoutingSettings { max_requests: 10_000, ..settings() };
-    let copies = |shard: &str| ["x", "y", "z"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
-    let searchers = SHARDS.iter().flat_map(|shard| copies(shard)).collect();
+    let searchers_of = |shard: &str| ["x", "y", "z"].map(|copy| searcher(&format!("{shard}{copy}"), shard, "a"));
+    let searchers = SHARDS.iter().flat_map(|shard| searchers_of(shard)).collect();
     let definition = definition(1, vec![route("q", gather(&SHARDS, 10, 0.6))], &SHARDS);
     let driver = Driver::with_settings(settings.clone(), definition, searchers);
     let mut backends = Backends::new(driver, 2, Duration::from_millis(20));
--- a/crates/staircross-routing/tests/rule_hedging.rs
+++ b/crates/staircross-routing/tests/rule_hedging.rs
@@ -17,8 +17,8 @@
 fn the_more_of_the_budget_is_left_the_earlier_a_hedge_goes_out() {
     // Inputs: unspent fraction of the budget, `None` if hedges disregard it. Expected: delay factor of the hedge.
     let rows = [(None, 1.0), (Some(1.0), 0.5), (Some(0.5), 0.9), (Some(0.0), 1.3)];
-    for (spare, factor) in rows {
-        assert!((hedge_delay_factor(spare) - factor).abs() < 1e-9, "{spare:?}");
+    for (spare_fraction, expected) in rows {
+        assert!((hedge_delay_factor(spare_fraction) - expected).abs() < 1e-9, "{spare_fraction:?}");
     }
 }
 
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -34,11 +34,11 @@
         ("slower than 30 counts as 30", vec![(0, 1000.0)], 1.58, 1.29),
         ("quicker than 0.6 counts as 0.6", vec![(0, 0.1)], 0.88, 0.94),
     ];
-    for (row, answers, expected, later) in rows {
+    for (row, answers, expected, expected_later) in rows {
         let mut searcher = new_searcher();
         answers.iter().for_each(|(sent, ratio)| searcher.note_answer(at(100), at(*sent), *ratio));
         assert_close(searcher.slowness(at(100)), expected, row);
-        assert_close(searcher.slowness(at(4100)), later, row);
+        assert_close(searcher.slowness(at(4100)), expected_later, row);
     }
 }
 
@@ -54,11 +54,12 @@
         (vec![true], 10_500, 0.0),
         (vec![false, false], 0, 0.0),
     ];
-    for (ends, later_ms, expected) in rows {
+    for (rejections, later_ms, expected) in rows {
         let mut rate = RejectionRate::default();
-        ends.iter()
+        rejections
+            .iter()
             .for_each(|is_rejected| if *is_rejected { rate.note_rejection(at(0)) } else { rate.note_answer(at(0)) });
-        assert_close(rate.get(at(later_ms)), expected, &format!("{ends:?} {later_ms}"));
+        assert_close(rate.get(at(later_ms)), expected, &format!("{rejections:?} {later_ms}"));
     }
 }
 
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -28,13 +28,13 @@
 fn a_listing_of_several_pages_is_whole_only_with_the_last() {
     let mut driver = ReaderDriver::new();
     driver.calls_within(0, Lane::Searchers);
-    let first = changes(vec![(3, searcher("a", false))]);
+    let first_page = changes(vec![(3, searcher("a", false))]);
     let next = Some("servers/a".to_owned());
-    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next: next.clone() });
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first_page, at: 20, next: next.clone() });
     assert!(driver.learned.is_empty());
     assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
-    let second = changes(vec![(22, searcher("b", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
+    let second_page = changes(vec![(22, searcher("b", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second_page, at: 25, next: None });
     let (_, listing) = &driver.learned[0];
     assert!(listing.is_complete_for_searchers);
     assert_eq!(
@@ -125,12 +125,12 @@
     let mut driver = ReaderDriver::new();
     driver.calls_within(0, Lane::Searchers);
     let next = Some("servers/a".to_owned());
-    let first = changes(vec![(3, searcher("a", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next });
+    let first_page = changes(vec![(3, searcher("a", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first_page, at: 20, next });
     driver.calls_within(0, Lane::Searchers);
     driver.reader.on_peer_report(Lane::Searchers, 21);
-    let second = changes(vec![(4, searcher("b", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 22, next: None });
+    let second_page = changes(vec![(4, searcher("b", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second_page, at: 22, next: None });
     let mut mirror = Mirror::default();
     mirror.merge(listing(21, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
     driver.learned.into_iter().for_each(|(_, update)| drop(mirror.merge(update)));
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -35,7 +35,7 @@
     TenantDefinition { allowed_regions: regions.iter().map(|region| Arc::from(*region)).collect(), ..tenant }
 }
 
-fn service(name: &str) -> RouteTarget {
+fn service_target(name: &str) -> RouteTarget {
     RouteTarget::Service(Arc::from(name))
 }
 
@@ -45,7 +45,7 @@
     let routes = vec![
         route("both", gather(&["x", "y"], 2, 1.0)),
         route("any", gather(&["x", "y"], 2, 0.5)),
-        route("one", service("x")),
+        route("one", service_target("x")),
     ];
     RoutingDefinition { tenants: tenants.to_vec(), ..definition(version, routes, &["x", "y"]) }
 }
@@ -177,7 +177,7 @@
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
     let mut next = definition_without_key(2);
-    next.routes.push(route("added", service("x")));
+    next.routes.push(route("added", service_target("x")));
     driver.configure(next);
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
     assert!(driver.sends.is_empty());
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_tenants_regions_bind_beside_its_routes() {
-    let mut south_only = route("south", service("x"));
+    let mut south_only = route("south", service_target("x"));
     south_only.allowed_regions = vec![Arc::from(SOUTH)];
     let mut definition =
         definition_with(1, &[restricted_to(tenant("kami", &[KEY]), &[NORTH]), tenant("nuro", &[OTHER_KEY])]);
@@ -209,12 +209,13 @@
 
 #[test]
 fn a_tenants_rank_comes_before_its_routes() {
-    let ranked = |name: &str, key: &str, priority| TenantDefinition { priority, ..tenant(name, &[key]) };
-    let mut definition = definition_with(1, &[ranked("low", OTHER_KEY, 700), ranked("high", KEY, 3)]);
+    let tenant_with_priority = |name: &str, key: &str, priority| TenantDefinition { priority, ..tenant(name, &[key]) };
+    let mut definition =
+        definition_with(1, &[tenant_with_priority("low", OTHER_KEY, 700), tenant_with_priority("high", KEY, 3)]);
     for (index, priority) in [(0, 2), (1, 4), (2, 5)] {
         definition.routes[index].priority = priority;
     }
-    definition.routes.push(common::route("more", service("x")));
+    definition.routes.push(common::route("more", service_target("x")));
     definition.routes.last_mut().expect("a route").priority = 2;
     let routes = definition.routes.clone();
     let table = RouteTable::new(Arc::new(definition));
@@ -222,12 +223,12 @@
         let tenant_key = table.authenticate(&routes[route], credential(key)).expect("a known key");
         table.rank(tenant_key, &routes[route])
     };
-    let order = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
-    assert!(order.windows(2).all(|pair| pair[0] < pair[1]), "{order:?}");
+    let ranks = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
+    assert!(ranks.windows(2).all(|pair| pair[0] < pair[1]), "{ranks:?}");
     assert_eq!(rank(KEY, 0), rank(KEY, 3));
     // The routes of the group have the priorities 2 to 5. The steps of a tenant begin after all steps of the tenant
     // with the next higher priority.
-    let steps: Vec<u32> = order.iter().map(|rank| rank.steps(2..=5)).collect();
+    let steps: Vec<u32> = ranks.iter().map(|rank| rank.steps(2..=5)).collect();
     assert_eq!(steps, [0, 2, 3, 4, 6, 7]);
 }
 
