--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -12,6 +12,7 @@
 /// Number of keys of each tenant. A tenant has two while it exchanges its key for a new one.
 const KEYS_PER_TENANT: usize = 2;
 
+/// Returns the text of a tenant's key.
 fn key_text(tenant: usize, number: usize) -> String {
     format!("{tenant:08x}-n8hkcaac6dnv-{number}")
 }
@@ -47,6 +48,8 @@
     RouteTable::new(Arc::new(definition))
 }
 
+/// Measures two things for each number of tenants: hashing a key's text, finding its tenant and ranking the request
+/// (`judge_key`), and looking up a digest alone (`judge_digest`).
 fn benchmark_authentication(criterion: &mut Criterion) {
     for tenant_count in TENANT_COUNTS {
         let table = table_with_tenants(tenant_count);
--- a/crates/staircross-routing/tests/pinned_fleet.rs
+++ b/crates/staircross-routing/tests/pinned_fleet.rs
@@ -83,7 +83,7 @@
             messages_sent.extend(world.outbox.drain(..).map(|(to, messages)| (from, to, messages)));
         }
         for (from, to, messages) in messages_sent {
-            // From second 6 to second 9, the second node's messages are lost in both directions.
+            // From second 6 to second 9, quota messages from and to the second node are lost.
             let is_silent = (6000..9000).contains(&now) && (from == NODES[1] || to == NODES[1]);
             let receiver = NODES.iter().position(|node| *node == to).expect("the receiver is a node of the fleet");
             if !is_silent {
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -14,7 +14,7 @@
 struct Site {
     driver: Driver,
     rejecting: Vec<&'static str>,
-    /// Number of attempts that each searcher received.
+    /// Number of attempts that each searcher received and that have ended.
     attempts_received: BTreeMap<String, usize>,
     requests: Vec<RequestKey>,
     /// Number of sends, counted from the first, whose attempts have ended.
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -1,5 +1,5 @@
-//! Limits on requests to one service: deadlines, the budget for extra sends, requests in flight, and connections to
-//! searchers. Also the shares of weighted services.
+//! Limits on requests: deadlines, the budget for extra sends, requests in flight, and connections to searchers. Another
+//! subject is the division of requests among weighted services.
 
 mod common;
 
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -7,7 +7,7 @@
 
 /// Time between two evaluations, in milliseconds.
 const SPACING_MS: u64 = 250;
-/// The tolerable wait.
+/// Tolerable wait in all evaluations.
 const TOLERABLE: Duration = Duration::from_millis(100);
 
 fn at(millis: u64) -> BootTime {
@@ -72,8 +72,8 @@
         (0.5, 250, 0.768_75),
         (0.3, 250, 0.7875),    // This is the largest increase while sub-requests queue.
         (0.1, 250, 0.84),      // No sub-requests queue.
-        (0.3, 1000, 0.911_63), // The increase is that of four spacings.
-        (0.7, 1000, 0.731_25), // A decrease is that of one spacing only.
+        (0.3, 1000, 0.911_63), // An increase counts all four spacings.
+        (0.7, 1000, 0.731_25), // A decrease counts one spacing only.
         (0.1, 1000, 1.0),
     ];
     for (ratio, after_ms, expected) in rows {
@@ -123,7 +123,7 @@
         (10, 1500, Some(30)),
         (10, 1501, Some(0)), // The samples took 0.23 s, so no requests were sent since.
         (100, 1501, None),   // The samples took 2.3 s, so the next ones are still being collected.
-        (100, 3450, None),   // The age is 1.5 times the time of collection.
+        (100, 3450, None),   // The age is just 1.5 times the time of collection.
         (100, 3451, Some(0)),
     ];
     for (apart_ms, age_ms, expected) in rows {
--- a/crates/staircross-routing/tests/rule_first_probe.rs
+++ b/crates/staircross-routing/tests/rule_first_probe.rs
@@ -1,4 +1,4 @@
-//! Table tests of the rule of first probes without an engine: which requests are sent to one shard first.
+//! Table tests of the rule for first probes without an engine: which requests are sent to one shard first.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 }
 
 /// Returns a quarantine in which the route `all` is on alarm: the content `CRASHING` crashed three searchers, one after
-/// the other, the last one in second 30. The content `ANSWERED` was answered then.
+/// the other, the last one in second 30. The content `ANSWERED` was answered in that second.
 fn alarmed_quarantine() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -140,7 +140,7 @@
         (Progress { parts: 3, open: 0, ..waiting }, EndDecision::Answer),
         (Progress { parts: 3, open: 1, is_past_goal: true, ..waiting }, EndDecision::Answer),
         (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waiting }, EndDecision::Answer),
-        // Too few parts for an answer: a late answer is better than none.
+        // There are too few parts for an answer. The request continues, as a late answer is better than none.
         (Progress { parts: 2, open: 2, is_past_goal: true, ..waiting }, EndDecision::Continue),
         (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waiting }, EndDecision::Continue),
         (Progress { parts: 2, open: 2, is_past_goal: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
--- a/crates/staircross-routing/tests/rule_searcher.rs
+++ b/crates/staircross-routing/tests/rule_searcher.rs
@@ -1,5 +1,5 @@
-//! Table tests of the estimates of a searcher: how slow it is, which fraction of work it rejects, and until when it is
-//! avoided.
+//! Table tests of the estimates that a node keeps of a searcher, without an engine: how slow it is, which fraction of
+//! work it rejects, and until when it is avoided.
 
 mod common;
 
