--- a/crates/staircross-routing/tests/rule_retry.rs
+++ b/crates/staircross-routing/tests/rule_retry.rs
@@ -22,7 +22,8 @@
 fn an_answer_is_final_if_it_is_a_signed_success_or_another_searcher_would_say_the_same() {
     let rows = [
         // Inputs: status, stamp.
-        // Expected: next step for a repeatable request, for a part of a gather, and for a request that may run only once.
+        // Expected: next step for a repeatable request, for a part of a gather, and for a request that may run only
+        // once.
         (200, "p", NextStep::AcceptAnswer, NextStep::AcceptAnswer, NextStep::AcceptAnswer),
         (200, "", NextStep::AcceptAnswer, RETRY, NextStep::AcceptAnswer),
         (404, "", NextStep::AcceptAnswer, RETRY, NextStep::AcceptAnswer),
