--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -35,10 +35,10 @@
     assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
     let second_page = changes(vec![(22, searcher("b", false))]);
     driver.reply(Lane::Searchers, StoreReply::Items { update: second_page, at: 25, next: None });
-    let (_, listing) = &driver.learned[0];
-    assert!(listing.is_complete_for_searchers);
+    let (_, whole_listing) = &driver.learned[0];
+    assert!(whole_listing.is_complete_for_searchers);
     assert_eq!(
-        (listing.items.len(), listing.up_to),
+        (whole_listing.items.len(), whole_listing.up_to),
         (2, 20),
         "all changes are known only up to the first page's revision"
     );
