--- a/crates/staircross-routing/benches/tenants.rs
+++ b/crates/staircross-routing/benches/tenants.rs
@@ -1,4 +1,4 @@
-//! Cost of judging whose a request is: from the text of its key to its tenant and rank.
+//! Benchmarks of the authentication of a request: from the text of its API key to its tenant and rank.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use staircross_routing::{
@@ -7,17 +7,18 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// A customer's fleet, and the most that is planned for.
-const TENANTS: [usize; 2] = [78, 10_000];
-/// Keys of each, as while they are exchanged.
-const KEYS: usize = 2;
+/// Numbers of tenants to measure: those of a customer's fleet, and the most that is planned for.
+const TENANT_COUNTS: [usize; 2] = [78, 10_000];
+/// Number of keys of each tenant. A tenant has two while it exchanges its key for a new one.
+const KEYS_PER_TENANT: usize = 2;
 
-fn key(tenant: usize, number: usize) -> String {
+/// Returns the text of a tenant's key.
+fn key_text(tenant: usize, number: usize) -> String {
     format!("{tenant:08x}-n8hkcaac6dnv-{number}")
 }
 
 fn tenant(index: usize) -> TenantDefinition {
-    let digests = (0..KEYS).map(|number| KeyDigest::of(key(index, number).as_bytes()).expect("a key"));
+    let digests = (0..KEYS_PER_TENANT).map(|number| KeyDigest::of(key_text(index, number).as_bytes()).expect("a key"));
     TenantDefinition {
         name: Arc::from(format!("t{index}")),
         keys: digests.collect(),
@@ -27,7 +28,7 @@
     }
 }
 
-fn table(tenants: usize) -> RouteTable {
+fn table_with_tenants(tenant_count: usize) -> RouteTable {
     let route = RouteDefinition {
         name: Arc::from("one"),
         host: Arc::from("shop.example"),
@@ -41,33 +42,35 @@
         allowed_regions: Vec::new(),
         is_public: false,
     };
-    let tenants = (0..tenants).map(tenant).collect();
+    let tenants = (0..tenant_count).map(tenant).collect();
     let (routes, services) = (vec![route], Vec::new());
     let definition = RoutingDefinition { version: 1, routes, services, limits: CallerLimits::default(), tenants };
     RouteTable::new(Arc::new(definition))
 }
 
-fn judging(criterion: &mut Criterion) {
-    for tenants in TENANTS {
-        let table = table(tenants);
+/// Measures two things for each number of tenants: hashing a key's text, finding its tenant and ranking the request
+/// (`judge_key`), and looking up a digest alone (`judge_digest`).
+fn benchmark_authentication(criterion: &mut Criterion) {
+    for tenant_count in TENANT_COUNTS {
+        let table = table_with_tenants(tenant_count);
         let route = table.definition().routes[0].clone();
-        let keys: Vec<String> = (0..tenants).map(|index| key(index, index % KEYS)).collect();
-        let mut asked = keys.iter().cycle();
-        criterion.bench_function(&format!("judge_key_{tenants}_tenants"), |bencher| {
+        let keys: Vec<String> = (0..tenant_count).map(|index| key_text(index, index % KEYS_PER_TENANT)).collect();
+        let mut next_keys = keys.iter().cycle();
+        criterion.bench_function(&format!("judge_key_{tenant_count}_tenants"), |bencher| {
             bencher.iter(|| {
-                let key = asked.next().expect("keys go round");
+                let key = next_keys.next().expect("the cycle of keys never ends");
                 let credential =
                     KeyDigest::of(black_box(key.as_bytes())).map_or(Credential::Malformed, Credential::Key);
-                let whose = table.authenticate(&route, credential).expect("a known key");
-                black_box(table.rank(whose, &route))
+                let tenant_key = table.authenticate(&route, credential).expect("a known key");
+                black_box(table.rank(tenant_key, &route))
             });
         });
         let credential = Credential::Key(KeyDigest::of(keys[0].as_bytes()).expect("a key"));
-        criterion.bench_function(&format!("judge_digest_{tenants}_tenants"), |bencher| {
+        criterion.bench_function(&format!("judge_digest_{tenant_count}_tenants"), |bencher| {
             bencher.iter(|| black_box(table.accepts(black_box(credential))));
         });
     }
 }
 
-criterion_group!(benches, judging);
+criterion_group!(benches, benchmark_authentication);
 criterion_main!(benches);
--- a/crates/staircross-routing/tests/goal.rs
+++ b/crates/staircross-routing/tests/goal.rs
@@ -1,4 +1,4 @@
-//! The time within which a node must answer, by the round trip to the caller.
+//! The time that a node has for an answer, which depends on the route's goal and the round trip to the caller.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn link(millis: f64, is_new_connection: bool) -> CallerLink {
-    CallerLink { round_trip: Some(Duration::from_secs_f64(millis / 1000.0)), is_new_connection }
+fn link(round_trip_ms: f64, is_new_connection: bool) -> CallerLink {
+    CallerLink { round_trip: Some(Duration::from_secs_f64(round_trip_ms / 1000.0)), is_new_connection }
 }
 
 fn usable_goal_of(goal_ms: u64, link: CallerLink) -> Duration {
@@ -44,16 +44,19 @@
 #[test]
 fn an_answer_is_due_by_the_goal_less_what_its_request_waited_and_never_after_the_deadline() {
     let now = BootTime::from_millis(100_000);
-    for (goal, waited, deadline, after) in
+    // Inputs: usable goal, time that the request waited to be read, time until the deadline. Expected: time until the
+    // answer is due. All times are in ms.
+    for (goal, waited, deadline, due_after) in
         [(200, 0, 1000, 200), (200, 50, 1000, 150), (200, 300, 1000, 0), (200, 0, 90, 90)]
     {
-        let [goal, waited, deadline, after] = [goal, waited, deadline, after].map(Duration::from_millis);
-        assert_eq!(answer_by(now, goal, waited, now + deadline), now + after);
+        let [goal, waited, deadline, due_after] = [goal, waited, deadline, due_after].map(Duration::from_millis);
+        assert_eq!(answer_by(now, goal, waited, now + deadline), now + due_after);
     }
 }
 
-/// Returns the time from a request's arrival until it is answered with one of four shards missing.
-fn partial_answer_after(link: CallerLink) -> Duration {
+/// Returns the time from a request's arrival to its answer if three of four shards answer at once and the fourth never
+/// does.
+fn time_to_partial_answer(link: CallerLink) -> Duration {
     let shards = ["w", "x", "y", "z"];
     let searchers = shards.map(|shard| searcher(&format!("{shard}-a"), shard, "a")).to_vec();
     let mut driver = Driver::with(definition(1, vec![route("q", gather(&shards, 3, 0.5))], &shards), searchers);
@@ -70,6 +73,6 @@
 
 #[test]
 fn the_parts_that_are_in_go_out_early_enough_for_their_caller() {
-    assert_eq!(partial_answer_after(link(1.0, true)), Duration::from_millis(236));
-    assert_eq!(partial_answer_after(link(20.0, true)), Duration::from_millis(160));
+    assert_eq!(time_to_partial_answer(link(1.0, true)), Duration::from_millis(236));
+    assert_eq!(time_to_partial_answer(link(20.0, true)), Duration::from_millis(160));
 }
--- a/crates/staircross-routing/tests/rejection.rs
+++ b/crates/staircross-routing/tests/rejection.rs
@@ -1,4 +1,4 @@
-//! Searchers that reject work although they are healthy.
+//! Searchers that are healthy but reject requests: work moves to others, and returns after the searchers recover.
 
 mod common;
 
@@ -10,13 +10,15 @@
 /// Time between requests, in milliseconds.
 const SPACING_MS: u64 = 20;
 
-/// A node and the searchers of one service, of which some reject all requests.
+/// A node and the searchers of one service. Those listed as `rejecting` reject all requests.
 struct Site {
     driver: Driver,
     rejecting: Vec<&'static str>,
-    arrivals: BTreeMap<String, usize>,
+    /// Number of attempts that each searcher received and that have ended.
+    attempts_received: BTreeMap<String, usize>,
     requests: Vec<RequestKey>,
-    ended: usize,
+    /// Number of sends, counted from the first, whose attempts have ended.
+    ended_sends: usize,
 }
 
 impl Site {
@@ -24,10 +26,10 @@
         let mut route = route("s", RouteTarget::Service(Arc::from("x")));
         route.max_attempts = searchers.len() as u32;
         let driver = Driver::with(definition(1, vec![route], &["x"]), searchers);
-        Site { driver, rejecting: Vec::new(), arrivals: BTreeMap::new(), requests: Vec::new(), ended: 0 }
+        Site { driver, rejecting: Vec::new(), attempts_received: BTreeMap::new(), requests: Vec::new(), ended_sends: 0 }
     }
 
-    /// Sends requests. Rejecting searchers reject at once; the others answer after 5 ms.
+    /// Sends this number of requests. Rejecting searchers reject at once; the others answer after 5 ms.
     fn send_requests(&mut self, requests: usize) {
         for _ in 0..requests {
             let key = self.driver.request("/s/1");
@@ -35,32 +37,36 @@
             self.end_rejected();
             self.driver.advance_ms(5);
             self.end_rejected();
-            while self.ended < self.driver.sends.len() {
-                self.end(answer(200, "p", Vec::new()));
+            while self.ended_sends < self.driver.sends.len() {
+                self.end_next(answer(200, "p", Vec::new()));
                 self.end_rejected();
             }
             self.driver.advance_ms(SPACING_MS - 5);
         }
     }
 
+    /// Ends the next attempts as rejected, up to the first one whose searcher doesn't reject.
     fn end_rejected(&mut self) {
-        while self.driver.sends.get(self.ended).is_some_and(|order| self.rejecting.contains(&&*order.instance)) {
-            self.end(AttemptOutcome::NotRun(NotRun::Shed));
+        while self.driver.sends.get(self.ended_sends).is_some_and(|order| self.rejecting.contains(&&*order.instance)) {
+            self.end_next(AttemptOutcome::NotRun(NotRun::Shed));
         }
     }
 
-    fn end(&mut self, outcome: AttemptOutcome) {
-        let order = self.driver.sends[self.ended].clone();
-        self.ended += 1;
-        *self.arrivals.entry(order.instance.to_string()).or_default() += 1;
+    /// Ends the earliest attempt that is still open.
+    fn end_next(&mut self, outcome: AttemptOutcome) {
+        let order = self.driver.sends[self.ended_sends].clone();
+        self.ended_sends += 1;
+        *self.attempts_received.entry(order.instance.to_string()).or_default() += 1;
         self.driver.end(order.attempt, outcome);
     }
 
-    fn arrivals(&mut self, instance: &str) -> usize {
-        self.arrivals.remove(instance).unwrap_or_default()
+    /// Returns the number of attempts that a searcher received, and resets it.
+    fn take_attempts_received(&mut self, instance: &str) -> usize {
+        self.attempts_received.remove(instance).unwrap_or_default()
     }
 
-    fn unserved(&self) -> usize {
+    /// Returns the number of requests that were refused.
+    fn count_refused(&self) -> usize {
         self.requests.iter().filter(|key| self.driver.refusal(**key).is_some()).count()
     }
 }
@@ -74,11 +80,11 @@
     let mut site = site_with_three_searchers();
     site.rejecting = vec!["a1", "a2"];
     site.send_requests(20);
-    site.arrivals.clear();
+    site.attempts_received.clear();
     site.send_requests(200);
-    let rejected = site.arrivals("a1") + site.arrivals("a2");
+    let rejected = site.take_attempts_received("a1") + site.take_attempts_received("a2");
     assert!(rejected < 20, "{rejected} attempts for 200 requests were rejected");
-    assert_eq!(site.unserved(), 0);
+    assert_eq!(site.count_refused(), 0);
 }
 
 #[test]
@@ -87,11 +93,11 @@
     site.rejecting = vec!["a1"];
     site.send_requests(100);
     site.rejecting.clear();
-    // In these eighteen seconds the estimate halves more than four times, as nothing confirms it.
+    // In these 18 s, the estimated rejection rate halves more than four times, as the searcher rejects nothing more.
     site.send_requests(900);
-    site.arrivals.clear();
+    site.attempts_received.clear();
     site.send_requests(100);
-    assert!(site.arrivals("a1") > 20);
+    assert!(site.take_attempts_received("a1") > 20);
 }
 
 #[test]
@@ -100,6 +106,6 @@
     site.rejecting = vec!["a1", "a2", "b1"];
     site.send_requests(300);
     for instance in ["a1", "a2", "b1"] {
-        assert!(site.arrivals(instance) > 15, "{instance} isn't asked any more");
+        assert!(site.take_attempts_received(instance) > 15, "{instance} isn't asked any more");
     }
 }
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests to one service: at-most-once execution, refusals, retries, and the answers that are passed on.
+//! Requests to one service: routing by path, at-most-once execution, retries, refusals, and the answers that are passed
+//! on to the caller.
 
 mod common;
 
@@ -14,14 +15,14 @@
 
 #[test]
 fn an_unknown_path_has_no_route_and_the_longest_prefix_wins() {
-    let mut longer = service_route("r/deep", "deep");
-    longer.path_prefix = Arc::from("/r/deep/");
-    let routes = vec![service_route("r", "books"), longer];
+    let mut deep_route = service_route("r/deep", "deep");
+    deep_route.path_prefix = Arc::from("/r/deep/");
+    let routes = vec![service_route("r", "books"), deep_route];
     let mut searchers = three_searchers();
     searchers.push(searcher("d1", "deep", "a"));
     let mut driver = Driver::with(definition(1, routes, &["books", "deep"]), searchers);
-    let lost = driver.request("/elsewhere/1");
-    assert_eq!(driver.refusal(lost), Some(ErrorKind::NoRoute));
+    let unrouted = driver.request("/elsewhere/1");
+    assert_eq!(driver.refusal(unrouted), Some(ErrorKind::NoRoute));
     let deep = driver.request("/r/deep/1");
     assert_eq!(driver.instances(deep), ["d1"]);
 }
@@ -59,7 +60,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.sent_for(request).len(), 1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::BackEndsFailed));
-    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that nothing ran");
+    assert_eq!(ErrorKind::BackEndsFailed.http_status(), 502, "status 502 doesn't promise that the request did not run");
 }
 
 #[test]
@@ -70,8 +71,8 @@
     assert_eq!(driver.sent_for(request).len(), 1);
 }
 
-/// Lets every searcher shed a request until it is refused, at its timeout at the latest. Checks that two searchers were
-/// asked. Returns the kind of the refusal.
+/// Ends every open attempt of a request as shed until the engine refuses the request, and returns the kind of the
+/// refusal. Fails if the request isn't refused within its timeout, or if it wasn't sent to exactly two searchers.
 fn shed_until_refused(driver: &mut Driver, request: RequestKey) -> ErrorKind {
     let mut ended = driver.sent_for(request).len() - 1;
     for _ in 0..400 {
@@ -97,7 +98,7 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
     let kind = shed_until_refused(&mut driver, request);
-    assert_eq!(kind.executed(), Executed::Never, "{kind}: every attempt was answered as not run");
+    assert_eq!(kind.executed(), Executed::Never, "{kind}: no attempt has run");
 }
 
 #[test]
@@ -106,7 +107,7 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::Unknown(Unknown::Broken));
     let kind = shed_until_refused(&mut driver, request);
-    assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that nothing ran");
+    assert!(!matches!(kind.http_status(), 408 | 421 | 429 | 503), "{kind} promises that the request did not run");
 }
 
 #[test]
@@ -122,10 +123,10 @@
 
 #[test]
 fn a_kept_connection_that_had_ended_costs_nothing_and_bars_nobody() {
-    let only = vec![searcher("i-1", "one", "a")];
-    let mut once = service_route("r", "one");
-    once.is_idempotent = false;
-    let mut driver = Driver::with(definition(1, vec![once], &["one"]), only);
+    let searchers = vec![searcher("i-1", "one", "a")];
+    let mut once_only_route = service_route("r", "one");
+    once_only_route.is_idempotent = false;
+    let mut driver = Driver::with(definition(1, vec![once_only_route], &["one"]), searchers);
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Stale));
     driver.end(driver.sends[1].attempt, AttemptOutcome::NotRun(NotRun::Stale));
--- a/crates/staircross-routing/tests/rule_admission.rs
+++ b/crates/staircross-routing/tests/rule_admission.rs
@@ -1,11 +1,13 @@
-//! Tables of the admission rules without an engine: the tolerable wait for a goal, when a limit begins and how it
-//! changes, the fraction admitted by rank, the usual work, and the wait that is evaluated.
+//! Table tests of the admission rules without an engine: the tolerable wait for a goal, when a limit begins and how
+//! it changes, the fraction that is admitted by rank, the usual work, and the wait that is evaluated.
 
 use staircross_routing::decision::admission::{Admission, UsualWork, Wait, tolerable_wait};
 use staircross_types::BootTime;
 use std::time::Duration;
 
+/// Time between two evaluations, in milliseconds.
 const SPACING_MS: u64 = 250;
+/// Tolerable wait in all evaluations.
 const TOLERABLE: Duration = Duration::from_millis(100);
 
 fn at(millis: u64) -> BootTime {
@@ -21,7 +23,7 @@
 }
 
 /// Returns an admission that evaluated a wait of `ratio` times the tolerable one at each spacing from 0 to `until_ms`.
-fn evaluated(ratio: f64, until_ms: u64) -> Admission {
+fn admission_after_evaluations(ratio: f64, until_ms: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..=until_ms / SPACING_MS {
         admission.evaluate(at(step * SPACING_MS), TOLERABLE.mul_f64(ratio), TOLERABLE);
@@ -56,7 +58,7 @@
         (4.0, 60_000, 0.05),
     ];
     for (ratio, until_ms, expected) in rows {
-        assert_close(evaluated(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
+        assert_close(admission_after_evaluations(ratio, until_ms).level(), expected, &format!("{ratio} {until_ms}"));
     }
 }
 
@@ -70,12 +72,12 @@
         (0.5, 250, 0.768_75),
         (0.3, 250, 0.7875),    // This is the largest increase while sub-requests queue.
         (0.1, 250, 0.84),      // No sub-requests queue.
-        (0.3, 1000, 0.911_63), // The increase is that of four spacings.
-        (0.7, 1000, 0.731_25), // A decrease is that of one spacing only.
+        (0.3, 1000, 0.911_63), // An increase counts all four spacings.
+        (0.7, 1000, 0.731_25), // A decrease counts one spacing only.
         (0.1, 1000, 1.0),
     ];
     for (ratio, after_ms, expected) in rows {
-        let mut admission = evaluated(4.0, 3750);
+        let mut admission = admission_after_evaluations(4.0, 3750);
         admission.evaluate(at(3750 + after_ms), TOLERABLE.mul_f64(ratio), TOLERABLE);
         assert_close(admission.level(), expected, &format!("{ratio} {after_ms}"));
     }
@@ -85,7 +87,7 @@
 fn a_decrease_waits_for_its_effect_twice_the_wait_and_a_second_at_most() {
     // Inputs: wait in ms. Expected: ms from the decrease until the next evaluation is due.
     for (wait_ms, expected_ms) in [(150, 550), (400, 1050), (900, 1250)] {
-        let mut admission = evaluated(4.0, 3750);
+        let mut admission = admission_after_evaluations(4.0, 3750);
         admission.evaluate(at(4000), ms(wait_ms), TOLERABLE);
         assert!(!admission.is_due(at(4000 + expected_ms - 1)), "{wait_ms}: early");
         assert!(admission.is_due(at(4000 + expected_ms)), "{wait_ms}: late");
@@ -94,7 +96,8 @@
 
 #[test]
 fn less_urgent_routes_are_taken_a_little_less() {
-    let admission = evaluated(4.0, 3750);
+    let admission = admission_after_evaluations(4.0, 3750);
+    // Inputs: number of ranks below the most urgent one. Expected: admitted fraction.
     for (ranks, expected) in [(0, 0.75), (1, 0.708_06), (2, 0.668_46)] {
         assert_close(admission.admitted_fraction(ranks), expected, &format!("{ranks}"));
     }
@@ -102,7 +105,7 @@
 
 #[test]
 fn usual_work_is_the_least_median_and_rises_with_what_is_refused() {
-    // After half a second of samples of 10 ms follow 10 s of samples.
+    // Samples of 10 ms are recorded for 0.5 s, and the later samples for 10 s.
     // Inputs: work of the later samples in ms, admission level. Expected: usual work at the end in ms.
     for (later_ms, level, expected) in [(10, 1.0, 10.0), (5, 1.0, 5.0), (40, 1.0, 10.2), (40, 0.5, 11.573)] {
         let mut usual = UsualWork::default();
@@ -120,13 +123,13 @@
         (10, 1500, Some(30)),
         (10, 1501, Some(0)), // The samples took 0.23 s, so no requests were sent since.
         (100, 1501, None),   // The samples took 2.3 s, so the next ones are still being collected.
-        (100, 3450, None),   // The age is 1.5 times the time of collection.
+        (100, 3450, None),   // The age is just 1.5 times the time of collection.
         (100, 3451, Some(0)),
     ];
     for (apart_ms, age_ms, expected) in rows {
         let mut wait = Wait::at_group(1);
         (0..24).for_each(|step| wait.record(at(step * apart_ms), ms(30)));
         let found = wait.for_admission(at(23 * apart_ms + age_ms)).map(|wait| wait.as_secs_f64() * 1000.0);
-        assert_eq!(found.map(|wait| wait.round() as u64), expected, "{apart_ms} {age_ms}");
+        assert_eq!(found.map(|wait_ms| wait_ms.round() as u64), expected, "{apart_ms} {age_ms}");
     }
 }
--- a/crates/staircross-routing/tests/rule_giving_up.rs
+++ b/crates/staircross-routing/tests/rule_giving_up.rs
@@ -1,4 +1,5 @@
-//! Tables of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or refused.
+//! Table tests of the rules of a request's lifecycle without an engine: when a request is begun, held, answered or
+//! refused.
 
 mod common;
 
@@ -99,26 +100,30 @@
 
 #[test]
 fn a_hold_takes_a_quarter_of_the_callers_patience_and_half_a_second_at_most() {
+    // Inputs: timeout of the caller. Expected: time until the hold ends. All times are in ms.
     for (caller_timeout, after) in [(None, 500), (Some(400), 100), (Some(2000), 500), (Some(60_000), 500)] {
         assert_eq!(hold_until(NOW, caller_timeout.map(ms)), NOW + ms(after), "{caller_timeout:?}");
     }
     let on = RoutingPolicy::default();
     let off = RoutingPolicy { holds: false, ..on };
-    for (held, policy, may) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
-        assert_eq!(may_hold(held, &policy), may, "{held}");
+    // Inputs: number of requests that are held already, policy. Expected: whether another one may be held.
+    for (held, policy, expected) in [(0, on, true), (511, on, true), (512, on, false), (0, off, false)] {
+        assert_eq!(may_hold(held, &policy), expected, "{held}");
     }
 }
 
 #[test]
 fn a_shard_waits_only_for_what_comes_before_the_deadline() {
-    for (retry_at, late) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
-        assert_eq!(is_too_late(retry_at, NOW), late);
+    // Inputs: time of the retry. `NOW` is the deadline. Expected: whether the retry is too late.
+    for (retry_at, expected) in [(NOW - ms(1), false), (NOW, true), (NOW + ms(1), true)] {
+        assert_eq!(is_too_late(retry_at, NOW), expected);
     }
 }
 
 #[test]
 fn a_request_ends_when_nothing_more_can_come_too_little_can_or_it_is_time() {
-    // The request has four shards, and parts of three make an answer.
+    // The request has four shards, and parts of at least three make an answer.
+    // Inputs: progress of the request. Expected: whether it continues, is answered or fails.
     let waiting = Progress {
         parts: 0,
         open: 4,
@@ -135,7 +140,7 @@
         (Progress { parts: 3, open: 0, ..waiting }, EndDecision::Answer),
         (Progress { parts: 3, open: 1, is_past_goal: true, ..waiting }, EndDecision::Answer),
         (Progress { parts: 3, open: 1, may_grow_in_time: false, ..waiting }, EndDecision::Answer),
-        // Too few parts for an answer: a late answer is better than none.
+        // There are too few parts for an answer. The request continues, as a late answer is better than none.
         (Progress { parts: 2, open: 2, is_past_goal: true, ..waiting }, EndDecision::Continue),
         (Progress { parts: 2, open: 2, may_grow_in_time: false, ..waiting }, EndDecision::Continue),
         (Progress { parts: 2, open: 2, is_past_goal: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
@@ -146,19 +151,21 @@
         (Progress { parts: 0, open: 0, awaits_outcome: true, ..waiting }, EndDecision::Fail),
         (Progress { parts: 0, open: 1, awaits_outcome: true, is_past_deadline: true, ..waiting }, EndDecision::Fail),
     ];
-    for (progress, standing) in rows {
-        assert_eq!(decide_end(progress), standing, "{progress:?}");
+    for (progress, expected) in rows {
+        assert_eq!(decide_end(progress), expected, "{progress:?}");
     }
 }
 
 #[test]
 fn a_searchers_own_failure_is_passed_on_unless_it_is_one_part_of_several_or_promises_not_run() {
-    for (status, is_gather, passed) in [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
+    // Inputs: status of the failure, whether the request is a gather. Expected: whether the failure is passed on.
+    for (status, is_gather, expected) in
+        [(500, false, true), (502, false, true), (503, false, false), (500, true, false)]
     {
         let AttemptOutcome::Answered(failure) = answer(status, "", Vec::new()) else {
             panic!("an answer");
         };
-        assert_eq!(is_passed_on(&failure, is_gather), passed, "{status}");
+        assert_eq!(is_passed_on(&failure, is_gather), expected, "{status}");
     }
 }
 
--- a/crates/staircross-routing/tests/rule_quarantine.rs
+++ b/crates/staircross-routing/tests/rule_quarantine.rs
@@ -1,4 +1,4 @@
-//! Tables of the quarantine rule without an engine: the events of a content, and its resulting suspicion.
+//! Table tests of the quarantine rule without an engine: the events of a content, and the suspicion that results.
 
 use staircross_routing::decision::quarantine::{LostAttempt, Quarantine, Suspicion};
 use staircross_routing::{ContentKey, InstanceKey, RouteDigest};
@@ -49,20 +49,20 @@
 }
 
 /// Returns the losses of three searchers, each of which was sent the content after the previous one was lost.
-fn in_sequence() -> Vec<Event> {
+fn three_losses_in_sequence() -> Vec<Event> {
     vec![lost(1, 2000, 2010), lost(2, 2020, 2030), lost(3, 2040, 2050)]
 }
 
 #[test]
 fn losses_since_the_last_answer_make_a_content_suspect_and_a_sequence_of_three_quarantined() {
-    let with = |more: &[Event]| [in_sequence().as_slice(), more].concat();
+    let with = |more: &[Event]| [three_losses_in_sequence().as_slice(), more].concat();
     let rows = [
         ("nothing lost", vec![], Suspicion::None),
         ("one loss", vec![lost(1, 2000, 2010)], Suspicion::None),
         ("two losses", vec![lost(1, 2000, 2010), lost(2, 2000, 2010)], Suspicion::Suspect),
         ("one searcher twice", vec![lost(1, 2000, 2010), lost(1, 2020, 2030)], Suspicion::None),
         ("three at once", vec![lost(1, 2000, 2010), lost(2, 2000, 2011), lost(3, 2000, 2012)], Suspicion::Suspect),
-        ("three in sequence", in_sequence(), Suspicion::Quarantined),
+        ("three in sequence", three_losses_in_sequence(), Suspicion::Quarantined),
         ("answered since", with(&[Answered { at: 2060 }]), Suspicion::None),
         ("one lost searcher is alive", with(&[Alive { searcher: 2, sent: 2040, at: 2070 }]), Suspicion::Suspect),
         (
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_quarantined_content_is_tried_again_after_an_hour_and_a_route_is_on_alarm_for_15_s() {
-    let quarantine = quarantine_after(&in_sequence());
+    let quarantine = quarantine_after(&three_losses_in_sequence());
     // Inputs: seconds since the newest loss. Expected: suspicion, and whether the route is on alarm.
     let rows = [
         (0, Suspicion::Quarantined, true),
@@ -108,7 +108,8 @@
             quarantine.note_lost(at(10), lost);
         }
     }
-    // Expected: contents of each datagram. Three are newly suspect ones, the newest first, and then follow two in turn.
+    // Expected: contents of each datagram. Up to three newly suspect ones come first, the newest of them at the front.
+    // Up to two others follow in turn, unless the datagram already has them.
     for expected in [vec![7, 6, 5, 0, 1], vec![4, 3, 2], vec![1, 0, 4, 5], vec![6, 7]] {
         let sent: Vec<u64> = quarantine.next_records(at(1000)).iter().map(|record| record.content.0).collect();
         assert_eq!(sent, expected);
--- a/crates/staircross-routing/tests/store_lanes.rs
+++ b/crates/staircross-routing/tests/store_lanes.rs
@@ -1,4 +1,5 @@
-//! The lanes of a store reader: a listing, then watches from its revision, and the pauses between calls.
+//! The lanes of a store reader. A lane lists its items and then watches from the revision of the listing, with pauses
+//! between the calls.
 
 mod common;
 
@@ -27,16 +28,20 @@
 fn a_listing_of_several_pages_is_whole_only_with_the_last() {
     let mut driver = ReaderDriver::new();
     driver.calls_within(0, Lane::Searchers);
-    let first = changes(vec![(3, searcher("a", false))]);
+    let first_page = changes(vec![(3, searcher("a", false))]);
     let next = Some("servers/a".to_owned());
-    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next: next.clone() });
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first_page, at: 20, next: next.clone() });
     assert!(driver.learned.is_empty());
     assert_eq!(driver.calls_within(0, Lane::Searchers), [StoreCall::List { lane: Lane::Searchers, after: next }]);
-    let second = changes(vec![(22, searcher("b", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 25, next: None });
-    let (_, whole) = &driver.learned[0];
-    assert!(whole.is_complete_for_searchers);
-    assert_eq!((whole.items.len(), whole.up_to), (2, 20), "all changes are known only up to the first page's revision");
+    let second_page = changes(vec![(22, searcher("b", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second_page, at: 25, next: None });
+    let (_, whole_listing) = &driver.learned[0];
+    assert!(whole_listing.is_complete_for_searchers);
+    assert_eq!(
+        (whole_listing.items.len(), whole_listing.up_to),
+        (2, 20),
+        "all changes are known only up to the first page's revision"
+    );
     let calls = driver.calls_within(0, Lane::Searchers);
     assert!(is_watch_after(&calls[0], 20), "{calls:?}");
 }
@@ -52,19 +57,19 @@
     let mut is_watching = !driver.calls_within(0, Lane::Configuration).is_empty();
     let mut calls = 0;
     for step in 0..30 {
-        // The configuration changes every 100 ms, and an open watch returns at once.
+        // The configuration changes every 100 ms, and an open watch returns each change at once.
         if is_watching {
             let revision = step + 2;
             let update = changes(vec![(revision, configuration(revision))]);
             driver.reply(Lane::Configuration, StoreReply::Changes { update, at: revision });
             is_watching = false;
         }
-        let made = driver.calls_within(100, Lane::Configuration).len();
-        calls += made;
-        is_watching |= made > 0;
+        let new_calls = driver.calls_within(100, Lane::Configuration).len();
+        calls += new_calls;
+        is_watching |= new_calls > 0;
     }
     assert!(calls <= 8, "{calls} calls in 3 s of frequent changes");
-    assert!(calls >= 4, "{calls} calls: changes must not be learned seconds late");
+    assert!(calls >= 4, "{calls} calls in 3 s: changes must not be learned seconds late");
 }
 
 #[test]
@@ -112,19 +117,20 @@
     assert!(is_watch_after(&calls[0], 33), "{calls:?}");
 }
 
-/// Guards against the loss of all searchers of a listing's first page. A peer's answer that arrived between two pages
-/// moved the lane to its revision, so the first page was dropped and the last page was taken for the whole listing.
+/// Guards against the loss of all searchers on a listing's first page. A peer's answer that arrived between two pages
+/// set the lane to the revision of the answer. The first page was dropped, and the last page was taken for the whole
+/// listing.
 #[test]
 fn a_page_that_comes_after_a_peers_report_is_not_taken_for_the_whole() {
     let mut driver = ReaderDriver::new();
     driver.calls_within(0, Lane::Searchers);
     let next = Some("servers/a".to_owned());
-    let first = changes(vec![(3, searcher("a", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: first, at: 20, next });
+    let first_page = changes(vec![(3, searcher("a", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: first_page, at: 20, next });
     driver.calls_within(0, Lane::Searchers);
     driver.reader.on_peer_report(Lane::Searchers, 21);
-    let second = changes(vec![(4, searcher("b", false))]);
-    driver.reply(Lane::Searchers, StoreReply::Items { update: second, at: 22, next: None });
+    let second_page = changes(vec![(4, searcher("b", false))]);
+    driver.reply(Lane::Searchers, StoreReply::Items { update: second_page, at: 22, next: None });
     let mut mirror = Mirror::default();
     mirror.merge(listing(21, vec![(3, searcher("a", false)), (4, searcher("b", false))]));
     driver.learned.into_iter().for_each(|(_, update)| drop(mirror.merge(update)));
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: revoked keys, ranks, allowed regions, outdated configurations and quotas.
+//! Requests of tenants: revoked keys, allowed regions, ranks, quarantined contents, outdated configurations and quotas.
 
 mod common;
 
@@ -35,7 +35,7 @@
     TenantDefinition { allowed_regions: regions.iter().map(|region| Arc::from(*region)).collect(), ..tenant }
 }
 
-fn service(name: &str) -> RouteTarget {
+fn service_target(name: &str) -> RouteTarget {
     RouteTarget::Service(Arc::from(name))
 }
 
@@ -45,7 +45,7 @@
     let routes = vec![
         route("both", gather(&["x", "y"], 2, 1.0)),
         route("any", gather(&["x", "y"], 2, 0.5)),
-        route("one", service("x")),
+        route("one", service_target("x")),
     ];
     RoutingDefinition { tenants: tenants.to_vec(), ..definition(version, routes, &["x", "y"]) }
 }
@@ -60,11 +60,13 @@
     Driver::with(definition_with(1, &[tenant("kami", &[KEY]), tenant("nuro", &[OTHER_KEY])]), searchers())
 }
 
-fn definition_without_key(number: u64) -> RoutingDefinition {
-    definition_with(number, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
+/// Returns a configuration of this version in which `KEY` is withdrawn.
+fn definition_without_key(version: u64) -> RoutingDefinition {
+    definition_with(version, &[tenant("kami", &[]), tenant("nuro", &[OTHER_KEY])])
 }
 
-fn ask(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
+/// Lets a request with this API key arrive.
+fn request_with_key(driver: &mut Driver, path: &str, key: &str) -> RequestKey {
     let mut arrival = driver.arrival(path);
     arrival.credential = credential(key);
     let request = arrival.key;
@@ -81,7 +83,7 @@
 #[test]
 fn a_request_whose_key_goes_while_it_waits_is_refused_right_then_as_not_run() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     for _ in 0..3 {
         end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
@@ -96,7 +98,7 @@
 #[test]
 fn a_key_that_moves_keeps_the_tenant_that_its_request_began_with() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_with(2, &[tenant("nuro", &[KEY])]));
     end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     let identities: Vec<SentIdentity> = driver.sent_for(request).iter().map(|order| order.identity.clone()).collect();
@@ -106,7 +108,7 @@
 #[test]
 fn a_request_goes_on_when_there_are_no_tenants_any_more() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_with(2, &[]));
     end_attempts(&mut driver, request, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Retry]);
@@ -115,22 +117,23 @@
 #[test]
 fn neither_retries_nor_hedges_are_sent_for_a_key_that_is_withdrawn() {
     let mut driver = driver_with_two_tenants();
-    let (failed, late) = (ask(&mut driver, "/one/1", KEY), ask(&mut driver, "/one/2", KEY));
+    let (failed, unfinished) =
+        (request_with_key(&mut driver, "/one/1", KEY), request_with_key(&mut driver, "/one/2", KEY));
     driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "running attempts may finish");
     end_attempts(&mut driver, failed, &AttemptOutcome::Unknown(Unknown::Broken));
     assert_eq!(driver.unsent, [(failed, UnsentCause::KeyRevoked)]);
     assert_eq!(driver.refusal(failed), Some(ErrorKind::BackEndsFailed), "the request may have run");
     driver.advance_ms(3000);
-    assert_eq!(driver.reasons(late), [SendReason::First]);
-    end_attempts(&mut driver, late, &answer(200, "p", Vec::new()));
-    assert!(matches!(driver.verdict(late), Some(Verdict::Passed(_))));
+    assert_eq!(driver.reasons(unfinished), [SendReason::First]);
+    end_attempts(&mut driver, unfinished, &answer(200, "p", Vec::new()));
+    assert!(matches!(driver.verdict(unfinished), Some(Verdict::Passed(_))));
 }
 
 #[test]
 fn a_withdrawn_key_whose_first_attempt_surely_did_not_run_is_refused_as_such() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/one/1", KEY);
+    let request = request_with_key(&mut driver, "/one/1", KEY);
     driver.configure(definition_without_key(2));
     end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::Stale));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
@@ -139,7 +142,7 @@
 #[test]
 fn an_attempt_that_waits_for_a_connection_is_taken_back_when_its_key_goes() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/both/1", KEY);
+    let request = request_with_key(&mut driver, "/both/1", KEY);
     driver.configure(definition_without_key(2));
     let sent: Vec<_> = driver.sent_for(request).iter().map(|order| order.attempt).collect();
     assert_eq!(driver.recalled, sent);
@@ -152,12 +155,12 @@
 #[test]
 fn parts_under_way_are_delivered_when_the_key_of_their_request_goes() {
     let mut driver = driver_with_two_tenants();
-    let request = ask(&mut driver, "/any/1", KEY);
+    let request = request_with_key(&mut driver, "/any/1", KEY);
     let (waiting, running) = (driver.sends[0].attempt, driver.sends[1].attempt);
     driver.end(waiting, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
-    let again = driver.sends[2].attempt;
-    driver.end(again, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
-    assert_eq!(driver.sends.len(), 3, "one shard waits");
+    let retry = driver.sends[2].attempt;
+    driver.end(retry, AttemptOutcome::NotRun(NotRun::ConnectionRejected));
+    assert_eq!(driver.sends.len(), 3, "one shard waits for a searcher that accepts a connection");
     driver.configure(definition_without_key(2));
     assert!(driver.finished.is_empty(), "the other shard's attempt is running");
     driver.end(running, answer(200, "p", records(&[7])));
@@ -174,7 +177,7 @@
     let request = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
     let mut next = definition_without_key(2);
-    next.routes.push(route("added", service("x")));
+    next.routes.push(route("added", service_target("x")));
     driver.configure(next);
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
     assert!(driver.sends.is_empty());
@@ -182,36 +185,37 @@
 
 #[test]
 fn a_tenants_regions_bind_beside_its_routes() {
-    let mut south_only = route("south", service("x"));
+    let mut south_only = route("south", service_target("x"));
     south_only.allowed_regions = vec![Arc::from(SOUTH)];
     let mut definition =
         definition_with(1, &[restricted_to(tenant("kami", &[KEY]), &[NORTH]), tenant("nuro", &[OTHER_KEY])]);
     definition.routes.push(south_only);
-    let here_and_there = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
-    let mut driver = Driver::with(definition, here_and_there);
+    let searchers_in_both_regions = vec![searcher("near", "x", "a"), searcher("far", "x", "c")];
+    let mut driver = Driver::with(definition, searchers_in_both_regions);
     // No searcher may ever be asked for this request, so it isn't held although not all searchers are known.
     let mut arrival = driver.arrival("/south/1");
     (arrival.credential, arrival.knows_searchers) = (credential(KEY), false);
-    let nowhere = arrival.key;
+    let unservable = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
-    assert_eq!(driver.refusal(nowhere), Some(ErrorKind::NoAllowedReplica));
-    let other = ask(&mut driver, "/south/2", OTHER_KEY);
+    assert_eq!(driver.refusal(unservable), Some(ErrorKind::NoAllowedReplica));
+    let other = request_with_key(&mut driver, "/south/2", OTHER_KEY);
     assert_eq!(driver.instances(other), ["far"]);
-    let bound = ask(&mut driver, "/one/1", KEY);
-    assert_eq!(driver.instances(bound), ["near"]);
-    end_attempts(&mut driver, bound, &AttemptOutcome::Unknown(Unknown::Broken));
-    assert_eq!(driver.instances(bound), ["near"], "a retry stays within the tenant's regions too");
-    assert_eq!(driver.refusal(bound), Some(ErrorKind::BackEndsFailed));
+    let restricted = request_with_key(&mut driver, "/one/1", KEY);
+    assert_eq!(driver.instances(restricted), ["near"]);
+    end_attempts(&mut driver, restricted, &AttemptOutcome::Unknown(Unknown::Broken));
+    assert_eq!(driver.instances(restricted), ["near"], "a retry stays within the tenant's regions too");
+    assert_eq!(driver.refusal(restricted), Some(ErrorKind::BackEndsFailed));
 }
 
 #[test]
 fn a_tenants_rank_comes_before_its_routes() {
-    let ranked = |name: &str, key: &str, priority| TenantDefinition { priority, ..tenant(name, &[key]) };
-    let mut definition = definition_with(1, &[ranked("low", OTHER_KEY, 700), ranked("high", KEY, 3)]);
+    let tenant_with_priority = |name: &str, key: &str, priority| TenantDefinition { priority, ..tenant(name, &[key]) };
+    let mut definition =
+        definition_with(1, &[tenant_with_priority("low", OTHER_KEY, 700), tenant_with_priority("high", KEY, 3)]);
     for (index, priority) in [(0, 2), (1, 4), (2, 5)] {
         definition.routes[index].priority = priority;
     }
-    definition.routes.push(common::route("more", service("x")));
+    definition.routes.push(common::route("more", service_target("x")));
     definition.routes.last_mut().expect("a route").priority = 2;
     let routes = definition.routes.clone();
     let table = RouteTable::new(Arc::new(definition));
@@ -219,12 +223,12 @@
         let tenant_key = table.authenticate(&routes[route], credential(key)).expect("a known key");
         table.rank(tenant_key, &routes[route])
     };
-    let order = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
-    assert!(order.windows(2).all(|pair| pair[0] < pair[1]), "{order:?}");
+    let ranks = [rank(KEY, 0), rank(KEY, 1), rank(KEY, 2), rank(OTHER_KEY, 0), rank(OTHER_KEY, 1), rank(OTHER_KEY, 2)];
+    assert!(ranks.windows(2).all(|pair| pair[0] < pair[1]), "{ranks:?}");
     assert_eq!(rank(KEY, 0), rank(KEY, 3));
     // The routes of the group have the priorities 2 to 5. The steps of a tenant begin after all steps of the tenant
     // with the next higher priority.
-    let steps: Vec<u32> = order.iter().map(|rank| rank.steps(2..=5)).collect();
+    let steps: Vec<u32> = ranks.iter().map(|rank| rank.steps(2..=5)).collect();
     assert_eq!(steps, [0, 2, 3, 4, 6, 7]);
 }
 
@@ -244,8 +248,8 @@
     definition.routes[2].is_public = true;
     let route = definition.routes[2].clone();
     let table = RouteTable::new(Arc::new(definition));
-    let tenants_least = table.rank(Some(staircross_routing::TenantKey(1)), &route);
-    assert!(table.rank(None, &route) > tenants_least);
+    let lowest_tenant_rank = table.rank(Some(staircross_routing::TenantKey(1)), &route);
+    assert!(table.rank(None, &route) > lowest_tenant_rank);
 }
 
 #[test]
@@ -273,13 +277,13 @@
     assert_eq!(driver.refusal(again), Some(ErrorKind::Quarantined));
     let mut arrival = driver.arrival("/one/deadly");
     (arrival.credential, arrival.content) = (credential(OTHER_KEY), content);
-    let others = arrival.key;
+    let other = arrival.key;
     driver.event(RoutingEvent::Arrived(arrival));
-    assert_ne!(driver.refusal(others), Some(ErrorKind::Quarantined));
+    assert_ne!(driver.refusal(other), Some(ErrorKind::Quarantined));
 }
 
-/// Raises the alarm of the route `both` by the records of a peer that lost three searchers, one after the other, to one
-/// content.
+/// Raises the alarm of the route `both`: a peer reports that one content has crashed three searchers, one after the
+/// other.
 fn raise_alarm(driver: &mut Driver) {
     let mut peer = Quarantine::default();
     for number in 0..3 {
@@ -298,7 +302,7 @@
 fn what_was_answered_for_a_tenant_goes_to_all_shards_at_once_during_an_alarm() {
     let mut driver = driver_with_two_tenants();
     raise_alarm(&mut driver);
-    let mut ask_again = || {
+    let mut repeat_request = || {
         let mut arrival = driver.arrival("/both/harmless");
         (arrival.credential, arrival.content) = (credential(KEY), ContentKey(77));
         let request = arrival.key;
@@ -310,11 +314,13 @@
         }
         sent
     };
-    assert_eq!(ask_again(), 1, "the content hasn't been answered yet");
-    assert_eq!(ask_again(), 2, "the content was answered");
+    assert_eq!(repeat_request(), 1, "the content hasn't been answered yet");
+    assert_eq!(repeat_request(), 2, "the content was answered");
 }
 
-fn ask_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
+/// Lets a request with this API key arrive at a node with this view of the configuration. A peer is known to have
+/// version 2 of it.
+fn request_in_view(driver: &mut Driver, path: &str, key: &str, view: ConfigurationView) -> RequestKey {
     let arrival =
         Arrival { credential: credential(key), configuration_view: view, newest_version: 2, ..driver.arrival(path) };
     let request = arrival.key;
@@ -325,8 +331,8 @@
 #[test]
 fn a_node_that_knows_that_it_is_behind_asks_before_it_takes_a_key_by_an_old_view() {
     let mut driver = driver_with_two_tenants();
-    let withdrawn = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Doubtful);
-    let other = ask_in_view(&mut driver, "/one/2", OTHER_KEY, ConfigurationView::Doubtful);
+    let withdrawn = request_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Doubtful);
+    let other = request_in_view(&mut driver, "/one/2", OTHER_KEY, ConfigurationView::Doubtful);
     assert!(driver.sends.is_empty());
     driver.advance_ms(60);
     driver.configure(definition_without_key(2));
@@ -337,7 +343,7 @@
 #[test]
 fn a_node_that_asked_in_vain_serves_by_what_it_knows() {
     let mut driver = driver_with_two_tenants();
-    let served = ask_in_view(&mut driver, "/one/3", OTHER_KEY, ConfigurationView::Doubtful);
+    let served = request_in_view(&mut driver, "/one/3", OTHER_KEY, ConfigurationView::Doubtful);
     driver.advance_ms(499);
     assert!(driver.sent_for(served).is_empty());
     driver.advance_ms(1);
@@ -348,13 +354,13 @@
 fn an_expired_view_lets_nobody_in_and_denies_nobody() {
     let mut driver = driver_with_two_tenants();
     for key in [KEY, "unknown"] {
-        let request = ask_in_view(&mut driver, "/one/1", key, ConfigurationView::Expired);
+        let request = request_in_view(&mut driver, "/one/1", key, ConfigurationView::Expired);
         assert_eq!(driver.refusal(request), Some(ErrorKind::Unconfirmed));
     }
     assert_eq!(ErrorKind::Unconfirmed.http_status(), 503);
     assert!(driver.sends.is_empty());
     driver.configure(definition_with(2, &[]));
-    let request = ask_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Expired);
+    let request = request_in_view(&mut driver, "/one/1", KEY, ConfigurationView::Expired);
     assert_eq!(driver.sent_for(request).len(), 1, "without tenants no key is needed");
 }
 
@@ -363,7 +369,7 @@
     let quota = Some(Quota { rate_per_s: 1.0, burst: 2.0 });
     let limited = TenantDefinition { quota, ..tenant("kami", &[KEY]) };
     let mut driver = Driver::with(definition_with(1, &[limited, tenant("nuro", &[OTHER_KEY])]), searchers());
-    let requests: Vec<RequestKey> = (0..20).map(|_| ask(&mut driver, "/one/1", KEY)).collect();
+    let requests: Vec<RequestKey> = (0..20).map(|_| request_with_key(&mut driver, "/one/1", KEY)).collect();
     let refused: Vec<RequestKey> =
         requests.iter().copied().filter(|key| driver.refusal(*key) == Some(ErrorKind::OverQuota)).collect();
     assert!((15..20).contains(&refused.len()), "{} of 20 refused", refused.len());
@@ -374,6 +380,6 @@
         };
         assert!(!wait.is_zero());
     }
-    let other = ask(&mut driver, "/one/1", OTHER_KEY);
+    let other = request_with_key(&mut driver, "/one/1", OTHER_KEY);
     assert_eq!(driver.sent_for(other).len(), 1, "another tenant isn't affected");
 }
