--- a/crates/session/staircross-lab/src/sim/world/events.rs
+++ b/crates/session/staircross-lab/src/sim/world/events.rs
@@ -60,7 +60,7 @@
                     && self.nodes[node].open_calls.remove(&reply.attempt).is_some()
                 {
                     self.set_leaving_on_refusal(&reply, incarnation);
-                    self.handle_leaf_event(node, LeafEvent::Reply { reply, run: incarnation });
+                    self.handle_leaf_event(node, LeafEvent::Reply { reply, incarnation });
                 }
             }
             SimEvent::CallTimeout { node, generation, attempt } => self.handle_call_timeout(node, generation, attempt),
--- a/crates/session/staircross-lab/src/sim/world/searchers.rs
+++ b/crates/session/staircross-lab/src/sim/world/searchers.rs
@@ -172,7 +172,7 @@
         let outcome = SubOutcome::Unknown(UnknownReason::Late);
         let reply =
             SubReply { attempt, searcher, snapshot: call.request.snapshot, outcome, worked: Default::default() };
-        self.handle_leaf_event(node, LeafEvent::Reply { reply, run: None });
+        self.handle_leaf_event(node, LeafEvent::Reply { reply, incarnation: None });
     }
 
     /// Sends a probe to a searcher. If it can't be reached, the leaf gets a result without a report.
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -195,7 +195,9 @@
             CoreEvent::Peer(message) => self.on_peer_message(now, message),
             CoreEvent::PeerBroken(address) => self.on_peer_broken(now, address),
             CoreEvent::Undelivered { request, partly_written } => self.on_undelivered(now, &request, partly_written),
-            CoreEvent::SearcherReplied { reply, run } => self.handle_leaf_event(now, LeafEvent::Reply { reply, run }),
+            CoreEvent::SearcherReplied { reply, incarnation } => {
+                self.handle_leaf_event(now, LeafEvent::Reply { reply, incarnation });
+            }
             CoreEvent::Probed { searcher, asked_at, evidence } => {
                 self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, evidence });
             }
--- a/crates/session/staircross-node/src/event.rs
+++ b/crates/session/staircross-node/src/event.rs
@@ -35,7 +35,7 @@
         /// The searcher's reply, or one made by this node that says how the call failed.
         reply: SubReply,
         /// Incarnation of the searcher that replied, if one did.
-        run: Option<SearcherIncarnation>,
+        incarnation: Option<SearcherIncarnation>,
     },
     /// A probe of a searcher ended.
     Probed {
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -119,7 +119,7 @@
     pub fn send(&self, request: SubRequest, send_before: BootTime) {
         let Some(pool) = self.pools.get(&request.searcher) else {
             let reply = not_run(&request, NotRunReason::NotOwner);
-            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, incarnation: None });
             return;
         };
         let queued_jobs = pool.job_receiver.len();
@@ -130,7 +130,7 @@
         if let Err(refused) = pool.jobs.send(Job { request, send_before }) {
             let request = refused.into_inner().request;
             let reply = not_run(&request, NotRunReason::Unconnected);
-            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, incarnation: None });
         }
     }
 
@@ -199,12 +199,12 @@
         };
         // The leaf engine sent the job because of a probe reply that may be too old now, for example after a pause of
         // this thread.
-        let CallResult { reply, run } = if clock::now() >= job.send_before {
+        let CallResult { reply, incarnation } = if clock::now() >= job.send_before {
             CallResult::without_reply(not_run(&job.request, NotRunReason::Unconnected))
         } else {
             client.call(&job.request)
         };
-        if events.send(CoreEvent::SearcherReplied { reply, run }).is_err() {
+        if events.send(CoreEvent::SearcherReplied { reply, incarnation }).is_err() {
             return;
         }
     }
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -35,13 +35,13 @@
     /// The searcher's reply, or one made by this node that says how the call failed.
     pub reply: SubReply,
     /// Incarnation of the searcher that replied, if one did.
-    pub run: Option<SearcherIncarnation>,
+    pub incarnation: Option<SearcherIncarnation>,
 }
 
 impl CallResult {
     /// Creates the result of a call without a reply of the searcher.
     pub fn without_reply(reply: SubReply) -> Self {
-        CallResult { reply, run: None }
+        CallResult { reply, incarnation: None }
     }
 }
 
@@ -97,8 +97,8 @@
         };
         match reply {
             Ok(reply) => {
-                let run = Some(reply.incarnation);
-                CallResult { reply: self.check_reply(request, reply), run }
+                let incarnation = Some(reply.incarnation);
+                CallResult { reply: self.check_reply(request, reply), incarnation }
             }
             Err(CallFailure::NotConnected) => CallResult::without_reply(not_run(request, NotRunReason::Unconnected)),
             Err(CallFailure::TimedOut) => CallResult::without_reply(unknown_outcome(request, UnknownReason::Late)),
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -59,7 +59,7 @@
     /// A root no longer needs the result of an attempt.
     Cancel { from: NodeId, attempt: AttemptId },
     /// A searcher replied, or the call to it failed. `incarnation` is the one that replied, if one did.
-    Reply { reply: SubReply, run: Option<SearcherIncarnation> },
+    Reply { reply: SubReply, incarnation: Option<SearcherIncarnation> },
     /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
     Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
     /// A peer published its view of a searcher.
@@ -117,7 +117,7 @@
             LeafEvent::Owned(shares) => self.set_owned(now, shares, actions),
             LeafEvent::Request { from, request } => self.on_request(now, from, request, actions),
             LeafEvent::Cancel { from, attempt } => self.on_cancel(now, from, attempt, actions),
-            LeafEvent::Reply { reply, run } => self.on_reply(now, reply, run, actions),
+            LeafEvent::Reply { reply, incarnation } => self.on_reply(now, reply, incarnation, actions),
             LeafEvent::Probed { searcher, asked_at, evidence } => {
                 self.on_probed(now, searcher, asked_at, evidence, actions);
             }
@@ -219,12 +219,12 @@
         &mut self,
         now: BootTime,
         reply: SubReply,
-        run: Option<SearcherIncarnation>,
+        incarnation: Option<SearcherIncarnation>,
         actions: &mut Vec<LeafAction>,
     ) {
         let id = reply.searcher;
-        if let (SubOutcome::NotRun(NotRunReason::Draining), Some(run)) = (&reply.outcome, run) {
-            self.leaving_incarnations.insert(id, run);
+        if let (SubOutcome::NotRun(NotRunReason::Draining), Some(incarnation)) = (&reply.outcome, incarnation) {
+            self.leaving_incarnations.insert(id, incarnation);
         }
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
@@ -234,7 +234,7 @@
             return;
         };
         match reply.outcome {
-            SubOutcome::NotRun(NotRunReason::Draining) => searcher.on_draining_refusal(id, run, actions),
+            SubOutcome::NotRun(NotRunReason::Draining) => searcher.on_draining_refusal(id, incarnation, actions),
             SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.evidence_asked_at = None,
             _ => {}
         }
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -67,11 +67,11 @@
     pub(super) fn on_draining_refusal(
         &mut self,
         id: SearcherId,
-        run: Option<SearcherIncarnation>,
+        incarnation: Option<SearcherIncarnation>,
         actions: &mut Vec<LeafAction>,
     ) {
         let known = self.evidence.as_ref().map(|evidence| evidence.incarnation);
-        if run.is_none() || run == known {
+        if incarnation.is_none() || incarnation == known {
             self.mark_leaving(id, actions);
         } else {
             self.evidence_asked_at = None;
--- a/crates/session/staircross-search/tests/leaf.rs
+++ b/crates/session/staircross-search/tests/leaf.rs
@@ -59,7 +59,7 @@
 
     fn refuse_attempt(&mut self, attempt: u32, reason: NotRunReason, run: SearcherIncarnation) {
         let reply = reply(attempt, SubOutcome::NotRun(reason));
-        self.send_event(LeafEvent::Reply { reply, run: Some(run) });
+        self.send_event(LeafEvent::Reply { reply, incarnation: Some(run) });
     }
 
     fn sent_count(&self) -> usize {
@@ -139,7 +139,8 @@
     assert_eq!(fixture.sent_count(), 2);
     fixture.send_request(11);
     assert_eq!(fixture.last_refusal(), Some(NotRunReason::Shed));
-    fixture.send_event(LeafEvent::Reply { reply: reply(1, SubOutcome::Found(Vec::new())), run: Some(FIRST_RUN) });
+    fixture
+        .send_event(LeafEvent::Reply { reply: reply(1, SubOutcome::Found(Vec::new())), incarnation: Some(FIRST_RUN) });
     assert_eq!(fixture.sent_count(), 3);
 }
 
@@ -228,7 +229,8 @@
     fixture.advance(5000);
     fixture.send_event(LeafEvent::Tick);
     assert_eq!(fixture.leaf.in_flight(), 1);
-    fixture.send_event(LeafEvent::Reply { reply: reply(1, SubOutcome::Unknown(UnknownReason::Late)), run: None });
+    fixture
+        .send_event(LeafEvent::Reply { reply: reply(1, SubOutcome::Unknown(UnknownReason::Late)), incarnation: None });
     assert_eq!(fixture.leaf.in_flight(), 0);
 }
 
