--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -208,7 +208,7 @@
 
 /// Returns the settings of a small fleet with three nodes in three zones and three services.
 pub fn fleet_settings() -> WorldSettings {
-    let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_copies: BTreeMap::new() };
+    let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_replicas: BTreeMap::new() };
     let search = ServicePolicy {
         wait_ms: 400,
         least_coverage_per_mille: 500,
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -38,13 +38,13 @@
     /// Standard deviation of the logarithm of the time, which is normally distributed.
     pub sigma: f64,
     /// Shards whose replica at this searcher is slow, each with the factor by which it is slower.
-    pub slow_copies: BTreeMap<ShardId, f64>,
+    pub slow_replicas: BTreeMap<ShardId, f64>,
 }
 
 impl WorkTime {
     /// Draws the time of a sub-request on these shards. The slowest shard determines it.
     pub fn draw(&self, shards: &[ShardId], random: &mut ChaCha8Rng) -> Duration {
-        let factor = shards.iter().filter_map(|shard| self.slow_copies.get(shard)).copied().fold(1.0, f64::max);
+        let factor = shards.iter().filter_map(|shard| self.slow_replicas.get(shard)).copied().fold(1.0, f64::max);
         // A sum of uniform samples is close enough to a normal one and is the same on every machine.
         let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
         self.median.mul_f64(factor * (self.sigma * normal).exp())
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -153,9 +153,9 @@
         let shard = newest_shards.and_then(|shards| shards.iter().next().copied());
         match shard {
             Some(shard) if factor > 1.0 => {
-                self.searchers[index].work_time.slow_copies.insert(shard, factor);
+                self.searchers[index].work_time.slow_replicas.insert(shard, factor);
             }
-            _ => self.searchers[index].work_time.slow_copies.clear(),
+            _ => self.searchers[index].work_time.slow_replicas.clear(),
         }
     }
 
--- a/crates/session/staircross-language/src/parse.rs
+++ b/crates/session/staircross-language/src/parse.rs
@@ -51,7 +51,7 @@
         LineColLocation::Span(start, _) => start,
     };
     let expected = match error.variant {
-        ErrorVariant::ParsingError { positives, .. } => expected_names(&positives),
+        ErrorVariant::ParsingError { positives, .. } => expected_descriptions(&positives),
         ErrorVariant::CustomError { message } => vec![message],
     };
     LanguageError::Syntax { line, column, found: word_at(text, line, column), expected }
@@ -68,15 +68,15 @@
 }
 
 /// Returns the descriptions of the rules that would have matched, sorted and without duplicates.
-fn expected_names(rules: &[Rule]) -> Vec<String> {
-    let mut names: Vec<String> = rules.iter().map(|rule| rule_name(*rule).to_owned()).collect();
-    names.sort();
-    names.dedup();
-    names
+fn expected_descriptions(rules: &[Rule]) -> Vec<String> {
+    let mut descriptions: Vec<String> = rules.iter().map(|rule| rule_description(*rule).to_owned()).collect();
+    descriptions.sort();
+    descriptions.dedup();
+    descriptions
 }
 
 /// Describes what a rule matches, for error messages.
-fn rule_name(rule: Rule) -> &'static str {
+fn rule_description(rule: Rule) -> &'static str {
     match rule {
         Rule::statement => "SEARCH, PULL, RUN, SHOW, CREATE, ALTER, DROP or DRAIN",
         Rule::search => "SEARCH 'terms' IN SERVICE name",
