--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -1,4 +1,7 @@
-//! Limits the rate at which records of requests during which searchers were lost are pushed to peers.
+//! Limits the rate at which case records are pushed to peers.
+//!
+//! A case consists of the requests with one content during which searchers were lost; a record of it lists the losses.
+//! To push records means to send them to some peers at once, instead of with the next periodic datagrams.
 //!
 //! When many searchers end at the same time, many requests are suspected for a moment, and each push goes to a dozen
 //! peers, so the rate of pushes is limited. But a node that doesn't know the suspects yet may send the request that
@@ -16,7 +19,7 @@
 /// updates about them arrive in a few turns of the event loop.
 const MAX_BURST: u32 = 4;
 
-/// Rate limiter for pushes of updates to peers.
+/// Rate limiter for pushes of case records to peers.
 #[derive(Debug, Default)]
 pub struct CasePushLimiter {
     has_update: bool,
--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -121,7 +121,7 @@
         directory
     }
 
-    /// Whether callers are sent to this node.
+    /// Returns whether callers are sent to this node.
     pub fn is_serving(&self, node: NodeId) -> bool {
         self.zones.values().any(|zone| zone.serving().iter().any(|known| known.node == node))
     }
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -14,7 +14,8 @@
 //! | `shape` | the nodes that serve callers, and this node's share of the limits that all nodes share |
 //!
 //! Every datagram carries the sender's configuration version and newest store revision. So a node that can't reach
-//! the store detects that it is behind, and pulls the missing updates from a peer.
+//! the store, or that follows another node instead of reading the store, detects that it is behind, and pulls the
+//! missing updates from a peer by an HTTP call.
 
 mod announcement;
 mod confirmation;
@@ -66,7 +67,7 @@
         /// The member.
         member: Box<Member>,
     },
-    /// A peer sent records of requests during which searchers were lost.
+    /// A peer sent case records, which describe requests during which searchers were lost.
     Cases(Vec<CaseRecord>),
     /// The node has heard no peer for some time, or hears one again.
     Isolated {
@@ -100,7 +101,7 @@
     socket: PeerSocket,
     rng: ChaCha8Rng,
     own_announcement: Announcement,
-    /// Records of requests during which searchers were lost; datagrams of the membership carry them.
+    /// Case records, which describe requests during which searchers were lost; datagrams of the membership carry them.
     case_records: Vec<CaseRecord>,
     /// The last announcement of each peer.
     peer_announcements: HashMap<NodeId, Announcement>,
@@ -234,8 +235,9 @@
         self.apply_and_push(actions, events);
     }
 
-    /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, or is no longer, the
-    /// change is pushed to peers at once, since it decides where callers are sent.
+    /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, that is, too busy for
+    /// more callers, or is no longer pressed, the change is pushed to peers at once, since it decides where callers are
+    /// sent.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
         let is_pressed_changed = is_pressed(percent) != is_pressed(self.own_announcement.load);
         self.own_announcement.load = percent;
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Sets the records of requests during which searchers were lost that the next datagrams carry.
+    /// Sets the case records that the next datagrams carry.
     pub fn set_case_records(&mut self, cases: Vec<CaseRecord>) {
         self.case_records = cases;
     }
--- a/crates/staircross-gateway/src/fleet/announcement.rs
+++ b/crates/staircross-gateway/src/fleet/announcement.rs
@@ -32,14 +32,14 @@
     pub confirmed_age_ms: Option<u32>,
 }
 
-/// Whether the revision is left out of the datagram. This saves bytes, since most fleets never evacuate anything and a
-/// datagram is sent every few milliseconds.
+/// Returns whether the revision is left out of the datagram. This saves bytes, since most fleets never evacuate
+/// anything and a datagram is sent every few milliseconds.
 fn is_zero(revision: &u64) -> bool {
     *revision == 0
 }
 
 impl Announcement {
-    /// Whether `other` announces a newer version or revision than this announcement.
+    /// Returns whether `other` announces a newer version or revision than this announcement.
     pub fn is_behind(&self, other: &Announcement) -> bool {
         other.version > self.version || other.revision > self.revision || other.evacuations > self.evacuations
     }
@@ -55,7 +55,8 @@
     pub to: Option<NodeId>,
     #[serde(rename = "a")]
     pub announcement: Announcement,
-    /// Records of requests during which searchers were lost. If there are many, each datagram carries some of them.
+    /// Case records, which describe requests during which searchers were lost. If there are many, each datagram carries
+    /// some of them.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub cases: Vec<CaseRecord>,
     /// Messages about tenants' quotas.
--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -70,7 +70,7 @@
     }
 
     /// Applies the confirmation that a peer's last datagram announced. The datagram may have waited in the socket while
-    /// this process was paused. So it is assumed to have arrived right after the last time at which none was waiting.
+    /// this process was paused, so it is assumed to have arrived right after the last time at which none was waiting.
     pub(super) fn record_confirmation(&mut self, from: NodeId) {
         let announced = self.peer_announcements.get(&from);
         let Some((version, age)) = announced.and_then(|known| Some((known.version, known.confirmed_age_ms?))) else {
--- a/crates/staircross-gateway/src/fleet/incarnation.rs
+++ b/crates/staircross-gateway/src/fleet/incarnation.rs
@@ -1,4 +1,4 @@
-//! Ids of a node's incarnations.
+//! Ids of a node's incarnations. An incarnation is one run of the node's process.
 //!
 //! An id is random except for its last 32 bits. These are a fingerprint of the store's address, which identifies the
 //! fleet, and of the node's peer address, region and zone. So an incarnation can distinguish datagrams for an earlier
@@ -19,7 +19,7 @@
     NodeId(random & !FINGERPRINT_MASK | u128::from(fingerprint) & FINGERPRINT_MASK)
 }
 
-/// Whether both ids are of incarnations of one node with unchanged settings.
+/// Returns whether both ids are of incarnations of one node with unchanged settings.
 pub(super) fn is_same_node(one: NodeId, other: NodeId) -> bool {
     one.0 & FINGERPRINT_MASK == other.0 & FINGERPRINT_MASK
 }
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -1,5 +1,8 @@
 //! Designated readers of a region, their heartbeats, and the peer from which a node that is behind pulls updates.
 //!
+//! In each region only the designated readers read the store, and the other nodes, the followers, pull updates from
+//! them. A heartbeat is an announcement in which a reader states how long ago the store last answered it.
+//!
 //! This module owns the choice of the readers and of the peer to pull from, and the time since which the node has been
 //! behind. It relies on the membership for the live nodes of each region, and on the last announcements of peers.
 //! `store_role` decides when a designated reader starts to read.
@@ -35,8 +38,8 @@
         self.reader_heartbeat
     }
 
-    /// Whether this node is a designated reader of its region. If the policy has no designated readers, every node
-    /// counts as one.
+    /// Returns whether this node is a designated reader of its region. If the policy has no designated readers, every
+    /// node counts as one.
     pub fn is_designated_reader(&self) -> bool {
         !self.policy.store_readers || self.readers().contains(&self.node)
     }
@@ -60,7 +63,7 @@
         self.alive_region_members().filter(move |member| has_readers && !readers.contains(&member.node))
     }
 
-    /// Whether the region has followers.
+    /// Returns whether the region has followers.
     pub fn has_followers(&self) -> bool {
         self.followers().next().is_some()
     }
@@ -142,7 +145,7 @@
         self.peer_announcements.values().map(|known| known.version).max().unwrap_or_default()
     }
 
-    /// Whether a peer announced a newer version of the configuration than this node has.
+    /// Returns whether a peer announced a newer version of the configuration than this node has.
     pub fn is_version_behind(&self) -> bool {
         self.newest_version() > self.own_announcement.version
     }
@@ -153,7 +156,7 @@
         self.version_behind_since
     }
 
-    /// Records that a pull starts now; the wait before the next pull is counted from here.
+    /// Records that a pull starts now. `PULL_DELAY` before the next pull is counted from this time.
     pub fn note_asked(&mut self, now: BootTime) {
         self.behind_since = Some(now);
     }
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -1,5 +1,7 @@
 //! The nodes that serve callers, and this node's share of the limits that all nodes share.
 //!
+//! The directory sends callers to the serving nodes only; the other ready nodes are reserves.
+//!
 //! This module owns when the directory is rebuilt, and the recent maxima of the numbers of live and serving nodes. It
 //! relies on the directory for the choice of the serving nodes.
 
@@ -103,12 +105,12 @@
         Some(nodes)
     }
 
-    /// Whether callers are sent to this node.
+    /// Returns whether callers are sent to this node.
     pub fn is_serving(&self) -> bool {
         self.directory.is_serving(self.node)
     }
 
-    /// Whether members or their loads may have changed since the directory was built.
+    /// Returns whether members or their loads may have changed since the directory was built.
     pub fn is_directory_stale(&self, now: BootTime) -> bool {
         self.directory_built_at.is_none_or(|built_at| now.since(built_at) >= MAX_DIRECTORY_AGE)
     }
--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -60,11 +60,11 @@
 }
 
 struct PendingCall {
-    /// When the call times out unless more of its answer arrives.
+    /// Time at which the call times out unless more of its answer arrives.
     deadline: BootTime,
-    /// When the call times out however much of its answer has arrived.
+    /// Time at which the call times out however much of its answer has arrived.
     overall_deadline: BootTime,
-    /// When the call times out if it hasn't been sent.
+    /// Time at which the call times out if it hasn't been sent.
     connect_deadline: BootTime,
     request: Vec<u8>,
     is_sent: bool,
@@ -108,7 +108,7 @@
         std::mem::take(&mut self.bytes)
     }
 
-    /// Whether a call is in flight.
+    /// Returns whether a call is in flight.
     pub fn is_call_in_flight(&self) -> bool {
         self.pending.is_some()
     }
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -3,21 +3,26 @@
 //! A process that gets too little CPU time finds more and more events waiting at each turn (iteration) of its event
 //! loop. Such an event may have arrived at any time since the previous turn; the event itself doesn't tell when.
 //!
+//! A node is *pressed* if its process is so busy that callers should be sent to other nodes, and *overloaded* if its
+//! events wait so long that new requests should be refused.
+//!
 //! [`LoadMeter`] owns the times of the turns and relies on the event loop to report the start and the end of each turn.
-//! The engine and the directory decide what follows from a busy or late process.
+//! The directory decides where callers of a pressed node are sent, and the engine which requests an overloaded node
+//! refuses.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time over which the busy share is averaged, the share of the time that the event loop isn't asleep. It spans many
-/// turns and is short beside the time for which callers keep an answer of the directory.
+/// Time over which the busy fraction is averaged, that is, the fraction of the time for which the event loop isn't
+/// asleep. It spans many turns and is short beside the time for which callers keep an answer of the directory.
 const BUSY_WINDOW: Duration = Duration::from_millis(500);
-/// Busy share, in percent, from which callers should be sent to other nodes. It is above the load for which serving
-/// nodes are planned, with room for the callers of a node that fails.
+/// Busy fraction, in percent, from which a node is pressed. It is above the load for which the directory plans the
+/// serving nodes, those that it sends callers to, with room for the callers of a node that fails.
 const PRESSED_PERCENT: u8 = 70;
-/// Delay from which new requests are refused, so that most of a typical caller's timeout is left for another node.
+/// Delay of events from which a node is overloaded, so that most of a typical caller's timeout is left for another
+/// node.
 const OVERLOADED_WAIT: Duration = Duration::from_millis(150);
-/// Longest sleep of the event loop that isn't taken for a stall of the process: twice the loop's tick, so that a late
+/// Longest sleep of the event loop that isn't regarded as a stall of the process: twice the loop's tick, so that a late
 /// wake-up doesn't count as a stall.
 const MAX_PLANNED_SLEEP: Duration = Duration::from_millis(100);
 
@@ -56,7 +61,7 @@
         self.turn_began = now;
     }
 
-    /// Ends a turn, and updates the busy share once per window.
+    /// Ends a turn, and updates the busy fraction once per window.
     pub fn end_turn(&mut self, now: BootTime) {
         self.turn_ended = now;
         self.busy_time += now.since(self.turn_began);
@@ -83,23 +88,23 @@
         self.previous_turn + stall + now.since(self.turn_began)
     }
 
-    /// Whether new requests should be refused because events have waited too long.
+    /// Returns whether the node is overloaded, so that new requests should be refused.
     pub fn is_overloaded(&self, now: BootTime) -> bool {
         self.longest_wait(now) >= OVERLOADED_WAIT
     }
 
-    /// Returns the busy share of the last complete window, in percent.
+    /// Returns the busy fraction of the last complete window, in percent.
     pub fn busy_percent(&self) -> u8 {
         self.busy_percent
     }
 
-    /// Whether callers should be sent to other nodes.
+    /// Returns whether the node is pressed, so that callers should be sent to other nodes.
     pub fn is_pressed(&self) -> bool {
         is_pressed(self.busy_percent)
     }
 }
 
-/// Whether callers should be sent to other nodes, given a busy share in percent.
+/// Returns whether a node with this busy fraction, in percent, is pressed.
 pub fn is_pressed(percent: u8) -> bool {
     percent >= PRESSED_PERCENT
 }
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -124,7 +124,7 @@
     peer_client: HttpClient,
     /// Sizes and times of the answers that were sent to peers within the last second.
     peer_answers: RecentPeerAnswers,
-    /// Rate limit of the pushes that tell peers about requests during which searchers were lost.
+    /// Rate limit of the pushes of case records to peers.
     case_pushes: CasePushLimiter,
 
     log: EventLog,
@@ -256,7 +256,7 @@
         IoContext { now, registry: poll.registry(), buffer, limits }
     }
 
-    /// Returns the head and idle timeouts that the configuration sets for callers' connections.
+    /// Returns the timeouts that the configuration sets for callers' connections.
     fn server_timeouts(&self) -> ServerTimeouts {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
         ServerTimeouts {
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -11,9 +11,9 @@
 use staircross_routing::engine::{AbandonCause, RoutingEvent, SendOrder, SendReason};
 use std::time::Duration;
 
-/// Time for which a node that serves no callers keeps an idle connection to a searcher; other nodes need the
-/// connections. Far shorter than on nodes that serve, so that a node that has just become a reserve releases its
-/// connections soon.
+/// Time for which a reserve, a ready node that the directory sends no callers to, keeps an idle connection to a
+/// searcher; other nodes need the connections. Far shorter than on nodes that serve, so that a node that has just
+/// become a reserve releases its connections soon.
 const RESERVE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<D: Dialect> GatewayNode<D> {
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -39,7 +39,7 @@
         self.by_key.get_mut(&key)
     }
 
-    /// Whether no caller waits for an answer.
+    /// Returns whether no caller waits for an answer.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
--- a/crates/staircross-gateway/src/node/configuration_view.rs
+++ b/crates/staircross-gateway/src/node/configuration_view.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Whether a key may have been revoked longer ago than the settings allow without this node's knowledge.
+    /// Returns whether a key may have been revoked longer ago than the settings allow without this node's knowledge.
     fn is_confirmation_overdue(&self) -> bool {
         let Some(revoke_ms) = self.settings.bounds.revoke_ms else {
             return false;
--- a/crates/staircross-gateway/src/node/operator.rs
+++ b/crates/staircross-gateway/src/node/operator.rs
@@ -45,7 +45,7 @@
         self.signals.reload.swap(false, Ordering::AcqRel)
     }
 
-    /// Whether the settings file has changed; checks it only when the next check is due.
+    /// Returns whether the settings file has changed; checks it only when the next check is due.
     pub fn has_file_changed(&mut self, now: BootTime) -> bool {
         if now < self.next_file_check {
             return false;
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,6 +1,7 @@
 //! The node's status as last evaluated: ready, pressed, serving, configuration confirmed.
 //!
-//! [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
+//! A node is pressed if it is so busy that callers should be sent to other nodes, and serving if the directory sends
+//! callers to it. [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
 //! `updates` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
 //! confirmed.
 
@@ -42,7 +43,7 @@
         self.handle_fleet_events(events);
     }
 
-    /// Whether the node has a configuration and a listing of searchers. Half a listing answers only half the
+    /// Returns whether the node has a configuration and a listing of searchers. Half a listing answers only half the
     /// requests, but after `LISTING_TIMEOUT` a partial listing is better than none.
     fn has_state_to_serve(&self) -> bool {
         let has_full_listing = self.mirror.has_listing();
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -7,8 +7,8 @@
 //! 3. When no request is in flight, or the deadline is near, the callers' listeners close, so that new connections
 //!    are refused. From then on, each refusal closes its connection.
 //! 4. When no caller's connection has been used for a while either, the node ends.
-//! 5. At the deadline, shortly before the process would be killed, the requests still in flight are answered with a
-//!    timeout.
+//! 5. At the deadline, shortly before the process would be killed, the requests still in flight are refused as timed
+//!    out.
 //!
 //! So a caller that connects late or goes on using its connection gets an answer and is never cut off.
 //!
@@ -50,9 +50,9 @@
 
 /// A planned stop in progress.
 pub(super) struct StopState {
-    /// Until when requests are still accepted, since callers may hold this node's address.
+    /// Time until which requests are still accepted, since callers may hold this node's address.
     accepts_until: BootTime,
-    /// When the listeners close even with requests in flight.
+    /// Time at which the listeners close even with requests in flight.
     listeners_close_at: BootTime,
     /// Deadline at which the node ends even with requests in flight.
     deadline: BootTime,
@@ -89,7 +89,7 @@
         self.handle_fleet_events(events);
     }
 
-    /// Advances a stop in progress: closes the listeners, answers what can't be waited for, and ends the node.
+    /// Advances a stop in progress: closes the listeners, refuses the last requests at the deadline, and ends the node.
     pub(super) fn on_stop_tick(&mut self) {
         let is_busy = self.engine.in_flight() > 0 || self.server.is_busy();
         let now = self.now;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Answers all requests in flight with a timeout, since the node can't wait any longer; the answer says that the
+    /// Refuses all requests in flight as timed out, since the node can't wait any longer. The refusal says that the
     /// request may have run.
     fn time_out_requests_in_flight(&mut self) {
         for key in self.requests.keys() {
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Whether new requests are refused as not executed, because the node couldn't wait for their end.
+    /// Returns whether new requests are refused as not executed, because the node couldn't wait for their end.
     pub(super) fn is_refusing_requests(&self) -> bool {
         self.stop.as_ref().is_some_and(|stop| self.now >= stop.accepts_until)
     }
 
-    /// Whether the callers' listeners are open.
+    /// Returns whether the callers' listeners are open.
     pub(super) fn is_listening_to_callers(&self) -> bool {
         self.stop.as_ref().is_none_or(|stop| !stop.has_closed_listeners)
     }
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -1,7 +1,7 @@
 //! Exchange with peers: incoming and outgoing datagrams, and the effects of membership changes.
 //!
 //! This module owns no state: the fleet holds members, announcements and the directory. The engine supplies the
-//! records of requests during which searchers were lost; datagrams carry them to peers.
+//! case records, which describe requests during which searchers were lost; datagrams carry them to peers.
 
 use crate::dialect::Dialect;
 use crate::event_log::LineKind;
@@ -31,8 +31,8 @@
             self.log.line(self.now, LineKind::NodeEvent, line);
         }
         self.fleet.set_load(self.load.busy_percent(), &mut events);
-        // These aren't the records of a push in the same turn: the records take turns, and the datagrams of each tick
-        // carry the next ones.
+        // Datagrams have room for some of the records only, so each call returns the next ones. The datagrams of this
+        // tick therefore don't carry the same records as a push in the same turn.
         self.fleet.set_case_records(self.engine.next_case_records(self.now));
         self.fleet.on_tick(self.now, &mut events);
         self.handle_fleet_events(events);
@@ -42,8 +42,7 @@
         }
     }
 
-    /// Pushes the records of requests during which searchers were lost to some peers at once, if there are updates
-    /// and the rate limit allows it.
+    /// Pushes case records to some peers at once, if there are updates and the rate limit allows it.
     pub(in crate::node) fn push_cases(&mut self) {
         if !self.case_pushes.take(self.now) {
             return;
--- a/crates/staircross-gateway/src/outbound.rs
+++ b/crates/staircross-gateway/src/outbound.rs
@@ -16,7 +16,7 @@
 pub struct OutboundRequest {
     /// Request line and the header fields that are passed on.
     prefix: Rc<[u8]>,
-    /// Header fields with the caller's API key and tenant. They are passed on only if there are no tenants.
+    /// Header fields with the caller's API key and tenant. They are passed on only if the configuration has no tenants.
     claims: Rc<[u8]>,
     body: Rc<[u8]>,
     /// Request method, which decides whether an answer has a body.
@@ -102,12 +102,12 @@
     }
 }
 
-/// Whether a header field states the caller's API key or tenant.
+/// Returns whether a header field states the caller's API key or tenant.
 fn is_claim(name: &str, names: &HeaderNames) -> bool {
     [names.api_key, names.tenant].iter().any(|claim| claim.eq_ignore_ascii_case(name))
 }
 
-/// Whether a header field is passed on to searchers.
+/// Returns whether a header field is passed on to searchers.
 fn is_passed_on(head: &RequestHead, name: &str, names: &HeaderNames) -> bool {
     let is_set_here = [names.deadline_ms, names.expect_instance, "content-length", "expect"]
         .iter()
--- a/crates/staircross-gateway/src/peer_answers.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -1,7 +1,7 @@
-//! Records the answers that a node sent to peers within the last second.
+//! Records the answers to peers' pulls (calls for missing updates) that a node sent within the last second.
 //!
-//! When a configuration changes, all followers of a reader of the store pull it within a fraction of a second. The
-//! answers use the same link as callers' requests to searchers: 64 answers of 45 KB fill a link of 20 Mbit/s for more
+//! When a configuration changes, all followers, the nodes that get their updates from this node rather than from the
+//! store, pull it within a fraction of a second. The answers use the same link as callers' requests to searchers: 64 answers of 45 KB fill a link of 20 Mbit/s for more
 //! than a second. A request that is delayed behind them reaches its searcher with a time limit that is longer than the
 //! time that its caller still waits.
 //!
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -11,10 +11,10 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time after which an idle connection is closed if its searcher recently rejected another, since rejected connections
-/// are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per searcher and
-/// with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728
-/// with it.
+/// Time after which an idle connection is closed if its searcher recently reset a fresh one, since the connections that
+/// it rejects are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per
+/// searcher and with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615,
+/// 0.740 and 0.728 with it.
 const CONTESTED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Whether the most recently used idle connection to the searcher is another one.
+    /// Returns whether the most recently used idle connection to the searcher is another one.
     fn is_surplus(&self, slot: usize, searcher: SearcherKey) -> bool {
         self.idle.get(&searcher).and_then(|idle| idle.last()).is_some_and(|last| *last != slot)
     }
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -89,14 +89,14 @@
         self.begin_use(slot, assignment, io, events);
     }
 
-    /// Whether a fresh connection is proved before its first use. This is so where a reset is likely: soon after a
-    /// restart of the node, and for searchers that recently reset a fresh connection.
+    /// Returns whether a fresh connection is proved before its first use. This is so where a reset is likely: soon
+    /// after a restart of the node, and for searchers that recently reset a fresh connection.
     fn must_prove(&self, slot: usize, now: BootTime) -> bool {
         let is_starting = now < self.proves_until;
         self.policy.proving && (is_starting || self.is_contested(self.connections[slot].searcher, now))
     }
 
-    /// Whether a searcher recently reset a fresh connection.
+    /// Returns whether a searcher recently reset a fresh connection.
     pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
         self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < CONTESTED_TIME)
     }
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -106,7 +106,8 @@
 /// Timeouts of accepted connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerTimeouts {
-    /// Longest silence after a request has begun to arrive; each further byte restarts this timeout.
+    /// Longest silence after a request has begun to arrive and before it is complete, head and body. Each further byte
+    /// restarts this timeout.
     pub head: Duration,
     /// Longest time that a connection may be idle between requests.
     pub idle: Duration,
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Whether all callers' connections that wait for a request have been idle for `idle`. Other connections don't
-    /// count: those whose request isn't answered yet, and those that are about to close.
+    /// Returns whether all callers' connections that wait for a request have been idle for `idle`. Other connections
+    /// don't count: those whose request isn't answered yet, and those that are about to close.
     pub fn are_callers_idle(&self, now: BootTime, idle: Duration) -> bool {
         let is_in_use =
             |connection: &Connection| connection.state == State::Reading && now.since(connection.last_progress) < idle;
@@ -166,7 +167,8 @@
         self.connections.len()
     }
 
-    /// Whether a caller's request is partly received, waits for its answer, or has an answer that isn't fully written.
+    /// Returns whether a caller's request is partly received, waits for its answer, or has an answer that isn't fully
+    /// written.
     pub fn is_busy(&self) -> bool {
         self.connections.iter().any(|(_, connection)| {
             connection.endpoint == Endpoint::Callers
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -4,13 +4,15 @@
 //! are tolerated, and how much a node keeps open. This module owns the fractions. It relies on checked settings: with
 //! values that [`GatewaySettings::check`] refuses, subtractions and products may overflow.
 //!
-//! The values that concern silences:
+//! A *reader* is a node that reads the store, a *follower* pulls its updates from the readers of its region, and a
+//! *prober* is a node that no longer hears its readers and probes the store. A reader's *heartbeat* is a datagram that
+//! states when the store last answered the reader. The values that concern silences:
 //!
 //! | value | meaning |
 //! | --- | --- |
 //! | [`GatewaySettings::heartbeat_timeout`] | time without a heartbeat of a reader after which a follower probes |
 //! | `ReaderSettings::probe_with_followers` | time between two heartbeats of a reader: one goes out with each probe |
-//! | `ReaderSettings::probe_as_prober` | time between two probes of a node that hears no reader |
+//! | `ReaderSettings::probe_as_prober` | time between two probes of a prober |
 //! | `ReaderSettings::probe` | time between two confirmations of the configuration, where keys need them |
 //! | [`GatewaySettings::lapse_grace`] | time for which a searcher whose entry has ended is still a fallback |
 
@@ -36,8 +38,8 @@
 /// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
 /// heartbeat isn't taken for silence.
 const PROBE_INTERVAL_FRACTION: f64 = 0.4;
-/// Time between two probes of a node that hears no reader, as a fraction of the silence that followers tolerate. Longer
-/// than that of a reader, because many nodes may hear no reader at once.
+/// Time between two probes of a prober, a node that hears no reader, as a fraction of the silence that followers
+/// tolerate. Longer than that of a reader, because many nodes may hear no reader at once.
 const PROBE_IN_DOUBT_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
@@ -56,8 +58,8 @@
 }
 
 impl GatewaySettings {
-    /// Returns when the store reader calls the store. The time between its calls is a small fraction of the time in
-    /// which updates must be in force.
+    /// Returns the settings of the store reader, that is, when it calls the store. The time between its calls is a
+    /// small fraction of the time in which updates must be in force.
     pub fn reader(&self) -> ReaderSettings {
         let defaults = ReaderSettings::default();
         let configuration_pause = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
--- a/crates/staircross-gateway/src/settings/file.rs
+++ b/crates/staircross-gateway/src/settings/file.rs
@@ -47,7 +47,8 @@
         GatewaySettings::from_toml(&origin, &text)
     }
 
-    /// Whether the file has changed since it was last read. A file whose metadata can't be read counts as unchanged.
+    /// Returns whether the file has changed since it was last read. A file whose metadata can't be read counts as
+    /// unchanged.
     pub fn has_changed(&self) -> bool {
         let current = FileState::of(&self.path);
         current.is_some() && current != self.last_read
--- a/crates/staircross-gateway/src/socket.rs
+++ b/crates/staircross-gateway/src/socket.rs
@@ -157,12 +157,12 @@
         self.set_writable_interest(false, registry, WriteOutcome::Done)
     }
 
-    /// Whether all outgoing bytes have been written.
+    /// Returns whether all outgoing bytes have been written.
     pub fn is_flushed(&self) -> bool {
         self.outgoing.is_empty()
     }
 
-    /// Whether bytes wait to be written and none of them has been written yet.
+    /// Returns whether bytes wait to be written and none of them has been written yet.
     pub fn is_entirely_unsent(&self) -> bool {
         !self.outgoing.is_empty() && self.written == 0
     }
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -84,15 +84,15 @@
     /// Time without a heartbeat after which a follower becomes a prober.
     heartbeat_timeout: Duration,
     role: StoreRole,
-    /// When the store last answered a reader of the region, according to the heartbeats that arrived here.
+    /// Time of the store's last answer to a reader of the region, according to the heartbeats that arrived here.
     heartbeat_at: BootTime,
-    /// Until when the node reads the store even if it isn't designated.
+    /// Time until which the node reads the store even if it isn't designated.
     reads_until: BootTime,
-    /// When a member of the region last joined or changed.
+    /// Time at which a member of the region last joined or changed.
     member_changed_at: BootTime,
     /// Time from which the region counts as settled even if further changes of members arrive.
     settled_by: BootTime,
-    /// When the store first answered a probe of this node during the present time as a prober.
+    /// Time of the store's first answer to a probe since the node became a prober; `None` in other roles.
     probed_at: Option<BootTime>,
 }
 
@@ -126,29 +126,29 @@
         self.heartbeat_timeout = heartbeat_timeout;
     }
 
-    /// Notes a change of a member of the region; further members may follow.
+    /// Records a change of a member of the region; further members may follow.
     pub fn note_member_change(&mut self, now: BootTime) {
         self.member_changed_at = now;
     }
 
-    /// Notes a heartbeat: the store answered a reader of the region at time `at`.
+    /// Records a heartbeat: the store answered a reader of the region at time `at`.
     pub fn note_heartbeat(&mut self, at: BootTime) {
         self.heartbeat_at = self.heartbeat_at.max(at);
     }
 
-    /// Notes that the store answered a probe of this node.
+    /// Records that the store answered a probe of this node.
     pub fn note_probe_answered(&mut self, now: BootTime) {
         self.probed_at.get_or_insert(now);
     }
 
-    /// Notes that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
+    /// Records that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
     pub fn note_pull_failed(&mut self, now: BootTime) {
         self.reads_until = now + SELF_READING_TIME;
     }
 
-    /// Whether a reader pulls a configuration from a peer even if it is too large to be passed on to every node. It
-    /// does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes
-    /// a while to answer, and peers' links are narrower than the store's.
+    /// Returns whether a reader pulls a configuration from a peer even if it is too large to be passed on to every
+    /// node. It does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once
+    /// takes a while to answer, and peers' links are narrower than the store's.
     pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
         let patience = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
         let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
@@ -178,8 +178,8 @@
         now >= self.settled_by || now.since(self.member_changed_at) >= SETTLE_TIME
     }
 
-    /// Whether the grace time of a prober is over: the store answered it that long ago, and still no heartbeat has
-    /// arrived.
+    /// Returns whether the grace time of a prober is over: the store answered it that long ago, and still no heartbeat
+    /// has arrived.
     fn is_probe_grace_over(&self, now: BootTime) -> bool {
         let grace = self.heartbeat_timeout.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::FirstAttempts => "firsts",
@@ -83,7 +83,7 @@
         Reach::Unknown,
     ];
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reach::Known(Distance::OwnZone) => "own_zone",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Index of the counters in [`Traffic`].
+    /// Returns the index of the counters in [`Traffic`].
     fn index(self) -> usize {
         match self {
             Reach::Known(Distance::OwnZone) => 0,
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -21,7 +21,8 @@
 /// Fraction of the permitted excess that nodes may admit while reports are delayed for batching. Below
 /// [`HEADROOM_FRACTION`].
 const REPORT_DELAY_FRACTION: f64 = 0.1;
-/// Demand of a hot tenant, as a multiple of its rate, for which the delay of reports is computed.
+/// Demand of a hot tenant, which sends far more requests than its quota admits, as a multiple of its rate. The delay of
+/// reports is computed for this demand.
 const HOT_DEMAND_FACTOR: f64 = 6.0;
 /// Shortest delay of a report. A shorter delay saves no excess, because the round trip dominates.
 const MIN_REPORT_DELAY: Duration = Duration::from_millis(20);
@@ -88,27 +89,27 @@
         }
     }
 
-    /// Requests beyond the burst that the owner grants on purpose.
+    /// Returns the number of requests beyond the burst that the owner grants on purpose.
     pub fn headroom(&self) -> f64 {
         self.excess * HEADROOM_FRACTION
     }
 
-    /// Requests that a node which substitutes for an owner may grant at once.
+    /// Returns the number of requests that a node which substitutes for an owner may grant at once.
     pub fn substitute_credit(&self) -> f64 {
         self.excess * SUBSTITUTE_CREDIT_FRACTION
     }
 
-    /// Time for which a report may be delayed, so that it covers more requests.
+    /// Returns the time for which a report may be delayed, so that it covers more requests.
     pub fn report_delay(&self) -> Duration {
         let seconds = REPORT_DELAY_FRACTION * self.excess / (HOT_DEMAND_FACTOR * self.rate).max(f64::MIN_POSITIVE);
         Duration::from_secs_f64(seconds.clamp(MIN_REPORT_DELAY.as_secs_f64(), MAX_REPORT_DELAY.as_secs_f64()))
     }
 
-    /// Fraction of requests that a starting node, which doesn't know the other nodes yet, admits. It keeps the
-    /// requests of a hot tenant to all starting nodes within the permitted excess, until the nodes know each other;
-    /// nothing was admitted while they were down. A tenant with its usual demand seldom sends one node two requests in
-    /// that time and a hot tenant does, so most of the excess is reserved for the first request at each node
-    /// (`is_first_request`).
+    /// Returns the fraction of requests that a starting node, which doesn't know the other nodes yet, should admit. It
+    /// keeps the requests of a hot tenant to all starting nodes within the permitted excess until the nodes know each
+    /// other. The whole excess is available, because nothing was admitted while the nodes were down. In that time a
+    /// tenant with its usual demand seldom sends two requests to the same node, but a hot tenant does. So most of the
+    /// excess is reserved for the first request at each node (`is_first_request`).
     pub fn startup_fraction(&self, is_first_request: bool) -> f64 {
         let demand = STARTUP_HOT_DEMAND_FACTOR * self.rate * STARTUP_S;
         let fraction =
@@ -116,8 +117,8 @@
         (self.excess * fraction / demand.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Requests that a node without an owner, in a fleet of `peak` nodes, may admit at once. A value below 1 is the
-    /// probability of admitting one request.
+    /// Returns the number of requests that a node without an owner, in a fleet of `peak` nodes, may admit at once. A
+    /// value below 1 is the probability of admitting one request.
     pub fn local_credit(&self, peak: usize) -> f64 {
         let ownerless_nodes = (peak as f64 * OWNERLESS_NODES_FRACTION).max(1.0);
         self.excess * LOCAL_CREDIT_FRACTION / ownerless_nodes
--- a/crates/staircross-quota/src/bucket.rs
+++ b/crates/staircross-quota/src/bucket.rs
@@ -3,8 +3,8 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Tokens that accrue at a steady rate up to a capacity. The level may fall below 0, because requests that other nodes
-/// admitted are subtracted after the fact.
+/// A token bucket, whose tokens accrue at a steady rate up to a capacity. The level may fall below 0, because requests
+/// that other nodes admitted are subtracted after the fact.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     level: f64,
@@ -23,7 +23,7 @@
         self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// Tokens in the bucket at the last refill, minus those taken since.
+    /// Returns the number of tokens in the bucket at the last refill, minus those taken since.
     pub fn level(&self) -> f64 {
         self.level
     }
@@ -44,6 +44,6 @@
     }
 }
 
-/// Longest time until the next token that is returned to callers, in seconds. Without it a very low rate would keep
+/// Maximum wait for the next token that is returned to callers, in seconds. Without it a very low rate would keep
 /// callers from ever coming back.
 const MAX_WAIT_S: f64 = 10.0;
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Factor of the fraction of a quota that an owner grants, which is the number of nodes that it reaches divided by the
-/// size of the largest known fleet. With 1 both sides of a network partition stay within the excess that bounds
-/// permit, and a fleet that has lost a third of its nodes still serves tenants at two thirds of their rate without
-/// refusals.
+/// Factor in the fraction of a quota that an owner may grant: `OWNER_FACTOR` times the number of nodes that the owner
+/// sees, divided by the size of the largest known fleet, and at most 1. With a factor of 1 both sides of a network
+/// partition together stay within the excess that the bound permits, and a fleet that has lost a third of its nodes
+/// still serves tenants at two thirds of their rate without refusals.
 const OWNER_FACTOR: f64 = 1.0;
-/// Like [`OWNER_FACTOR`], for nodes without an owner. Below 1 because the owner's side detects a partition only after
-/// some seconds, and grants the whole quota until then.
+/// Like [`OWNER_FACTOR`], for nodes that reach no owner. Below 1 because the owner's side detects a partition only
+/// after some seconds, and grants the whole quota until then.
 const OWNERLESS_FACTOR: f64 = 0.5;
 /// Smallest fleet size that a starting node assumes. Above the 6 to 80 nodes of the simulated schedules in
 /// `tests/bound.rs`.
 const MIN_NODES_AT_RESTART: usize = 128;
-/// Time for which the largest fleet seen is remembered. Longer than a partition which the rest of the fleet doesn't
-/// regard as a loss of nodes.
+/// Time for which the largest fleet seen is remembered. Longer than a partition during which the rest of the fleet
+/// still counts the unreachable nodes as members.
 const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Time without a new member after which a node no longer counts as starting.
 const STARTING_PERIOD: Duration = Duration::from_millis(600);
@@ -29,7 +29,7 @@
 /// The nodes of the fleet as one node sees them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// Live nodes that serve callers' requests.
+    /// Live nodes that are ready to serve callers' requests and therefore share the quotas.
     pub serving: Vec<NodeId>,
 }
 
@@ -76,20 +76,20 @@
         is_changed
     }
 
-    /// Nodes that serve callers' requests.
+    /// Returns the nodes that share the quotas.
     pub fn serving(&self) -> &[NodeId] {
         &self.view.serving
     }
 
-    /// Fleet size to assume when quotas are divided: the largest seen recently, and at least [`MIN_NODES_AT_RESTART`]
-    /// while this node is starting.
+    /// Returns the fleet size to assume when quotas are divided: the largest seen recently, and at least
+    /// [`MIN_NODES_AT_RESTART`] while this node is starting.
     pub fn peak(&self, now: BootTime) -> usize {
         let seen = self.peak.0.max(1);
         if self.is_starting(now) { seen.max(MIN_NODES_AT_RESTART) } else { seen }
     }
 
-    /// Returns whether this process was restarted and is still learning which other nodes exist. All nodes may have
-    /// been restarted.
+    /// Returns whether this process was restarted and is still learning which other nodes exist. The other nodes may
+    /// have been restarted at the same time.
     pub fn is_starting(&self, now: BootTime) -> bool {
         self.is_restarted && now.since(self.largest_seen.1) < STARTING_PERIOD
     }
@@ -105,12 +105,12 @@
         self.view.serving.len() <= 1 && self.peak(now) > 1
     }
 
-    /// Fraction of a quota that an owner may grant, 0 to 1.
+    /// Returns the fraction of a quota that an owner may grant, 0 to 1.
     pub fn owner_fraction(&self, now: BootTime) -> f64 {
         (OWNER_FACTOR * self.view.serving.len() as f64 / self.peak(now) as f64).min(1.0)
     }
 
-    /// Fraction of a quota that `nodes` without an owner may spend together, 0 to 1.
+    /// Returns the fraction of a quota that `nodes` nodes without an owner may spend together, 0 to 1.
     pub fn ownerless_fraction(&self, now: BootTime, nodes: usize) -> f64 {
         (OWNERLESS_FACTOR * nodes as f64 / self.peak(now) as f64).min(1.0)
     }
--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -10,10 +10,12 @@
 const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time between two transmissions of an unanswered report. Three doublings of [`REPORT_RETRY_INTERVAL`].
 const MAX_REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(800);
-/// Time without an answer from the owner after which this node decides without it. Five transmissions, so that with a
-/// tenth of the datagrams lost in each direction about one in some thousand such detections is false.
+/// Time without an answer from the owner after which this node decides without it. A report is sent five times in that
+/// time, so that with a tenth of the datagrams lost in each direction only about one in some thousand detections is
+/// false.
 pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Like [`OWNER_TIMEOUT`], for a node that has meanwhile admitted more than its share. Three transmissions.
+/// Like [`OWNER_TIMEOUT`], for a node whose unconfirmed admissions have reached its local credit
+/// ([`TenantLimits::local_credit`]). A report is sent three times in that time.
 pub(crate) const OVERSPENT_OWNER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a granted fraction is valid. A fraction below 1 is granted again each second, so three grants may be
 /// lost.
@@ -121,13 +123,13 @@
         };
     }
 
-    /// Fraction of requests to admit, 0 to 1.
+    /// Returns the fraction of requests to admit, 0 to 1.
     pub fn admit_fraction(&self, now: BootTime) -> f64 {
         let granted = if now < self.grant_valid_until { self.admit_fraction } else { 1.0 };
         self.answering_substitute(now).map_or(granted, |substitute| substitute.admit_fraction.min(granted))
     }
 
-    /// The node that substitutes for the owner, if it answers.
+    /// Returns the node that substitutes for the owner, if there is one and it answers.
     pub fn substitute(&self, now: BootTime) -> Option<NodeId> {
         self.answering_substitute(now).map(|substitute| substitute.node)
     }
@@ -141,7 +143,7 @@
         self.last_answer_at.is_some_and(|at| now.since(at) < time)
     }
 
-    /// Requests that the owner hasn't confirmed.
+    /// Returns the numbers of requests that the owner hasn't confirmed.
     pub fn unconfirmed_counts(&self) -> Counts {
         self.counts.since(self.confirmed)
     }
@@ -177,7 +179,7 @@
         UnconfirmedAdmissions { admitted: self.counts.since(confirmed).admitted, burst_fraction }
     }
 
-    /// Time of the next report.
+    /// Returns the time of the next report.
     pub fn next_report_at(&self) -> Option<BootTime> {
         self.next_report_at
     }
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -115,7 +115,7 @@
         self.demand_updated_at = now;
     }
 
-    /// Rate at which this owner may grant requests, divided evenly among all nodes that act as the owner.
+    /// Returns the rate at which this owner may grant requests, divided evenly among all nodes that act as the owner.
     fn rate(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
         limits.rate * quota_fraction / (1 + self.rival_owners.len()) as f64
     }
@@ -126,7 +126,7 @@
         self.bucket.debit(f64::from(counts.admitted));
     }
 
-    /// Fraction of the tenant's requests that nodes should admit, 0 to 1.
+    /// Returns the fraction of the tenant's requests that nodes should admit, 0 to 1.
     pub fn admit_fraction(&self, limits: &TenantLimits, quota_fraction: f64) -> f64 {
         if self.bucket.level() >= limits.headroom() * quota_fraction && self.bucket.level() > 0.0 {
             return 1.0;
@@ -188,12 +188,12 @@
             || age >= REGRANT_INTERVAL.max(interval)
     }
 
-    /// Time since all nodes were last granted a fraction.
+    /// Returns the time since all nodes were last granted a fraction.
     pub fn time_since_grant(&self, now: BootTime) -> Duration {
         now.since(self.last_granted_at)
     }
 
-    /// Number of nodes that have reported within `time`.
+    /// Returns the number of nodes that have reported within `time`.
     pub fn reporters_within(&self, now: BootTime, time: Duration) -> usize {
         self.reported.values().filter(|reported| now.since(reported.reported_at) < time).count()
     }
@@ -211,13 +211,13 @@
         self.last_granted < 1.0
     }
 
-    /// Tokens in the bucket; negative if more was admitted than it held.
+    /// Returns the number of tokens in the bucket; negative if more was admitted than it held.
     pub fn level(&self) -> f64 {
         self.bucket.level()
     }
 }
 
-/// Shortest time between two grants to all nodes that lower the fraction, in a fleet of `nodes` nodes.
+/// Returns the shortest time between two grants to all nodes that lower the fraction, in a fleet of `nodes` nodes.
 fn min_grant_interval(nodes: usize) -> Duration {
     MIN_GRANT_INTERVAL.max(GRANT_INTERVAL_PER_NODE * nodes as u32)
 }
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -1,7 +1,9 @@
 //! Distributed rate limiting: per-tenant quotas that all nodes of a fleet enforce together.
 //!
-//! Each tenant has one owner among the nodes. The owner keeps the tenant's token bucket; the other nodes admit
-//! requests first, report the counts to the owner, and receive the fraction of requests to admit.
+//! Each tenant has one owner among the nodes. The owner keeps the tenant's token bucket. The other nodes, the tenant's
+//! followers, admit requests first and report the counts to the owner. The owner answers with a grant: the fraction of
+//! the tenant's requests that each node should admit. If an owner doesn't answer, one of the followers substitutes for
+//! it, and a node that reaches neither of them decides locally, by a small share of the quota.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -13,7 +15,7 @@
 //! | [`follower`] | the state of a tenant at a node that does not own it: counts, reports, the owner's grants |
 //! | [`refusal`] | the refusal of a request that exceeds a quota |
 //! | [`substitution`] | the state of a node that substitutes for an owner that doesn't answer |
-//! | [`tenant`] | one tenant at one node |
+//! | [`tenant`] | the state of one tenant at one node, and the decision about each of its requests |
 //! | [`rate_limiter`] | [`FleetRateLimiter`], the entry point, which combines the other modules |
 //!
 //! The design and its measurements are in `docs/design/fleet-allowance.md`.
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -13,7 +13,7 @@
 pub struct TenantHash(pub u64);
 
 impl TenantHash {
-    /// Hash of a tenant's name.
+    /// Returns the hash of a tenant's name.
     pub fn of(name: &str) -> Self {
         TenantHash(xxh3_64(name.as_bytes()))
     }
@@ -31,7 +31,7 @@
 }
 
 impl Counts {
-    /// Requests counted after `earlier`.
+    /// Returns the requests that were counted after `earlier`.
     pub fn since(self, earlier: Counts) -> Counts {
         Counts {
             offered: self.offered.saturating_sub(earlier.offered),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Smaller value of each count.
+    /// Returns the smaller value of each count.
     pub fn at_most(self, other: Counts) -> Counts {
         Counts { offered: self.offered.min(other.offered), admitted: self.admitted.min(other.admitted) }
     }
@@ -66,7 +66,7 @@
     /// Part of `counts` that the owner has confirmed.
     #[serde(rename = "k")]
     pub confirmed: Counts,
-    /// The owner before this one, if it granted to the sender a moment ago: it may be alive, and still grant.
+    /// The owner before this one, if it granted to the sender a moment ago: it may still be running, and still grant.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub former_owner: Option<NodeId>,
 }
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -15,8 +15,8 @@
 /// Time since the start of a process, at the fleet's first start, during which a tenant's burst is regarded as unused.
 /// Longer than a fleet takes to start.
 const FIRST_START_PERIOD: Duration = Duration::from_secs(10);
-/// Number of nodes that must leave reports unanswered before a node regards itself as cut off. A single silent node
-/// may have ended.
+/// Number of nodes that must leave reports unanswered before a node regards itself as cut off from the fleet. A single
+/// silent node may simply have ended.
 const MIN_SILENT_NODES: usize = 2;
 
 /// A tenant has become limited at this node, or is no longer limited.
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sets the nodes that serve callers.
+    /// Sets the nodes that share the quotas.
     pub fn set_fleet(&mut self, now: BootTime, view: FleetView) {
         if !self.fleet.set_view(now, view) {
             return;
@@ -270,7 +270,7 @@
         self.next_wake = self.scheduled.iter().filter_map(|hash| self.tenants.get(hash)?.next_due()).min();
     }
 
-    /// Time at which [`FleetRateLimiter::on_tick`] is due next.
+    /// Returns the time at which [`FleetRateLimiter::on_tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.next_wake
     }
@@ -327,7 +327,7 @@
         self.is_first_start && now.since(self.started) < FIRST_START_PERIOD
     }
 
-    /// Fraction of quotas that this node may grant as an owner, 0 to 1.
+    /// Returns the fraction of quotas that this node may grant as an owner, 0 to 1.
     fn quota_fraction(&self, now: BootTime) -> f64 {
         self.fleet.owner_fraction(now)
     }
--- a/crates/staircross-quota/src/substitution.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -24,7 +24,7 @@
 /// Time between two checks of whether a new fraction must be granted.
 const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a node that substitutes for an owner keeps for one tenant.
+/// State of one tenant at a node that substitutes for the tenant's owner.
 #[derive(Debug)]
 pub(crate) struct Substitution {
     /// The owner that doesn't answer.
@@ -51,7 +51,8 @@
         self.reporters(now) > 0
     }
 
-    /// Number of nodes that receive this node's grants, because they have reported within [`REPORTER_TIMEOUT`].
+    /// Returns the number of nodes that receive this node's grants, because they have reported within
+    /// [`REPORTER_TIMEOUT`].
     fn reporters(&self, now: BootTime) -> usize {
         self.ledger.reporters_within(now, REPORTER_TIMEOUT)
     }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -1,4 +1,8 @@
-//! One tenant at one node.
+//! The state of one tenant at one node, and the decision about each of its requests.
+//!
+//! A node decides in one of several ways (the `decide_…` functions): as the tenant's owner, as a follower of an owner or
+//! substitute that answers, as the substitute, locally if it reaches neither owner nor substitute, or by the rule for a
+//! node that has just been restarted. [`crate::rate_limiter`] chooses the way.
 
 use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
@@ -126,8 +130,9 @@
         }
     }
 
-    /// Returns whether this node has to decide without owner and substitute: the owner has been silent for
-    /// [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted more than its share.
+    /// Returns whether this node has to decide without owner and substitute: no substitute answers, and the owner has
+    /// been silent for [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted as many
+    /// unconfirmed requests as its local credit allows.
     pub fn is_deciding_locally(&self, now: BootTime, fleet: &Fleet) -> bool {
         let Some(follower) = &self.follower else {
             return false;
@@ -177,7 +182,7 @@
         self.substitution.as_ref().is_some_and(|substitution| substitution.has_reporters(now))
     }
 
-    /// The node that substitutes for the owner, `own` if it is this one.
+    /// Returns the node that substitutes for the owner, or `own` if it is this one.
     pub fn current_substitute(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
         if self.is_substitute(now) { Some(own) } else { self.follower.as_ref()?.substitute(now) }
     }
@@ -371,14 +376,14 @@
         (is_limited != was_limited).then_some(is_limited)
     }
 
-    /// Time at which something is to be sent next.
+    /// Returns the time at which something is to be sent next.
     pub fn next_due(&self) -> Option<BootTime> {
         let report = self.follower.as_ref().and_then(Follower::next_report_at);
         let substitution = self.substitution.as_ref().map(|substitution| substitution.next_check_at);
         [report, self.next_grant_check_at, substitution].into_iter().flatten().min()
     }
 
-    /// Fraction of requests to admit, as far as this node knows.
+    /// Returns the fraction of requests to admit, as far as this node knows.
     pub fn admit_fraction(&self, now: BootTime, quota_fraction: f64) -> f64 {
         match (&self.ledger, &self.follower) {
             (_, Some(follower)) => follower.admit_fraction(now),
