--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -157,7 +157,7 @@
     }
 
     /// Records that a pull starts now. `PULL_DELAY` before the next pull is counted from this time.
-    pub fn note_asked(&mut self, now: BootTime) {
+    pub fn record_pull_start(&mut self, now: BootTime) {
         self.behind_since = Some(now);
     }
 }
--- a/crates/staircross-gateway/src/load.rs
+++ b/crates/staircross-gateway/src/load.rs
@@ -21,7 +21,7 @@
 const PRESSED_PERCENT: u8 = 70;
 /// Delay of events from which a node is overloaded, so that most of a typical caller's timeout is left for another
 /// node.
-const OVERLOADED_WAIT: Duration = Duration::from_millis(150);
+const OVERLOADED_DELAY: Duration = Duration::from_millis(150);
 /// Longest sleep of the event loop that isn't regarded as a stall of the process: twice the loop's tick, so that a late
 /// wake-up doesn't count as a stall.
 const MAX_PLANNED_SLEEP: Duration = Duration::from_millis(100);
@@ -67,15 +67,15 @@
         self.busy_time += now.since(self.turn_began);
         let window = now.since(self.window_began);
         if window >= BUSY_WINDOW {
-            let busy_share = self.busy_time.as_secs_f64() / window.as_secs_f64();
-            self.busy_percent = (busy_share * 100.0).min(100.0) as u8;
+            let busy_fraction = self.busy_time.as_secs_f64() / window.as_secs_f64();
+            self.busy_percent = (busy_fraction * 100.0).min(100.0) as u8;
             self.window_began = now;
             self.busy_time = Duration::ZERO;
         }
     }
 
     /// Returns the time between the starts of this turn and of the previous one.
-    pub fn gap(&self) -> Duration {
+    pub fn turn_interval(&self) -> Duration {
         self.previous_turn + self.previous_sleep
     }
 
@@ -83,14 +83,14 @@
     ///
     /// An event that arrives during a sleep ends the sleep. So an event can only have waited during the previous turn,
     /// during this one, or during a sleep that is too long to be planned, in which the process itself was stalled.
-    pub fn longest_wait(&self, now: BootTime) -> Duration {
+    pub fn max_event_delay(&self, now: BootTime) -> Duration {
         let stall = if self.previous_sleep > MAX_PLANNED_SLEEP { self.previous_sleep } else { Duration::ZERO };
         self.previous_turn + stall + now.since(self.turn_began)
     }
 
     /// Returns whether the node is overloaded, so that new requests should be refused.
     pub fn is_overloaded(&self, now: BootTime) -> bool {
-        self.longest_wait(now) >= OVERLOADED_WAIT
+        self.max_event_delay(now) >= OVERLOADED_DELAY
     }
 
     /// Returns the busy fraction of the last complete window, in percent.
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -87,9 +87,9 @@
 /// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. Short beside
 /// the timeouts that it checks, which are some hundred milliseconds and longer.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Gap between two turns from which the process counts as stalled, which is logged. Far longer than the loop sleeps,
+/// Time between the starts of two turns from which the process counts as stalled, which is logged. Far longer than the loop sleeps,
 /// which is at most [`TICK_INTERVAL`].
-const STALL_GAP: Duration = Duration::from_secs(1);
+const STALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A gateway node: its sockets, its engines and the loop that connects them.
 pub struct GatewayNode<D: Dialect> {
@@ -181,9 +181,13 @@
 
     /// Logs a long gap between two turns. Such a gap means that this process stood still, not its peers.
     fn log_stall(&mut self) {
-        let gap = self.load.gap();
-        if gap >= STALL_GAP {
-            self.log.line(self.now, LineKind::NodeEvent, format_args!("event=woke_late gap_ms={}", gap.as_millis()));
+        let interval = self.load.turn_interval();
+        if interval >= STALL_INTERVAL {
+            self.log.line(
+                self.now,
+                LineKind::NodeEvent,
+                format_args!("event=woke_late gap_ms={}", interval.as_millis()),
+            );
         }
     }
 
@@ -260,7 +264,7 @@
     fn server_timeouts(&self) -> ServerTimeouts {
         let limits = self.engine.table().map(|table| table.definition().limits.clone()).unwrap_or_default();
         ServerTimeouts {
-            head: Duration::from_millis(limits.head_timeout_ms),
+            partial_request: Duration::from_millis(limits.head_timeout_ms),
             idle: Duration::from_millis(limits.idle_timeout_ms),
         }
     }
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -33,10 +33,10 @@
         self.handle_pool_events(events);
     }
 
-    /// Gives up an attempt whose answer is no longer wanted; the pool waits at most `patience` for its end.
-    pub(super) fn abandon_attempt(&mut self, attempt: AttemptKey, patience: Duration, cause: AbandonCause) {
+    /// Gives up an attempt whose answer is no longer wanted; the pool waits at most `answer_timeout` for its end.
+    pub(super) fn abandon_attempt(&mut self, attempt: AttemptKey, answer_timeout: Duration, cause: AbandonCause) {
         let mut events = Vec::new();
-        self.pool.abandon(self.now, attempt, patience, cause, &mut events);
+        self.pool.abandon(self.now, attempt, answer_timeout, cause, &mut events);
         self.handle_pool_events(events);
     }
 
--- a/crates/staircross-gateway/src/node/reload.rs
+++ b/crates/staircross-gateway/src/node/reload.rs
@@ -54,6 +54,7 @@
     /// Switches to another address of the store, and reads everything again from there.
     fn switch_store(&mut self, address: SocketAddr) {
         self.store.set_address(address);
-        self.store_reader = StoreReader::new(self.settings.reader()).with_mode(self.now, self.store_role.role().mode());
+        self.store_reader =
+            StoreReader::new(self.settings.store_reader_settings()).with_mode(self.now, self.store_role.role().mode());
     }
 }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -37,8 +37,8 @@
 
     pub(super) fn sweep_server(&mut self) {
         let mut events = Vec::new();
-        let times = self.server_timeouts();
-        self.server.sweep(self.now, times, &mut events);
+        let timeouts = self.server_timeouts();
+        self.server.sweep(self.now, timeouts, &mut events);
         self.handle_server_events(events);
     }
 
@@ -83,13 +83,14 @@
         outbound: &OutboundRequest,
         link: CallerLink,
     ) -> Arrival {
-        let patience = head.headers.text(self.dialect.headers().deadline_ms).and_then(|text| text.parse::<u64>().ok());
+        let timeout_ms =
+            head.headers.text(self.dialect.headers().deadline_ms).and_then(|text| text.parse::<u64>().ok());
         Arrival {
             key,
             host: head.headers.text("host").unwrap_or_default().to_owned(),
             path: head.path().to_owned(),
-            caller_timeout: patience.map(Duration::from_millis),
-            waited: self.load.longest_wait(self.now),
+            caller_timeout: timeout_ms.map(Duration::from_millis),
+            waited: self.load.max_event_delay(self.now),
             is_overloaded: self.load.is_overloaded(self.now),
             newest_version: self.fleet.newest_version(),
             view: self.configuration_view(),
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -145,7 +145,7 @@
 /// Creates the store reader. At the first start of a fleet, no node reads the store before it knows its region; after
 /// a restart, each node reads the store once.
 fn build_store_reader(now: BootTime, settings: &GatewaySettings) -> StoreReader {
-    let reader = StoreReader::new(settings.reader());
+    let reader = StoreReader::new(settings.store_reader_settings());
     if settings.node.first_start {
         return reader.with_mode(now, ReadingMode::Following);
     }
@@ -153,8 +153,8 @@
 }
 
 fn build_store_role(now: BootTime, settings: &GatewaySettings) -> StoreRoleSelector {
-    let keeper = StoreRoleSelector::new(now, settings.heartbeat_timeout());
-    if settings.node.first_start { keeper.with_first_start(now) } else { keeper }
+    let selector = StoreRoleSelector::new(now, settings.heartbeat_timeout());
+    if settings.node.first_start { selector.with_first_start(now) } else { selector }
 }
 
 /// Returns the listener addresses, each with its endpoint and the name of its setting.
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -39,7 +39,7 @@
         let Some(address) = self.fleet.choose_pull_peer(self.now, is_reading) else {
             return;
         };
-        self.fleet.note_asked(self.now);
+        self.fleet.record_pull_start(self.now);
         self.peer_client.set_address(address);
         let (revision, version) = (self.mirror.known_revision(), self.mirror.version());
         let evacuations = self.mirror.evacuations_revision();
--- a/crates/staircross-gateway/src/outbound.rs
+++ b/crates/staircross-gateway/src/outbound.rs
@@ -17,7 +17,7 @@
     /// Request line and the header fields that are passed on.
     prefix: Rc<[u8]>,
     /// Header fields with the caller's API key and tenant. They are passed on only if the configuration has no tenants.
-    claims: Rc<[u8]>,
+    identity_fields: Rc<[u8]>,
     body: Rc<[u8]>,
     /// Request method, which decides whether an answer has a body.
     pub method: Rc<str>,
@@ -36,9 +36,9 @@
         let head = &request.head;
         let mut prefix = Vec::with_capacity(256);
         write::request_line(&mut prefix, &head.method, &head.target);
-        let mut claims = Vec::new();
+        let mut identity_fields = Vec::new();
         for (name, value) in head.headers.iter().filter(|(name, _)| is_passed_on(head, name, names)) {
-            let fields = if is_claim(name, names) { &mut claims } else { &mut prefix };
+            let fields = if is_identity_field(name, names) { &mut identity_fields } else { &mut prefix };
             write::field(fields, name, value);
         }
         let has_body = !request.body.is_empty() || head.headers.first("content-length").is_some();
@@ -47,7 +47,7 @@
         }
         OutboundRequest {
             prefix: prefix.into(),
-            claims: claims.into(),
+            identity_fields: identity_fields.into(),
             body: request.body.as_slice().into(),
             method: head.method.as_str().into(),
             id: head.headers.first(names.request_id).map(|value| value.trim_ascii().into()),
@@ -67,7 +67,7 @@
         let mut bytes = Vec::with_capacity(self.prefix.len() + self.body.len() + 128);
         bytes.extend_from_slice(&self.prefix);
         match identity {
-            SentIdentity::Unmanaged => bytes.extend_from_slice(&self.claims),
+            SentIdentity::Unmanaged => bytes.extend_from_slice(&self.identity_fields),
             SentIdentity::Anonymous => {}
             SentIdentity::Tenant(name) => write::field(&mut bytes, names.tenant, name.as_bytes()),
         }
@@ -103,8 +103,8 @@
 }
 
 /// Returns whether a header field states the caller's API key or tenant.
-fn is_claim(name: &str, names: &HeaderNames) -> bool {
-    [names.api_key, names.tenant].iter().any(|claim| claim.eq_ignore_ascii_case(name))
+fn is_identity_field(name: &str, names: &HeaderNames) -> bool {
+    [names.api_key, names.tenant].iter().any(|field| field.eq_ignore_ascii_case(name))
 }
 
 /// Returns whether a header field is passed on to searchers.
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -233,12 +233,12 @@
     }
 
     /// Gives up an attempt whose answer is no longer wanted. If nothing was sent, the attempt is recalled; otherwise
-    /// its connection is closed unless the answer is complete within `patience`.
+    /// its connection is closed unless the answer is complete within `answer_timeout`.
     pub fn abandon(
         &mut self,
         now: BootTime,
         attempt: AttemptKey,
-        patience: Duration,
+        answer_timeout: Duration,
         cause: AbandonCause,
         events: &mut Vec<PoolEvent>,
     ) {
@@ -247,7 +247,7 @@
         };
         let connection = &mut self.connections[slot];
         match &mut connection.state {
-            ConnectionState::Busy(assignment) => assignment.abandoned = Some((now + patience, cause)),
+            ConnectionState::Busy(assignment) => assignment.abandoned = Some((now + answer_timeout, cause)),
             ConnectionState::Connecting { .. } | ConnectionState::Proving { .. } => self.recall(attempt, events),
             ConnectionState::Idle => {}
         }
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -15,7 +15,7 @@
 /// it rejects are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per
 /// searcher and with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615,
 /// 0.740 and 0.728 with it.
-const CONTESTED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+const IDLE_TIMEOUT_AFTER_RESET: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
 /// machines that replace it. Measured after a loss of all machines, with 10, 14 and 20 connections per searcher: the
@@ -150,7 +150,7 @@
             let age = now.since(connection.state_since);
             let is_expired = match &connection.state {
                 ConnectionState::Idle if self.policy.contested_rest && self.is_contested(connection.searcher, now) => {
-                    age >= CONTESTED_IDLE_TIMEOUT
+                    age >= IDLE_TIMEOUT_AFTER_RESET
                 }
                 ConnectionState::Idle if self.is_surplus(slot, connection.searcher) => {
                     age >= connection.idle_timeout.min(max_idle).min(SURPLUS_IDLE_TIMEOUT)
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -22,7 +22,7 @@
 const MAX_PROVING_TIME: Duration = Duration::from_millis(50);
 /// Time after the reset of a fresh connection during which further connections to the same searcher are proved. It
 /// covers the seconds that a searcher needs to notice that machines are gone, whose connections it still counts.
-const CONTESTED_TIME: Duration = Duration::from_secs(5);
+const RECENT_RESET_TIME: Duration = Duration::from_secs(5);
 
 impl Pool {
     /// Opens a connection for an attempt.
@@ -98,7 +98,7 @@
 
     /// Returns whether a searcher recently reset a fresh connection.
     pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
-        self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < CONTESTED_TIME)
+        self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < RECENT_RESET_TIME)
     }
 
     /// Sends the assigned attempt on an established connection, or makes the connection idle if there is none.
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -108,7 +108,7 @@
 pub struct ServerTimeouts {
     /// Longest silence after a request has begun to arrive and before it is complete, head and body. Each further byte
     /// restarts this timeout.
-    pub head: Duration,
+    pub partial_request: Duration,
     /// Longest time that a connection may be idle between requests.
     pub idle: Duration,
 }
@@ -358,7 +358,7 @@
             match connection.state {
                 State::AwaitingAnswer => {}
                 State::Closing if age >= CLOSE_TIMEOUT => expired.push(slot),
-                State::Reading if connection.http.has_partial_request() && age >= timeouts.head => {
+                State::Reading if connection.http.has_partial_request() && age >= timeouts.partial_request => {
                     connection.state = State::AwaitingAnswer;
                     events.push(ServerEvent::RequestTimedOut { connection: id });
                 }
--- a/crates/staircross-gateway/src/settings/check.rs
+++ b/crates/staircross-gateway/src/settings/check.rs
@@ -19,7 +19,7 @@
             display("{origin}: {reason}")
         }
         /// A value is outside its allowed range.
-        Value { key: &'static str, value: String, allowed: &'static str } {
+        InvalidValue { key: &'static str, value: String, allowed: &'static str } {
             display("{key}: {value} is not allowed; allowed: {allowed}")
         }
     }
@@ -108,5 +108,5 @@
 
 /// Returns the error for a value that isn't allowed.
 fn invalid_value(key: &'static str, value: impl ToString, allowed: &'static str) -> Result<(), SettingsError> {
-    Err(SettingsError::Value { key, value: value.to_string(), allowed })
+    Err(SettingsError::InvalidValue { key, value: value.to_string(), allowed })
 }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -25,10 +25,10 @@
 pub(super) const RESERVED_DESCRIPTORS: usize = 264;
 /// Minimum time between calls for the configuration, as a fraction of the bound on operator updates. Together with a
 /// follower's pull it leaves most of the bound for a late wake-up and a lost answer.
-const CONFIG_REST_FRACTION: f64 = 0.17;
+const CONFIGURATION_PAUSE_FRACTION: f64 = 0.17;
 /// Minimum time between calls for searchers, as a fraction of the bound on drains. Together with a datagram and a
 /// follower's pull, an update stays below the bound, and many updates at once cause few calls.
-const DRAIN_REST_FRACTION: f64 = 0.3;
+const SEARCHER_PAUSE_FRACTION: f64 = 0.3;
 /// Time for which a searcher whose entry has ended is still a fallback, as a fraction of the bound on drains. Together
 /// with the time between calls, a follower's pull and a late wake-up, it stays below the bound.
 const LAPSE_GRACE_FRACTION: f64 = 0.25;
@@ -37,10 +37,10 @@
 const HEARTBEAT_TIMEOUT_FRACTION: f64 = 0.4;
 /// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
 /// heartbeat isn't taken for silence.
-const PROBE_INTERVAL_FRACTION: f64 = 0.4;
+const READER_PROBE_INTERVAL_FRACTION: f64 = 0.4;
 /// Time between two probes of a prober, a node that hears no reader, as a fraction of the silence that followers
 /// tolerate. Longer than that of a reader, because many nodes may hear no reader at once.
-const PROBE_IN_DOUBT_FRACTION: f64 = 0.5;
+const PROBER_PROBE_INTERVAL_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
 /// a large configuration, limiting only the number of large answers let some days exceed the budget for extra sends;
@@ -60,21 +60,22 @@
 impl GatewaySettings {
     /// Returns the settings of the store reader, that is, when it calls the store. The time between its calls is a
     /// small fraction of the time in which updates must be in force.
-    pub fn reader(&self) -> ReaderSettings {
+    pub fn store_reader_settings(&self) -> ReaderSettings {
         let defaults = ReaderSettings::default();
-        let configuration_pause = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
-        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
+        let configuration_pause =
+            Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIGURATION_PAUSE_FRACTION);
+        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(SEARCHER_PAUSE_FRACTION);
         let heartbeat_timeout = self.heartbeat_timeout();
         let max_confirmation_age = self.max_confirmation_age();
         ReaderSettings {
             configuration_pause: defaults.configuration_pause.min(configuration_pause),
             searcher_pause: defaults.searcher_pause.min(searcher_pause),
             probe: ProbeIntervals {
-                usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(PROBE_INTERVAL_FRACTION)),
+                usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(READER_PROBE_INTERVAL_FRACTION)),
                 ..defaults.probe
             },
-            probe_with_followers: heartbeat_timeout.min(max_confirmation_age).mul_f64(PROBE_INTERVAL_FRACTION),
-            probe_as_prober: heartbeat_timeout.mul_f64(PROBE_IN_DOUBT_FRACTION),
+            probe_with_followers: heartbeat_timeout.min(max_confirmation_age).mul_f64(READER_PROBE_INTERVAL_FRACTION),
+            probe_as_prober: heartbeat_timeout.mul_f64(PROBER_PROBE_INTERVAL_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..defaults
         }
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -150,8 +150,8 @@
     /// node. It does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once
     /// takes a while to answer, and peers' links are narrower than the store's.
     pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
-        let patience = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
-        let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
+        let max_wait = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
+        let is_late = behind_since.is_some_and(|since| now.since(since) >= max_wait);
         !is_served || is_late
     }
 
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -18,7 +18,7 @@
 
 /// Time for which a former owner still answers reports of nodes that don't know the new owner yet. Longer than a
 /// planned stop takes to become known everywhere.
-const FORMER_OWNER_LINGER: Duration = Duration::from_secs(2);
+const FORMER_OWNER_LEDGER_RETENTION: Duration = Duration::from_secs(2);
 /// Time between two checks of a limited tenant. Equal to the shortest time between two grants of the owner.
 const LIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a refusal after which a tenant is no longer logged as limited, so that the log doesn't alternate
@@ -39,7 +39,7 @@
     pub owner: NodeId,
     /// Generation of the fleet's view from which `owner` was determined.
     generation: u32,
-    /// Present while this node is the owner, and for [`FORMER_OWNER_LINGER`] afterwards.
+    /// Present while this node is the owner, and for [`FORMER_OWNER_LEDGER_RETENTION`] afterwards.
     pub ledger: Option<Ledger>,
     /// Present while another node is the owner.
     pub follower: Option<Follower>,
@@ -80,7 +80,7 @@
     }
 
     /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after
-    /// [`FORMER_OWNER_LINGER`].
+    /// [`FORMER_OWNER_LEDGER_RETENTION`].
     pub fn refresh_owner(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
@@ -97,12 +97,12 @@
                 self.become_follower(now, fleet);
             }
         }
-        let linger_is_over = self
+        let is_retention_over = self
             .ledger
             .as_ref()
             .and_then(|ledger| ledger.ownership_lost_at)
-            .is_some_and(|at| now.since(at) >= FORMER_OWNER_LINGER);
-        if linger_is_over {
+            .is_some_and(|at| now.since(at) >= FORMER_OWNER_LEDGER_RETENTION);
+        if is_retention_over {
             self.ledger = None;
         }
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LINGER`].
+    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LEDGER_RETENTION`].
     fn become_follower(&mut self, now: BootTime, fleet: &Fleet) {
         if let Some(ledger) = &mut self.ledger {
             ledger.ownership_lost_at.get_or_insert(now);
@@ -304,7 +304,7 @@
     }
 
     /// Handles a report as the owner, and returns the fraction to admit and the confirmation. Returns `None` if this
-    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LINGER`].
+    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LEDGER_RETENTION`].
     pub fn handle_report_as_owner(
         &mut self,
         now: BootTime,
