--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -29,7 +29,7 @@
 
 impl CasePushLimiter {
     /// Records that there are updates to push.
-    pub fn note_update(&mut self) {
+    pub fn record_update(&mut self) {
         self.has_update = true;
     }
 
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -131,7 +131,7 @@
             format_args!("event=suspicion content={content} level={} lost={losses} source={source}", suspicion.name());
         self.log.line(self.now, LineKind::NodeEvent, line);
         if change.is_urgent(is_from_peers) {
-            self.case_pushes.note_update();
+            self.case_pushes.record_update();
         }
     }
 
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -63,7 +63,7 @@
                 FleetEvent::Member { member } => {
                     is_shape_changed = true;
                     if self.is_in_own_region(&member) {
-                        self.store_role.note_member_change(self.now);
+                        self.store_role.record_member_change(self.now);
                     }
                     self.log_member(&member);
                 }
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -78,7 +78,7 @@
             format_args!("event=asked_peer peer={peer} understood={is_understood}"),
         );
         let Some(update) = update else {
-            return self.store_role.note_pull_failed(self.now);
+            return self.store_role.record_pull_failed(self.now);
         };
         self.apply_update(update, "peer");
         self.store_reader.on_peer_report(Lane::Searchers, self.mirror.known_revision());
--- a/crates/staircross-gateway/src/node/updates/store.rs
+++ b/crates/staircross-gateway/src/node/updates/store.rs
@@ -17,7 +17,7 @@
     /// to match.
     pub(in crate::node) fn decide_store_role(&mut self) {
         if let Some(heartbeat) = self.fleet.newest_heartbeat() {
-            self.store_role.note_heartbeat(heartbeat);
+            self.store_role.record_heartbeat(heartbeat);
         }
         self.store_reader.set_has_followers(self.now, self.fleet.has_followers());
         let before = self.store_role.role();
@@ -121,7 +121,7 @@
     /// already in flight by then. A designated reader sends its followers a heartbeat if the store serves both
     /// watches.
     fn on_probe_answered(&mut self) {
-        self.store_role.note_probe_answered(self.now);
+        self.store_role.record_probe_answered(self.now);
         let [watched_at, _, probed_at] = self.store.called_at;
         if self.store_reader.watches_configuration() && watched_at <= probed_at {
             self.fleet.confirm(probed_at);
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -127,22 +127,22 @@
     }
 
     /// Records a change of a member of the region; further members may follow.
-    pub fn note_member_change(&mut self, now: BootTime) {
+    pub fn record_member_change(&mut self, now: BootTime) {
         self.member_changed_at = now;
     }
 
     /// Records a heartbeat: the store answered a reader of the region at time `at`.
-    pub fn note_heartbeat(&mut self, at: BootTime) {
+    pub fn record_heartbeat(&mut self, at: BootTime) {
         self.heartbeat_at = self.heartbeat_at.max(at);
     }
 
     /// Records that the store answered a probe of this node.
-    pub fn note_probe_answered(&mut self, now: BootTime) {
+    pub fn record_probe_answered(&mut self, now: BootTime) {
         self.probed_at.get_or_insert(now);
     }
 
     /// Records that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
-    pub fn note_pull_failed(&mut self, now: BootTime) {
+    pub fn record_pull_failed(&mut self, now: BootTime) {
         self.reads_until = now + SELF_READING_TIME;
     }
 
--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -9,10 +9,10 @@
     let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     assert!(!pushes.take(now), "no news");
-    pushes.note_update();
+    pushes.record_update();
     assert!(pushes.take(now));
     assert!(!pushes.take(now), "it is told");
-    pushes.note_update();
+    pushes.record_update();
     assert!(pushes.take(now + Duration::from_millis(2)), "the request to blame needn't be the first that is suspected");
 }
 
@@ -21,7 +21,7 @@
     let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
-        pushes.note_update();
+        pushes.record_update();
         pushes.take(now + Duration::from_millis(*ms))
     };
     let made = (0..10_000).filter(is_pushed).count();
--- a/crates/staircross-gateway/tests/store_role.rs
+++ b/crates/staircross-gateway/tests/store_role.rs
@@ -28,25 +28,25 @@
 #[test]
 fn members_that_are_still_learned_of_put_that_off_but_not_for_long() {
     let mut patient = StoreRoleSelector::new(at(0), SILENCE * 4);
-    patient.note_member_change(at(1000));
+    patient.record_member_change(at(1000));
     assert_eq!(patient.decide(at(2199), true), StoreRole::Follower);
     assert_eq!(patient.decide(at(2200), true), StoreRole::Reader, "nobody else was learned of");
     let mut busy = started();
-    busy.note_member_change(at(SETTLED - 10));
+    busy.record_member_change(at(SETTLED - 10));
     assert_eq!(busy.decide(at(SETTLED), true), StoreRole::Reader, "news may not wait for ever");
 }
 
 #[test]
 fn a_designated_node_reads_whatever_it_hears() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(SETTLED));
+    keeper.record_heartbeat(at(SETTLED));
     assert_eq!(keeper.decide(at(SETTLED), true), StoreRole::Reader);
 }
 
 #[test]
 fn a_follower_that_becomes_designated_reads_at_once() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(2000));
+    keeper.record_heartbeat(at(2000));
     assert_eq!(keeper.decide(at(2001), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(2002), true), StoreRole::Reader);
     assert_eq!(keeper.decide(at(2003), false), StoreRole::Follower, "its word is still fresh");
@@ -55,16 +55,16 @@
 #[test]
 fn silence_makes_a_follower_probe_and_a_store_that_answers_makes_it_read() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(0));
+    keeper.record_heartbeat(at(0));
     assert_eq!(keeper.decide(at(1199), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(1200), false), StoreRole::Prober);
     assert_eq!(keeper.decide(at(9000), false), StoreRole::Prober, "a store that is away isn't read");
-    keeper.note_probe_answered(at(9000));
+    keeper.record_probe_answered(at(9000));
     assert_eq!(keeper.decide(at(9395), false), StoreRole::Prober, "its readers find the store too, if they live");
     assert_eq!(keeper.decide(at(9397), false), StoreRole::Reader);
-    keeper.note_heartbeat(at(9500));
+    keeper.record_heartbeat(at(9500));
     assert_eq!(keeper.decide(at(9600), false), StoreRole::Reader, "readers that come and go aren't relied on");
-    keeper.note_heartbeat(at(19_300));
+    keeper.record_heartbeat(at(19_300));
     assert_eq!(keeper.decide(at(19_400), false), StoreRole::Follower);
 }
 
@@ -76,7 +76,7 @@
     let mut now = 0;
     while keeper.decide(at(now), false) != StoreRole::Reader {
         if keeper.role() == StoreRole::Prober {
-            keeper.note_probe_answered(at(now));
+            keeper.record_probe_answered(at(now));
         }
         now += 1;
     }
@@ -87,8 +87,8 @@
 fn a_sign_heard_while_probing_makes_it_follow_again_without_having_read() {
     let mut keeper = started();
     assert_eq!(keeper.decide(at(1200), false), StoreRole::Prober);
-    keeper.note_probe_answered(at(5000));
-    keeper.note_heartbeat(at(5100));
+    keeper.record_probe_answered(at(5000));
+    keeper.record_heartbeat(at(5100));
     assert_eq!(keeper.decide(at(5100), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(6300), false), StoreRole::Prober);
     assert_eq!(keeper.decide(at(6800), false), StoreRole::Prober, "the answer of the time before says nothing");
@@ -97,15 +97,15 @@
 #[test]
 fn an_older_sign_that_comes_late_changes_nothing() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(1000));
-    keeper.note_heartbeat(at(0));
+    keeper.record_heartbeat(at(1000));
+    keeper.record_heartbeat(at(0));
     assert_eq!(keeper.decide(at(2100), false), StoreRole::Follower);
 }
 
 #[test]
 fn a_process_that_slept_does_not_rely_on_what_it_heard_before() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(0));
+    keeper.record_heartbeat(at(0));
     assert_eq!(keeper.decide(at(10), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(5000), false), StoreRole::Prober);
 }
@@ -113,11 +113,11 @@
 #[test]
 fn at_the_first_start_of_a_fleet_nobody_reads_before_it_knows_its_region() {
     let mut keeper = started().with_first_start(at(0));
-    keeper.note_member_change(at(900));
+    keeper.record_member_change(at(900));
     assert_eq!(keeper.decide(at(2099), true), StoreRole::Follower);
     assert_eq!(keeper.decide(at(2100), true), StoreRole::Reader);
     let mut busy = started().with_first_start(at(0));
-    busy.note_member_change(at(2900));
+    busy.record_member_change(at(2900));
     assert_ne!(busy.decide(at(2999), true), StoreRole::Reader);
     assert_eq!(busy.decide(at(3000), true), StoreRole::Reader);
 }
@@ -128,18 +128,18 @@
     assert_eq!(keeper.decide(at(2699), false), StoreRole::Follower);
     assert_eq!(keeper.decide(at(2700), false), StoreRole::Prober, "nobody has told anything");
     let mut told = started().with_first_start(at(0));
-    told.note_heartbeat(at(2500));
+    told.record_heartbeat(at(2500));
     assert_eq!(told.decide(at(2700), false), StoreRole::Follower);
 }
 
 #[test]
 fn a_follower_that_its_peers_do_not_serve_reads_at_once_and_stays_with_it_for_a_while() {
     let mut keeper = started();
-    keeper.note_heartbeat(at(0));
+    keeper.record_heartbeat(at(0));
     assert_eq!(keeper.decide(at(1), false), StoreRole::Follower);
-    keeper.note_pull_failed(at(2));
+    keeper.record_pull_failed(at(2));
     assert_eq!(keeper.decide(at(3), false), StoreRole::Reader, "although signs are fresh");
-    keeper.note_heartbeat(at(9900));
+    keeper.record_heartbeat(at(9900));
     assert_eq!(keeper.decide(at(9950), false), StoreRole::Reader);
     assert_eq!(keeper.decide(at(10_003), false), StoreRole::Follower);
 }
