--- a/crates/staircross-gateway/src/fleet/confirmation.rs
+++ b/crates/staircross-gateway/src/fleet/confirmation.rs
@@ -31,7 +31,7 @@
 impl Confirmation {
     /// Applies a confirmation on a node whose configuration has `own_version`. A confirmation of a newer version is
     /// kept until the node has that version.
-    pub fn note(&mut self, own_version: u64, confirmed: ConfirmedVersion) {
+    pub fn record(&mut self, own_version: u64, confirmed: ConfirmedVersion) {
         if confirmed.version <= own_version {
             self.at = Some(self.at.map_or(confirmed.at, |known| known.max(confirmed.at)));
         } else if self.pending.is_none_or(|pending| pending.at < confirmed.at) {
@@ -42,7 +42,7 @@
     /// Applies the pending confirmation if the node's new version is recent enough for it.
     pub fn set_version(&mut self, own_version: u64) {
         if let Some(pending) = self.pending.take_if(|pending| pending.version <= own_version) {
-            self.note(own_version, pending);
+            self.record(own_version, pending);
         }
     }
 
@@ -56,7 +56,7 @@
     /// Records that the store, queried at `queried_at`, had nothing newer for this node.
     pub fn confirm(&mut self, queried_at: BootTime) {
         let confirmed = ConfirmedVersion { version: self.own_announcement.version, at: queried_at };
-        self.confirmation.note(self.own_announcement.version, confirmed);
+        self.confirmation.record(self.own_announcement.version, confirmed);
     }
 
     /// Returns the latest time at which this node's configuration is known to have been the newest.
@@ -77,7 +77,7 @@
             return;
         };
         let at = self.socket.drained_at() - Duration::from_millis(u64::from(age));
-        self.confirmation.note(self.own_announcement.version, ConfirmedVersion { version, at });
+        self.confirmation.record(self.own_announcement.version, ConfirmedVersion { version, at });
     }
 
     pub(super) fn refresh_own_confirmation_age(&mut self, now: BootTime) {
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -67,7 +67,7 @@
         let peer = PeerKnowledge { accepts: self.limit_to_link_capacity(peer.accepts), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
-                self.peer_answers.note(self.now, body.len());
+                self.peer_answers.record(self.now, body.len());
                 context.plain(200, "application/cbor", &body)
             }
             Err(error) => context.plain(500, "text/plain", error.to_string().as_bytes()),
--- a/crates/staircross-gateway/src/peer_answers.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -41,7 +41,7 @@
 
 impl RecentPeerAnswers {
     /// Records an answer of `bytes` bytes.
-    pub fn note(&mut self, now: BootTime, bytes: usize) {
+    pub fn record(&mut self, now: BootTime, bytes: usize) {
         self.answers.push_back(PeerAnswer { at: now, bytes });
     }
 
--- a/crates/staircross-gateway/tests/confirmation.rs
+++ b/crates/staircross-gateway/tests/confirmation.rs
@@ -15,18 +15,18 @@
 fn signs_on_the_own_version_and_on_older_ones_confirm_it() {
     let mut confirmation = Confirmation::default();
     assert_eq!(confirmation.at(), None);
-    confirmation.note(4, sign(4, 1000));
-    confirmation.note(4, sign(3, 1500));
-    confirmation.note(4, sign(4, 1200));
+    confirmation.record(4, sign(4, 1000));
+    confirmation.record(4, sign(3, 1500));
+    confirmation.record(4, sign(4, 1200));
     assert!(is_confirmed_until(&confirmation, 1500));
 }
 
 #[test]
 fn a_sign_on_a_newer_version_counts_once_that_is_here() {
     let mut confirmation = Confirmation::default();
-    confirmation.note(4, sign(4, 1000));
-    confirmation.note(4, sign(6, 3000));
-    confirmation.note(4, sign(6, 2500));
+    confirmation.record(4, sign(4, 1000));
+    confirmation.record(4, sign(6, 3000));
+    confirmation.record(4, sign(6, 2500));
     assert!(is_confirmed_until(&confirmation, 1000));
     confirmation.set_version(5);
     assert!(is_confirmed_until(&confirmation, 1000));
