--- a/crates/staircross-gateway/src/case_pushes.rs
+++ b/crates/staircross-gateway/src/case_pushes.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns whether to push now. If so, the push is counted as made.
-    pub fn take(&mut self, now: BootTime) -> bool {
+    pub fn take_due_push(&mut self, now: BootTime) -> bool {
         let may_push = self.has_update && self.used_until <= now + PUSH_INTERVAL * (MAX_BURST - 1);
         if may_push {
             self.has_update = false;
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -44,7 +44,7 @@
 
     /// Pushes case records to some peers at once, if there are updates and the rate limit allows it.
     pub(in crate::node) fn push_cases(&mut self) {
-        if !self.case_pushes.take(self.now) {
+        if !self.case_pushes.take_due_push(self.now) {
             return;
         }
         self.fleet.set_case_records(self.engine.next_case_records(self.now));
--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -8,12 +8,15 @@
 fn news_just_after_other_news_is_pushed_at_once() {
     let mut pushes = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
-    assert!(!pushes.take(now), "no news");
+    assert!(!pushes.take_due_push(now), "no news");
     pushes.record_update();
-    assert!(pushes.take(now));
-    assert!(!pushes.take(now), "it is told");
+    assert!(pushes.take_due_push(now));
+    assert!(!pushes.take_due_push(now), "it is told");
     pushes.record_update();
-    assert!(pushes.take(now + Duration::from_millis(2)), "the request to blame needn't be the first that is suspected");
+    assert!(
+        pushes.take_due_push(now + Duration::from_millis(2)),
+        "the request to blame needn't be the first that is suspected"
+    );
 }
 
 #[test]
@@ -22,7 +25,7 @@
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
         pushes.record_update();
-        pushes.take(now + Duration::from_millis(*ms))
+        pushes.take_due_push(now + Duration::from_millis(*ms))
     };
     let made = (0..10_000).filter(is_pushed).count();
     assert!((100..=104).contains(&made), "{made}");
