--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -135,7 +135,7 @@
 
 fn render_traffic(traffic: Traffic, text: &mut String) {
     text.push_str("# TYPE staircross_bytes_total counter\n");
-    for (purpose, reach, bytes) in traffic.counted() {
+    for (purpose, reach, bytes) in traffic.nonzero_counts() {
         let (purpose, reach) = (purpose.name(), reach.name());
         // Writing to a string can't fail.
         let _infallible = writeln!(text, "staircross_bytes_total{{purpose=\"{purpose}\",reach=\"{reach}\"}} {bytes}");
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -29,7 +29,7 @@
         }
         self.log_limits.next_summary = self.now + SUMMARY_INTERVAL;
         let mut text = String::from("event=traffic");
-        for (purpose, reach, bytes) in self.all_traffic().counted() {
+        for (purpose, reach, bytes) in self.all_traffic().nonzero_counts() {
             // Writing to a string can't fail.
             let _infallible = write!(text, " {}_{}={bytes}", purpose.name(), reach.name());
         }
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns all counters that aren't zero.
-    pub fn counted(&self) -> impl Iterator<Item = (Purpose, Reach, u64)> {
+    pub fn nonzero_counts(&self) -> impl Iterator<Item = (Purpose, Reach, u64)> {
         let all = Purpose::ALL.into_iter().flat_map(|purpose| Reach::ALL.map(|reach| (purpose, reach)));
         all.map(|(purpose, reach)| (purpose, reach, self.bytes(purpose, reach))).filter(|(_, _, bytes)| *bytes > 0)
     }
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -58,6 +58,6 @@
     let told = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
     play(&mut fleets, &mut now, |_, events| events.contains(&told));
     let counted: u64 =
-        fleets[0].traffic.counted().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
+        fleets[0].traffic.nonzero_counts().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
     assert!((50..250).contains(&counted), "{counted} bytes");
 }
--- a/crates/staircross-gateway/tests/traffic.rs
+++ b/crates/staircross-gateway/tests/traffic.rs
@@ -15,7 +15,7 @@
     all.count(Purpose::FirstAttempts, far, 1);
     all += pool;
     let counted: Vec<(&str, &str, u64)> =
-        all.counted().map(|(purpose, reach, bytes)| (purpose.name(), reach.name(), bytes)).collect();
+        all.nonzero_counts().map(|(purpose, reach, bytes)| (purpose.name(), reach.name(), bytes)).collect();
     let expected = [("firsts", "other_region", 101), ("hedges", "own_zone", 7), ("membership", "unknown", 5)];
     assert_eq!(counted, expected);
 }
@@ -28,6 +28,6 @@
     {
         all.count(purpose, reach, number + 1);
     }
-    let bytes: Vec<u64> = all.counted().map(|(_, _, bytes)| bytes).collect();
+    let bytes: Vec<u64> = all.nonzero_counts().map(|(_, _, bytes)| bytes).collect();
     assert_eq!(bytes, (1..=28).collect::<Vec<u64>>());
 }
