--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -30,9 +30,9 @@
     sum_ms: f64,
 }
 
-/// Gauges, and the counters of other components, as read when the text is rendered.
+/// ComponentMetrics, and the counters of other components, as read when the text is rendered.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauges {
+pub struct ComponentMetrics {
     /// Number of requests in flight.
     pub in_flight: usize,
     /// Number of open connections that the node's server has accepted, on all listeners.
@@ -115,7 +115,7 @@
     let _infallible = writeln!(text, "# TYPE staircross_{name} {kind}\nstaircross_{name} {value}");
 }
 
-fn render_gauges(gauges: Gauges, text: &mut String) {
+fn render_gauges(gauges: ComponentMetrics, text: &mut String) {
     let mut line = |name: &str, value: u64| render_metric(text, name, "gauge", value);
     line("requests_in_flight", gauges.in_flight as u64);
     line("server_connections", gauges.server_connections as u64);
@@ -190,7 +190,7 @@
     }
 
     /// Renders all metrics as text.
-    pub fn render(&self, counters: RoutingCounters, gauges: Gauges, traffic: Traffic) -> String {
+    pub fn render(&self, counters: RoutingCounters, gauges: ComponentMetrics, traffic: Traffic) -> String {
         let mut text = String::with_capacity(4096);
         self.render_counters(counters, gauges, &mut text);
         render_gauges(gauges, &mut text);
@@ -202,7 +202,7 @@
         text
     }
 
-    fn render_counters(&self, counters: RoutingCounters, gauges: Gauges, text: &mut String) {
+    fn render_counters(&self, counters: RoutingCounters, gauges: ComponentMetrics, text: &mut String) {
         let mut line = |name: &str, value: u64| render_metric(text, name, "counter", value);
         line("answers_total", self.answers);
         line("callers_gone_total", self.callers_gone);
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -6,7 +6,7 @@
 use super::GatewayNode;
 use super::updates::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
 use crate::dialect::Dialect;
-use crate::metrics::Gauges;
+use crate::metrics::ComponentMetrics;
 use crate::outbound::AnswerContext;
 use crate::server::Endpoint;
 use crate::socket::SocketId;
@@ -87,7 +87,7 @@
 
     fn render_metrics(&self) -> String {
         let (suspects, quarantined) = self.engine.suspicion_counts(self.now);
-        let gauges = Gauges {
+        let gauges = ComponentMetrics {
             suspects,
             quarantined,
             alarms: self.engine.alarm_count(),
--- a/crates/staircross-gateway/tests/pinned_metrics.rs
+++ b/crates/staircross-gateway/tests/pinned_metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics page keeps its names, types and labels.
 
-use staircross_gateway::metrics::{Gauges, Metrics, StoreCallCounters};
+use staircross_gateway::metrics::{ComponentMetrics, Metrics, StoreCallCounters};
 use staircross_gateway::traffic::{Purpose, Reach, Traffic};
 use staircross_routing::engine::RoutingCounters;
 use staircross_types::ErrorKind;
@@ -22,7 +22,7 @@
     for purpose in Purpose::ALL {
         Reach::ALL.iter().for_each(|reach| traffic.count(purpose, *reach, 1000));
     }
-    let page = metrics.render(RoutingCounters::default(), Gauges::default(), traffic);
+    let page = metrics.render(RoutingCounters::default(), ComponentMetrics::default(), traffic);
     // Refusals and routes stand in the order of a hash map.
     insta::assert_snapshot!(with_sorted_runs(&page));
 }
