--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -68,7 +68,7 @@
         member: Box<Member>,
     },
     /// A peer sent case records, which describe requests during which searchers were lost.
-    Cases(Vec<CaseRecord>),
+    CaseRecords(Vec<CaseRecord>),
     /// The node has heard no peer for some time, or hears one again.
     Isolated {
         /// Whether the node hears no peer.
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -91,7 +91,7 @@
         self.record_heartbeat(now, datagram.from, &datagram.announcement);
         self.record_confirmation(datagram.from);
         if !datagram.cases.is_empty() {
-            events.push(FleetEvent::Cases(datagram.cases));
+            events.push(FleetEvent::CaseRecords(datagram.cases));
         }
         if !datagram.quotas.is_empty() {
             events.push(FleetEvent::Quotas { from: datagram.from, messages: datagram.quotas });
--- a/crates/staircross-gateway/src/node/updates/fleet.rs
+++ b/crates/staircross-gateway/src/node/updates/fleet.rs
@@ -74,7 +74,7 @@
                     self.log.line(self.now, LineKind::NodeEvent, format_args!("event=isolated isolated={is_isolated}"));
                     self.process_routing_event(RoutingEvent::Isolated { is_isolated });
                 }
-                FleetEvent::Cases(records) => self.process_routing_event(RoutingEvent::PeerCases(records)),
+                FleetEvent::CaseRecords(records) => self.process_routing_event(RoutingEvent::PeerCases(records)),
             }
         }
         if is_shape_changed {
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -131,7 +131,7 @@
         "c":{{"V4":[[192,0,2,2],7001]}},"r":"north","z":"hall","s":"alive","v":1}}}}}}}}"#
     ));
     assert_eq!(events.len(), 3, "{events:?}");
-    let (FleetEvent::Cases(cases), FleetEvent::Quotas { from, messages }, FleetEvent::Member { member }) =
+    let (FleetEvent::CaseRecords(cases), FleetEvent::Quotas { from, messages }, FleetEvent::Member { member }) =
         (&events[0], &events[1], &events[2])
     else {
         panic!("{events:?}");
