--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -141,9 +141,9 @@
     /// Id of this incarnation.
     pub node: NodeId,
     /// Address for peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Region of the node.
     pub region: String,
     /// Zone of the node.
@@ -155,15 +155,15 @@
     pub fn new(identity: FleetIdentity, seeds: Vec<SocketAddr>, socket: UdpSocket, now: BootTime) -> Self {
         let own = Member {
             node: identity.node,
-            peer_address: identity.peers,
-            caller_address: identity.callers,
+            peer_address: identity.peer_address,
+            caller_address: identity.caller_address,
             region: identity.region,
             zone: ZoneName::new(identity.zone),
             state: MemberState::Alive,
             version: 1,
             is_ready: false,
         };
-        let seeds = seeds.into_iter().filter(|seed| *seed != identity.peers).collect();
+        let seeds = seeds.into_iter().filter(|seed| *seed != identity.peer_address).collect();
         Fleet {
             node: identity.node,
             membership: Membership::new(membership_settings(), own, seeds),
--- a/crates/staircross-gateway/src/node/setup.rs
+++ b/crates/staircross-gateway/src/node/setup.rs
@@ -134,8 +134,8 @@
 fn build_fleet(now: BootTime, node: NodeId, settings: &GatewaySettings, datagrams: UdpSocket) -> Fleet {
     let identity = FleetIdentity {
         node,
-        peers: settings.listen.peers,
-        callers: settings.listen.callers,
+        peer_address: settings.listen.peers,
+        caller_address: settings.listen.callers,
         region: settings.node.region.clone(),
         zone: settings.node.zone.clone(),
     };
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -19,7 +19,13 @@
 }
 
 fn identity(node: u128, peers: SocketAddr) -> FleetIdentity {
-    FleetIdentity { node: NodeId(node), peers, callers: peers, region: "north".to_owned(), zone: "a".to_owned() }
+    FleetIdentity {
+        node: NodeId(node),
+        peer_address: peers,
+        caller_address: peers,
+        region: "north".to_owned(),
+        zone: "a".to_owned(),
+    }
 }
 
 /// Plays turns of both nodes until `is_done` is content with the second one's events.
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -34,8 +34,8 @@
         let address = socket.local_addr().expect("it is bound");
         let identity = FleetIdentity {
             node: NodeId(1),
-            peers: "192.0.2.1:7004".parse().expect("an address"),
-            callers: "192.0.2.1:7001".parse().expect("an address"),
+            peer_address: "192.0.2.1:7004".parse().expect("an address"),
+            caller_address: "192.0.2.1:7001".parse().expect("an address"),
             region: "north".to_owned(),
             zone: "hall".to_owned(),
         };
