--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -149,7 +149,9 @@
         for (slot, connection) in &self.connections {
             let age = now.since(connection.state_since);
             let is_expired = match &connection.state {
-                ConnectionState::Idle if self.policy.contested_rest && self.is_contested(connection.searcher, now) => {
+                ConnectionState::Idle
+                    if self.policy.contested_rest && self.has_reset_recently(connection.searcher, now) =>
+                {
                     age >= IDLE_TIMEOUT_AFTER_RESET
                 }
                 ConnectionState::Idle if self.is_surplus(slot, connection.searcher) => {
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -93,11 +93,11 @@
     /// after a restart of the node, and for searchers that recently reset a fresh connection.
     fn must_prove(&self, slot: usize, now: BootTime) -> bool {
         let is_starting = now < self.proves_until;
-        self.policy.proving && (is_starting || self.is_contested(self.connections[slot].searcher, now))
+        self.policy.proving && (is_starting || self.has_reset_recently(self.connections[slot].searcher, now))
     }
 
     /// Returns whether a searcher recently reset a fresh connection.
-    pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
+    pub fn has_reset_recently(&self, searcher: SearcherKey, now: BootTime) -> bool {
         self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < RECENT_RESET_TIME)
     }
 
--- a/crates/staircross-gateway/tests/pool.rs
+++ b/crates/staircross-gateway/tests/pool.rs
@@ -284,10 +284,10 @@
     reset(stream);
     fixture.until("the reset", |events| is_ended(&events[before..]));
     assert_eq!(fixture.pool.connection_count(), 2);
-    assert!(fixture.pool.is_contested(SearcherKey(0), fixture.now));
-    assert!(!fixture.pool.is_contested(SearcherKey(1), fixture.now), "another searcher");
+    assert!(fixture.pool.has_reset_recently(SearcherKey(0), fixture.now));
+    assert!(!fixture.pool.has_reset_recently(SearcherKey(1), fixture.now), "another searcher");
     let later = fixture.now + Duration::from_secs(6);
-    assert!(!fixture.pool.is_contested(SearcherKey(0), later), "it may have room again");
+    assert!(!fixture.pool.has_reset_recently(SearcherKey(0), later), "it may have room again");
 }
 
 #[test]
