--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -59,7 +59,7 @@
     play(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
     assert_eq!(fleets[1].take_changed_quota_nodes(), None, "told once");
 
-    let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
+    let grant = QuotaMessage::Grant(QuotaGrant::new(now, TenantHash::of("t"), 0.25));
     fleets[0].send_quotas(NodeId(2), vec![grant]);
     let told = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
     play(&mut fleets, &mut now, |_, events| events.contains(&told));
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -102,7 +102,7 @@
 fn quotas_are_sent_alone() {
     let mut pair = Pair::new();
     pair.introduce();
-    let word = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
+    let word = QuotaGrant::new(BootTime::from_millis(1000), TenantHash(5), 0.25);
     pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(word)]);
     insta::assert_snapshot!("quotas", shown(&pair.receive_where(|text| text.contains("\"u\""))));
 }
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -104,7 +104,7 @@
 
 impl QuotaGrant {
     /// Creates a grant that answers no report.
-    pub fn unsolicited(now: BootTime, tenant: TenantHash, admit_fraction: f64) -> Self {
+    pub fn new(now: BootTime, tenant: TenantHash, admit_fraction: f64) -> Self {
         QuotaGrant {
             tenant,
             granted_at: now.0,
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -201,7 +201,7 @@
         let Some((admit_fraction, confirmation)) = answer else {
             return;
         };
-        let grant = QuotaGrant::unsolicited(now, report.tenant, admit_fraction).with_confirmation(confirmation);
+        let grant = QuotaGrant::new(now, report.tenant, admit_fraction).with_confirmation(confirmation);
         envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
         self.schedule(report.tenant);
     }
@@ -251,7 +251,7 @@
                 tenant.start_substitution_if_needed(now);
             }
             let due_grant = tenant.take_due_grant(now, quota_fraction, self.fleet.serving().len());
-            let owner_grant = due_grant.map(|admit_fraction| QuotaGrant::unsolicited(now, hash, admit_fraction));
+            let owner_grant = due_grant.map(|admit_fraction| QuotaGrant::new(now, hash, admit_fraction));
             let substitute_grant = tenant.take_due_substitute_grant(now, &self.fleet);
             if tenant.next_due().is_none() {
                 self.scheduled.remove(&hash);
--- a/crates/staircross-quota/src/substitution.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -67,7 +67,7 @@
 
     /// Returns a grant of the fraction `admit_fraction` in the owner's place.
     pub fn grant(&self, now: BootTime, tenant: TenantHash, admit_fraction: f64) -> QuotaGrant {
-        QuotaGrant::unsolicited(now, tenant, admit_fraction).with_substituted_owner(self.owner)
+        QuotaGrant::new(now, tenant, admit_fraction).with_substituted_owner(self.owner)
     }
 
     /// Counts requests of this node.
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -330,7 +330,7 @@
 
     /// Returns the grant that the owner sends to another node which acts as the owner.
     pub fn ownership_claim(&self, now: BootTime, quota_fraction: f64) -> QuotaMessage {
-        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.admit_fraction(now, quota_fraction)))
+        QuotaMessage::Grant(QuotaGrant::new(now, self.hash, self.admit_fraction(now, quota_fraction)))
     }
 
     /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
