--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -134,7 +134,7 @@
     }
 
     /// Admits or refuses one request of a tenant.
-    pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
+    pub fn try_admit(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
         let (random, is_in_first_start, is_cut_off) =
             (self.random(), self.is_in_first_start(now), self.is_cut_off(now));
--- a/crates/staircross-quota/tests/model/mod.rs
+++ b/crates/staircross-quota/tests/model/mod.rs
@@ -387,7 +387,7 @@
         let is_admitted_by_reference = self.is_admitted_by_reference(node);
         let view_before = self.nodes[node].rate_limiter.view(boot_time(self.now), TENANT);
         let is_admitted = match self.scheme {
-            Scheme::Owner => self.nodes[node].rate_limiter.try_take(boot_time(self.now), TENANT).is_ok(),
+            Scheme::Owner => self.nodes[node].rate_limiter.try_admit(boot_time(self.now), TENANT).is_ok(),
             Scheme::FixedShares => self.take_fixed_share(node, 0.0),
             Scheme::FixedSharesAndOne => self.take_fixed_share(node, 1.0),
         };
--- a/crates/staircross-quota/tests/pinned_allowance.rs
+++ b/crates/staircross-quota/tests/pinned_allowance.rs
@@ -112,7 +112,7 @@
     fn send_request(&mut self, tenant: &str) {
         let node = self.random.random_range(0..NODES.len());
         let now = self.now();
-        let taken = self.nodes[node].try_take(now, tenant);
+        let taken = self.nodes[node].try_admit(now, tenant);
         match taken {
             Ok(()) => self.record("admitted", node, tenant),
             Err(refusal) => self.record("refused", node, &format!("{tenant} {}", refusal.retry_after.as_nanos())),
--- a/crates/staircross-quota/tests/restart.rs
+++ b/crates/staircross-quota/tests/restart.rs
@@ -16,7 +16,7 @@
     let name = |number: usize| Arc::from(format!("tenant-{number}"));
     let quota = Quota { rate_per_s, burst: rate_per_s };
     node.set_quotas(now, (0..TENANTS).map(|number| (name(number), quota)));
-    (0..TENANTS).filter(|number| node.try_take(now, &format!("tenant-{number}")).is_ok()).count()
+    (0..TENANTS).filter(|number| node.try_admit(now, &format!("tenant-{number}")).is_ok()).count()
 }
 
 #[test]
--- a/crates/staircross-quota/tests/substitute.rs
+++ b/crates/staircross-quota/tests/substitute.rs
@@ -47,7 +47,7 @@
     /// The tenant's owner, which a node determines with the first request.
     fn owner(&mut self) -> NodeId {
         let now = self.now;
-        let _admitted = self.node_mut(NodeId(1)).try_take(now, TENANT);
+        let _admitted = self.node_mut(NodeId(1)).try_admit(now, TENANT);
         self.node_mut(NodeId(1)).view(now, TENANT).expect("a quota").owner
     }
 
@@ -80,7 +80,7 @@
             self.now = self.now + STEP;
             let now = self.now;
             for node in requested_nodes.iter().filter(|_| step % 5 == 0) {
-                admitted += usize::from(self.node_mut(*node).try_take(now, TENANT).is_ok());
+                admitted += usize::from(self.node_mut(*node).try_admit(now, TENANT).is_ok());
             }
             for node in (1..=NODES).map(NodeId) {
                 let mut envelopes = Vec::new();
@@ -159,7 +159,7 @@
     let others = fleet.others();
     let (cut, now) = (others[0], fleet.now);
     fleet.node_mut(cut).set_isolated(true);
-    let admitted = (0..20).filter(|_| fleet.node_mut(cut).try_take(now, TENANT).is_ok()).count();
+    let admitted = (0..20).filter(|_| fleet.node_mut(cut).try_admit(now, TENANT).is_ok()).count();
     // A fifth of the permitted excess of 35 requests is for the third of the nodes that may be cut off.
     assert!(admitted <= 4, "{admitted} of 20 at once");
     assert!(fleet.node_mut(cut).view(now, TENANT).expect("a quota").is_deciding_locally);
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -19,7 +19,7 @@
 impl RoutingEngine {
     /// Takes a token for one request of a tenant; otherwise returns the time until one will be available.
     pub fn take_quota_token(&mut self, now: BootTime, tenant: &Arc<str>) -> Result<(), Duration> {
-        self.quotas.try_take(now, tenant).map_err(|refusal| {
+        self.quotas.try_admit(now, tenant).map_err(|refusal| {
             self.counters.over_quota += 1;
             refusal.retry_after
         })
