--- a/crates/staircross-routing/src/engine.rs
+++ b/crates/staircross-routing/src/engine.rs
@@ -180,7 +180,7 @@
         };
         RoutingEngine {
             random: ChaCha8Rng::seed_from_u64(settings.seed),
-            quotas: quotas::new_allowance(&settings),
+            quotas: quotas::new_rate_limiter(&settings),
             place,
             slack_share: 1.0,
             settings,
--- a/crates/staircross-routing/src/engine/quotas.rs
+++ b/crates/staircross-routing/src/engine/quotas.rs
@@ -12,7 +12,7 @@
 const MAX_MESSAGES_PER_DATAGRAM: usize = 10;
 
 /// Creates the allowance of a node that has just started.
-pub(super) fn new_allowance(settings: &RoutingSettings) -> FleetRateLimiter {
+pub(super) fn new_rate_limiter(settings: &RoutingSettings) -> FleetRateLimiter {
     FleetRateLimiter::new(settings.quota, settings.node, settings.started_at, settings.restarted_at.is_none())
 }
 
