--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -48,8 +48,8 @@
             LineKind::NodeEvent => 400,
             // A node of a large fleet gets a few requests a second and logs them all; a busy node logs a sample.
             LineKind::Request => 150,
-            // Lower than the rate of requests, because each trace has many lines. The failed requests of a bad second
-            // are enough to see the cause.
+            // Lower than the rate of requests, because each trace has many lines. A sample of the failed requests of
+            // one second is enough to see the cause.
             LineKind::Trace => 60,
             // A sample is enough: complete answers are rarely investigated.
             LineKind::AnsweredTrace => 10,
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -8,7 +8,7 @@
 //! | `announcement` | the state that each datagram announces of its sender |
 //! | `datagrams` | the socket, and incoming and outgoing datagrams |
 //! | `readers` | the designated readers of the store, their heartbeats, and the choice of the peer to pull from |
-//! | `contact` | whether the node hears any peer |
+//! | `contact` | whether datagrams of any peer arrive |
 //! | `incarnation` | the ids of incarnations, by which an incarnation recognizes earlier ones of its node |
 //! | `confirmation` | the latest time at which the configuration is known to have been the newest |
 //! | `shape` | the nodes that serve callers, and this node's share of the limits that all nodes share |
@@ -69,9 +69,9 @@
     },
     /// A peer sent case records, which describe requests during which searchers were lost.
     CaseRecords(Vec<CaseRecord>),
-    /// The node has heard no peer for some time, or hears one again.
+    /// No datagram of any peer has arrived for some time, or one has arrived again.
     Isolated {
-        /// Whether the node hears no peer.
+        /// Whether no datagrams arrive.
         is_isolated: bool,
     },
     /// A peer sent messages about tenants' quotas.
--- a/crates/staircross-gateway/src/fleet/contact.rs
+++ b/crates/staircross-gateway/src/fleet/contact.rs
@@ -1,6 +1,6 @@
-//! Detects that this node hears none of its peers.
+//! Detects that this node is isolated: no datagram of any peer arrives.
 //!
-//! Members probe each other all the time, so a node that hears nobody is cut off. The node notices the silence long
+//! Members probe each other all the time, so a node that receives no datagrams is cut off. The node notices this long
 //! before the membership declares the other nodes dead, and before one of the node's own requests times out.
 
 use staircross_types::BootTime;
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -87,8 +87,8 @@
 /// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. Short beside
 /// the timeouts that it checks, which are some hundred milliseconds and longer.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between the starts of two turns from which the process counts as stalled, which is logged. Far longer than the loop sleeps,
-/// which is at most [`TICK_INTERVAL`].
+/// Time between the starts of two turns from which the process counts as stalled, which is logged. Far longer than the
+/// loop sleeps, which is at most [`TICK_INTERVAL`].
 const STALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A gateway node: its sockets, its engines and the loop that connects them.
@@ -179,7 +179,7 @@
         clock::now().until(due.map_or(self.next_tick, |due| due.min(self.next_tick)))
     }
 
-    /// Logs a long gap between two turns. Such a gap means that this process stood still, not its peers.
+    /// Logs a long time between two turns. It means that this process was stalled, not its peers.
     fn log_stall(&mut self) {
         let interval = self.load.turn_interval();
         if interval >= STALL_INTERVAL {
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -191,7 +191,7 @@
         self.refuse_unread(connection, ErrorKind::Leaving, options);
     }
 
-    /// Refuses a request that the engine never gets.
+    /// Refuses a request, or a connection without a valid one, without passing anything to the engine.
     fn refuse_unread(&mut self, connection: SocketId, kind: ErrorKind, options: ResponseOptions) {
         self.metrics.count_refusal(kind);
         self.log.line(self.now, LineKind::Drop, format_args!("event=refused_unread kind={kind}"));
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -1,8 +1,8 @@
 //! The node's status as last evaluated: ready, pressed, serving, configuration confirmed.
 //!
 //! A node is pressed if it is so busy that callers should be sent to other nodes, and serving if the directory sends
-//! callers to it. [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is ready.
-//! `updates` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
+//! callers to it. [`NodeStatus`] owns these values; each change is logged. This module decides whether the node is
+//! ready. `updates` evaluates whether it is pressed and serving, `configuration_view` whether its configuration is
 //! confirmed.
 
 use super::GatewayNode;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Time for which a starting node waits for a complete listing of the searchers before it becomes ready with an
-/// incomplete one. Longer than a listing usually takes, and bounded so that the node is useful even where no listing
-/// arrives.
+/// incomplete one. Longer than a listing usually takes, and bounded so that the node becomes ready even if no complete
+/// listing arrives.
 const LISTING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The node's status as last evaluated.
--- a/crates/staircross-gateway/src/node/updates.rs
+++ b/crates/staircross-gateway/src/node/updates.rs
@@ -7,7 +7,7 @@
 //! An update passes through these steps:
 //!
 //! 1. *From the store* ([`store`]): the role sets the reader's mode, the reader says which calls are due, and the
-//!    node makes them and hands back each reply. The reader returns the contents of a reply as
+//!    node makes them and passes each reply to the reader. The reader returns the contents of a reply as
 //!    [`ReaderAction::Learned`](staircross_routing::store_reader::ReaderAction::Learned).
 //! 2. *Or from a peer* ([`peers`]): each datagram announces the sender's version and revisions ([`fleet`]). A node
 //!    that is behind pulls the missing updates from a node that is ahead. Its reader then continues from the revision
--- a/crates/staircross-gateway/src/peer_answers.rs
+++ b/crates/staircross-gateway/src/peer_answers.rs
@@ -1,9 +1,9 @@
 //! Records the answers to peers' pulls (calls for missing updates) that a node sent within the last second.
 //!
-//! When a configuration changes, all followers, the nodes that get their updates from this node rather than from the
-//! store, pull it within a fraction of a second. The answers use the same link as callers' requests to searchers: 64 answers of 45 KB fill a link of 20 Mbit/s for more
-//! than a second. A request that is delayed behind them reaches its searcher with a time limit that is longer than the
-//! time that its caller still waits.
+//! When a configuration changes, all followers (the nodes that get their updates from a reader of the store rather than
+//! from the store itself) pull it within a fraction of a second. The answers use the same link as callers' requests to
+//! searchers: 64 answers of 45 KB fill a link of 20 Mbit/s for more than a second. A request that is delayed behind
+//! them reaches its searcher with a time limit that is longer than the time that its caller still waits.
 //!
 //! [`RecentPeerAnswers`] owns only the sizes and times of the answers. The code that answers peers decides what to hold
 //! back because of them.
--- a/crates/staircross-gateway/src/server.rs
+++ b/crates/staircross-gateway/src/server.rs
@@ -94,7 +94,7 @@
     /// Time of the last progress: when the connection was accepted, last received bytes while it waited for a request,
     /// or was last given an answer.
     last_progress: BootTime,
-    /// What the engine is told about the connection with the next request.
+    /// Properties of the connection that the next request reports to the engine.
     link: CallerLink,
 }
 
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -5,8 +5,8 @@
 //! values that [`GatewaySettings::check`] refuses, subtractions and products may overflow.
 //!
 //! A *reader* is a node that reads the store, a *follower* pulls its updates from the readers of its region, and a
-//! *prober* is a node that no longer hears its readers and probes the store. A reader's *heartbeat* is a datagram that
-//! states when the store last answered the reader. The values that concern silences:
+//! *prober* is a node that no longer receives heartbeats and probes the store. A reader's *heartbeat* is a datagram
+//! that states when the store last answered the reader. The values that concern silences:
 //!
 //! | value | meaning |
 //! | --- | --- |
@@ -36,10 +36,10 @@
 /// probe, another third of the silence, and the follower's own call together stay below the bound.
 const HEARTBEAT_TIMEOUT_FRACTION: f64 = 0.4;
 /// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
-/// heartbeat isn't taken for silence.
+/// heartbeat doesn't count as silence.
 const READER_PROBE_INTERVAL_FRACTION: f64 = 0.4;
-/// Time between two probes of a prober, a node that hears no reader, as a fraction of the silence that followers
-/// tolerate. Longer than that of a reader, because many nodes may hear no reader at once.
+/// Time between two probes of a prober, as a fraction of the silence that followers tolerate. Longer than that of a
+/// reader, because many nodes may receive no heartbeats at once.
 const PROBER_PROBE_INTERVAL_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -8,7 +8,7 @@
 //! | --- | --- | --- |
 //! | reader | the store | follower, once it isn't designated and receives a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
 //! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `heartbeat_timeout` without a heartbeat |
-//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
+//! | prober | no source | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
 //!
 //! Each call to the store has a cost, and so has each byte of an answer that crosses regions. So
 //! [`READERS_PER_REGION`] nodes of a region are designated readers and send the others their revisions and heartbeats
@@ -27,8 +27,8 @@
 /// region whose readers come and go doesn't list the store at each change.
 const SELF_READING_TIME: Duration = Duration::from_secs(10);
 /// Time without a change of a member of the region after which the region counts as settled, that is, all its members
-/// are taken to be known. A joining node asks a seed once a second, and a fifth is added for a late answer. When
-/// nodes chose readers after half a second, most of 195 nodes considered themselves readers.
+/// are taken to be known. A joining node asks a seed once a second, and 200 ms are added for a late answer. When
+/// the readers were determined after half a second, most of 195 nodes considered themselves readers.
 const SETTLE_TIME: Duration = Duration::from_millis(1200);
 /// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there
 /// is nothing to serve yet. Shorter than the time that a fleet has to start before traffic arrives.
@@ -40,11 +40,11 @@
 /// end. Covers [`SETTLE_TIME`] and one call.
 const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
-/// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of it, a probe, this third of 0.4 and a call
-/// stay below the bound.
+/// heartbeat timeout, which is 0.4 of the bound on updates. The heartbeat timeout, a probe, this time and a call
+/// together stay below the bound.
 const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
-/// heartbeat timeout. Below 1, so that the reader is in time either way.
+/// heartbeat timeout. Below 1, so that the reader has the configuration in time from either source.
 const LARGE_CONFIGURATION_FRACTION: f64 = 0.75;
 
 /// The source of a node's updates.
--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -243,7 +243,7 @@
     /// Applies a grant of a node that substitutes for the owner. This node reports to a new substitute at once,
     /// because the substitute must know how many nodes it grants to. Once the substitute has confirmed all counts,
     /// only those that the owner hasn't confirmed are reported again, and at long intervals: the substitute itself
-    /// keeps asking the owner.
+    /// continues to report to the owner.
     pub fn apply_substitute_grant(&mut self, now: BootTime, from: NodeId, grant: &QuotaGrant) {
         if self.substitute.is_none_or(|current| current.node != from) {
             self.next_report_at = Some(now);
--- a/crates/staircross-quota/src/message.rs
+++ b/crates/staircross-quota/src/message.rs
@@ -103,7 +103,7 @@
 }
 
 impl QuotaGrant {
-    /// Creates a grant that answers no report.
+    /// Creates an owner's grant that answers no report; [`QuotaGrant::with_confirmation`] makes it an answer.
     pub fn new(now: BootTime, tenant: TenantHash, admit_fraction: f64) -> Self {
         QuotaGrant {
             tenant,
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -1,8 +1,8 @@
 //! The state of one tenant at one node, and the decision about each of its requests.
 //!
-//! A node decides in one of several ways (the `decide_…` functions): as the tenant's owner, as a follower of an owner or
-//! substitute that answers, as the substitute, locally if it reaches neither owner nor substitute, or by the rule for a
-//! node that has just been restarted. [`crate::rate_limiter`] chooses the way.
+//! A node decides in one of several ways (the `decide_…` functions): as the tenant's owner, as a follower of an owner
+//! or substitute that answers, as the substitute, locally if it reaches neither owner nor substitute, or by the rule
+//! for a node that has just been restarted. [`crate::rate_limiter`] chooses the way.
 
 use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
