--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -18,7 +18,7 @@
 /// Time for which a recent maximum is kept before a smaller count replaces it. After a network partition each side sees
 /// a smaller fleet, but the shares of one side must not grow before the other side has used its own. Longer than the
 /// ten seconds over which extra sends are counted.
-const PEAK_LIFETIME: Duration = Duration::from_secs(30);
+const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Age at which the directory is rebuilt even if no member has changed, since the loads of members change all the time.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(1);
 /// Fraction of the slack for extra sends that the serving nodes share; the rest is for reserves, which get few
@@ -39,7 +39,7 @@
     }
 
     pub fn record(&mut self, now: BootTime, count: usize) {
-        if count >= self.count || now.since(self.recorded_at) >= PEAK_LIFETIME {
+        if count >= self.count || now.since(self.recorded_at) >= PEAK_RETENTION {
             *self = Peak::new(count, now);
         }
     }
--- a/crates/staircross-quota/src/bucket.rs
+++ b/crates/staircross-quota/src/bucket.rs
@@ -40,10 +40,10 @@
             return Ok(());
         }
         let seconds = (1.0 - self.level) / rate.max(f64::MIN_POSITIVE);
-        Err(Duration::from_secs_f64(seconds.min(MAX_WAIT_S)))
+        Err(Duration::from_secs_f64(seconds.min(MAX_TOKEN_WAIT_S)))
     }
 }
 
 /// Maximum wait for the next token that is returned to callers, in seconds. Without it a very low rate would keep
 /// callers from ever coming back.
-const MAX_WAIT_S: f64 = 10.0;
+const MAX_TOKEN_WAIT_S: f64 = 10.0;
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -36,7 +36,7 @@
 /// The current view of the fleet, and how it has developed.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
-    own: NodeId,
+    own_node: NodeId,
     view: FleetView,
     /// Largest number of nodes seen at once within [`PEAK_RETENTION`], and when it was last seen.
     peak: (usize, BootTime),
@@ -52,9 +52,9 @@
 
 impl Fleet {
     /// Creates the view of a node that knows only itself.
-    pub fn new(own: NodeId, now: BootTime, is_restarted: bool) -> Self {
-        let view = FleetView { serving: vec![own] };
-        Fleet { own, view, peak: (1, now), largest_seen: (1, now), is_restarted, changed_at: now, generation: 1 }
+    pub fn new(own_node: NodeId, now: BootTime, is_restarted: bool) -> Self {
+        let view = FleetView { serving: vec![own_node] };
+        Fleet { own_node, view, peak: (1, now), largest_seen: (1, now), is_restarted, changed_at: now, generation: 1 }
     }
 
     /// Sets a new view, and returns whether the nodes have changed.
@@ -118,7 +118,7 @@
     /// Returns the owner of a tenant: the node with the highest score (rendezvous hashing). A node that joins or
     /// leaves changes only the owner of the tenants that it owns.
     pub fn owner_of(&self, tenant: TenantHash) -> NodeId {
-        self.view.serving.iter().copied().max_by_key(|node| owner_score(*node, tenant)).unwrap_or(self.own)
+        self.view.serving.iter().copied().max_by_key(|node| owner_score(*node, tenant)).unwrap_or(self.own_node)
     }
 }
 
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct FleetRateLimiter {
     bound: QuotaBound,
-    own: NodeId,
+    own_node: NodeId,
     started: BootTime,
     is_first_start: bool,
     fleet: Fleet,
@@ -77,13 +77,13 @@
 impl FleetRateLimiter {
     /// Creates an instance without quotas, which admits everything. `is_first_start` says that no process of the fleet
     /// has run before.
-    pub fn new(bound: QuotaBound, own: NodeId, now: BootTime, is_first_start: bool) -> Self {
+    pub fn new(bound: QuotaBound, own_node: NodeId, now: BootTime, is_first_start: bool) -> Self {
         FleetRateLimiter {
             bound,
-            own,
+            own_node,
             started: now,
             is_first_start,
-            fleet: Fleet::new(own, now, !is_first_start),
+            fleet: Fleet::new(own_node, now, !is_first_start),
             tenants: HashMap::new(),
             scheduled: BTreeSet::new(),
             next_wake: None,
@@ -105,7 +105,7 @@
         for (name, quota) in quotas {
             let limits = TenantLimits::new(&self.bound, quota);
             let known = previous.remove(&TenantHash::of(&name));
-            let mut tenant = known.unwrap_or_else(|| Tenant::new(name, limits, self.own, self.random()));
+            let mut tenant = known.unwrap_or_else(|| Tenant::new(name, limits, self.own_node, self.random()));
             tenant.limits = limits;
             self.tenants.insert(tenant.hash, tenant);
         }
@@ -121,7 +121,7 @@
         let is_in_first_start = self.is_in_first_start(now);
         for hash in scheduled {
             if let Some(tenant) = self.tenants.get_mut(&hash) {
-                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
             }
             self.schedule(hash);
         }
@@ -142,9 +142,9 @@
         let Some(tenant) = self.tenants.get_mut(&hash) else {
             return Ok(());
         };
-        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
         let is_deciding_locally = is_cut_off || tenant.is_deciding_locally(now, &self.fleet);
-        let decision = match (is_deciding_locally, tenant.owner == self.own) {
+        let decision = match (is_deciding_locally, tenant.owner == self.own_node) {
             _ if self.fleet.is_starting(now) => tenant.decide_while_starting(now, random),
             (true, _) => tenant.decide_locally(now, &self.fleet, random),
             _ if tenant.is_substitute(now) => tenant.decide_as_substitute(now, &self.fleet, random),
@@ -157,7 +157,7 @@
             is_limited,
             admit_fraction: tenant.admit_fraction(now, quota_fraction),
             is_deciding_locally,
-            substitute: tenant.current_substitute(now, self.own),
+            substitute: tenant.current_substitute(now, self.own_node),
         }));
         self.schedule(hash);
         decision
@@ -182,13 +182,13 @@
         let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
-                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
                 if let Some(grant) = tenant.handle_report_as_substitute(now, from, report, &self.fleet) {
                     envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
                     return self.schedule(report.tenant);
                 }
                 let former_owner = report.former_owner.filter(|former_owner| {
-                    *former_owner != self.own && tenant.should_notify_former_owner(now, *former_owner)
+                    *former_owner != self.own_node && tenant.should_notify_former_owner(now, *former_owner)
                 });
                 envelopes.extend(
                     former_owner.map(|to| QuotaEnvelope { to, message: tenant.ownership_claim(now, quota_fraction) }),
@@ -212,10 +212,10 @@
             return;
         };
         // The tenant may become limited before this node receives its first request.
-        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
         if grant.substituted_owner.is_some() {
-            let objection = tenant.handle_substitute_grant(now, from, self.own, grant).map(QuotaMessage::Grant);
-            let is_owner = grant.substituted_owner == Some(self.own) && tenant.owner == self.own;
+            let objection = tenant.handle_substitute_grant(now, from, self.own_node, grant).map(QuotaMessage::Grant);
+            let is_owner = grant.substituted_owner == Some(self.own_node) && tenant.owner == self.own_node;
             let answer = if is_owner { Some(tenant.ownership_claim(now, quota_fraction)) } else { objection };
             envelopes.extend(answer.map(|message| QuotaEnvelope { to: from, message }));
         } else if let Some(follower) = &mut tenant.follower {
@@ -245,7 +245,7 @@
                 self.scheduled.remove(&hash);
                 continue;
             };
-            tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+            tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
             let report = tenant.take_due_report(now);
             if report.is_some() && may_substitute {
                 tenant.start_substitution_if_needed(now);
@@ -263,7 +263,7 @@
             }
             for grant in [owner_grant, substitute_grant].into_iter().flatten() {
                 let message = QuotaMessage::Grant(grant);
-                let others = self.fleet.serving().iter().filter(|node| **node != self.own);
+                let others = self.fleet.serving().iter().filter(|node| **node != self.own_node);
                 envelopes.extend(others.map(|node| QuotaEnvelope { to: *node, message }));
             }
         }
@@ -281,11 +281,11 @@
         let is_deciding_locally = self.is_cut_off(now) || tenant.is_deciding_locally(now, &self.fleet);
         Some(QuotaView {
             owner: tenant.owner,
-            is_owned: tenant.owner == self.own,
+            is_owned: tenant.owner == self.own_node,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
             admit_fraction: tenant.admit_fraction(now, self.quota_fraction(now)),
             is_deciding_locally,
-            substitute: tenant.current_substitute(now, self.own),
+            substitute: tenant.current_substitute(now, self.own_node),
         })
     }
 
@@ -335,7 +335,7 @@
     /// Returns a number from 0 to 1 that differs for each call and each node.
     fn random(&mut self) -> f64 {
         self.random_draws += 1;
-        let hash = xxh3_64_with_seed(&self.own.0.to_le_bytes(), self.random_draws);
+        let hash = xxh3_64_with_seed(&self.own_node.0.to_le_bytes(), self.random_draws);
         (hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -61,12 +61,12 @@
 impl Tenant {
     /// Creates a tenant without requests. `carry` is random, so that with few requests at each of many nodes the
     /// granted fraction is still admitted overall.
-    pub fn new(name: Arc<str>, limits: TenantLimits, own: NodeId, carry: f64) -> Self {
+    pub fn new(name: Arc<str>, limits: TenantLimits, own_node: NodeId, carry: f64) -> Self {
         Tenant {
             hash: TenantHash::of(&name),
             name,
             limits,
-            owner: own,
+            owner: own_node,
             generation: 0,
             ledger: None,
             follower: None,
@@ -81,7 +81,7 @@
 
     /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after
     /// [`FORMER_OWNER_LEDGER_RETENTION`].
-    pub fn refresh_owner(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
+    pub fn refresh_owner(&mut self, now: BootTime, own_node: NodeId, fleet: &Fleet, is_first_start: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
             let owner = fleet.owner_of(self.hash);
@@ -91,7 +91,7 @@
                 self.substitution = None;
             }
             self.owner = owner;
-            if self.owner == own {
+            if self.owner == own_node {
                 self.become_owner(now, fleet, is_first_start);
             } else {
                 self.become_follower(now, fleet);
@@ -182,9 +182,9 @@
         self.substitution.as_ref().is_some_and(|substitution| substitution.has_reporters(now))
     }
 
-    /// Returns the node that substitutes for the owner, or `own` if it is this one.
-    pub fn current_substitute(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
-        if self.is_substitute(now) { Some(own) } else { self.follower.as_ref()?.substitute(now) }
+    /// Returns the node that substitutes for the owner, or `own_node` if it is this one.
+    pub fn current_substitute(&self, now: BootTime, own_node: NodeId) -> Option<NodeId> {
+        if self.is_substitute(now) { Some(own_node) } else { self.follower.as_ref()?.substitute(now) }
     }
 
     /// Starts to substitute for an owner that doesn't answer, if no other node does.
@@ -239,14 +239,14 @@
         &mut self,
         now: BootTime,
         from: NodeId,
-        own: NodeId,
+        own_node: NodeId,
         grant: &QuotaGrant,
     ) -> Option<QuotaGrant> {
         let follower = self.follower.as_mut().filter(|follower| Some(follower.owner) == grant.substituted_owner)?;
         if follower.answered_within(now, SUBSTITUTE_AFTER) {
             return None;
         }
-        if let Some(substitution) = self.substitution.as_ref().filter(|_| has_higher_score(own, from, self.hash)) {
+        if let Some(substitution) = self.substitution.as_ref().filter(|_| has_higher_score(own_node, from, self.hash)) {
             return Some(substitution.grant(now, self.hash, 1.0));
         }
         let known = follower.substitute(now);
