--- a/crates/staircross-gateway/src/outbound.rs
+++ b/crates/staircross-gateway/src/outbound.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the bytes of one attempt.
-    pub fn attempt(
+    pub fn attempt_bytes(
         &self,
         names: &HeaderNames,
         instance: &str,
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -217,7 +217,7 @@
         let connection = &mut self.connections[slot];
         let remaining = io.now.until(assignment.order.deadline);
         let order = &assignment.order;
-        let bytes = assignment.request.attempt(&self.names, &order.instance, &order.identity, remaining);
+        let bytes = assignment.request.attempt_bytes(&self.names, &order.instance, &order.identity, remaining);
         connection.purpose = Purpose::of_attempt(assignment.order.reason);
         self.traffic.count(connection.purpose, connection.reach, bytes.len());
         let id = assignment.request.id.as_ref();
