--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -40,8 +40,8 @@
 /// end. Covers [`SETTLE_TIME`] and one call.
 const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
-/// heartbeat timeout, which is 0.4 of the bound on updates. The heartbeat timeout, a probe, this time and a call
-/// together stay below the bound.
+/// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of the bound, a probe, another third of 0.4 and
+/// a call together stay below the bound.
 const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
 /// heartbeat timeout. Below 1, so that the reader has the configuration in time from either source.
