--- a/crates/staircross-gateway/src/metrics.rs
+++ b/crates/staircross-gateway/src/metrics.rs
@@ -30,7 +30,7 @@
     sum_ms: f64,
 }
 
-/// ComponentMetrics, and the counters of other components, as read when the text is rendered.
+/// Gauges and counters of the node's components, as read when the text is rendered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ComponentMetrics {
     /// Number of requests in flight.
@@ -115,22 +115,22 @@
     let _infallible = writeln!(text, "# TYPE staircross_{name} {kind}\nstaircross_{name} {value}");
 }
 
-fn render_gauges(gauges: ComponentMetrics, text: &mut String) {
+fn render_gauges(components: ComponentMetrics, text: &mut String) {
     let mut line = |name: &str, value: u64| render_metric(text, name, "gauge", value);
-    line("requests_in_flight", gauges.in_flight as u64);
-    line("server_connections", gauges.server_connections as u64);
-    line("searcher_connections", gauges.searcher_connections as u64);
-    line("config_version", gauges.config_version);
-    line("store_revision", gauges.store_revision);
-    line("store_reachable", u64::from(gauges.store_reachable));
-    line("reads_store", u64::from(gauges.reads_store));
-    line("serving", u64::from(gauges.serving));
-    line("members", gauges.members as u64);
-    line("searchers", gauges.searchers as u64);
-    line("contents_suspect", gauges.suspects as u64);
-    line("contents_quarantined", gauges.quarantined as u64);
-    line("routes_alarmed", gauges.alarms as u64);
-    line("ready", u64::from(gauges.ready));
+    line("requests_in_flight", components.in_flight as u64);
+    line("server_connections", components.server_connections as u64);
+    line("searcher_connections", components.searcher_connections as u64);
+    line("config_version", components.config_version);
+    line("store_revision", components.store_revision);
+    line("store_reachable", u64::from(components.store_reachable));
+    line("reads_store", u64::from(components.reads_store));
+    line("serving", u64::from(components.serving));
+    line("members", components.members as u64);
+    line("searchers", components.searchers as u64);
+    line("contents_suspect", components.suspects as u64);
+    line("contents_quarantined", components.quarantined as u64);
+    line("routes_alarmed", components.alarms as u64);
+    line("ready", u64::from(components.ready));
 }
 
 fn render_traffic(traffic: Traffic, text: &mut String) {
@@ -190,10 +190,10 @@
     }
 
     /// Renders all metrics as text.
-    pub fn render(&self, counters: RoutingCounters, gauges: ComponentMetrics, traffic: Traffic) -> String {
+    pub fn render(&self, counters: RoutingCounters, components: ComponentMetrics, traffic: Traffic) -> String {
         let mut text = String::with_capacity(4096);
-        self.render_counters(counters, gauges, &mut text);
-        render_gauges(gauges, &mut text);
+        self.render_counters(counters, components, &mut text);
+        render_gauges(components, &mut text);
         self.store_calls.render(&mut text);
         render_traffic(traffic, &mut text);
         self.render_refusals(&mut text);
@@ -202,7 +202,7 @@
         text
     }
 
-    fn render_counters(&self, counters: RoutingCounters, gauges: ComponentMetrics, text: &mut String) {
+    fn render_counters(&self, counters: RoutingCounters, components: ComponentMetrics, text: &mut String) {
         let mut line = |name: &str, value: u64| render_metric(text, name, "counter", value);
         line("answers_total", self.answers);
         line("callers_gone_total", self.callers_gone);
@@ -215,12 +215,12 @@
         line("requests_over_quota_total", counters.over_quota);
         line("quota_messages_total", counters.quota_messages);
         line("answers_partial_total", counters.partial_answers);
-        line("searcher_connects_total", gauges.connects);
-        line("searcher_answers_skipped_total", gauges.skipped);
-        line("searcher_connections_broken_total", gauges.broken);
-        line("searcher_connections_turned_away_total", gauges.connections_rejected);
-        line("peer_datagrams_total", gauges.datagrams);
-        line("peer_datagram_bytes_total", gauges.datagram_bytes);
+        line("searcher_connects_total", components.connects);
+        line("searcher_answers_skipped_total", components.skipped);
+        line("searcher_connections_broken_total", components.broken);
+        line("searcher_connections_turned_away_total", components.connections_rejected);
+        line("peer_datagrams_total", components.datagrams);
+        line("peer_datagram_bytes_total", components.datagram_bytes);
         line("directory_questions_total", self.directory_questions);
         line("store_items_unreadable_total", self.unreadable_items);
     }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -87,7 +87,7 @@
 
     fn render_metrics(&self) -> String {
         let (suspects, quarantined) = self.engine.suspicion_counts(self.now);
-        let gauges = ComponentMetrics {
+        let components = ComponentMetrics {
             suspects,
             quarantined,
             alarms: self.engine.alarm_count(),
@@ -109,7 +109,7 @@
             datagrams: self.fleet.counters.datagrams,
             datagram_bytes: self.fleet.counters.bytes,
         };
-        self.metrics.render(self.engine.counters, gauges, self.all_traffic())
+        self.metrics.render(self.engine.counters, components, self.all_traffic())
     }
 }
 
