--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -8,13 +8,14 @@
 //! | `announcement` | the state that each datagram announces of its sender |
 //! | `datagrams` | the socket, and incoming and outgoing datagrams |
 //! | `readers` | the designated readers of the store, their heartbeats, and the choice of the peer to pull from |
-//! | `contact` | whether the node hears any peer |
+//! | `contact` | whether datagrams of any peer arrive |
 //! | `incarnation` | the ids of incarnations, by which an incarnation recognizes earlier ones of its node |
 //! | `confirmation` | the latest time at which the configuration is known to have been the newest |
 //! | `shape` | the nodes that serve callers, and this node's share of the limits that all nodes share |
 //!
 //! Every datagram carries the sender's configuration version and newest store revision. So a node that can't reach
-//! the store detects that it is behind, and pulls the missing updates from a peer.
+//! the store, or that follows another node instead of reading the store, detects that it is behind, and pulls the
+//! missing updates from a peer by an HTTP call.
 
 mod announcement;
 mod confirmation;
@@ -66,11 +67,11 @@
         /// The member.
         member: Box<Member>,
     },
-    /// A peer sent records of requests during which searchers were lost.
-    Cases(Vec<CaseRecord>),
-    /// The node has heard no peer for some time, or hears one again.
+    /// A peer sent case records, which describe requests during which searchers were lost.
+    CaseRecords(Vec<CaseRecord>),
+    /// No datagram of any peer has arrived for some time, or one has arrived again.
     Isolated {
-        /// Whether the node hears no peer.
+        /// Whether no datagrams arrive.
         is_isolated: bool,
     },
     /// A peer sent messages about tenants' quotas.
@@ -100,7 +101,7 @@
     socket: PeerSocket,
     rng: ChaCha8Rng,
     own_announcement: Announcement,
-    /// Records of requests during which searchers were lost; datagrams of the membership carry them.
+    /// Case records, which describe requests during which searchers were lost; datagrams of the membership carry them.
     case_records: Vec<CaseRecord>,
     /// The last announcement of each peer.
     peer_announcements: HashMap<NodeId, Announcement>,
@@ -140,9 +141,9 @@
     /// Id of this incarnation.
     pub node: NodeId,
     /// Address for peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Region of the node.
     pub region: String,
     /// Zone of the node.
@@ -154,15 +155,15 @@
     pub fn new(identity: FleetIdentity, seeds: Vec<SocketAddr>, socket: UdpSocket, now: BootTime) -> Self {
         let own = Member {
             node: identity.node,
-            peer_address: identity.peers,
-            caller_address: identity.callers,
+            peer_address: identity.peer_address,
+            caller_address: identity.caller_address,
             region: identity.region,
             zone: ZoneName::new(identity.zone),
             state: MemberState::Alive,
             version: 1,
             is_ready: false,
         };
-        let seeds = seeds.into_iter().filter(|seed| *seed != identity.peers).collect();
+        let seeds = seeds.into_iter().filter(|seed| *seed != identity.peer_address).collect();
         Fleet {
             node: identity.node,
             membership: Membership::new(membership_settings(), own, seeds),
@@ -234,8 +235,9 @@
         self.apply_and_push(actions, events);
     }
 
-    /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, or is no longer, the
-    /// change is pushed to peers at once, since it decides where callers are sent.
+    /// Sets the busy fraction of this node's process, in percent. If the node becomes pressed, that is, too busy for
+    /// more callers, or is no longer pressed, the change is pushed to peers at once, since it decides where callers are
+    /// sent.
     pub fn set_load(&mut self, percent: u8, events: &mut Vec<FleetEvent>) {
         let is_pressed_changed = is_pressed(percent) != is_pressed(self.own_announcement.load);
         self.own_announcement.load = percent;
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Sets the records of requests during which searchers were lost that the next datagrams carry.
+    /// Sets the case records that the next datagrams carry.
     pub fn set_case_records(&mut self, cases: Vec<CaseRecord>) {
         self.case_records = cases;
     }
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -1,5 +1,7 @@
 //! The nodes that serve callers, and this node's share of the limits that all nodes share.
 //!
+//! The directory sends callers to the serving nodes only; the other ready nodes are reserves.
+//!
 //! This module owns when the directory is rebuilt, and the recent maxima of the numbers of live and serving nodes. It
 //! relies on the directory for the choice of the serving nodes.
 
@@ -16,7 +18,7 @@
 /// Time for which a recent maximum is kept before a smaller count replaces it. After a network partition each side sees
 /// a smaller fleet, but the shares of one side must not grow before the other side has used its own. Longer than the
 /// ten seconds over which extra sends are counted.
-const PEAK_LIFETIME: Duration = Duration::from_secs(30);
+const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Age at which the directory is rebuilt even if no member has changed, since the loads of members change all the time.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(1);
 /// Fraction of the slack for extra sends that the serving nodes share; the rest is for reserves, which get few
@@ -37,7 +39,7 @@
     }
 
     pub fn record(&mut self, now: BootTime, count: usize) {
-        if count >= self.count || now.since(self.recorded_at) >= PEAK_LIFETIME {
+        if count >= self.count || now.since(self.recorded_at) >= PEAK_RETENTION {
             *self = Peak::new(count, now);
         }
     }
@@ -103,12 +105,12 @@
         Some(nodes)
     }
 
-    /// Whether callers are sent to this node.
+    /// Returns whether callers are sent to this node.
     pub fn is_serving(&self) -> bool {
         self.directory.is_serving(self.node)
     }
 
-    /// Whether members or their loads may have changed since the directory was built.
+    /// Returns whether members or their loads may have changed since the directory was built.
     pub fn is_directory_stale(&self, now: BootTime) -> bool {
         self.directory_built_at.is_none_or(|built_at| now.since(built_at) >= MAX_DIRECTORY_AGE)
     }
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -6,7 +6,7 @@
 use super::GatewayNode;
 use super::updates::{ANY_SIZE_SUFFIX, EVACUATIONS_PARAM, PULL_TARGET_PREFIX, VERSION_PARAM};
 use crate::dialect::Dialect;
-use crate::metrics::Gauges;
+use crate::metrics::ComponentMetrics;
 use crate::outbound::AnswerContext;
 use crate::server::Endpoint;
 use crate::socket::SocketId;
@@ -67,7 +67,7 @@
         let peer = PeerKnowledge { accepts: self.limit_to_link_capacity(peer.accepts), ..peer };
         match encode(&self.mirror.changes_for(peer)) {
             Ok(body) => {
-                self.peer_answers.note(self.now, body.len());
+                self.peer_answers.record(self.now, body.len());
                 context.plain(200, "application/cbor", &body)
             }
             Err(error) => context.plain(500, "text/plain", error.to_string().as_bytes()),
@@ -87,7 +87,7 @@
 
     fn render_metrics(&self) -> String {
         let (suspects, quarantined) = self.engine.suspicion_counts(self.now);
-        let gauges = Gauges {
+        let components = ComponentMetrics {
             suspects,
             quarantined,
             alarms: self.engine.alarm_count(),
@@ -109,7 +109,7 @@
             datagrams: self.fleet.counters.datagrams,
             datagram_bytes: self.fleet.counters.bytes,
         };
-        self.metrics.render(self.engine.counters, gauges, self.all_traffic())
+        self.metrics.render(self.engine.counters, components, self.all_traffic())
     }
 }
 
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -11,11 +11,11 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Time after which an idle connection is closed if its searcher recently rejected another, since rejected connections
-/// are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per searcher and
-/// with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728
-/// with it.
-const CONTESTED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after which an idle connection is closed if its searcher recently reset a fresh one, since the connections that
+/// it rejects are needed more than idle ones. Measured on days with a power loss, with 10 and with 14 connections per
+/// searcher and with expensive connections: the scores were 0.618, 0.670 and 0.697 without this timeout, and 0.615,
+/// 0.740 and 0.728 with it.
+const IDLE_TIMEOUT_AFTER_RESET: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
 /// machines that replace it. Measured after a loss of all machines, with 10, 14 and 20 connections per searcher: the
@@ -149,8 +149,10 @@
         for (slot, connection) in &self.connections {
             let age = now.since(connection.state_since);
             let is_expired = match &connection.state {
-                ConnectionState::Idle if self.policy.contested_rest && self.is_contested(connection.searcher, now) => {
-                    age >= CONTESTED_IDLE_TIMEOUT
+                ConnectionState::Idle
+                    if self.policy.contested_rest && self.has_reset_recently(connection.searcher, now) =>
+                {
+                    age >= IDLE_TIMEOUT_AFTER_RESET
                 }
                 ConnectionState::Idle if self.is_surplus(slot, connection.searcher) => {
                     age >= connection.idle_timeout.min(max_idle).min(SURPLUS_IDLE_TIMEOUT)
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Whether the most recently used idle connection to the searcher is another one.
+    /// Returns whether the most recently used idle connection to the searcher is another one.
     fn is_surplus(&self, slot: usize, searcher: SearcherKey) -> bool {
         self.idle.get(&searcher).and_then(|idle| idle.last()).is_some_and(|last| *last != slot)
     }
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -22,7 +22,7 @@
 const MAX_PROVING_TIME: Duration = Duration::from_millis(50);
 /// Time after the reset of a fresh connection during which further connections to the same searcher are proved. It
 /// covers the seconds that a searcher needs to notice that machines are gone, whose connections it still counts.
-const CONTESTED_TIME: Duration = Duration::from_secs(5);
+const RECENT_RESET_TIME: Duration = Duration::from_secs(5);
 
 impl Pool {
     /// Opens a connection for an attempt.
@@ -89,16 +89,16 @@
         self.begin_use(slot, assignment, io, events);
     }
 
-    /// Whether a fresh connection is proved before its first use. This is so where a reset is likely: soon after a
-    /// restart of the node, and for searchers that recently reset a fresh connection.
+    /// Returns whether a fresh connection is proved before its first use. This is so where a reset is likely: soon
+    /// after a restart of the node, and for searchers that recently reset a fresh connection.
     fn must_prove(&self, slot: usize, now: BootTime) -> bool {
         let is_starting = now < self.proves_until;
-        self.policy.proving && (is_starting || self.is_contested(self.connections[slot].searcher, now))
+        self.policy.proving && (is_starting || self.has_reset_recently(self.connections[slot].searcher, now))
     }
 
-    /// Whether a searcher recently reset a fresh connection.
-    pub fn is_contested(&self, searcher: SearcherKey, now: BootTime) -> bool {
-        self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < CONTESTED_TIME)
+    /// Returns whether a searcher recently reset a fresh connection.
+    pub fn has_reset_recently(&self, searcher: SearcherKey, now: BootTime) -> bool {
+        self.last_resets.get(&searcher).is_some_and(|at| now.since(*at) < RECENT_RESET_TIME)
     }
 
     /// Sends the assigned attempt on an established connection, or makes the connection idle if there is none.
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -4,13 +4,15 @@
 //! are tolerated, and how much a node keeps open. This module owns the fractions. It relies on checked settings: with
 //! values that [`GatewaySettings::check`] refuses, subtractions and products may overflow.
 //!
-//! The values that concern silences:
+//! A *reader* is a node that reads the store, a *follower* pulls its updates from the readers of its region, and a
+//! *prober* is a node that no longer receives heartbeats and probes the store. A reader's *heartbeat* is a datagram
+//! that states when the store last answered the reader. The values that concern silences:
 //!
 //! | value | meaning |
 //! | --- | --- |
 //! | [`GatewaySettings::heartbeat_timeout`] | time without a heartbeat of a reader after which a follower probes |
 //! | `ReaderSettings::probe_with_followers` | time between two heartbeats of a reader: one goes out with each probe |
-//! | `ReaderSettings::probe_as_prober` | time between two probes of a node that hears no reader |
+//! | `ReaderSettings::probe_as_prober` | time between two probes of a prober |
 //! | `ReaderSettings::probe` | time between two confirmations of the configuration, where keys need them |
 //! | [`GatewaySettings::lapse_grace`] | time for which a searcher whose entry has ended is still a fallback |
 
@@ -23,10 +25,10 @@
 pub(super) const RESERVED_DESCRIPTORS: usize = 264;
 /// Minimum time between calls for the configuration, as a fraction of the bound on operator updates. Together with a
 /// follower's pull it leaves most of the bound for a late wake-up and a lost answer.
-const CONFIG_REST_FRACTION: f64 = 0.17;
+const CONFIGURATION_PAUSE_FRACTION: f64 = 0.17;
 /// Minimum time between calls for searchers, as a fraction of the bound on drains. Together with a datagram and a
 /// follower's pull, an update stays below the bound, and many updates at once cause few calls.
-const DRAIN_REST_FRACTION: f64 = 0.3;
+const SEARCHER_PAUSE_FRACTION: f64 = 0.3;
 /// Time for which a searcher whose entry has ended is still a fallback, as a fraction of the bound on drains. Together
 /// with the time between calls, a follower's pull and a late wake-up, it stays below the bound.
 const LAPSE_GRACE_FRACTION: f64 = 0.25;
@@ -34,11 +36,11 @@
 /// probe, another third of the silence, and the follower's own call together stay below the bound.
 const HEARTBEAT_TIMEOUT_FRACTION: f64 = 0.4;
 /// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
-/// heartbeat isn't taken for silence.
-const PROBE_INTERVAL_FRACTION: f64 = 0.4;
-/// Time between two probes of a node that hears no reader, as a fraction of the silence that followers tolerate. Longer
-/// than that of a reader, because many nodes may hear no reader at once.
-const PROBE_IN_DOUBT_FRACTION: f64 = 0.5;
+/// heartbeat doesn't count as silence.
+const READER_PROBE_INTERVAL_FRACTION: f64 = 0.4;
+/// Time between two probes of a prober, as a fraction of the silence that followers tolerate. Longer than that of a
+/// reader, because many nodes may receive no heartbeats at once.
+const PROBER_PROBE_INTERVAL_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
 /// a large configuration, limiting only the number of large answers let some days exceed the budget for extra sends;
@@ -56,23 +58,24 @@
 }
 
 impl GatewaySettings {
-    /// Returns when the store reader calls the store. The time between its calls is a small fraction of the time in
-    /// which updates must be in force.
-    pub fn reader(&self) -> ReaderSettings {
+    /// Returns the settings of the store reader, that is, when it calls the store. The time between its calls is a
+    /// small fraction of the time in which updates must be in force.
+    pub fn store_reader_settings(&self) -> ReaderSettings {
         let defaults = ReaderSettings::default();
-        let configuration_pause = Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIG_REST_FRACTION);
-        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(DRAIN_REST_FRACTION);
+        let configuration_pause =
+            Duration::from_millis(self.bounds.operator_update_ms()).mul_f64(CONFIGURATION_PAUSE_FRACTION);
+        let searcher_pause = Duration::from_millis(self.bounds.drain_ms).mul_f64(SEARCHER_PAUSE_FRACTION);
         let heartbeat_timeout = self.heartbeat_timeout();
         let max_confirmation_age = self.max_confirmation_age();
         ReaderSettings {
             configuration_pause: defaults.configuration_pause.min(configuration_pause),
             searcher_pause: defaults.searcher_pause.min(searcher_pause),
             probe: ProbeIntervals {
-                usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(PROBE_INTERVAL_FRACTION)),
+                usual: defaults.probe.usual.min(max_confirmation_age.mul_f64(READER_PROBE_INTERVAL_FRACTION)),
                 ..defaults.probe
             },
-            probe_with_followers: heartbeat_timeout.min(max_confirmation_age).mul_f64(PROBE_INTERVAL_FRACTION),
-            probe_as_prober: heartbeat_timeout.mul_f64(PROBE_IN_DOUBT_FRACTION),
+            probe_with_followers: heartbeat_timeout.min(max_confirmation_age).mul_f64(READER_PROBE_INTERVAL_FRACTION),
+            probe_as_prober: heartbeat_timeout.mul_f64(PROBER_PROBE_INTERVAL_FRACTION),
             lanes_wait_for_probe: self.policy.node.probe_first,
             ..defaults
         }
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -8,7 +8,7 @@
 //! | --- | --- | --- |
 //! | reader | the store | follower, once it isn't designated and receives a reader's heartbeat; a node that had to read by itself waits for `SELF_READING_TIME` first |
 //! | follower | readers of its region | reader, if it is designated and its region is settled, or if a pull failed; prober, after `heartbeat_timeout` without a heartbeat |
-//! | prober | nobody | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
+//! | prober | no source | reader, if the store answers its probe and no heartbeat arrives within `PROBER_GRACE_FRACTION` of `heartbeat_timeout`; follower, if a heartbeat arrives |
 //!
 //! Each call to the store has a cost, and so has each byte of an answer that crosses regions. So
 //! [`READERS_PER_REGION`] nodes of a region are designated readers and send the others their revisions and heartbeats
@@ -27,8 +27,8 @@
 /// region whose readers come and go doesn't list the store at each change.
 const SELF_READING_TIME: Duration = Duration::from_secs(10);
 /// Time without a change of a member of the region after which the region counts as settled, that is, all its members
-/// are taken to be known. A joining node asks a seed once a second, and a fifth is added for a late answer. When
-/// nodes chose readers after half a second, most of 195 nodes considered themselves readers.
+/// are taken to be known. A joining node asks a seed once a second, and 200 ms are added for a late answer. When
+/// the readers were determined after half a second, most of 195 nodes considered themselves readers.
 const SETTLE_TIME: Duration = Duration::from_millis(1200);
 /// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there
 /// is nothing to serve yet. Shorter than the time that a fleet has to start before traffic arrives.
@@ -40,11 +40,11 @@
 /// end. Covers [`SETTLE_TIME`] and one call.
 const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
-/// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of it, a probe, this third of 0.4 and a call
-/// stay below the bound.
+/// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of the bound, a probe, another third of 0.4 and
+/// a call together stay below the bound.
 const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
-/// heartbeat timeout. Below 1, so that the reader is in time either way.
+/// heartbeat timeout. Below 1, so that the reader has the configuration in time from either source.
 const LARGE_CONFIGURATION_FRACTION: f64 = 0.75;
 
 /// The source of a node's updates.
@@ -84,15 +84,15 @@
     /// Time without a heartbeat after which a follower becomes a prober.
     heartbeat_timeout: Duration,
     role: StoreRole,
-    /// When the store last answered a reader of the region, according to the heartbeats that arrived here.
+    /// Time of the store's last answer to a reader of the region, according to the heartbeats that arrived here.
     heartbeat_at: BootTime,
-    /// Until when the node reads the store even if it isn't designated.
+    /// Time until which the node reads the store even if it isn't designated.
     reads_until: BootTime,
-    /// When a member of the region last joined or changed.
+    /// Time at which a member of the region last joined or changed.
     member_changed_at: BootTime,
     /// Time from which the region counts as settled even if further changes of members arrive.
     settled_by: BootTime,
-    /// When the store first answered a probe of this node during the present time as a prober.
+    /// Time of the store's first answer to a probe since the node became a prober; `None` in other roles.
     probed_at: Option<BootTime>,
 }
 
@@ -126,32 +126,32 @@
         self.heartbeat_timeout = heartbeat_timeout;
     }
 
-    /// Notes a change of a member of the region; further members may follow.
-    pub fn note_member_change(&mut self, now: BootTime) {
+    /// Records a change of a member of the region; further members may follow.
+    pub fn record_member_change(&mut self, now: BootTime) {
         self.member_changed_at = now;
     }
 
-    /// Notes a heartbeat: the store answered a reader of the region at time `at`.
-    pub fn note_heartbeat(&mut self, at: BootTime) {
+    /// Records a heartbeat: the store answered a reader of the region at time `at`.
+    pub fn record_heartbeat(&mut self, at: BootTime) {
         self.heartbeat_at = self.heartbeat_at.max(at);
     }
 
-    /// Notes that the store answered a probe of this node.
-    pub fn note_probe_answered(&mut self, now: BootTime) {
+    /// Records that the store answered a probe of this node.
+    pub fn record_probe_answered(&mut self, now: BootTime) {
         self.probed_at.get_or_insert(now);
     }
 
-    /// Notes that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
-    pub fn note_pull_failed(&mut self, now: BootTime) {
+    /// Records that a pull from a peer failed: the node reads the store itself for `SELF_READING_TIME`.
+    pub fn record_pull_failed(&mut self, now: BootTime) {
         self.reads_until = now + SELF_READING_TIME;
     }
 
-    /// Whether a reader pulls a configuration from a peer even if it is too large to be passed on to every node. It
-    /// does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once takes
-    /// a while to answer, and peers' links are narrower than the store's.
+    /// Returns whether a reader pulls a configuration from a peer even if it is too large to be passed on to every
+    /// node. It does so if the store doesn't serve the reader, or not in time: a store that a whole fleet reads at once
+    /// takes a while to answer, and peers' links are narrower than the store's.
     pub fn should_pull_any_size(&self, now: BootTime, is_served: bool, behind_since: Option<BootTime>) -> bool {
-        let patience = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
-        let is_late = behind_since.is_some_and(|since| now.since(since) >= patience);
+        let max_wait = self.heartbeat_timeout.mul_f64(LARGE_CONFIGURATION_FRACTION);
+        let is_late = behind_since.is_some_and(|since| now.since(since) >= max_wait);
         !is_served || is_late
     }
 
@@ -178,8 +178,8 @@
         now >= self.settled_by || now.since(self.member_changed_at) >= SETTLE_TIME
     }
 
-    /// Whether the grace time of a prober is over: the store answered it that long ago, and still no heartbeat has
-    /// arrived.
+    /// Returns whether the grace time of a prober is over: the store answered it that long ago, and still no heartbeat
+    /// has arrived.
     fn is_probe_grace_over(&self, now: BootTime) -> bool {
         let grace = self.heartbeat_timeout.mul_f64(PROBER_GRACE_FRACTION);
         self.probed_at.is_some_and(|at| now.since(at) >= grace)
--- a/crates/staircross-gateway/src/traffic.rs
+++ b/crates/staircross-gateway/src/traffic.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::FirstAttempts => "firsts",
@@ -83,7 +83,7 @@
         Reach::Unknown,
     ];
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reach::Known(Distance::OwnZone) => "own_zone",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Index of the counters in [`Traffic`].
+    /// Returns the index of the counters in [`Traffic`].
     fn index(self) -> usize {
         match self {
             Reach::Known(Distance::OwnZone) => 0,
@@ -122,7 +122,7 @@
     }
 
     /// Returns all counters that aren't zero.
-    pub fn counted(&self) -> impl Iterator<Item = (Purpose, Reach, u64)> {
+    pub fn nonzero_counts(&self) -> impl Iterator<Item = (Purpose, Reach, u64)> {
         let all = Purpose::ALL.into_iter().flat_map(|purpose| Reach::ALL.map(|reach| (purpose, reach)));
         all.map(|(purpose, reach)| (purpose, reach, self.bytes(purpose, reach))).filter(|(_, _, bytes)| *bytes > 0)
     }
--- a/crates/staircross-gateway/tests/case_pushes.rs
+++ b/crates/staircross-gateway/tests/case_pushes.rs
@@ -8,13 +8,13 @@
 fn news_just_after_other_news_is_pushed_at_once() {
     let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
-    assert!(!limiter.take(now), "no update has been noted");
-    limiter.note_update();
-    assert!(limiter.take(now));
-    assert!(!limiter.take(now), "the update has been pushed already");
-    limiter.note_update();
+    assert!(!limiter.take_due_push(now), "no update has been noted");
+    limiter.record_update();
+    assert!(limiter.take_due_push(now));
+    assert!(!limiter.take_due_push(now), "the update has been pushed already");
+    limiter.record_update();
     assert!(
-        limiter.take(now + Duration::from_millis(2)),
+        limiter.take_due_push(now + Duration::from_millis(2)),
         "the request that crashes searchers needn't be the first suspect"
     );
 }
@@ -24,8 +24,8 @@
     let mut limiter = CasePushLimiter::default();
     let now = BootTime::from_millis(1_000_000);
     let is_pushed = |ms: &u64| {
-        limiter.note_update();
-        limiter.take(now + Duration::from_millis(*ms))
+        limiter.record_update();
+        limiter.take_due_push(now + Duration::from_millis(*ms))
     };
     let push_count = (0..10_000).filter(is_pushed).count();
     assert!((100..=104).contains(&push_count), "{push_count} pushes");
--- a/crates/staircross-gateway/tests/fleet_quotas.rs
+++ b/crates/staircross-gateway/tests/fleet_quotas.rs
@@ -20,7 +20,13 @@
 }
 
 fn identity(node: u128, peers: SocketAddr) -> FleetIdentity {
-    FleetIdentity { node: NodeId(node), peers, callers: peers, region: "north".to_owned(), zone: "a".to_owned() }
+    FleetIdentity {
+        node: NodeId(node),
+        peer_address: peers,
+        caller_address: peers,
+        region: "north".to_owned(),
+        zone: "a".to_owned(),
+    }
 }
 
 /// Ticks both nodes until `is_done` returns true for the nodes and the second one's events.
@@ -58,11 +64,11 @@
     tick_until(&mut fleets, &mut now, |fleets, _| fleets[1].take_changed_quota_nodes() == both);
     assert_eq!(fleets[1].take_changed_quota_nodes(), None, "the change is reported only once");
 
-    let grant = QuotaMessage::Grant(QuotaGrant::unsolicited(now, TenantHash::of("t"), 0.25));
+    let grant = QuotaMessage::Grant(QuotaGrant::new(now, TenantHash::of("t"), 0.25));
     fleets[0].send_quotas(NodeId(2), vec![grant]);
     let expected = FleetEvent::Quotas { from: NodeId(1), messages: vec![grant] };
     tick_until(&mut fleets, &mut now, |_, events| events.contains(&expected));
     let quota_bytes: u64 =
-        fleets[0].traffic.counted().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
+        fleets[0].traffic.nonzero_counts().filter(|(purpose, ..)| *purpose == Purpose::Quotas).map(|c| c.2).sum();
     assert!((50..250).contains(&quota_bytes), "{quota_bytes} bytes");
 }
--- a/crates/staircross-gateway/tests/pinned_datagrams.rs
+++ b/crates/staircross-gateway/tests/pinned_datagrams.rs
@@ -35,8 +35,8 @@
         let address = socket.local_addr().expect("the socket is bound");
         let identity = FleetIdentity {
             node: NodeId(1),
-            peers: "192.0.2.1:7004".parse().expect("an address"),
-            callers: "192.0.2.1:7001".parse().expect("an address"),
+            peer_address: "192.0.2.1:7004".parse().expect("an address"),
+            caller_address: "192.0.2.1:7001".parse().expect("an address"),
             region: "north".to_owned(),
             zone: "hall".to_owned(),
         };
@@ -103,7 +103,7 @@
 fn quotas_are_sent_alone() {
     let mut pair = Pair::new();
     pair.introduce();
-    let grant = QuotaGrant::unsolicited(BootTime::from_millis(1000), TenantHash(5), 0.25);
+    let grant = QuotaGrant::new(BootTime::from_millis(1000), TenantHash(5), 0.25);
     pair.fleet.send_quotas(NodeId(2), vec![QuotaMessage::Grant(grant)]);
     insta::assert_snapshot!("quotas", shown(&pair.receive_where(|text| text.contains("\"u\""))));
 }
@@ -132,7 +132,7 @@
         "c":{{"V4":[[192,0,2,2],7001]}},"r":"north","z":"hall","s":"alive","v":1}}}}}}}}"#
     ));
     assert_eq!(events.len(), 3, "{events:?}");
-    let (FleetEvent::Cases(cases), FleetEvent::Quotas { from, messages }, FleetEvent::Member { member }) =
+    let (FleetEvent::CaseRecords(cases), FleetEvent::Quotas { from, messages }, FleetEvent::Member { member }) =
         (&events[0], &events[1], &events[2])
     else {
         panic!("{events:?}");
--- a/crates/staircross-gateway/tests/store_role.rs
+++ b/crates/staircross-gateway/tests/store_role.rs
@@ -30,11 +30,11 @@
 #[test]
 fn members_that_are_still_learned_of_put_that_off_but_not_for_long() {
     let mut settling = StoreRoleSelector::new(at(0), HEARTBEAT_TIMEOUT * 4);
-    settling.note_member_change(at(1000));
+    settling.record_member_change(at(1000));
     assert_eq!(settling.decide(at(2199), true), StoreRole::Follower);
     assert_eq!(settling.decide(at(2200), true), StoreRole::Reader, "no member has changed since");
     let mut changing = new_selector();
-    changing.note_member_change(at(SETTLED_AFTER_MS - 10));
+    changing.record_member_change(at(SETTLED_AFTER_MS - 10));
     assert_eq!(
         changing.decide(at(SETTLED_AFTER_MS), true),
         StoreRole::Reader,
@@ -45,14 +45,14 @@
 #[test]
 fn a_designated_node_reads_whatever_it_hears() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(SETTLED_AFTER_MS));
+    selector.record_heartbeat(at(SETTLED_AFTER_MS));
     assert_eq!(selector.decide(at(SETTLED_AFTER_MS), true), StoreRole::Reader);
 }
 
 #[test]
 fn a_follower_that_becomes_designated_reads_at_once() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(2000));
+    selector.record_heartbeat(at(2000));
     assert_eq!(selector.decide(at(2001), false), StoreRole::Follower);
     assert_eq!(selector.decide(at(2002), true), StoreRole::Reader);
     assert_eq!(selector.decide(at(2003), false), StoreRole::Follower, "the heartbeat is still recent");
@@ -61,24 +61,24 @@
 #[test]
 fn silence_makes_a_follower_probe_and_a_store_that_answers_makes_it_read() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(0));
+    selector.record_heartbeat(at(0));
     assert_eq!(selector.decide(at(1199), false), StoreRole::Follower);
     assert_eq!(selector.decide(at(1200), false), StoreRole::Prober);
     assert_eq!(selector.decide(at(9000), false), StoreRole::Prober, "a store that doesn't answer probes isn't read");
-    selector.note_probe_answered(at(9000));
+    selector.record_probe_answered(at(9000));
     assert_eq!(
         selector.decide(at(9395), false),
         StoreRole::Prober,
         "the region's readers get time to reach the store too"
     );
     assert_eq!(selector.decide(at(9397), false), StoreRole::Reader);
-    selector.note_heartbeat(at(9500));
+    selector.record_heartbeat(at(9500));
     assert_eq!(
         selector.decide(at(9600), false),
         StoreRole::Reader,
         "a node that had to read by itself continues to read for a while"
     );
-    selector.note_heartbeat(at(19_300));
+    selector.record_heartbeat(at(19_300));
     assert_eq!(selector.decide(at(19_400), false), StoreRole::Follower);
 }
 
@@ -90,7 +90,7 @@
     let mut now = 0;
     while selector.decide(at(now), false) != StoreRole::Reader {
         if selector.role() == StoreRole::Prober {
-            selector.note_probe_answered(at(now));
+            selector.record_probe_answered(at(now));
         }
         now += 1;
     }
@@ -101,8 +101,8 @@
 fn a_sign_heard_while_probing_makes_it_follow_again_without_having_read() {
     let mut selector = new_selector();
     assert_eq!(selector.decide(at(1200), false), StoreRole::Prober);
-    selector.note_probe_answered(at(5000));
-    selector.note_heartbeat(at(5100));
+    selector.record_probe_answered(at(5000));
+    selector.record_heartbeat(at(5100));
     assert_eq!(selector.decide(at(5100), false), StoreRole::Follower);
     assert_eq!(selector.decide(at(6300), false), StoreRole::Prober);
     assert_eq!(
@@ -115,15 +115,15 @@
 #[test]
 fn an_older_sign_that_comes_late_changes_nothing() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(1000));
-    selector.note_heartbeat(at(0));
+    selector.record_heartbeat(at(1000));
+    selector.record_heartbeat(at(0));
     assert_eq!(selector.decide(at(2100), false), StoreRole::Follower);
 }
 
 #[test]
 fn a_process_that_slept_does_not_rely_on_what_it_heard_before() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(0));
+    selector.record_heartbeat(at(0));
     assert_eq!(selector.decide(at(10), false), StoreRole::Follower);
     assert_eq!(selector.decide(at(5000), false), StoreRole::Prober);
 }
@@ -131,11 +131,11 @@
 #[test]
 fn at_the_first_start_of_a_fleet_nobody_reads_before_it_knows_its_region() {
     let mut selector = new_selector().with_first_start(at(0));
-    selector.note_member_change(at(900));
+    selector.record_member_change(at(900));
     assert_eq!(selector.decide(at(2099), true), StoreRole::Follower);
     assert_eq!(selector.decide(at(2100), true), StoreRole::Reader);
     let mut changing = new_selector().with_first_start(at(0));
-    changing.note_member_change(at(2900));
+    changing.record_member_change(at(2900));
     assert_ne!(changing.decide(at(2999), true), StoreRole::Reader);
     assert_eq!(changing.decide(at(3000), true), StoreRole::Reader);
 }
@@ -146,18 +146,18 @@
     assert_eq!(selector.decide(at(2699), false), StoreRole::Follower);
     assert_eq!(selector.decide(at(2700), false), StoreRole::Prober, "no heartbeat has arrived");
     let mut with_heartbeat = new_selector().with_first_start(at(0));
-    with_heartbeat.note_heartbeat(at(2500));
+    with_heartbeat.record_heartbeat(at(2500));
     assert_eq!(with_heartbeat.decide(at(2700), false), StoreRole::Follower);
 }
 
 #[test]
 fn a_follower_that_its_peers_do_not_serve_reads_at_once_and_stays_with_it_for_a_while() {
     let mut selector = new_selector();
-    selector.note_heartbeat(at(0));
+    selector.record_heartbeat(at(0));
     assert_eq!(selector.decide(at(1), false), StoreRole::Follower);
-    selector.note_pull_failed(at(2));
+    selector.record_pull_failed(at(2));
     assert_eq!(selector.decide(at(3), false), StoreRole::Reader, "although the heartbeat is recent");
-    selector.note_heartbeat(at(9900));
+    selector.record_heartbeat(at(9900));
     assert_eq!(selector.decide(at(9950), false), StoreRole::Reader);
     assert_eq!(selector.decide(at(10_003), false), StoreRole::Follower);
 }
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -15,8 +15,8 @@
 /// Time since the start of a process, at the fleet's first start, during which a tenant's burst is regarded as unused.
 /// Longer than a fleet takes to start.
 const FIRST_START_PERIOD: Duration = Duration::from_secs(10);
-/// Number of nodes that must leave reports unanswered before a node regards itself as cut off. A single silent node
-/// may have ended.
+/// Number of nodes that must leave reports unanswered before a node regards itself as cut off from the fleet. A single
+/// silent node may simply have ended.
 const MIN_SILENT_NODES: usize = 2;
 
 /// A tenant has become limited at this node, or is no longer limited.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct FleetRateLimiter {
     bound: QuotaBound,
-    own: NodeId,
+    own_node: NodeId,
     started: BootTime,
     is_first_start: bool,
     fleet: Fleet,
@@ -77,13 +77,13 @@
 impl FleetRateLimiter {
     /// Creates an instance without quotas, which admits everything. `is_first_start` says that no process of the fleet
     /// has run before.
-    pub fn new(bound: QuotaBound, own: NodeId, now: BootTime, is_first_start: bool) -> Self {
+    pub fn new(bound: QuotaBound, own_node: NodeId, now: BootTime, is_first_start: bool) -> Self {
         FleetRateLimiter {
             bound,
-            own,
+            own_node,
             started: now,
             is_first_start,
-            fleet: Fleet::new(own, now, !is_first_start),
+            fleet: Fleet::new(own_node, now, !is_first_start),
             tenants: HashMap::new(),
             scheduled: BTreeSet::new(),
             next_wake: None,
@@ -105,13 +105,13 @@
         for (name, quota) in quotas {
             let limits = TenantLimits::new(&self.bound, quota);
             let known = previous.remove(&TenantHash::of(&name));
-            let mut tenant = known.unwrap_or_else(|| Tenant::new(name, limits, self.own, self.random()));
+            let mut tenant = known.unwrap_or_else(|| Tenant::new(name, limits, self.own_node, self.random()));
             tenant.limits = limits;
             self.tenants.insert(tenant.hash, tenant);
         }
     }
 
-    /// Sets the nodes that serve callers.
+    /// Sets the nodes that share the quotas.
     pub fn set_fleet(&mut self, now: BootTime, view: FleetView) {
         if !self.fleet.set_view(now, view) {
             return;
@@ -121,7 +121,7 @@
         let is_in_first_start = self.is_in_first_start(now);
         for hash in scheduled {
             if let Some(tenant) = self.tenants.get_mut(&hash) {
-                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
             }
             self.schedule(hash);
         }
@@ -134,7 +134,7 @@
     }
 
     /// Admits or refuses one request of a tenant.
-    pub fn try_take(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
+    pub fn try_admit(&mut self, now: BootTime, tenant: &str) -> Result<(), QuotaRefusal> {
         let hash = TenantHash::of(tenant);
         let (random, is_in_first_start, is_cut_off) =
             (self.random(), self.is_in_first_start(now), self.is_cut_off(now));
@@ -142,9 +142,9 @@
         let Some(tenant) = self.tenants.get_mut(&hash) else {
             return Ok(());
         };
-        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
         let is_deciding_locally = is_cut_off || tenant.is_deciding_locally(now, &self.fleet);
-        let decision = match (is_deciding_locally, tenant.owner == self.own) {
+        let decision = match (is_deciding_locally, tenant.owner == self.own_node) {
             _ if self.fleet.is_starting(now) => tenant.decide_while_starting(now, random),
             (true, _) => tenant.decide_locally(now, &self.fleet, random),
             _ if tenant.is_substitute(now) => tenant.decide_as_substitute(now, &self.fleet, random),
@@ -157,7 +157,7 @@
             is_limited,
             admit_fraction: tenant.admit_fraction(now, quota_fraction),
             is_deciding_locally,
-            substitute: tenant.current_substitute(now, self.own),
+            substitute: tenant.current_substitute(now, self.own_node),
         }));
         self.schedule(hash);
         decision
@@ -182,13 +182,13 @@
         let (is_in_first_start, quota_fraction) = (self.is_in_first_start(now), self.quota_fraction(now));
         let answer = match self.tenants.get_mut(&report.tenant) {
             Some(tenant) => {
-                tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+                tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
                 if let Some(grant) = tenant.handle_report_as_substitute(now, from, report, &self.fleet) {
                     envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
                     return self.schedule(report.tenant);
                 }
                 let former_owner = report.former_owner.filter(|former_owner| {
-                    *former_owner != self.own && tenant.should_notify_former_owner(now, *former_owner)
+                    *former_owner != self.own_node && tenant.should_notify_former_owner(now, *former_owner)
                 });
                 envelopes.extend(
                     former_owner.map(|to| QuotaEnvelope { to, message: tenant.ownership_claim(now, quota_fraction) }),
@@ -201,7 +201,7 @@
         let Some((admit_fraction, confirmation)) = answer else {
             return;
         };
-        let grant = QuotaGrant::unsolicited(now, report.tenant, admit_fraction).with_confirmation(confirmation);
+        let grant = QuotaGrant::new(now, report.tenant, admit_fraction).with_confirmation(confirmation);
         envelopes.push(QuotaEnvelope { to: from, message: QuotaMessage::Grant(grant) });
         self.schedule(report.tenant);
     }
@@ -212,10 +212,10 @@
             return;
         };
         // The tenant may become limited before this node receives its first request.
-        tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+        tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
         if grant.substituted_owner.is_some() {
-            let objection = tenant.handle_substitute_grant(now, from, self.own, grant).map(QuotaMessage::Grant);
-            let is_owner = grant.substituted_owner == Some(self.own) && tenant.owner == self.own;
+            let objection = tenant.handle_substitute_grant(now, from, self.own_node, grant).map(QuotaMessage::Grant);
+            let is_owner = grant.substituted_owner == Some(self.own_node) && tenant.owner == self.own_node;
             let answer = if is_owner { Some(tenant.ownership_claim(now, quota_fraction)) } else { objection };
             envelopes.extend(answer.map(|message| QuotaEnvelope { to: from, message }));
         } else if let Some(follower) = &mut tenant.follower {
@@ -245,13 +245,13 @@
                 self.scheduled.remove(&hash);
                 continue;
             };
-            tenant.refresh_owner(now, self.own, &self.fleet, is_in_first_start);
+            tenant.refresh_owner(now, self.own_node, &self.fleet, is_in_first_start);
             let report = tenant.take_due_report(now);
             if report.is_some() && may_substitute {
                 tenant.start_substitution_if_needed(now);
             }
             let due_grant = tenant.take_due_grant(now, quota_fraction, self.fleet.serving().len());
-            let owner_grant = due_grant.map(|admit_fraction| QuotaGrant::unsolicited(now, hash, admit_fraction));
+            let owner_grant = due_grant.map(|admit_fraction| QuotaGrant::new(now, hash, admit_fraction));
             let substitute_grant = tenant.take_due_substitute_grant(now, &self.fleet);
             if tenant.next_due().is_none() {
                 self.scheduled.remove(&hash);
@@ -263,14 +263,14 @@
             }
             for grant in [owner_grant, substitute_grant].into_iter().flatten() {
                 let message = QuotaMessage::Grant(grant);
-                let others = self.fleet.serving().iter().filter(|node| **node != self.own);
+                let others = self.fleet.serving().iter().filter(|node| **node != self.own_node);
                 envelopes.extend(others.map(|node| QuotaEnvelope { to: *node, message }));
             }
         }
         self.next_wake = self.scheduled.iter().filter_map(|hash| self.tenants.get(hash)?.next_due()).min();
     }
 
-    /// Time at which [`FleetRateLimiter::on_tick`] is due next.
+    /// Returns the time at which [`FleetRateLimiter::on_tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.next_wake
     }
@@ -281,11 +281,11 @@
         let is_deciding_locally = self.is_cut_off(now) || tenant.is_deciding_locally(now, &self.fleet);
         Some(QuotaView {
             owner: tenant.owner,
-            is_owned: tenant.owner == self.own,
+            is_owned: tenant.owner == self.own_node,
             level: tenant.ledger.as_ref().map(|ledger| ledger.level()),
             admit_fraction: tenant.admit_fraction(now, self.quota_fraction(now)),
             is_deciding_locally,
-            substitute: tenant.current_substitute(now, self.own),
+            substitute: tenant.current_substitute(now, self.own_node),
         })
     }
 
@@ -327,7 +327,7 @@
         self.is_first_start && now.since(self.started) < FIRST_START_PERIOD
     }
 
-    /// Fraction of quotas that this node may grant as an owner, 0 to 1.
+    /// Returns the fraction of quotas that this node may grant as an owner, 0 to 1.
     fn quota_fraction(&self, now: BootTime) -> f64 {
         self.fleet.owner_fraction(now)
     }
@@ -335,7 +335,7 @@
     /// Returns a number from 0 to 1 that differs for each call and each node.
     fn random(&mut self) -> f64 {
         self.random_draws += 1;
-        let hash = xxh3_64_with_seed(&self.own.0.to_le_bytes(), self.random_draws);
+        let hash = xxh3_64_with_seed(&self.own_node.0.to_le_bytes(), self.random_draws);
         (hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -1,4 +1,8 @@
-//! One tenant at one node.
+//! The state of one tenant at one node, and the decision about each of its requests.
+//!
+//! A node decides in one of several ways (the `decide_…` functions): as the tenant's owner, as a follower of an owner
+//! or substitute that answers, as the substitute, locally if it reaches neither owner nor substitute, or by the rule
+//! for a node that has just been restarted. [`crate::rate_limiter`] chooses the way.
 
 use crate::bound::TenantLimits;
 use crate::bucket::Bucket;
@@ -14,7 +18,7 @@
 
 /// Time for which a former owner still answers reports of nodes that don't know the new owner yet. Longer than a
 /// planned stop takes to become known everywhere.
-const FORMER_OWNER_LINGER: Duration = Duration::from_secs(2);
+const FORMER_OWNER_LEDGER_RETENTION: Duration = Duration::from_secs(2);
 /// Time between two checks of a limited tenant. Equal to the shortest time between two grants of the owner.
 const LIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a refusal after which a tenant is no longer logged as limited, so that the log doesn't alternate
@@ -35,7 +39,7 @@
     pub owner: NodeId,
     /// Generation of the fleet's view from which `owner` was determined.
     generation: u32,
-    /// Present while this node is the owner, and for [`FORMER_OWNER_LINGER`] afterwards.
+    /// Present while this node is the owner, and for [`FORMER_OWNER_LEDGER_RETENTION`] afterwards.
     pub ledger: Option<Ledger>,
     /// Present while another node is the owner.
     pub follower: Option<Follower>,
@@ -57,12 +61,12 @@
 impl Tenant {
     /// Creates a tenant without requests. `carry` is random, so that with few requests at each of many nodes the
     /// granted fraction is still admitted overall.
-    pub fn new(name: Arc<str>, limits: TenantLimits, own: NodeId, carry: f64) -> Self {
+    pub fn new(name: Arc<str>, limits: TenantLimits, own_node: NodeId, carry: f64) -> Self {
         Tenant {
             hash: TenantHash::of(&name),
             name,
             limits,
-            owner: own,
+            owner: own_node,
             generation: 0,
             ledger: None,
             follower: None,
@@ -76,8 +80,8 @@
     }
 
     /// Determines the owner again if the nodes have changed, and drops the ledger of a former owner after
-    /// [`FORMER_OWNER_LINGER`].
-    pub fn refresh_owner(&mut self, now: BootTime, own: NodeId, fleet: &Fleet, is_first_start: bool) {
+    /// [`FORMER_OWNER_LEDGER_RETENTION`].
+    pub fn refresh_owner(&mut self, now: BootTime, own_node: NodeId, fleet: &Fleet, is_first_start: bool) {
         if self.generation != fleet.generation {
             self.generation = fleet.generation;
             let owner = fleet.owner_of(self.hash);
@@ -87,18 +91,18 @@
                 self.substitution = None;
             }
             self.owner = owner;
-            if self.owner == own {
+            if self.owner == own_node {
                 self.become_owner(now, fleet, is_first_start);
             } else {
                 self.become_follower(now, fleet);
             }
         }
-        let linger_is_over = self
+        let is_retention_over = self
             .ledger
             .as_ref()
             .and_then(|ledger| ledger.ownership_lost_at)
-            .is_some_and(|at| now.since(at) >= FORMER_OWNER_LINGER);
-        if linger_is_over {
+            .is_some_and(|at| now.since(at) >= FORMER_OWNER_LEDGER_RETENTION);
+        if is_retention_over {
             self.ledger = None;
         }
     }
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LINGER`].
+    /// Follows the current owner; a ledger of this node's own remains for [`FORMER_OWNER_LEDGER_RETENTION`].
     fn become_follower(&mut self, now: BootTime, fleet: &Fleet) {
         if let Some(ledger) = &mut self.ledger {
             ledger.ownership_lost_at.get_or_insert(now);
@@ -126,8 +130,9 @@
         }
     }
 
-    /// Returns whether this node has to decide without owner and substitute: the owner has been silent for
-    /// [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted more than its share.
+    /// Returns whether this node has to decide without owner and substitute: no substitute answers, and the owner has
+    /// been silent for [`OWNER_TIMEOUT`], or for [`OVERSPENT_OWNER_TIMEOUT`] while this node has admitted as many
+    /// unconfirmed requests as its local credit allows.
     pub fn is_deciding_locally(&self, now: BootTime, fleet: &Fleet) -> bool {
         let Some(follower) = &self.follower else {
             return false;
@@ -177,9 +182,9 @@
         self.substitution.as_ref().is_some_and(|substitution| substitution.has_reporters(now))
     }
 
-    /// The node that substitutes for the owner, `own` if it is this one.
-    pub fn current_substitute(&self, now: BootTime, own: NodeId) -> Option<NodeId> {
-        if self.is_substitute(now) { Some(own) } else { self.follower.as_ref()?.substitute(now) }
+    /// Returns the node that substitutes for the owner, or `own_node` if it is this one.
+    pub fn current_substitute(&self, now: BootTime, own_node: NodeId) -> Option<NodeId> {
+        if self.is_substitute(now) { Some(own_node) } else { self.follower.as_ref()?.substitute(now) }
     }
 
     /// Starts to substitute for an owner that doesn't answer, if no other node does.
@@ -234,14 +239,14 @@
         &mut self,
         now: BootTime,
         from: NodeId,
-        own: NodeId,
+        own_node: NodeId,
         grant: &QuotaGrant,
     ) -> Option<QuotaGrant> {
         let follower = self.follower.as_mut().filter(|follower| Some(follower.owner) == grant.substituted_owner)?;
         if follower.answered_within(now, SUBSTITUTE_AFTER) {
             return None;
         }
-        if let Some(substitution) = self.substitution.as_ref().filter(|_| has_higher_score(own, from, self.hash)) {
+        if let Some(substitution) = self.substitution.as_ref().filter(|_| has_higher_score(own_node, from, self.hash)) {
             return Some(substitution.grant(now, self.hash, 1.0));
         }
         let known = follower.substitute(now);
@@ -299,7 +304,7 @@
     }
 
     /// Handles a report as the owner, and returns the fraction to admit and the confirmation. Returns `None` if this
-    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LINGER`].
+    /// node isn't the owner and hasn't been one within [`FORMER_OWNER_LEDGER_RETENTION`].
     pub fn handle_report_as_owner(
         &mut self,
         now: BootTime,
@@ -325,7 +330,7 @@
 
     /// Returns the grant that the owner sends to another node which acts as the owner.
     pub fn ownership_claim(&self, now: BootTime, quota_fraction: f64) -> QuotaMessage {
-        QuotaMessage::Grant(QuotaGrant::unsolicited(now, self.hash, self.admit_fraction(now, quota_fraction)))
+        QuotaMessage::Grant(QuotaGrant::new(now, self.hash, self.admit_fraction(now, quota_fraction)))
     }
 
     /// Returns whether this node is the owner and should send a grant to a former owner now, to learn whether that
@@ -371,14 +376,14 @@
         (is_limited != was_limited).then_some(is_limited)
     }
 
-    /// Time at which something is to be sent next.
+    /// Returns the time at which something is to be sent next.
     pub fn next_due(&self) -> Option<BootTime> {
         let report = self.follower.as_ref().and_then(Follower::next_report_at);
         let substitution = self.substitution.as_ref().map(|substitution| substitution.next_check_at);
         [report, self.next_grant_check_at, substitution].into_iter().flatten().min()
     }
 
-    /// Fraction of requests to admit, as far as this node knows.
+    /// Returns the fraction of requests to admit, as far as this node knows.
     pub fn admit_fraction(&self, now: BootTime, quota_fraction: f64) -> f64 {
         match (&self.ledger, &self.follower) {
             (_, Some(follower)) => follower.admit_fraction(now),
