--- a/crates/staircross-gateway/src/node/request_log.rs
+++ b/crates/staircross-gateway/src/node/request_log.rs
@@ -13,7 +13,7 @@
 use staircross_routing::engine::{
     HoldCause, LastLoadReport, LeftOutCause, ProbeStep, SendOrder, SendReason, UnsentCause,
 };
-use staircross_routing::{AttemptKey, AttemptOutcome, RequestKey, SearcherKey, Verdict};
+use staircross_routing::{AttemptKey, AttemptOutcome, RequestKey, RequestOutcome, SearcherKey};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
@@ -139,19 +139,19 @@
     }
 
     /// Logs and counts the end of a request.
-    pub(super) fn log_finished(&mut self, pending: &CallerRequest, verdict: &Verdict) {
-        let is_complete = match verdict {
-            Verdict::Merged(merged) => merged.missing == 0,
-            Verdict::Passed(answer) => answer.status < 500,
-            Verdict::Refused { .. } => false,
+    pub(super) fn log_finished(&mut self, pending: &CallerRequest, outcome: &RequestOutcome) {
+        let is_complete = match outcome {
+            RequestOutcome::Merged(merged) => merged.missing == 0,
+            RequestOutcome::Passed(answer) => answer.status < 500,
+            RequestOutcome::Refused { .. } => false,
         };
         self.log_trace(pending, if is_complete { LineKind::AnsweredTrace } else { LineKind::Trace });
         let took = self.now.since(pending.arrived);
-        self.count_finished(pending, verdict, took);
-        let (outcome, status, parts, missing) = match verdict {
-            Verdict::Merged(merged) => ("merged", 200, merged.stamps.len(), merged.missing),
-            Verdict::Passed(answer) => ("passed", answer.status, 1, 0),
-            Verdict::Refused { kind, .. } => (kind.name(), kind.http_status(), 0, 0),
+        self.count_finished(pending, outcome, took);
+        let (outcome, status, parts, missing) = match outcome {
+            RequestOutcome::Merged(merged) => ("merged", 200, merged.stamps.len(), merged.missing),
+            RequestOutcome::Passed(answer) => ("passed", answer.status, 1, 0),
+            RequestOutcome::Refused { kind, .. } => (kind.name(), kind.http_status(), 0, 0),
         };
         self.log.line(
             self.now,
@@ -170,13 +170,15 @@
         );
     }
 
-    fn count_finished(&mut self, pending: &CallerRequest, verdict: &Verdict, took: Duration) {
-        match verdict {
-            Verdict::Refused { kind, .. } => self.metrics.count_refusal(*kind),
-            Verdict::Merged(_) | Verdict::Passed(_) => self.metrics.count_answer(pending.route.as_ref(), took),
+    fn count_finished(&mut self, pending: &CallerRequest, outcome: &RequestOutcome, took: Duration) {
+        match outcome {
+            RequestOutcome::Refused { kind, .. } => self.metrics.count_refusal(*kind),
+            RequestOutcome::Merged(_) | RequestOutcome::Passed(_) => {
+                self.metrics.count_answer(pending.route.as_ref(), took)
+            }
         }
         if let Some(tenant) = &pending.tenant {
-            self.metrics.tenants.count(tenant, matches!(verdict, Verdict::Refused { .. }));
+            self.metrics.tenants.count(tenant, matches!(outcome, RequestOutcome::Refused { .. }));
         }
     }
 }
--- a/crates/staircross-gateway/src/node/requests.rs
+++ b/crates/staircross-gateway/src/node/requests.rs
@@ -13,7 +13,7 @@
 use crate::socket::SocketId;
 use staircross_http::{Request, RequestHead, ServerFault};
 use staircross_routing::engine::{RoutingAction, RoutingEvent};
-use staircross_routing::{Arrival, CallerLink, Credential, RequestKey, Verdict};
+use staircross_routing::{Arrival, CallerLink, Credential, RequestKey, RequestOutcome};
 use staircross_types::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
@@ -227,7 +227,7 @@
                 self.abandon_attempt(attempt, answer_timeout, cause)
             }
             RoutingAction::Recall { attempt } => self.recall_attempt(attempt),
-            RoutingAction::Finish { request, verdict } => self.finish_request(request, verdict),
+            RoutingAction::Finish { request, outcome } => self.finish_request(request, outcome),
             RoutingAction::SendQuotas { to, messages } => self.fleet.send_quotas(to, messages),
             RoutingAction::Suspicion { change, is_from_peers } => self.on_suspicion_change(change, is_from_peers),
             RoutingAction::Unsent { request, service, reason, cause } => {
@@ -248,8 +248,8 @@
         }
     }
 
-    /// Removes a request, and logs and writes the answer to its verdict.
-    pub(super) fn finish_request(&mut self, key: RequestKey, verdict: Verdict) {
+    /// Removes a request, logs its outcome and writes the answer to the caller.
+    pub(super) fn finish_request(&mut self, key: RequestKey, outcome: RequestOutcome) {
         let Some(mut pending) = self.requests.remove(key) else {
             return;
         };
@@ -261,12 +261,12 @@
             closes,
             is_head: &*pending.outbound.method == "HEAD",
         };
-        let answer = match &verdict {
-            Verdict::Merged(merged) => context.merged(merged),
-            Verdict::Passed(passed) => context.passed(passed),
-            Verdict::Refused { kind, detail, retry_after } => context.refused(*kind, detail, *retry_after),
+        let answer = match &outcome {
+            RequestOutcome::Merged(merged) => context.merged(merged),
+            RequestOutcome::Passed(passed) => context.passed(passed),
+            RequestOutcome::Refused { kind, detail, retry_after } => context.refused(*kind, detail, *retry_after),
         };
-        self.log_finished(&pending, &verdict);
+        self.log_finished(&pending, &outcome);
         self.respond(pending.connection, answer, closes);
     }
 }
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -20,7 +20,7 @@
 use crate::event_log::LineKind;
 use crate::server::Endpoint;
 use staircross_cluster::MemberState;
-use staircross_routing::{RoutingEvent, Verdict};
+use staircross_routing::{RequestOutcome, RoutingEvent};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
@@ -122,7 +122,7 @@
     fn time_out_requests_in_flight(&mut self) {
         for key in self.requests.keys() {
             let detail = "the node stops and can't wait any longer; the request may have run";
-            self.finish_request(key, Verdict::Refused { kind: ErrorKind::TimedOut, detail, retry_after: None });
+            self.finish_request(key, RequestOutcome::Refused { kind: ErrorKind::TimedOut, detail, retry_after: None });
             self.process_routing_event(RoutingEvent::CallerGone(key));
         }
     }
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -31,7 +31,7 @@
 use crate::decision::allowed_regions::AllowedRegions;
 use crate::decision::retry::promises_not_run;
 use crate::policy::RoutingPolicy;
-use crate::state::request::{SearcherAnswer, Verdict};
+use crate::state::request::{RequestOutcome, SearcherAnswer};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
@@ -66,9 +66,9 @@
     }
 }
 
-impl From<Refusal> for Verdict {
+impl From<Refusal> for RequestOutcome {
     fn from(refusal: Refusal) -> Self {
-        Verdict::Refused { kind: refusal.kind, detail: refusal.detail, retry_after: None }
+        RequestOutcome::Refused { kind: refusal.kind, detail: refusal.detail, retry_after: None }
     }
 }
 
--- a/crates/staircross-routing/src/engine/arrival.rs
+++ b/crates/staircross-routing/src/engine/arrival.rs
@@ -13,7 +13,7 @@
 use crate::decision::quarantine::Suspicion;
 use crate::decision::request_lifecycle::{self, NodeLoad, ReachableShards, Refusal, StartDecision, TimeBounds};
 use crate::keys::{ContentKey, RequestKey, TenantKey};
-use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, Shard, Verdict};
+use crate::state::request::{Arrival, CallerLink, ConfigurationView, Request, RequestOutcome, Shard};
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -31,10 +31,10 @@
 /// Why a request isn't started.
 enum NotStarted {
     /// The request is refused for good.
-    Refused(Verdict),
+    Refused(RequestOutcome),
     /// The node lacks something that it may learn soon. If the request isn't held, or not for long enough, the
-    /// verdict is its result.
-    NodeNotReady(HoldCause, Verdict),
+    /// outcome is its result.
+    NodeNotReady(HoldCause, RequestOutcome),
 }
 
 impl NotStarted {
@@ -89,8 +89,8 @@
             Err(NotStarted::NodeNotReady(cause, _)) if self.may_hold() => {
                 self.hold_request(now, arrival, cause, actions)
             }
-            Err(NotStarted::Refused(verdict) | NotStarted::NodeNotReady(_, verdict)) => {
-                actions.push(RoutingAction::Finish { request: arrival.key, verdict });
+            Err(NotStarted::Refused(outcome) | NotStarted::NodeNotReady(_, outcome)) => {
+                actions.push(RoutingAction::Finish { request: arrival.key, outcome });
             }
         }
     }
@@ -134,8 +134,8 @@
         match self.start_request(now, &arrival, actions) {
             Ok(request) => self.send_first_attempts(now, arrival.key, request, actions),
             Err(NotStarted::NodeNotReady(..)) if now < held.until => self.held_requests.push(held),
-            Err(NotStarted::Refused(verdict) | NotStarted::NodeNotReady(_, verdict)) => {
-                actions.push(RoutingAction::Finish { request: arrival.key, verdict });
+            Err(NotStarted::Refused(outcome) | NotStarted::NodeNotReady(_, outcome)) => {
+                actions.push(RoutingAction::Finish { request: arrival.key, outcome });
             }
         }
     }
@@ -265,7 +265,7 @@
         let taken = tenant.map_or(Ok(()), |tenant| self.take_quota_token(now, tenant));
         taken.map_err(|wait| {
             let (kind, detail) = (ErrorKind::OverQuota, "the tenant has sent as many requests as it may");
-            NotStarted::Refused(Verdict::Refused { kind, detail, retry_after: Some(wait) })
+            NotStarted::Refused(RequestOutcome::Refused { kind, detail, retry_after: Some(wait) })
         })
     }
 
--- a/crates/staircross-routing/src/engine/completion.rs
+++ b/crates/staircross-routing/src/engine/completion.rs
@@ -8,7 +8,7 @@
 use crate::decision::request_lifecycle::{self, EndDecision, FailedRequest, Progress, Refusal};
 use crate::keys::{RequestKey, SearcherKey};
 use crate::merge::greatest_records;
-use crate::state::request::{MergedAnswer, Request, ShardState, Verdict};
+use crate::state::request::{MergedAnswer, Request, RequestOutcome, ShardState};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
@@ -85,8 +85,8 @@
         if is_answered && request.gather().is_some() && progress.parts < request.shards.len() {
             self.counters.partial_answers += 1;
         }
-        let verdict = if is_answered { success_verdict(&mut request) } else { failure_verdict(now, &request) };
-        actions.push(RoutingAction::Finish { request: key, verdict });
+        let outcome = if is_answered { success_outcome(&mut request) } else { failure_outcome(now, &request) };
+        actions.push(RoutingAction::Finish { request: key, outcome });
     }
 
     /// Logs each shard that hasn't answered when its request ends.
@@ -134,10 +134,10 @@
     }
 }
 
-fn success_verdict(request: &mut Request) -> Verdict {
+fn success_outcome(request: &mut Request) -> RequestOutcome {
     let Some(gather) = request.gather() else {
         return match request.shards.pop().map(|shard| shard.state) {
-            Some(ShardState::Answered(answer)) => Verdict::Passed(answer),
+            Some(ShardState::Answered(answer)) => RequestOutcome::Passed(answer),
             _ => Refusal::new(ErrorKind::Internal, "a request without a part was taken as answered").into(),
         };
     };
@@ -148,14 +148,14 @@
     let body = greatest_records(parts.clone().map(|answer| answer.body.as_slice()), gather.top_k);
     let stamps: Vec<Vec<u8>> = parts.filter_map(|answer| answer.stamp.clone()).collect();
     let missing = request.shards.len() - stamps.len();
-    Verdict::Merged(MergedAnswer { stamps, missing, body })
+    RequestOutcome::Merged(MergedAnswer { stamps, missing, body })
 }
 
-fn failure_verdict(now: BootTime, request: &Request) -> Verdict {
+fn failure_outcome(now: BootTime, request: &Request) -> RequestOutcome {
     if let Some(ShardState::Failed(Some(answer))) = request.shards.first().map(|shard| &shard.state)
         && request_lifecycle::is_passed_on(answer, request.gather().is_some())
     {
-        return Verdict::Passed(answer.clone());
+        return RequestOutcome::Passed(answer.clone());
     }
     let may_have_run = request.may_have_run || !request.attempts.iter().all(|attempt| attempt.is_resolved);
     let (is_past_deadline, is_key_revoked) = (now >= request.deadline, request.is_key_revoked);
--- a/crates/staircross-routing/src/engine_message.rs
+++ b/crates/staircross-routing/src/engine_message.rs
@@ -9,7 +9,7 @@
 use crate::state::mirror::SearcherEntry;
 use crate::state::report::ReportedLoad;
 pub use crate::state::request::SendReason;
-use crate::state::request::{Arrival, AttemptOutcome, Verdict};
+use crate::state::request::{Arrival, AttemptOutcome, RequestOutcome};
 use hashbrown::HashMap;
 use staircross_quota::{QuotaChange, QuotaMessage};
 use staircross_types::{BootTime, NodeId};
@@ -192,7 +192,7 @@
         /// The request.
         request: RequestKey,
         /// The result.
-        verdict: Verdict,
+        outcome: RequestOutcome,
     },
 }
 
--- a/crates/staircross-routing/src/lib.rs
+++ b/crates/staircross-routing/src/lib.rs
@@ -40,6 +40,6 @@
 pub use state::mirror::{AcceptedConfiguration, Mirror, MirrorItem, MirrorUpdate, PeerKnowledge, SearcherEntry};
 pub use state::report::{ReportedLoad, SearcherReport};
 pub use state::request::{
-    Arrival, AttemptOutcome, CallerLink, ConfigurationView, MergedAnswer, NotRun, SearcherAnswer, Verdict,
+    Arrival, AttemptOutcome, CallerLink, ConfigurationView, MergedAnswer, NotRun, RequestOutcome, SearcherAnswer,
 };
 pub use state::unreadable::{KeyKind, UnreadableItem, UnreadableReason};
--- a/crates/staircross-routing/src/recording.rs
+++ b/crates/staircross-routing/src/recording.rs
@@ -14,7 +14,7 @@
 use crate::policy::RoutingPolicy;
 use crate::state::mirror::SearcherEntry;
 use crate::state::report::SearcherReport;
-use crate::state::request::{Arrival, AttemptOutcome, NotRun, SearcherAnswer, Unknown, Verdict};
+use crate::state::request::{Arrival, AttemptOutcome, NotRun, RequestOutcome, SearcherAnswer, Unknown};
 use serde::{Deserialize, Serialize};
 use staircross_http::HeaderBlock;
 use staircross_quota::{QuotaBound, QuotaMessage};
@@ -279,8 +279,8 @@
                 Some(Decision::Send { attempt: order.attempt, instance: order.instance.clone(), reason: order.reason })
             }
             RoutingAction::Abandon { attempt, .. } => Some(Decision::Abandon { attempt: *attempt }),
-            RoutingAction::Finish { request, verdict } => {
-                Some(Decision::Finish { request: *request, ending: verdict.into() })
+            RoutingAction::Finish { request, outcome } => {
+                Some(Decision::Finish { request: *request, ending: outcome.into() })
             }
             RoutingAction::Unsent { .. }
             | RoutingAction::Recall { .. }
@@ -306,12 +306,12 @@
     }
 }
 
-impl From<&Verdict> for Ending {
-    fn from(verdict: &Verdict) -> Self {
-        match verdict {
-            Verdict::Merged(merged) => Ending::Merged { parts: merged.stamps.len(), missing: merged.missing },
-            Verdict::Passed(answer) => Ending::Passed { status: answer.status },
-            Verdict::Refused { kind, .. } => Ending::Refused(*kind),
+impl From<&RequestOutcome> for Ending {
+    fn from(outcome: &RequestOutcome) -> Self {
+        match outcome {
+            RequestOutcome::Merged(merged) => Ending::Merged { parts: merged.stamps.len(), missing: merged.missing },
+            RequestOutcome::Passed(answer) => Ending::Passed { status: answer.status },
+            RequestOutcome::Refused { kind, .. } => Ending::Refused(*kind),
         }
     }
 }
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -198,7 +198,7 @@
 
 /// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// An answer merged from the parts of several shards.
     Merged(MergedAnswer),
     /// One searcher's answer, passed on unchanged.
--- a/crates/staircross-routing/tests/common/backends.rs
+++ b/crates/staircross-routing/tests/common/backends.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_routing::engine::SendOrder;
-use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RoutingEvent, Verdict};
+use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RequestOutcome, RoutingEvent};
 use staircross_types::{BootTime, ErrorKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -40,11 +40,11 @@
     fn of(ends: impl Iterator<Item = EndedRequest>, goal: Duration) -> Tally {
         let mut tally = Tally::default();
         for end in ends {
-            match end.verdict {
-                Verdict::Merged(_) | Verdict::Passed(_) if end.took <= goal => tally.in_time += 1,
-                Verdict::Merged(_) | Verdict::Passed(_) => tally.late += 1,
-                Verdict::Refused { kind: ErrorKind::Overloaded, .. } => tally.refused += 1,
-                Verdict::Refused { .. } => tally.failed += 1,
+            match end.outcome {
+                RequestOutcome::Merged(_) | RequestOutcome::Passed(_) if end.took <= goal => tally.in_time += 1,
+                RequestOutcome::Merged(_) | RequestOutcome::Passed(_) => tally.late += 1,
+                RequestOutcome::Refused { kind: ErrorKind::Overloaded, .. } => tally.refused += 1,
+                RequestOutcome::Refused { .. } => tally.failed += 1,
             }
         }
         tally
@@ -59,7 +59,7 @@
 struct EndedRequest {
     arrived: BootTime,
     took: Duration,
-    verdict: Verdict,
+    outcome: RequestOutcome,
 }
 
 /// A driver and the simulated searchers that run its attempts.
@@ -142,9 +142,9 @@
 
     fn ends_from(&self, first: usize) -> Vec<EndedRequest> {
         let finished = self.driver.finished.iter().zip(&self.driver.finished_at).skip(first);
-        let end = |((request, verdict), at): (&(RequestKey, Verdict), &BootTime)| {
+        let end = |((request, outcome), at): (&(RequestKey, RequestOutcome), &BootTime)| {
             let arrived = self.arrived[request];
-            EndedRequest { arrived, took: at.since(arrived), verdict: verdict.clone() }
+            EndedRequest { arrived, took: at.since(arrived), outcome: outcome.clone() }
         };
         finished.map(end).collect()
     }
--- a/crates/staircross-routing/tests/common/mod.rs
+++ b/crates/staircross-routing/tests/common/mod.rs
@@ -21,9 +21,9 @@
 use staircross_routing::recording::{Decision, RecordedEvent, RecordedTurn};
 use staircross_routing::{
     Arrival, AttemptKey, AttemptOutcome, CallerLimits, CallerLink, ColdBound, ColdStart, ConfigurationView, ContentKey,
-    Credential, KeyRefusal, RequestKey, RouteDefinition, RouteTable, RouteTarget, RoutingAction, RoutingDefinition,
-    RoutingEngine, RoutingEvent, RoutingPolicy, RoutingSettings, SearcherAnswer, SearcherEntry, SearcherReport,
-    ServiceEntry, SuspicionChange, Verdict,
+    Credential, KeyRefusal, RequestKey, RequestOutcome, RouteDefinition, RouteTable, RouteTarget, RoutingAction,
+    RoutingDefinition, RoutingEngine, RoutingEvent, RoutingPolicy, RoutingSettings, SearcherAnswer, SearcherEntry,
+    SearcherReport, ServiceEntry, SuspicionChange,
 };
 use staircross_types::{BootTime, NodeId};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     pub unsent: Vec<(RequestKey, UnsentCause)>,
     pub left_out: Vec<(String, LeftOutCause)>,
     pub held: Vec<(RequestKey, HoldCause)>,
-    pub finished: Vec<(RequestKey, Verdict)>,
+    pub finished: Vec<(RequestKey, RequestOutcome)>,
     /// Times at which the requests in `finished` ended, in the same order.
     pub finished_at: Vec<BootTime>,
     pub not_admitted: Vec<(RequestKey, f64)>,
@@ -237,8 +237,8 @@
                 RoutingAction::Suspicion { change, .. } => self.suspicions.push(change),
                 RoutingAction::Alarm { route, is_raised } => self.alarms.push((route.to_string(), is_raised)),
                 RoutingAction::Probe { request, step } => self.probe_steps.push((request, step)),
-                RoutingAction::Finish { request, verdict } => {
-                    self.finished.push((request, verdict));
+                RoutingAction::Finish { request, outcome } => {
+                    self.finished.push((request, outcome));
                     self.finished_at.push(self.now);
                 }
             }
@@ -299,14 +299,14 @@
         &self.paths[&request]
     }
 
-    pub fn verdict(&self, request: RequestKey) -> Option<&Verdict> {
-        self.finished.iter().find(|(key, _)| *key == request).map(|(_, verdict)| verdict)
+    pub fn outcome(&self, request: RequestKey) -> Option<&RequestOutcome> {
+        self.finished.iter().find(|(key, _)| *key == request).map(|(_, outcome)| outcome)
     }
 
     /// Returns the kind of refusal with which a request ended, if it was refused.
     pub fn refusal(&self, request: RequestKey) -> Option<staircross_types::ErrorKind> {
-        match self.verdict(request) {
-            Some(Verdict::Refused { kind, .. }) => Some(*kind),
+        match self.outcome(request) {
+            Some(RequestOutcome::Refused { kind, .. }) => Some(*kind),
             _ => None,
         }
     }
--- a/crates/staircross-routing/tests/first_probe.rs
+++ b/crates/staircross-routing/tests/first_probe.rs
@@ -11,8 +11,8 @@
 use staircross_routing::engine::{SendOrder, SendReason};
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{
-    Arrival, AttemptOutcome, ContentKey, InstanceKey, LostAttempt, NotRun, RequestKey, RouteDigest, RoutingEvent,
-    RoutingPolicy, RoutingSettings, Verdict,
+    Arrival, AttemptOutcome, ContentKey, InstanceKey, LostAttempt, NotRun, RequestKey, RequestOutcome, RouteDigest,
+    RoutingEvent, RoutingPolicy, RoutingSettings,
 };
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -65,9 +65,9 @@
 fn answer_all(driver: &mut Driver, request: RequestKey) -> Duration {
     let began = driver.now;
     let mut answered = 0;
-    while driver.verdict(request).is_none() {
+    while driver.outcome(request).is_none() {
         let orders: Vec<SendOrder> = driver.sent_for(request).into_iter().skip(answered).cloned().collect();
-        assert!(!orders.is_empty(), "the request has no verdict, but no searcher is asked");
+        assert!(!orders.is_empty(), "the request has no outcome, but no searcher is asked");
         driver.advance(WORK);
         orders.iter().for_each(|order| driver.end(order.attempt, part_answer(order)));
         answered += orders.len();
@@ -134,7 +134,7 @@
     assert_eq!(driver.sent_for(request).len(), 1, "one shard is asked first");
     assert_eq!(answer_all(&mut driver, request), WORK * 2);
     assert_eq!(driver.sent_for(request).len(), 10);
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
     let known = ask(&mut driver, "/all/new", ContentKey(100));
     assert_eq!(driver.sent_for(known).len(), 10, "a content that was answered lately isn't delayed");
     let elsewhere = ask(&mut driver, "/other/new", ContentKey(101));
@@ -188,7 +188,7 @@
     let mut next_send = begun;
     for _ in 0..2 {
         let request = ask(driver, "/all/x", content);
-        while driver.verdict(request).is_none() || next_send < driver.sends.len() {
+        while driver.outcome(request).is_none() || next_send < driver.sends.len() {
             driver.advance_ms(1);
             while driver.sent_at.get(next_send).is_some_and(|sent_at| driver.now.since(*sent_at) >= delay) {
                 driver.end(driver.sends[next_send].attempt, BROKEN);
@@ -224,7 +224,7 @@
     let unanswered = driver.sent_for(request)[0].clone();
     let began = driver.now;
     let mut answered = vec![unanswered.attempt];
-    while driver.verdict(request).is_none() && driver.now.since(began) < GOAL * 2 {
+    while driver.outcome(request).is_none() && driver.now.since(began) < GOAL * 2 {
         driver.advance_ms(1);
         let is_due = |at: &BootTime| driver.now.since(*at) >= WORK;
         let due: Vec<SendOrder> = driver
@@ -242,7 +242,7 @@
         }
     }
     assert!(driver.now.since(began) <= GOAL, "{:?}", driver.now.since(began));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
 }
 
 /// A searcher that rejects a request hasn't run it and causes no wait. So the time for which a missing answer is waited
--- a/crates/staircross-routing/tests/gather.rs
+++ b/crates/staircross-routing/tests/gather.rs
@@ -6,7 +6,7 @@
 use staircross_routing::engine::{LeftOutCause, RoutingEvent, SendReason};
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{
-    AttemptKey, AttemptOutcome, MergedAnswer, NotRun, RequestKey, RouteTable, SearcherEntry, Verdict,
+    AttemptKey, AttemptOutcome, MergedAnswer, NotRun, RequestKey, RequestOutcome, RouteTable, SearcherEntry,
 };
 use staircross_types::ErrorKind;
 use staircross_types::errors::Executed;
@@ -29,8 +29,8 @@
 }
 
 fn merged(driver: &Driver, request: RequestKey) -> &MergedAnswer {
-    match driver.verdict(request) {
-        Some(Verdict::Merged(answer)) => answer,
+    match driver.outcome(request) {
+        Some(RequestOutcome::Merged(answer)) => answer,
         other => panic!("expected a merged answer, got {other:?}"),
     }
 }
@@ -79,7 +79,7 @@
     let answer = merged(&driver, request).clone();
     assert_eq!(answer.missing, 0);
     assert!(answer.stamps.contains(&b"hedge".to_vec()));
-    // The answer of the first attempt arrives after the verdict and changes nothing.
+    // The answer of the first attempt arrives after the outcome and changes nothing.
     driver.end(all[3], common::answer(200, "late", records(&[9])));
     assert_eq!(driver.finished.len(), 1);
 }
--- a/crates/staircross-routing/tests/held.rs
+++ b/crates/staircross-routing/tests/held.rs
@@ -42,7 +42,7 @@
     let mut driver = Driver::new();
     let request = driver.request("/r/1");
     driver.advance_ms(HOLD_MS - 1);
-    assert_eq!(driver.verdict(request), None);
+    assert_eq!(driver.outcome(request), None);
     driver.advance_ms(1);
     assert_eq!(driver.refusal(request), Some(ErrorKind::NoConfiguration));
     assert_eq!(ErrorKind::NoConfiguration.http_status(), 503);
--- a/crates/staircross-routing/tests/history/judge.rs
+++ b/crates/staircross-routing/tests/history/judge.rs
@@ -2,13 +2,13 @@
 
 use super::{AttemptState, NORTHERN_ROUTE, SLACK, SentAttempt, World, settings_with_little_slack};
 use proptest::prelude::*;
-use staircross_routing::{AttemptKey, RequestKey, Verdict};
+use staircross_routing::{AttemptKey, RequestKey, RequestOutcome};
 use staircross_types::{BootTime, ErrorKind, errors::Executed};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 impl World {
-    /// Checks the sends and verdicts since the last call.
+    /// Checks the sends and outcomes since the last call.
     pub(super) fn check_new_actions(&mut self) -> Result<(), TestCaseError> {
         while self.checked_sends < self.driver.sends.len() {
             let order = self.driver.sends[self.checked_sends].clone();
@@ -17,9 +17,9 @@
             self.check_send(&order, at)?;
         }
         while self.checked_ends < self.driver.finished.len() {
-            let (key, verdict) = self.driver.finished[self.checked_ends].clone();
+            let (key, outcome) = self.driver.finished[self.checked_ends].clone();
             self.checked_ends += 1;
-            self.check_verdict(key, &verdict)?;
+            self.check_outcome(key, &outcome)?;
         }
         Ok(())
     }
@@ -106,26 +106,26 @@
         Ok(())
     }
 
-    fn check_verdict(&self, key: RequestKey, verdict: &Verdict) -> Result<(), TestCaseError> {
-        let verdicts = self.driver.finished.iter().filter(|(other, _)| *other == key).count();
-        prop_assert_eq!(verdicts, 1, "the request has more than one verdict");
+    fn check_outcome(&self, key: RequestKey, outcome: &RequestOutcome) -> Result<(), TestCaseError> {
+        let outcomes = self.driver.finished.iter().filter(|(other, _)| *other == key).count();
+        prop_assert_eq!(outcomes, 1, "the request has more than one outcome");
         let sent: Vec<&SentAttempt> =
             self.sent_attempts.iter().filter(|sent_attempt| sent_attempt.attempt.request == key).collect();
-        match verdict {
-            Verdict::Refused { kind, .. } => {
+        match outcome {
+            RequestOutcome::Refused { kind, .. } => {
                 let promises_not_run = kind.executed() == Executed::Never;
                 let ran_nowhere = sent.iter().all(|sent_attempt| sent_attempt.state == AttemptState::NotRun);
                 prop_assert!(!promises_not_run || ran_nowhere, "{} promises that nothing ran: {:?}", kind, sent);
                 prop_assert!(*kind != ErrorKind::Internal);
             }
-            Verdict::Passed(passed) => {
+            RequestOutcome::Passed(passed) => {
                 let is_own_answer = sent.iter().any(|sent_attempt| {
                     let stamp = format!("{}-{}", sent_attempt.attempt.request.0, sent_attempt.attempt.number);
                     passed.stamp.as_deref() == Some(stamp.as_bytes()) && sent_attempt.state == AttemptState::MayHaveRun
                 });
                 prop_assert!(is_own_answer, "the answer belongs to another request");
             }
-            Verdict::Merged(merged) => self.check_merged(key, merged)?,
+            RequestOutcome::Merged(merged) => self.check_merged(key, merged)?,
         }
         Ok(())
     }
--- a/crates/staircross-routing/tests/incarnation_requests.rs
+++ b/crates/staircross-routing/tests/incarnation_requests.rs
@@ -80,7 +80,7 @@
     let mut driver = driver(false, vec![started("s", 100)]);
     let request = driver.request("/r/1");
     update_entry(&mut driver, started("s", 200));
-    assert!(driver.verdict(request).is_none(), "the earlier start may still answer");
+    assert!(driver.outcome(request).is_none(), "the earlier start may still answer");
     driver.end(driver.sends[0].attempt, BROKEN);
     assert_eq!(driver.sent_for(request).len(), 1, "the later start isn't asked");
     let refusal = driver.refusal(request);
--- a/crates/staircross-routing/tests/pinned/journal.rs
+++ b/crates/staircross-routing/tests/pinned/journal.rs
@@ -6,7 +6,7 @@
 use staircross_routing::RoutingAction;
 use staircross_routing::decision::placement::Distance;
 use staircross_routing::engine::{AbandonCause, SendOrder};
-use staircross_routing::{AttemptKey, SentIdentity, Verdict};
+use staircross_routing::{AttemptKey, RequestOutcome, SentIdentity};
 use staircross_types::BootTime;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -109,8 +109,8 @@
         RoutingAction::Quota(change) => ("quota changed".into(), quota_change(change)),
         RoutingAction::Alarm { route, is_raised } => ("alarm".into(), format!("{route} {is_raised}")),
         RoutingAction::Probe { request, step } => ("probe".into(), format!("{} {}", request.0, step.name())),
-        RoutingAction::Finish { request, verdict } => {
-            let (kind, text) = finish(verdict);
+        RoutingAction::Finish { request, outcome } => {
+            let (kind, text) = finish(outcome);
             (kind, format!("{} {text}", request.0))
         }
     }
@@ -167,18 +167,18 @@
     }
 }
 
-fn finish(verdict: &Verdict) -> (String, String) {
-    match verdict {
-        Verdict::Merged(merged) => {
+fn finish(outcome: &RequestOutcome) -> (String, String) {
+    match outcome {
+        RequestOutcome::Merged(merged) => {
             let stamps: Vec<_> = merged.stamps.iter().map(|stamp| String::from_utf8_lossy(stamp)).collect();
             let text = format!("{} {} {:x}", merged.missing, stamps.join(","), xxh3_64(&merged.body));
             ("merged".into(), text)
         }
-        Verdict::Passed(answer) => {
+        RequestOutcome::Passed(answer) => {
             let stamp = answer.stamp.as_deref().map(String::from_utf8_lossy);
             ("passed".into(), format!("{} {} {:x}", answer.status, stamp.unwrap_or_default(), xxh3_64(&answer.body)))
         }
-        Verdict::Refused { kind, detail, retry_after } => {
+        RequestOutcome::Refused { kind, detail, retry_after } => {
             let retry_after = retry_after.map_or(0, |after| after.as_micros());
             (format!("refused {}", kind.name()), format!("{detail} {retry_after}"))
         }
--- a/crates/staircross-routing/tests/places.rs
+++ b/crates/staircross-routing/tests/places.rs
@@ -8,8 +8,8 @@
 use staircross_routing::engine::{LeftOutCause, SendReason};
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{
-    AttemptOutcome, ColdBound, ColdStart, NotRun, RouteDefinition, RouteTable, RouteTarget, RoutingDefinition,
-    RoutingEvent, RoutingSettings, SearcherEntry, Verdict,
+    AttemptOutcome, ColdBound, ColdStart, NotRun, RequestOutcome, RouteDefinition, RouteTable, RouteTarget,
+    RoutingDefinition, RoutingEvent, RoutingSettings, SearcherEntry,
 };
 use staircross_types::{ErrorKind, Executed};
 use std::sync::Arc;
@@ -85,8 +85,8 @@
     assert_eq!(driver.instances(key), ["x1"]);
     let attempt = driver.sends[0].attempt;
     driver.end(attempt, answer(200, "p", records(&[7])));
-    let Some(Verdict::Merged(merged)) = driver.verdict(key) else {
-        panic!("the verdict is no merged answer");
+    let Some(RequestOutcome::Merged(merged)) = driver.outcome(key) else {
+        panic!("the outcome is no merged answer");
     };
     assert_eq!(merged.missing, 1);
     assert_eq!(driver.left_out, [("y".to_owned(), LeftOutCause::NoSearcher)]);
@@ -124,7 +124,7 @@
     assert!(driver.abandoned.is_empty(), "running attempts continue");
     let attempt = driver.sends[0].attempt;
     driver.end(attempt, answer(200, "p", Vec::new()));
-    assert!(matches!(driver.verdict(running), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(running), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
--- a/crates/staircross-routing/tests/quarantine.rs
+++ b/crates/staircross-routing/tests/quarantine.rs
@@ -7,7 +7,7 @@
     BROKEN, CRASHING_CONTENT, SHARDS, add_searcher, ask, crash_all, driver, part_answer, peer_case_records, sent_since,
 };
 use staircross_routing::state::request::Unknown;
-use staircross_routing::{AttemptOutcome, ContentKey, NotRun, RoutingEvent, Suspicion, Verdict};
+use staircross_routing::{AttemptOutcome, ContentKey, NotRun, RequestOutcome, RoutingEvent, Suspicion};
 use staircross_types::ErrorKind;
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
         let retries = sent_since(&driver, request, orders.len());
         assert_eq!(retries.len(), 7, "answered first: {answered_first}");
         retries.iter().for_each(|order| driver.end(order.attempt, part_answer(order)));
-        assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+        assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
     }
 }
 
@@ -98,7 +98,7 @@
     let rest = sent_since(&driver, request, orders.len() + 1);
     assert_eq!(rest.len(), 9);
     rest.iter().for_each(|order| driver.end(order.attempt, part_answer(order)));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
     assert!(driver.suspicions.iter().all(|change| change.suspicion != Suspicion::Quarantined));
 }
 
@@ -120,7 +120,7 @@
     let order =
         driver.sent_for(again).first().map(|order| (*order).clone()).expect("the request is sent to a searcher");
     driver.end(order.attempt, part_answer(&order));
-    assert!(matches!(driver.verdict(again), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(again), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
@@ -184,7 +184,7 @@
         driver.advance_ms(20);
         let order = driver.sent_for(second)[0].clone();
         driver.end(order.attempt, part_answer(&order));
-        assert!(matches!(driver.verdict(second), Some(Verdict::Passed(_))));
+        assert!(matches!(driver.outcome(second), Some(RequestOutcome::Passed(_))));
     }
 }
 
--- a/crates/staircross-routing/tests/quarantine_peers.rs
+++ b/crates/staircross-routing/tests/quarantine_peers.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use staircross_routing::decision::quarantine::Quarantine;
 use staircross_routing::engine::SendOrder;
-use staircross_routing::{AttemptOutcome, CaseRecord, ContentKey, NotRun, RoutingEvent, Suspicion, Verdict};
+use staircross_routing::{AttemptOutcome, CaseRecord, ContentKey, NotRun, RequestOutcome, RoutingEvent, Suspicion};
 use staircross_types::{BootTime, ErrorKind};
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     let refused = ask(&mut driver, "/once/x", CRASHING_CONTENT);
     assert_eq!(driver.refusal(refused), Some(ErrorKind::Quarantined), "other requests for the content aren't sent");
     driver.end(order.attempt, part_answer(&order));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
--- a/crates/staircross-routing/tests/request_bounds.rs
+++ b/crates/staircross-routing/tests/request_bounds.rs
@@ -198,6 +198,6 @@
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
     assert_eq!(driver.sent_for(first).len(), 1, "the other searcher is at capacity");
     driver.end(driver.sends[1].attempt, answer(200, "stamp", Vec::new()));
-    assert!(driver.verdict(second).is_some());
+    assert!(driver.outcome(second).is_some());
     assert_eq!(driver.reasons(first), [SendReason::First, SendReason::Retry]);
 }
--- a/crates/staircross-routing/tests/requests.rs
+++ b/crates/staircross-routing/tests/requests.rs
@@ -6,7 +6,7 @@
 use common::{Driver, answer, definition, searcher};
 use staircross_routing::engine::{SendReason, UnsentCause};
 use staircross_routing::state::request::Unknown;
-use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, Verdict};
+use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RequestOutcome};
 use staircross_types::ErrorKind;
 use staircross_types::errors::Executed;
 use std::collections::BTreeSet;
@@ -34,8 +34,8 @@
     let attempt = driver.sends[0].attempt;
     driver.advance_ms(20);
     driver.end(attempt, answer(200, "stamp", b"body".to_vec()));
-    let Some(Verdict::Passed(passed)) = driver.verdict(request) else {
-        panic!("expected an answer, got {:?}", driver.verdict(request));
+    let Some(RequestOutcome::Passed(passed)) = driver.outcome(request) else {
+        panic!("expected an answer, got {:?}", driver.outcome(request));
     };
     assert_eq!((passed.status, passed.body.as_slice()), (200, &b"body"[..]));
 }
@@ -117,7 +117,7 @@
     driver.end(driver.sends[1].attempt, AttemptOutcome::NotRun(NotRun::Unconnected));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Reroute, SendReason::Reroute]);
     driver.end(driver.sends[2].attempt, answer(200, "stamp", Vec::new()));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
@@ -131,7 +131,7 @@
     driver.end(driver.sends[1].attempt, AttemptOutcome::NotRun(NotRun::Stale));
     assert_eq!(driver.reasons(request), [SendReason::First, SendReason::Reroute, SendReason::Reroute]);
     driver.end(driver.sends[2].attempt, answer(200, "stamp", Vec::new()));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
@@ -140,8 +140,8 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, answer(500, "one", b"first".to_vec()));
     driver.end(driver.sends[1].attempt, answer(500, "two", b"second".to_vec()));
-    let Some(Verdict::Passed(passed)) = driver.verdict(request) else {
-        panic!("expected the searcher's failure, got {:?}", driver.verdict(request));
+    let Some(RequestOutcome::Passed(passed)) = driver.outcome(request) else {
+        panic!("expected the searcher's failure, got {:?}", driver.outcome(request));
     };
     assert_eq!((passed.status, passed.stamp.as_deref()), (500, Some(&b"two"[..])));
 }
@@ -160,7 +160,7 @@
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, answer(404, "one", Vec::new()));
     assert_eq!(driver.sent_for(request).len(), 1);
-    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(passed)) if passed.status == 404));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Passed(passed)) if passed.status == 404));
 }
 
 #[test]
--- a/crates/staircross-routing/tests/tenants.rs
+++ b/crates/staircross-routing/tests/tenants.rs
@@ -8,8 +8,8 @@
 use staircross_routing::state::request::Unknown;
 use staircross_routing::{
     Arrival, AttemptOutcome, ConfigurationView, ContentKey, Credential, InstanceKey, KeyDigest, LostAttempt, NotRun,
-    RequestKey, RouteDigest, RouteTable, RouteTarget, RoutingDefinition, SearcherEntry, SentIdentity, TenantDefinition,
-    Verdict,
+    RequestKey, RequestOutcome, RouteDigest, RouteTable, RouteTarget, RoutingDefinition, SearcherEntry, SentIdentity,
+    TenantDefinition,
 };
 use staircross_types::{ErrorKind, Quota};
 use std::sync::Arc;
@@ -85,7 +85,7 @@
     for _ in 0..3 {
         end_attempts(&mut driver, request, &AttemptOutcome::NotRun(NotRun::ConnectionRejected));
     }
-    assert_eq!(driver.verdict(request), None, "the request waits for a searcher that accepts a connection");
+    assert_eq!(driver.outcome(request), None, "the request waits for a searcher that accepts a connection");
     let sent = driver.sent_for(request).len();
     driver.configure(definition_without_key(2));
     assert_eq!(driver.refusal(request), Some(ErrorKind::Unauthorized));
@@ -124,7 +124,7 @@
     driver.advance_ms(3000);
     assert_eq!(driver.reasons(late), [SendReason::First]);
     end_attempts(&mut driver, late, &answer(200, "p", Vec::new()));
-    assert!(matches!(driver.verdict(late), Some(Verdict::Passed(_))));
+    assert!(matches!(driver.outcome(late), Some(RequestOutcome::Passed(_))));
 }
 
 #[test]
@@ -162,8 +162,8 @@
     assert!(driver.finished.is_empty(), "the other shard's attempt is running");
     driver.end(running, answer(200, "p", records(&[7])));
     assert_eq!(driver.sends.len(), 3);
-    let verdict = driver.verdict(request);
-    assert!(matches!(verdict, Some(Verdict::Merged(merged)) if merged.missing == 1), "{verdict:?}");
+    let outcome = driver.outcome(request);
+    assert!(matches!(outcome, Some(RequestOutcome::Merged(merged)) if merged.missing == 1), "{outcome:?}");
 }
 
 #[test]
@@ -304,7 +304,7 @@
         let request = arrival.key;
         driver.event(RoutingEvent::Arrived(arrival));
         let sent = driver.sent_for(request).len();
-        while driver.verdict(request).is_none() {
+        while driver.outcome(request).is_none() {
             let orders: Vec<_> = driver.sent_for(request).into_iter().cloned().collect();
             orders.iter().for_each(|order| driver.end(order.attempt, answer(200, &order.instance, records(&[1]))));
         }
@@ -369,7 +369,7 @@
     assert!((15..20).contains(&refused.len()), "{} of 20 refused", refused.len());
     for request in refused {
         assert!(driver.sent_for(request).is_empty());
-        let Some(Verdict::Refused { retry_after: Some(wait), .. }) = driver.verdict(request) else {
+        let Some(RequestOutcome::Refused { retry_after: Some(wait), .. }) = driver.outcome(request) else {
             panic!("the refusal has no retry time");
         };
         assert!(!wait.is_zero());
--- a/crates/staircross-routing/tests/waiting.rs
+++ b/crates/staircross-routing/tests/waiting.rs
@@ -6,7 +6,9 @@
 use common::{Driver, answer, definition, gather, records, route, searcher, settings};
 use staircross_routing::engine::{RoutingEvent, SendReason, UnsentCause};
 use staircross_routing::state::request::Unknown;
-use staircross_routing::{AttemptKey, AttemptOutcome, NotRun, RequestKey, RoutingSettings, SearcherEntry, Verdict};
+use staircross_routing::{
+    AttemptKey, AttemptOutcome, NotRun, RequestKey, RequestOutcome, RoutingSettings, SearcherEntry,
+};
 use staircross_types::BootTime;
 use staircross_types::ErrorKind;
 use staircross_types::errors::Executed;
@@ -54,7 +56,7 @@
     for _ in 0..5 {
         end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         assert_eq!(
-            driver.verdict(request),
+            driver.outcome(request),
             None,
             "the request was given up after {} connections with most of its time left",
             ended.len()
@@ -70,7 +72,7 @@
         let attempt = *open_attempts(&driver, request, shard, &ended).last().expect("a searcher is asked");
         driver.end(attempt, answer(200, shard, records(&[1])));
     }
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
     let orders = driver.sent_for(request);
     let mut to_x = orders.iter().filter(|order| order.instance.starts_with("x"));
     assert!(
@@ -85,7 +87,7 @@
     let mut driver = Driver::with(definition(1, vec![route("q", gather(&["x"], 2, 1.0))], &["x"]), only);
     let request = driver.request("/q/1");
     let mut ended = Vec::new();
-    while driver.verdict(request).is_none() {
+    while driver.outcome(request).is_none() {
         end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         driver.advance_ms(10);
         assert!(
@@ -105,7 +107,7 @@
     end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
     let sent = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(sent, AttemptOutcome::Unknown(Unknown::Broken));
-    while driver.verdict(request).is_none() {
+    while driver.outcome(request).is_none() {
         end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::ConnectionRejected);
         driver.advance_ms(10);
     }
@@ -147,7 +149,7 @@
     driver.advance_ms(20);
     let part = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(part, answer(200, "y", records(&[1])));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 1));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 1));
     assert!(driver.unsent.contains(&(request, UnsentCause::Avoided)));
 }
 
@@ -159,11 +161,11 @@
     end_open_attempts(&mut driver, request, "x", &mut ended, NotRun::Unconnected);
     let part = open_attempts(&driver, request, "y", &ended)[0];
     driver.end(part, answer(200, "y", records(&[1])));
-    assert_eq!(driver.verdict(request), None);
+    assert_eq!(driver.outcome(request), None);
     driver.event(RoutingEvent::Searchers(vec![searcher("x-3", "x", "a")]));
     let attempt = open_attempts(&driver, request, "x", &ended)[0];
     driver.end(attempt, answer(200, "x", records(&[2])));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
 }
 
 #[test]
@@ -173,7 +175,7 @@
     let mut ended = Vec::new();
     end_open_attempts(&mut driver, first, "x", &mut ended, NotRun::ConnectionRejected);
     let second = driver.request("/q/2");
-    assert_eq!(driver.verdict(second), None);
+    assert_eq!(driver.outcome(second), None);
     driver.advance_ms(150);
     assert!(!open_attempts(&driver, second, "y", &ended).is_empty());
 }
@@ -203,7 +205,7 @@
     assert_eq!(driver.sends.len(), 1, "the node may use a quarter of four connections; the other requests wait");
     driver.end(driver.sends[0].attempt, answer(200, "x", records(&[1])));
     assert_eq!(driver.sends.len(), 2, "the waiting requests use the connection one after the other");
-    assert!(requests[1..].iter().all(|request| driver.verdict(*request).is_none()));
+    assert!(requests[1..].iter().all(|request| driver.outcome(*request).is_none()));
     driver.advance_ms(1100);
     driver.request("/q/8");
     assert_eq!(driver.sends.len(), 3, "after a second the node may use two connections");
@@ -226,12 +228,12 @@
             ended.push(attempt);
             driver.end(attempt, AttemptOutcome::NotRun(NotRun::Shed));
         }
-        assert_eq!(driver.verdict(request), None, "the request was given up with most of its time left");
+        assert_eq!(driver.outcome(request), None, "the request was given up with most of its time left");
         driver.advance_ms(100);
     }
     let last = *open_attempts(&driver, request, "x", &ended).last().expect("the shard is sent again");
     driver.end(last, answer(200, "x", records(&[2])));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Merged(merged)) if merged.missing == 0));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Merged(merged)) if merged.missing == 0));
     let orders = driver.sent_for(request);
     let to_x: Vec<SendReason> =
         orders.iter().filter(|order| order.instance.starts_with("x")).map(|order| order.reason).collect();
@@ -251,7 +253,7 @@
     );
     let request = driver.request("/q/0");
     driver.end(driver.sends[0].attempt, AttemptOutcome::NotRun(NotRun::Shed));
-    assert_eq!(driver.verdict(request), None);
+    assert_eq!(driver.outcome(request), None);
     assert_eq!(driver.sends.len(), 1, "the budget doesn't permit a retry yet");
     for number in 1..=6 {
         let other = driver.request(&format!("/q/{number}"));
@@ -278,7 +280,7 @@
     );
     let request = driver.request("/r/1");
     driver.end(driver.sends[0].attempt, answer(500, "x", Vec::new()));
-    assert!(matches!(driver.verdict(request), Some(Verdict::Passed(passed)) if passed.status == 500));
+    assert!(matches!(driver.outcome(request), Some(RequestOutcome::Passed(passed)) if passed.status == 500));
 }
 
 #[test]
