--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -8,7 +8,7 @@
 use crossbeam::channel::Sender;
 use spdlog::{info, warn};
 use staircross_cluster::ClusterEvent;
-use staircross_cluster::replicas::SessionCopy;
+use staircross_cluster::session_copies::SessionCopy;
 use staircross_search::{Outcome, Refusal, SessionState};
 use staircross_types::{BootTime, ErrorKind, NodeId, RequestId, SessionToken};
 use std::time::Duration;
--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -11,7 +11,7 @@
 use crate::message::{ClusterMessage, Envelope};
 use crate::ownership::OwnershipMap;
 use crate::published::{Published, PublishedSend};
-use crate::replicas::{SessionCopy, SessionCopyMessage, SessionCopyStore};
+use crate::session_copies::{SessionCopy, SessionCopyMessage, SessionCopyStore};
 use crate::views::{GossipedEvidence, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -141,7 +141,7 @@
             ClusterEvent::ForgetSession { token } => self.forget_session(token, actions),
             ClusterEvent::TakeOver { token, holder } => {
                 if let Some(address) = self.membership.get(holder).map(|member| member.peer_address) {
-                    let message = ClusterMessage::Replica(SessionCopyMessage::Moved { token });
+                    let message = ClusterMessage::SessionCopies(SessionCopyMessage::Moved { token });
                     self.send(Some(holder), address, message, actions);
                 }
             }
@@ -236,7 +236,9 @@
                 self.views.on_message(from, from_address, message, &mut out);
                 self.apply_view_actions(out, actions);
             }
-            ClusterMessage::Replica(message) => self.on_session_copy_message(from, from_address, message, actions),
+            ClusterMessage::SessionCopies(message) => {
+                self.on_session_copy_message(from, from_address, message, actions)
+            }
         }
     }
 
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -2,7 +2,7 @@
 
 use super::{ClusterAction, ClusterEngine};
 use crate::message::ClusterMessage;
-use crate::replicas::{COPIES_PER_SESSION, FETCH_FANOUT, SessionCopy, SessionCopyMessage};
+use crate::session_copies::{COPIES_PER_SESSION, FETCH_FANOUT, SessionCopy, SessionCopyMessage};
 use staircross_types::{NodeId, SessionToken};
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
                 let version = copy.version;
                 let is_overtaken = self.copies.store(token, copy);
                 let reply = SessionCopyMessage::Stored { token, version, is_overtaken };
-                self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
+                self.send(Some(from), from_address, ClusterMessage::SessionCopies(reply), actions);
             }
             SessionCopyMessage::Stored { token, version, is_overtaken } => {
                 actions.push(ClusterAction::SessionStored { token, version, keeper: from, is_overtaken });
@@ -27,7 +27,7 @@
             SessionCopyMessage::Fetch { token, ask } => {
                 let copy = self.copies.get(token).cloned();
                 let reply = SessionCopyMessage::Fetched { token, ask, copy };
-                self.send(Some(from), from_address, ClusterMessage::Replica(reply), actions);
+                self.send(Some(from), from_address, ClusterMessage::SessionCopies(reply), actions);
             }
             SessionCopyMessage::Fetched { token, ask, copy } => {
                 actions.push(ClusterAction::SessionFetched { token, ask, copy });
@@ -67,7 +67,7 @@
         let copy = SessionCopy { version, holder: self.me, state };
         for (node, address) in self.keepers(token) {
             let message = SessionCopyMessage::Store { token, copy: copy.clone() };
-            self.send(Some(node), address, ClusterMessage::Replica(message), actions);
+            self.send(Some(node), address, ClusterMessage::SessionCopies(message), actions);
         }
     }
 
@@ -79,7 +79,7 @@
         }
         for (node, address) in self.possible_keepers(token) {
             let message = SessionCopyMessage::Fetch { token, ask };
-            self.send(Some(node), address, ClusterMessage::Replica(message), actions);
+            self.send(Some(node), address, ClusterMessage::SessionCopies(message), actions);
         }
     }
 
@@ -100,7 +100,7 @@
         self.copies.forget(token);
         for (node, address) in self.possible_keepers(token) {
             let message = SessionCopyMessage::Forget { token };
-            self.send(Some(node), address, ClusterMessage::Replica(message), actions);
+            self.send(Some(node), address, ClusterMessage::SessionCopies(message), actions);
         }
     }
 }
--- a/crates/staircross-cluster/src/lib.rs
+++ b/crates/staircross-cluster/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`ownership`] | which nodes own which searchers, and their share of slots |
 //! | [`published`] | which revision of the platform's document is in force, and its relay between nodes |
 //! | [`views`] | gossip of the searcher states that owners observe |
-//! | [`replicas`] | copies of session state on other nodes |
+//! | [`session_copies`] | copies of session state on other nodes |
 //! | [`message`] | typed messages between nodes |
 
 pub mod engine;
@@ -19,7 +19,7 @@
 pub mod message;
 pub mod ownership;
 pub mod published;
-pub mod replicas;
+pub mod session_copies;
 pub mod views;
 
 pub use engine::{ClusterAction, ClusterEngine, ClusterEvent, ClusterSettings};
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -206,7 +206,7 @@
             MembershipMessage::Join { member } => {
                 self.answer_joiner(now, member, from_address, actions);
             }
-            MembershipMessage::Everyone { members, span } => self.merge_member_list(now, members, span, actions),
+            MembershipMessage::MemberList { members, span } => self.merge_member_list(now, members, span, actions),
             MembershipMessage::Compare { fingerprints } => self.on_compare(from, from_address, &fingerprints, actions),
         }
     }
--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -121,7 +121,8 @@
     ///
     /// Without a span, the list is partial: a member that isn't listed may still be known to the sender. Older
     /// versions send no span.
-    Everyone {
+    #[serde(rename = "Everyone")]
+    MemberList {
         members: Vec<Member>,
         #[serde(default, skip_serializing_if = "Option::is_none")]
         span: Option<IdSpan>,
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -124,7 +124,7 @@
             // The part ends just before the first member of the next message: no member lies between them.
             let last = span.map(|span| rest.peek().map_or(span.last, |next| NodeId(next.node.0 - 1)));
             let span = first.zip(last).map(|(first, last)| IdSpan { first, last });
-            let message = MembershipMessage::Everyone { members: chunk, span };
+            let message = MembershipMessage::MemberList { members: chunk, span };
             actions.push(MembershipAction::Send { to: Some(to), address, message });
             let Some(next) = rest.peek() else {
                 return;
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::membership::MembershipMessage;
 use crate::published::PublishedMessage;
-use crate::replicas::SessionCopyMessage;
+use crate::session_copies::SessionCopyMessage;
 use crate::views::ViewMessage;
 use serde::{Deserialize, Serialize};
 use staircross_types::NodeId;
@@ -21,7 +21,8 @@
     #[serde(rename = "v")]
     Views(ViewMessage),
     /// A message about session copies.
-    Replica(SessionCopyMessage),
+    #[serde(rename = "Replica")]
+    SessionCopies(SessionCopyMessage),
 }
 
 /// A message with its sender and receiver.
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -292,7 +292,7 @@
                 self.sent.updates += updates.len();
                 updates.len()
             }
-            MembershipMessage::Everyone { members, .. } => {
+            MembershipMessage::MemberList { members, .. } => {
                 self.sent.listed += members.len();
                 members.len()
             }
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -6,7 +6,7 @@
 use pinning::pin;
 use staircross_cluster::membership::{Fingerprints, IdSpan, MembershipMessage};
 use staircross_cluster::published::PublishedMessage;
-use staircross_cluster::replicas::{SessionCopy, SessionCopyMessage};
+use staircross_cluster::session_copies::{SessionCopy, SessionCopyMessage};
 use staircross_cluster::views::{GossipedEvidence, ViewMessage, ViewRecord, ViewVersion};
 use staircross_cluster::{ClusterMessage, Envelope, Member, MemberState};
 use staircross_config::PlatformDocument;
@@ -49,7 +49,7 @@
 }
 
 fn session_copy(message: SessionCopyMessage) -> PeerMessage {
-    envelope_to(Some(RECEIVER), ClusterMessage::Replica(message))
+    envelope_to(Some(RECEIVER), ClusterMessage::SessionCopies(message))
 }
 
 fn member(state: MemberState, is_ready: bool) -> Member {
@@ -98,8 +98,8 @@
     let span = IdSpan { first: NodeId(1 << 124), last: NodeId((1 << 125) - 1) };
     let pins = [
         pin("join", &envelope_to(None, ClusterMessage::Membership(join))),
-        pin("everyone", &membership(MembershipMessage::Everyone { members: members(), span: None })),
-        pin("everyone of a span", &membership(MembershipMessage::Everyone { members: vec![], span: Some(span) })),
+        pin("everyone", &membership(MembershipMessage::MemberList { members: members(), span: None })),
+        pin("everyone of a span", &membership(MembershipMessage::MemberList { members: vec![], span: Some(span) })),
         pin("compare", &membership(MembershipMessage::Compare { fingerprints: fingerprints() })),
     ];
     insta::assert_snapshot!(pins.join("\n"));
