--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -1,8 +1,8 @@
 //! Entry point of the cluster logic of one node.
 //!
 //! The engine composes membership, the platform's document, searcher views and session copies. It passes
-//! messages and ticks to each, and recomputes ownership when members or configuration have changed. Events go
-//! in, actions come out.
+//! messages and ticks to each of them, and recomputes ownership after members or configuration have changed. Its
+//! input are [`ClusterEvent`]s, its output [`ClusterAction`]s.
 
 mod sessions;
 
@@ -20,9 +20,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Default number of session copies that a node keeps for others.
+/// Default maximum number of session copies that a node keeps for others.
 const DEFAULT_MAX_SESSION_COPIES: usize = 20_000;
-/// Number of members that a planned stop is announced to at once.
+/// Number of members to which a planned stop is announced immediately; gossip informs the others.
 const LEAVE_FANOUT: usize = 8;
 
 /// Settings of the cluster logic of one node.
@@ -32,14 +32,14 @@
     pub me: Member,
     /// Peer addresses through which the node joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Most session copies that the node keeps for others.
+    /// Maximum number of session copies that the node keeps for others.
     pub max_session_copies: usize,
     /// Settings of the membership protocol.
     pub membership: MembershipSettings,
 }
 
 impl ClusterSettings {
-    /// Settings with default times and sizes.
+    /// Creates settings with default times and sizes.
     pub fn new(me: Member, seeds: Vec<SocketAddr>) -> Self {
         let membership = MembershipSettings::default();
         ClusterSettings { me, seeds, max_session_copies: DEFAULT_MAX_SESSION_COPIES, membership }
@@ -56,13 +56,14 @@
     /// This node, an owner of the searcher, has observed its state; `evidence` is `None` when the searcher doesn't
     /// answer.
     Observed { searcher: SearcherId, evidence: Option<GossipedEvidence>, leaving: bool },
-    /// Copies of a session held here are to be stored on other nodes.
+    /// This node holds the session and has changed its state; copies of the state must be stored on other nodes.
     StoreSession { token: SessionToken, version: u64, state: Vec<u8> },
-    /// Copies of a session are sought here and on other nodes; the answers carry the number `ask`.
+    /// A session is resumed; its copies must be fetched from this node's store and from other nodes. Each resulting
+    /// [`ClusterAction::SessionFetched`] repeats the number `ask`.
     FetchSession { token: SessionToken, ask: u64 },
-    /// A session was closed; its copies are to be dropped here and on other nodes.
+    /// A session was closed; its copies must be dropped on this node and on others.
     ForgetSession { token: SessionToken },
-    /// This node has taken a session over from `holder`, which is to be notified.
+    /// This node has taken a session over from the node `holder`, which must be notified.
     TakeOver { token: SessionToken, holder: NodeId },
     /// A planned stop begins.
     Leave,
@@ -151,42 +152,42 @@
         }
     }
 
-    /// Id of this node's incarnation.
+    /// Returns the id of this node's incarnation.
     pub fn node(&self) -> NodeId {
         self.me
     }
 
-    /// The document in force on this node, if one is known.
+    /// Returns the document in force on this node, if one is known.
     pub fn config(&self) -> Option<&Arc<PlatformDocument>> {
         self.published.document()
     }
 
-    /// Revision of the document in force on this node; 0 when none is known.
+    /// Returns the revision of the document in force on this node; 0 when none is known.
     pub fn revision(&self) -> u64 {
         self.published.revision()
     }
 
-    /// Revision that a member last announced to this node; for this node, the revision that it holds.
+    /// Returns the revision that a member last announced to this node; for this node, the revision that it holds.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         if node == self.me { Some(self.revision()) } else { self.published.revision_of(node) }
     }
 
-    /// All member records, including this node's own and those of gone members.
+    /// Returns all member records, including this node's own and those of gone members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members().values()
     }
 
-    /// The record of one member, gone or not.
+    /// Returns the record of one member, gone or not.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.membership.get(node)
     }
 
-    /// Number of members that this node itself declared dead.
+    /// Returns the number of members that this node itself declared dead.
     pub fn declared_dead(&self) -> u64 {
         self.membership.declared_dead
     }
 
-    /// Owners of the searchers, computed from this node's member records and configuration.
+    /// Returns the owners of the searchers, computed from this node's member records and configuration.
     pub fn ownership(&mut self) -> &OwnershipMap {
         if self.ownership_is_stale {
             self.ownership_is_stale = false;
@@ -196,12 +197,12 @@
         &self.ownership
     }
 
-    /// Records of all known searchers.
+    /// Returns the records of all known searchers.
     pub fn view_records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.views.records()
     }
 
-    /// Number of session copies that this node keeps for others.
+    /// Returns the number of session copies that this node keeps for others.
     pub fn session_copy_count(&self) -> usize {
         self.copies.len()
     }
--- a/crates/staircross-cluster/src/engine/sessions.rs
+++ b/crates/staircross-cluster/src/engine/sessions.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Members that keep copies of a session held here, in order of rank; members of other zones than this node's
-    /// come first.
+    /// Returns the members that keep copies of a session held here, in order of rank; members of other zones than this
+    /// node's come first.
     fn keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let own_zone = self.membership.own().zone.clone();
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), Some(&own_zone));
@@ -46,17 +46,18 @@
         others.take(COPIES_PER_SESSION).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Ids of the nodes that keep copies of a session held here.
+    /// Returns the ids of the nodes that keep copies of a session held here.
     pub fn session_keepers(&self, token: SessionToken) -> Vec<NodeId> {
         self.keepers(token).into_iter().map(|(node, _)| node).collect()
     }
 
-    /// Number of copies that a session held here should have: fewer than [`COPIES_PER_SESSION`] in a very small fleet.
+    /// Returns the number of copies that a session held here should have: fewer than [`COPIES_PER_SESSION`] in a very
+    /// small fleet.
     pub fn wanted_copies(&self) -> usize {
         self.membership.others().filter(|member| member.takes_work()).count().min(COPIES_PER_SESSION)
     }
 
-    /// Sends a new version of a session held here to its keepers.
+    /// Sends a new version of a session that this node holds to the members that keep its copies.
     pub(super) fn store_session(
         &mut self,
         token: SessionToken,
@@ -71,9 +72,10 @@
         }
     }
 
-    /// Asks for the copies of a session that other nodes keep, and returns the one kept here at once.
+    /// Asks other nodes for their copies of a session, and reports this node's own copy immediately if there is one.
     pub(super) fn fetch_session(&mut self, token: SessionToken, ask: u64, actions: &mut Vec<ClusterAction>) {
-        // The holder chose the keepers by its own zone, which isn't known here, so this node may keep a copy itself.
+        // The holder chose the members that keep copies by its own zone. This node doesn't know that zone and may be
+        // one of these members itself.
         if let Some(copy) = self.copies.get(token) {
             actions.push(ClusterAction::SessionFetched { token, ask, copy: Some(copy.clone()) });
         }
@@ -83,14 +85,14 @@
         }
     }
 
-    /// Members that may keep a copy of the session, whichever zone its holder is in.
+    /// Returns the members that may keep a copy of the session, whichever zone its holder is in.
     fn possible_keepers(&self, token: SessionToken) -> Vec<(NodeId, SocketAddr)> {
         let ranked = self.membership.ranked_for(&token.0.to_be_bytes(), None);
         let others = ranked.into_iter().filter(|member| member.node != self.me);
         others.take(FETCH_FANOUT).map(|member| (member.node, member.peer_address)).collect()
     }
 
-    /// Number of answers to expect from a fetch of the session; a copy kept by this node counts as one.
+    /// Returns the number of answers to expect from a fetch of the session; a copy kept by this node counts as one.
     pub fn expected_fetch_answers(&self, token: SessionToken) -> usize {
         self.possible_keepers(token).len() + usize::from(self.copies.get(token).is_some())
     }
--- a/crates/staircross-cluster/src/member.rs
+++ b/crates/staircross-cluster/src/member.rs
@@ -1,9 +1,9 @@
 //! The membership record of one node.
 //!
 //! Of two records of the same incarnation the one with the higher version wins; at equal versions the one
-//! with the worse state wins. Only the node itself raises its version. That is how it refutes a suspicion, or
-//! a death that was declared while it was paused or cut off. A restarted process is a new incarnation with a
-//! new [`NodeId`]; it can't refute a claim about its predecessor.
+//! with the worse state wins. Only the node itself raises its version. By raising it, the node refutes that it is
+//! suspect or dead; other nodes may have declared it dead while it was paused or cut off. A restarted process is a new
+//! incarnation with a new [`NodeId`]; it can't refute the death of its predecessor.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{NodeId, ZoneName};
@@ -15,7 +15,7 @@
 pub enum MemberState {
     /// The node answers probes.
     Alive,
-    /// The node is in a planned stop: it finishes the work that it has and takes no new work.
+    /// The node is in a planned stop: it finishes the work that it has and accepts no new work.
     Leaving,
     /// The node didn't answer a probe; it may still refute the suspicion.
     Suspect,
@@ -49,7 +49,7 @@
     /// Version of the record; only the node itself raises it.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Whether callers may be sent to the node. A node that knows no configuration yet is alive but not ready.
+    /// Whether callers may be directed to the node. A node that knows no configuration yet is alive but not ready.
     #[serde(rename = "k", default = "ready_by_default", skip_serializing_if = "is_true")]
     pub is_ready: bool,
 }
@@ -63,7 +63,8 @@
 }
 
 impl Member {
-    /// Whether `other` is a newer record of the same incarnation, or one of the same version with a worse state.
+    /// Returns whether `other` is a newer record of the same incarnation, or one of the same version with a worse
+    /// state.
     ///
     /// `Left` is final: no record supersedes it.
     pub fn is_superseded_by(&self, other: &Member) -> bool {
@@ -73,12 +74,12 @@
         (other.version, other.state) > (self.version, self.state)
     }
 
-    /// Whether the incarnation is dead or has left.
+    /// Returns whether the incarnation is dead or has left.
     pub fn is_gone(&self) -> bool {
         matches!(self.state, MemberState::Dead | MemberState::Left)
     }
 
-    /// Whether the node takes new work, which live nodes and suspects do.
+    /// Returns whether the node accepts new work. Live nodes and suspects do.
     pub fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -52,12 +52,12 @@
     me: NodeId,
     members: BTreeMap<NodeId, Member>,
     suspicions: BTreeMap<NodeId, Suspicion>,
-    /// Times at which gone members became so, until their records are dropped.
+    /// Time at which each dead or left member became so, for as long as its record is kept.
     gone_at: BTreeMap<NodeId, BootTime>,
     pending_updates: Vec<PendingUpdate>,
     probe: Option<OutstandingProbe>,
     indirect_probes: Vec<IndirectProbe>,
-    /// Members still to be probed in the present round; the last one is next.
+    /// Members that are still to be probed in the current round; the last one is probed next.
     round: Vec<NodeId>,
     next_probe: BootTime,
     /// Number of the probe sent last.
@@ -67,7 +67,7 @@
     next_seed_contact: BootTime,
     next_dead_probe: BootTime,
     next_compare: BootTime,
-    /// Time at which a member list last contained something new.
+    /// Time at which this node last received a member list with a new record.
     last_learned_at: Option<BootTime>,
     /// Number of members that this node itself declared dead, for metrics.
     pub declared_dead: u64,
@@ -103,12 +103,12 @@
         }
     }
 
-    /// All member records, including this node's own and those of gone members.
+    /// Returns all member records, including this node's own and those of gone members.
     pub fn members(&self) -> &BTreeMap<NodeId, Member> {
         &self.members
     }
 
-    /// The record of one member, gone or not.
+    /// Returns the record of one member, gone or not.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
@@ -121,12 +121,12 @@
         }
     }
 
-    /// All members that aren't gone, except this node.
+    /// Returns all members that aren't gone, except this node.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.node != self.me && !member.is_gone())
     }
 
-    /// Whether the incarnation is known to be gone.
+    /// Returns whether the incarnation is known to be gone.
     pub fn is_gone(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(Member::is_gone)
     }
@@ -142,7 +142,7 @@
         actions.push(MembershipAction::Changed(self.me));
     }
 
-    /// Sets whether callers may be sent to this node, and queues a change for gossip.
+    /// Sets whether callers may be directed to this node. A change is queued for gossip.
     pub fn set_ready(&mut self, is_ready: bool, actions: &mut Vec<MembershipAction>) {
         let Some(own) = self.members.get_mut(&self.me).filter(|own| own.is_ready != is_ready) else {
             return;
@@ -184,10 +184,11 @@
                 let is_unknown_sender = !self.members.contains_key(&from);
                 let known = self.merge_probe_updates(now, updates, actions);
                 let mut updates = self.choose_updates(from);
-                // A member that is wrongly held for suspect or dead must receive that record to refute it.
+                // A sender that this node considers suspect or dead must receive that record to refute it.
                 let suspected = self.members.get(&from).filter(|member| member.state >= MemberState::Suspect);
                 updates.extend(suspected.cloned());
-                // A node that sent a record of this one, or knows only its address, needs its current record.
+                // A sender that sent a record of this node, or that knows only this node's address, needs this node's
+                // current record.
                 if (mentions_self || is_unknown_sender) && !updates.iter().any(|record| record.node == self.me) {
                     updates.push(self.own().clone());
                 }
@@ -238,8 +239,8 @@
         self.suspicions.values_mut().for_each(|suspicion| suspicion.since = now);
     }
 
-    /// Contacts seed addresses at which no live member is known: to join the fleet, and to reach seeds that have
-    /// restarted.
+    /// Contacts seed addresses at which no live member is known, in order to join the fleet and to reach seeds that
+    /// have restarted.
     fn contact_seeds(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
         if now < self.next_seed_contact {
             return;
@@ -272,8 +273,8 @@
     /// Handles a message that a peer sent to an earlier incarnation at this node's address.
     ///
     /// The content of the message is ignored, but its sender is alive and doesn't know this incarnation, so this
-    /// node announces itself to the sender unless it knows the sender already. It may be the only contact between the
-    /// two: the seeds of a restarted node may all be gone.
+    /// node announces itself to the sender unless it knows the sender already. This message may be the only contact
+    /// between the two nodes, because all seeds of a restarted node may be gone.
     pub fn on_misaddressed(&mut self, from: NodeId, address: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_known = self.members.get(&from).is_some_and(|member| !member.is_gone());
         if !is_known {
@@ -299,7 +300,7 @@
         }
         let is_new = match self.members.get(&node) {
             Some(known) => known.is_superseded_by(&record),
-            // The end of an incarnation that this node never knew, or has forgotten, isn't stored.
+            // The record of a gone incarnation isn't stored if this node never knew the incarnation or has dropped it.
             None => !record.is_gone(),
         };
         if !is_new {
@@ -335,7 +336,7 @@
         self.last_probe_number
     }
 
-    /// Members that take work, ranked for a key by rendezvous hashing; those outside `zone` come first.
+    /// Returns the members that take work, ranked for a key by rendezvous hashing; those outside `zone` come first.
     pub fn ranked_for(&self, key: &[u8], zone: Option<&staircross_types::ZoneName>) -> Vec<&Member> {
         let mut ranked: Vec<&Member> = self.members.values().filter(|member| member.takes_work()).collect();
         ranked.sort_by_cached_key(|member| {
--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -20,16 +20,16 @@
     pub suspicion: Duration,
     /// Gap between two ticks above which this process is assumed to have been paused.
     pub pause_gap: Duration,
-    /// Number of members that are asked to probe a member that hasn't answered.
+    /// Number of members (helpers) that are asked to probe a member that hasn't answered.
     pub helpers: usize,
-    /// Most updates piggybacked on one message.
+    /// Maximum number of updates piggybacked on one message.
     pub updates_per_message: usize,
-    /// Number of times that this node sends each update.
+    /// Number of times that this node sends each update to local members.
     pub retransmits: Retransmits,
     /// Whether a joining node asks one seed at a time instead of all of them. Each seed may answer with the
     /// whole fleet.
     pub asks_one_seed: bool,
-    /// Most member records in one message of a member list.
+    /// Maximum number of member records in one message of a member list.
     pub members_per_message: usize,
     /// Time after which the record of a gone member is dropped.
     pub forget_after: Duration,
@@ -41,8 +41,8 @@
             probe_every: Duration::from_millis(500),
             direct_timeout: Duration::from_millis(200),
             probe_timeout: Duration::from_millis(600),
-            // A pause of one second must never get a node declared dead: the probe timeout and this time
-            // together are well above it.
+            // A node that pauses for one second must never be declared dead. The probe timeout and this time together
+            // are well above one second.
             suspicion: Duration::from_millis(2500),
             pause_gap: Duration::from_millis(400),
             helpers: 3,
@@ -58,9 +58,9 @@
 /// Number of times that one node sends one update, as a function of the size of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retransmits {
-    /// Sends for each doubling of the fleet's size.
+    /// Number of sends for each doubling of the fleet's size.
     pub per_doubling: u32,
-    /// Sends added to that, whatever the fleet's size.
+    /// Number of sends added to that for a fleet of any size.
     pub additional: u32,
 }
 
@@ -85,7 +85,7 @@
     /// The range of all ids.
     pub const ALL: IdSpan = IdSpan { first: NodeId(0), last: NodeId(u128::MAX) };
 
-    /// Whether the range contains `node`.
+    /// Returns whether the range contains `node`.
     pub fn contains(&self, node: NodeId) -> bool {
         self.first <= node && node <= self.last
     }
@@ -94,7 +94,7 @@
 /// Messages of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Asks whether the receiver is alive, and carries membership updates.
+    /// Checks that the receiver is alive, and carries membership updates.
     #[serde(rename = "p")]
     Probe {
         #[serde(rename = "n")]
@@ -117,7 +117,7 @@
     ProbeFor { number: u64, target: NodeId, target_address: SocketAddr },
     /// Announces a node that has just started and asks for a member list.
     Join { member: Member },
-    /// Lists members whose ids lie in `span`, among them every live one that the sender knows.
+    /// Lists members whose ids lie in `span`, including every live one that the sender knows.
     ///
     /// Without a span, the list is partial: a member that isn't listed may still be known to the sender. Older
     /// versions send no span.
@@ -134,7 +134,7 @@
 /// What the caller of the membership logic must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Send a message; `to` is `None` where it isn't known which node listens at the address.
+    /// Send a message; `to` is `None` if it isn't known which node listens at the address.
     Send { to: Option<NodeId>, address: SocketAddr, message: MembershipMessage },
     /// Take note that a member's record has changed.
     Changed(NodeId),
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -8,26 +8,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// In each round, a relay probes as many members of each other region as it has local members, divided by this.
+/// Divisor for the number of remote members that a relay probes in a round: for each other region, the number of local
+/// members divided by this number, but at least [`MIN_REMOTE_TARGETS`].
 const REMOTE_TARGET_DIVISOR: usize = 8;
-/// Fewest members of each other region that a round contains, as far as the region has them.
+/// Minimum number of members of each other region that a node probes in a round; a smaller region is probed whole.
 const MIN_REMOTE_TARGETS: usize = 3;
 
-/// The direct probe that this node awaits an answer to.
+/// The direct probe whose answer this node awaits.
 pub(super) struct OutstandingProbe {
     pub(super) number: u64,
     pub(super) target: NodeId,
     /// Members whose records the probe carried, in the order of the records.
     pub(super) sent_updates: Vec<NodeId>,
     pub(super) sent_at: BootTime,
-    /// Whether other members have been asked to probe the target, too.
+    /// Whether helpers have been asked to probe the target, too.
     pub(super) asked_helpers: bool,
 }
 
 /// A probe that this node sent on behalf of another.
 pub(super) struct IndirectProbe {
     pub(super) number: u64,
-    /// Number of the requester's own probe, which the answer to it must carry.
+    /// Number of the requester's own probe, which the answer to the requester must repeat.
     pub(super) requester_number: u64,
     pub(super) requester: NodeId,
     pub(super) requester_address: SocketAddr,
@@ -50,8 +51,8 @@
             Some(OutstandingProbe { number, target: target.node, sent_updates, sent_at: now, asked_helpers: false });
     }
 
-    /// The next member to probe. A round is completed in random order before the next begins, so each local member is
-    /// probed within a bounded time.
+    /// Returns the next member to probe. A round is completed in random order before the next begins, so each local
+    /// member is probed within a bounded time.
     fn next_target(&mut self, random: &mut ChaCha8Rng) -> Option<Member> {
         loop {
             if self.round.is_empty() {
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Targets of a new round in random order: all local members and a few members of each other region, of which a
-    /// relay includes more. Of a region with at most [`MIN_REMOTE_TARGETS`] members, all are in every round.
+    /// Returns the targets of a new round in random order: all local members and a few members of each other region, of
+    /// which a relay includes more. Of a region with at most [`MIN_REMOTE_TARGETS`] members, all are in every round.
     fn new_round(&self, random: &mut ChaCha8Rng) -> Vec<NodeId> {
         let mut by_region: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for member in self.others() {
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: how all nodes arrive at the same member records with little traffic.
+//! Reconciliation, by which all nodes arrive at the same member records with little traffic.
 //!
 //! A probed node answers which of the probe's updates it knew already, so that widely known updates are dropped
 //! early. Updates that some nodes miss because of that are found by comparing fingerprints from time to time.
@@ -15,20 +15,22 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Sends that are added to the count of an update when its receiver already knew it.
+/// Number of sends that are added to the count of an update if its receiver already knew it.
 const REDUNDANT_SEND_WEIGHT: u32 = 3;
 /// Time between comparisons started by one node.
 const COMPARE_EVERY: Duration = Duration::from_secs(3);
-/// Time between comparisons while the node has learned something from a member list within [`LEARNING_WINDOW`].
+/// Time between comparisons while a member list within the last [`LEARNING_WINDOW`] contained a new record.
 const COMPARE_EVERY_WHILE_LEARNING: Duration = Duration::from_millis(1500);
-/// Time for which a node counts as learning after a member list contained something new.
+/// Time after a member list with a new record during which a node compares more often.
 const LEARNING_WINDOW: Duration = Duration::from_secs(4);
 /// Leading bits of an id that select its bucket; each bucket has a fingerprint of its own.
 const BUCKET_BITS: u32 = 4;
 const BUCKETS: usize = 1 << BUCKET_BITS;
-/// A relay compares with a remote member in one of this many comparison intervals.
+/// A relay compares with a remote member in one of this many intervals of [`COMPARE_EVERY`], otherwise with a local
+/// one.
 const REMOTE_COMPARE_INTERVALS: u64 = 4;
-/// Of the other comparisons, one in this many is with a local member of any zone, the rest within the zone.
+/// Of the comparisons with local members, one in this many is with a member of any zone, the others are with members of
+/// this node's zone.
 const WHOLE_REGION_COMPARE_RATIO: u32 = 4;
 
 impl Membership {
@@ -121,7 +123,8 @@
         let mut rest = members.into_iter().peekable();
         loop {
             let chunk: Vec<Member> = rest.by_ref().take(self.settings.members_per_message).collect();
-            // The part ends just before the first member of the next message: no member lies between them.
+            // The span of this message ends just before the first member of the next one, because no member lies
+            // between the two messages.
             let last = span.map(|span| rest.peek().map_or(span.last, |next| NodeId(next.node.0 - 1)));
             let span = first.zip(last).map(|(first, last)| IdSpan { first, last });
             let message = MembershipMessage::MemberList { members: chunk, span };
@@ -145,7 +148,8 @@
         let listed: BTreeMap<NodeId, (u64, MemberState)> =
             members.iter().map(|member| (member.node, (member.version, member.state))).collect();
         for member in members {
-            // Not gossiped: other nodes compare too, and a list of the fleet must not be repeated by every reader.
+            // The record isn't gossiped, because other nodes compare too: if every receiver gossiped a member list, the
+            // whole list would be sent again by each of them.
             if self.merge(now, member, actions) {
                 self.last_learned_at = Some(now);
                 self.next_compare = self.next_compare.min(now + COMPARE_EVERY_WHILE_LEARNING);
@@ -184,12 +188,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fingerprints([u64; BUCKETS]);
 
-/// The bucket that an id belongs to.
+/// Returns the bucket that an id belongs to.
 fn bucket_of(node: NodeId) -> usize {
     (node.0 >> (u128::BITS - BUCKET_BITS)) as usize
 }
 
-/// The ids of a bucket.
+/// Returns the ids of a bucket.
 fn bucket_span(bucket: usize) -> IdSpan {
     let first = (bucket as u128) << (u128::BITS - BUCKET_BITS);
     let last = first | (u128::MAX >> BUCKET_BITS);
--- a/crates/staircross-cluster/src/membership/regions.rs
+++ b/crates/staircross-cluster/src/membership/regions.rs
@@ -1,6 +1,6 @@
 //! Gossip between regions.
 //!
-//! Traffic between regions is expensive, and a member is probed well by the members of its own region. So only a few
+//! Traffic between regions is expensive, and a member is probed often enough within its own region. So only a few
 //! members of a region, its relays, send membership updates to other regions. The relays are the live members with the
 //! lowest ids; each node computes them from its own records. A node that receives such an update gossips it
 //! within its own region.
@@ -10,15 +10,15 @@
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
 
-/// Number of relays in a region. There are several so that some can fail or be cut off.
+/// Number of relays in a region. There are several so that gossip continues when some of them fail or are cut off.
 const RELAYS_PER_REGION: usize = 4;
-/// Number of remote members that an immediate push goes to.
+/// Number of remote members that receive an immediate push of updates.
 pub(super) const RELAY_PUSH_FANOUT: usize = 2;
 /// Number of times that a relay sends one update to other regions.
 const REMOTE_RETRANSMITS: u32 = 3;
 
 impl Membership {
-    /// Whether this node is one of the relays of its region.
+    /// Returns whether this node is one of the relays of its region.
     pub(super) fn is_relay(&self) -> bool {
         let own = self.own();
         let local_members = self.members.values().filter(|member| member.region == own.region);
@@ -26,13 +26,13 @@
         live.take_while(|member| member.node < self.me).count() < RELAYS_PER_REGION
     }
 
-    /// Members that aren't gone, except this node: first the local ones, then the remote ones.
+    /// Returns the members that aren't gone, except this node: first the local ones, then the remote ones.
     pub(super) fn local_and_remote(&self) -> (Vec<&Member>, Vec<&Member>) {
         let region = &self.own().region;
         self.others().partition(|member| member.region == *region)
     }
 
-    /// Whether a node is known to be in another region.
+    /// Returns whether a node is known to be in another region.
     pub(super) fn is_remote(&self, node: NodeId) -> bool {
         self.members.get(&node).is_some_and(|member| member.region != self.own().region)
     }
@@ -72,7 +72,7 @@
         updates
     }
 
-    /// Drops the updates that were sent as often as they must be.
+    /// Drops the updates that were sent often enough to local and, on a relay, to remote members.
     fn drop_sent_updates(&mut self, max_sends: u32) {
         let (is_relay, region) = (self.is_relay(), self.own().region.clone());
         let has_remote_members = self.others().any(|member| member.region != region);
@@ -107,7 +107,7 @@
             let all_members = self.members.values().cloned().collect();
             return self.send_member_list(all_members, Some(IdSpan::ALL), node, address, actions);
         }
-        // A joiner goes on asking until it knows a member at each seed address, so the list includes the seeds.
+        // A joiner repeats its request until it knows a member at each seed address, so the list includes the seeds.
         let is_seed = |member: &Member| member.node == self.me || self.seeds.contains(&member.peer_address);
         let listed = others().filter(|member| member.region == region || is_seed(member)).cloned().collect();
         self.send_member_list(listed, None, node, address, actions);
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -7,7 +7,7 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time between notifications to a suspect that it is suspected.
+/// Time between the notifications by which this node informs a suspect that it is suspected.
 const NOTIFY_SUSPECT_EVERY: Duration = Duration::from_millis(400);
 /// Time between probes that this node sends to dead members.
 const PROBE_DEAD_EVERY: Duration = Duration::from_secs(2);
@@ -15,8 +15,8 @@
 /// State of the suspicion of one member.
 pub(super) struct Suspicion {
     pub(super) since: BootTime,
-    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits
-    /// twice as long, so that a refutation that reached the suspecting node can reach it too.
+    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits twice as
+    /// long before it declares the member dead, so that a refutation that reached the suspecting node can reach it too.
     pub(super) is_first_hand: bool,
     pub(super) next_notification: BootTime,
 }
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -8,7 +8,7 @@
 use staircross_types::NodeId;
 use std::net::SocketAddr;
 
-/// A message of one of the parts of the cluster logic.
+/// A message of one of the modules of the cluster logic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
     /// A message of the membership protocol.
@@ -34,7 +34,7 @@
     /// Address to which an answer is sent.
     #[serde(rename = "a")]
     pub from_address: SocketAddr,
-    /// Incarnation that the message is for; `None` for whichever listens at the address.
+    /// Incarnation that the message is for; `None` for the node that listens at the address, whichever it is.
     #[serde(rename = "t")]
     pub to: Option<NodeId>,
     /// Address of the receiver. It isn't encoded, because the receiver doesn't need it.
--- a/crates/staircross-cluster/src/ownership.rs
+++ b/crates/staircross-cluster/src/ownership.rs
@@ -14,7 +14,8 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Number of owners of a group; a group with a searcher of fewer slots has only that many.
+/// Number of owners of a group. If a searcher of the group has fewer slots than this, the group has only as many owners
+/// as that searcher has slots; each owner then has at least one slot.
 pub const OWNERS_PER_GROUP: usize = 2;
 
 /// Owners and slots of every searcher, for one set of members.
@@ -55,15 +56,16 @@
         }
     }
 
-    /// Owners of a searcher, in order of rank.
+    /// Returns the owners of a searcher, in order of rank.
     pub fn owners(&self, searcher: SearcherId) -> &[NodeId] {
         self.owners.get(&searcher).map_or(&[], Vec::as_slice)
     }
 
-    /// Owners in the order in which to try them for one sub-request; `turn` rises by one with each.
+    /// Returns the owners in the order in which to try them for one sub-request. The caller raises `turn` by one for
+    /// each sub-request.
     ///
-    /// Each owner comes first in proportion to its share of the slots. With equal turns, requests would queue at an
-    /// owner with a small share while other owners have free slots.
+    /// Each owner comes first in proportion to its share of the slots. If all owners came first equally often, requests
+    /// would queue at an owner with a small share while other owners have free slots.
     pub fn owners_in_turn(&self, searcher: SearcherId, turn: u64) -> Vec<NodeId> {
         let owners = self.owners(searcher);
         let slots = self.slots.get(&searcher).copied().unwrap_or(0);
@@ -76,7 +78,7 @@
         (0..owners.len()).map(|step| owners[(first + step) % owners.len()]).collect()
     }
 
-    /// Searchers that `node` owns, with the node's share of the slots of each.
+    /// Returns the searchers that `node` owns, with the node's share of the slots of each.
     pub fn shares_of(&self, node: NodeId) -> BTreeMap<SearcherId, u32> {
         let mut shares = BTreeMap::new();
         for (searcher, owners) in &self.owners {
@@ -90,12 +92,13 @@
     }
 }
 
-/// Number of slots of the owner at `position`; the shares of all owners add up to `slots`.
+/// Returns the number of slots of the owner at `position`; the shares of all owners add up to `slots`.
 fn share_of(slots: u32, owners: u32, position: u32) -> u32 {
     slots / owners + u32::from(position < slots % owners)
 }
 
-/// Chooses up to `count` owners of a group, those in the searchers' zone first: their latency is a millisecond lower.
+/// Chooses up to `count` owners of a group. Nodes in the searchers' zone come first, because their latency is a
+/// millisecond lower.
 fn choose_owners(
     service: &str,
     group: GroupId,
@@ -119,7 +122,8 @@
     ranked.into_iter().map(|(_, _, node)| node).collect()
 }
 
-/// Weight of `node` for a key and a salt in rendezvous hashing; the nodes with the highest weights are chosen.
+/// Returns the weight of `node` for a key and a salt in rendezvous hashing. The nodes with the highest weights are
+/// chosen.
 pub fn rendezvous_weight(key: &[u8], salt: u64, node: NodeId) -> u64 {
     let key_hash = xxh3_64_with_seed(key, salt);
     xxh3_64_with_seed(&node.0.to_be_bytes(), key_hash)
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/published.rs
@@ -2,7 +2,7 @@
 //!
 //! The platform alone decides which document is in force. A node adopts a newer document from the platform or any
 //! peer, and never an older one. Each node announces the revision that it holds to a few peers; a peer with a newer
-//! revision answers with its document. So a node that can't read the platform still gets its documents from peers.
+//! revision answers with its document. So a node that can't reach the platform still receives its documents from peers.
 
 use crate::member::Member;
 use rand::seq::IndexedRandom;
@@ -17,9 +17,10 @@
 
 /// Time between announcements of the revision held.
 const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
-/// Number of members that a periodic announcement goes to.
+/// Number of members that receive a periodic announcement.
 const ANNOUNCE_FANOUT: usize = 2;
-/// Number of members that the announcement of a new document goes to; it is sent without waiting for the next period.
+/// Number of members that receive the announcement of a new document, which is sent without waiting for the next
+/// period.
 const NEW_DOCUMENT_FANOUT: usize = 6;
 
 /// Messages about the platform's document.
@@ -65,17 +66,17 @@
         Published::default()
     }
 
-    /// The document that this node holds.
+    /// Returns the document that this node holds.
     pub fn document(&self) -> Option<&Arc<PlatformDocument>> {
         self.held.as_ref()
     }
 
-    /// Revision of the document that this node holds; 0 when it holds none.
+    /// Returns the revision of the document that this node holds; 0 when it holds none.
     pub fn revision(&self) -> u64 {
         self.held.as_ref().map_or(0, |document| document.revision)
     }
 
-    /// Revision that a peer last announced.
+    /// Returns the revision that a peer last announced.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         self.peer_revisions.get(&node).copied()
     }
--- a/crates/staircross-cluster/src/session_copies.rs
+++ b/crates/staircross-cluster/src/session_copies.rs
@@ -1,6 +1,6 @@
 //! Copies of session state on other nodes, so that a session survives the loss of the node that holds it.
 //!
-//! Copies go to the members that rank highest for the session token, preferably in other zones than the
+//! The members that rank highest for the session token keep the copies, preferably members in other zones than the
 //! holder's. Any node can find them, because all nodes rank the members in the same way.
 //!
 //! Invariants: an older copy never replaces a newer one; the number of copies is bounded.
@@ -11,8 +11,8 @@
 
 /// Number of copies of a session, in addition to the holder's own state.
 pub const COPIES_PER_SESSION: usize = 2;
-/// Number of members asked for a copy when a session is resumed. They are more than keep copies, because nodes
-/// may differ in the members that they know.
+/// Number of members that are asked for a copy when a session is resumed. It is higher than [`COPIES_PER_SESSION`],
+/// because nodes may know different members and therefore rank them differently.
 pub const FETCH_FANOUT: usize = 8;
 
 /// A copy of a session's state.
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Number of copies stored.
+    /// Returns the number of copies stored.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether no copy is stored.
+    /// Returns whether no copy is stored.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -2,7 +2,8 @@
 //!
 //! Each searcher has one record with a version. An owner that observes a change raises the version; of two records
 //! the one with the higher version wins. New records are pushed to a few random members, a bounded number of
-//! times. Periodically, two nodes compare fingerprints and send each other the records that one of them lacks.
+//! times. Periodically, a node compares fingerprints with a random member, and each sends the other the records that it
+//! lacks.
 
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -15,17 +16,18 @@
 
 /// Time between pushes while there are records to push.
 const PUSH_EVERY: Duration = Duration::from_millis(200);
-/// Number of members that a push goes to.
+/// Number of members that receive a push.
 const PUSH_FANOUT: usize = 2;
-/// Most records in one push.
+/// Maximum number of records in one push.
 const MAX_PUSH_RECORDS: usize = 12;
-/// Number of times that each node pushes a record, per doubling of the fleet's size; two more are added.
+/// Number of pushes of a record by each node for each doubling of the fleet's size; two more pushes are added.
 const RETRANSMITS_PER_DOUBLING: u32 = 1;
-/// Time between comparisons that this node starts with a random member.
+/// Time between the comparisons that this node starts, each with a random member.
 const COMPARE_EVERY: Duration = Duration::from_secs(5);
 /// Time between comparisons while this node knows no record.
 const NEWCOMER_COMPARE_EVERY: Duration = Duration::from_millis(200);
-/// Number of buckets of a comparison; only records of buckets that differ are listed.
+/// Number of buckets into which a comparison divides the searchers. Versions are listed only for buckets whose
+/// fingerprints differ.
 const BUCKETS: usize = 64;
 
 /// What a searcher last reported of itself.
@@ -48,7 +50,7 @@
     /// What the searcher last reported; `None` when it doesn't answer.
     #[serde(rename = "e")]
     pub evidence: Option<GossipedEvidence>,
-    /// Whether the searcher is leaving, whichever source says so.
+    /// Whether the searcher is leaving: it drains, the platform lists it as leaving, or an operator drains it.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// Version of the record.
@@ -112,7 +114,7 @@
         }
     }
 
-    /// All known records.
+    /// Returns all known records.
     pub fn records(&self) -> impl Iterator<Item = &ViewRecord> {
         self.records.values()
     }
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Versions of the records in the given buckets.
+    /// Returns the versions of the records in the given buckets.
     fn versions_in(&self, buckets: &[u8]) -> Vec<ViewVersion> {
         let records = self.records.values().filter(|record| buckets.contains(&bucket_of(record.searcher)));
         records.map(|record| ViewVersion { searcher: record.searcher, version: record.version }).collect()
@@ -241,7 +243,7 @@
         if now >= self.next_compare
             && let Some((node, address)) = others.choose(random)
         {
-            // A new node asks again soon, so that it doesn't act without searcher records for long.
+            // A new node compares again soon, so that it isn't without searcher records for long.
             let is_newcomer = self.records.is_empty();
             self.next_compare = now + if is_newcomer { NEWCOMER_COMPARE_EVERY } else { COMPARE_EVERY };
             let message = ViewMessage::Compare { fingerprints: self.fingerprints() };
