--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -1,15 +1,15 @@
-//! The client's side of one connection: reads responses and matches them to the outstanding request.
+//! The client's side of one connection. It reads responses and matches them to the outstanding request.
 //!
 //! Invariants: where the protocol has request ids, a response counts only if it repeats the id of the outstanding
-//! request; a response with another id is skipped. A connection that delivered bytes that are no HTTP response, or
+//! request; a response with another id is skipped. A connection on which bytes arrived that are no HTTP response, or
 //! that ended within a response, is never used again. No request is sent twice.
 
 use crate::framing::{BodyDecoder, Framing};
 use crate::head::{HeadError, ResponseHead};
 
-/// Longest head of a response, in bytes.
+/// Maximum length of a response's head, in bytes.
 const MAX_RESPONSE_HEAD: usize = 64 * 1024;
-/// Largest input buffer that is kept for reuse once all its bytes are consumed, in bytes.
+/// Maximum capacity of an input buffer that is kept for reuse once all its bytes are consumed, in bytes.
 const MAX_KEPT_BUFFER: usize = 4096;
 
 /// A complete response.
@@ -95,12 +95,12 @@
         ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, peer_closed: false }
     }
 
-    /// Sets the outstanding request. Called when a request is sent.
+    /// Sets the outstanding request. The caller must do this when it sends a request.
     pub fn expect(&mut self, expected: Expected) {
         self.expected = Some(expected);
     }
 
-    /// Whether a request is outstanding.
+    /// Returns whether a request is outstanding.
     pub fn is_waiting(&self) -> bool {
         self.expected.is_some()
     }
@@ -110,8 +110,8 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Reads the next response from the buffered bytes. Must be called until it returns [`ClientProgress::NeedMore`] or
-    /// [`ClientProgress::Broken`].
+    /// Reads the next response from the buffered bytes. The caller must repeat this until the result is
+    /// [`ClientProgress::NeedMore`] or [`ClientProgress::Broken`].
     pub fn advance(&mut self) -> ClientProgress {
         if self.pending.is_none() {
             match self.read_head() {
@@ -211,7 +211,8 @@
 }
 
 impl Expected {
-    /// Whether a response belongs to this request. Where ids are used, a response without an id belongs to none.
+    /// Returns whether a response belongs to this request. Where ids are used, a response without an id belongs to
+    /// none.
     fn matches(&self, head: &ResponseHead) -> bool {
         match &self.id {
             Some(id) => head.headers.first(id.field).is_some_and(|value| value.trim_ascii() == id.value),
--- a/crates/staircross-http/src/framing.rs
+++ b/crates/staircross-http/src/framing.rs
@@ -3,7 +3,7 @@
 use crate::head::{HeadError, RequestHead, ResponseHead};
 use crate::headers::HeaderBlock;
 
-/// Longest chunk-size line or trailer line, in bytes.
+/// Maximum length of a chunk-size line or a trailer line, in bytes.
 const MAX_CHUNK_LINE: usize = 4096;
 
 /// How the end of a body is found.
@@ -63,7 +63,8 @@
     first.is_some_and(|value| value.trim_ascii().eq_ignore_ascii_case(b"chunked")) && values.next().is_none()
 }
 
-/// The length that all `Content-Length` fields agree on; `None` without such a field.
+/// Returns the length that all `Content-Length` fields state, or `None` if there is no such field. Fields that state
+/// different lengths are an error.
 fn content_length(headers: &HeaderBlock) -> Result<Option<u64>, HeadError> {
     let mut length = None;
     for value in headers.values("content-length") {
@@ -81,7 +82,7 @@
     Ok(length)
 }
 
-/// What a [`BodyDecoder`] expects next. The numbers are the bytes left of the body or of the chunk.
+/// What a [`BodyDecoder`] expects next. The number is the count of bytes that remain of the body or of the chunk.
 #[derive(Clone, Debug)]
 enum DecoderState {
     Done,
@@ -113,12 +114,12 @@
         Ok(BodyDecoder { state, max_length })
     }
 
-    /// Whether the body is complete.
+    /// Returns whether the body is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.state, DecoderState::Done)
     }
 
-    /// Whether a clean close by the peer completes the body.
+    /// Returns whether a clean close by the peer completes the body.
     pub fn ends_at_close(&self) -> bool {
         matches!(self.state, DecoderState::UntilClose | DecoderState::Done)
     }
@@ -192,7 +193,7 @@
         Ok(2)
     }
 
-    /// Reads one trailer line and drops it: trailers aren't forwarded.
+    /// Reads one trailer line and drops it, because trailers aren't forwarded.
     fn read_trailer_line(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
         let Some(end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
             return if rest.len() > MAX_CHUNK_LINE { Err(HeadError::TooLong) } else { Ok(0) };
--- a/crates/staircross-http/src/head.rs
+++ b/crates/staircross-http/src/head.rs
@@ -3,14 +3,14 @@
 use crate::headers::HeaderBlock;
 use quick_error::quick_error;
 
-/// Most header fields of one message.
+/// Maximum number of header fields of one message.
 pub const MAX_FIELDS: usize = 96;
 
 quick_error! {
     /// Why a message is refused.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum HeadError {
-        /// The bytes aren't HTTP/1.x.
+        /// The bytes are no HTTP/1.0 or HTTP/1.1 message.
         Malformed {
             display("the bytes are no HTTP/1.1 message")
         }
@@ -74,7 +74,7 @@
         Ok(Some((head, length)))
     }
 
-    /// Whether the connection stays open after this request.
+    /// Returns whether the connection stays open after this request.
     pub fn keeps_alive(&self) -> bool {
         if self.minor_version == 0 {
             return self.headers.has_token("connection", "keep-alive");
@@ -82,7 +82,7 @@
         !self.headers.asks_to_close()
     }
 
-    /// Path of the target, without the query.
+    /// Returns the path of the target, without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
@@ -105,7 +105,7 @@
         Ok(Some((head, length)))
     }
 
-    /// Whether the connection stays open after this response.
+    /// Returns whether the connection stays open after this response.
     pub fn keeps_alive(&self) -> bool {
         self.minor_version == 1 && !self.headers.asks_to_close()
     }
--- a/crates/staircross-http/src/headers.rs
+++ b/crates/staircross-http/src/headers.rs
@@ -57,7 +57,7 @@
         &self.text[span.start as usize..span.end as usize]
     }
 
-    /// All fields in order, with names exactly as received.
+    /// Returns all fields in order, with names exactly as received.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|field| {
             let name = std::str::from_utf8(self.slice(&field.name)).unwrap_or_default();
@@ -65,39 +65,40 @@
         })
     }
 
-    /// All values of the fields named `name`, regardless of case.
+    /// Returns all values of the fields named `name`, regardless of case.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         let matching = self.fields.iter().filter(|field| self.slice(&field.name).eq_ignore_ascii_case(name.as_bytes()));
         matching.map(|field| self.slice(&field.value))
     }
 
-    /// Value of the first field named `name`, regardless of case.
+    /// Returns the value of the first field named `name`, regardless of case.
     pub fn first(&self, name: &str) -> Option<&[u8]> {
         let field = self.fields.iter().find(|field| self.slice(&field.name).eq_ignore_ascii_case(name.as_bytes()))?;
         Some(self.slice(&field.value))
     }
 
-    /// Value of the first field named `name` as trimmed text; `None` without such a field or if it isn't UTF-8.
+    /// Returns the value of the first field named `name` as trimmed text, or `None` if there is no such field or it
+    /// isn't UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.first(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether a comma-separated field contains `token`, regardless of case.
+    /// Returns whether a comma-separated field contains `token`, regardless of case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name).any(|value| tokens(value).any(|found| found.eq_ignore_ascii_case(token.as_bytes())))
     }
 
-    /// Whether the peer wants the connection closed after this message.
+    /// Returns whether the peer wants the connection closed after this message.
     pub fn asks_to_close(&self) -> bool {
         self.has_token("connection", "close")
     }
 
-    /// Whether the field `name` must not be forwarded: by the standard, or because `Connection` lists it.
+    /// Returns whether the field `name` must not be forwarded because it is in [`HOP_BY_HOP`] or `Connection` lists it.
     pub fn is_hop_by_hop(&self, name: &str) -> bool {
         HOP_BY_HOP.iter().any(|known| known.eq_ignore_ascii_case(name)) || self.has_token("connection", name)
     }
 
-    /// Seconds for which the peer keeps an idle connection open, as stated by `Keep-Alive: timeout=N`.
+    /// Returns the seconds for which the peer keeps an idle connection open, as stated by `Keep-Alive: timeout=N`.
     pub fn keep_alive_seconds(&self) -> Option<u64> {
         let value = self.text("keep-alive")?;
         let parameter = value.split(',').map(str::trim).find_map(|part| part.strip_prefix("timeout="))?;
--- a/crates/staircross-http/src/lib.rs
+++ b/crates/staircross-http/src/lib.rs
@@ -7,11 +7,11 @@
 //! | [`framing`] | how the end of a body is found, and decoding of bodies |
 //! | [`server`] | reading requests from one connection |
 //! | [`client`] | reading responses from one connection |
-//! | [`write`] | serialising messages |
+//! | [`write`] | serialization of requests and responses |
 //!
 //! Heads and chunk sizes are parsed by `httparse`. This crate adds control that HTTP libraries don't offer: a response
 //! to another request is skipped and reported, a response that arrives while the request is still being written is
-//! seen, and no request is ever retried without the caller's knowledge.
+//! recognized, and no request is ever retried without the caller's knowledge.
 
 pub mod client;
 pub mod framing;
--- a/crates/staircross-http/src/server.rs
+++ b/crates/staircross-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of one connection: reads requests.
+//! The server's side of one connection. It reads requests.
 //!
 //! The next request is read only when the caller asks for it. The caller must have answered the previous one by then,
 //! so that no response is ever written without an outstanding request.
@@ -9,9 +9,9 @@
 /// Limits on the size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Longest head, in bytes.
+    /// Maximum length of the head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of the body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -68,7 +68,7 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Whether part of a request has arrived.
+    /// Returns whether part of a request has arrived that isn't complete yet.
     pub fn has_partial_request(&self) -> bool {
         !self.input.is_empty() || self.pending.is_some()
     }
--- a/crates/staircross-http/src/write.rs
+++ b/crates/staircross-http/src/write.rs
@@ -1,4 +1,4 @@
-//! Serialising of requests and responses into a byte buffer.
+//! Serializes requests and responses into a byte buffer.
 
 use std::io::Write;
 
@@ -37,7 +37,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Standard reason phrase of a status code; `Status` for codes that have none here.
+/// Returns the standard reason phrase of a status code, or `Status` for a code that this function doesn't list.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
--- a/crates/staircross-wire/src/datagram.rs
+++ b/crates/staircross-wire/src/datagram.rs
@@ -1,18 +1,19 @@
 //! Small control messages over UDP.
 //!
-//! Probes, gossip and leases are small and go to changing peers: a connection to each peer would cost every node
-//! hundreds of sockets. A datagram is a CBOR body followed by a truncated HMAC. Datagrams that don't verify are
+//! Probes, gossip and leases are small and their receivers change often. A connection to each peer would cost every
+//! node hundreds of sockets. A datagram consists of a CBOR body and a truncated HMAC. A datagram whose HMAC is wrong is
 //! dropped. The protocols that use datagrams tolerate their loss.
 
 use crate::frame::{WireError, decode, encode};
 use crate::handshake::ClusterKey;
 use crate::message::PeerMessage;
 
-/// Longest datagram, in bytes. It fits into the frame of a usual network, so that it is never fragmented.
+/// Maximum length of a datagram, in bytes. Such a datagram fits into the frame of a usual network, so it isn't
+/// fragmented.
 pub const MAX_DATAGRAM: usize = 1200;
 /// Number of bytes of the HMAC that are sent.
 const DIGEST_LENGTH: usize = 16;
-/// First signed part of a datagram. Handshakes sign other first parts.
+/// First part of the signed data of a datagram. Handshakes sign other first parts, so that no HMAC is valid for both.
 const DATAGRAM_PURPOSE: &[u8] = b"datagram";
 
 /// Encodes and signs a message. Returns `None` if it is too long for a datagram.
@@ -26,7 +27,7 @@
     Ok(Some(body))
 }
 
-/// Verifies and decodes a datagram.
+/// Verifies the HMAC of a datagram and decodes its body.
 pub fn open(key: &ClusterKey, datagram: &[u8]) -> Result<PeerMessage, WireError> {
     let split = datagram.len().checked_sub(DIGEST_LENGTH);
     let Some(split) = split else {
--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use std::io::{Read, Write};
 
-/// Longest frame body, in bytes.
+/// Maximum length of a frame's body, in bytes.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
 
 quick_error! {
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -10,7 +10,7 @@
 
 /// Version of the protocol between nodes. A node with another version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest body of a handshake frame, in bytes.
+/// Maximum length of a handshake frame's body, in bytes.
 const MAX_HANDSHAKE: usize = 1024;
 
 /// Name and shared secret of a cluster.
@@ -40,7 +40,7 @@
         mac.finalize().into_bytes().into()
     }
 
-    /// Whether `digest` is the digest of `parts`, or a prefix of it. The comparison takes constant time.
+    /// Returns whether `digest` is the HMAC of `parts`, or a prefix of it. The comparison takes constant time.
     pub fn verify(&self, parts: &[&[u8]], digest: &[u8]) -> bool {
         let expected = self.sign(parts);
         if digest.is_empty() || digest.len() > expected.len() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// First frame, sent by the connecting node.
+/// First frame of the handshake, sent by the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Hello {
     version: u32,
@@ -60,20 +60,22 @@
     nonce: u128,
 }
 
-/// Second frame, sent by the accepting node.
+/// Second frame of the handshake, sent by the accepting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Challenge {
     nonce: u128,
     proof: [u8; 32],
 }
 
-/// Third frame, sent by the connecting node.
+/// Third frame of the handshake, sent by the connecting node.
 #[derive(Debug, Serialize, Deserialize)]
 struct Response {
     proof: [u8; 32],
 }
 
+/// First part of the data that the accepting node signs.
 const ACCEPTOR: &[u8] = b"acceptor";
+/// First part of the data that the connecting node signs.
 const CONNECTOR: &[u8] = b"connector";
 
 /// Performs the handshake as the connecting node `node`. `nonce` must be fresh and random.
--- a/crates/staircross-wire/src/lib.rs
+++ b/crates/staircross-wire/src/lib.rs
@@ -1,6 +1,6 @@
 //! Encoding and transport of the messages between nodes.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`message`] | all messages between nodes |
 //! | [`frame`] | length-prefixed CBOR over a TCP stream |
--- a/crates/staircross-wire/src/message.rs
+++ b/crates/staircross-wire/src/message.rs
@@ -26,7 +26,7 @@
         /// Reply of the leaf.
         reply: SubReply,
     },
-    /// The root no longer needs the reply to an attempt.
+    /// Cancels an attempt: the root no longer needs the reply to it.
     Cancel {
         /// Incarnation of the root.
         from: NodeId,
--- a/crates/staircross/src/check.rs
+++ b/crates/staircross/src/check.rs
@@ -5,7 +5,7 @@
 use staircross_config::{PlatformDocument, Settings};
 use std::path::Path;
 
-/// Runs `check`: prints all findings, and fails if there are any.
+/// Runs `check`: prints all findings, and returns `Failed` if there are any.
 pub fn run(command: &flags::Check) -> Result<CommandOutcome, String> {
     if command.settings.is_none() && command.document.is_none() {
         return Err("check: give --settings, --document or both".to_owned());
@@ -57,7 +57,7 @@
     Ok(document.services.iter().flat_map(find_weaknesses).collect())
 }
 
-/// Lists definitions of a service that are valid but make requests fail, or would after the loss of one searcher.
+/// Lists definitions of a service that are valid but make requests fail now or after the loss of one searcher.
 fn find_weaknesses(service: &staircross_config::ServiceDefinition) -> Vec<String> {
     let mut findings = Vec::new();
     if service.shard_maps.is_empty() {
--- a/crates/staircross/src/explain.rs
+++ b/crates/staircross/src/explain.rs
@@ -1,8 +1,8 @@
-//! `staircross explain`: the timeline of one request from the logs of gateway nodes.
+//! `staircross explain`: prints the timeline of one request from the logs of gateway nodes.
 //!
-//! In addition to the request's own log lines, the timeline shows the state that the node had at that time and its
-//! age: the configuration, the state of the store, the load, and the entries of the searchers that the request's lines
-//! name.
+//! In addition to the request's own log lines, the timeline shows what the node knew at that time and how old that
+//! knowledge was: the configuration, the state of the store, the load, and the entries of the searchers that the
+//! request's lines name.
 
 use crate::CommandOutcome;
 use crate::flags;
@@ -57,7 +57,7 @@
         Some(LogLine { time, node, event, fields })
     }
 
-    /// Value of the field named `key`.
+    /// Returns the value of the field named `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
@@ -98,7 +98,7 @@
     )
 }
 
-/// Renders the timeline of a request at each node; `None` if no line names the request.
+/// Renders the timeline of a request at each node, or returns `None` if no line names the request.
 pub fn explain(text: &str, request: &str) -> Option<String> {
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     let nodes: BTreeSet<&str> =
@@ -155,8 +155,8 @@
     }
 }
 
-/// Lines of the run of the node that received the request. Other runs are left out because the clocks of two runs can't
-/// be compared.
+/// Returns the lines of the run of the node that received the request. Other runs are left out because the clocks of
+/// two runs can't be compared.
 fn lines_of_run<'a>(lines: &'a [LogLine], node: &str, request: &str) -> Vec<&'a LogLine> {
     let mut run: Vec<&LogLine> = Vec::new();
     let mut is_found = false;
@@ -173,13 +173,14 @@
     run
 }
 
-/// Arrival time of the request: the time of one of its lines minus the elapsed time that the line states.
+/// Returns the arrival time of the request, computed from one of its lines: the line's time minus the elapsed time that
+/// the line states.
 fn arrival_time(line: &LogLine) -> f64 {
     let elapsed = line.get("after_ms").or_else(|| line.get("ms")).and_then(|text| text.parse::<f64>().ok());
     line.time - elapsed.unwrap_or(0.0) / 1000.0
 }
 
-/// The last event of each kind and subject before the request's end, oldest first.
+/// Returns the last event of each kind and subject before the request's end, oldest first.
 fn last_state_events<'a>(
     run_lines: &[&'a LogLine],
     arrived_at: f64,
@@ -191,8 +192,8 @@
         let subject = SUBJECT_FIELDS.iter().find_map(|field| line.get(field)).unwrap_or_default();
         last.insert(format!("{} {subject}", line.event), line);
     }
-    // Left out: a late wake-up five seconds or more before the request, a lifted limit, the suspicion of another
-    // content, and a cleared alarm.
+    // These events are left out: a late wake-up five seconds or more before the request, a limit that was lifted, the
+    // suspicion of another content, and an alarm that was cleared.
     let is_relevant = |line: &&LogLine| match line.event.as_str() {
         "woke_late" => arrived_at - line.time < 5.0,
         "admission" => line.get("level") != Some(UNLIMITED_LEVEL),
@@ -205,7 +206,7 @@
     state_events
 }
 
-/// Instances of the searchers that the request's lines name.
+/// Returns the instances of the searchers that the request's lines name.
 fn named_searchers(request_lines: &[&LogLine]) -> BTreeSet<String> {
     let lists = request_lines.iter().flat_map(|line| [line.get("searcher"), line.get("asked")]).flatten();
     lists.flat_map(|list| list.split(',')).filter(|name| !name.is_empty()).map(str::to_owned).collect()
--- a/crates/staircross/src/query.rs
+++ b/crates/staircross/src/query.rs
@@ -64,7 +64,7 @@
     print_reply(&reply, json)
 }
 
-/// Appends a new ticket to an action that has none. A person who types an action wants it to run once.
+/// Appends a new ticket to an action that has none, because a person who types an action wants it to run once.
 fn add_ticket_if_missing(client: &NodeClient, session: SessionToken, statement: &str) -> Result<String, String> {
     let mut words = statement.split_whitespace();
     let is_run = words.next().is_some_and(|word| word.eq_ignore_ascii_case("RUN"));
--- a/crates/staircross/src/replay.rs
+++ b/crates/staircross/src/replay.rs
@@ -1,7 +1,8 @@
 //! `staircross replay`: replays the recorded input of a gateway node and compares the decisions with the recorded ones.
 //!
 //! With the code that made the recording, no decision may differ. With a changed policy, the differences show the
-//! change's effect on that traffic, but only in part: the replies to attempts that weren't sent are unknown.
+//! change's effect on the recorded traffic, but only in part, because the recording has no replies to attempts that
+//! only the changed policy sends.
 
 use crate::CommandOutcome;
 use crate::flags;
@@ -12,7 +13,7 @@
 use std::io::{BufReader, ErrorKind, Read};
 use std::path::Path;
 
-/// Number of differences shown without `--most`.
+/// Maximum number of differences shown if `--most` isn't given.
 const DEFAULT_MAX_DIFFERENCES: usize = 20;
 
 /// Runs `replay`: prints the differences, and fails if there are any.
@@ -38,8 +39,8 @@
     Ok(if differences.is_empty() { CommandOutcome::Done } else { CommandOutcome::Failed })
 }
 
-/// Reads the next record; `None` at the end of the file. An incomplete last record counts as the end, since a killed
-/// node may leave one.
+/// Reads the next record; returns `None` at the end of the file. An incomplete last record counts as the end of the
+/// file, since a node that was killed may leave one.
 fn read_record(reader: &mut impl Read, path: &Path) -> Result<Option<Record>, String> {
     match read_frame(reader, MAX_FRAME) {
         Ok(record) => Ok(Some(record)),
--- a/crates/staircross/src/run_node.rs
+++ b/crates/staircross/src/run_node.rs
@@ -11,7 +11,7 @@
 use staircross_types::ZoneName;
 use std::time::Duration;
 
-/// Time between checks for signals and for the end of a stop.
+/// Time between two checks whether a signal has arrived and whether a planned stop has ended.
 const DONE_CHECK_EVERY: Duration = Duration::from_millis(20);
 
 /// Runs `node`. SIGTERM or SIGINT begins a planned stop.
