--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -26,7 +26,7 @@
             display("malformed frame: {reason}")
         }
         /// The peer isn't authenticated as a node of this cluster with the same protocol version.
-        Stranger { reason: &'static str } {
+        Unauthenticated { reason: &'static str } {
             display("unauthenticated peer: {reason}")
         }
     }
