--- a/crates/staircross-types/src/coverage.rs
+++ b/crates/staircross-types/src/coverage.rs
@@ -10,13 +10,13 @@
 pub enum MissingCause {
     /// A sub-request was sent, and no complete reply arrived in time.
     Late,
-    /// No replica of the shard is known to be alive.
+    /// No searcher that holds the shard is known to be alive.
     Lost,
-    /// Every replica that was asked refused for lack of capacity.
+    /// Every searcher that was asked refused for lack of capacity.
     Shed,
-    /// Every replica that was asked no longer holds the snapshot.
+    /// None of the searchers that were asked holds the snapshot any longer.
     SnapshotGone,
-    /// The remaining replicas are draining and accept no new work.
+    /// The remaining searchers that hold the shard are draining and accept no new work.
     Draining,
     /// A reply was truncated or damaged, or the connection failed.
     Unreachable,
@@ -66,7 +66,8 @@
         self.included.len() + self.missing.len()
     }
 
-    /// Returns the included shards per thousand, rounded down. An index without shards counts as fully covered.
+    /// Returns the share of included shards in thousandths, rounded down. An index without shards counts as fully
+    /// covered.
     pub fn per_mille(&self) -> u32 {
         match self.total() {
             0 => 1000,
--- a/crates/staircross-types/src/errors.rs
+++ b/crates/staircross-types/src/errors.rs
@@ -44,8 +44,8 @@
                 match self { $(ErrorKind::$variant => Executed::$executed,)* }
             }
 
-            /// Returns the milliseconds after which the same request may succeed if it is sent again, or `None` if sending
-            /// it again won't help.
+            /// Returns the milliseconds after which the same request may succeed if it is sent again, or `None` if
+            /// sending it again won't help.
             pub fn retry_after_ms(self) -> Option<u64> {
                 match self { $(ErrorKind::$variant => $retry,)* }
             }
--- a/crates/staircross-types/src/ids.rs
+++ b/crates/staircross-types/src/ids.rs
@@ -1,7 +1,7 @@
 //! Identifiers of nodes, sessions, requests, searchers and shards.
 //!
-//! Machines keep no state over a restart, so each run of a process gets a new identifier: a [`NodeId`] identifies one run
-//! of a node, and a [`SearcherIncarnation`] one run of a searcher.
+//! Machines keep no state over a restart, so each run of a process gets a new identifier: a [`NodeId`] identifies one
+//! run of a node, and a [`SearcherIncarnation`] one run of a searcher.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -80,8 +80,8 @@
     /// Why a text can't be parsed as an identifier.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum InvalidIdentity {
-        /// The text doesn't have the identifier's form: 32 hexadecimal digits, or for a [`Ticket`] 32 of them, a hyphen and
-        /// 16 more.
+        /// The text doesn't have the identifier's form: 32 hexadecimal digits, or for a [`Ticket`] 32 of them, a hyphen
+        /// and 16 more.
         Malformed {
             display("expected 32 hexadecimal digits")
         }
@@ -97,7 +97,7 @@
     SearcherIncarnation
 }
 hex_identity! {
-    /// Identifies a session; callers can't guess the tokens of others' sessions.
+    /// Identifies a session; it is hard to guess, so that callers can't use the sessions of others.
     SessionToken
 }
 
@@ -116,7 +116,8 @@
     }
 }
 
-/// Identifies one attempt at a sub-request. Each hop repeats it in its reply, and the receiver compares all of it.
+/// Identifies one attempt at a sub-request. Each hop repeats the whole id in its reply, and the receiver of the reply
+/// compares the whole id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The request that this attempt serves.
@@ -131,7 +132,7 @@
     }
 }
 
-/// Permission to run one non-repeatable request once; issued by the node that holds the session.
+/// Permits one non-repeatable request to run once; issued by the node that holds the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The node that issued the ticket; no other node runs the ticket's request.
@@ -215,6 +216,6 @@
     ShardId
 }
 number_identity! {
-    /// Number of a group of searchers that are all owned by the same set of leaves.
+    /// Number of a group of searchers that are all owned by the same leaves (nodes that own searchers and call them).
     GroupId
 }
--- a/crates/staircross-types/src/lib.rs
+++ b/crates/staircross-types/src/lib.rs
@@ -8,7 +8,7 @@
 //! | [`boot_clock`] | reading the boot clock |
 //! | [`coverage`] | [`Coverage`] and the causes of missing shards |
 //! | [`errors`] | all error kinds, with the HTTP status and other properties of each |
-//! | [`quota`] | how many requests a tenant may send |
+//! | [`quota`] | limits on how many requests a tenant may send |
 //! | [`query`] | search requests, hits and per-shard results |
 //! | [`searcher_api`] | messages between a leaf (a node that owns searchers and calls them) and a searcher |
 //! | [`digest`] | content digests of bodies |
--- a/crates/staircross-types/src/query.rs
+++ b/crates/staircross-types/src/query.rs
@@ -1,7 +1,7 @@
 //! Search requests and results.
 //!
-//! They pass between callers, roots, leaves and searchers. A root is the node that plans a caller's request over the shards
-//! and merges their results; a leaf is a node that owns searchers and sends them calls.
+//! Callers, roots, leaves and searchers exchange them. A root is the node that divides a caller's request among the
+//! shards and merges their results. A leaf is a node that owns searchers and sends them calls.
 
 use crate::ids::ShardId;
 use serde::{Deserialize, Serialize};
--- a/crates/staircross-types/src/quota.rs
+++ b/crates/staircross-types/src/quota.rs
@@ -1,8 +1,9 @@
-//! How many requests a tenant may send.
+//! Limits on how many requests a tenant may send.
 
 use serde::{Deserialize, Serialize};
 
-/// Limit on the requests that a tenant may send to all nodes together: `burst` at once, and `rate_per_s` more each second.
+/// Limit on the requests that a tenant may send to all nodes together: `rate_per_s` each second, and `burst` on top of
+/// that at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
     /// Requests per second; greater than 0.
--- a/crates/staircross-types/src/searcher_api.rs
+++ b/crates/staircross-types/src/searcher_api.rs
@@ -46,7 +46,7 @@
     pub remaining_ms: u64,
 }
 
-/// Tells a searcher that the reply to an attempt is no longer needed.
+/// Notifies a searcher that the reply to an attempt is no longer needed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancelCall {
     /// Id of the attempt to cancel.
@@ -104,6 +104,7 @@
     pub snapshots: Vec<Snapshot>,
     /// Whether the searcher is draining: it accepts no new calls.
     pub draining: bool,
-    /// The searcher's own estimate of its load, from 0 to 1. The estimate lags behind and misleads, so no decision uses it.
+    /// The searcher's own estimate of its load, from 0 to 1. The estimate is late and misleading, so no decision uses
+    /// it.
     pub load: f64,
 }
--- a/crates/staircross-types/src/snapshot.rs
+++ b/crates/staircross-types/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Index snapshots and shard maps.
 //!
-//! A [`Snapshot`] identifies exactly one state of one service's index. An answer is built from replies of one snapshot only,
-//! and its coverage is counted against that snapshot's own [`ShardMap`].
+//! A [`Snapshot`] identifies exactly one state of one service's index. An answer is built from replies of one snapshot
+//! only, and its coverage is counted against that snapshot's own [`ShardMap`].
 
 use crate::ids::{SearcherId, ShardId};
 use serde::{Deserialize, Serialize};
--- a/crates/staircross-types/src/time.rs
+++ b/crates/staircross-types/src/time.rs
@@ -1,7 +1,7 @@
 //! The only kind of time that decisions may use.
 //!
 //! Decisions use the boot clock only. It never jumps, and it continues while the process is paused, so a process that
-//! resumes late sees how much time has passed.
+//! resumes after a pause sees how much time has passed.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
@@ -49,8 +49,8 @@
     }
 }
 
-/// Returns the whole microseconds of a duration. A duration that doesn't fit into `u64` becomes `u64::MAX`, so that adding a
-/// duration never gives an earlier time.
+/// Returns the whole microseconds of a duration. A duration that doesn't fit into `u64` becomes `u64::MAX`, so that
+/// adding a duration never gives an earlier time.
 fn saturating_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
