--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -11,7 +11,7 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 use spdlog::{debug, info, warn};
 use staircross_cluster::ClusterMessage;
-use staircross_cluster::published::PublishedMessage;
+use staircross_cluster::document_relay::DocumentMessage;
 use staircross_types::NodeId;
 use staircross_wire::frame::MAX_FRAME;
 use staircross_wire::{ClusterKey, PeerMessage, datagram, read_frame, write_frame};
@@ -128,7 +128,7 @@
         envelope.message,
         ClusterMessage::Membership(_)
             | ClusterMessage::Views(_)
-            | ClusterMessage::Published(PublishedMessage::Holds { .. })
+            | ClusterMessage::Document(DocumentMessage::Holds { .. })
     )
 }
 
--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/document_relay.rs
@@ -25,7 +25,7 @@
 
 /// Messages about the platform's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PublishedMessage {
+pub enum DocumentMessage {
     /// Announces the revision that the sender holds; 0 when it holds none.
     #[serde(rename = "h")]
     Holds {
@@ -40,18 +40,18 @@
 
 /// A message to be sent to a peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PublishedSend {
+pub struct DocumentSend {
     /// Incarnation of the receiver.
     pub to: NodeId,
     /// Peer address of the receiver.
     pub address: SocketAddr,
     /// The message itself.
-    pub message: PublishedMessage,
+    pub message: DocumentMessage,
 }
 
 /// The newest valid document that this node has received, and the revisions that peers hold.
 #[derive(Debug, Default)]
-pub struct Published {
+pub struct DocumentRelay {
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that peers last announced.
     peer_revisions: BTreeMap<NodeId, u64>,
@@ -60,10 +60,10 @@
     next_announcement: BootTime,
 }
 
-impl Published {
+impl DocumentRelay {
     /// Creates the state of a node that holds no document yet.
     pub fn new() -> Self {
-        Published::default()
+        DocumentRelay::default()
     }
 
     /// Returns the document that this node holds.
@@ -97,36 +97,36 @@
         &mut self,
         from: NodeId,
         address: SocketAddr,
-        message: PublishedMessage,
-        out: &mut Vec<PublishedSend>,
+        message: DocumentMessage,
+        out: &mut Vec<DocumentSend>,
     ) -> bool {
         match message {
-            PublishedMessage::Holds { revision } => {
+            DocumentMessage::Holds { revision } => {
                 self.peer_revisions.insert(from, revision);
-                out.extend(self.answer_announcement(revision).map(|message| PublishedSend {
+                out.extend(self.answer_announcement(revision).map(|message| DocumentSend {
                     to: from,
                     address,
                     message,
                 }));
                 false
             }
-            PublishedMessage::Document(document) => self.adopt(document),
+            DocumentMessage::Document(document) => self.adopt(document),
         }
     }
 
     /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this
     /// node's own announcement, which it answers with its document.
-    fn answer_announcement(&self, peer_revision: u64) -> Option<PublishedMessage> {
+    fn answer_announcement(&self, peer_revision: u64) -> Option<DocumentMessage> {
         let own_revision = self.revision();
         match &self.held {
-            Some(document) if peer_revision < own_revision => Some(PublishedMessage::Document(document.clone())),
-            _ if peer_revision > own_revision => Some(PublishedMessage::Holds { revision: own_revision }),
+            Some(document) if peer_revision < own_revision => Some(DocumentMessage::Document(document.clone())),
+            _ if peer_revision > own_revision => Some(DocumentMessage::Holds { revision: own_revision }),
             _ => None,
         }
     }
 
     /// Announces the revision held to random members when that is due, or at once after a new document was adopted.
-    pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
+    pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<DocumentSend>) {
         if now < self.next_announcement && !self.has_unannounced_document {
             return;
         }
@@ -134,8 +134,8 @@
         self.has_unannounced_document = false;
         self.next_announcement = now + ANNOUNCE_EVERY;
         self.peer_revisions.retain(|node, _| others.iter().any(|member| member.node == *node));
-        let message = PublishedMessage::Holds { revision: self.revision() };
-        out.extend(others.choose_multiple(rng, count).map(|member| PublishedSend {
+        let message = DocumentMessage::Holds { revision: self.revision() };
+        out.extend(others.choose_multiple(rng, count).map(|member| DocumentSend {
             to: member.node,
             address: member.peer_address,
             message: message.clone(),
--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -6,11 +6,11 @@
 
 mod sessions;
 
+use crate::document_relay::{DocumentRelay, DocumentSend};
 use crate::member::{Member, MemberState};
 use crate::membership::{Membership, MembershipAction, MembershipSettings};
 use crate::message::{ClusterMessage, Envelope};
 use crate::ownership::OwnershipMap;
-use crate::published::{Published, PublishedSend};
 use crate::session_copies::{SessionCopy, SessionCopyMessage, SessionCopyStore};
 use crate::views::{GossipedEvidence, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
@@ -98,7 +98,7 @@
     address: SocketAddr,
     rng: ChaCha8Rng,
     membership: Membership,
-    published: Published,
+    document_relay: DocumentRelay,
     views: Views,
     copies: SessionCopyStore,
     ownership: OwnershipMap,
@@ -115,7 +115,7 @@
             address: settings.me.peer_address,
             rng: ChaCha8Rng::seed_from_u64(seed),
             membership: Membership::new(settings.membership, settings.me, settings.seeds),
-            published: Published::new(),
+            document_relay: DocumentRelay::new(),
             views: Views::new(me),
             copies: SessionCopyStore::new(settings.max_session_copies),
             ownership: OwnershipMap::default(),
@@ -128,7 +128,7 @@
         match event {
             ClusterEvent::Message(envelope) => self.on_envelope(now, *envelope, actions),
             ClusterEvent::Platform(document) => {
-                if self.published.adopt(document) {
+                if self.document_relay.adopt(document) {
                     self.report_config_change(actions);
                 }
             }
@@ -159,17 +159,17 @@
 
     /// Returns the document in force on this node, if one is known.
     pub fn config(&self) -> Option<&Arc<PlatformDocument>> {
-        self.published.document()
+        self.document_relay.document()
     }
 
     /// Returns the revision of the document in force on this node; 0 when none is known.
     pub fn revision(&self) -> u64 {
-        self.published.revision()
+        self.document_relay.revision()
     }
 
     /// Returns the revision that a member last announced to this node; for this node, the revision that it holds.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
-        if node == self.me { Some(self.revision()) } else { self.published.revision_of(node) }
+        if node == self.me { Some(self.revision()) } else { self.document_relay.revision_of(node) }
     }
 
     /// Returns all member records, including this node's own and those of gone members.
@@ -191,7 +191,7 @@
     pub fn ownership(&mut self) -> &OwnershipMap {
         if self.ownership_is_stale {
             self.ownership_is_stale = false;
-            let services = self.published.document().map_or(&[][..], |document| &document.services);
+            let services = self.document_relay.document().map_or(&[][..], |document| &document.services);
             self.ownership = OwnershipMap::compute(self.membership.members().values(), services.iter());
         }
         &self.ownership
@@ -224,10 +224,10 @@
                 self.membership.on_message(now, from, from_address, message, &mut out);
                 self.apply_membership_actions(out, actions);
             }
-            ClusterMessage::Published(message) => {
+            ClusterMessage::Document(message) => {
                 let mut out = Vec::new();
-                let has_changed = self.published.on_message(from, from_address, message, &mut out);
-                self.send_published(out, actions);
+                let has_changed = self.document_relay.on_message(from, from_address, message, &mut out);
+                self.send_document_messages(out, actions);
                 if has_changed {
                     self.report_config_change(actions);
                 }
@@ -268,8 +268,8 @@
 
         let mut out = Vec::new();
         let others: Vec<&Member> = self.membership.others().collect();
-        self.published.on_tick(now, &others, &mut self.rng, &mut out);
-        self.send_published(out, actions);
+        self.document_relay.on_tick(now, &others, &mut self.rng, &mut out);
+        self.send_document_messages(out, actions);
 
         let others: Vec<(NodeId, SocketAddr)> =
             self.membership.others().map(|member| (member.node, member.peer_address)).collect();
@@ -292,9 +292,9 @@
         }
     }
 
-    fn send_published(&mut self, out: Vec<PublishedSend>, actions: &mut Vec<ClusterAction>) {
-        for PublishedSend { to, address, message } in out {
-            self.send(Some(to), address, ClusterMessage::Published(message), actions);
+    fn send_document_messages(&mut self, out: Vec<DocumentSend>, actions: &mut Vec<ClusterAction>) {
+        for DocumentSend { to, address, message } in out {
+            self.send(Some(to), address, ClusterMessage::Document(message), actions);
         }
     }
 
@@ -311,7 +311,7 @@
 
     fn report_config_change(&mut self, actions: &mut Vec<ClusterAction>) {
         self.ownership_is_stale = true;
-        if let Some(document) = self.published.document() {
+        if let Some(document) = self.document_relay.document() {
             actions.push(ClusterAction::ConfigChanged(document.clone()));
         }
     }
--- a/crates/staircross-cluster/src/lib.rs
+++ b/crates/staircross-cluster/src/lib.rs
@@ -8,17 +8,17 @@
 //! | [`membership`] | which nodes are in the fleet: probes, suspicion, refutation, gossip |
 //! | [`member`] | the record of one node and which of two records of it wins |
 //! | [`ownership`] | which nodes own which searchers, and their share of slots |
-//! | [`published`] | which revision of the platform's document is in force, and its relay between nodes |
+//! | [`document_relay`] | which revision of the platform's document is in force, and its relay between nodes |
 //! | [`views`] | gossip of the searcher states that owners observe |
 //! | [`session_copies`] | copies of session state on other nodes |
 //! | [`message`] | typed messages between nodes |
 
+pub mod document_relay;
 pub mod engine;
 pub mod member;
 pub mod membership;
 pub mod message;
 pub mod ownership;
-pub mod published;
 pub mod session_copies;
 pub mod views;
 
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages of the cluster protocol.
 
+use crate::document_relay::DocumentMessage;
 use crate::membership::MembershipMessage;
-use crate::published::PublishedMessage;
 use crate::session_copies::SessionCopyMessage;
 use crate::views::ViewMessage;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     Membership(MembershipMessage),
     /// A message about the platform's document.
     #[serde(rename = "d")]
-    Published(PublishedMessage),
+    Document(DocumentMessage),
     /// A message about searcher views.
     #[serde(rename = "v")]
     Views(ViewMessage),
--- a/crates/staircross-cluster/tests/published.rs
+++ b/crates/staircross-cluster/tests/published.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
-use staircross_cluster::published::{Published, PublishedMessage, PublishedSend};
+use staircross_cluster::document_relay::{DocumentMessage, DocumentRelay, DocumentSend};
 use staircross_config::{PlatformDocument, ServicePolicy};
 use staircross_types::{BootTime, NodeId};
 use std::net::SocketAddr;
@@ -21,63 +21,63 @@
 }
 
 /// Passes a message to a node and returns its answers.
-fn answers_to(published: &mut Published, message: PublishedMessage) -> Vec<PublishedMessage> {
+fn answers_to(relay: &mut DocumentRelay, message: DocumentMessage) -> Vec<DocumentMessage> {
     let mut out = Vec::new();
-    published.on_message(PEER, peer(), message, &mut out);
-    out.into_iter().map(|send: PublishedSend| send.message).collect()
+    relay.on_message(PEER, peer(), message, &mut out);
+    out.into_iter().map(|send: DocumentSend| send.message).collect()
 }
 
 #[test]
 fn only_a_newer_document_is_taken() {
-    let mut published = Published::new();
-    assert!(published.adopt(document(3)));
-    assert!(!published.adopt(document(2)), "the platform stepped back");
-    assert!(!published.adopt(document(3)));
-    assert_eq!(published.revision(), 3);
-    assert!(published.adopt(document(4)));
+    let mut relay = DocumentRelay::new();
+    assert!(relay.adopt(document(3)));
+    assert!(!relay.adopt(document(2)), "the platform stepped back");
+    assert!(!relay.adopt(document(3)));
+    assert_eq!(relay.revision(), 3);
+    assert!(relay.adopt(document(4)));
 }
 
 #[test]
 fn an_invalid_document_is_not_taken_whatever_its_revision() {
-    let mut published = Published::new();
-    published.adopt(document(1));
+    let mut relay = DocumentRelay::new();
+    relay.adopt(document(1));
     let mut broken: PlatformDocument = (*document(2)).clone();
     broken.services[0].policy = ServicePolicy { wait_ms: 0, ..ServicePolicy::default() };
-    assert!(!published.adopt(Arc::new(broken)));
-    assert_eq!(published.revision(), 1);
+    assert!(!relay.adopt(Arc::new(broken)));
+    assert_eq!(relay.revision(), 1);
 }
 
 #[test]
 fn whoever_has_less_gets_the_document_and_whoever_has_more_is_told_what_is_held() {
-    let mut published = Published::new();
-    published.adopt(document(5));
+    let mut relay = DocumentRelay::new();
+    relay.adopt(document(5));
     assert_eq!(
-        answers_to(&mut published, PublishedMessage::Holds { revision: 4 }),
-        [PublishedMessage::Document(document(5))]
+        answers_to(&mut relay, DocumentMessage::Holds { revision: 4 }),
+        [DocumentMessage::Document(document(5))]
     );
     assert_eq!(
-        answers_to(&mut published, PublishedMessage::Holds { revision: 6 }),
-        [PublishedMessage::Holds { revision: 5 }]
+        answers_to(&mut relay, DocumentMessage::Holds { revision: 6 }),
+        [DocumentMessage::Holds { revision: 5 }]
     );
-    assert_eq!(answers_to(&mut published, PublishedMessage::Holds { revision: 5 }), []);
-    assert_eq!(published.revision_of(PEER), Some(5));
+    assert_eq!(answers_to(&mut relay, DocumentMessage::Holds { revision: 5 }), []);
+    assert_eq!(relay.revision_of(PEER), Some(5));
 }
 
 #[test]
 fn a_node_that_holds_nothing_asks_and_is_asked_for_nothing() {
-    let mut published = Published::new();
-    assert_eq!(answers_to(&mut published, PublishedMessage::Holds { revision: 0 }), []);
+    let mut relay = DocumentRelay::new();
+    assert_eq!(answers_to(&mut relay, DocumentMessage::Holds { revision: 0 }), []);
     assert_eq!(
-        answers_to(&mut published, PublishedMessage::Holds { revision: 2 }),
-        [PublishedMessage::Holds { revision: 0 }]
+        answers_to(&mut relay, DocumentMessage::Holds { revision: 2 }),
+        [DocumentMessage::Holds { revision: 0 }]
     );
 }
 
 #[test]
 fn a_node_without_others_tells_nobody() {
-    let mut published = Published::new();
+    let mut relay = DocumentRelay::new();
     let mut out = Vec::new();
-    published.on_tick(BootTime::from_millis(1), &[], &mut ChaCha8Rng::seed_from_u64(1), &mut out);
+    relay.on_tick(BootTime::from_millis(1), &[], &mut ChaCha8Rng::seed_from_u64(1), &mut out);
     assert!(out.is_empty());
 }
 
--- a/crates/staircross-wire/tests/pinned_cluster.rs
+++ b/crates/staircross-wire/tests/pinned_cluster.rs
@@ -4,8 +4,8 @@
 mod pinning;
 
 use pinning::pin;
+use staircross_cluster::document_relay::DocumentMessage;
 use staircross_cluster::membership::{Fingerprints, IdSpan, MembershipMessage};
-use staircross_cluster::published::PublishedMessage;
 use staircross_cluster::session_copies::{SessionCopy, SessionCopyMessage};
 use staircross_cluster::views::{GossipedEvidence, ViewMessage, ViewRecord, ViewVersion};
 use staircross_cluster::{ClusterMessage, Envelope, Member, MemberState};
@@ -40,8 +40,8 @@
     envelope_to(Some(RECEIVER), ClusterMessage::Membership(message))
 }
 
-fn published(message: PublishedMessage) -> PeerMessage {
-    envelope_to(Some(RECEIVER), ClusterMessage::Published(message))
+fn published(message: DocumentMessage) -> PeerMessage {
+    envelope_to(Some(RECEIVER), ClusterMessage::Document(message))
 }
 
 fn views(message: ViewMessage) -> PeerMessage {
@@ -135,12 +135,12 @@
 #[test]
 fn published_document_is_pinned() {
     let mut document = PlatformDocument::from_json("pinned", DOCUMENT).expect("is valid");
-    let whole = PublishedMessage::Document(Arc::new(document.clone()));
+    let whole = DocumentMessage::Document(Arc::new(document.clone()));
     document.services.clear();
     document.drained.clear();
-    let least = PublishedMessage::Document(Arc::new(document));
+    let least = DocumentMessage::Document(Arc::new(document));
     let pins = [
-        pin("holds", &published(PublishedMessage::Holds { revision: 12 })),
+        pin("holds", &published(DocumentMessage::Holds { revision: 12 })),
         pin("document", &published(whole)),
         pin("document without services", &published(least)),
     ];
