--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     /// Time between probes sent by one node.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// Time after which other members are asked to probe a member that hasn't answered a direct probe.
     pub direct_timeout: Duration,
     /// Time after which an unanswered probe has failed and its target becomes suspect.
@@ -38,7 +38,7 @@
 impl Default for MembershipSettings {
     fn default() -> Self {
         MembershipSettings {
-            probe_every: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
             direct_timeout: Duration::from_millis(200),
             probe_timeout: Duration::from_millis(600),
             // A node that pauses for one second must never be declared dead. The probe timeout and this time together
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -38,7 +38,7 @@
 impl Membership {
     /// Sends a probe to the next target.
     pub(super) fn start_probe(&mut self, now: BootTime, random: &mut ChaCha8Rng, actions: &mut Vec<MembershipAction>) {
-        self.next_probe = now + self.settings.probe_every;
+        self.next_probe = now + self.settings.probe_interval;
         let Some(target) = self.next_target(random) else {
             return;
         };
--- a/crates/staircross-cluster/tests/common/mod.rs
+++ b/crates/staircross-cluster/tests/common/mod.rs
@@ -82,7 +82,7 @@
 /// Settings with the times of a gateway.
 fn gateway_settings() -> MembershipSettings {
     MembershipSettings {
-        probe_every: Duration::from_millis(200),
+        probe_interval: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
         updates_per_message: 5,
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -321,7 +321,7 @@
 /// retransmits and one seed at a time save bandwidth on the link of the busiest node in fleets of hundreds of nodes.
 fn membership_settings() -> MembershipSettings {
     MembershipSettings {
-        probe_every: Duration::from_millis(200),
+        probe_interval: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
         suspicion: Duration::from_millis(2500),
