--- a/crates/staircross-cluster/src/document_relay.rs
+++ b/crates/staircross-cluster/src/document_relay.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Time between announcements of the revision held.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Number of members that receive a periodic announcement.
 const ANNOUNCE_FANOUT: usize = 2;
 /// Number of members that receive the announcement of a new document, which is sent without waiting for the next
@@ -132,7 +132,7 @@
         }
         let count = if self.has_unannounced_document { NEW_DOCUMENT_FANOUT } else { ANNOUNCE_FANOUT };
         self.has_unannounced_document = false;
-        self.next_announcement = now + ANNOUNCE_EVERY;
+        self.next_announcement = now + ANNOUNCEMENT_INTERVAL;
         self.peer_revisions.retain(|node, _| others.iter().any(|member| member.node == *node));
         let message = DocumentMessage::Holds { revision: self.revision() };
         out.extend(others.choose_multiple(rng, count).map(|member| DocumentSend {
--- a/crates/staircross-cluster/src/membership.rs
+++ b/crates/staircross-cluster/src/membership.rs
@@ -74,7 +74,7 @@
 }
 
 /// Time between messages to seed addresses at which no member is known.
-const SEED_CONTACT_EVERY: Duration = Duration::from_secs(1);
+const SEED_CONTACT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Membership {
     /// Creates a membership that knows only this node.
@@ -245,7 +245,7 @@
         if now < self.next_seed_contact {
             return;
         }
-        self.next_seed_contact = now + SEED_CONTACT_EVERY;
+        self.next_seed_contact = now + SEED_CONTACT_INTERVAL;
         let known =
             |seed: &SocketAddr| self.members.values().any(|member| !member.is_gone() && member.peer_address == *seed);
         let mut unknown: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !known(seed)).collect();
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -18,17 +18,17 @@
 /// Number of sends that are added to the count of an update if its receiver already knew it.
 const REDUNDANT_SEND_WEIGHT: u32 = 3;
 /// Time between comparisons started by one node.
-const COMPARE_EVERY: Duration = Duration::from_secs(3);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(3);
 /// Time between comparisons while a member list within the last [`LEARNING_WINDOW`] contained a new record.
-const COMPARE_EVERY_WHILE_LEARNING: Duration = Duration::from_millis(1500);
+const LEARNING_COMPARE_INTERVAL: Duration = Duration::from_millis(1500);
 /// Time after a member list with a new record during which a node compares more often.
 const LEARNING_WINDOW: Duration = Duration::from_secs(4);
 /// Leading bits of an id that select its bucket; each bucket has a fingerprint of its own.
 const BUCKET_BITS: u32 = 4;
 const BUCKETS: usize = 1 << BUCKET_BITS;
-/// A relay compares with a remote member in one of this many intervals of [`COMPARE_EVERY`], otherwise with a local
+/// A relay compares with a remote member in one of this many intervals of [`COMPARE_INTERVAL`], otherwise with a local
 /// one.
-const REMOTE_COMPARE_INTERVALS: u64 = 4;
+const REMOTE_COMPARE_DIVISOR: u64 = 4;
 /// Of the comparisons with local members, one in this many is with a member of any zone, the others are with members of
 /// this node's zone.
 const WHOLE_REGION_COMPARE_RATIO: u32 = 4;
@@ -71,10 +71,10 @@
             return;
         }
         let is_learning = self.last_learned_at.is_some_and(|at| now.since(at) < LEARNING_WINDOW);
-        self.next_compare = now + if is_learning { COMPARE_EVERY_WHILE_LEARNING } else { COMPARE_EVERY };
+        self.next_compare = now + if is_learning { LEARNING_COMPARE_INTERVAL } else { COMPARE_INTERVAL };
         let (local, remote) = self.local_and_remote();
-        let turn = now.0 / COMPARE_EVERY.as_micros() as u64;
-        let is_remote_turn = local.is_empty() || (self.is_relay() && turn.is_multiple_of(REMOTE_COMPARE_INTERVALS));
+        let turn = now.0 / COMPARE_INTERVAL.as_micros() as u64;
+        let is_remote_turn = local.is_empty() || (self.is_relay() && turn.is_multiple_of(REMOTE_COMPARE_DIVISOR));
         let zone = &self.own().zone;
         let in_zone: Vec<&Member> = local.iter().copied().filter(|member| member.zone == *zone).collect();
         let is_zone_turn = !in_zone.is_empty() && !random.random_ratio(1, WHOLE_REGION_COMPARE_RATIO);
@@ -152,7 +152,7 @@
             // whole list would be sent again by each of them.
             if self.merge(now, member, actions) {
                 self.last_learned_at = Some(now);
-                self.next_compare = self.next_compare.min(now + COMPARE_EVERY_WHILE_LEARNING);
+                self.next_compare = self.next_compare.min(now + LEARNING_COMPARE_INTERVAL);
             }
         }
         let is_missing_or_older =
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Time between the notifications by which this node informs a suspect that it is suspected.
-const NOTIFY_SUSPECT_EVERY: Duration = Duration::from_millis(400);
+const SUSPECT_NOTIFICATION_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between probes that this node sends to dead members.
-const PROBE_DEAD_EVERY: Duration = Duration::from_secs(2);
+const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// State of the suspicion of one member.
 pub(super) struct Suspicion {
@@ -40,7 +40,7 @@
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
             if suspicion.is_first_hand && now >= suspicion.next_notification {
-                suspicion.next_notification = now + NOTIFY_SUSPECT_EVERY;
+                suspicion.next_notification = now + SUSPECT_NOTIFICATION_INTERVAL;
                 due.push(*node);
             }
         }
@@ -107,7 +107,7 @@
         if now < self.next_dead_probe {
             return;
         }
-        self.next_dead_probe = now + PROBE_DEAD_EVERY;
+        self.next_dead_probe = now + DEAD_PROBE_INTERVAL;
         let dead: Vec<Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).cloned().collect();
         if let Some(member) = dead.choose(random) {
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Time between pushes while there are records to push.
-const PUSH_EVERY: Duration = Duration::from_millis(200);
+const PUSH_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of members that receive a push.
 const PUSH_FANOUT: usize = 2;
 /// Maximum number of records in one push.
@@ -23,9 +23,9 @@
 /// Number of pushes of a record by each node for each doubling of the fleet's size; two more pushes are added.
 const RETRANSMITS_PER_DOUBLING: u32 = 1;
 /// Time between the comparisons that this node starts, each with a random member.
-const COMPARE_EVERY: Duration = Duration::from_secs(5);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time between comparisons while this node knows no record.
-const NEWCOMER_COMPARE_EVERY: Duration = Duration::from_millis(200);
+const NEWCOMER_COMPARE_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of buckets into which a comparison divides the searchers. Versions are listed only for buckets whose
 /// fingerprints differ.
 const BUCKETS: usize = 64;
@@ -237,7 +237,7 @@
         actions: &mut Vec<ViewAction>,
     ) {
         if now >= self.next_push && !self.pending_pushes.is_empty() {
-            self.next_push = now + PUSH_EVERY;
+            self.next_push = now + PUSH_INTERVAL;
             self.push(others, random, actions);
         }
         if now >= self.next_compare
@@ -245,7 +245,7 @@
         {
             // A new node compares again soon, so that it isn't without searcher records for long.
             let is_newcomer = self.records.is_empty();
-            self.next_compare = now + if is_newcomer { NEWCOMER_COMPARE_EVERY } else { COMPARE_EVERY };
+            self.next_compare = now + if is_newcomer { NEWCOMER_COMPARE_INTERVAL } else { COMPARE_INTERVAL };
             let message = ViewMessage::Compare { fingerprints: self.fingerprints() };
             actions.push(ViewAction::Send { to: *node, address: *address, message });
         }
--- a/crates/staircross/src/run_node.rs
+++ b/crates/staircross/src/run_node.rs
@@ -11,8 +11,8 @@
 use staircross_types::ZoneName;
 use std::time::Duration;
 
-/// Time between two checks whether a signal has arrived and whether a planned stop has ended.
-const DONE_CHECK_EVERY: Duration = Duration::from_millis(20);
+/// Time between two checks for a signal and for the end of a planned stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs `node`. SIGTERM or SIGINT begins a planned stop.
 pub fn run(command: &flags::Node) -> Result<CommandOutcome, String> {
@@ -25,7 +25,7 @@
             // A second signal changes nothing: requests in flight still finish.
             node.begin_stop();
         }
-        std::thread::sleep(DONE_CHECK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
     node.wait();
     Ok(CommandOutcome::Done)
