--- a/crates/staircross/src/query.rs
+++ b/crates/staircross/src/query.rs
@@ -108,7 +108,7 @@
         }
         ReplyBody::Listing(listing) => table::render(&listing.columns, &listing.rows),
         ReplyBody::Refusal(refusal) => {
-            let retry_hint = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; come back in {delay} ms"));
+            let retry_hint = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; retry after {delay} ms"));
             let executed = format!("{:?}", refusal.executed).to_lowercase();
             format!("refused: {}: {} (ran: {executed}{retry_hint})\n", refusal.error, refusal.detail)
         }
