--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -5,7 +5,7 @@
 //! that ended within a response, is never used again. No request is sent twice.
 
 use crate::framing::{BodyDecoder, Framing};
-use crate::head::{HeadError, ResponseHead};
+use crate::head::{MessageError, ResponseHead};
 
 /// Maximum length of a response's head, in bytes.
 const MAX_RESPONSE_HEAD: usize = 64 * 1024;
@@ -173,7 +173,7 @@
         };
         let used = match pending.decoder.decode(&self.input, &mut pending.body) {
             Ok(used) => used,
-            Err(HeadError::BodyTooLong) => return ClientProgress::Broken(ClientFault::TooLong),
+            Err(MessageError::BodyTooLong) => return ClientProgress::Broken(ClientFault::TooLong),
             Err(_) => return ClientProgress::Broken(ClientFault::Malformed),
         };
         self.consume(used);
--- a/crates/staircross-http/src/framing.rs
+++ b/crates/staircross-http/src/framing.rs
@@ -1,6 +1,6 @@
 //! How the end of a message body is found, and decoding of bodies.
 
-use crate::head::{HeadError, RequestHead, ResponseHead};
+use crate::head::{MessageError, RequestHead, ResponseHead};
 use crate::headers::HeaderBlock;
 
 /// Maximum length of a chunk-size line or a trailer line, in bytes.
@@ -22,12 +22,12 @@
 impl Framing {
     /// Determines the framing of a request's body. Framing that two parsers could interpret differently is refused,
     /// because it would allow request smuggling.
-    pub fn of_request(head: &RequestHead) -> Result<Framing, HeadError> {
+    pub fn of_request(head: &RequestHead) -> Result<Framing, MessageError> {
         let has_encoding = head.headers.first("transfer-encoding").is_some();
         let length = content_length(&head.headers)?;
         if has_encoding {
             if length.is_some() || head.minor_version == 0 || !is_exactly_chunked(&head.headers) {
-                return Err(HeadError::AmbiguousFraming);
+                return Err(MessageError::AmbiguousFraming);
             }
             return Ok(Framing::Chunked);
         }
@@ -38,14 +38,14 @@
     }
 
     /// Determines the framing of the body of a response to a request with `method`.
-    pub fn of_response(head: &ResponseHead, method: &str) -> Result<Framing, HeadError> {
+    pub fn of_response(head: &ResponseHead, method: &str) -> Result<Framing, MessageError> {
         let is_bodiless = method == "HEAD" || head.status < 200 || head.status == 204 || head.status == 304;
         if is_bodiless {
             return Ok(Framing::Empty);
         }
         if head.headers.first("transfer-encoding").is_some() {
             if !is_exactly_chunked(&head.headers) {
-                return Err(HeadError::AmbiguousFraming);
+                return Err(MessageError::AmbiguousFraming);
             }
             return Ok(Framing::Chunked);
         }
@@ -65,17 +65,17 @@
 
 /// Returns the length that all `Content-Length` fields state, or `None` if there is no such field. Fields that state
 /// different lengths are an error.
-fn content_length(headers: &HeaderBlock) -> Result<Option<u64>, HeadError> {
+fn content_length(headers: &HeaderBlock) -> Result<Option<u64>, MessageError> {
     let mut length = None;
     for value in headers.values("content-length") {
         let text = value.trim_ascii();
         let is_number = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
         let number = std::str::from_utf8(text).ok().filter(|_| is_number).and_then(|text| text.parse::<u64>().ok());
         let Some(number) = number else {
-            return Err(HeadError::AmbiguousFraming);
+            return Err(MessageError::AmbiguousFraming);
         };
         if length.is_some_and(|known| known != number) {
-            return Err(HeadError::AmbiguousFraming);
+            return Err(MessageError::AmbiguousFraming);
         }
         length = Some(number);
     }
@@ -103,10 +103,10 @@
 
 impl BodyDecoder {
     /// Creates a decoder for `framing` that refuses bodies longer than `max_length` bytes.
-    pub fn new(framing: Framing, max_length: usize) -> Result<Self, HeadError> {
+    pub fn new(framing: Framing, max_length: usize) -> Result<Self, MessageError> {
         let state = match framing {
             Framing::Empty => DecoderState::Done,
-            Framing::Length(length) if length > max_length as u64 => return Err(HeadError::BodyTooLong),
+            Framing::Length(length) if length > max_length as u64 => return Err(MessageError::BodyTooLong),
             Framing::Length(length) => DecoderState::Remaining(length),
             Framing::Chunked => DecoderState::ChunkSize,
             Framing::UntilClose => DecoderState::UntilClose,
@@ -125,7 +125,7 @@
     }
 
     /// Decodes `input` and appends the result to `body`. Returns the number of bytes of `input` that were used.
-    pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
+    pub fn decode(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<usize, MessageError> {
         let mut used = 0;
         while !self.is_done() {
             let rest = &input[used..];
@@ -139,7 +139,7 @@
     }
 
     /// Decodes one element of the framing and returns its length; zero means that more input is needed.
-    fn decode_step(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<usize, HeadError> {
+    fn decode_step(&mut self, rest: &[u8], body: &mut Vec<u8>) -> Result<usize, MessageError> {
         match self.state {
             DecoderState::Done => Ok(0),
             DecoderState::Remaining(left) => {
@@ -161,42 +161,42 @@
         }
     }
 
-    fn copy_body(&self, rest: &[u8], max_count: u64, body: &mut Vec<u8>) -> Result<usize, HeadError> {
+    fn copy_body(&self, rest: &[u8], max_count: u64, body: &mut Vec<u8>) -> Result<usize, MessageError> {
         let count = (rest.len() as u64).min(max_count) as usize;
         if body.len() + count > self.max_length {
-            return Err(HeadError::BodyTooLong);
+            return Err(MessageError::BodyTooLong);
         }
         body.extend_from_slice(&rest[..count]);
         Ok(count)
     }
 
-    fn read_chunk_size(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_chunk_size(&mut self, rest: &[u8]) -> Result<usize, MessageError> {
         match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete((length, size))) => {
                 self.state = if size == 0 { DecoderState::Trailer } else { DecoderState::ChunkData(size) };
                 Ok(length)
             }
             Ok(httparse::Status::Partial) if rest.len() <= MAX_CHUNK_LINE => Ok(0),
-            Ok(httparse::Status::Partial) => Err(HeadError::TooLong),
-            Err(_) => Err(HeadError::Malformed),
+            Ok(httparse::Status::Partial) => Err(MessageError::TooLong),
+            Err(_) => Err(MessageError::Malformed),
         }
     }
 
-    fn read_chunk_end(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_chunk_end(&mut self, rest: &[u8]) -> Result<usize, MessageError> {
         if rest.len() < 2 {
             return Ok(0);
         }
         if &rest[..2] != b"\r\n" {
-            return Err(HeadError::Malformed);
+            return Err(MessageError::Malformed);
         }
         self.state = DecoderState::ChunkSize;
         Ok(2)
     }
 
     /// Reads one trailer line and drops it, because trailers aren't forwarded.
-    fn read_trailer_line(&mut self, rest: &[u8]) -> Result<usize, HeadError> {
+    fn read_trailer_line(&mut self, rest: &[u8]) -> Result<usize, MessageError> {
         let Some(end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
-            return if rest.len() > MAX_CHUNK_LINE { Err(HeadError::TooLong) } else { Ok(0) };
+            return if rest.len() > MAX_CHUNK_LINE { Err(MessageError::TooLong) } else { Ok(0) };
         };
         if end == 0 {
             self.state = DecoderState::Done;
--- a/crates/staircross-http/src/head.rs
+++ b/crates/staircross-http/src/head.rs
@@ -9,7 +9,7 @@
 quick_error! {
     /// Why a message is refused.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum HeadError {
+    pub enum MessageError {
         /// The bytes are no HTTP/1.0 or HTTP/1.1 message.
         Malformed {
             display("the bytes are no HTTP/1.1 message")
@@ -54,14 +54,14 @@
 }
 
 /// A parsed head and its length in bytes, or `None` while the head is incomplete.
-pub type Parsed<T> = Result<Option<(T, usize)>, HeadError>;
+pub type Parsed<T> = Result<Option<(T, usize)>, MessageError>;
 
 impl RequestHead {
     /// Parses a head at the start of `bytes`.
     pub fn parse(bytes: &[u8]) -> Parsed<RequestHead> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
-        let length = match request.parse(bytes).map_err(to_head_error)? {
+        let length = match request.parse(bytes).map_err(to_message_error)? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(length) => length,
         };
@@ -93,7 +93,7 @@
     pub fn parse(bytes: &[u8]) -> Parsed<ResponseHead> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
-        let length = match response.parse(bytes).map_err(to_head_error)? {
+        let length = match response.parse(bytes).map_err(to_message_error)? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(length) => length,
         };
@@ -111,9 +111,9 @@
     }
 }
 
-fn to_head_error(error: httparse::Error) -> HeadError {
+fn to_message_error(error: httparse::Error) -> MessageError {
     match error {
-        httparse::Error::TooManyHeaders => HeadError::TooLong,
-        _ => HeadError::Malformed,
+        httparse::Error::TooManyHeaders => MessageError::TooLong,
+        _ => MessageError::Malformed,
     }
 }
--- a/crates/staircross-http/src/lib.rs
+++ b/crates/staircross-http/src/lib.rs
@@ -22,6 +22,6 @@
 
 pub use client::{Answer, ClientConnection, ClientFault, ClientProgress};
 pub use framing::{BodyDecoder, Framing};
-pub use head::{HeadError, RequestHead, ResponseHead};
+pub use head::{MessageError, RequestHead, ResponseHead};
 pub use headers::HeaderBlock;
 pub use server::{Request, ServerConnection, ServerFault, ServerLimits, ServerProgress};
--- a/crates/staircross-http/src/server.rs
+++ b/crates/staircross-http/src/server.rs
@@ -4,7 +4,7 @@
 //! so that no response is ever written without an outstanding request.
 
 use crate::framing::{BodyDecoder, Framing};
-use crate::head::{HeadError, RequestHead};
+use crate::head::{MessageError, RequestHead};
 
 /// Limits on the size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
             Ok(Some(parsed)) => parsed,
             Ok(None) if self.input.len() > limits.head_bytes => return Err(ServerFault::HeadTooLong),
             Ok(None) => return Ok(false),
-            Err(HeadError::TooLong) => return Err(ServerFault::HeadTooLong),
+            Err(MessageError::TooLong) => return Err(ServerFault::HeadTooLong),
             Err(_) => return Err(ServerFault::BadRequest),
         };
         if length > limits.head_bytes {
@@ -119,7 +119,7 @@
         };
         let used = match pending.decoder.decode(&self.input, &mut pending.body) {
             Ok(used) => used,
-            Err(HeadError::BodyTooLong) => return ServerProgress::Fault(ServerFault::BodyTooLong),
+            Err(MessageError::BodyTooLong) => return ServerProgress::Fault(ServerFault::BodyTooLong),
             Err(_) => return ServerProgress::Fault(ServerFault::BadRequest),
         };
         self.consume(used);
