--- a/crates/staircross-cluster/src/membership/message.rs
+++ b/crates/staircross-cluster/src/membership/message.rs
@@ -17,11 +17,11 @@
     /// Time after which an unanswered probe has failed and its target becomes suspect.
     pub probe_timeout: Duration,
     /// Time that a suspect has to refute the suspicion before it is declared dead.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Gap between two ticks above which this process is assumed to have been paused.
     pub pause_gap: Duration,
     /// Number of members (helpers) that are asked to probe a member that hasn't answered.
-    pub helpers: usize,
+    pub helper_count: usize,
     /// Maximum number of updates piggybacked on one message.
     pub updates_per_message: usize,
     /// Number of times that this node sends each update to local members.
@@ -43,9 +43,9 @@
             probe_timeout: Duration::from_millis(600),
             // A node that pauses for one second must never be declared dead. The probe timeout and this time together
             // are well above one second.
-            suspicion: Duration::from_millis(2500),
+            suspicion_timeout: Duration::from_millis(2500),
             pause_gap: Duration::from_millis(400),
-            helpers: 3,
+            helper_count: 3,
             updates_per_message: 6,
             retransmits: Retransmits { per_doubling: 4, additional: 4 },
             asks_one_seed: false,
--- a/crates/staircross-cluster/src/membership/probing.rs
+++ b/crates/staircross-cluster/src/membership/probing.rs
@@ -123,7 +123,7 @@
             .filter(|member| member.node != target)
             .map(|member| (member.node, member.peer_address))
             .collect();
-        for (node, address) in candidates.choose_multiple(random, self.settings.helpers) {
+        for (node, address) in candidates.choose_multiple(random, self.settings.helper_count) {
             let message = MembershipMessage::ProbeFor { number, target, target_address };
             actions.push(MembershipAction::Send { to: Some(*node), address: *address, message });
         }
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -62,7 +62,7 @@
 
     /// Declares the suspects dead that didn't refute in time.
     pub(super) fn expire_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
-        let first_hand_timeout = self.settings.suspicion;
+        let first_hand_timeout = self.settings.suspicion_timeout;
         let is_expired = |suspicion: &Suspicion| {
             let timeout = if suspicion.is_first_hand { first_hand_timeout } else { first_hand_timeout * 2 };
             now.since(suspicion.since) >= timeout
