--- a/crates/staircross-cluster/src/published.rs
+++ b/crates/staircross-cluster/src/document_relay.rs
@@ -2,7 +2,7 @@
 //!
 //! The platform alone decides which document is in force. A node adopts a newer document from the platform or any
 //! peer, and never an older one. Each node announces the revision that it holds to a few peers; a peer with a newer
-//! revision answers with its document. So a node that can't read the platform still gets its documents from peers.
+//! revision answers with its document. So a node that can't reach the platform still receives its documents from peers.
 
 use crate::member::Member;
 use rand::seq::IndexedRandom;
@@ -16,15 +16,16 @@
 use std::time::Duration;
 
 /// Time between announcements of the revision held.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
-/// Number of members that a periodic announcement goes to.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of members that receive a periodic announcement.
 const ANNOUNCE_FANOUT: usize = 2;
-/// Number of members that the announcement of a new document goes to; it is sent without waiting for the next period.
+/// Number of members that receive the announcement of a new document, which is sent without waiting for the next
+/// period.
 const NEW_DOCUMENT_FANOUT: usize = 6;
 
 /// Messages about the platform's document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PublishedMessage {
+pub enum DocumentMessage {
     /// Announces the revision that the sender holds; 0 when it holds none.
     #[serde(rename = "h")]
     Holds {
@@ -39,18 +40,18 @@
 
 /// A message to be sent to a peer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PublishedSend {
+pub struct DocumentSend {
     /// Incarnation of the receiver.
     pub to: NodeId,
     /// Peer address of the receiver.
     pub address: SocketAddr,
     /// The message itself.
-    pub message: PublishedMessage,
+    pub message: DocumentMessage,
 }
 
 /// The newest valid document that this node has received, and the revisions that peers hold.
 #[derive(Debug, Default)]
-pub struct Published {
+pub struct DocumentRelay {
     held: Option<Arc<PlatformDocument>>,
     /// Revisions that peers last announced.
     peer_revisions: BTreeMap<NodeId, u64>,
@@ -59,23 +60,23 @@
     next_announcement: BootTime,
 }
 
-impl Published {
+impl DocumentRelay {
     /// Creates the state of a node that holds no document yet.
     pub fn new() -> Self {
-        Published::default()
+        DocumentRelay::default()
     }
 
-    /// The document that this node holds.
+    /// Returns the document that this node holds.
     pub fn document(&self) -> Option<&Arc<PlatformDocument>> {
         self.held.as_ref()
     }
 
-    /// Revision of the document that this node holds; 0 when it holds none.
+    /// Returns the revision of the document that this node holds; 0 when it holds none.
     pub fn revision(&self) -> u64 {
         self.held.as_ref().map_or(0, |document| document.revision)
     }
 
-    /// Revision that a peer last announced.
+    /// Returns the revision that a peer last announced.
     pub fn revision_of(&self, node: NodeId) -> Option<u64> {
         self.peer_revisions.get(&node).copied()
     }
@@ -96,45 +97,45 @@
         &mut self,
         from: NodeId,
         address: SocketAddr,
-        message: PublishedMessage,
-        out: &mut Vec<PublishedSend>,
+        message: DocumentMessage,
+        out: &mut Vec<DocumentSend>,
     ) -> bool {
         match message {
-            PublishedMessage::Holds { revision } => {
+            DocumentMessage::Holds { revision } => {
                 self.peer_revisions.insert(from, revision);
-                out.extend(self.answer_announcement(revision).map(|message| PublishedSend {
+                out.extend(self.answer_announcement(revision).map(|message| DocumentSend {
                     to: from,
                     address,
                     message,
                 }));
                 false
             }
-            PublishedMessage::Document(document) => self.adopt(document),
+            DocumentMessage::Document(document) => self.adopt(document),
         }
     }
 
     /// Answers an announcement: a peer with an older revision gets the document; a peer with a newer one gets this
     /// node's own announcement, which it answers with its document.
-    fn answer_announcement(&self, peer_revision: u64) -> Option<PublishedMessage> {
+    fn answer_announcement(&self, peer_revision: u64) -> Option<DocumentMessage> {
         let own_revision = self.revision();
         match &self.held {
-            Some(document) if peer_revision < own_revision => Some(PublishedMessage::Document(document.clone())),
-            _ if peer_revision > own_revision => Some(PublishedMessage::Holds { revision: own_revision }),
+            Some(document) if peer_revision < own_revision => Some(DocumentMessage::Document(document.clone())),
+            _ if peer_revision > own_revision => Some(DocumentMessage::Holds { revision: own_revision }),
             _ => None,
         }
     }
 
     /// Announces the revision held to random members when that is due, or at once after a new document was adopted.
-    pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<PublishedSend>) {
+    pub fn on_tick(&mut self, now: BootTime, others: &[&Member], rng: &mut ChaCha8Rng, out: &mut Vec<DocumentSend>) {
         if now < self.next_announcement && !self.has_unannounced_document {
             return;
         }
         let count = if self.has_unannounced_document { NEW_DOCUMENT_FANOUT } else { ANNOUNCE_FANOUT };
         self.has_unannounced_document = false;
-        self.next_announcement = now + ANNOUNCE_EVERY;
+        self.next_announcement = now + ANNOUNCEMENT_INTERVAL;
         self.peer_revisions.retain(|node, _| others.iter().any(|member| member.node == *node));
-        let message = PublishedMessage::Holds { revision: self.revision() };
-        out.extend(others.choose_multiple(rng, count).map(|member| PublishedSend {
+        let message = DocumentMessage::Holds { revision: self.revision() };
+        out.extend(others.choose_multiple(rng, count).map(|member| DocumentSend {
             to: member.node,
             address: member.peer_address,
             message: message.clone(),
--- a/crates/staircross-cluster/src/membership/suspicion.rs
+++ b/crates/staircross-cluster/src/membership/suspicion.rs
@@ -7,16 +7,16 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time between notifications to a suspect that it is suspected.
-const NOTIFY_SUSPECT_EVERY: Duration = Duration::from_millis(400);
+/// Time between the notifications by which this node informs a suspect that it is suspected.
+const SUSPECT_NOTIFICATION_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between probes that this node sends to dead members.
-const PROBE_DEAD_EVERY: Duration = Duration::from_secs(2);
+const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// State of the suspicion of one member.
 pub(super) struct Suspicion {
     pub(super) since: BootTime,
-    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits
-    /// twice as long, so that a refutation that reached the suspecting node can reach it too.
+    /// Whether this node's own probe was unanswered. A node that knows the suspicion only from gossip waits twice as
+    /// long before it declares the member dead, so that a refutation that reached the suspecting node can reach it too.
     pub(super) is_first_hand: bool,
     pub(super) next_notification: BootTime,
 }
@@ -40,7 +40,7 @@
         let mut due = Vec::new();
         for (node, suspicion) in &mut self.suspicions {
             if suspicion.is_first_hand && now >= suspicion.next_notification {
-                suspicion.next_notification = now + NOTIFY_SUSPECT_EVERY;
+                suspicion.next_notification = now + SUSPECT_NOTIFICATION_INTERVAL;
                 due.push(*node);
             }
         }
@@ -62,7 +62,7 @@
 
     /// Declares the suspects dead that didn't refute in time.
     pub(super) fn expire_suspects(&mut self, now: BootTime, actions: &mut Vec<MembershipAction>) {
-        let first_hand_timeout = self.settings.suspicion;
+        let first_hand_timeout = self.settings.suspicion_timeout;
         let is_expired = |suspicion: &Suspicion| {
             let timeout = if suspicion.is_first_hand { first_hand_timeout } else { first_hand_timeout * 2 };
             now.since(suspicion.since) >= timeout
@@ -107,7 +107,7 @@
         if now < self.next_dead_probe {
             return;
         }
-        self.next_dead_probe = now + PROBE_DEAD_EVERY;
+        self.next_dead_probe = now + DEAD_PROBE_INTERVAL;
         let dead: Vec<Member> =
             self.members.values().filter(|member| member.state == MemberState::Dead).cloned().collect();
         if let Some(member) = dead.choose(random) {
--- a/crates/staircross-cluster/src/message.rs
+++ b/crates/staircross-cluster/src/message.rs
@@ -1,14 +1,14 @@
 //! Messages of the cluster protocol.
 
+use crate::document_relay::DocumentMessage;
 use crate::membership::MembershipMessage;
-use crate::published::PublishedMessage;
-use crate::replicas::SessionCopyMessage;
+use crate::session_copies::SessionCopyMessage;
 use crate::views::ViewMessage;
 use serde::{Deserialize, Serialize};
 use staircross_types::NodeId;
 use std::net::SocketAddr;
 
-/// A message of one of the parts of the cluster logic.
+/// A message of one of the modules of the cluster logic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClusterMessage {
     /// A message of the membership protocol.
@@ -16,12 +16,13 @@
     Membership(MembershipMessage),
     /// A message about the platform's document.
     #[serde(rename = "d")]
-    Published(PublishedMessage),
+    Document(DocumentMessage),
     /// A message about searcher views.
     #[serde(rename = "v")]
     Views(ViewMessage),
     /// A message about session copies.
-    Replica(SessionCopyMessage),
+    #[serde(rename = "Replica")]
+    SessionCopies(SessionCopyMessage),
 }
 
 /// A message with its sender and receiver.
@@ -33,7 +34,7 @@
     /// Address to which an answer is sent.
     #[serde(rename = "a")]
     pub from_address: SocketAddr,
-    /// Incarnation that the message is for; `None` for whichever listens at the address.
+    /// Incarnation that the message is for; `None` for the node that listens at the address, whichever it is.
     #[serde(rename = "t")]
     pub to: Option<NodeId>,
     /// Address of the receiver. It isn't encoded, because the receiver doesn't need it.
--- a/crates/staircross-gateway/src/fleet.rs
+++ b/crates/staircross-gateway/src/fleet.rs
@@ -323,12 +323,12 @@
 /// retransmits and one seed at a time save bandwidth on the link of the busiest node in fleets of hundreds of nodes.
 fn membership_settings() -> MembershipSettings {
     MembershipSettings {
-        probe_every: Duration::from_millis(200),
+        probe_interval: Duration::from_millis(200),
         direct_timeout: Duration::from_millis(100),
         probe_timeout: Duration::from_millis(250),
-        suspicion: Duration::from_millis(2500),
+        suspicion_timeout: Duration::from_millis(2500),
         pause_gap: Duration::from_millis(400),
-        helpers: 2,
+        helper_count: 2,
         updates_per_message: 5,
         retransmits: Retransmits { per_doubling: 1, additional: 3 },
         asks_one_seed: true,
--- a/crates/staircross-http/src/server.rs
+++ b/crates/staircross-http/src/server.rs
@@ -1,17 +1,17 @@
-//! The server's side of one connection: reads requests.
+//! The server's side of one connection. It reads requests.
 //!
 //! The next request is read only when the caller asks for it. The caller must have answered the previous one by then,
 //! so that no response is ever written without an outstanding request.
 
 use crate::framing::{BodyDecoder, Framing};
-use crate::head::{HeadError, RequestHead};
+use crate::head::{MessageError, RequestHead};
 
 /// Limits on the size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Longest head, in bytes.
+    /// Maximum length of the head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of the body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -68,7 +68,7 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Whether part of a request has arrived.
+    /// Returns whether part of a request has arrived that isn't complete yet.
     pub fn has_partial_request(&self) -> bool {
         !self.input.is_empty() || self.pending.is_some()
     }
@@ -93,7 +93,7 @@
             Ok(Some(parsed)) => parsed,
             Ok(None) if self.input.len() > limits.head_bytes => return Err(ServerFault::HeadTooLong),
             Ok(None) => return Ok(false),
-            Err(HeadError::TooLong) => return Err(ServerFault::HeadTooLong),
+            Err(MessageError::TooLong) => return Err(ServerFault::HeadTooLong),
             Err(_) => return Err(ServerFault::BadRequest),
         };
         if length > limits.head_bytes {
@@ -119,7 +119,7 @@
         };
         let used = match pending.decoder.decode(&self.input, &mut pending.body) {
             Ok(used) => used,
-            Err(HeadError::BodyTooLong) => return ServerProgress::Fault(ServerFault::BodyTooLong),
+            Err(MessageError::BodyTooLong) => return ServerProgress::Fault(ServerFault::BodyTooLong),
             Err(_) => return ServerProgress::Fault(ServerFault::BadRequest),
         };
         self.consume(used);
--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use std::io::{Read, Write};
 
-/// Longest frame body, in bytes.
+/// Maximum length of a frame's body, in bytes.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
 
 quick_error! {
@@ -26,7 +26,7 @@
             display("malformed frame: {reason}")
         }
         /// The peer isn't authenticated as a node of this cluster with the same protocol version.
-        Stranger { reason: &'static str } {
+        Unauthenticated { reason: &'static str } {
             display("unauthenticated peer: {reason}")
         }
     }
--- a/crates/staircross/src/query.rs
+++ b/crates/staircross/src/query.rs
@@ -64,7 +64,7 @@
     print_reply(&reply, json)
 }
 
-/// Appends a new ticket to an action that has none. A person who types an action wants it to run once.
+/// Appends a new ticket to an action that has none, because a person who types an action wants it to run once.
 fn add_ticket_if_missing(client: &NodeClient, session: SessionToken, statement: &str) -> Result<String, String> {
     let mut words = statement.split_whitespace();
     let is_run = words.next().is_some_and(|word| word.eq_ignore_ascii_case("RUN"));
@@ -108,7 +108,7 @@
         }
         ReplyBody::Listing(listing) => table::render(&listing.columns, &listing.rows),
         ReplyBody::Refusal(refusal) => {
-            let retry_hint = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; come back in {delay} ms"));
+            let retry_hint = refusal.retry_after_ms.map_or(String::new(), |delay| format!("; retry after {delay} ms"));
             let executed = format!("{:?}", refusal.executed).to_lowercase();
             format!("refused: {}: {} (ran: {executed}{retry_hint})\n", refusal.error, refusal.detail)
         }
