--- a/crates/staircross-wire/src/datagram.rs
+++ b/crates/staircross-wire/src/datagram.rs
@@ -35,7 +35,7 @@
     };
     let (body, digest) = datagram.split_at(split);
     if !key.verify(&[DATAGRAM_PURPOSE, body], digest) {
-        return Err(WireError::Unauthenticated { reason: "the digest doesn't match" });
+        return Err(WireError::Stranger { reason: "the digest doesn't match" });
     }
     decode(body)
 }
--- a/crates/staircross-wire/src/frame.rs
+++ b/crates/staircross-wire/src/frame.rs
@@ -26,7 +26,7 @@
             display("malformed frame: {reason}")
         }
         /// The peer isn't authenticated as a node of this cluster with the same protocol version.
-        Unauthenticated { reason: &'static str } {
+        Stranger { reason: &'static str } {
             display("unauthenticated peer: {reason}")
         }
     }
--- a/crates/staircross-wire/src/handshake.rs
+++ b/crates/staircross-wire/src/handshake.rs
@@ -88,7 +88,7 @@
     let own_nonce = nonce.to_be_bytes();
     let peer_nonce = challenge.nonce.to_be_bytes();
     if !key.verify(&[ACCEPTOR, &own_nonce, &peer_nonce, &node_bytes], &challenge.proof) {
-        return Err(WireError::Unauthenticated { reason: "the acceptor doesn't know the key" });
+        return Err(WireError::Stranger { reason: "the acceptor doesn't know the key" });
     }
     let proof = key.sign(&[CONNECTOR, &peer_nonce, &own_nonce, &node_bytes]);
     write_frame(stream, &Response { proof })?;
@@ -100,10 +100,10 @@
 pub fn accept(stream: &mut (impl Read + Write), key: &ClusterKey, nonce: u128) -> Result<NodeId, WireError> {
     let hello: Hello = read_frame(stream, MAX_HANDSHAKE)?;
     if hello.version != PROTOCOL_VERSION {
-        return Err(WireError::Unauthenticated { reason: "another protocol version" });
+        return Err(WireError::Stranger { reason: "another protocol version" });
     }
     if hello.cluster != key.cluster {
-        return Err(WireError::Unauthenticated { reason: "another cluster" });
+        return Err(WireError::Stranger { reason: "another cluster" });
     }
     let node_bytes = hello.node.0.to_be_bytes();
     let peer_nonce = hello.nonce.to_be_bytes();
@@ -113,7 +113,7 @@
     stream.flush()?;
     let response: Response = read_frame(stream, MAX_HANDSHAKE)?;
     if !key.verify(&[CONNECTOR, &own_nonce, &peer_nonce, &node_bytes], &response.proof) {
-        return Err(WireError::Unauthenticated { reason: "the connector doesn't know the key" });
+        return Err(WireError::Stranger { reason: "the connector doesn't know the key" });
     }
     Ok(hello.node)
 }
