--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -38,6 +38,7 @@
 }
 
 impl LineKind {
+    /// All kinds, in the order of their declaration, since `EventLog::rate_limits` is indexed by `kind as usize`.
     const ALL: [LineKind; 5] =
         [LineKind::NodeEvent, LineKind::Request, LineKind::Trace, LineKind::AnsweredTrace, LineKind::Drop];
 
--- a/crates/staircross-gateway/src/node/endpoints.rs
+++ b/crates/staircross-gateway/src/node/endpoints.rs
@@ -15,9 +15,9 @@
 use staircross_routing::{AcceptedConfiguration, PeerKnowledge};
 use staircross_wire::frame::encode;
 
-/// Maximum number of large answers to peers within a second. The narrowest links seen carry 14 Mbit/s. This limit was
-/// measured together with reading large configurations from the store: on days with a large configuration, answers with
-/// status 502 fell from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
+/// Maximum number of large answers to peers within a second. The narrowest links carry 14 Mbit/s. On days with a large
+/// configuration, this limit, together with the reading of large configurations from the store, reduces answers with
+/// status 502 from 3.5, 1.0 and 2.5 a day to 2.5, 0.5 and 1.5.
 const MAX_LARGE_ANSWERS: usize = 2;
 
 impl<D: Dialect> GatewayNode<D> {
--- a/crates/staircross-gateway/src/node/store_calls.rs
+++ b/crates/staircross-gateway/src/node/store_calls.rs
@@ -13,6 +13,7 @@
 use staircross_types::BootTime;
 use std::net::SocketAddr;
 
+/// Number of lanes, which is the length of the arrays that are indexed by lane.
 const LANE_COUNT: usize = Lane::ALL.len();
 
 /// Connections and pending calls to the store, by lane.
--- a/crates/staircross-gateway/src/pool/endings.rs
+++ b/crates/staircross-gateway/src/pool/endings.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// Time after which an idle connection is closed if its searcher recently reset a fresh one, since the connections that
-/// it rejects are needed more than idle ones. The timeout was measured on days with a power loss, with 10 and with 14
-/// connections per searcher and with expensive connections: the scores were 0.618, 0.670 and 0.697 without this
-/// timeout, and 0.615, 0.740 and 0.728 with it.
+/// it rejects are needed more than idle ones. On days with a power loss, with 10 connections per searcher, with 14, and
+/// with expensive connections, the scores are 0.618, 0.670 and 0.697 without this timeout, and 0.615, 0.740 and 0.728
+/// with it.
 const IDLE_TIMEOUT_AFTER_RESET: Duration = Duration::from_millis(300);
 /// Time after which an idle connection is closed if it isn't the most recently used one to its searcher. A searcher
 /// continues to count the connections of a machine that lost power, so connections that nobody needs take room from the
-/// machines that replace it. The timeout was measured after a loss of all machines, with 10, 14 and 20 connections per
-/// searcher: the scores were 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
+/// machines that replace it. After a loss of all machines, with 10, 14 and 20 connections per searcher, the scores are
+/// 0.34, 0.64 and 0.79 with a timeout of 30 s, and 0.48, 0.79 and 0.89 with this one.
 const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time after which connecting is given up if no attempt needs the connection any more. It is longer than any round
 /// trip.
--- a/crates/staircross-gateway/src/pool/establish.rs
+++ b/crates/staircross-gateway/src/pool/establish.rs
@@ -13,9 +13,9 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Time for which a fresh connection is proved, in addition to the time that it took to connect. This margin was
-/// measured on days with a power loss: on one, it reduced the number of answers with status 502 from 119 to 0; on
-/// another, 70 remained, also with 8 ms instead.
+/// Time for which a fresh connection is proved, in addition to the time that it took to connect. On one day with a
+/// power loss, this margin reduces the number of answers with status 502 from 119 to 0; on another such day, 70 remain,
+/// with this margin as with 8 ms.
 const PROVING_MARGIN: Duration = Duration::from_millis(3);
 /// Maximum time for which a fresh connection is proved, so that after a slow connect the request is delayed no more
 /// than by a slow searcher.
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -3,7 +3,7 @@
 //! From the operator's bound ([`QuotaBound`]) and a tenant's quota (requests per second, and burst in requests) this
 //! module computes what an owner grants, how long reports may be delayed, and what nodes may admit without an owner.
 //! The permitted excess of a window is divided among these uses; their fractions needn't add up to 1, because not all
-//! of them occur at once. The measurements are in docs/design/fleet-allowance.md.
+//! of them occur at once. docs/design/fleet-allowance.md has the figures.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::Quota;
--- a/crates/staircross-quota/src/lib.rs
+++ b/crates/staircross-quota/src/lib.rs
@@ -18,7 +18,7 @@
 //! | [`tenant`] | the state of one tenant at one node, and the decision about each of its requests |
 //! | [`rate_limiter`] | [`FleetRateLimiter`], the entry point, which combines the other modules |
 //!
-//! The design and its measurements are in `docs/design/fleet-allowance.md`.
+//! `docs/design/fleet-allowance.md` describes the design and its figures.
 
 pub mod bound;
 mod bucket;
--- a/crates/staircross-routing/src/decision/admission.rs
+++ b/crates/staircross-routing/src/decision/admission.rs
@@ -9,9 +9,9 @@
 //! below the group's most urgent one. Each node uses only its own requests.
 //!
 //! The rule protects callers and back ends. When more is offered than searchers can process, every request waits until
-//! its goal has passed, and all work is wasted. Measured on two days of overload with two slots a searcher instead of
-//! five, the score for answers in time (docs/studies/scores.md) was 0.532 and 0.310 without the rule and 0.665 and
-//! 0.513 with it (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots, the rule has no effect
+//! its goal has passed, and all work is wasted. On two days of overload with two slots a searcher instead of five, the
+//! score for answers in time (docs/studies/scores.md) is 0.532 and 0.310 without the rule, and 0.665 and 0.513 with it
+//! (docs/MEASUREMENTS.md, "Overload"). Where searchers have enough slots, the rule has no effect
 //! (docs/studies/switches.md).
 //!
 //! The rule doesn't know what other nodes measure, how many slots are free, or why requests wait: a saturated link
--- a/crates/staircross-routing/src/decision/admission/wait.rs
+++ b/crates/staircross-routing/src/decision/admission/wait.rs
@@ -15,7 +15,7 @@
 /// Quantile of the waits at one service, which decides about hedges.
 const SERVICE_QUANTILE: f64 = 0.25;
 /// Number of samples needed for the wait at one service. It gives an early signal from few requests. It is too low for
-/// admission: with it, the noisiest of 36 to 54 shards looked overloaded (docs/FINDINGS.md).
+/// admission: with it, the noisiest of 36 to 54 shards looks overloaded (docs/FINDINGS.md).
 const SERVICE_SAMPLES: usize = 5;
 /// Minimum time over which waits at one service are collected, for an early signal.
 const SERVICE_WINDOW: Duration = Duration::from_millis(200);
--- a/crates/staircross-routing/src/decision/cold.rs
+++ b/crates/staircross-routing/src/decision/cold.rs
@@ -10,7 +10,7 @@
 //!
 //! The rule protects searchers: a cold one can take a few requests a second from all nodes together, and crashes well
 //! above that rate. This is guaranteed to back ends, so it can't be turned off. Without a configured rate for the
-//! service, nothing is limited. The cost of the rule wasn't measured separately.
+//! service, nothing is limited.
 //!
 //! The rule doesn't know what other nodes have sent. A node that is cut off divides by the largest fleet that it has
 //! seen lately, so the sum stays below the limit.
--- a/crates/staircross-routing/src/decision/extra_budget.rs
+++ b/crates/staircross-routing/src/decision/extra_budget.rs
@@ -11,12 +11,12 @@
 //!
 //! The rule protects back ends from amplified load while they are slow. Each node spends a fraction of its own requests
 //! and its share of the slack, so that the sum stays below the limit whichever nodes are cut off from each other. It
-//! makes some answers late, but costs hardly any: on one day with slow searchers, 2,277 hedges and 266 retries were
-//! refused, nearly all within nine seconds, and of seven requests that ended as `back_ends_failed` one was over budget
-//! (`docs/design/extra-sends.md`).
+//! makes some answers late, but hardly any request fails because of it: on a day with slow searchers, 2,277 hedges and
+//! 266 retries are refused, nearly all within nine seconds, and of seven requests that end as `back_ends_failed` one is
+//! over budget (`docs/design/extra-sends.md`).
 //!
 //! The rule doesn't know what other nodes spend, so most of their budget may be unused; which retry matters most, so
-//! they are served in order of arrival (a reserve for retries lowered the mean score of a day's requests, 0 to 1, by
+//! they are served in order of arrival (a reserve for retries lowers the mean score of a day's requests, 0 to 1, by
 //! 0.003; `docs/studies/scores.md` defines scores); or what the previous process on this machine spent.
 //!
 //! The log shows the rule as `unsent reason=… cause=over_budget`; the metrics are `attempts_over_budget_total`,
@@ -39,7 +39,7 @@
 
 /// Fraction of the slack that is used. A process that starts doesn't know what the previous one spent, so up to twice
 /// as much may be spent in one window: any fraction above 0.5 exceeds the limit when all nodes are restarted at once.
-/// With 0.7, the mean score of a day was higher by 0.001, which is within the differences between seeds
+/// With 0.7, the mean score of a day's requests is higher by 0.001, which is within its variation between random seeds
 /// (`docs/design/extra-sends.md`).
 const USABLE_SLACK_FRACTION: f64 = 0.4;
 
--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -8,11 +8,10 @@
 //! The inputs are the level (a fraction, 0 to 1) and each tenant's recent requests at this node, which are counted here
 //! with a half-life of 7 s.
 //!
-//! The rule protects tenants that send few requests from one that sends many, which random refusal doesn't do. This was
-//! measured as the fraction served in time, with one tenant of 78 sending 7.5 times as much as each other one, 71
-//! nodes, and offered load of twice the capacity: the other tenants got 0.486, against 0.476 with random refusal; the
-//! one tenant got 0.366, against 0.475 (docs/design/fair-shares.md, which also covers weights by quota and other
-//! floors).
+//! The rule protects tenants that send few requests from one that sends many, which random refusal doesn't do. With one
+//! tenant of 78 sending 7.5 times as much as each other one, 71 nodes, and an offered load of twice the capacity, the
+//! fraction of requests served in time is 0.486 for the other tenants, against 0.476 with random refusal, and 0.366 for
+//! the one tenant, against 0.475 (docs/design/fair-shares.md, which also covers weights by quota and other floors).
 //!
 //! The rule doesn't know other nodes' counts, and sends nothing to learn them. A node sees only a few requests of a
 //! tenant within the half-life, so the shares at one node are wrong for a moment, but right over all nodes and over
@@ -35,10 +34,10 @@
 /// bounds memory to some 20 KB by calculation, and exceeds the number of tenants that a node hears from within the
 /// half-life.
 const MAX_TENANTS: usize = 256;
-/// Smallest fraction of the level at which a tenant's requests are admitted. The fraction was measured for 0, 0.5, 0.75
-/// and 1 (random refusal alone): 0.75 is the greatest at which other tenants are still served better than by random
-/// refusal, and the only one of the first three at which the worst tenth of tenants gets within 0.05 of all tenants in
-/// each tried case (docs/design/fair-shares.md).
+/// Smallest fraction of the level at which a tenant's requests are admitted. Of the floors 0, 0.5, 0.75 and 1 (random
+/// refusal alone), 0.75 is the greatest with which other tenants are still served better than by random refusal, and
+/// the only one of the first three with which the fraction served of the worst tenth of tenants is within 0.05 of that
+/// of all tenants in each case (docs/design/fair-shares.md).
 pub const TENANT_FLOOR: f64 = 0.75;
 /// Change of the target fraction for each owed request. What is owed is thus made up for within some ten requests.
 const OWED_GAIN: f64 = 0.1;
--- a/crates/staircross-routing/src/decision/goal.rs
+++ b/crates/staircross-routing/src/decision/goal.rs
@@ -10,10 +10,10 @@
 //! request waited to be read.
 //!
 //! The rule gives distant callers answers in time. A caller's clock runs from before it asks the directory until it has
-//! read the answer, so distant callers must be answered earlier. The mean score of a day's requests (0 to 1,
-//! `docs/studies/scores.md`), compared with 22 ms reserved for every caller, changed by +0.0184 ± 0.0025 on a fleet
-//! whose callers are 3 ms away and by +0.0004 ± 0.0016 where they are 1 ms away (`docs/studies/policy-rounds.md`).
-//! Compared with no regard to distance, it changed by +0.0017 to +0.0216 on four fleets (`docs/studies/switches.md`).
+//! read the answer, so distant callers must be answered earlier. Compared with 22 ms reserved for every caller, the
+//! mean score of a day's requests (0 to 1, `docs/studies/scores.md`) changes by +0.0184 ± 0.0025 on a fleet whose
+//! callers are 3 ms away and by +0.0004 ± 0.0016 where they are 1 ms away (`docs/studies/policy-rounds.md`). Compared
+//! with ignoring the distance of callers, it changes by +0.0017 to +0.0216 on four fleets (`docs/studies/switches.md`).
 //!
 //! The rule doesn't know whether the caller had to ask the directory this time, how long the caller takes to read the
 //! answer, or the round trip if the system doesn't report it.
@@ -32,17 +32,18 @@
 const NEW_CONNECTION_ROUND_TRIPS: f64 = 4.0;
 
 /// Round trips that a request on a kept connection takes. Callers cache an answer of the directory for about a second,
-/// so most have asked it anew. With 1, 3 and 4 round trips plus 10 ms, the mean score of a day on a fleet whose callers
-/// are 3 ms away changed by +0.0007, +0.0184 and +0.0159.
+/// so most have asked it anew. On a fleet whose callers are 3 ms away, the mean score of a day's requests changes by
+/// +0.0007 with 1 round trip, by +0.0184 with 3 and by +0.0159 with 4, each plus 10 ms ([`SCHEDULING_TIME`]), compared
+/// with 22 ms for every caller.
 const KEPT_CONNECTION_ROUND_TRIPS: f64 = 3.0;
 
-/// Additional time for the scheduling of the processes on both sides. With 6 and 10 ms plus four round trips, the mean
-/// score of a day on a fleet whose callers are 1 ms away changed by -0.0009 and +0.0004.
+/// Additional time for the scheduling of the processes on both sides. On a fleet whose callers are 1 ms away, the mean
+/// score of a day's requests changes by -0.0009 with 6 ms and by +0.0004 with 10 ms, each plus four round trips.
 const SCHEDULING_TIME: Duration = Duration::from_millis(10);
 
 /// Time that callers are assumed to spend if the system doesn't report their distance. Compared with 22 ms for all
-/// callers, the mean score of a day changed with 16 ms by -0.0072, and with 30 ms by -0.0019 ± 0.0014 where callers are
-/// 1 ms away and by +0.0146 ± 0.0019 where they are 3 ms away.
+/// callers, the mean score of a day's requests changes by -0.0072 with 16 ms. With 30 ms, it changes by
+/// -0.0019 ± 0.0014 where callers are 1 ms away and by +0.0146 ± 0.0019 where they are 3 ms away.
 const DEFAULT_CALLER_TIME: Duration = Duration::from_millis(22);
 
 /// Largest fraction of the goal that is reserved for the caller's side. Distant callers thus leave this node at least
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -11,10 +11,10 @@
 //! permit it ([`super::extra_budget`]).
 //!
 //! Hedges give answers in time when one searcher is slow or has ended, at the cost of extra sends. Without hedges, the
-//! mean score of a day's requests (0 to 1, `docs/studies/scores.md`) was lower by 0.017 to 0.066 on four fleets
-//! (`docs/studies/switches.md`). Choosing the time by the budget and using the slowness that hosts report raised it by
-//! 0.0061 ± 0.0014, of which 0.0022 come from the reported slowness (`docs/design/extra-sends.md`). Requests of a route
-//! that isn't idempotent are never hedged: at most one searcher runs each.
+//! mean score of a day's requests (0 to 1, `docs/studies/scores.md`) is lower by 0.017 to 0.066 on four fleets
+//! (`docs/studies/switches.md`). A time that depends on the budget, together with the slowness that hosts report,
+//! raises the score by 0.0061 ± 0.0014, of which 0.0022 come from the reported slowness (`docs/design/extra-sends.md`).
+//! Requests of a route that isn't idempotent are never hedged: at most one searcher runs each.
 //!
 //! The rule doesn't know why an attempt is late, whether the other searcher (which placement chooses) will be faster,
 //! or what other nodes hedge at the same time; each node has its own share of the budget.
@@ -55,11 +55,11 @@
 }
 
 /// Delay factors in use. Budget that isn't spent within its window is lost, so hedges are sent earlier while the budget
-/// is full. A scarce budget is kept for attempts that are certainly late, and for retries of failed ones. The factors
-/// were measured as the change of the mean score of four days, against a factor of 1.0 without regard to the budget:
-/// 0.5 to 1.3 gave +0.0061 ± 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave
-/// +0.0050, 0.8 gave +0.0034 and 1.3 gave -0.0112. All figures include the use of reported host slowness, which
-/// accounts for 0.0022 of them (`docs/design/extra-sends.md`).
+/// is full. A scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Compared with
+/// a factor of 1.0 whatever is left of the budget, the mean score of the requests of four days changes by
+/// +0.0061 ± 0.0014 with factors of 0.5 to 1.3 and by +0.0042 ± 0.0023 with 0.4 to 1.0. With one factor whatever is
+/// left of the budget, it changes by +0.0050 with 0.65, by +0.0034 with 0.8 and by -0.0112 with 1.3. All figures
+/// include the use of reported host slowness, which accounts for 0.0022 of them (`docs/design/extra-sends.md`).
 const HEDGE_DELAY_FACTORS: HedgeDelayFactors = HedgeDelayFactors { full_budget: 0.5, spent_budget: 1.3 };
 
 /// Delay factor if hedges disregard the budget.
--- a/crates/staircross-routing/src/decision/placement.rs
+++ b/crates/staircross-routing/src/decision/placement.rs
@@ -10,11 +10,11 @@
 //! state of each [`Searcher`] (slowness and rejection rate as ratios, pending attempts, reported load), and the
 //! [`PlacementContext`] (the zones and the round trips to them, as times; the numbers of nodes).
 //!
-//! The rule shortens answer times and saves traffic between zones. Its settings change the mean score of a day's
-//! requests (0 to 1, docs/studies/scores.md), measured on four deployments (docs/studies/switches.md):
-//! `routing.near_first` by 0.003 to 0.009, `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to
-//! 0.008 and `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host` gives +0.0022 ± 0.0016, and
-//! `routing.avoid_rejecting` gives +0.198 ± 0.009 where most searchers reject many requests
+//! The rule shortens answer times and saves traffic between zones. On four deployments (docs/studies/switches.md), its
+//! settings change the mean score of a day's requests (0 to 1, docs/studies/scores.md): `routing.near_first` by 0.003
+//! to 0.009, `routing.avoid_slow` by 0.002 to 0.028, `routing.avoid_overdue` by 0.004 to 0.008 and
+//! `routing.connection_ramp` by 0.000 to 0.007. `routing.reported_host` raises it by 0.0022 ± 0.0016, and
+//! `routing.avoid_rejecting` by 0.198 ± 0.009 where most searchers reject many requests
 //! (docs/design/searcher-choice.md).
 //!
 //! The rule doesn't know what other nodes have sent or measured. It estimates the queue of a searcher in its own zone
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -10,21 +10,20 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Fraction of a searcher's connections that the nodes of its zone share. The fraction was measured together with
-/// [`OTHER_ZONE_SHARE`], as the change of the mean score of a day's requests (0 to 1, docs/studies/scores.md) against
-/// this pair: 0.9 and 0.9 gave -0.0136, 0.9 and 1.8 gave -0.0161, 0.3 and 0.3 gave -0.0057, and 0.2 and 0.2 gave
-/// -0.0067, each ± 0.0022.
+/// Fraction of a searcher's connections that the nodes of its zone share. Compared with 0.45 for both this share and
+/// [`OTHER_ZONE_SHARE`], the mean score of a day's requests (0 to 1, docs/studies/scores.md) is lower by 0.0136 with
+/// 0.9 and 0.9, by 0.0161 with 0.9 and 1.8, by 0.0057 with 0.3 and 0.3, and by 0.0067 with 0.2 and 0.2, each ± 0.0022.
 const OWN_ZONE_SHARE: f64 = 0.45;
-/// Fraction of a searcher's connections that the nodes of all other zones share. The fraction was measured together
-/// with [`OWN_ZONE_SHARE`].
+/// Fraction of a searcher's connections that the nodes of all other zones share. [`OWN_ZONE_SHARE`] compares other
+/// values of both shares.
 const OTHER_ZONE_SHARE: f64 = 0.45;
 /// Number of steps in which a restarted node comes to use its share. After a power loss at all nodes, searchers count
-/// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. The number was
-/// measured together with [`RAMP_STEP`]: the mean score of a day is higher by 0.0083 ± 0.0019 than without steps. Steps
-/// of one connection lowered it by 0.0136 on a deployment with shares of nine and more.
+/// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. With four steps of 1 s
+/// each ([`RAMP_STEP`]), the mean score of a day's requests is higher by 0.0083 ± 0.0019 than without steps. Steps of
+/// one connection lower it by 0.0136 on a deployment with shares of nine connections and more.
 const RAMP_STEPS: usize = 4;
-/// Length of each step. With steps of one connection, the mean score of a day changed as follows: 1 s gave +0.0070, 0.4
-/// s +0.0036, 2 s +0.0066 and 4 s +0.0062, each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
+/// Length of each step. With steps of one connection, the mean score of a day's requests changes by +0.0070 with 1 s,
+/// by +0.0036 with 0.4 s, by +0.0066 with 2 s and by +0.0062 with 4 s, each ± 0.002.
 const RAMP_STEP: Duration = Duration::from_secs(1);
 
 /// Returns the number of connections to a searcher that this node may hold now, at least one.
--- a/crates/staircross-routing/src/decision/placement/expected_time.rs
+++ b/crates/staircross-routing/src/decision/placement/expected_time.rs
@@ -75,9 +75,9 @@
 }
 
 /// Returns the route's latency goal times the probability of a rejection: the budget for extra sends may not pay for a
-/// retry, and then the shard's part is missing from the answer. Measured where most searchers reject many requests, the
-/// penalty raises the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.198 ± 0.009, against 0.083 ±
-/// 0.004 if only the time of a retry is added (docs/design/searcher-choice.md).
+/// retry, and then the shard's part is missing from the answer. Where most searchers reject many requests, the penalty
+/// raises the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.198 ± 0.009. If only the time of a
+/// retry were added, the score would rise by 0.083 ± 0.004 (docs/design/searcher-choice.md).
 fn rejection_penalty(now: BootTime, searcher: &Searcher, context: &PlacementContext, choice: &Choice<'_>) -> Duration {
     if !context.policy.avoid_rejecting {
         return Duration::ZERO;
--- a/crates/staircross-routing/src/decision/quarantine.rs
+++ b/crates/staircross-routing/src/decision/quarantine.rs
@@ -11,10 +11,10 @@
 //! answers, and records from peers ([`CaseRecord`]: the same data, with times as ages in milliseconds).
 //!
 //! The rule protects searchers. A connection that ends without an answer suggests that its searcher has ended, and any
-//! request that ran there may be the cause. The request that is the cause is never answered by any searcher. On a
-//! measured day with such an incident, 0.572 of all requests were served without the rule and 0.985 with it. On five
-//! standard days and 128 days with crashing searchers, no harmless content was quarantined and 47 harmless contents
-//! were suspect for a moment (docs/design/quarantine.md).
+//! request that ran there may be the cause. The request that is the cause is never answered by any searcher. On a day
+//! with such an incident, 0.572 of all requests are served without the rule and 0.985 with it. On five standard days
+//! and 128 days with crashing searchers, no harmless content is quarantined and 47 harmless contents are suspect for a
+//! moment (docs/design/quarantine.md).
 //!
 //! The rule doesn't know why a connection ended, nor what the searcher ran for other nodes at that time. Its state is
 //! lost when all nodes are lost. Copies of the first such request that arrive before any searcher has ended are sent to
--- a/crates/staircross-routing/src/decision/quarantine/case.rs
+++ b/crates/staircross-routing/src/decision/quarantine/case.rs
@@ -15,8 +15,8 @@
 /// connection is common and its retry shouldn't wait.
 const MIN_SUSPECT_LOSSES: usize = 2;
 /// Number of losses from which a content is sent to no searcher, if two of them are in sequence. It is one more than
-/// makes a content suspect. With both conditions, no harmless content was quarantined in 133 days
-/// (docs/design/quarantine.md).
+/// makes a content suspect. With both conditions, no harmless content is quarantined in 133 days, 128 of them with
+/// crashing searchers (docs/design/quarantine.md).
 const MIN_QUARANTINE_LOSSES: usize = 3;
 /// Time from the newest loss until a quarantined content is tried on one searcher again, since the fault may have been
 /// mended. If it hasn't been, the trial crashes one searcher an hour.
--- a/crates/staircross-routing/src/decision/request_lifecycle.rs
+++ b/crates/staircross-routing/src/decision/request_lifecycle.rs
@@ -14,10 +14,10 @@
 //! The rule protects callers against running a request twice: a caller that receives an error kind whose `executed` is
 //! "never" (`docs/ERRORS.md`) may send the request again. Such a kind is used only if nothing was sent, or if
 //! everything that was sent is known not to have run. The rule also gives callers partial answers in time instead of
-//! complete answers late, and refusals early enough to ask another node. Holding requests changed the mean score of a
-//! day's requests (0 to 1, `docs/studies/scores.md`) by +0.0028 ± 0.0017 on a fleet of nine nodes and by less than
-//! 0.0002 on two others (`docs/studies/switches.md`). `docs/design/rejections.md` compares the other choices with
-//! refusing and with waiting.
+//! complete answers late, and refusals early enough to ask another node. Holding requests instead of refusing them
+//! changes the mean score of a day's requests (0 to 1, `docs/studies/scores.md`) by +0.0028 ± 0.0017 on a fleet of nine
+//! nodes and by less than 0.0002 on two others (`docs/studies/switches.md`). `docs/design/rejections.md` compares the
+//! other choices with refusing and with waiting.
 //!
 //! The rule doesn't know what a missing shard would have contributed, whether a caller still wants a late answer, or
 //! whether another node could answer. The Retry-After header follows from the error kind
--- a/crates/staircross-routing/src/decision/retry.rs
+++ b/crates/staircross-routing/src/decision/retry.rs
@@ -11,11 +11,12 @@
 //! isn't, since nothing was sent.
 //!
 //! The rule ensures that a request that isn't idempotent is sent again only if it certainly didn't run: nothing was
-//! sent, or the searcher says that it didn't run it. Requests are thus answered although a searcher failed. Letting
-//! shards wait for a searcher without capacity and for the budget reduced the unserved requests of 10,000 from 63 to 40
-//! and from 164 to 63 on two fleets of 195 nodes; the mean score of a day's requests (0 to 1, `docs/studies/scores.md`)
-//! changed by -0.0006 ± 0.0017 and +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). All waiting together gave
-//! +0.0225 ± 0.0080 on a fleet of 67 nodes, and +0.0004 ± 0.0011 or less on three others (`docs/studies/switches.md`).
+//! sent, or the searcher says that it didn't run it. Requests are thus answered although a searcher failed. On two
+//! fleets of 195 nodes, letting shards wait for a searcher without capacity and for the budget reduces the unserved
+//! requests of 10,000 from 63 to 40 and from 164 to 63; the mean score of a day's requests (0 to 1,
+//! `docs/studies/scores.md`) changes by -0.0006 ± 0.0017 and +0.0073 ± 0.0050 (`docs/studies/policy-rounds.md`). All
+//! waiting together changes the score by +0.0225 ± 0.0080 on a fleet of 67 nodes, and by +0.0004 ± 0.0011 or less on
+//! three others (`docs/studies/switches.md`).
 //!
 //! The rule doesn't know whether a searcher that broke its connection ran the request, which counts as "may have run",
 //! nor whether a searcher that answers with a failure would succeed a moment later.
--- a/crates/staircross-routing/src/state/rejection.rs
+++ b/crates/staircross-routing/src/state/rejection.rs
@@ -3,7 +3,7 @@
 //! A searcher may reject most of its requests at once although its health checks pass and other searchers of its
 //! service have room. Each rejection costs a retry from a budget that all requests share. Remembering which searchers
 //! reject therefore lets more requests succeed than a pause of any length does: where 60 of 100 requests to two thirds
-//! of a service's searchers were rejected, failed requests fell from 9 in 100 to 1 in 1,000.
+//! of a service's searchers are rejected, failed requests fall from 9 in 100 to 1 in 1,000.
 
 use crate::state::decay::decay_factor;
 use staircross_types::BootTime;
@@ -17,10 +17,10 @@
 /// Time in which an estimate halves without new samples. Together with [`NEGLIGIBLE_RATE`] it ensures that a searcher
 /// that no longer gets requests is tried again.
 const HALF_LIFE: Duration = Duration::from_millis(4000);
-/// Rate below which the estimate counts as zero, however near other searchers are. Where most searchers reject much,
-/// using the estimate raised the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.188 ± 0.004 with
-/// a limit of 0.1, and by 0.198 ± 0.009 with 0.05. At 0.05 a searcher is tried again at most some fifteen seconds after
-/// its last rejection.
+/// Rate below which the estimate counts as zero, however near other searchers are. Where most searchers reject many
+/// requests, the use of the estimate raises the mean score of a day's requests (0 to 1, docs/studies/scores.md) by
+/// 0.188 ± 0.004 with a limit of 0.1, and by 0.198 ± 0.009 with 0.05. At 0.05 a searcher is tried again at most some
+/// fifteen seconds after its last rejection.
 const NEGLIGIBLE_RATE: f64 = 0.05;
 
 /// An estimate of the fraction of its work that a searcher rejects.
--- a/crates/staircross-routing/src/state/searcher.rs
+++ b/crates/staircross-routing/src/state/searcher.rs
@@ -17,7 +17,7 @@
 /// Weight of a usual sample in the estimate of slowness. With this weight some three answers move the estimate.
 const USUAL_GAIN: f64 = 0.3;
 /// Weight of a slow sample that a single pause may have caused. Such a sample must hardly count: with a larger weight,
-/// one pause moved the requests of a zone's callers to the next zone.
+/// one pause moves the requests of a zone's callers to the next zone.
 const PAUSE_GAIN: f64 = 0.02;
 /// Weight of a slow sample of an attempt that was sent after a slow answer, when a pause would have been over. With
 /// this weight two slow samples make a searcher slow.
@@ -26,16 +26,16 @@
 /// tried again within some ten seconds.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(4000);
 /// Slowness that a lost, damaged or error answer counts as. It counts as a slow answer rather than as a failure because
-/// otherwise three live searchers that lost every other answer were all avoided.
+/// otherwise three live searchers that lose every other answer would all be avoided.
 const FAILED_ANSWER_SLOWNESS: f64 = 10.0;
 /// Weight of a lost, damaged or error answer in the estimate of slowness; near [`USUAL_GAIN`].
 const FAILED_ANSWER_GAIN: f64 = 0.25;
 /// Value of [`ReportedLoad::host_slowness`], in percent, that means that work takes its usual time on the host.
 const USUAL_HOST_PERCENT: u32 = 100;
 /// Time in which a report of a host's slowness loses half of its weight. It is short because hosts are shared with
-/// other programs and their load changes many times a second. On four days, using the reports with this half-life
-/// raised the mean score of a day's requests (0 to 1, docs/studies/scores.md) by 0.0022 ± 0.0016; a half-life of 0.8 s
-/// raised it by 0.0020 ± 0.0017 (docs/design/searcher-choice.md).
+/// other programs and their load changes many times a second. On four days, the use of the reports raises the mean
+/// score of a day's requests (0 to 1, docs/studies/scores.md) by 0.0022 ± 0.0016 with this half-life, and by
+/// 0.0020 ± 0.0017 with a half-life of 0.8 s (docs/design/searcher-choice.md).
 const HOST_SLOWNESS_HALF_LIFE: Duration = Duration::from_millis(300);
 /// Multiple of the estimated slowness, or of the usual time if that is greater, above which a sample is slow. It is
 /// above the usual spread of the time that work takes.
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -191,11 +191,11 @@
             configuration_pause: Duration::from_millis(500),
             searcher_pause: Duration::from_millis(900),
             // On a day with an outage of the store, this pause and the grace period for lapsed searchers together
-            // reduced the fraction of rejected requests from 0.019 to 0.001.
+            // reduce the fraction of rejected requests from 0.019 to 0.001.
             removal_pause: Duration::from_millis(150),
-            // With a probe every two seconds and watches renewed after a missed probe, the served fraction was 0.991
-            // instead of 0.694 on a day on which the store was silent. A day without outages took 156 calls instead of
-            // 158.
+            // With a probe every two seconds and watches renewed after a missed probe, the fraction of requests served
+            // is 0.991 instead of 0.694 on a day on which the store is silent. A day without outages takes 156 calls
+            // instead of 158.
             probe: ProbeIntervals { usual: Duration::from_millis(2000), during_outage: Duration::from_millis(400) },
             // The gateway derives both from the followers' timeout for a reader that sends nothing.
             probe_with_followers: Duration::from_millis(500),
