--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -26,7 +26,7 @@
 const PLANNED_CONNECTION_FRACTION: f64 = 0.9;
 /// Planned number of connections from each serving node to each searcher: one for its usual work, one for concurrent
 /// requests, one for hedges, and half as many again. With 4.5 instead of 3, fewer nodes serve, and each sees more of
-/// the traffic and hedges better. With 5 and with 6, the gain on days without faults was lost on days with faults.
+/// the traffic and hedges better. With 5 and with 6, the gain on days without faults is lost on days with faults.
 const CONNECTIONS_PER_NODE: f64 = 4.5;
 /// Minimum number of serving nodes of a zone, if it has as many, so that one may fail.
 const MIN_SERVING_PER_ZONE: usize = 2;
--- a/crates/staircross-routing/src/decision/fair_share.rs
+++ b/crates/staircross-routing/src/decision/fair_share.rs
@@ -31,8 +31,7 @@
 /// some twenty.
 const HALF_LIFE: Duration = Duration::from_secs(7);
 /// Maximum number of tenants that are counted separately. The least active ones beyond it are counted together. This
-/// bounds memory to some 20 KB by calculation, and exceeds the number of tenants that a node hears from within the
-/// half-life.
+/// bounds memory to some 20 KB and exceeds the number of tenants that a node hears from within the half-life.
 const MAX_TENANTS: usize = 256;
 /// Smallest fraction of the level at which a tenant's requests are admitted. Of the floors 0, 0.5, 0.75 and 1 (random
 /// refusal alone), 0.75 is the greatest with which other tenants are still served better than by random refusal, and
