--- a/crates/session/staircross-search/src/budget.rs
+++ b/crates/session/staircross-search/src/budget.rs
@@ -1,18 +1,19 @@
-//! Budgets for work beyond the strictly needed.
+//! Budgets for hedges and retries, which are work beyond the primary sub-requests.
 //!
-//! Each primary sub-request earns a fraction of a token; a hedge or retry spends a whole one.
-//! So the extra load stays a bounded fraction however bad things get, and while back ends shed
-//! nothing may be spent at all: extra work would only make them shed more.
+//! Each primary sub-request earns a fraction of a token; a hedge or retry spends a whole token. The extra load is
+//! therefore a bounded fraction of the primary load, whatever fails. While back ends shed work, nothing may be spent:
+//! extra work would make them shed more.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Most tokens saved up, in thousandths. Lets a short burst through after a quiet time.
+/// Upper bound of the saved tokens, in thousandths of a token. Saved tokens let a short burst through after a quiet
+/// time.
 const MAX_SAVED_MILLI: u64 = 10_000;
-/// Time after a shed reply during which nothing is spent.
+/// Time after a shed reply during which no token can be spent.
 const SHED_PAUSE: Duration = Duration::from_millis(500);
 
-/// A token bucket filled by primary work.
+/// A token bucket that is filled by primary sub-requests.
 #[derive(Clone, Debug)]
 pub struct ExtraWorkBudget {
     per_mille: u32,
@@ -21,14 +22,14 @@
 }
 
 impl ExtraWorkBudget {
-    /// A budget of `per_mille` extra sub-requests per thousand primaries.
+    /// Creates a budget of `per_mille` extra sub-requests per thousand primaries.
     pub fn new(per_mille: u32) -> Self {
-        // A fleet that has just started may hedge once, if it may hedge at all.
+        // One hedge or retry is allowed before the first primaries, unless the budget is zero.
         let saved_milli = if per_mille > 0 { 1000 } else { 0 };
         ExtraWorkBudget { per_mille, saved_milli, paused_until: BootTime::default() }
     }
 
-    /// Changes the fraction, keeping what was saved.
+    /// Changes the fraction. Saved tokens are kept, except that a fraction of zero drops them.
     pub fn set_per_mille(&mut self, per_mille: u32) {
         self.per_mille = per_mille;
         if per_mille == 0 {
@@ -36,18 +37,18 @@
         }
     }
 
-    /// Earns for `count` primaries.
+    /// Adds the tokens that `count` primary sub-requests earn.
     pub fn earn(&mut self, count: usize) {
         let earned = count as u64 * u64::from(self.per_mille);
         self.saved_milli = (self.saved_milli + earned).min(MAX_SAVED_MILLI);
     }
 
-    /// Notes that a back end shed work.
+    /// Pauses spending because a back end shed work.
     pub fn pause_after_shed(&mut self, now: BootTime) {
         self.paused_until = now + SHED_PAUSE;
     }
 
-    /// Takes one token if there is one and spending isn't paused.
+    /// Takes one token and returns `true`, if one is saved and spending isn't paused.
     pub fn try_spend(&mut self, now: BootTime) -> bool {
         if now < self.paused_until || self.saved_milli < 1000 {
             return false;
--- a/crates/session/staircross-search/src/copies.rs
+++ b/crates/session/staircross-search/src/copies.rs
@@ -1,10 +1,10 @@
-//! Which copies of shards are slow.
+//! Detection of slow copies of shards.
 //!
-//! A searcher may be quick for all its shards but one. A slow reply puts every shard that it was
-//! asked for under suspicion; a quick one clears its shards. Copies that were in slow replies
-//! twice in a row are avoided for a while, ever longer, and tried again by one request at a time.
-//! Suspects are asked one by one. So the innocent come free at their first quick reply and the slow
-//! one is tried ever more seldom.
+//! A searcher may be fast for all its shards but one. A slow reply makes every copy that was asked for in the
+//! sub-request a suspect; a fast reply clears them. A copy with two slow replies in a row is avoided, for a time that
+//! doubles with each further slow reply, and is then tried again by one request at a time. Each suspect is asked in a
+//! sub-request of its own. A copy that was suspected only because it was asked together with a slow one is therefore
+//! cleared by its first fast reply, while the slow copy is tried less and less often.
 
 use hashbrown::HashMap;
 use staircross_types::{BootTime, SearcherId, ShardId};
@@ -12,48 +12,51 @@
 
 /// Slow replies in a row after which a copy is avoided.
 const STRIKES_TO_AVOID: u8 = 2;
-/// First time of avoidance; doubles with each further strike.
+/// Time for which a copy is avoided at first. The time doubles with each further slow reply.
 const AVOID_BASE: Duration = Duration::from_secs(1);
-/// Doublings at the most: the longest avoidance is about a minute.
+/// Upper bound of the doublings, which limits the avoidance to 64 seconds.
 const MAX_DOUBLINGS: u8 = 6;
-/// Time after which another request may try an avoided copy whose time is up.
+/// Shortest time between two requests that try a copy whose avoidance has ended.
 const TRIAL_SPACING: Duration = Duration::from_millis(500);
-/// A reply is slow when it takes this many times the usual tail.
+/// Multiple of the usual tail latency above which a reply counts as slow.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// One copy of a shard.
+/// The copy of a shard that one searcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Copy {
     searcher: SearcherId,
     shard: ShardId,
 }
 
+/// The record of a suspected copy.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
+    /// Slow replies in a row.
     strikes: u8,
     avoid_until: BootTime,
 }
 
-/// Suspicions against copies. Only suspected copies take memory.
+/// The suspected copies. Copies that aren't suspected take no memory.
 #[derive(Default)]
 pub struct CopyHealth {
     suspicions: HashMap<Copy, Suspicion>,
 }
 
 impl CopyHealth {
-    /// No suspicions.
+    /// Creates a table without suspected copies.
     pub fn new() -> Self {
         CopyHealth::default()
     }
 
-    /// Notes that these shards' replies were overtaken by those of another copy asked later.
+    /// Counts a slow reply for each of `shards`, because another copy that was asked later replied first.
     pub fn note_overtaken(&mut self, now: BootTime, searcher: SearcherId, shards: impl Iterator<Item = ShardId>) {
         for shard in shards {
             self.strike(now, Copy { searcher, shard });
         }
     }
 
-    /// Notes how long a reply took against the usual `tail`.
+    /// Counts a slow reply for each of `shards`, or clears them, by comparing the time that a reply took with the usual
+    /// tail latency.
     pub fn note_reply(
         &mut self,
         now: BootTime,
@@ -76,6 +79,7 @@
         }
     }
 
+    /// Counts a slow reply of a copy, and starts or extends its avoidance once there are enough.
     fn strike(&mut self, now: BootTime, copy: Copy) {
         let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { strikes: 0, avoid_until: now });
         suspicion.strikes = suspicion.strikes.saturating_add(1);
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Whether a copy is to be avoided now.
+    /// Returns whether a copy is to be avoided now.
     pub fn is_avoided(&self, now: BootTime, searcher: SearcherId, shard: ShardId) -> bool {
         if self.suspicions.is_empty() {
             return false;
@@ -93,10 +97,10 @@
         self.suspicions.get(&Copy { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoid_until)
     }
 
-    /// Strikes against a copy; zero when it isn't suspected.
+    /// Returns the number of slow replies of a copy in a row; zero when it isn't suspected.
     ///
-    /// A suspected copy is asked in a sub-request of its own, so that the reply tells about it alone:
-    /// shards asked together are suspected together, and would never come free of a slow one.
+    /// A suspected copy is asked in a sub-request of its own, so that the time of the reply depends on this copy alone.
+    /// Copies that are asked together are suspected together, and one slow copy would keep the others suspected.
     pub fn strikes(&self, searcher: SearcherId, shard: ShardId) -> u8 {
         if self.suspicions.is_empty() {
             return 0;
@@ -104,7 +108,8 @@
         self.suspicions.get(&Copy { searcher, shard }).map_or(0, |suspicion| suspicion.strikes)
     }
 
-    /// Notes that a copy is asked; one that was avoided isn't asked again until this trial has told.
+    /// Records that a copy is asked. A copy with enough slow replies to be avoided isn't asked again for a while, so that
+    /// one request at a time tries it.
     pub fn note_asked(&mut self, now: BootTime, searcher: SearcherId, shard: ShardId) {
         if self.suspicions.is_empty() {
             return;
@@ -116,17 +121,17 @@
         }
     }
 
-    /// Forgets a searcher that has restarted.
+    /// Clears all copies of a searcher, which has restarted.
     pub fn forget(&mut self, searcher: SearcherId) {
         self.suspicions.retain(|copy, _| copy.searcher != searcher);
     }
 
-    /// Copies under suspicion.
+    /// Returns the number of suspected copies.
     pub fn len(&self) -> usize {
         self.suspicions.len()
     }
 
-    /// Whether no copy is under suspicion.
+    /// Returns whether no copy is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspicions.is_empty()
     }
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -1,9 +1,11 @@
-//! Whether work may be sent to a searcher now.
+//! The leaf: decides whether work may be sent to a searcher now.
 //!
-//! Inputs: sub-requests from roots, replies and probe replies from searchers, leaving marks from
-//! any source. Invariants: at most the owner's share of a searcher's slots is in use; nothing is
-//! sent without evidence of "serving" that was asked for less than the bound ago; leaving is
-//! sticky for a searcher's run; a sub-request that was queued and never sent is answered `NotRun`.
+//! A leaf owns searchers: it probes them and sends them the sub-requests of the roots.
+//!
+//! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
+//! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
+//! searcher has answered a probe that was sent less than the evidence bound ago; a run of a searcher that is leaving
+//! stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root has cancelled it.
 
 mod owned;
 
@@ -14,19 +16,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bounds of a leaf.
+/// Settings of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafSettings {
-    /// Oldest evidence of "serving" on which work is sent.
+    /// Time after a probe was sent during which its reply allows work to be sent to the searcher.
     pub evidence_bound: Duration,
-    /// Time between probes of a searcher.
+    /// Time between the probes of a searcher.
     pub probe_every: Duration,
-    /// Time over which a freshly started searcher is ramped up.
+    /// Time over which the slots used of a restarted searcher are raised to the whole share.
     pub ramp: Duration,
-    /// Queue length per slot of the share.
+    /// Upper bound of a searcher's queue, per slot of the share.
     pub queue_per_slot: usize,
-    /// Time after its first ownership during which a leaf takes no work: it must hear first which
-    /// searchers its peers know to be leaving.
+    /// Time after it first owns a searcher during which a leaf takes no work. The leaf must first hear from its peers
+    /// which searchers are leaving.
     pub newcomer_wait: Duration,
 }
 
@@ -42,60 +44,60 @@
     }
 }
 
-/// Time after its deadline at which a call that never ended is given up.
+/// Time after its deadline at which a sub-request without a reply is dropped.
 const LOST_CALL_LIFE: Duration = Duration::from_secs(60);
 
-/// What a leaf is told.
+/// An event that a leaf handles.
 #[derive(Clone, Debug)]
 pub enum LeafEvent {
-    /// The searchers it owns, with its share of each one's slots.
+    /// The searchers that the leaf owns, with its share of each one's slots.
     Owned(BTreeMap<SearcherId, u32>),
-    /// A root asks for work.
+    /// A root sends a sub-request.
     Request { from: NodeId, request: SubRequest },
     /// A root no longer wants an attempt.
     Cancel { from: NodeId, attempt: AttemptId },
-    /// A searcher replied, or its connection failed. `run` is the run that replied, if one did.
+    /// A searcher replied, or the call to it failed. `run` is the run that replied, if one did.
     Reply { reply: SubReply, run: Option<SearcherIncarnation> },
-    /// A searcher answered a probe (`None`: it doesn't answer).
+    /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
     Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
     /// A peer's view of a searcher.
     PeerView(SearcherView),
-    /// Searchers that the platform lists as leaving, or operators drain: whatever their run.
+    /// The searchers that the platform lists as leaving or that operators drain. The list applies to any run of them.
     Listed(BTreeSet<SearcherId>),
-    /// This leaf is stopping: take nothing new.
+    /// The leaf is stopping and takes no new work.
     Stop,
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a leaf wants done.
+/// An action that a leaf asks its caller to carry out.
 #[derive(Clone, Debug)]
 pub enum LeafAction {
-    /// Send to the searcher, not after `send_before`.
+    /// Send the sub-request to the searcher, but not after `send_before`.
     Send { request: SubRequest, send_before: BootTime },
-    /// Tell the searcher that an attempt is no longer wanted.
+    /// Tell the searcher that the result of an attempt is no longer wanted.
     CancelAtSearcher { searcher: SearcherId, attempt: AttemptId },
     /// Reply to a root.
     Reply { to: NodeId, reply: SubReply },
-    /// Ask the searcher for its state.
+    /// Ask the searcher for its state: see [`Evidence`].
     Probe { searcher: SearcherId },
-    /// The view of a searcher has changed: spread it.
+    /// Send the new view of a searcher to the other nodes.
     Spread(SearcherView),
 }
 
-/// The leaf's decisions for all searchers it owns.
+/// The leaf's state and decisions for all searchers that it owns.
 pub struct LeafEngine {
     settings: LeafSettings,
     searchers: BTreeMap<SearcherId, OwnedSearcher>,
-    /// Runs that peers have said are leaving, of searchers owned or not: a peer may know of a run
-    /// before this leaf has met it, or before it owns the searcher.
+    /// The leaving run of each searcher that is known to leave, whether the leaf owns the searcher or not. A peer may
+    /// report a run before this leaf has probed it, or before the leaf owns the searcher.
     leaving_runs: BTreeMap<SearcherId, SearcherIncarnation>,
     first_owned_at: Option<BootTime>,
     stopping: bool,
 }
 
 impl LeafEngine {
-    /// A leaf that owns nothing yet.
+    /// Creates a leaf that owns no searcher.
     pub fn new(settings: LeafSettings) -> Self {
         LeafEngine {
             settings,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: BootTime, event: LeafEvent, actions: &mut Vec<LeafAction>) {
         match event {
             LeafEvent::Owned(shares) => self.set_owned(now, shares, actions),
@@ -123,17 +125,17 @@
         }
     }
 
-    /// Sub-requests queued or sent and not answered yet.
+    /// Returns the number of sub-requests that are queued, or sent and not answered.
     pub fn in_flight(&self) -> usize {
         self.searchers.values().map(|searcher| searcher.in_flight.len() + searcher.queue.len()).sum()
     }
 
-    /// Whether the leaf has listened to its peers long enough to take work, or owns nothing yet.
+    /// Returns whether the leaf has heard from its peers for long enough to take work, or has never owned a searcher.
     pub fn is_settled(&self, now: BootTime) -> bool {
         self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.newcomer_wait)
     }
 
-    /// Views of all owned searchers.
+    /// Returns the views of all searchers that are owned or still have work in flight.
     pub fn views(&self) -> Vec<SearcherView> {
         self.searchers.iter().map(|(id, searcher)| searcher.view(*id)).collect()
     }
@@ -146,7 +148,8 @@
             if shares.contains_key(id) {
                 continue;
             }
-            // Work in flight finishes here; what is queued was never sent and goes to another owner.
+            // Sub-requests in flight still end here. Queued ones were never sent, so that the root can send them to the
+            // new owner.
             searcher.share = 0;
             searcher.refuse_queue(NotRunReason::NotOwner, actions);
         }
@@ -216,7 +219,7 @@
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
-        // An attempt that isn't in flight was answered already, or belongs to somebody else.
+        // An attempt that isn't in flight was answered already, or was never sent by this leaf.
         let Some(in_flight) = searcher.in_flight.remove(&reply.attempt) else {
             return;
         };
@@ -233,7 +236,7 @@
         searcher.dispatch(now, id, &self.settings, actions);
     }
 
-    /// Remembers which run is leaving, so that it isn't forgotten when ownership changes.
+    /// Records the run of a searcher that is leaving, so that it is still known after ownership has changed.
     fn remember_leaving(&mut self, id: SearcherId) {
         let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.left) else {
             return;
@@ -276,7 +279,7 @@
         self.remember_leaving(id);
     }
 
-    /// Takes a peer's word that a run is leaving; contradicts a peer who hasn't heard of it yet.
+    /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its view.
     fn on_peer_view(&mut self, view: SearcherView, actions: &mut Vec<LeafAction>) {
         let Some(incarnation) = view.evidence.as_ref().map(|evidence| evidence.incarnation) else {
             return;
@@ -288,6 +291,7 @@
         }
     }
 
+    /// Records that a run is leaving. If it is the run known of an owned searcher, refuses the searcher's queue.
     fn mark_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
         self.leaving_runs.insert(id, incarnation);
         let Some(searcher) = self.searchers.get_mut(&id) else {
@@ -307,7 +311,7 @@
             }
             let before = searcher.view(*id);
             searcher.listed = is_listed;
-            // Sticky for the run that was listed: a list that flickers doesn't bring it back.
+            // The run stays leaving, even if a later list no longer has the searcher.
             searcher.left |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
@@ -322,8 +326,8 @@
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             searcher.expire_queue(now, actions);
-            // Every call ends at its deadline, with or without a reply. Forgetting one sooner would let
-            // a planned stop think that it has ended; this only guards against a lost worker.
+            // Whoever sends a sub-request reports its end by the deadline, with or without a reply. Dropping one sooner
+            // would let a planned stop end before it; later, only a report that was lost is left to guard against.
             searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_LIFE);
             let patience = self.settings.evidence_bound;
             let unanswered = searcher.probe_outstanding.is_some_and(|asked| now.since(asked) > patience);
@@ -338,7 +342,7 @@
     }
 }
 
-/// The reply to a request that was not and will not be sent.
+/// Returns the reply to a sub-request that was not sent and never will be.
 pub fn not_run(request: &SubRequest, reason: NotRunReason) -> SubReply {
     SubReply {
         attempt: request.attempt,
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -1,4 +1,4 @@
-//! What a leaf keeps of one searcher that it owns, and when work may go to it.
+//! A leaf's state of one searcher that it owns, and the rules for sending work to it.
 
 use super::{LeafAction, LeafSettings, not_run};
 use crate::message::{NotRunReason, SubRequest};
@@ -7,30 +7,38 @@
 use staircross_types::{AttemptId, BootTime, NodeId, SearcherId, SearcherIncarnation};
 use std::collections::VecDeque;
 
-/// A sub-request that waits for a slot.
+/// A sub-request that waits for a free slot.
 pub(super) struct Queued {
     pub(super) from: NodeId,
     pub(super) request: SubRequest,
     pub(super) deadline: BootTime,
 }
 
-/// A call that has no end yet.
+/// A sub-request that was sent and has not ended.
 pub(super) struct InFlight {
     pub(super) from: NodeId,
     pub(super) sent_at: BootTime,
     pub(super) deadline: BootTime,
 }
 
-/// One owned searcher.
+/// State of one owned searcher.
 #[derive(Default)]
 pub(super) struct OwnedSearcher {
+    /// Slots of the searcher that this leaf may use; zero once the leaf no longer owns the searcher.
     pub(super) share: u32,
+    /// The searcher's last report.
     pub(super) evidence: Option<Evidence>,
+    /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
     pub(super) serving_asked_at: Option<BootTime>,
+    /// When the current run was first seen.
     pub(super) first_seen: BootTime,
+    /// Whether the current run followed another, so that its slots are ramped up.
     pub(super) ramped_from_cold: bool,
+    /// Whether the current run is leaving. Once set, this stays set until another run is seen.
     pub(super) left: bool,
+    /// Whether the platform lists the searcher as leaving or an operator drains it.
     pub(super) listed: bool,
+    /// When the probe that has not ended was sent.
     pub(super) probe_outstanding: Option<BootTime>,
     pub(super) next_probe: BootTime,
     pub(super) in_flight: HashMap<AttemptId, InFlight>,
@@ -46,6 +54,7 @@
         SearcherView { searcher, evidence: self.evidence.clone(), leaving: self.is_leaving() }
     }
 
+    /// Marks the current run as leaving.
     pub(super) fn leave(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
         if !self.left {
             self.left = true;
@@ -53,7 +62,8 @@
         }
     }
 
-    /// A refusal speaks for the run that gave it, which may be newer than the one last probed.
+    /// Handles a refusal because the searcher is leaving. The refusal is about the run that sent it, which may be newer
+    /// than the run probed last; in that case nothing more is sent until the next probe reply.
     pub(super) fn refused_leaving(
         &mut self,
         id: SearcherId,
@@ -68,6 +78,7 @@
         }
     }
 
+    /// Applies a probe reply. `reported_leaving` says whether the run is already known to be leaving.
     pub(super) fn take_evidence(
         &mut self,
         now: BootTime,
@@ -77,25 +88,27 @@
     ) {
         let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
         if !same_run {
-            // A searcher seen for the first time may be warm; one that was restarted is cold.
+            // A searcher that this leaf sees for the first time may be warm; one that was restarted is cold.
             self.ramped_from_cold = self.evidence.is_some();
             self.first_seen = now;
             self.left = false;
         }
-        // "Serving" never cancels "leaving" of the same run.
+        // A run that is leaving stays so, even if it reports itself as serving again.
         self.left |= evidence.draining || reported_leaving;
         self.serving_asked_at = Some(asked_at);
         self.evidence = Some(evidence);
     }
 
+    /// Records that a probe had no answer.
     pub(super) fn lose_evidence(&mut self) {
         self.serving_asked_at = None;
-        // The run is kept for comparison while work is in flight, but serves nothing.
+        // The run is kept, to be compared with the next one, but its snapshots are no longer served.
         if let Some(evidence) = &mut self.evidence {
             evidence.snapshots.clear();
         }
     }
 
+    /// Requests a probe, unless one has not ended or the leaf doesn't own the searcher.
     pub(super) fn probe(
         &mut self,
         now: BootTime,
@@ -111,6 +124,7 @@
         actions.push(LeafAction::Probe { searcher: id });
     }
 
+    /// Returns how many sub-requests may be in flight at the searcher.
     pub(super) fn capacity(&self, now: BootTime, settings: &LeafSettings) -> usize {
         let age = now.since(self.first_seen);
         if !self.ramped_from_cold || age >= settings.ramp {
@@ -120,6 +134,7 @@
         ((f64::from(self.share) * fraction) as usize).max(1)
     }
 
+    /// Sends queued sub-requests while there is capacity. If the last probe reply is too old, requests a probe instead.
     pub(super) fn dispatch(
         &mut self,
         now: BootTime,
@@ -148,6 +163,7 @@
         }
     }
 
+    /// Refuses the queued sub-requests whose deadline has passed.
     pub(super) fn expire_queue(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         self.queue.retain(|queued| {
             let in_time = now < queued.deadline;
@@ -159,6 +175,7 @@
         });
     }
 
+    /// Refuses all queued sub-requests.
     pub(super) fn refuse_queue(&mut self, reason: NotRunReason, actions: &mut Vec<LeafAction>) {
         for queued in self.queue.drain(..) {
             actions.push(LeafAction::Reply { to: queued.from, reply: not_run(&queued.request, reason) });
--- a/crates/session/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -1,19 +1,21 @@
-//! Request decisions of the query tier, without input or output of their own.
+//! Decisions of the query tier about requests. The modules do no input or output themselves.
 //!
-//! | module | decides |
+//! | module | decides or holds |
 //! | --- | --- |
-//! | [`root`] | for one request: snapshot, plan, hedges, retries, when to answer or refuse |
-//! | [`leaf`] | for one searcher: whether work may be sent to it now |
-//! | [`session`] | which sessions exist, what they have seen, which tickets are used |
-//! | [`snapshot_choice`] | which snapshot of a service is served |
+//! | [`root`] | the snapshot, plan, hedges and retries of each request, and when it is answered or refused |
+//! | [`leaf`] | whether work may be sent to a searcher now |
+//! | [`session`] | which sessions exist, which snapshots they have seen and which of their tickets are used |
+//! | [`snapshot_choice`] | which snapshot a service is served from |
 //! | [`replica`] | which replica of a shard is asked |
-//! | [`copies`] | which copies of shards are slow and avoided |
-//! | [`budget`], [`limiter`] | how much extra work, how many requests |
-//! | [`request`] | state of one request in flight |
-//! | [`message`] | typed sub-requests, replies and outcomes |
+//! | [`copies`] | which copies of shards are slow and are avoided |
+//! | [`budget`] | how many hedges and retries may be sent |
+//! | [`limiter`] | how many requests of a service may be in flight |
+//! | [`request`] | what is recorded of one request in flight |
+//! | [`message`] | the typed sub-requests, replies and outcomes |
+//! | [`view`] | what is known about a searcher |
 //!
-//! Everything is driven by `on_event(now, event, &mut actions)`. The node, the simulator and the
-//! fuzz tests run the same code.
+//! [`RootEngine`] and [`LeafEngine`] take events through `on_event(now, event, &mut actions)` and append the actions
+//! to carry out. The node, the simulator and the fuzz tests run the same code.
 
 pub mod budget;
 pub mod copies;
--- a/crates/session/staircross-search/src/limiter.rs
+++ b/crates/session/staircross-search/src/limiter.rs
@@ -1,24 +1,24 @@
-//! How many requests of one service may be in flight at this root.
+//! Limit on the requests of one service in flight at this root.
 //!
-//! The limit follows what the back ends take: it grows while requests finish untroubled and
-//! shrinks when work is shed or late. Refusing early costs nothing; a request admitted in vain
-//! costs every back end it touched.
+//! The limit adapts to what the back ends can take: it grows while requests end without signs of overload, and
+//! shrinks when a sub-request is shed or a request is refused. Refusing a request at admission costs the back ends
+//! nothing; a request that is admitted and then fails has cost work at every back end that it was sent to.
 
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Limit of a service that has seen no traffic.
+/// Limit of a service before its first request, in requests in flight.
 const START_LIMIT: f64 = 32.0;
-/// The limit never falls below this.
+/// Lower bound of the limit.
 const MIN_LIMIT: f64 = 2.0;
-/// The limit never rises above this.
+/// Upper bound of the limit.
 const MAX_LIMIT: f64 = 10_000.0;
-/// Factor on trouble.
+/// Factor by which one back-off multiplies the limit.
 const BACK_OFF: f64 = 0.9;
-/// One back-off per this time: one burst of trouble is one signal.
+/// Shortest time between two back-offs, so that one burst of sheds counts as a single signal.
 const BACK_OFF_EVERY: Duration = Duration::from_millis(100);
 
-/// Additive increase, multiplicative decrease on requests in flight.
+/// Limiter of requests in flight by additive increase and multiplicative decrease (AIMD).
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     limit: f64,
@@ -33,7 +33,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Admits one request if there is room.
+    /// Admits one request and returns `true`, if fewer requests than the limit are in flight.
     pub fn try_admit(&mut self) -> bool {
         if f64::from(self.in_flight) >= self.limit {
             return false;
@@ -42,19 +42,20 @@
         true
     }
 
-    /// Ends one request; `troubled` when a part of it was shed or late.
+    /// Ends one request. `troubled` says whether a sub-request of it was shed or the request was refused.
     pub fn finish(&mut self, now: BootTime, troubled: bool) {
         let was_full = f64::from(self.in_flight) * 2.0 >= self.limit;
         self.in_flight = self.in_flight.saturating_sub(1);
         if troubled {
             self.back_off(now);
         } else if was_full {
-            // Growing while half empty would say nothing about what the back ends take.
+            // While less than half of the limit is used, a request that ends well says nothing about how much more the
+            // back ends can take, so the limit doesn't grow.
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
 
-    /// Shrinks the limit, once per burst of trouble.
+    /// Shrinks the limit, unless it was shrunk less than the shortest back-off interval ago.
     pub fn back_off(&mut self, now: BootTime) {
         if now < self.no_back_off_before {
             return;
@@ -63,12 +64,12 @@
         self.limit = (self.limit * BACK_OFF).max(MIN_LIMIT);
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The present limit.
+    /// Returns the current limit.
     pub fn limit(&self) -> f64 {
         self.limit
     }
--- a/crates/session/staircross-search/src/message.rs
+++ b/crates/session/staircross-search/src/message.rs
@@ -1,4 +1,6 @@
-//! Typed messages between root, leaf and caller.
+//! Typed messages between caller, root, leaf and searcher.
+//!
+//! A root splits a request into sub-requests. Each goes through the leaf that owns a searcher to that searcher.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::query::PagePosition;
@@ -11,14 +13,14 @@
 /// What a searcher is asked to do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Work {
-    /// Search; may be repeated.
+    /// A search, which may be executed more than once.
     Search(SearchQuery),
-    /// Act; must run at most once.
+    /// An action, which must be executed at most once.
     Act(ActionCommand),
 }
 
 impl Work {
-    /// For a page of a pull, where it starts.
+    /// Returns where the page starts, for a page of a pull.
     pub fn page_start(&self) -> Option<&PagePosition> {
         match self {
             Work::Search(query) => query.after.as_ref(),
@@ -30,40 +32,40 @@
 /// One sub-request, from a root through a leaf to one searcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubRequest {
-    /// Identity; echoed by every hop.
+    /// Id of the attempt, repeated in the reply.
     pub attempt: AttemptId,
-    /// The searcher asked.
+    /// The searcher that is asked.
     pub searcher: SearcherId,
-    /// The snapshot asked for, never another.
+    /// The only snapshot that the searcher may answer from.
     pub snapshot: Snapshot,
-    /// Shards asked for.
+    /// Shards that are asked for.
     pub shards: Vec<ShardId>,
-    /// What to do.
+    /// What the searcher is asked to do.
     pub work: Work,
-    /// Time left when the message was written.
+    /// Time that was left until the request's deadline when the message was written.
     pub remaining: Duration,
 }
 
-/// Why a sub-request certainly didn't run and never will.
+/// Why a sub-request was certainly not executed and never will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// No room, or no time left in the queue.
+    /// The queue was full, or the deadline passed in the queue.
     Shed,
     /// The searcher no longer holds the snapshot.
     SnapshotGone,
     /// The searcher is leaving.
     Draining,
-    /// The leaf asked doesn't own the searcher.
+    /// The leaf that was asked doesn't own the searcher, or has not owned any for long enough to take work.
     NotOwner,
-    /// The leaf asked is stopping.
+    /// The leaf that was asked is stopping.
     LeafLeaving,
-    /// No connection could be made, so no byte left.
+    /// No connection to the searcher could be made, so that no byte was sent.
     Unconnected,
 }
 
 impl NotRunReason {
-    /// The cause that a shard gets when this was the last word on it.
+    /// Returns the cause for which a shard is missing when no later attempt answered it.
     pub fn missing_cause(self) -> MissingCause {
         match self {
             NotRunReason::Shed => MissingCause::Shed,
@@ -74,18 +76,18 @@
     }
 }
 
-/// Why it is not known whether a sub-request ran.
+/// Why it is not known whether a sub-request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownReason {
-    /// Its time passed.
+    /// No reply came before the deadline.
     Late,
-    /// The connection broke, or the reply was truncated, damaged or for something else.
+    /// The connection broke, or the reply was truncated, damaged or for another sub-request.
     Broken,
 }
 
 impl UnknownReason {
-    /// The cause that a shard gets when this was the last word on it.
+    /// Returns the cause for which a shard is missing when no later attempt answered it.
     pub fn missing_cause(self) -> MissingCause {
         match self {
             UnknownReason::Late => MissingCause::Late,
@@ -94,70 +96,70 @@
     }
 }
 
-/// Proof that an action ran.
+/// Confirmation by a searcher that an action was executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionReceipt {
-    /// The searcher's entry number in its audit trail.
+    /// Number of the action's entry in the searcher's audit trail.
     pub entry: u64,
-    /// What the searcher says about it.
+    /// The searcher's text about the action.
     pub message: String,
 }
 
-/// What became of a sub-request.
+/// How a sub-request ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SubOutcome {
-    /// Searched; one element for each shard that the searcher answered for.
+    /// The search was executed. There is one element for each shard that the searcher answered for.
     Found(Vec<ShardHits>),
-    /// Acted.
+    /// The action was executed.
     Acted(ActionReceipt),
-    /// Ran nowhere.
+    /// The sub-request was not executed and never will be.
     NotRun(NotRunReason),
-    /// May have run.
+    /// The sub-request may have been executed.
     Unknown(UnknownReason),
 }
 
 /// Reply to a sub-request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubReply {
-    /// Identity of the sub-request.
+    /// Id of the attempt that the reply is for.
     pub attempt: AttemptId,
     /// The searcher that was asked.
     pub searcher: SearcherId,
     /// The snapshot that the reply comes from.
     pub snapshot: Snapshot,
-    /// What became of it.
+    /// How the sub-request ended.
     pub outcome: SubOutcome,
-    /// Time from sending to reply as the leaf measured it, without the wait for a slot.
+    /// Time from sending to reply as the leaf measured it, without the time in the leaf's queue.
     pub worked: Duration,
 }
 
-/// A merged answer.
+/// The answer to a search, merged from the replies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// The one snapshot that every hit comes from.
     pub snapshot: Snapshot,
-    /// Shards included and lacking.
+    /// Shards that are included and shards that are missing.
     pub coverage: Coverage,
     /// Matching documents in the included shards.
     pub matched: u64,
-    /// Best hits, best first (a pull: in document order).
+    /// The best hits, best first; for a pull, the page's hits by shard and document.
     pub hits: Vec<Hit>,
-    /// Where the next page of a pull starts; `None` at its end and for searches.
+    /// Where the next page of a pull starts; `None` after the last page and for searches.
     pub next: Option<PagePosition>,
-    /// Sub-requests sent.
+    /// Number of sub-requests sent.
     pub sent: u32,
-    /// Sub-requests that one answer strictly needed.
+    /// Number of sub-requests of the first plan. Hedges, retries and later plans are extra work.
     pub needed: u32,
     /// Time from admission to answer.
     pub elapsed: Duration,
 }
 
-/// A refusal.
+/// An error returned to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// One of the closed list.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// What exactly, for people.
+    /// Description for people.
     pub detail: String,
 }
 
@@ -168,13 +170,13 @@
     }
 }
 
-/// The final word on a request.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// An answer, whole or partial.
+    /// The request was answered in whole or in part.
     Answer(Box<Answer>),
-    /// The action ran.
+    /// The action was executed.
     Acted(ActionReceipt),
-    /// Refused.
+    /// The request was refused.
     Refusal(Refusal),
 }
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -1,59 +1,62 @@
-//! Which replica of a shard is asked.
+//! Choice of the replica that is asked for a shard.
 //!
-//! Inputs: own measurements only (requests in flight and latency as seen from here, failures);
-//! the searchers' load endpoints mislead. Invariant: at most a third of the searchers of a
-//! service are ejected at once, so a common cause can't eject them all.
+//! The choice uses only what this root has measured: requests in flight, latency and failures. The load that searchers
+//! report about themselves isn't used, because it can mislead. Invariant: at most a third of the searchers of a service
+//! are ejected at once, so that a common cause can't eject them all.
 
 use hashbrown::HashMap;
 use rand::Rng;
 use staircross_types::{BootTime, SearcherId};
 use std::time::Duration;
 
-/// Weight of a latency sample below the estimate, as one part in this many.
+/// Divisor of the step by which a latency sample below the estimate lowers the estimate.
 const LATENCY_WINDOW: f64 = 16.0;
-/// Time over which an old estimate loses most of its weight: whoever is avoided must be tried again.
+/// Time constant with which the weight of an old estimate decays. Without the decay, a searcher that is avoided for a
+/// high estimate would never be tried again.
 const ESTIMATE_LIFE: Duration = Duration::from_secs(3);
 /// Failures in a row after which a searcher is ejected.
 const EJECT_AFTER: u32 = 3;
-/// First ejection; doubles with each further one in a row.
+/// Duration of the first ejection. It doubles with each further ejection in a row.
 const EJECT_BASE: Duration = Duration::from_secs(1);
-/// Longest ejection.
+/// Upper bound of the duration of an ejection.
 const EJECT_MAX: Duration = Duration::from_secs(16);
-/// One part in this many of the searchers may be ejected.
+/// Divisor of the number of a service's searchers that gives the most that may be ejected at once.
 const EJECT_SHARE: usize = 3;
-/// A searcher used already in this request is kept while its cost is below this factor of the best.
+/// A searcher that the plan already asks is preferred while its cost is at most this multiple of the best cost.
 const STICKY_FACTOR: f64 = 2.0;
 
-/// Measurements of one searcher.
+/// What this root has measured of one searcher.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaStats {
     in_flight: u32,
     latency_micros: Option<f64>,
     measured_at: BootTime,
+    /// Failures since the last good reply or ejection.
     failures: u32,
+    /// Ejections since the last good reply.
     ejections: u32,
     ejected_until: BootTime,
 }
 
-/// Measurements of all searchers.
+/// What this root has measured of all searchers.
 #[derive(Default)]
 pub struct ReplicaTable {
     stats: HashMap<SearcherId, ReplicaStats>,
 }
 
 impl ReplicaTable {
-    /// Notes a sub-request sent.
+    /// Counts a sub-request that was sent as in flight.
     pub fn sent(&mut self, searcher: SearcherId) {
         self.stats.entry(searcher).or_default().in_flight += 1;
     }
 
-    /// Notes a sub-request that ended without a word on the searcher's speed or health.
+    /// Counts a sub-request as ended, when its end says nothing about the searcher's speed or health.
     pub fn ended(&mut self, searcher: SearcherId) {
         let stats = self.stats.entry(searcher).or_default();
         stats.in_flight = stats.in_flight.saturating_sub(1);
     }
 
-    /// Notes a good reply.
+    /// Records a good reply and its latency, and resets the searcher's failures and ejections.
     pub fn succeeded(&mut self, now: BootTime, searcher: SearcherId, latency: Duration) {
         self.ended(searcher);
         let stats = self.stats.entry(searcher).or_default();
@@ -62,7 +65,8 @@
         stats.note_latency(now, latency);
     }
 
-    /// Notes that a sub-request outlived `age` without a reply: the searcher is at least this slow.
+    /// Records that a sub-request has had no reply for `age`. The age counts as a latency sample if it is above the
+    /// estimate, since the searcher is at least that slow.
     pub fn lagging(&mut self, now: BootTime, searcher: SearcherId, age: Duration) {
         let stats = self.stats.entry(searcher).or_default();
         let sample = age.as_micros() as f64;
@@ -71,7 +75,8 @@
         }
     }
 
-    /// Notes a failure; may eject the searcher unless too many of `peers` are ejected already.
+    /// Records a failure. Ejects the searcher after enough failures in a row, unless too many of `peers`, the searchers of
+    /// the service, are ejected already.
     pub fn failed(&mut self, now: BootTime, searcher: SearcherId, peers: &[SearcherId]) {
         self.ended(searcher);
         let ejected = peers.iter().filter(|peer| self.is_ejected(now, **peer)).count();
@@ -86,17 +91,18 @@
         }
     }
 
-    /// Forgets what is known of a searcher, which has restarted.
+    /// Drops the measurements of a searcher, which has restarted.
     pub fn forget(&mut self, searcher: SearcherId) {
         self.stats.remove(&searcher);
     }
 
-    /// Whether the searcher is ejected now.
+    /// Returns whether the searcher is ejected now.
     pub fn is_ejected(&self, now: BootTime, searcher: SearcherId) -> bool {
         self.stats.get(&searcher).is_some_and(|stats| now < stats.ejected_until)
     }
 
-    /// Expected cost of asking a searcher; lower is better.
+    /// Returns the expected cost of asking a searcher: its estimated latency times the sub-requests in flight, the new one
+    /// included. An ejected searcher costs a million times as much, so that it is chosen only if there is no other.
     fn cost(&self, now: BootTime, searcher: SearcherId, typical: Duration) -> f64 {
         let typical_micros = typical.as_micros() as f64;
         let Some(stats) = self.stats.get(&searcher) else {
@@ -107,10 +113,10 @@
         if now < stats.ejected_until { cost * 1e6 } else { cost }
     }
 
-    /// Chooses among `replicas`; `used` are searchers that this request asks anyway.
+    /// Chooses one of `replicas`; `used` holds the searchers that the plan already asks.
     ///
-    /// Two random choices, the cheaper wins: choosing the best of all would send every root to
-    /// the same searcher at once.
+    /// The cheaper of two replicas picked at random is chosen (power of two choices). If each root chose the cheapest of
+    /// all, every root would send to the same searcher at once.
     pub fn choose(
         &self,
         now: BootTime,
@@ -124,7 +130,7 @@
         let first_cost = self.cost(now, first, typical);
         let second_cost = self.cost(now, second, typical);
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
-        // One sub-request for two shards costs a back end less than two.
+        // One sub-request for two shards costs a back end less than two sub-requests.
         let shared = replicas.iter().filter(|replica| used.contains_key(*replica));
         let shared = shared.map(|replica| (*replica, self.cost(now, *replica, typical)));
         let shared = shared.min_by(|left, right| left.1.total_cmp(&right.1));
@@ -136,7 +142,8 @@
 }
 
 impl ReplicaStats {
-    /// Rises at once and falls slowly: one slow reply is reason enough to look elsewhere for a while.
+    /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply is
+    /// enough to prefer other searchers for a while.
     fn note_latency(&mut self, now: BootTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
         let known = self.estimate(now, sample);
@@ -144,7 +151,7 @@
         self.measured_at = now;
     }
 
-    /// The estimate, drawn towards what is typical as it ages.
+    /// Returns the latency estimate in microseconds. It approaches `typical` as it ages.
     fn estimate(&self, now: BootTime, typical: f64) -> f64 {
         let Some(measured) = self.latency_micros else {
             return typical;
@@ -154,6 +161,7 @@
     }
 }
 
+/// Picks one of `replicas` at random; `None` if there are none.
 fn pick<'a>(replicas: &'a [SearcherId], random: &mut impl Rng) -> Option<&'a SearcherId> {
     match replicas.len() {
         0 => None,
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -1,7 +1,7 @@
 //! State of one request in flight.
 //!
-//! Invariants: a shard is merged at most once; hits come from replies to this request's own
-//! attempts, at its own snapshot; coverage is counted against the snapshot's own shard map.
+//! Invariants: the hits of a shard are merged at most once; hits come only from replies to this request's attempts, at
+//! the request's snapshot; coverage is counted against that snapshot's shard map.
 
 use crate::message::{SubOutcome, SubReply, Work};
 use staircross_config::Priority;
@@ -12,41 +12,41 @@
 };
 use std::sync::Arc;
 
-/// What is known about one shard of the request.
+/// Progress of one shard of the request.
 #[derive(Clone, Debug)]
 pub(crate) enum ShardProgress {
-    /// Asked, or to be asked.
+    /// The shard has been asked for or is still to be asked for.
     Open {
-        /// Attempts out for it.
+        /// Number of attempts for it that have not ended.
         outstanding: u16,
-        /// Attempts made for it, over all searchers.
+        /// Number of attempts made for it, over all searchers.
         sends: u16,
-        /// Searchers that were asked and are not to be asked again.
+        /// Searchers that were asked for it and must not be asked again.
         tried: Vec<SearcherId>,
-        /// What went wrong last.
+        /// Cause of the last failure.
         last_failure: Option<MissingCause>,
     },
-    /// Merged.
+    /// The shard's hits are merged, or the request doesn't need the shard.
     Included,
-    /// Given up.
+    /// The shard is given up.
     Missing(MissingCause),
 }
 
-/// One sub-request sent.
+/// One sub-request that was sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub searcher: SearcherId,
-    /// Positions in the shard map.
+    /// Positions of its shards in the shard map.
     pub shards: Vec<u32>,
     pub sent_at: BootTime,
-    /// Whether no final word on it has come.
+    /// Whether the attempt has not ended: no reply has come and it has not been cancelled.
     pub open: bool,
-    /// Whether lateness has been acted on.
+    /// Whether the attempt was late and a hedge has been tried for it.
     pub hedged: bool,
 }
 
 impl Attempt {
-    /// Closes the attempt and returns what it was.
+    /// Marks the attempt as ended and returns a copy of it, with its shards.
     pub fn close(&mut self) -> Attempt {
         self.open = false;
         let shards = std::mem::take(&mut self.shards);
@@ -54,7 +54,7 @@
     }
 }
 
-/// One request.
+/// One request in flight.
 pub(crate) struct Request {
     pub session: SessionToken,
     pub service: ServiceName,
@@ -65,34 +65,40 @@
     pub attempts: Vec<Attempt>,
     pub admitted_at: BootTime,
     pub deadline: BootTime,
+    /// Least coverage for an answer, in shards per thousand.
     pub least_per_mille: u32,
     pub priority: Priority,
+    /// Oldest snapshot that may be used.
     pub floor: Option<Snapshot>,
+    /// Snapshots of abandoned plans.
     pub excluded: Vec<Snapshot>,
     pub hits: Vec<Hit>,
+    /// Matching documents in the merged shards.
     pub matched: u64,
+    /// Sub-requests of the first plan.
     pub needed: u32,
+    /// Whether a sub-request was shed.
     pub troubled: bool,
-    /// Whether a plan was made; later ones are extra work.
+    /// Whether a plan has been made. The sub-requests of later plans count as extra work.
     pub planned: bool,
-    /// Whether any attempt ended, or may have ended, in execution.
+    /// Whether any attempt was executed or may have been.
     pub may_have_run: bool,
-    /// Attempts of abandoned plans; replies to them are ignored.
+    /// Number of the first attempt of the current plan. Replies to earlier attempts are ignored.
     pub first_valid_attempt: u32,
 }
 
 impl Request {
-    /// Whether the request is a paged pull.
+    /// Returns where the page starts, if the request is a page of a pull.
     pub fn page_start(&self) -> Option<&PagePosition> {
         self.work.page_start()
     }
 
-    /// Whether `count` shards are enough for an answer.
+    /// Returns whether `count` shards reach the least coverage.
     pub fn is_enough(&self, count: usize) -> bool {
         count * 1000 >= self.shards.len() * self.least_per_mille as usize
     }
 
-    /// Merges the shards of a good reply that were asked for and aren't merged yet.
+    /// Merges those shards of a good reply that the attempt asked for and that are still open.
     pub fn merge(&mut self, asked: &[u32], found: Vec<ShardHits>) -> MergeResult {
         let mut contested = false;
         for shard_hits in found {
@@ -105,6 +111,8 @@
         MergeResult { unanswered, contested }
     }
 
+    /// Returns the position of a shard of a reply; `None` if the attempt didn't ask for the shard or one of its hits is
+    /// from another shard.
     fn asked_position(&self, asked: &[u32], found: &ShardHits) -> Option<u32> {
         let index = self.map.shards.binary_search_by_key(&found.shard, |placement| placement.shard).ok()?;
         let position = index as u32;
@@ -113,9 +121,9 @@
         (!foreign).then_some(position)
     }
 
-    /// Merges one shard; returns whether other attempts are out for it.
+    /// Merges the hits of one open shard. Returns whether other attempts for it have not ended.
     fn merge_shard(&mut self, position: u32, found: ShardHits) -> bool {
-        // Two replicas may both reply; the shard counts once.
+        // After a hedge, two replicas may reply for the shard. Only the first reply counts.
         let Some(ShardProgress::Open { outstanding, .. }) = self.shards.get(position) else {
             return false;
         };
@@ -129,6 +137,7 @@
         contested
     }
 
+    /// Returns the most hits that the answer may have.
     fn limit(&self) -> usize {
         match &self.work {
             Work::Search(query) => query.limit as usize,
@@ -136,7 +145,7 @@
         }
     }
 
-    /// Sorts the hits and drops those beyond the limit.
+    /// Sorts the hits, a pull's by document and a search's by score, and drops those beyond the limit.
     pub fn keep_best(&mut self) {
         if self.page_start().is_some() {
             self.hits.sort_by(|left, right| (left.shard, &left.document).cmp(&(right.shard, &right.document)));
@@ -149,7 +158,8 @@
         self.hits.truncate(limit);
     }
 
-    /// Coverage as of now; shards still open are missing for `open_cause` or their last failure.
+    /// Returns the coverage as of now. A shard that is still open is missing for its last failure if no attempt for it is
+    /// in flight, otherwise for `open_cause`.
     pub fn coverage(&self, open_cause: MissingCause) -> Coverage {
         let mut coverage = Coverage::default();
         for (placement, progress) in self.map.shards.iter().zip(self.shards.iter()) {
@@ -167,7 +177,7 @@
         coverage
     }
 
-    /// Throws away everything gathered so far, for a new plan at another snapshot.
+    /// Discards all merged hits and progress, for a new plan on another snapshot.
     pub fn restart(&mut self, map: Arc<ShardMap>, next_attempt: u32) {
         self.excluded.push(self.map.snapshot);
         self.shards = ShardLedger::open(&map, self.page_start());
@@ -178,15 +188,16 @@
     }
 }
 
-/// What a merge did.
+/// What merging a reply did.
 pub(crate) struct MergeResult {
-    /// Shards that the reply should have answered and didn't, and nobody else has.
+    /// Shards that the attempt asked for and that are still open after the merge.
     pub unanswered: Vec<u32>,
-    /// Whether another attempt is out for a shard that was merged.
+    /// Whether another attempt for a merged shard has not ended.
     pub contested: bool,
 }
 
-/// Progress of all shards, with counts kept so that each reply costs only its own shards.
+/// Progress of all shards. The counts of open and included shards are kept, so that a reply needs to visit only its own
+/// shards.
 pub(crate) struct ShardLedger {
     progress: Vec<ShardProgress>,
     open: usize,
@@ -194,7 +205,7 @@
 }
 
 impl ShardLedger {
-    /// Progress of a fresh plan. A pull's pages skip the shards before their position.
+    /// Creates the progress for a new plan. A page of a pull skips the shards before its start; they count as included.
     pub fn open(map: &ShardMap, page_start: Option<&PagePosition>) -> Self {
         let first = page_start.map(|position| position.shard);
         let progress = map.shards.iter().map(|placement| {
@@ -209,47 +220,47 @@
         ShardLedger { progress, open, included }
     }
 
-    /// Number of shards.
+    /// Returns the number of shards.
     pub fn len(&self) -> usize {
         self.progress.len()
     }
 
-    /// Shards included so far.
+    /// Returns the number of shards that are included.
     pub fn included(&self) -> usize {
         self.included
     }
 
-    /// Shards that are included or may still be.
+    /// Returns the number of shards that are included or still open.
     pub fn reachable(&self) -> usize {
         self.included + self.open
     }
 
-    /// Whether nothing more can come.
+    /// Returns whether no shard is open.
     pub fn is_settled(&self) -> bool {
         self.open == 0
     }
 
-    /// Progress of all shards, in the map's order.
+    /// Iterates over the progress of all shards, in the order of the shard map.
     pub fn iter(&self) -> impl Iterator<Item = &ShardProgress> {
         self.progress.iter()
     }
 
-    /// Progress of one shard.
+    /// Returns the progress of one shard.
     pub fn get(&self, position: u32) -> Option<&ShardProgress> {
         self.progress.get(position as usize)
     }
 
-    /// Progress of one shard that is still open.
+    /// Returns the progress of one shard if it is still open.
     pub fn get_open_mut(&mut self, position: u32) -> Option<&mut ShardProgress> {
         self.progress.get_mut(position as usize).filter(|shard| matches!(shard, ShardProgress::Open { .. }))
     }
 
-    /// Whether a shard is still open.
+    /// Returns whether a shard is still open.
     pub fn is_open(&self, position: u32) -> bool {
         matches!(self.get(position), Some(ShardProgress::Open { .. }))
     }
 
-    /// Positions of all open shards.
+    /// Returns the positions of all open shards.
     pub fn open_positions(&self) -> Vec<u32> {
         (0..self.progress.len() as u32).filter(|position| self.is_open(*position)).collect()
     }
@@ -263,7 +274,7 @@
         }
     }
 
-    /// Gives up an open shard unless an attempt is out for it.
+    /// Gives up an open shard, unless an attempt for it has not ended.
     pub fn give_up_idle(&mut self, position: u32, cause: MissingCause) {
         let Some(progress) = self.get_open_mut(position) else {
             return;
@@ -274,7 +285,7 @@
         }
     }
 
-    /// Takes an ended attempt off its shards.
+    /// Counts one attempt for each of the shards as ended.
     pub fn release(&mut self, positions: &[u32]) {
         for position in positions {
             if let Some(ShardProgress::Open { outstanding, .. }) = self.get_open_mut(*position) {
@@ -283,7 +294,7 @@
         }
     }
 
-    /// Notes a failure and returns the shards that have no other attempt out.
+    /// Records a failure of the shards that are open. Returns those of them for which no attempt is in flight.
     pub fn note_failure(&mut self, positions: &[u32], cause: MissingCause) -> Vec<u32> {
         let mut idle = Vec::new();
         for position in positions {
@@ -297,7 +308,7 @@
         idle
     }
 
-    /// Lets shards be asked again of a searcher that was never reached.
+    /// Removes a searcher, which the sub-request never reached, from those that must not be asked again for the shards.
     pub fn forget_try(&mut self, positions: &[u32], searcher: SearcherId) {
         for position in positions {
             if let Some(ShardProgress::Open { tried, .. }) = self.get_open_mut(*position) {
@@ -306,7 +317,7 @@
         }
     }
 
-    /// Attempts made for an open shard.
+    /// Returns the number of attempts made for an open shard; `usize::MAX` for any other.
     pub fn sends(&self, position: u32) -> usize {
         match self.get(position) {
             Some(ShardProgress::Open { sends, .. }) => usize::from(*sends),
@@ -315,10 +326,10 @@
     }
 }
 
-/// Whether a reply is a whole one to what was asked: right searcher and right snapshot.
+/// Returns whether a reply comes from the searcher that was asked and, if it was executed, from the request's snapshot.
 pub(crate) fn reply_matches(request: &Request, attempt: &Attempt, reply: &SubReply) -> bool {
     let right_searcher = attempt.searcher == reply.searcher;
-    // A refusal says nothing about the index, so its snapshot doesn't matter.
+    // A reply without a result carries no data of a snapshot, so its snapshot isn't compared.
     let right_snapshot = match &reply.outcome {
         SubOutcome::Found(_) | SubOutcome::Acted(_) => reply.snapshot == request.map.snapshot,
         SubOutcome::NotRun(_) | SubOutcome::Unknown(_) => true,
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -1,9 +1,9 @@
-//! Decisions of the root for all its requests.
+//! The root: decides about all requests of callers at one node.
 //!
-//! Inputs: services in force, searcher views, submissions, replies, time. For each request it
-//! picks a snapshot, plans shards onto searchers, hedges and retries within budgets, merges, and
-//! answers or refuses. Invariants: see [`crate::request`]; a refusal is of a never-run kind only
-//! if nothing was sent, or whatever was sent was answered "not run".
+//! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses a
+//! snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
+//! refuses. Invariants: see [`crate::request`]; a request is refused as never run only if nothing was sent, or all that
+//! was sent was answered `NotRun`.
 
 mod deadline;
 mod finish;
@@ -33,16 +33,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds of a root.
+/// Settings of a root.
 #[derive(Clone, Debug)]
 pub struct RootSettings {
-    /// Most sessions held.
+    /// Most sessions that are held.
     pub sessions: usize,
-    /// Latency assumed before there are measurements.
+    /// Latency that is assumed before enough replies are measured.
     pub latency_guess: Duration,
-    /// Most attempts per shard, the first included.
+    /// Most attempts for a shard in one plan, the first included.
     pub attempts_per_shard: usize,
-    /// Most plans per request, the first included.
+    /// Most plans of a request, the first included.
     pub plans_per_request: usize,
 }
 
@@ -57,44 +57,49 @@
     }
 }
 
-/// What a root is told.
+/// An event that a root handles.
 #[derive(Clone, Debug)]
 pub enum RootEvent {
-    /// The services in force.
+    /// The services that are now in force.
     Services(Vec<Arc<ServiceDefinition>>),
     /// A searcher's view has changed.
     View(SearcherView),
-    /// A caller asks.
+    /// A caller submits a request.
     Submit(Submission),
-    /// A leaf replied.
+    /// A leaf replied to a sub-request.
     Reply(SubReply),
-    /// The caller is gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestId),
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a root wants done.
+/// An action that a root asks its caller to carry out.
 #[derive(Clone, Debug)]
 pub enum RootAction {
-    /// Send to a leaf that owns the searcher.
+    /// Send the sub-request to a leaf that owns the searcher.
     Send(SubRequest),
-    /// Tell the leaf that an attempt is no longer wanted.
+    /// Tell the leaf that the result of an attempt is no longer wanted.
     Cancel { attempt: AttemptId, searcher: SearcherId },
-    /// The final word on a request.
+    /// Return the outcome of a request to its caller.
     Finish { request: RequestId, outcome: Outcome },
 }
 
-/// What the root keeps per service.
+/// The root's state of one service.
 pub(crate) struct ServiceState {
     pub definition: Arc<ServiceDefinition>,
     pub maps: Vec<Arc<ShardMap>>,
+    /// The service's searchers.
     pub peers: Vec<SearcherId>,
+    /// Snapshots that could be served, the newest first.
     pub candidates: Vec<Candidate>,
+    /// The snapshot that the service is served from.
     pub current: Option<Snapshot>,
+    /// Whether `candidates` and `current` must be computed again.
     pub stale: bool,
+    /// Time from sending a sub-request to its reply.
     pub latency: LatencyTracker,
-    /// The same without waits for slots.
+    /// The same without the time that the sub-request waited for a slot at the leaf.
     pub work: LatencyTracker,
     pub hedges: ExtraWorkBudget,
     pub retries: ExtraWorkBudget,
@@ -104,21 +109,21 @@
 /// Counters of a root, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RootCounters {
-    /// Sub-requests sent as a first attempt.
+    /// Sub-requests sent as the first attempt of a plan.
     pub primaries: u64,
     /// Sub-requests sent as hedges.
     pub hedges: u64,
     /// Sub-requests sent as retries.
     pub retries: u64,
-    /// Sub-requests sent another way after an explicit "not run" that wasn't a shed.
+    /// Sub-requests sent again after a `NotRun` reply for another reason than `Shed`.
     pub reroutes: u64,
-    /// Replies dropped because they matched nothing that was asked.
+    /// Replies from another searcher or snapshot than was asked, or for a request of another node.
     pub foreign_replies: u64,
-    /// Replies that came after the final word.
+    /// Replies that came after their request or attempt had ended.
     pub late_replies: u64,
 }
 
-/// The root's decisions.
+/// The root's state and decisions.
 pub struct RootEngine {
     pub(crate) node: NodeId,
     pub(crate) settings: RootSettings,
@@ -128,16 +133,18 @@
     pub(crate) replicas: ReplicaTable,
     pub(crate) copies: CopyHealth,
     pub(crate) requests: HashMap<u64, Request>,
+    /// Times at which requests need attention, with the requests' sequence numbers. A request may have several.
     pub(crate) wakes: BinaryHeap<Reverse<(BootTime, u64)>>,
+    /// Attempts of finished actions, whose receipts may still come.
     pub(crate) unknown_actions: HashMap<AttemptId, submit::PendingTicket>,
-    /// Sessions held by this node.
+    /// Sessions that this node holds.
     pub sessions: SessionTable,
     /// Counters for metrics.
     pub counters: RootCounters,
 }
 
 impl RootEngine {
-    /// A root of `node` without services; `seed` feeds its random choices.
+    /// Creates the root of `node`, without services. `seed` seeds its random choices.
     pub fn new(node: NodeId, settings: RootSettings, seed: u64) -> Self {
         RootEngine {
             node,
@@ -155,7 +162,7 @@
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: BootTime, event: RootEvent, actions: &mut Vec<RootAction>) {
         match event {
             RootEvent::Services(definitions) => self.set_services(definitions),
@@ -167,33 +174,33 @@
         }
     }
 
-    /// When `Tick` is due next.
+    /// Returns when [`RootEvent::Tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
         self.wakes.peek().map(|Reverse((time, _))| *time)
     }
 
-    /// Requests without a final word.
+    /// Returns the number of requests that have not ended.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// The definition of a service in force.
+    /// Returns the definition of a service that is in force.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceDefinition>> {
         self.services.get(name).map(|service| &service.definition)
     }
 
-    /// The snapshot that a service is served from now.
+    /// Returns the snapshot that a service is served from now.
     pub fn current_snapshot(&mut self, name: &ServiceName) -> Option<Snapshot> {
         self.refresh_service(name);
         self.services.get(name).and_then(|service| service.current)
     }
 
-    /// All views, for display.
+    /// Returns the views of all searchers, for display.
     pub fn views(&self) -> impl Iterator<Item = &SearcherView> {
         self.views.values()
     }
 
-    /// Searcher and snapshot that an open attempt was sent for.
+    /// Returns the searcher and the snapshot that an open attempt was sent for.
     pub fn attempt_target(&self, id: AttemptId) -> Option<(SearcherId, Snapshot)> {
         let request = self.requests.get(&id.request.sequence).filter(|_| id.request.node == self.node)?;
         let index = (id.attempt as usize).checked_sub(1)?;
@@ -201,6 +208,7 @@
         Some((attempt.searcher, request.map.snapshot))
     }
 
+    /// Replaces the services in force. A service that stays keeps its measurements, budgets and limit.
     fn set_services(&mut self, definitions: Vec<Arc<ServiceDefinition>>) {
         let mut kept = std::mem::take(&mut self.services);
         for definition in definitions {
@@ -212,6 +220,7 @@
         }
     }
 
+    /// Stores the view of a searcher, and drops what was measured of it if its run has changed.
     fn set_view(&mut self, view: SearcherView) {
         let run = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
         let restarted = self.views.get(&view.searcher).is_some_and(|known| run(known) != run(&view));
@@ -224,7 +233,7 @@
         self.views.insert(view.searcher, view);
     }
 
-    /// Recomputes which snapshot a service is served from, if anything changed.
+    /// Chooses again which snapshot a service is served from, if its definition or a view has changed.
     pub(crate) fn refresh_service(&mut self, name: &ServiceName) {
         let Some(service) = self.services.get_mut(name).filter(|service| service.stale) else {
             return;
@@ -267,6 +276,7 @@
     }
 }
 
+/// Copies the shard maps of a service, for requests to share.
 fn shared_maps(definition: &ServiceDefinition) -> Vec<Arc<ShardMap>> {
     definition.shard_maps.iter().cloned().map(Arc::new).collect()
 }
--- a/crates/session/staircross-search/src/root/deadline.rs
+++ b/crates/session/staircross-search/src/root/deadline.rs
@@ -1,4 +1,4 @@
-//! What time does to requests: hedges, patience and deadlines.
+//! Timers of requests: hedges, early answers of latency-first requests, and deadlines.
 
 use super::plan::SendReason;
 use super::{RootAction, RootEngine, ServiceState};
@@ -8,10 +8,10 @@
 use staircross_types::{BootTime, RequestId};
 use std::cmp::Reverse;
 
-/// Latency-first services wait this many hedge delays for the last shards.
+/// Number of hedge delays after admission at which a latency-first request may be answered without its last shards.
 const PATIENCE: u32 = 2;
 
-/// When a latency-first request stops waiting for the rest; `None` for coverage-first ones.
+/// Returns when a latency-first search may be answered without its last shards; `None` for other requests.
 pub(super) fn patience_end(request: &Request, service: &ServiceState) -> Option<BootTime> {
     let is_search = matches!(request.work, Work::Search(_));
     if !is_search || request.priority == Priority::Coverage {
@@ -21,6 +21,7 @@
 }
 
 impl RootEngine {
+    /// Handles the timers that are due.
     pub(super) fn on_tick(&mut self, now: BootTime, actions: &mut Vec<RootAction>) {
         while let Some(Reverse((due, sequence))) = self.wakes.peek().copied() {
             if due > now {
@@ -32,6 +33,7 @@
         self.unknown_actions.retain(|_, pending| now < pending.forget_at);
     }
 
+    /// Handles a due timer of a request: ends the request, or hedges its late attempts.
     fn wake(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -48,7 +50,7 @@
         self.schedule(now, sequence);
     }
 
-    /// Whether a latency-first request has enough shards and has waited long enough for the rest.
+    /// Returns whether a latency-first request has enough shards and has waited long enough for the others.
     pub(super) fn is_out_of_patience(&self, now: BootTime, request: &Request) -> bool {
         if !request.is_enough(request.shards.included()) {
             return false;
@@ -57,11 +59,12 @@
         service.and_then(|service| patience_end(request, service)).is_some_and(|end| now >= end)
     }
 
+    /// Sends hedges for the shards of attempts that are late, once for each attempt.
     fn hedge_late_attempts(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        // An action is never sent twice, however late it is.
+        // An action is never hedged, because it must be executed at most once.
         if matches!(request.work, Work::Act(_)) {
             return;
         }
@@ -83,11 +86,12 @@
         }
     }
 
+    /// Ends a search whose caller has disconnected.
     pub(super) fn on_caller_gone(&mut self, now: BootTime, id: RequestId, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&id.sequence) else {
             return;
         };
-        // An action goes on: its ticket must learn the outcome.
+        // An action continues, so that its outcome is recorded with its ticket.
         if matches!(request.work, Work::Search(_)) {
             self.stop_waiting(now, id.sequence, actions);
         }
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -1,4 +1,4 @@
-//! The final word on a request.
+//! The end of a request: when it ends and with which outcome.
 
 use super::submit::{PendingTicket, refused};
 use super::{RootAction, RootEngine};
@@ -9,13 +9,14 @@
 use staircross_types::{AttemptId, BootTime, ErrorKind, MissingCause, RequestId};
 use std::time::Duration;
 
-/// How long a late receipt can still settle a ticket whose outcome was unknown.
+/// Time after the end of an action during which a late receipt is still recorded as its ticket's outcome.
 const LATE_RECEIPT_WINDOW: Duration = Duration::from_secs(60);
-/// A request with less time left than this isn't planned anew.
+/// Least time left at which a request is planned again.
 const MIN_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
 
 impl RootEngine {
-    /// Ends the request if nothing more can come, or too little.
+    /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has waited
+    /// long enough. If its snapshot is gone, plans the request again instead, where that is possible.
     pub(super) fn settle(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -33,7 +34,8 @@
         self.stop_waiting(now, sequence, actions);
     }
 
-    /// Starts over at another snapshot when the present one has gone. All partials are dropped.
+    /// Plans a search again on another snapshot, if a shard is missing because the snapshot is gone. All merged hits are
+    /// dropped. Returns whether a new plan was made.
     fn replan(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) -> bool {
         let Some(request) = self.requests.get(&sequence) else {
             return false;
@@ -70,7 +72,7 @@
         true
     }
 
-    /// Answers with what is there, or refuses.
+    /// Ends the request with what has been merged so far: answers if that is enough, otherwise refuses.
     pub(super) fn stop_waiting(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -82,6 +84,7 @@
         self.finish(now, sequence, outcome, actions);
     }
 
+    /// Ends the request with an outcome: cancels its open attempts, and updates limiter, ticket and session.
     pub(super) fn finish(&mut self, now: BootTime, sequence: u64, outcome: Outcome, actions: &mut Vec<RootAction>) {
         let id = RequestId { node: self.node, sequence };
         self.remember_unknown_action(now, sequence);
@@ -100,6 +103,7 @@
         actions.push(RootAction::Finish { request: id, outcome });
     }
 
+    /// Marks the open attempts as ended, and cancels those of a search.
     fn cancel_open_attempts(&mut self, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -110,10 +114,10 @@
                 continue;
             }
             attempt.open = false;
-            // Nothing more will be heard of it here, so it must count as run.
+            // The attempt's reply won't be awaited, so the attempt must count as one that may have been executed.
             request.may_have_run = true;
             self.replicas.ended(attempt.searcher);
-            // A cancelled action might stop half-way; its outcome is wanted, however late.
+            // An action isn't cancelled: it might stop half-way, and a late receipt is still of use for its ticket.
             if is_search {
                 let request = RequestId { node: self.node, sequence };
                 let id = AttemptId { request, attempt: index as u32 + 1 };
@@ -122,6 +126,7 @@
         }
     }
 
+    /// Stores the attempts of a request with a ticket, so that a late receipt can still be recorded.
     fn remember_unknown_action(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -138,6 +143,7 @@
 }
 
 impl Request {
+    /// Answers with the merged hits if the coverage is enough, otherwise refuses.
     fn conclude_search(&mut self, now: BootTime) -> Outcome {
         let coverage = self.coverage(MissingCause::Late);
         if !self.is_enough(coverage.included.len()) {
@@ -160,6 +166,7 @@
         }))
     }
 
+    /// Returns where the next page of a pull starts; `None` if this page isn't full.
     fn next_page(&self) -> Option<PagePosition> {
         self.page_start()?;
         let Work::Search(query) = &self.work else {
@@ -188,6 +195,7 @@
         refused(kind, detail)
     }
 
+    /// Refuses an action that has no receipt.
     fn conclude_action(&self) -> Outcome {
         let any_open = self.attempts.iter().any(|attempt| attempt.open);
         if self.may_have_run || any_open {
@@ -197,6 +205,7 @@
     }
 }
 
+/// Describes how many shards are missing for each cause, such as `2 late, 1 shed`.
 fn summarize_causes(coverage: &staircross_types::Coverage) -> String {
     let mut counts = std::collections::BTreeMap::new();
     for missing in &coverage.missing {
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -1,4 +1,4 @@
-//! Planning: which searcher is asked for which shards, and sending it.
+//! Plans: which searcher is asked for which shards, and sending the sub-requests.
 
 use super::{RootAction, RootEngine};
 use crate::message::{SubRequest, Work};
@@ -10,13 +10,14 @@
 /// Why a sub-request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendReason {
-    /// First attempt for its shards.
+    /// The first attempt of a plan for its shards.
     Primary,
-    /// Another attempt while the first is late.
+    /// Another attempt while an earlier one is late.
     Hedge,
-    /// Another attempt after the one before failed.
+    /// Another attempt after an earlier one failed.
     Retry,
-    /// Another way after an explicit "not run" that wasn't a shed: nothing runs twice, so no extra load.
+    /// Another attempt after a `NotRun` reply for another reason than `Shed`. Nothing is executed twice, so it is no extra
+    /// load.
     Reroute,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl RootEngine {
-    /// Sends first attempts for every open shard of a fresh plan.
+    /// Sends the first attempts for all open shards of a new plan.
     pub(super) fn plan(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -36,13 +37,14 @@
         let batches = self.choose_batches(now, sequence, &open);
         self.give_up_unplaced(sequence, &open, &batches);
         if self.is_hopeless(sequence) {
-            // Refused before anything is sent: no back end works in vain, and "not run" is certain.
+            // The request is refused before anything is sent: no back end does work for nothing, and the request was
+            // certainly not executed.
             self.settle(now, sequence, actions);
             return;
         }
         let count = batches.len();
         if let Some(request) = self.requests.get_mut(&sequence) {
-            // Whatever a later plan sends is work beyond the strictly needed.
+            // Only the first plan counts as needed. What a later plan sends is extra work.
             if !request.planned {
                 request.planned = true;
                 request.needed = count as u32;
@@ -59,12 +61,12 @@
         self.settle(now, sequence, actions);
     }
 
-    /// Whether too few shards are left for an answer.
+    /// Returns whether too few shards are included or open to reach the least coverage.
     pub(super) fn is_hopeless(&self, sequence: u64) -> bool {
         self.requests.get(&sequence).is_some_and(|request| !request.is_enough(request.shards.reachable()))
     }
 
-    /// Gives up the shards of a plan that nobody can be asked for.
+    /// Gives up the shards of a plan for which no searcher can be asked.
     fn give_up_unplaced(&mut self, sequence: u64, planned: &[u32], batches: &[Batch]) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Sends further attempts for shards, as far as the budget goes. Returns the shards not sent.
+    /// Sends further attempts for shards, as far as the budget allows. Returns the shards that weren't sent.
     pub(super) fn send_extra(
         &mut self,
         now: BootTime,
@@ -103,6 +105,7 @@
         unsent
     }
 
+    /// Returns whether a sub-request may be sent, and spends a token of the budget if the reason needs one.
     fn spend(&mut self, now: BootTime, sequence: u64, reason: SendReason) -> bool {
         let Some(request) = self.requests.get(&sequence) else {
             return false;
@@ -112,14 +115,15 @@
         };
         match reason {
             SendReason::Primary | SendReason::Reroute => true,
-            // An action is only sent again when it certainly didn't run: no repetition, so no budget.
+            // An action is sent again only if it was certainly not executed. That repeats no work and needs no budget.
             SendReason::Retry if matches!(request.work, Work::Act(_)) => true,
             SendReason::Hedge => service.hedges.try_spend(now),
             SendReason::Retry => service.retries.try_spend(now),
         }
     }
 
-    /// Chooses a replica not tried yet for each shard; shards without one are left out.
+    /// Chooses for each shard a replica that hasn't been tried, and groups the shards by searcher. Shards without such a
+    /// replica are left out.
     fn choose_batches(&mut self, now: BootTime, sequence: u64, shards: &[u32]) -> Vec<Batch> {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return Vec::new();
@@ -145,7 +149,7 @@
                 serves && !tried.contains(replica)
             }));
             let is_quick = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
-            // A slow copy is better than none; the least suspected is better than another.
+            // Avoided copies are used only if there are no others, and then those with the fewest slow replies.
             if !self.copies.is_empty() && eligible.iter().any(is_quick) {
                 eligible.retain(is_quick);
             } else if !self.copies.is_empty() {
@@ -178,6 +182,7 @@
         batches
     }
 
+    /// Sends one sub-request and records it as an attempt.
     fn send(
         &mut self,
         now: BootTime,
@@ -219,7 +224,7 @@
         }));
     }
 
-    /// Sets the time at which the request needs attention next.
+    /// Sets when the request needs attention next: at the next hedge, the early answer or the deadline.
     pub(super) fn schedule(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -239,7 +244,7 @@
     }
 }
 
-/// Why a shard has no replica to ask.
+/// Returns why none of a shard's replicas can be asked.
 fn absence_cause(replicas: &[SearcherId], views: &HashMap<SearcherId, crate::view::SearcherView>) -> MissingCause {
     let known: Vec<_> = replicas.iter().filter_map(|replica| views.get(replica)).collect();
     if known.iter().any(|view| view.leaving) {
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -1,4 +1,4 @@
-//! What a leaf's reply means for its request.
+//! Handling of replies to sub-requests.
 
 use super::plan::SendReason;
 use super::{RootAction, RootEngine};
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 impl RootEngine {
+    /// Checks a reply against its attempt and applies it to the request.
     pub(super) fn on_reply(&mut self, now: BootTime, reply: SubReply, actions: &mut Vec<RootAction>) {
         if reply.attempt.request.node != self.node {
             self.counters.foreign_replies += 1;
@@ -79,7 +80,7 @@
         if let Some(service) = self.services.get(&request.service) {
             let tail = service.work.hedge_delay();
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            // Waits for a slot are left out: they say nothing about the copy.
+            // The wait for a slot is left out, because it says nothing about the copy.
             self.copies.note_reply(now, attempt.searcher, shards, worked, tail);
         }
         let merged = request.merge(&attempt.shards, found);
@@ -101,7 +102,7 @@
         }
     }
 
-    /// An attempt that was overtaken by another is as slow as the time it was out.
+    /// Records the copies of an attempt as slow if another attempt answered its shards first and it was already late.
     fn note_overtaken(&mut self, now: BootTime, sequence: u64, number: u32) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -118,6 +119,7 @@
         }
     }
 
+    /// Handles an attempt that was certainly not executed, and asks other replicas for its shards.
     fn apply_not_run(
         &mut self,
         now: BootTime,
@@ -131,8 +133,8 @@
         } else {
             self.replicas.ended(attempt.searcher);
         }
-        // What certainly didn't run may go elsewhere without being extra load, except that back ends
-        // which shed must not be asked for more.
+        // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it counts
+        // as a retry, because overloaded back ends must not be asked for more.
         let mut send_reason = SendReason::Reroute;
         match reason {
             NotRunReason::Shed => {
@@ -145,13 +147,14 @@
         self.retry(now, sequence, &attempt.shards, reason.missing_cause(), send_reason, actions);
     }
 
+    /// Lets the shards of an attempt be asked of the same searcher again, since the attempt didn't reach it.
     fn forget_try(&mut self, sequence: u64, attempt: &Attempt) {
         if let Some(request) = self.requests.get_mut(&sequence) {
             request.shards.forget_try(&attempt.shards, attempt.searcher);
         }
     }
 
-    /// A shed reply says that the back ends are full: spend nothing extra, admit less.
+    /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's limit.
     fn note_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -164,13 +167,14 @@
         }
     }
 
-    /// Notes a failure of a searcher, which may eject it.
+    /// Records a failure of a searcher, which may eject it.
     fn note_failed(&mut self, now: BootTime, sequence: u64, searcher: SearcherId) {
         let service = self.requests.get(&sequence).and_then(|request| self.services.get(&request.service));
         let peers = service.map_or(&[][..], |service| &service.peers);
         self.replicas.failed(now, searcher, peers);
     }
 
+    /// Handles an attempt that may or may not have been executed. A search is retried; an action is given up.
     fn apply_unknown(
         &mut self,
         now: BootTime,
@@ -185,14 +189,14 @@
         };
         request.may_have_run = true;
         if matches!(request.work, Work::Act(_)) {
-            // At most once: whoever may have run it is the only one ever asked.
+            // At most once: after a searcher that may have executed the action, no other is asked.
             request.give_up(&attempt.shards, cause);
             return;
         }
         self.retry(now, sequence, &attempt.shards, cause, SendReason::Retry, actions);
     }
 
-    /// Asks other replicas for shards that an attempt failed to bring; gives up what can't be asked.
+    /// Asks other replicas for the shards of a failed attempt, and gives up the shards for which that isn't possible.
     fn retry(
         &mut self,
         now: BootTime,
@@ -217,7 +221,7 @@
         self.schedule(now, sequence);
     }
 
-    /// A reply to a finished request is dropped, but an action's late receipt settles its ticket.
+    /// Drops the reply to a finished request, except that the late receipt of an action is recorded with its ticket.
     fn note_late_reply(&mut self, now: BootTime, reply: SubReply) {
         self.counters.late_replies += 1;
         let SubOutcome::Acted(receipt) = reply.outcome else {
@@ -233,13 +237,14 @@
 }
 
 impl Request {
+    /// Gives up those of the shards for which no attempt is in flight.
     fn give_up(&mut self, shards: &[u32], cause: MissingCause) {
         for position in shards {
             self.shards.give_up_idle(*position, cause);
         }
     }
 
-    /// Closes and returns attempts none of whose shards is open any more.
+    /// Marks the attempts that have no open shard left as ended, and returns them.
     fn take_needless_attempts(&mut self) -> Vec<NeedlessAttempt> {
         let mut needless = Vec::new();
         for (index, attempt) in self.attempts.iter_mut().enumerate() {
@@ -256,7 +261,7 @@
     }
 }
 
-/// An attempt whose reply can add nothing any more.
+/// An attempt all of whose shards were answered by other attempts.
 struct NeedlessAttempt {
     number: u32,
     searcher: SearcherId,
--- a/crates/session/staircross-search/src/root/submit.rs
+++ b/crates/session/staircross-search/src/root/submit.rs
@@ -1,4 +1,4 @@
-//! Admission: from a caller's submission to the first plan.
+//! Admission: the checks between a caller's submission and the first plan.
 
 use super::{RootAction, RootEngine};
 use crate::message::{Outcome, Refusal, Work};
@@ -8,28 +8,28 @@
 use staircross_types::{BootTime, ErrorKind, RequestId, ServiceName, SessionToken, Snapshot, Ticket};
 use std::time::Duration;
 
-/// One request of a caller.
+/// One request of a caller, as submitted to the root.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Fresh id, minted by this node.
+    /// New id, minted by this node.
     pub request: RequestId,
     /// The caller's session.
     pub session: SessionToken,
-    /// The service asked.
+    /// The service that is asked.
     pub service: ServiceName,
-    /// What to do.
+    /// The search or action.
     pub work: Work,
-    /// The caller's own wait bound; the service's applies too.
+    /// The caller's wait bound. The shorter of this and the service's bound applies.
     pub wait: Option<Duration>,
-    /// The caller's own least coverage per thousand; the service's applies too.
+    /// The caller's least coverage, in shards per thousand. The higher of this and the service's applies.
     pub least_per_mille: Option<u32>,
-    /// For a page of a pull after the first: the snapshot that all its pages come from.
+    /// For a page of a pull after the first, the snapshot that all pages of the pull come from.
     pub pinned: Option<Snapshot>,
-    /// For an action: its ticket.
+    /// The ticket of an action.
     pub ticket: Option<Ticket>,
 }
 
-/// A ticket whose action's outcome is unknown and may still become known.
+/// The ticket of a finished action, whose receipt may still come.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingTicket {
     pub session: SessionToken,
@@ -38,6 +38,7 @@
 }
 
 impl RootEngine {
+    /// Admits a request, or finishes it at once with a refusal or its ticket's recorded outcome.
     pub(super) fn submit(&mut self, now: BootTime, submission: Submission, actions: &mut Vec<RootAction>) {
         let request = submission.request;
         if let Err(outcome) = self.admit(now, submission, actions) {
@@ -45,6 +46,7 @@
         }
     }
 
+    /// Checks a submission, stores its request and sends the first plan.
     fn admit(&mut self, now: BootTime, submission: Submission, actions: &mut Vec<RootAction>) -> Result<(), Outcome> {
         let name = submission.service.clone();
         let Some(session) = self.sessions.touch(now, submission.session) else {
@@ -101,6 +103,7 @@
         Ok(())
     }
 
+    /// Marks the ticket of an action as running, or returns the outcome that the ticket prescribes.
     fn use_ticket(&mut self, now: BootTime, submission: &Submission) -> Result<(), Outcome> {
         let Some(ticket) = submission.ticket else {
             return Ok(());
@@ -121,7 +124,7 @@
         })
     }
 
-    /// An action touches one shard only: the one that holds its target.
+    /// Limits an action to the one shard that holds its target. The other shards count as included.
     fn narrow_to_target(&mut self, request: &mut Request) {
         let Work::Act(command) = &request.work else {
             return;
@@ -134,6 +137,7 @@
         }
     }
 
+    /// Records the outcome of an action with its ticket.
     pub(super) fn give_ticket_back(&mut self, now: BootTime, request: &Request, outcome: &Outcome) {
         let Some(ticket) = request.ticket else {
             return;
@@ -144,6 +148,7 @@
     }
 }
 
+/// Checks that an action has a ticket and that the service takes this kind of work.
 fn check_kind(submission: &Submission, repeatable: bool) -> Result<(), Outcome> {
     let is_action = matches!(submission.work, Work::Act(_));
     if is_action && submission.ticket.is_none() {
@@ -156,6 +161,7 @@
     Ok(())
 }
 
+/// Chooses the snapshot of a request: the pinned one if there is one, otherwise by the request's needs.
 fn pick_candidate<'a>(
     candidates: &'a [Candidate],
     current: Option<Snapshot>,
@@ -172,6 +178,7 @@
         .ok_or_else(|| refused(ErrorKind::NoSnapshot, "no snapshot at or above the session's floor has a live replica"))
 }
 
+/// Builds the outcome of a refused request.
 pub(super) fn refused(kind: ErrorKind, detail: impl Into<String>) -> Outcome {
     Outcome::Refusal(Refusal::new(kind, detail))
 }
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -1,7 +1,7 @@
-//! Sessions: what a caller has seen and which tickets it used.
+//! Sessions: the snapshots that a caller has seen and the tickets for its actions.
 //!
-//! Invariants: a floor only rises; a ticket leaves `Unused` before anything of its request is
-//! sent; a request refused as never run gives its ticket back.
+//! Invariants: a floor (the newest snapshot seen of a service) never falls; a ticket is marked as running before any
+//! part of its request is sent; a request that is refused as never run makes its ticket unused again.
 
 use crate::message::Outcome;
 use hashbrown::HashMap;
@@ -10,52 +10,52 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A session unused for so long may be dropped, but only when a full table needs the room.
+/// Time after its last use at which a session may be dropped. It is dropped only when the table is full.
 const ABANDONED_AFTER: Duration = Duration::from_secs(3600);
-/// Tickets remembered per session; the oldest used ones are forgotten first.
+/// Upper bound of the tickets kept per session. The oldest ticket whose request isn't running is dropped first.
 const MAX_TICKETS: usize = 256;
 
-/// Life of one ticket.
+/// State of one ticket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TicketState {
-    /// Minted, not used.
+    /// The ticket was minted and has not been used.
     Unused,
-    /// Its request is in flight.
+    /// The ticket's request is in flight.
     Running,
-    /// Its request ended like this.
+    /// The ticket's request ended with this outcome.
     Ended(Box<Outcome>),
 }
 
-/// One session.
+/// State of one session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionState {
-    /// Newest snapshot seen, per service.
+    /// Newest snapshot that the session has seen of each service.
     pub floors: BTreeMap<ServiceName, Snapshot>,
-    /// Tickets by serial, in minting order.
+    /// Tickets with their states, in the order in which they were minted.
     tickets: Vec<(Ticket, TicketState)>,
 }
 
-/// Why a ticket can't be used.
+/// Why a ticket can't be used for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketRefusal {
-    /// Minted by another node or another run of this node: whether it was used is not known.
+    /// The ticket was minted by another node or an earlier run of this one, so that its use isn't known here.
     Foreign,
-    /// Not a ticket of this session.
+    /// The session has no such ticket.
     Unknown,
-    /// Its request is in flight.
+    /// The ticket's request is in flight.
     Running,
-    /// Its request has ended; this was the outcome.
+    /// The ticket's request has ended with this outcome.
     Ended(Box<Outcome>),
 }
 
 impl SessionState {
-    /// Raises the floor for a service.
+    /// Raises the floor of a service to `seen`, unless it is higher already.
     pub fn raise_floor(&mut self, service: &ServiceName, seen: Snapshot) {
         let floor = self.floors.entry(service.clone()).or_insert(seen);
         *floor = (*floor).max(seen);
     }
 
-    /// Adds a fresh ticket.
+    /// Adds a newly minted ticket, and drops an old one if there are too many.
     pub fn add_ticket(&mut self, ticket: Ticket) {
         if self.tickets.len() >= MAX_TICKETS {
             let oldest_idle = self.tickets.iter().position(|(_, state)| *state != TicketState::Running);
@@ -66,7 +66,7 @@
         self.tickets.push((ticket, TicketState::Unused));
     }
 
-    /// Marks a ticket as running, or says why it can't be.
+    /// Marks a ticket as running, or returns why it can't be used. `holder` is this node.
     pub fn use_ticket(&mut self, ticket: Ticket, holder: staircross_types::NodeId) -> Result<(), TicketRefusal> {
         let entry = self.tickets.iter_mut().find(|(known, _)| *known == ticket);
         match entry {
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Records how a ticket's request ended. A known outcome is never overwritten by another.
+    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never run makes the ticket
+    /// unused again.
     pub fn end_ticket(&mut self, ticket: Ticket, outcome: &Outcome) {
         let Some((_, state)) = self.tickets.iter_mut().find(|(known, _)| *known == ticket) else {
             return;
@@ -93,10 +94,11 @@
     }
 }
 
-/// A session in the table.
+/// A session of the table, with the time of its last use.
 struct HeldSession {
     state: SessionState,
-    /// Last use, on this node's boot clock. No part of the state: a use that shows nothing new needs no copy.
+    /// Time of the last use, on this node's boot clock. It is no part of [`SessionState`], because a use that shows the
+    /// session no new snapshot must not cause a copy of the state to other nodes.
     last_used: BootTime,
 }
 
@@ -107,12 +109,12 @@
 }
 
 impl SessionTable {
-    /// A table of at most `capacity` sessions.
+    /// Creates a table of at most `capacity` sessions.
     pub fn new(capacity: usize) -> Self {
         SessionTable { sessions: HashMap::new(), capacity }
     }
 
-    /// Opens a session; `false` when the table is full of sessions in use.
+    /// Opens a session. Returns `false` when the table is full and no session may be dropped.
     pub fn open(&mut self, now: BootTime, token: SessionToken) -> bool {
         if !self.make_room(now) {
             return false;
@@ -122,7 +124,8 @@
         true
     }
 
-    /// Whether there is room for one more, after dropping the longest idle session if it is abandoned.
+    /// Returns whether there is room for one more session. If the table is full, drops the session that has been idle
+    /// longest, provided that it has been idle long enough.
     fn make_room(&mut self, now: BootTime) -> bool {
         if self.sessions.len() < self.capacity {
             return true;
@@ -136,7 +139,8 @@
         true
     }
 
-    /// Takes over a session from a replica; `false` when the table is full of sessions in use.
+    /// Adds a session whose state comes from a copy at another node; a session that is held already is kept. Returns
+    /// `false` when the table is full and no session may be dropped.
     pub fn adopt(&mut self, now: BootTime, token: SessionToken, state: SessionState) -> bool {
         if !self.make_room(now) {
             return false;
@@ -145,34 +149,34 @@
         true
     }
 
-    /// Closes a session; `false` when there is none.
+    /// Closes a session. Returns `false` when the table doesn't hold it.
     pub fn close(&mut self, token: SessionToken) -> bool {
         self.sessions.remove(&token).is_some()
     }
 
-    /// The session with this token, noting its use.
+    /// Returns the session with this token and records the use.
     pub fn touch(&mut self, now: BootTime, token: SessionToken) -> Option<&mut SessionState> {
         let session = self.sessions.get_mut(&token)?;
         session.last_used = now;
         Some(&mut session.state)
     }
 
-    /// The session with this token.
+    /// Returns the session with this token without recording a use.
     pub fn get(&self, token: SessionToken) -> Option<&SessionState> {
         self.sessions.get(&token).map(|session| &session.state)
     }
 
-    /// Number of sessions.
+    /// Returns the number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there is no session.
+    /// Returns whether there is no session.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// All tokens.
+    /// Returns the tokens of all sessions.
     pub fn tokens(&self) -> impl Iterator<Item = SessionToken> + '_ {
         self.sessions.keys().copied()
     }
--- a/crates/session/staircross-search/src/snapshot_choice.rs
+++ b/crates/session/staircross-search/src/snapshot_choice.rs
@@ -1,24 +1,24 @@
-//! Which snapshot of a service is served.
+//! Choice of the snapshot that a service is served from.
 //!
-//! Inputs: the service's shard maps and the searchers' views. Invariants: a session never goes
-//! back behind its floor, and a root moves to a newer snapshot only when that is covered at
-//! least as well as the one it serves.
+//! Inputs: the service's shard maps and the views of its searchers. Invariants: a request gets no snapshot older than
+//! its session's floor, which is the newest snapshot that the session has seen. A root moves a service to a newer
+//! snapshot only when that is covered at least as well as the one served now.
 
 use crate::view::SearcherView;
 use hashbrown::HashMap;
 use staircross_types::{SearcherId, ShardMap, Snapshot};
 use std::sync::Arc;
 
-/// A snapshot that could be served and how many of its shards have a serving replica.
+/// A snapshot that could be served, with its coverage.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The snapshot's shard map.
     pub map: Arc<ShardMap>,
-    /// Shards with a serving replica.
+    /// Number of its shards that have a replica which serves the snapshot.
     pub covered: usize,
 }
 
-/// Judges every shard map against the views, newest first.
+/// Counts the covered shards of every shard map and returns the candidates, the newest snapshot first.
 pub fn judge_candidates(maps: &[Arc<ShardMap>], views: &HashMap<SearcherId, SearcherView>) -> Vec<Candidate> {
     let mut candidates: Vec<Candidate> =
         maps.iter().map(|map| Candidate { map: map.clone(), covered: covered_shards(map, views) }).collect();
@@ -26,38 +26,39 @@
     candidates
 }
 
+/// Counts the shards of a map that have a replica which serves the map's snapshot.
 fn covered_shards(map: &ShardMap, views: &HashMap<SearcherId, SearcherView>) -> usize {
     let serves = |searcher: &SearcherId| views.get(searcher).is_some_and(|view| view.serves(map.snapshot));
     map.shards.iter().filter(|placement| placement.replicas.iter().any(serves)).count()
 }
 
-/// Picks the snapshot to serve next, given the one served now.
+/// Chooses the snapshot that a service is served from, given the one that it was served from so far.
 pub fn choose_current(candidates: &[Candidate], current: Option<Snapshot>) -> Option<Snapshot> {
     let serving = candidates.iter().find(|candidate| Some(candidate.map.snapshot) == current);
     let Some(serving) = serving.filter(|candidate| candidate.covered > 0) else {
         return best(candidates.iter());
     };
     let newer = candidates.iter().filter(|candidate| candidate.map.snapshot > serving.map.snapshot);
-    // Compared as fractions: after a repartition the two maps have different numbers of shards.
+    // The covered fractions are compared: after a repartition the two maps have different numbers of shards.
     let at_least_as_good = newer.filter(|candidate| {
         candidate.covered * serving.map.shards.len() >= serving.covered * candidate.map.shards.len()
     });
     best(at_least_as_good).or(current)
 }
 
-/// What one request needs of a snapshot.
+/// What one request requires of its snapshot.
 #[derive(Clone, Copy, Debug)]
 pub struct SnapshotNeeds<'a> {
-    /// Nothing older than this, which the session has seen.
+    /// Oldest snapshot that may be used: the newest one that the session has seen.
     pub floor: Option<Snapshot>,
     /// Least coverage, in shards per thousand.
     pub least_per_mille: u32,
-    /// Snapshots that were tried in vain.
+    /// Snapshots that the request was planned on before and that are gone.
     pub excluded: &'a [Snapshot],
 }
 
-/// Picks the snapshot for one request: the service's current one if that can be covered well
-/// enough, else the one that is covered best.
+/// Chooses the snapshot for one request: the service's current one if it is allowed and covered well enough, otherwise
+/// the allowed one with the best coverage.
 pub fn choose_for_request<'a>(
     candidates: &'a [Candidate],
     current: Option<Snapshot>,
@@ -78,7 +79,7 @@
     candidates.iter().find(|candidate| candidate.map.snapshot == wanted)
 }
 
-/// Best covered candidate; among equals the newest. None when nothing is covered.
+/// Returns the snapshot with the best coverage, and among equals the newest; `None` when no candidate is covered.
 fn best<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<Snapshot> {
     let best = candidates.filter(|candidate| candidate.covered > 0).max_by(|left, right| {
         let left_share = left.covered * right.map.shards.len();
--- a/crates/session/staircross-search/src/view.rs
+++ b/crates/session/staircross-search/src/view.rs
@@ -1,32 +1,33 @@
-//! What is known about a searcher.
+//! What the fleet knows about a searcher.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{SearcherId, SearcherIncarnation, Snapshot};
 
-/// A searcher's own statement about itself, from direct contact.
+/// What a searcher reported about itself in reply to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The run of the searcher that speaks.
+    /// The run of the searcher that reported.
     pub incarnation: SearcherIncarnation,
-    /// Snapshots that it holds.
+    /// Snapshots that the searcher holds.
     pub snapshots: Vec<Snapshot>,
-    /// Whether it is leaving.
+    /// Whether the searcher is leaving.
     pub draining: bool,
 }
 
-/// An owner's view of a searcher, spread to roots.
+/// What the leaf that owns a searcher knows about it. Leaves send their views to the roots and to other leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SearcherView {
-    /// The searcher.
+    /// The searcher that the view is about.
     pub searcher: SearcherId,
-    /// What it last said; `None` when it doesn't answer.
+    /// The searcher's last report; `None` before its first one. Its snapshots are empty while the searcher doesn't
+    /// answer.
     pub evidence: Option<Evidence>,
-    /// Whether it is leaving, by any source.
+    /// Whether the searcher is leaving, according to itself, the platform, an operator or another leaf.
     pub leaving: bool,
 }
 
 impl SearcherView {
-    /// Whether new work for `snapshot` may be planned on the searcher.
+    /// Returns whether new work for `snapshot` may be planned on the searcher.
     pub fn serves(&self, snapshot: Snapshot) -> bool {
         let holds = self.evidence.as_ref().is_some_and(|evidence| evidence.snapshots.contains(&snapshot));
         holds && !self.leaving
