--- a/crates/session/staircross-config/src/edit.rs
+++ b/crates/session/staircross-config/src/edit.rs
@@ -75,11 +75,11 @@
         match edit {
             ServiceEdit::Create { service, like, policy } => next.create(service, like, policy)?,
             ServiceEdit::Alter { service, policy } => {
-                let altered = next.find_mut(service)?;
+                let altered = next.find_service_mut(service)?;
                 altered.policy = altered.policy.with(policy);
             }
             ServiceEdit::Drop { service } => {
-                next.find_mut(service)?;
+                next.find_service_mut(service)?;
                 next.services.retain(|known| known.name != *service);
             }
             ServiceEdit::Drain { searcher } => next.drain(*searcher)?,
@@ -90,7 +90,7 @@
 
     fn create(&mut self, name: &ServiceName, like: &ServiceName, policy: &PolicyChange) -> Result<(), EditError> {
         check_service_name(name)?;
-        let mut created = self.find_mut(like)?.clone();
+        let mut created = self.find_service_mut(like)?.clone();
         created.name = name.clone();
         created.policy = created.policy.with(policy);
         self.services.push(created);
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    fn find_mut(&mut self, name: &ServiceName) -> Result<&mut ServiceDefinition, EditError> {
+    fn find_service_mut(&mut self, name: &ServiceName) -> Result<&mut ServiceDefinition, EditError> {
         let found = self.services.iter_mut().find(|service| service.name == *name);
         found.ok_or_else(|| EditError::UnknownService { name: name.to_string() })
     }
--- a/crates/session/staircross-config/src/service.rs
+++ b/crates/session/staircross-config/src/service.rs
@@ -65,8 +65,8 @@
         check_range(&format!("{prefix}.least_coverage_per_mille"), self.least_coverage_per_mille, 0..=1000)?;
         check_range(&format!("{prefix}.hedge_per_mille"), self.hedge_per_mille, 0..=1000)?;
         check_range(&format!("{prefix}.retry_per_mille"), self.retry_per_mille, 0..=1000)?;
-        let duplicates_work = self.hedge_per_mille > 0 || self.retry_per_mille > 0;
-        if !self.repeatable && duplicates_work {
+        let allows_hedges_or_retries = self.hedge_per_mille > 0 || self.retry_per_mille > 0;
+        if !self.repeatable && allows_hedges_or_retries {
             let allowed = "0 for hedge_per_mille and retry_per_mille, because the service is not repeatable";
             let value = format!("hedge {}, retry {}", self.hedge_per_mille, self.retry_per_mille);
             return Err(InvalidSetting::value(format!("{prefix}.repeatable"), value, allowed));
@@ -149,16 +149,16 @@
 }
 
 /// Longest service name, in bytes.
-const MAX_NAME_LENGTH: usize = 64;
+const MAX_SERVICE_NAME_BYTES: usize = 64;
 /// Most slots, and most connections, that a searcher may have.
 const MAX_SEARCHER_CAPACITY: u32 = 65_535;
 
 /// Checks that `name` is not too long and is a name of the query language.
 pub fn check_service_name(name: &ServiceName) -> Result<(), InvalidSetting> {
     let text = &name.0;
-    let starts_well = text.starts_with(|first: char| first.is_ascii_lowercase());
+    let starts_with_letter = text.starts_with(|first: char| first.is_ascii_lowercase());
     let all_allowed = text.bytes().all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-');
-    if starts_well && all_allowed && text.len() <= MAX_NAME_LENGTH {
+    if starts_with_letter && all_allowed && text.len() <= MAX_SERVICE_NAME_BYTES {
         return Ok(());
     }
     let allowed = "1 to 64 of a-z, 0-9 and -, starting with a letter";
@@ -197,15 +197,15 @@
             if !snapshots.insert(map.snapshot) {
                 return Err(InvalidSetting::value(&key, map.snapshot, "each snapshot once"));
             }
-            let mut before = None;
+            let mut previous = None;
             for placement in &map.shards {
-                if before.is_some_and(|before| placement.shard <= before) {
+                if previous.is_some_and(|previous| placement.shard <= previous) {
                     return Err(InvalidSetting::value(&key, placement.shard, "each shard once, in rising order"));
                 }
-                before = Some(placement.shard);
-                if let Some(stranger) = placement.replicas.iter().find(|id| !known.contains(id)) {
+                previous = Some(placement.shard);
+                if let Some(unknown) = placement.replicas.iter().find(|id| !known.contains(id)) {
                     let allowed = "searchers that the service lists";
-                    return Err(InvalidSetting::value(format!("{key}.{}", placement.shard), stranger, allowed));
+                    return Err(InvalidSetting::value(format!("{key}.{}", placement.shard), unknown, allowed));
                 }
             }
         }
--- a/crates/session/staircross-config/src/settings.rs
+++ b/crates/session/staircross-config/src/settings.rs
@@ -90,7 +90,7 @@
 }
 
 /// Shortest shared secret that is accepted, in bytes.
-const MIN_KEY_LENGTH: usize = 16;
+const MIN_CLUSTER_KEY_BYTES: usize = 16;
 
 impl Settings {
     /// Parses settings from TOML and checks them. `origin` names the source in errors.
@@ -103,8 +103,8 @@
 
     /// Checks the length of the shared secret, that the two addresses differ, and the ranges of all numbers.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        if self.node.cluster_key.len() < MIN_KEY_LENGTH {
-            let allowed = format!("{MIN_KEY_LENGTH} bytes or more");
+        if self.node.cluster_key.len() < MIN_CLUSTER_KEY_BYTES {
+            let allowed = format!("{MIN_CLUSTER_KEY_BYTES} bytes or more");
             return Err(InvalidSetting::value("node.cluster_key", "(hidden)", allowed));
         }
         if self.node.listen == self.node.peer_listen {
--- a/crates/session/staircross-language/src/parse.rs
+++ b/crates/session/staircross-language/src/parse.rs
@@ -18,29 +18,29 @@
 struct StatementParser;
 
 /// A node of the parse tree.
-type Node<'text> = Pair<'text, Rule>;
+type ParseNode<'text> = Pair<'text, Rule>;
 
 /// Parses one statement, which may end with `;`.
 pub fn parse_statement(text: &str) -> Result<Statement, LanguageError> {
     let mut parsed = StatementParser::parse(Rule::statement, text).map_err(|error| syntax_error(text, error))?;
     let body = parsed.next().and_then(|statement| statement.into_inner().next());
     let Some(body) = body else {
-        return Err(empty_statement());
+        return Err(missing_statement());
     };
     match body.as_rule() {
-        Rule::search => search(body).map(Statement::Search),
-        Rule::pull => pull(body).map(Statement::Pull),
-        Rule::run => run(body).map(Statement::Run),
-        Rule::show => show(body).map(Statement::Show),
-        Rule::create => create(body).map(Statement::Config),
-        Rule::alter => alter(body).map(Statement::Config),
+        Rule::search => search_statement(body).map(Statement::Search),
+        Rule::pull => pull_statement(body).map(Statement::Pull),
+        Rule::run => run_statement(body).map(Statement::Run),
+        Rule::show => show_statement(body).map(Statement::Show),
+        Rule::create => create_service(body).map(Statement::Config),
+        Rule::alter => alter_service(body).map(Statement::Config),
         Rule::drop => drop_service(body).map(Statement::Config),
-        _ => drain(body).map(Statement::Config),
+        _ => drain_searcher(body).map(Statement::Config),
     }
 }
 
 /// Returns the error for a statement, or a part of one, that is missing from the parse tree.
-fn empty_statement() -> LanguageError {
+fn missing_statement() -> LanguageError {
     LanguageError::Syntax { line: 1, column: 1, found: "end of text".into(), expected: vec!["a statement".into()] }
 }
 
@@ -116,10 +116,10 @@
     }
 }
 
-fn search(node: Node<'_>) -> Result<SearchStatement, LanguageError> {
+fn search_statement(node: ParseNode<'_>) -> Result<SearchStatement, LanguageError> {
     let mut parts = node.into_inner();
     let mut statement = SearchStatement {
-        terms: terms(parts.next()),
+        terms: parse_terms(parts.next()),
         service: service_name(parts.next()),
         wait_ms: None,
         coverage_per_mille: None,
@@ -127,18 +127,18 @@
     };
     for option in parts {
         match option.as_rule() {
-            Rule::wait => statement.wait_ms = Some(inner_number(option)?),
-            Rule::coverage => statement.coverage_per_mille = Some(inner_per_mille(option)?),
-            _ => statement.limit = page_limit(option)?,
+            Rule::wait => statement.wait_ms = Some(option_number(option)?),
+            Rule::coverage => statement.coverage_per_mille = Some(option_per_mille(option)?),
+            _ => statement.limit = hit_limit(option)?,
         }
     }
     Ok(statement)
 }
 
-fn pull(node: Node<'_>) -> Result<PullStatement, LanguageError> {
+fn pull_statement(node: ParseNode<'_>) -> Result<PullStatement, LanguageError> {
     let mut parts = node.into_inner();
     let mut statement = PullStatement {
-        terms: terms(parts.next()),
+        terms: parse_terms(parts.next()),
         service: service_name(parts.next()),
         after: None,
         wait_ms: None,
@@ -146,15 +146,15 @@
     };
     for option in parts {
         match option.as_rule() {
-            Rule::after => statement.after = Some(inner_text(option)),
-            Rule::wait => statement.wait_ms = Some(inner_number(option)?),
-            _ => statement.limit = page_limit(option)?,
+            Rule::after => statement.after = Some(option_text(option)),
+            Rule::wait => statement.wait_ms = Some(option_number(option)?),
+            _ => statement.limit = hit_limit(option)?,
         }
     }
     Ok(statement)
 }
 
-fn run(node: Node<'_>) -> Result<RunStatement, LanguageError> {
+fn run_statement(node: ParseNode<'_>) -> Result<RunStatement, LanguageError> {
     let mut parts = node.into_inner();
     let mut statement = RunStatement {
         verb: parts.next().map_or(String::new(), |word| word.as_str().to_owned()),
@@ -166,17 +166,17 @@
     };
     for option in parts {
         match option.as_rule() {
-            Rule::note => statement.note = inner_text(option),
-            Rule::wait => statement.wait_ms = Some(inner_number(option)?),
-            _ => statement.ticket = Some(inner_text(option)),
+            Rule::note => statement.note = option_text(option),
+            Rule::wait => statement.wait_ms = Some(option_number(option)?),
+            _ => statement.ticket = Some(option_text(option)),
         }
     }
     Ok(statement)
 }
 
-fn show(node: Node<'_>) -> Result<ShowStatement, LanguageError> {
+fn show_statement(node: ParseNode<'_>) -> Result<ShowStatement, LanguageError> {
     let Some(what) = node.into_inner().next() else {
-        return Err(empty_statement());
+        return Err(missing_statement());
     };
     Ok(match what.as_rule() {
         Rule::services => ShowStatement::Services,
@@ -188,131 +188,131 @@
     })
 }
 
-fn create(node: Node<'_>) -> Result<ConfigStatement, LanguageError> {
+fn create_service(node: ParseNode<'_>) -> Result<ConfigStatement, LanguageError> {
     let mut parts = node.into_inner();
     let service = service_name(parts.next());
     let like = service_name(parts.next());
-    let tail = config_tail(parts)?;
-    let change = ServiceEdit::Create { service, like, policy: tail.policy };
-    Ok(ConfigStatement { change, based_on: tail.based_on })
+    let options = config_options(parts)?;
+    let change = ServiceEdit::Create { service, like, policy: options.policy };
+    Ok(ConfigStatement { change, based_on: options.based_on })
 }
 
-fn alter(node: Node<'_>) -> Result<ConfigStatement, LanguageError> {
+fn alter_service(node: ParseNode<'_>) -> Result<ConfigStatement, LanguageError> {
     let mut parts = node.into_inner();
     let service = service_name(parts.next());
-    let tail = config_tail(parts)?;
-    let change = ServiceEdit::Alter { service, policy: tail.policy };
-    Ok(ConfigStatement { change, based_on: tail.based_on })
+    let options = config_options(parts)?;
+    let change = ServiceEdit::Alter { service, policy: options.policy };
+    Ok(ConfigStatement { change, based_on: options.based_on })
 }
 
-fn drop_service(node: Node<'_>) -> Result<ConfigStatement, LanguageError> {
+fn drop_service(node: ParseNode<'_>) -> Result<ConfigStatement, LanguageError> {
     let mut parts = node.into_inner();
     let service = service_name(parts.next());
-    let tail = config_tail(parts)?;
-    Ok(ConfigStatement { change: ServiceEdit::Drop { service }, based_on: tail.based_on })
+    let options = config_options(parts)?;
+    Ok(ConfigStatement { change: ServiceEdit::Drop { service }, based_on: options.based_on })
 }
 
-fn drain(node: Node<'_>) -> Result<ConfigStatement, LanguageError> {
+fn drain_searcher(node: ParseNode<'_>) -> Result<ConfigStatement, LanguageError> {
     let mut parts = node.into_inner();
     let Some(first) = parts.next() else {
-        return Err(empty_statement());
+        return Err(missing_statement());
     };
     let searcher = SearcherId(bounded_number(first, u64::from(u32::MAX))? as u32);
-    let tail = config_tail(parts)?;
-    Ok(ConfigStatement { change: ServiceEdit::Drain { searcher }, based_on: tail.based_on })
+    let options = config_options(parts)?;
+    Ok(ConfigStatement { change: ServiceEdit::Drain { searcher }, based_on: options.based_on })
 }
 
 /// The optional parts at the end of a configuration statement.
 #[derive(Default)]
-struct ConfigTail {
+struct ConfigOptions {
     policy: PolicyChange,
     based_on: Option<u64>,
 }
 
-fn config_tail<'text>(parts: impl Iterator<Item = Node<'text>>) -> Result<ConfigTail, LanguageError> {
-    let mut tail = ConfigTail::default();
+fn config_options<'text>(parts: impl Iterator<Item = ParseNode<'text>>) -> Result<ConfigOptions, LanguageError> {
+    let mut options = ConfigOptions::default();
     for part in parts {
         match part.as_rule() {
-            Rule::based_on => tail.based_on = Some(inner_number(part)?),
-            _ => tail.policy = policy_change(part)?,
+            Rule::based_on => options.based_on = Some(option_number(part)?),
+            _ => options.policy = policy_change(part)?,
         }
     }
-    Ok(tail)
+    Ok(options)
 }
 
 /// Reads the assignments of a `SET` part.
-fn policy_change(set: Node<'_>) -> Result<PolicyChange, LanguageError> {
+fn policy_change(set: ParseNode<'_>) -> Result<PolicyChange, LanguageError> {
     let mut change = PolicyChange::default();
     for assignment in set.into_inner().flat_map(Pair::into_inner) {
         match assignment.as_rule() {
-            Rule::set_wait => change.wait_ms = Some(inner_number(assignment)?),
-            Rule::set_coverage => change.least_coverage_per_mille = Some(inner_per_mille(assignment)?),
-            Rule::set_hedge => change.hedge_per_mille = Some(inner_per_mille(assignment)?),
-            Rule::set_retry => change.retry_per_mille = Some(inner_per_mille(assignment)?),
-            Rule::set_priority => change.priority = Some(priority(assignment)),
-            _ => change.repeatable = Some(last_word(assignment).eq_ignore_ascii_case("YES")),
+            Rule::set_wait => change.wait_ms = Some(option_number(assignment)?),
+            Rule::set_coverage => change.least_coverage_per_mille = Some(option_per_mille(assignment)?),
+            Rule::set_hedge => change.hedge_per_mille = Some(option_per_mille(assignment)?),
+            Rule::set_retry => change.retry_per_mille = Some(option_per_mille(assignment)?),
+            Rule::set_priority => change.priority = Some(parse_priority(assignment)),
+            _ => change.repeatable = Some(assignment_value(assignment).eq_ignore_ascii_case("YES")),
         }
     }
     Ok(change)
 }
 
-fn priority(assignment: Node<'_>) -> Priority {
-    match last_word(assignment).eq_ignore_ascii_case("LATENCY") {
+fn parse_priority(assignment: ParseNode<'_>) -> Priority {
+    match assignment_value(assignment).eq_ignore_ascii_case("LATENCY") {
         true => Priority::Latency,
         false => Priority::Coverage,
     }
 }
 
 /// Returns the value of an assignment, as it is written.
-fn last_word(assignment: Node<'_>) -> String {
+fn assignment_value(assignment: ParseNode<'_>) -> String {
     assignment.into_inner().next().map_or(String::new(), |word| word.as_str().to_owned())
 }
 
-fn service_name(node: Option<Node<'_>>) -> ServiceName {
+fn service_name(node: Option<ParseNode<'_>>) -> ServiceName {
     ServiceName::new(node.map_or("", |node| node.as_str()))
 }
 
 /// Returns the words of a quoted text in lower case.
-fn terms(node: Option<Node<'_>>) -> Vec<String> {
+fn parse_terms(node: Option<ParseNode<'_>>) -> Vec<String> {
     let text = node.map_or(String::new(), unquote);
     text.split_whitespace().map(str::to_lowercase).collect()
 }
 
 /// Returns the content of a quoted text, in which two quotes stand for one.
-fn unquote(text: Node<'_>) -> String {
+fn unquote(text: ParseNode<'_>) -> String {
     text.into_inner().next().map_or(String::new(), |characters| characters.as_str().replace("''", "'"))
 }
 
-fn inner_text(option: Node<'_>) -> String {
+fn option_text(option: ParseNode<'_>) -> String {
     option.into_inner().next().map_or(String::new(), unquote)
 }
 
-fn inner_number(option: Node<'_>) -> Result<u64, LanguageError> {
+fn option_number(option: ParseNode<'_>) -> Result<u64, LanguageError> {
     match option.into_inner().next() {
         Some(number) => bounded_number(number, u64::MAX),
-        None => Err(empty_statement()),
+        None => Err(missing_statement()),
     }
 }
 
-fn page_limit(option: Node<'_>) -> Result<u32, LanguageError> {
+fn hit_limit(option: ParseNode<'_>) -> Result<u32, LanguageError> {
     match option.into_inner().next() {
         Some(number) => bounded_number(number, u64::from(MAX_LIMIT)).map(|limit| limit as u32),
-        None => Err(empty_statement()),
+        None => Err(missing_statement()),
     }
 }
 
-/// Parses a whole number that must not be above `most`.
-fn bounded_number(number: Node<'_>, most: u64) -> Result<u64, LanguageError> {
+/// Parses a whole number that must not be above `max`.
+fn bounded_number(number: ParseNode<'_>, max: u64) -> Result<u64, LanguageError> {
     match number.as_str().parse::<u64>() {
-        Ok(value) if value <= most => Ok(value),
-        _ => Err(value_error(&number, format!("0 to {most}"))),
+        Ok(value) if value <= max => Ok(value),
+        _ => Err(value_error(&number, format!("0 to {max}"))),
     }
 }
 
 /// Parses a percentage, which may have one decimal, into parts per thousand.
-fn inner_per_mille(option: Node<'_>) -> Result<u32, LanguageError> {
+fn option_per_mille(option: ParseNode<'_>) -> Result<u32, LanguageError> {
     let Some(percent) = option.into_inner().next() else {
-        return Err(empty_statement());
+        return Err(missing_statement());
     };
     let digits = percent.as_str().trim_end_matches('%');
     match digits.parse::<f64>() {
@@ -321,7 +321,7 @@
     }
 }
 
-fn value_error(node: &Node<'_>, allowed: String) -> LanguageError {
+fn value_error(node: &ParseNode<'_>, allowed: String) -> LanguageError {
     let (line, column) = node.line_col();
     LanguageError::Value { line, column, found: format!("`{}`", node.as_str()), allowed }
 }
--- a/crates/session/staircross-search/src/copies.rs
+++ b/crates/session/staircross-search/src/copies.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 
 /// Slow replies in a row after which a copy is avoided.
-const STRIKES_TO_AVOID: u8 = 2;
+const SLOW_REPLIES_TO_AVOID: u8 = 2;
 /// Time for which a copy is avoided at first. The time doubles with each further slow reply.
-const AVOID_BASE: Duration = Duration::from_secs(1);
+const INITIAL_AVOIDANCE: Duration = Duration::from_secs(1);
 /// Upper bound of the doublings, which limits the avoidance to 64 seconds.
-const MAX_DOUBLINGS: u8 = 6;
+const MAX_AVOIDANCE_DOUBLINGS: u8 = 6;
 /// Shortest time between two requests that try a copy whose avoidance has ended.
-const TRIAL_SPACING: Duration = Duration::from_millis(500);
+const MIN_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Multiple of the usual tail latency above which a reply counts as slow.
 const SLOW_FACTOR: f64 = 1.5;
 
 /// The copy of a shard that one searcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Copy {
+struct ShardCopy {
     searcher: SearcherId,
     shard: ShardId,
 }
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     /// Slow replies in a row.
-    strikes: u8,
-    avoid_until: BootTime,
+    slow_replies: u8,
+    avoided_until: BootTime,
 }
 
 /// The suspected copies. Copies that aren't suspected take no memory.
 #[derive(Default)]
 pub struct CopyHealth {
-    suspicions: HashMap<Copy, Suspicion>,
+    suspicions: HashMap<ShardCopy, Suspicion>,
 }
 
 impl CopyHealth {
@@ -49,15 +49,15 @@
     }
 
     /// Counts a slow reply for each of `shards`, because another copy that was asked later replied first.
-    pub fn note_overtaken(&mut self, now: BootTime, searcher: SearcherId, shards: impl Iterator<Item = ShardId>) {
+    pub fn record_overtaken(&mut self, now: BootTime, searcher: SearcherId, shards: impl Iterator<Item = ShardId>) {
         for shard in shards {
-            self.strike(now, Copy { searcher, shard });
+            self.count_slow_reply(now, ShardCopy { searcher, shard });
         }
     }
 
     /// Counts a slow reply for each of `shards`, or clears them, by comparing the time that a reply took with the usual
     /// tail latency.
-    pub fn note_reply(
+    pub fn record_reply(
         &mut self,
         now: BootTime,
         searcher: SearcherId,
@@ -70,9 +70,9 @@
             return;
         }
         for shard in shards {
-            let copy = Copy { searcher, shard };
+            let copy = ShardCopy { searcher, shard };
             if is_slow {
-                self.strike(now, copy);
+                self.count_slow_reply(now, copy);
             } else {
                 self.suspicions.remove(&copy);
             }
@@ -80,12 +80,12 @@
     }
 
     /// Counts a slow reply of a copy, and starts or extends its avoidance once there are enough.
-    fn strike(&mut self, now: BootTime, copy: Copy) {
-        let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { strikes: 0, avoid_until: now });
-        suspicion.strikes = suspicion.strikes.saturating_add(1);
-        if suspicion.strikes >= STRIKES_TO_AVOID {
-            let doublings = (suspicion.strikes - STRIKES_TO_AVOID).min(MAX_DOUBLINGS);
-            suspicion.avoid_until = now + AVOID_BASE * (1 << doublings);
+    fn count_slow_reply(&mut self, now: BootTime, copy: ShardCopy) {
+        let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { slow_replies: 0, avoided_until: now });
+        suspicion.slow_replies = suspicion.slow_replies.saturating_add(1);
+        if suspicion.slow_replies >= SLOW_REPLIES_TO_AVOID {
+            let doublings = (suspicion.slow_replies - SLOW_REPLIES_TO_AVOID).min(MAX_AVOIDANCE_DOUBLINGS);
+            suspicion.avoided_until = now + INITIAL_AVOIDANCE * (1 << doublings);
         }
     }
 
@@ -94,35 +94,35 @@
         if self.suspicions.is_empty() {
             return false;
         }
-        self.suspicions.get(&Copy { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoid_until)
+        self.suspicions.get(&ShardCopy { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoided_until)
     }
 
     /// Returns the number of slow replies of a copy in a row; zero when it isn't suspected.
     ///
     /// A suspected copy is asked in a sub-request of its own, so that the time of the reply depends on this copy alone.
     /// Copies that are asked together are suspected together, and one slow copy would keep the others suspected.
-    pub fn strikes(&self, searcher: SearcherId, shard: ShardId) -> u8 {
+    pub fn slow_replies(&self, searcher: SearcherId, shard: ShardId) -> u8 {
         if self.suspicions.is_empty() {
             return 0;
         }
-        self.suspicions.get(&Copy { searcher, shard }).map_or(0, |suspicion| suspicion.strikes)
+        self.suspicions.get(&ShardCopy { searcher, shard }).map_or(0, |suspicion| suspicion.slow_replies)
     }
 
     /// Records that a copy is asked. A copy with enough slow replies to be avoided isn't asked again for a while, so that
     /// one request at a time tries it.
-    pub fn note_asked(&mut self, now: BootTime, searcher: SearcherId, shard: ShardId) {
+    pub fn record_asked(&mut self, now: BootTime, searcher: SearcherId, shard: ShardId) {
         if self.suspicions.is_empty() {
             return;
         }
-        if let Some(suspicion) = self.suspicions.get_mut(&Copy { searcher, shard })
-            && suspicion.strikes >= STRIKES_TO_AVOID
+        if let Some(suspicion) = self.suspicions.get_mut(&ShardCopy { searcher, shard })
+            && suspicion.slow_replies >= SLOW_REPLIES_TO_AVOID
         {
-            suspicion.avoid_until = suspicion.avoid_until.max(now + TRIAL_SPACING);
+            suspicion.avoided_until = suspicion.avoided_until.max(now + MIN_TRIAL_INTERVAL);
         }
     }
 
     /// Clears all copies of a searcher, which has restarted.
-    pub fn forget(&mut self, searcher: SearcherId) {
+    pub fn clear_searcher(&mut self, searcher: SearcherId) {
         self.suspicions.retain(|copy, _| copy.searcher != searcher);
     }
 
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -21,32 +21,32 @@
 pub struct LeafSettings {
     /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a probe
     /// without a reply counts as lost.
-    pub evidence_bound: Duration,
+    pub max_evidence_age: Duration,
     /// Time between the probes of a searcher.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// Time over which the slots used of a restarted searcher are raised to the whole share.
-    pub ramp: Duration,
+    pub ramp_up_time: Duration,
     /// Upper bound of a searcher's queue, per slot of the share.
-    pub queue_per_slot: usize,
+    pub max_queue_per_slot: usize,
     /// Time after it first owns a searcher during which a leaf takes no work. The leaf must first hear from its peers
     /// which searchers are leaving.
-    pub newcomer_wait: Duration,
+    pub settling_time: Duration,
 }
 
 impl Default for LeafSettings {
     fn default() -> Self {
         LeafSettings {
-            evidence_bound: Duration::from_secs(2),
-            probe_every: Duration::from_millis(500),
-            ramp: Duration::from_secs(3),
-            queue_per_slot: 4,
-            newcomer_wait: Duration::from_millis(1000),
+            max_evidence_age: Duration::from_secs(2),
+            probe_interval: Duration::from_millis(500),
+            ramp_up_time: Duration::from_secs(3),
+            max_queue_per_slot: 4,
+            settling_time: Duration::from_millis(1000),
         }
     }
 }
 
 /// Time after its deadline at which a sub-request without a reply is dropped.
-const LOST_CALL_LIFE: Duration = Duration::from_secs(60);
+const LOST_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An event that a leaf handles.
 #[derive(Clone, Debug)]
@@ -133,7 +133,7 @@
 
     /// Returns whether the leaf has heard from its peers for long enough to take work, or has never owned a searcher.
     pub fn is_settled(&self, now: BootTime) -> bool {
-        self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.newcomer_wait)
+        self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.settling_time)
     }
 
     /// Returns the views of all searchers that are owned or still have work in flight.
@@ -151,15 +151,15 @@
             }
             // Sub-requests in flight still end here. Queued ones were never sent, so that the root can send them to the
             // new owner.
-            searcher.share = 0;
+            searcher.slot_share = 0;
             searcher.refuse_queue(NotRunReason::NotOwner, actions);
         }
         self.searchers.retain(|id, searcher| shares.contains_key(id) || !searcher.in_flight.is_empty());
         for (id, share) in shares {
             let searcher = self.searchers.entry(id).or_default();
-            searcher.share = share;
+            searcher.slot_share = share;
             if searcher.evidence.is_none() {
-                searcher.probe(now, id, &self.settings, actions);
+                searcher.request_probe(now, id, &self.settings, actions);
             }
         }
     }
@@ -171,9 +171,9 @@
             actions.push(refuse(NotRunReason::LeafLeaving));
             return;
         }
-        let is_newcomer = !self.is_settled(now);
-        let owned = self.searchers.get_mut(&id).filter(|searcher| searcher.share > 0);
-        let Some(searcher) = owned.filter(|_| !is_newcomer) else {
+        let is_unsettled = !self.is_settled(now);
+        let owned = self.searchers.get_mut(&id).filter(|searcher| searcher.slot_share > 0);
+        let Some(searcher) = owned.filter(|_| !is_unsettled) else {
             actions.push(refuse(NotRunReason::NotOwner));
             return;
         };
@@ -181,7 +181,7 @@
             actions.push(refuse(NotRunReason::Draining));
             return;
         }
-        let queue_bound = searcher.share as usize * self.settings.queue_per_slot;
+        let queue_bound = searcher.slot_share as usize * self.settings.max_queue_per_slot;
         if searcher.queue.len() >= queue_bound {
             actions.push(refuse(NotRunReason::Shed));
             return;
@@ -225,8 +225,8 @@
             return;
         };
         match reply.outcome {
-            SubOutcome::NotRun(NotRunReason::Draining) => searcher.refused_leaving(id, run, actions),
-            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.serving_asked_at = None,
+            SubOutcome::NotRun(NotRunReason::Draining) => searcher.on_draining_refusal(id, run, actions),
+            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.evidence_asked_at = None,
             _ => {}
         }
         let reply = SubReply { worked: now.since(in_flight.sent_at), ..reply };
@@ -238,8 +238,8 @@
     }
 
     /// Records the run of a searcher that is leaving, so that it is still known after ownership has changed.
-    fn remember_leaving(&mut self, id: SearcherId) {
-        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.left) else {
+    fn record_leaving_run(&mut self, id: SearcherId) {
+        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.run_leaving) else {
             return;
         };
         if let Some(evidence) = &searcher.evidence {
@@ -258,14 +258,14 @@
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
-        searcher.probe_outstanding = None;
+        searcher.pending_probe_at = None;
         let before = searcher.view(id);
         match evidence {
             Some(evidence) => {
                 let reported_leaving = self.leaving_runs.get(&id) == Some(&evidence.incarnation);
-                searcher.take_evidence(now, asked_at, evidence, reported_leaving);
+                searcher.apply_evidence(now, asked_at, evidence, reported_leaving);
             }
-            None => searcher.lose_evidence(),
+            None => searcher.clear_evidence(),
         }
         let after = searcher.view(id);
         if after != before {
@@ -273,11 +273,11 @@
         }
         if searcher.is_leaving() {
             searcher.refuse_queue(NotRunReason::Draining, actions);
-        } else if searcher.serving_asked_at.is_none() {
+        } else if searcher.evidence_asked_at.is_none() {
             searcher.refuse_queue(NotRunReason::Unconnected, actions);
         }
         searcher.dispatch(now, id, &self.settings, actions);
-        self.remember_leaving(id);
+        self.record_leaving_run(id);
     }
 
     /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its view.
@@ -286,20 +286,20 @@
             return;
         };
         if view.leaving {
-            self.mark_leaving(view.searcher, incarnation, actions);
+            self.mark_run_leaving(view.searcher, incarnation, actions);
         } else if self.leaving_runs.get(&view.searcher) == Some(&incarnation) {
             actions.push(LeafAction::Spread(SearcherView { leaving: true, ..view }));
         }
     }
 
     /// Records that a run is leaving. If it is the run known of an owned searcher, refuses the searcher's queue.
-    fn mark_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
+    fn mark_run_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
         self.leaving_runs.insert(id, incarnation);
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
         if searcher.evidence.as_ref().is_some_and(|evidence| evidence.incarnation == incarnation) {
-            searcher.leave(id, actions);
+            searcher.mark_leaving(id, actions);
             searcher.refuse_queue(NotRunReason::Draining, actions);
         }
     }
@@ -307,13 +307,13 @@
     fn set_listed(&mut self, listed: &BTreeSet<SearcherId>, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             let is_listed = listed.contains(id);
-            if searcher.listed == is_listed {
+            if searcher.listed_as_leaving == is_listed {
                 continue;
             }
             let before = searcher.view(*id);
-            searcher.listed = is_listed;
+            searcher.listed_as_leaving = is_listed;
             // The run stays leaving, even if a later list no longer has the searcher.
-            searcher.left |= is_listed && searcher.evidence.is_some();
+            searcher.run_leaving |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
                 actions.push(LeafAction::Spread(after));
@@ -330,14 +330,14 @@
             // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here sooner,
             // a planned stop could finish while the call is still in flight. This late, dropping it only guards against
             // a lost worker thread.
-            searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_LIFE);
-            let patience = self.settings.evidence_bound;
-            let unanswered = searcher.probe_outstanding.is_some_and(|asked| now.since(asked) > patience);
+            searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_TIMEOUT);
+            let probe_timeout = self.settings.max_evidence_age;
+            let unanswered = searcher.pending_probe_at.is_some_and(|asked| now.since(asked) > probe_timeout);
             if unanswered {
-                searcher.probe_outstanding = None;
+                searcher.pending_probe_at = None;
             }
-            if now >= searcher.next_probe {
-                searcher.probe(now, *id, &self.settings, actions);
+            if now >= searcher.next_probe_at {
+                searcher.request_probe(now, *id, &self.settings, actions);
             }
             searcher.dispatch(now, *id, &self.settings, actions);
         }
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -25,29 +25,29 @@
 #[derive(Default)]
 pub(super) struct OwnedSearcher {
     /// Slots of the searcher that this leaf may use; zero once the leaf no longer owns the searcher.
-    pub(super) share: u32,
+    pub(super) slot_share: u32,
     /// The searcher's last report.
     pub(super) evidence: Option<Evidence>,
     /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
-    pub(super) serving_asked_at: Option<BootTime>,
+    pub(super) evidence_asked_at: Option<BootTime>,
     /// When the current run was first seen.
-    pub(super) first_seen: BootTime,
+    pub(super) run_first_seen: BootTime,
     /// Whether the current run followed another, so that its slots are ramped up.
-    pub(super) ramped_from_cold: bool,
+    pub(super) needs_ramp_up: bool,
     /// Whether the current run is leaving. Once set, this stays set until another run is seen.
-    pub(super) left: bool,
+    pub(super) run_leaving: bool,
     /// Whether the platform lists the searcher as leaving or an operator drains it.
-    pub(super) listed: bool,
+    pub(super) listed_as_leaving: bool,
     /// When the probe that has not ended was sent.
-    pub(super) probe_outstanding: Option<BootTime>,
-    pub(super) next_probe: BootTime,
+    pub(super) pending_probe_at: Option<BootTime>,
+    pub(super) next_probe_at: BootTime,
     pub(super) in_flight: HashMap<AttemptId, InFlight>,
     pub(super) queue: VecDeque<Queued>,
 }
 
 impl OwnedSearcher {
     pub(super) fn is_leaving(&self) -> bool {
-        self.left || self.listed
+        self.run_leaving || self.listed_as_leaving
     }
 
     pub(super) fn view(&self, searcher: SearcherId) -> SearcherView {
@@ -55,16 +55,16 @@
     }
 
     /// Marks the current run as leaving.
-    pub(super) fn leave(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
-        if !self.left {
-            self.left = true;
+    pub(super) fn mark_leaving(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
+        if !self.run_leaving {
+            self.run_leaving = true;
             actions.push(LeafAction::Spread(self.view(id)));
         }
     }
 
     /// Handles a refusal because the searcher is leaving. The refusal is about the run that sent it, which may be newer
     /// than the run probed last; in that case nothing more is sent until the next probe reply.
-    pub(super) fn refused_leaving(
+    pub(super) fn on_draining_refusal(
         &mut self,
         id: SearcherId,
         run: Option<SearcherIncarnation>,
@@ -72,14 +72,14 @@
     ) {
         let known = self.evidence.as_ref().map(|evidence| evidence.incarnation);
         if run.is_none() || run == known {
-            self.leave(id, actions);
+            self.mark_leaving(id, actions);
         } else {
-            self.serving_asked_at = None;
+            self.evidence_asked_at = None;
         }
     }
 
     /// Applies a probe reply. `reported_leaving` says whether the run is already known to be leaving.
-    pub(super) fn take_evidence(
+    pub(super) fn apply_evidence(
         &mut self,
         now: BootTime,
         asked_at: BootTime,
@@ -89,19 +89,19 @@
         let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
         if !same_run {
             // A searcher that this leaf sees for the first time may be warm; one that was restarted is cold.
-            self.ramped_from_cold = self.evidence.is_some();
-            self.first_seen = now;
-            self.left = false;
+            self.needs_ramp_up = self.evidence.is_some();
+            self.run_first_seen = now;
+            self.run_leaving = false;
         }
         // A run that is leaving stays so, even if it reports itself as serving again.
-        self.left |= evidence.draining || reported_leaving;
-        self.serving_asked_at = Some(asked_at);
+        self.run_leaving |= evidence.draining || reported_leaving;
+        self.evidence_asked_at = Some(asked_at);
         self.evidence = Some(evidence);
     }
 
     /// Records that a probe had no answer.
-    pub(super) fn lose_evidence(&mut self) {
-        self.serving_asked_at = None;
+    pub(super) fn clear_evidence(&mut self) {
+        self.evidence_asked_at = None;
         // The run is kept, to be compared with the next one, but its snapshots are no longer served.
         if let Some(evidence) = &mut self.evidence {
             evidence.snapshots.clear();
@@ -109,29 +109,29 @@
     }
 
     /// Requests a probe, unless one has not ended or the leaf doesn't own the searcher.
-    pub(super) fn probe(
+    pub(super) fn request_probe(
         &mut self,
         now: BootTime,
         id: SearcherId,
         settings: &LeafSettings,
         actions: &mut Vec<LeafAction>,
     ) {
-        if self.probe_outstanding.is_some() || self.share == 0 {
+        if self.pending_probe_at.is_some() || self.slot_share == 0 {
             return;
         }
-        self.probe_outstanding = Some(now);
-        self.next_probe = now + settings.probe_every;
+        self.pending_probe_at = Some(now);
+        self.next_probe_at = now + settings.probe_interval;
         actions.push(LeafAction::Probe { searcher: id });
     }
 
     /// Returns how many sub-requests may be in flight at the searcher.
     pub(super) fn capacity(&self, now: BootTime, settings: &LeafSettings) -> usize {
-        let age = now.since(self.first_seen);
-        if !self.ramped_from_cold || age >= settings.ramp {
-            return self.share as usize;
+        let age = now.since(self.run_first_seen);
+        if !self.needs_ramp_up || age >= settings.ramp_up_time {
+            return self.slot_share as usize;
         }
-        let fraction = age.as_secs_f64() / settings.ramp.as_secs_f64();
-        ((f64::from(self.share) * fraction) as usize).max(1)
+        let fraction = age.as_secs_f64() / settings.ramp_up_time.as_secs_f64();
+        ((f64::from(self.slot_share) * fraction) as usize).max(1)
     }
 
     /// Sends queued sub-requests while there is capacity. If the last probe reply is too old, requests a probe instead.
@@ -146,9 +146,9 @@
         if self.queue.is_empty() || self.is_leaving() {
             return;
         }
-        let fresh_until = self.serving_asked_at.map(|asked| asked + settings.evidence_bound);
+        let fresh_until = self.evidence_asked_at.map(|asked| asked + settings.max_evidence_age);
         let Some(send_before) = fresh_until.filter(|until| now < *until) else {
-            self.probe(now, id, settings, actions);
+            self.request_probe(now, id, settings, actions);
             return;
         };
         while self.in_flight.len() < self.capacity(now, settings) {
--- a/crates/session/staircross-search/src/limiter.rs
+++ b/crates/session/staircross-search/src/limiter.rs
@@ -8,27 +8,27 @@
 use std::time::Duration;
 
 /// Limit of a service before its first request, in requests in flight.
-const START_LIMIT: f64 = 32.0;
+const INITIAL_LIMIT: f64 = 32.0;
 /// Lower bound of the limit.
 const MIN_LIMIT: f64 = 2.0;
 /// Upper bound of the limit.
 const MAX_LIMIT: f64 = 10_000.0;
 /// Factor by which one back-off multiplies the limit.
-const BACK_OFF: f64 = 0.9;
+const BACK_OFF_FACTOR: f64 = 0.9;
 /// Shortest time between two back-offs, so that one burst of sheds counts as a single signal.
-const BACK_OFF_EVERY: Duration = Duration::from_millis(100);
+const MIN_BACK_OFF_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Limiter of requests in flight by additive increase and multiplicative decrease (AIMD).
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     limit: f64,
     in_flight: u32,
-    no_back_off_before: BootTime,
+    next_back_off_at: BootTime,
 }
 
 impl Default for ConcurrencyLimiter {
     fn default() -> Self {
-        ConcurrencyLimiter { limit: START_LIMIT, in_flight: 0, no_back_off_before: BootTime::default() }
+        ConcurrencyLimiter { limit: INITIAL_LIMIT, in_flight: 0, next_back_off_at: BootTime::default() }
     }
 }
 
@@ -42,13 +42,13 @@
         true
     }
 
-    /// Ends one request. `troubled` says whether a sub-request of it was shed or the request was refused.
-    pub fn finish(&mut self, now: BootTime, troubled: bool) {
-        let was_full = f64::from(self.in_flight) * 2.0 >= self.limit;
+    /// Ends one request. `overloaded` says whether a sub-request of it was shed or the request was refused.
+    pub fn finish(&mut self, now: BootTime, overloaded: bool) {
+        let was_half_used = f64::from(self.in_flight) * 2.0 >= self.limit;
         self.in_flight = self.in_flight.saturating_sub(1);
-        if troubled {
+        if overloaded {
             self.back_off(now);
-        } else if was_full {
+        } else if was_half_used {
             // While less than half of the limit is used, a request that ends well says nothing about how much more the
             // back ends can take, so the limit doesn't grow.
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
@@ -57,11 +57,11 @@
 
     /// Shrinks the limit, unless it was shrunk less than the shortest back-off interval ago.
     pub fn back_off(&mut self, now: BootTime) {
-        if now < self.no_back_off_before {
+        if now < self.next_back_off_at {
             return;
         }
-        self.no_back_off_before = now + BACK_OFF_EVERY;
-        self.limit = (self.limit * BACK_OFF).max(MIN_LIMIT);
+        self.next_back_off_at = now + MIN_BACK_OFF_INTERVAL;
+        self.limit = (self.limit * BACK_OFF_FACTOR).max(MIN_LIMIT);
     }
 
     /// Returns the number of requests in flight.
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -10,20 +10,20 @@
 use std::time::Duration;
 
 /// Divisor of the step by which a latency sample below the estimate lowers the estimate.
-const LATENCY_WINDOW: f64 = 16.0;
+const ESTIMATE_FALL_DIVISOR: f64 = 16.0;
 /// Time constant with which the weight of an old estimate decays. Without the decay, a searcher that is avoided for a
 /// high estimate would never be tried again.
-const ESTIMATE_LIFE: Duration = Duration::from_secs(3);
+const ESTIMATE_DECAY_TIME: Duration = Duration::from_secs(3);
 /// Failures in a row after which a searcher is ejected.
-const EJECT_AFTER: u32 = 3;
+const FAILURES_TO_EJECT: u32 = 3;
 /// Duration of the first ejection. It doubles with each further ejection in a row.
-const EJECT_BASE: Duration = Duration::from_secs(1);
+const INITIAL_EJECTION: Duration = Duration::from_secs(1);
 /// Upper bound of the duration of an ejection.
-const EJECT_MAX: Duration = Duration::from_secs(16);
-/// Divisor of the number of a service's searchers that gives the most that may be ejected at once.
-const EJECT_SHARE: usize = 3;
+const MAX_EJECTION: Duration = Duration::from_secs(16);
+/// Number of searchers that a service must have for each one that is ejected.
+const SEARCHERS_PER_EJECTION: usize = 3;
 /// A searcher that the plan already asks is preferred while its cost is at most this multiple of the best cost.
-const STICKY_FACTOR: f64 = 2.0;
+const REUSE_COST_FACTOR: f64 = 2.0;
 
 /// What this root has measured of one searcher.
 #[derive(Clone, Debug, Default)]
@@ -46,53 +46,53 @@
 
 impl ReplicaTable {
     /// Counts a sub-request that was sent as in flight.
-    pub fn sent(&mut self, searcher: SearcherId) {
+    pub fn record_sent(&mut self, searcher: SearcherId) {
         self.stats.entry(searcher).or_default().in_flight += 1;
     }
 
     /// Counts a sub-request as ended, when its end says nothing about the searcher's speed or health.
-    pub fn ended(&mut self, searcher: SearcherId) {
+    pub fn record_ended(&mut self, searcher: SearcherId) {
         let stats = self.stats.entry(searcher).or_default();
         stats.in_flight = stats.in_flight.saturating_sub(1);
     }
 
     /// Records a good reply and its latency, and resets the searcher's failures and ejections.
-    pub fn succeeded(&mut self, now: BootTime, searcher: SearcherId, latency: Duration) {
-        self.ended(searcher);
+    pub fn record_success(&mut self, now: BootTime, searcher: SearcherId, latency: Duration) {
+        self.record_ended(searcher);
         let stats = self.stats.entry(searcher).or_default();
         stats.failures = 0;
         stats.ejections = 0;
-        stats.note_latency(now, latency);
+        stats.record_latency(now, latency);
     }
 
     /// Records that a sub-request has had no reply for `age`. The age counts as a latency sample if it is above the
     /// estimate, since the searcher is at least that slow.
-    pub fn lagging(&mut self, now: BootTime, searcher: SearcherId, age: Duration) {
+    pub fn record_lag(&mut self, now: BootTime, searcher: SearcherId, age: Duration) {
         let stats = self.stats.entry(searcher).or_default();
         let sample = age.as_micros() as f64;
         if sample > stats.estimate(now, 0.0) {
-            stats.note_latency(now, age);
+            stats.record_latency(now, age);
         }
     }
 
-    /// Records a failure. Ejects the searcher after enough failures in a row, unless too many of `peers`, the searchers of
-    /// the service, are ejected already.
-    pub fn failed(&mut self, now: BootTime, searcher: SearcherId, peers: &[SearcherId]) {
-        self.ended(searcher);
-        let ejected = peers.iter().filter(|peer| self.is_ejected(now, **peer)).count();
-        let room = (ejected + 1) * EJECT_SHARE <= peers.len();
+    /// Records a failure. Ejects the searcher after enough failures in a row, unless too many of
+    /// `service_searchers` are ejected already.
+    pub fn record_failure(&mut self, now: BootTime, searcher: SearcherId, service_searchers: &[SearcherId]) {
+        self.record_ended(searcher);
+        let ejected = service_searchers.iter().filter(|other| self.is_ejected(now, **other)).count();
+        let may_eject = (ejected + 1) * SEARCHERS_PER_EJECTION <= service_searchers.len();
         let stats = self.stats.entry(searcher).or_default();
         stats.failures += 1;
-        if stats.failures >= EJECT_AFTER && room {
-            let span = EJECT_BASE.saturating_mul(1 << stats.ejections.min(4)).min(EJECT_MAX);
-            stats.ejected_until = now + span;
+        if stats.failures >= FAILURES_TO_EJECT && may_eject {
+            let duration = INITIAL_EJECTION.saturating_mul(1 << stats.ejections.min(4)).min(MAX_EJECTION);
+            stats.ejected_until = now + duration;
             stats.ejections += 1;
             stats.failures = 0;
         }
     }
 
     /// Drops the measurements of a searcher, which has restarted.
-    pub fn forget(&mut self, searcher: SearcherId) {
+    pub fn clear_searcher(&mut self, searcher: SearcherId) {
         self.stats.remove(&searcher);
     }
 
@@ -125,17 +125,17 @@
         typical: Duration,
         random: &mut impl Rng,
     ) -> Option<SearcherId> {
-        let first = *pick(replicas, random)?;
-        let second = *pick(replicas, random)?;
+        let first = *pick_random(replicas, random)?;
+        let second = *pick_random(replicas, random)?;
         let first_cost = self.cost(now, first, typical);
         let second_cost = self.cost(now, second, typical);
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
-        // One sub-request for two shards costs a back end less than two sub-requests.
-        let shared = replicas.iter().filter(|replica| used.contains_key(*replica));
-        let shared = shared.map(|replica| (*replica, self.cost(now, *replica, typical)));
-        let shared = shared.min_by(|left, right| left.1.total_cmp(&right.1));
-        match shared {
-            Some((replica, cost)) if cost <= best_cost * STICKY_FACTOR => Some(replica),
+        // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than two sub-requests.
+        let reused = replicas.iter().filter(|replica| used.contains_key(*replica));
+        let reused = reused.map(|replica| (*replica, self.cost(now, *replica, typical)));
+        let reused = reused.min_by(|left, right| left.1.total_cmp(&right.1));
+        match reused {
+            Some((replica, cost)) if cost <= best_cost * REUSE_COST_FACTOR => Some(replica),
             _ => Some(best),
         }
     }
@@ -144,10 +144,10 @@
 impl ReplicaStats {
     /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply is
     /// enough to prefer other searchers for a while.
-    fn note_latency(&mut self, now: BootTime, latency: Duration) {
+    fn record_latency(&mut self, now: BootTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
         let known = self.estimate(now, sample);
-        self.latency_micros = Some(sample.max(known + (sample - known) / LATENCY_WINDOW));
+        self.latency_micros = Some(sample.max(known + (sample - known) / ESTIMATE_FALL_DIVISOR));
         self.measured_at = now;
     }
 
@@ -156,13 +156,13 @@
         let Some(measured) = self.latency_micros else {
             return typical;
         };
-        let age = now.since(self.measured_at).as_secs_f64() / ESTIMATE_LIFE.as_secs_f64();
+        let age = now.since(self.measured_at).as_secs_f64() / ESTIMATE_DECAY_TIME.as_secs_f64();
         typical + (measured - typical) * (-age).exp()
     }
 }
 
 /// Picks one of `replicas` at random; `None` if there are none.
-fn pick<'a>(replicas: &'a [SearcherId], random: &mut impl Rng) -> Option<&'a SearcherId> {
+fn pick_random<'a>(replicas: &'a [SearcherId], random: &mut impl Rng) -> Option<&'a SearcherId> {
     match replicas.len() {
         0 => None,
         count => replicas.get(random.random_range(0..count)),
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -20,7 +20,7 @@
         /// Number of attempts for it that have not ended.
         outstanding: u16,
         /// Number of attempts made for it, over all searchers.
-        sends: u16,
+        attempt_count: u16,
         /// Searchers that were asked for it and must not be asked again.
         tried: Vec<SearcherId>,
         /// Cause of the last failure.
@@ -61,7 +61,7 @@
     pub work: Work,
     pub ticket: Option<Ticket>,
     pub map: Arc<ShardMap>,
-    pub shards: ShardLedger,
+    pub shards: ShardProgressTable,
     pub attempts: Vec<Attempt>,
     pub admitted_at: BootTime,
     pub deadline: BootTime,
@@ -78,13 +78,13 @@
     /// Sub-requests of the first plan.
     pub needed: u32,
     /// Whether a sub-request was shed.
-    pub troubled: bool,
+    pub was_shed: bool,
     /// Whether a plan has been made. The sub-requests of later plans count as extra work.
     pub planned: bool,
     /// Whether any attempt was executed or may have been.
     pub may_have_run: bool,
     /// Number of the first attempt of the current plan. Replies to earlier attempts are ignored.
-    pub first_valid_attempt: u32,
+    pub first_attempt_of_plan: u32,
 }
 
 impl Request {
@@ -94,21 +94,21 @@
     }
 
     /// Returns whether `count` shards reach the least coverage.
-    pub fn is_enough(&self, count: usize) -> bool {
+    pub fn reaches_coverage(&self, count: usize) -> bool {
         count * 1000 >= self.shards.len() * self.least_per_mille as usize
     }
 
     /// Merges those shards of a good reply that the attempt asked for and that are still open.
     pub fn merge(&mut self, asked: &[u32], found: Vec<ShardHits>) -> MergeResult {
-        let mut contested = false;
+        let mut has_other_attempts = false;
         for shard_hits in found {
             let Some(position) = self.asked_position(asked, &shard_hits) else {
                 continue;
             };
-            contested |= self.merge_shard(position, shard_hits);
+            has_other_attempts |= self.merge_shard(position, shard_hits);
         }
         let unanswered = asked.iter().copied().filter(|position| self.shards.is_open(*position)).collect();
-        MergeResult { unanswered, contested }
+        MergeResult { unanswered, has_other_attempts }
     }
 
     /// Returns the position of a shard of a reply; `None` if the attempt didn't ask for the shard or one of its hits is
@@ -117,8 +117,8 @@
         let index = self.map.shards.binary_search_by_key(&found.shard, |placement| placement.shard).ok()?;
         let position = index as u32;
         asked.binary_search(&position).ok()?;
-        let foreign = found.hits.iter().any(|hit| hit.shard != found.shard);
-        (!foreign).then_some(position)
+        let has_foreign_hit = found.hits.iter().any(|hit| hit.shard != found.shard);
+        (!has_foreign_hit).then_some(position)
     }
 
     /// Merges the hits of one open shard. Returns whether other attempts for it have not ended.
@@ -127,18 +127,18 @@
         let Some(ShardProgress::Open { outstanding, .. }) = self.shards.get(position) else {
             return false;
         };
-        let contested = *outstanding > 0;
+        let has_other_attempts = *outstanding > 0;
         self.shards.include(position);
         self.matched += found.matched;
         self.hits.extend(found.hits);
-        if self.hits.len() > 4 * self.limit() {
-            self.keep_best();
+        if self.hits.len() > 4 * self.hit_limit() {
+            self.sort_and_truncate_hits();
         }
-        contested
+        has_other_attempts
     }
 
     /// Returns the most hits that the answer may have.
-    fn limit(&self) -> usize {
+    fn hit_limit(&self) -> usize {
         match &self.work {
             Work::Search(query) => query.limit as usize,
             Work::Act(_) => 0,
@@ -146,7 +146,7 @@
     }
 
     /// Sorts the hits, a pull's by document and a search's by score, and drops those beyond the limit.
-    pub fn keep_best(&mut self) {
+    pub fn sort_and_truncate_hits(&mut self) {
         if self.page_start().is_some() {
             self.hits.sort_by(|left, right| (left.shard, &left.document).cmp(&(right.shard, &right.document)));
         } else {
@@ -154,7 +154,7 @@
                 right.score.total_cmp(&left.score).then_with(|| left.document.cmp(&right.document))
             });
         }
-        let limit = self.limit();
+        let limit = self.hit_limit();
         self.hits.truncate(limit);
     }
 
@@ -178,13 +178,13 @@
     }
 
     /// Discards all merged hits and progress, for a new plan on another snapshot.
-    pub fn restart(&mut self, map: Arc<ShardMap>, next_attempt: u32) {
+    pub fn restart_on(&mut self, map: Arc<ShardMap>, next_attempt: u32) {
         self.excluded.push(self.map.snapshot);
-        self.shards = ShardLedger::open(&map, self.page_start());
+        self.shards = ShardProgressTable::new(&map, self.page_start());
         self.map = map;
         self.hits.clear();
         self.matched = 0;
-        self.first_valid_attempt = next_attempt;
+        self.first_attempt_of_plan = next_attempt;
     }
 }
 
@@ -193,31 +193,31 @@
     /// Shards that the attempt asked for and that are still open after the merge.
     pub unanswered: Vec<u32>,
     /// Whether another attempt for a merged shard has not ended.
-    pub contested: bool,
+    pub has_other_attempts: bool,
 }
 
 /// Progress of all shards. The counts of open and included shards are kept, so that a reply needs to visit only its own
 /// shards.
-pub(crate) struct ShardLedger {
+pub(crate) struct ShardProgressTable {
     progress: Vec<ShardProgress>,
     open: usize,
     included: usize,
 }
 
-impl ShardLedger {
+impl ShardProgressTable {
     /// Creates the progress for a new plan. A page of a pull skips the shards before its start; they count as included.
-    pub fn open(map: &ShardMap, page_start: Option<&PagePosition>) -> Self {
+    pub fn new(map: &ShardMap, page_start: Option<&PagePosition>) -> Self {
         let first = page_start.map(|position| position.shard);
         let progress = map.shards.iter().map(|placement| {
             if first.is_some_and(|first| placement.shard < first) {
                 return ShardProgress::Included;
             }
-            ShardProgress::Open { outstanding: 0, sends: 0, tried: Vec::new(), last_failure: None }
+            ShardProgress::Open { outstanding: 0, attempt_count: 0, tried: Vec::new(), last_failure: None }
         });
         let progress: Vec<ShardProgress> = progress.collect();
         let open = progress.iter().filter(|shard| matches!(shard, ShardProgress::Open { .. })).count();
         let included = progress.len() - open;
-        ShardLedger { progress, open, included }
+        ShardProgressTable { progress, open, included }
     }
 
     /// Returns the number of shards.
@@ -236,7 +236,7 @@
     }
 
     /// Returns whether no shard is open.
-    pub fn is_settled(&self) -> bool {
+    pub fn none_open(&self) -> bool {
         self.open == 0
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Counts one attempt for each of the shards as ended.
-    pub fn release(&mut self, positions: &[u32]) {
+    pub fn end_attempt(&mut self, positions: &[u32]) {
         for position in positions {
             if let Some(ShardProgress::Open { outstanding, .. }) = self.get_open_mut(*position) {
                 *outstanding = outstanding.saturating_sub(1);
@@ -295,7 +295,7 @@
     }
 
     /// Records a failure of the shards that are open. Returns those of them for which no attempt is in flight.
-    pub fn note_failure(&mut self, positions: &[u32], cause: MissingCause) -> Vec<u32> {
+    pub fn record_failure(&mut self, positions: &[u32], cause: MissingCause) -> Vec<u32> {
         let mut idle = Vec::new();
         for position in positions {
             if let Some(ShardProgress::Open { outstanding, last_failure, .. }) = self.get_open_mut(*position) {
@@ -309,7 +309,7 @@
     }
 
     /// Removes a searcher, which the sub-request never reached, from those that must not be asked again for the shards.
-    pub fn forget_try(&mut self, positions: &[u32], searcher: SearcherId) {
+    pub fn remove_tried(&mut self, positions: &[u32], searcher: SearcherId) {
         for position in positions {
             if let Some(ShardProgress::Open { tried, .. }) = self.get_open_mut(*position) {
                 tried.retain(|known| *known != searcher);
@@ -318,9 +318,9 @@
     }
 
     /// Returns the number of attempts made for an open shard; `usize::MAX` for any other.
-    pub fn sends(&self, position: u32) -> usize {
+    pub fn attempt_count(&self, position: u32) -> usize {
         match self.get(position) {
-            Some(ShardProgress::Open { sends, .. }) => usize::from(*sends),
+            Some(ShardProgress::Open { attempt_count, .. }) => usize::from(*attempt_count),
             _ => usize::MAX,
         }
     }
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -20,7 +20,7 @@
 use crate::replica::ReplicaTable;
 use crate::request::Request;
 use crate::session::SessionTable;
-use crate::snapshot_choice::{Candidate, choose_current, judge_candidates};
+use crate::snapshot_choice::{Candidate, choose_current, evaluate_candidates};
 use crate::view::SearcherView;
 use hashbrown::HashMap;
 use rand_chacha::ChaCha8Rng;
@@ -39,20 +39,20 @@
     /// Most sessions that are held.
     pub sessions: usize,
     /// Latency that is assumed before enough replies are measured.
-    pub latency_guess: Duration,
+    pub initial_latency: Duration,
     /// Most attempts for a shard in one plan, the first included.
-    pub attempts_per_shard: usize,
+    pub max_attempts_per_shard: usize,
     /// Most plans of a request, the first included.
-    pub plans_per_request: usize,
+    pub max_plans_per_request: usize,
 }
 
 impl Default for RootSettings {
     fn default() -> Self {
         RootSettings {
             sessions: 10_000,
-            latency_guess: Duration::from_millis(20),
-            attempts_per_shard: 4,
-            plans_per_request: 3,
+            initial_latency: Duration::from_millis(20),
+            max_attempts_per_shard: 4,
+            max_plans_per_request: 3,
         }
     }
 }
@@ -90,17 +90,17 @@
     pub definition: Arc<ServiceDefinition>,
     pub maps: Vec<Arc<ShardMap>>,
     /// The service's searchers.
-    pub peers: Vec<SearcherId>,
+    pub searchers: Vec<SearcherId>,
     /// Snapshots that could be served, the newest first.
     pub candidates: Vec<Candidate>,
     /// The snapshot that the service is served from.
     pub current: Option<Snapshot>,
     /// Whether `candidates` and `current` must be computed again.
-    pub stale: bool,
+    pub needs_refresh: bool,
     /// Time from sending a sub-request to its reply.
     pub latency: LatencyTracker,
     /// The same without the time that the sub-request waited for a slot at the leaf.
-    pub work: LatencyTracker,
+    pub work_latency: LatencyTracker,
     pub hedges: ExtraWorkBudget,
     pub retries: ExtraWorkBudget,
     pub limiter: ConcurrencyLimiter,
@@ -134,9 +134,9 @@
     pub(crate) copies: CopyHealth,
     pub(crate) requests: HashMap<u64, Request>,
     /// Times at which requests need attention, with the requests' sequence numbers. A request may have several.
-    pub(crate) wakes: BinaryHeap<Reverse<(BootTime, u64)>>,
+    pub(crate) timers: BinaryHeap<Reverse<(BootTime, u64)>>,
     /// Attempts of finished actions, whose receipts may still come.
-    pub(crate) unknown_actions: HashMap<AttemptId, submit::PendingTicket>,
+    pub(crate) finished_actions: HashMap<AttemptId, submit::FinishedAction>,
     /// Sessions that this node holds.
     pub sessions: SessionTable,
     /// Counters for metrics.
@@ -154,8 +154,8 @@
             replicas: ReplicaTable::default(),
             copies: CopyHealth::new(),
             requests: HashMap::new(),
-            wakes: BinaryHeap::new(),
-            unknown_actions: HashMap::new(),
+            timers: BinaryHeap::new(),
+            finished_actions: HashMap::new(),
             sessions: SessionTable::new(settings.sessions),
             counters: RootCounters::default(),
             settings,
@@ -176,7 +176,7 @@
 
     /// Returns when [`RootEvent::Tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.wakes.peek().map(|Reverse((time, _))| *time)
+        self.timers.peek().map(|Reverse((time, _))| *time)
     }
 
     /// Returns the number of requests that have not ended.
@@ -225,21 +225,21 @@
         let run = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
         let restarted = self.views.get(&view.searcher).is_some_and(|known| run(known) != run(&view));
         if restarted {
-            self.replicas.forget(view.searcher);
-            self.copies.forget(view.searcher);
+            self.replicas.clear_searcher(view.searcher);
+            self.copies.clear_searcher(view.searcher);
         }
-        let affected = self.services.values_mut().filter(|service| service.peers.contains(&view.searcher));
-        affected.for_each(|service| service.stale = true);
+        let affected = self.services.values_mut().filter(|service| service.searchers.contains(&view.searcher));
+        affected.for_each(|service| service.needs_refresh = true);
         self.views.insert(view.searcher, view);
     }
 
     /// Chooses again which snapshot a service is served from, if its definition or a view has changed.
     pub(crate) fn refresh_service(&mut self, name: &ServiceName) {
-        let Some(service) = self.services.get_mut(name).filter(|service| service.stale) else {
+        let Some(service) = self.services.get_mut(name).filter(|service| service.needs_refresh) else {
             return;
         };
-        service.stale = false;
-        service.candidates = judge_candidates(&service.maps, &self.views);
+        service.needs_refresh = false;
+        service.candidates = evaluate_candidates(&service.maps, &self.views);
         service.current = choose_current(&service.candidates, service.current);
     }
 }
@@ -251,12 +251,12 @@
             hedges: ExtraWorkBudget::new(policy.hedge_per_mille),
             retries: ExtraWorkBudget::new(policy.retry_per_mille),
             maps: shared_maps(&definition),
-            peers: definition.searchers.iter().map(|searcher| searcher.id).collect(),
+            searchers: definition.searchers.iter().map(|searcher| searcher.id).collect(),
             candidates: Vec::new(),
             current: None,
-            stale: true,
-            latency: LatencyTracker::new(settings.latency_guess),
-            work: LatencyTracker::new(settings.latency_guess),
+            needs_refresh: true,
+            latency: LatencyTracker::new(settings.initial_latency),
+            work_latency: LatencyTracker::new(settings.initial_latency),
             limiter: ConcurrencyLimiter::default(),
             definition,
         }
@@ -269,8 +269,8 @@
         self.hedges.set_per_mille(definition.policy.hedge_per_mille);
         self.retries.set_per_mille(definition.policy.retry_per_mille);
         self.maps = shared_maps(&definition);
-        self.peers = definition.searchers.iter().map(|searcher| searcher.id).collect();
-        self.stale = true;
+        self.searchers = definition.searchers.iter().map(|searcher| searcher.id).collect();
+        self.needs_refresh = true;
         self.definition = definition;
         self
     }
--- a/crates/session/staircross-search/src/root/deadline.rs
+++ b/crates/session/staircross-search/src/root/deadline.rs
@@ -9,41 +9,41 @@
 use std::cmp::Reverse;
 
 /// Number of hedge delays after admission at which a latency-first request may be answered without its last shards.
-const PATIENCE: u32 = 2;
+const EARLY_ANSWER_DELAYS: u32 = 2;
 
 /// Returns when a latency-first search may be answered without its last shards; `None` for other requests.
-pub(super) fn patience_end(request: &Request, service: &ServiceState) -> Option<BootTime> {
+pub(super) fn early_answer_time(request: &Request, service: &ServiceState) -> Option<BootTime> {
     let is_search = matches!(request.work, Work::Search(_));
     if !is_search || request.priority == Priority::Coverage {
         return None;
     }
-    Some(request.admitted_at + service.latency.hedge_delay() * PATIENCE)
+    Some(request.admitted_at + service.latency.hedge_delay() * EARLY_ANSWER_DELAYS)
 }
 
 impl RootEngine {
     /// Handles the timers that are due.
     pub(super) fn on_tick(&mut self, now: BootTime, actions: &mut Vec<RootAction>) {
-        while let Some(Reverse((due, sequence))) = self.wakes.peek().copied() {
+        while let Some(Reverse((due, sequence))) = self.timers.peek().copied() {
             if due > now {
                 break;
             }
-            self.wakes.pop();
-            self.wake(now, sequence, actions);
+            self.timers.pop();
+            self.on_timer(now, sequence, actions);
         }
-        self.unknown_actions.retain(|_, pending| now < pending.forget_at);
+        self.finished_actions.retain(|_, action| now < action.expires_at);
     }
 
     /// Handles a due timer of a request: ends the request, or hedges its late attempts.
-    fn wake(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
+    fn on_timer(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         if now >= request.deadline {
-            self.stop_waiting(now, sequence, actions);
+            self.conclude(now, sequence, actions);
             return;
         }
-        if self.is_out_of_patience(now, request) {
-            self.stop_waiting(now, sequence, actions);
+        if self.is_early_answer_due(now, request) {
+            self.conclude(now, sequence, actions);
             return;
         }
         self.hedge_late_attempts(now, sequence, actions);
@@ -51,12 +51,12 @@
     }
 
     /// Returns whether a latency-first request has enough shards and has waited long enough for the others.
-    pub(super) fn is_out_of_patience(&self, now: BootTime, request: &Request) -> bool {
-        if !request.is_enough(request.shards.included()) {
+    pub(super) fn is_early_answer_due(&self, now: BootTime, request: &Request) -> bool {
+        if !request.reaches_coverage(request.shards.included()) {
             return false;
         }
         let service = self.services.get(&request.service);
-        service.and_then(|service| patience_end(request, service)).is_some_and(|end| now >= end)
+        service.and_then(|service| early_answer_time(request, service)).is_some_and(|end| now >= end)
     }
 
     /// Sends hedges for the shards of attempts that are late, once for each attempt.
@@ -77,7 +77,7 @@
             if attempt.open && !attempt.hedged && now >= attempt.sent_at + delay {
                 attempt.hedged = true;
                 late_shards.extend(attempt.shards.iter().copied());
-                self.replicas.lagging(now, attempt.searcher, now.since(attempt.sent_at));
+                self.replicas.record_lag(now, attempt.searcher, now.since(attempt.sent_at));
             }
         }
         late_shards.retain(|position| request.shards.is_open(*position));
@@ -93,7 +93,7 @@
         };
         // An action continues, so that its outcome is recorded with its ticket.
         if matches!(request.work, Work::Search(_)) {
-            self.stop_waiting(now, id.sequence, actions);
+            self.conclude(now, id.sequence, actions);
         }
     }
 }
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -1,6 +1,6 @@
 //! The end of a request: when it ends and with which outcome.
 
-use super::submit::{PendingTicket, refused};
+use super::submit::{FinishedAction, refused};
 use super::{RootAction, RootEngine};
 use crate::message::{Answer, Outcome, Work};
 use crate::request::{Request, ShardProgress};
@@ -17,21 +17,21 @@
 impl RootEngine {
     /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has waited
     /// long enough. If its snapshot is gone, plans the request again instead, where that is possible.
-    pub(super) fn settle(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
+    pub(super) fn finish_if_settled(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        if self.is_out_of_patience(now, request) {
-            self.stop_waiting(now, sequence, actions);
+        if self.is_early_answer_due(now, request) {
+            self.conclude(now, sequence, actions);
             return;
         }
-        if !request.shards.is_settled() && !self.is_hopeless(sequence) {
+        if !request.shards.none_open() && !self.is_coverage_unreachable(sequence) {
             return;
         }
         if self.replan(now, sequence, actions) {
             return;
         }
-        self.stop_waiting(now, sequence, actions);
+        self.conclude(now, sequence, actions);
     }
 
     /// Plans a search again on another snapshot, if a shard is missing because the snapshot is gone. All merged hits are
@@ -46,7 +46,7 @@
         let is_page = request.page_start().is_some();
         let plans = request.excluded.len() + 1;
         let in_time = now.until(request.deadline) > MIN_TIME_TO_REPLAN;
-        if !snapshot_gone || !is_search || is_page || !in_time || plans >= self.settings.plans_per_request {
+        if !snapshot_gone || !is_search || is_page || !in_time || plans >= self.settings.max_plans_per_request {
             return false;
         }
         let name = request.service.clone();
@@ -66,14 +66,14 @@
         self.cancel_open_attempts(sequence, actions);
         if let Some(request) = self.requests.get_mut(&sequence) {
             let next_attempt = request.attempts.len() as u32 + 1;
-            request.restart(map, next_attempt);
+            request.restart_on(map, next_attempt);
         }
         self.plan(now, sequence, actions);
         true
     }
 
     /// Ends the request with what has been merged so far: answers if that is enough, otherwise refuses.
-    pub(super) fn stop_waiting(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
+    pub(super) fn conclude(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -87,16 +87,16 @@
     /// Ends the request with an outcome: cancels its open attempts, and updates limiter, ticket and session.
     pub(super) fn finish(&mut self, now: BootTime, sequence: u64, outcome: Outcome, actions: &mut Vec<RootAction>) {
         let id = RequestId { node: self.node, sequence };
-        self.remember_unknown_action(now, sequence);
+        self.store_finished_action(now, sequence);
         self.cancel_open_attempts(sequence, actions);
         let Some(request) = self.requests.remove(&sequence) else {
             return;
         };
-        let late = matches!(&outcome, Outcome::Refusal(_));
+        let is_refusal = matches!(&outcome, Outcome::Refusal(_));
         if let Some(service) = self.services.get_mut(&request.service) {
-            service.limiter.finish(now, request.troubled || late);
+            service.limiter.finish(now, request.was_shed || is_refusal);
         }
-        self.give_ticket_back(now, &request, &outcome);
+        self.record_ticket_outcome(now, &request, &outcome);
         if let (Outcome::Answer(answer), Some(session)) = (&outcome, self.sessions.touch(now, request.session)) {
             session.raise_floor(&request.service, answer.snapshot);
         }
@@ -116,7 +116,7 @@
             attempt.open = false;
             // The attempt's reply won't be awaited, so the attempt must count as one that may have been executed.
             request.may_have_run = true;
-            self.replicas.ended(attempt.searcher);
+            self.replicas.record_ended(attempt.searcher);
             // An action isn't cancelled: it might stop half-way, and a late receipt is still of use for its ticket.
             if is_search {
                 let request = RequestId { node: self.node, sequence };
@@ -127,7 +127,7 @@
     }
 
     /// Stores the attempts of a request with a ticket, so that a late receipt can still be recorded.
-    fn remember_unknown_action(&mut self, now: BootTime, sequence: u64) {
+    fn store_finished_action(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -136,8 +136,8 @@
         };
         for number in 1..=request.attempts.len() as u32 {
             let id = AttemptId { request: RequestId { node: self.node, sequence }, attempt: number };
-            let forget_at = now + LATE_RECEIPT_WINDOW;
-            self.unknown_actions.insert(id, PendingTicket { session: request.session, ticket, forget_at });
+            let expires_at = now + LATE_RECEIPT_WINDOW;
+            self.finished_actions.insert(id, FinishedAction { session: request.session, ticket, expires_at });
         }
     }
 }
@@ -146,13 +146,13 @@
     /// Answers with the merged hits if the coverage is enough, otherwise refuses.
     fn conclude_search(&mut self, now: BootTime) -> Outcome {
         let coverage = self.coverage(MissingCause::Late);
-        if !self.is_enough(coverage.included.len()) {
+        if !self.reaches_coverage(coverage.included.len()) {
             return self.refuse_search(now, &coverage);
         }
         if self.page_start().is_some() && !coverage.missing.is_empty() {
             return refused(ErrorKind::CoverageTooLow, "a page of a pull needs every shard; ask for it again");
         }
-        self.keep_best();
+        self.sort_and_truncate_hits();
         let next = self.next_page();
         Outcome::Answer(Box::new(Answer {
             snapshot: self.map.snapshot,
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -36,10 +36,10 @@
         let open = request.shards.open_positions();
         let batches = self.choose_batches(now, sequence, &open);
         self.give_up_unplaced(sequence, &open, &batches);
-        if self.is_hopeless(sequence) {
+        if self.is_coverage_unreachable(sequence) {
             // The request is refused before anything is sent: no back end does work for nothing, and the request was
             // certainly not executed.
-            self.settle(now, sequence, actions);
+            self.finish_if_settled(now, sequence, actions);
             return;
         }
         let count = batches.len();
@@ -58,12 +58,12 @@
             self.send(now, sequence, batch.searcher, batch.shards, SendReason::Primary, actions);
         }
         self.schedule(now, sequence);
-        self.settle(now, sequence, actions);
+        self.finish_if_settled(now, sequence, actions);
     }
 
     /// Returns whether too few shards are included or open to reach the least coverage.
-    pub(super) fn is_hopeless(&self, sequence: u64) -> bool {
-        self.requests.get(&sequence).is_some_and(|request| !request.is_enough(request.shards.reachable()))
+    pub(super) fn is_coverage_unreachable(&self, sequence: u64) -> bool {
+        self.requests.get(&sequence).is_some_and(|request| !request.reaches_coverage(request.shards.reachable()))
     }
 
     /// Gives up the shards of a plan for which no searcher can be asked.
@@ -96,7 +96,7 @@
     ) -> Vec<u32> {
         let mut unsent: Vec<u32> = shards.to_vec();
         for batch in self.choose_batches(now, sequence, shards) {
-            if !self.spend(now, sequence, reason) {
+            if !self.spend_budget(now, sequence, reason) {
                 break;
             }
             unsent.retain(|position| !batch.shards.contains(position));
@@ -106,7 +106,7 @@
     }
 
     /// Returns whether a sub-request may be sent, and spends a token of the budget if the reason needs one.
-    fn spend(&mut self, now: BootTime, sequence: u64, reason: SendReason) -> bool {
+    fn spend_budget(&mut self, now: BootTime, sequence: u64, reason: SendReason) -> bool {
         let Some(request) = self.requests.get(&sequence) else {
             return false;
         };
@@ -130,7 +130,7 @@
         };
         let typical = match self.services.get(&request.service) {
             Some(service) => service.latency.median(),
-            None => self.settings.latency_guess,
+            None => self.settings.initial_latency,
         };
         let snapshot = request.map.snapshot;
         let mut batches: Vec<Batch> = Vec::new();
@@ -153,21 +153,21 @@
             if !self.copies.is_empty() && eligible.iter().any(is_quick) {
                 eligible.retain(is_quick);
             } else if !self.copies.is_empty() {
-                let strikes = |replica: &SearcherId| self.copies.strikes(*replica, placement.shard);
-                let fewest = eligible.iter().map(strikes).min().unwrap_or(0);
-                eligible.retain(|replica| strikes(replica) == fewest);
+                let slow_replies = |replica: &SearcherId| self.copies.slow_replies(*replica, placement.shard);
+                let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
+                eligible.retain(|replica| slow_replies(replica) == fewest);
             }
             let chosen = self.replicas.choose(now, &eligible, &used, typical, &mut self.random);
             if let Some(searcher) = chosen {
-                self.copies.note_asked(now, searcher, placement.shard);
+                self.copies.record_asked(now, searcher, placement.shard);
             }
             let Some(searcher) = chosen else {
                 if *outstanding == 0 && last_failure.is_none() {
-                    *last_failure = Some(absence_cause(&placement.replicas, &self.views));
+                    *last_failure = Some(no_replica_cause(&placement.replicas, &self.views));
                 }
                 continue;
             };
-            if self.copies.strikes(searcher, placement.shard) > 0 {
+            if self.copies.slow_replies(searcher, placement.shard) > 0 {
                 batches.push(Batch { searcher, shards: vec![*position] });
                 continue;
             }
@@ -196,10 +196,11 @@
             return;
         };
         for position in &shards {
-            if let Some(ShardProgress::Open { outstanding, sends, tried, .. }) = request.shards.get_open_mut(*position)
+            if let Some(ShardProgress::Open { outstanding, attempt_count, tried, .. }) =
+                request.shards.get_open_mut(*position)
             {
                 *outstanding += 1;
-                *sends += 1;
+                *attempt_count += 1;
                 tried.push(searcher);
             }
         }
@@ -207,7 +208,7 @@
         request.attempts.push(Attempt { searcher, shards, sent_at: now, open: true, hedged: false });
         let request_id = RequestId { node: self.node, sequence };
         let attempt = AttemptId { request: request_id, attempt: request.attempts.len() as u32 };
-        self.replicas.sent(searcher);
+        self.replicas.record_sent(searcher);
         match reason {
             SendReason::Primary => self.counters.primaries += 1,
             SendReason::Hedge => self.counters.hedges += 1,
@@ -236,24 +237,24 @@
             if let Some(first) = late.map(|attempt| attempt.sent_at + delay).min() {
                 due = due.min(first.max(now));
             }
-            if let Some(patience) = super::deadline::patience_end(request, service).filter(|end| *end > now) {
-                due = due.min(patience);
+            if let Some(early_answer) = super::deadline::early_answer_time(request, service).filter(|end| *end > now) {
+                due = due.min(early_answer);
             }
         }
-        self.wakes.push(Reverse((due, sequence)));
+        self.timers.push(Reverse((due, sequence)));
     }
 }
 
 /// Returns why none of a shard's replicas can be asked.
-fn absence_cause(replicas: &[SearcherId], views: &HashMap<SearcherId, crate::view::SearcherView>) -> MissingCause {
+fn no_replica_cause(replicas: &[SearcherId], views: &HashMap<SearcherId, crate::view::SearcherView>) -> MissingCause {
     let known: Vec<_> = replicas.iter().filter_map(|replica| views.get(replica)).collect();
     if known.iter().any(|view| view.leaving) {
         return MissingCause::Draining;
     }
-    let holds_other = |view: &&crate::view::SearcherView| {
+    let holds_snapshots = |view: &&crate::view::SearcherView| {
         view.evidence.as_ref().is_some_and(|evidence| !evidence.snapshots.is_empty())
     };
-    if known.iter().any(holds_other) {
+    if known.iter().any(holds_snapshots) {
         return MissingCause::SnapshotGone;
     }
     MissingCause::Lost
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -16,11 +16,11 @@
         }
         let sequence = reply.attempt.request.sequence;
         let Some(request) = self.requests.get_mut(&sequence) else {
-            self.note_late_reply(now, reply);
+            self.record_late_reply(now, reply);
             return;
         };
         let index = (reply.attempt.attempt as usize).wrapping_sub(1);
-        let abandoned = reply.attempt.attempt < request.first_valid_attempt;
+        let abandoned = reply.attempt.attempt < request.first_attempt_of_plan;
         let Some(entry) = request.attempts.get_mut(index).filter(|attempt| attempt.open) else {
             self.counters.late_replies += 1;
             return;
@@ -28,17 +28,17 @@
         let attempt = entry.close();
         let matches = reply_matches(request, &attempt, &reply);
         if abandoned {
-            self.replicas.ended(attempt.searcher);
+            self.replicas.record_ended(attempt.searcher);
             return;
         }
-        request.shards.release(&attempt.shards);
+        request.shards.end_attempt(&attempt.shards);
         if matches {
             self.apply(now, sequence, &attempt, reply, actions);
         } else {
             self.counters.foreign_replies += 1;
             self.apply_unknown(now, sequence, &attempt, MissingCause::Unreachable, actions);
         }
-        self.settle(now, sequence, actions);
+        self.finish_if_settled(now, sequence, actions);
     }
 
     fn apply(
@@ -52,7 +52,7 @@
         match reply.outcome {
             SubOutcome::Found(found) => self.apply_found(now, sequence, attempt, found, reply.worked, actions),
             SubOutcome::Acted(receipt) => {
-                self.replicas.succeeded(now, attempt.searcher, now.since(attempt.sent_at));
+                self.replicas.record_success(now, attempt.searcher, now.since(attempt.sent_at));
                 self.finish(now, sequence, Outcome::Acted(receipt), actions);
             }
             SubOutcome::NotRun(reason) => self.apply_not_run(now, sequence, attempt, reason, actions),
@@ -72,27 +72,27 @@
         actions: &mut Vec<RootAction>,
     ) {
         let latency = now.since(attempt.sent_at);
-        self.replicas.succeeded(now, attempt.searcher, latency);
+        self.replicas.record_success(now, attempt.searcher, latency);
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         request.may_have_run = true;
         if let Some(service) = self.services.get(&request.service) {
-            let tail = service.work.hedge_delay();
+            let tail = service.work_latency.hedge_delay();
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
             // The wait for a slot is left out, because it says nothing about the copy.
-            self.copies.note_reply(now, attempt.searcher, shards, worked, tail);
+            self.copies.record_reply(now, attempt.searcher, shards, worked, tail);
         }
         let merged = request.merge(&attempt.shards, found);
-        let needless = if merged.contested { request.take_needless_attempts() } else { Vec::new() };
+        let overtaken = if merged.has_other_attempts { request.close_overtaken_attempts() } else { Vec::new() };
         if let Some(service) = self.services.get_mut(&request.service) {
             service.latency.record(latency);
-            service.work.record(worked);
+            service.work_latency.record(worked);
         }
-        for NeedlessAttempt { number, searcher, sent_at } in needless {
-            self.replicas.ended(searcher);
-            self.replicas.lagging(now, searcher, now.since(sent_at));
-            self.note_overtaken(now, sequence, number);
+        for OvertakenAttempt { number, searcher, sent_at } in overtaken {
+            self.replicas.record_ended(searcher);
+            self.replicas.record_lag(now, searcher, now.since(sent_at));
+            self.record_overtaken(now, sequence, number);
             let attempt = AttemptId { request: RequestId { node: self.node, sequence }, attempt: number };
             actions.push(RootAction::Cancel { attempt, searcher });
         }
@@ -103,7 +103,7 @@
     }
 
     /// Records the copies of an attempt as slow if another attempt answered its shards first and it was already late.
-    fn note_overtaken(&mut self, now: BootTime, sequence: u64, number: u32) {
+    fn record_overtaken(&mut self, now: BootTime, sequence: u64, number: u32) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -115,7 +115,7 @@
         };
         if now.since(attempt.sent_at) > service.latency.hedge_delay() {
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            self.copies.note_overtaken(now, attempt.searcher, shards);
+            self.copies.record_overtaken(now, attempt.searcher, shards);
         }
     }
 
@@ -129,9 +129,9 @@
         actions: &mut Vec<RootAction>,
     ) {
         if reason == NotRunReason::Unconnected {
-            self.note_failed(now, sequence, attempt.searcher);
+            self.record_searcher_failure(now, sequence, attempt.searcher);
         } else {
-            self.replicas.ended(attempt.searcher);
+            self.replicas.record_ended(attempt.searcher);
         }
         // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it counts
         // as a retry, because overloaded back ends must not be asked for more.
@@ -139,27 +139,27 @@
         match reason {
             NotRunReason::Shed => {
                 send_reason = SendReason::Retry;
-                self.note_shed(now, sequence);
+                self.record_shed(now, sequence);
             }
-            NotRunReason::NotOwner | NotRunReason::LeafLeaving => self.forget_try(sequence, attempt),
+            NotRunReason::NotOwner | NotRunReason::LeafLeaving => self.remove_tried(sequence, attempt),
             NotRunReason::Draining | NotRunReason::SnapshotGone | NotRunReason::Unconnected => {}
         }
         self.retry(now, sequence, &attempt.shards, reason.missing_cause(), send_reason, actions);
     }
 
     /// Lets the shards of an attempt be asked of the same searcher again, since the attempt didn't reach it.
-    fn forget_try(&mut self, sequence: u64, attempt: &Attempt) {
+    fn remove_tried(&mut self, sequence: u64, attempt: &Attempt) {
         if let Some(request) = self.requests.get_mut(&sequence) {
-            request.shards.forget_try(&attempt.shards, attempt.searcher);
+            request.shards.remove_tried(&attempt.shards, attempt.searcher);
         }
     }
 
     /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's limit.
-    fn note_shed(&mut self, now: BootTime, sequence: u64) {
+    fn record_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        request.troubled = true;
+        request.was_shed = true;
         if let Some(service) = self.services.get_mut(&request.service) {
             service.hedges.pause_after_shed(now);
             service.retries.pause_after_shed(now);
@@ -168,10 +168,10 @@
     }
 
     /// Records a failure of a searcher, which may eject it.
-    fn note_failed(&mut self, now: BootTime, sequence: u64, searcher: SearcherId) {
+    fn record_searcher_failure(&mut self, now: BootTime, sequence: u64, searcher: SearcherId) {
         let service = self.requests.get(&sequence).and_then(|request| self.services.get(&request.service));
-        let peers = service.map_or(&[][..], |service| &service.peers);
-        self.replicas.failed(now, searcher, peers);
+        let service_searchers = service.map_or(&[][..], |service| &service.searchers);
+        self.replicas.record_failure(now, searcher, service_searchers);
     }
 
     /// Handles an attempt that may or may not have been executed. A search is retried; an action is given up.
@@ -183,7 +183,7 @@
         cause: MissingCause,
         actions: &mut Vec<RootAction>,
     ) {
-        self.note_failed(now, sequence, attempt.searcher);
+        self.record_searcher_failure(now, sequence, attempt.searcher);
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -209,10 +209,10 @@
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let most_attempts = self.settings.attempts_per_shard;
-        let idle = request.shards.note_failure(shards, cause);
+        let max_attempts = self.settings.max_attempts_per_shard;
+        let idle = request.shards.record_failure(shards, cause);
         let (again, exhausted): (Vec<u32>, Vec<u32>) =
-            idle.into_iter().partition(|position| request.shards.sends(*position) < most_attempts);
+            idle.into_iter().partition(|position| request.shards.attempt_count(*position) < max_attempts);
         request.give_up(&exhausted, cause);
         let unsent = self.send_extra(now, sequence, &again, reason, actions);
         if let Some(request) = self.requests.get_mut(&sequence) {
@@ -222,16 +222,16 @@
     }
 
     /// Drops the reply to a finished request, except that the late receipt of an action is recorded with its ticket.
-    fn note_late_reply(&mut self, now: BootTime, reply: SubReply) {
+    fn record_late_reply(&mut self, now: BootTime, reply: SubReply) {
         self.counters.late_replies += 1;
         let SubOutcome::Acted(receipt) = reply.outcome else {
             return;
         };
-        let Some(pending) = self.unknown_actions.remove(&reply.attempt) else {
+        let Some(action) = self.finished_actions.remove(&reply.attempt) else {
             return;
         };
-        if let Some(session) = self.sessions.touch(now, pending.session) {
-            session.end_ticket(pending.ticket, &Outcome::Acted(receipt));
+        if let Some(session) = self.sessions.touch(now, action.session) {
+            session.end_ticket(action.ticket, &Outcome::Acted(receipt));
         }
     }
 }
@@ -245,24 +245,24 @@
     }
 
     /// Marks the attempts that have no open shard left as ended, and returns them.
-    fn take_needless_attempts(&mut self) -> Vec<NeedlessAttempt> {
-        let mut needless = Vec::new();
+    fn close_overtaken_attempts(&mut self) -> Vec<OvertakenAttempt> {
+        let mut overtaken = Vec::new();
         for (index, attempt) in self.attempts.iter_mut().enumerate() {
             if attempt.open && !attempt.shards.iter().any(|position| self.shards.is_open(*position)) {
                 attempt.open = false;
-                needless.push(NeedlessAttempt {
+                overtaken.push(OvertakenAttempt {
                     number: index as u32 + 1,
                     searcher: attempt.searcher,
                     sent_at: attempt.sent_at,
                 });
             }
         }
-        needless
+        overtaken
     }
 }
 
 /// An attempt all of whose shards were answered by other attempts.
-struct NeedlessAttempt {
+struct OvertakenAttempt {
     number: u32,
     searcher: SearcherId,
     sent_at: BootTime,
--- a/crates/session/staircross-search/src/root/submit.rs
+++ b/crates/session/staircross-search/src/root/submit.rs
@@ -2,7 +2,7 @@
 
 use super::{RootAction, RootEngine};
 use crate::message::{Outcome, Refusal, Work};
-use crate::request::{Request, ShardLedger};
+use crate::request::{Request, ShardProgressTable};
 use crate::session::TicketRefusal;
 use crate::snapshot_choice::{Candidate, SnapshotNeeds, choose_for_request};
 use staircross_types::{BootTime, ErrorKind, RequestId, ServiceName, SessionToken, Snapshot, Ticket};
@@ -31,10 +31,10 @@
 
 /// The ticket of a finished action, whose receipt may still come.
 #[derive(Clone, Debug)]
-pub(crate) struct PendingTicket {
+pub(crate) struct FinishedAction {
     pub session: SessionToken,
     pub ticket: Ticket,
-    pub forget_at: BootTime,
+    pub expires_at: BootTime,
 }
 
 impl RootEngine {
@@ -58,14 +58,14 @@
             return Err(refused(ErrorKind::UnknownService, format!("no service is named {name}")));
         };
         let policy = service.definition.policy.clone();
-        check_kind(&submission, policy.repeatable)?;
+        check_work_kind(&submission, policy.repeatable)?;
         let least = submission.least_per_mille.unwrap_or(0).max(policy.least_coverage_per_mille);
         let needs = SnapshotNeeds { floor, least_per_mille: least, excluded: &[] };
-        let candidate = pick_candidate(&service.candidates, service.current, needs, submission.pinned)?;
+        let candidate = choose_candidate(&service.candidates, service.current, needs, submission.pinned)?;
         let map = candidate.map.clone();
         self.use_ticket(now, &submission)?;
 
-        let shards = ShardLedger::open(&map, submission.work.page_start());
+        let shards = ShardProgressTable::new(&map, submission.work.page_start());
         let wait = submission.wait.map_or(policy.wait(), |wait| wait.min(policy.wait()));
         let mut request = Request {
             session: submission.session,
@@ -84,18 +84,18 @@
             hits: Vec::new(),
             matched: 0,
             needed: 0,
-            troubled: false,
+            was_shed: false,
             planned: false,
             may_have_run: false,
-            first_valid_attempt: 1,
+            first_attempt_of_plan: 1,
         };
         if request.ticket.is_some() {
-            self.narrow_to_target(&mut request);
+            self.limit_to_target_shard(&mut request);
         }
         let admitted = self.services.get_mut(&name).is_some_and(|service| service.limiter.try_admit());
         if !admitted {
             let outcome = refused(ErrorKind::Overloaded, format!("service {name} has no room for another request"));
-            self.give_ticket_back(now, &request, &outcome);
+            self.record_ticket_outcome(now, &request, &outcome);
             return Err(outcome);
         }
         self.requests.insert(submission.request.sequence, request);
@@ -117,7 +117,7 @@
             TicketRefusal::Running => {
                 refused(ErrorKind::OutcomeUnknown, "the ticket's request is in flight; it was not sent again")
             }
-            TicketRefusal::Foreign => {
+            TicketRefusal::MintedElsewhere => {
                 refused(ErrorKind::OutcomeUnknown, "the node that minted the ticket is gone; it was not sent again")
             }
             TicketRefusal::Unknown => refused(ErrorKind::BadTicket, "the ticket isn't of this session"),
@@ -125,7 +125,7 @@
     }
 
     /// Limits an action to the one shard that holds its target. The other shards count as included.
-    fn narrow_to_target(&mut self, request: &mut Request) {
+    fn limit_to_target_shard(&mut self, request: &mut Request) {
         let Work::Act(command) = &request.work else {
             return;
         };
@@ -138,7 +138,7 @@
     }
 
     /// Records the outcome of an action with its ticket.
-    pub(super) fn give_ticket_back(&mut self, now: BootTime, request: &Request, outcome: &Outcome) {
+    pub(super) fn record_ticket_outcome(&mut self, now: BootTime, request: &Request, outcome: &Outcome) {
         let Some(ticket) = request.ticket else {
             return;
         };
@@ -149,7 +149,7 @@
 }
 
 /// Checks that an action has a ticket and that the service takes this kind of work.
-fn check_kind(submission: &Submission, repeatable: bool) -> Result<(), Outcome> {
+fn check_work_kind(submission: &Submission, repeatable: bool) -> Result<(), Outcome> {
     let is_action = matches!(submission.work, Work::Act(_));
     if is_action && submission.ticket.is_none() {
         return Err(refused(ErrorKind::NotRepeatable, "an action needs a ticket"));
@@ -162,7 +162,7 @@
 }
 
 /// Chooses the snapshot of a request: the pinned one if there is one, otherwise by the request's needs.
-fn pick_candidate<'a>(
+fn choose_candidate<'a>(
     candidates: &'a [Candidate],
     current: Option<Snapshot>,
     needs: SnapshotNeeds<'_>,
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Time after its last use at which a session may be dropped. It is dropped only when the table is full.
-const ABANDONED_AFTER: Duration = Duration::from_secs(3600);
+const MIN_IDLE_BEFORE_DROP: Duration = Duration::from_secs(3600);
 /// Upper bound of the tickets kept per session. The oldest ticket whose request isn't running is dropped first.
-const MAX_TICKETS: usize = 256;
+const MAX_TICKETS_PER_SESSION: usize = 256;
 
 /// State of one ticket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketRefusal {
     /// The ticket was minted by another node or an earlier run of this one, so that its use isn't known here.
-    Foreign,
+    MintedElsewhere,
     /// The session has no such ticket.
     Unknown,
     /// The ticket's request is in flight.
@@ -57,22 +57,22 @@
 
     /// Adds a newly minted ticket, and drops an old one if there are too many.
     pub fn add_ticket(&mut self, ticket: Ticket) {
-        if self.tickets.len() >= MAX_TICKETS {
-            let oldest_idle = self.tickets.iter().position(|(_, state)| *state != TicketState::Running);
-            if let Some(index) = oldest_idle {
+        if self.tickets.len() >= MAX_TICKETS_PER_SESSION {
+            let oldest_not_running = self.tickets.iter().position(|(_, state)| *state != TicketState::Running);
+            if let Some(index) = oldest_not_running {
                 self.tickets.remove(index);
             }
         }
         self.tickets.push((ticket, TicketState::Unused));
     }
 
-    /// Marks a ticket as running, or returns why it can't be used. `holder` is this node.
-    pub fn use_ticket(&mut self, ticket: Ticket, holder: staircross_types::NodeId) -> Result<(), TicketRefusal> {
+    /// Marks a ticket as running, or returns why it can't be used.
+    pub fn use_ticket(&mut self, ticket: Ticket, this_node: staircross_types::NodeId) -> Result<(), TicketRefusal> {
         let entry = self.tickets.iter_mut().find(|(known, _)| *known == ticket);
         match entry {
             Some((_, TicketState::Ended(outcome))) => Err(TicketRefusal::Ended(outcome.clone())),
             Some((_, TicketState::Running)) => Err(TicketRefusal::Running),
-            _ if ticket.node != holder => Err(TicketRefusal::Foreign),
+            _ if ticket.node != this_node => Err(TicketRefusal::MintedElsewhere),
             Some((_, state)) => {
                 *state = TicketState::Running;
                 Ok(())
@@ -131,8 +131,8 @@
             return true;
         }
         let oldest = self.sessions.iter().min_by_key(|(token, session)| (session.last_used, **token));
-        let abandoned = oldest.filter(|(_, session)| now.since(session.last_used) >= ABANDONED_AFTER);
-        let Some(token) = abandoned.map(|(token, _)| *token) else {
+        let droppable = oldest.filter(|(_, session)| now.since(session.last_used) >= MIN_IDLE_BEFORE_DROP);
+        let Some(token) = droppable.map(|(token, _)| *token) else {
             return false;
         };
         self.sessions.remove(&token);
--- a/crates/session/staircross-search/src/snapshot_choice.rs
+++ b/crates/session/staircross-search/src/snapshot_choice.rs
@@ -19,7 +19,7 @@
 }
 
 /// Counts the covered shards of every shard map and returns the candidates, the newest snapshot first.
-pub fn judge_candidates(maps: &[Arc<ShardMap>], views: &HashMap<SearcherId, SearcherView>) -> Vec<Candidate> {
+pub fn evaluate_candidates(maps: &[Arc<ShardMap>], views: &HashMap<SearcherId, SearcherView>) -> Vec<Candidate> {
     let mut candidates: Vec<Candidate> =
         maps.iter().map(|map| Candidate { map: map.clone(), covered: covered_shards(map, views) }).collect();
     candidates.sort_by_key(|candidate| std::cmp::Reverse(candidate.map.snapshot));
@@ -36,14 +36,14 @@
 pub fn choose_current(candidates: &[Candidate], current: Option<Snapshot>) -> Option<Snapshot> {
     let serving = candidates.iter().find(|candidate| Some(candidate.map.snapshot) == current);
     let Some(serving) = serving.filter(|candidate| candidate.covered > 0) else {
-        return best(candidates.iter());
+        return best_covered(candidates.iter());
     };
     let newer = candidates.iter().filter(|candidate| candidate.map.snapshot > serving.map.snapshot);
     // The covered fractions are compared: after a repartition the two maps have different numbers of shards.
     let at_least_as_good = newer.filter(|candidate| {
         candidate.covered * serving.map.shards.len() >= serving.covered * candidate.map.shards.len()
     });
-    best(at_least_as_good).or(current)
+    best_covered(at_least_as_good).or(current)
 }
 
 /// What one request requires of its snapshot.
@@ -75,12 +75,12 @@
     if let Some(preferred) = preferred.filter(is_enough) {
         return Some(preferred);
     }
-    let wanted = best(candidates.iter().filter(allowed))?;
+    let wanted = best_covered(candidates.iter().filter(allowed))?;
     candidates.iter().find(|candidate| candidate.map.snapshot == wanted)
 }
 
 /// Returns the snapshot with the best coverage, and among equals the newest; `None` when no candidate is covered.
-fn best<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<Snapshot> {
+fn best_covered<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<Snapshot> {
     let best = candidates.filter(|candidate| candidate.covered > 0).max_by(|left, right| {
         let left_share = left.covered * right.map.shards.len();
         let right_share = right.covered * left.map.shards.len();
