--- a/crates/session/staircross-config/src/document.rs
+++ b/crates/session/staircross-config/src/document.rs
@@ -34,8 +34,8 @@
         Ok(document)
     }
 
-    /// Checks every service, that no service name occurs twice, and that a searcher that several services list is defined
-    /// the same in each.
+    /// Checks every service, that no service name occurs twice, and that a searcher that several services list is
+    /// defined the same in each.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let mut names = BTreeSet::new();
         let mut searchers: BTreeMap<SearcherId, &SearcherDefinition> = BTreeMap::new();
--- a/crates/session/staircross-config/src/edit.rs
+++ b/crates/session/staircross-config/src/edit.rs
@@ -65,8 +65,8 @@
 }
 
 impl PlatformDocument {
-    /// Returns the document after an edit, with the next revision. Fails if `based_on` is given and isn't the revision of
-    /// this document.
+    /// Returns the document after an edit, with the next revision. Fails if `based_on` is given and isn't the revision
+    /// of this document.
     pub fn edited(&self, edit: &ServiceEdit, based_on: Option<u64>) -> Result<PlatformDocument, EditError> {
         if let Some(based_on) = based_on.filter(|based_on| *based_on != self.revision) {
             return Err(EditError::Conflict { based_on, revision: self.revision });
--- a/crates/session/staircross-config/src/service.rs
+++ b/crates/session/staircross-config/src/service.rs
@@ -58,8 +58,8 @@
         Duration::from_millis(self.wait_ms)
     }
 
-    /// Checks every value, and that a service whose requests aren't repeatable allows no hedges and retries. `prefix` is
-    /// the key of the policy in errors.
+    /// Checks every value, and that a service whose requests aren't repeatable allows no hedges and retries. `prefix`
+    /// is the key of the policy in errors.
     pub fn check(&self, prefix: &str) -> Result<(), InvalidSetting> {
         check_range(&format!("{prefix}.wait_ms"), self.wait_ms, 1..=MAX_WAIT_MS)?;
         check_range(&format!("{prefix}.least_coverage_per_mille"), self.least_coverage_per_mille, 0..=1000)?;
--- a/crates/session/staircross-search/src/copies.rs
+++ b/crates/session/staircross-search/src/copies.rs
@@ -108,8 +108,8 @@
         self.suspicions.get(&ShardCopy { searcher, shard }).map_or(0, |suspicion| suspicion.slow_replies)
     }
 
-    /// Records that a copy is asked. A copy with enough slow replies to be avoided isn't asked again for a while, so that
-    /// one request at a time tries it.
+    /// Records that a copy is asked. A copy with enough slow replies to be avoided isn't asked again for a while, so
+    /// that one request at a time tries it.
     pub fn record_asked(&mut self, now: BootTime, searcher: SearcherId, shard: ShardId) {
         if self.suspicions.is_empty() {
             return;
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -4,8 +4,9 @@
 //!
 //! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
 //! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
-//! searcher has answered a probe that was sent less than the evidence bound ago; a run of a searcher that is leaving
-//! stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root has cancelled it.
+//! searcher has answered a probe that was sent less than [`LeafSettings::max_evidence_age`] ago; a run of a searcher
+//! that is leaving stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root
+//! has cancelled it.
 
 mod owned;
 
@@ -19,8 +20,8 @@
 /// Settings of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafSettings {
-    /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a probe
-    /// without a reply counts as lost.
+    /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a
+    /// probe without a reply counts as lost.
     pub max_evidence_age: Duration,
     /// Time between the probes of a searcher.
     pub probe_interval: Duration,
@@ -55,13 +56,13 @@
     Owned(BTreeMap<SearcherId, u32>),
     /// A root sends a sub-request.
     Request { from: NodeId, request: SubRequest },
-    /// A root no longer wants an attempt.
+    /// A root no longer wants the result of an attempt.
     Cancel { from: NodeId, attempt: AttemptId },
     /// A searcher replied, or the call to it failed. `run` is the run that replied, if one did.
     Reply { reply: SubReply, run: Option<SearcherIncarnation> },
     /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
     Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
-    /// A peer's view of a searcher.
+    /// A peer published its view of a searcher.
     PeerView(SearcherView),
     /// The searchers that the platform lists as leaving or that operators drain. The list applies to any run of them.
     Listed(BTreeSet<SearcherId>),
@@ -82,7 +83,7 @@
     Reply { to: NodeId, reply: SubReply },
     /// Ask the searcher for its state: see [`Evidence`].
     Probe { searcher: SearcherId },
-    /// Send the new view of a searcher to the other nodes.
+    /// Publish the new view of a searcher to the other nodes.
     Spread(SearcherView),
 }
 
@@ -141,6 +142,7 @@
         self.searchers.iter().map(|(id, searcher)| searcher.view(*id)).collect()
     }
 
+    /// Sets the owned searchers and the shares of their slots. The queues of searchers no longer owned are refused.
     fn set_owned(&mut self, now: BootTime, shares: BTreeMap<SearcherId, u32>, actions: &mut Vec<LeafAction>) {
         if !shares.is_empty() {
             self.first_owned_at.get_or_insert(now);
@@ -164,6 +166,7 @@
         }
     }
 
+    /// Queues a sub-request, or refuses it if the leaf may not take it or the queue is full.
     fn on_request(&mut self, now: BootTime, from: NodeId, request: SubRequest, actions: &mut Vec<LeafAction>) {
         let id = request.searcher;
         let refuse = |reason| LeafAction::Reply { to: from, reply: not_run(&request, reason) };
@@ -191,6 +194,7 @@
         searcher.dispatch(now, id, &self.settings, actions);
     }
 
+    /// Drops a queued sub-request, or cancels it at the searcher if it was sent.
     fn on_cancel(&mut self, now: BootTime, from: NodeId, attempt: AttemptId, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             let queued = searcher.queue.iter().position(|queued| queued.request.attempt == attempt);
@@ -206,6 +210,7 @@
         }
     }
 
+    /// Passes the reply to an attempt in flight to its root. A `Draining` refusal is recorded even without one.
     fn on_reply(
         &mut self,
         now: BootTime,
@@ -247,6 +252,7 @@
         }
     }
 
+    /// Applies the result of a probe, and publishes the searcher's view if it has changed.
     fn on_probed(
         &mut self,
         now: BootTime,
@@ -280,7 +286,8 @@
         self.record_leaving_run(id);
     }
 
-    /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its view.
+    /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its
+    /// view.
     fn on_peer_view(&mut self, view: SearcherView, actions: &mut Vec<LeafAction>) {
         let Some(incarnation) = view.evidence.as_ref().map(|evidence| evidence.incarnation) else {
             return;
@@ -304,6 +311,7 @@
         }
     }
 
+    /// Sets which searchers are listed as leaving, and publishes the views that have changed.
     fn set_listed(&mut self, listed: &BTreeSet<SearcherId>, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             let is_listed = listed.contains(id);
@@ -324,12 +332,13 @@
         }
     }
 
+    /// Refuses expired sub-requests, sends due probes and dispatches queues.
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             searcher.expire_queue(now, actions);
-            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here sooner,
-            // a planned stop could finish while the call is still in flight. This late, dropping it only guards against
-            // a lost worker thread.
+            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here
+            // sooner, a planned stop could finish while the call is still in flight. This late, dropping it only guards
+            // against a lost worker thread.
             searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_TIMEOUT);
             let probe_timeout = self.settings.max_evidence_age;
             let unanswered = searcher.pending_probe_at.is_some_and(|asked| now.since(asked) > probe_timeout);
--- a/crates/session/staircross-search/src/message.rs
+++ b/crates/session/staircross-search/src/message.rs
@@ -157,7 +157,7 @@
 /// An error returned to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Kind of the error.
+    /// Kind of the error, one of a closed list.
     pub kind: ErrorKind,
     /// Description for people.
     pub detail: String,
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -101,8 +101,8 @@
         self.stats.get(&searcher).is_some_and(|stats| now < stats.ejected_until)
     }
 
-    /// Returns the expected cost of asking a searcher: its estimated latency times the sub-requests in flight, the new one
-    /// included. An ejected searcher costs a million times as much, so that it is chosen only if there is no other.
+    /// Returns the expected cost of asking a searcher: its estimated latency times the sub-requests in flight, the new
+    /// one included. An ejected searcher costs a million times as much, so that any other is cheaper.
     fn cost(&self, now: BootTime, searcher: SearcherId, typical: Duration) -> f64 {
         let typical_micros = typical.as_micros() as f64;
         let Some(stats) = self.stats.get(&searcher) else {
@@ -115,8 +115,8 @@
 
     /// Chooses one of `replicas`; `used` holds the searchers that the plan already asks.
     ///
-    /// The cheaper of two replicas picked at random is chosen (power of two choices). If each root chose the cheapest of
-    /// all, every root would send to the same searcher at once.
+    /// The cheaper of two replicas picked at random is chosen (power of two choices). If each root chose the cheapest
+    /// of all, every root would send to the same searcher at once.
     pub fn choose(
         &self,
         now: BootTime,
@@ -130,7 +130,8 @@
         let first_cost = self.cost(now, first, typical);
         let second_cost = self.cost(now, second, typical);
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
-        // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than two sub-requests.
+        // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than
+        // two sub-requests.
         let reused = replicas.iter().filter(|replica| used.contains_key(*replica));
         let reused = reused.map(|replica| (*replica, self.cost(now, *replica, typical)));
         let reused = reused.min_by(|left, right| left.1.total_cmp(&right.1));
@@ -142,8 +143,8 @@
 }
 
 impl ReplicaStats {
-    /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply is
-    /// enough to prefer other searchers for a while.
+    /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply
+    /// is enough to prefer other searchers for a while.
     fn record_latency(&mut self, now: BootTime, latency: Duration) {
         let sample = latency.as_micros() as f64;
         let known = self.estimate(now, sample);
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -158,8 +158,8 @@
         self.hits.truncate(limit);
     }
 
-    /// Returns the coverage as of now. A shard that is still open is missing for its last failure if no attempt for it is
-    /// in flight, otherwise for `open_cause`.
+    /// Returns the coverage as of now. A shard that is still open is missing for its last failure if no attempt for it
+    /// is in flight, otherwise for `open_cause`.
     pub fn coverage(&self, open_cause: MissingCause) -> Coverage {
         let mut coverage = Coverage::default();
         for (placement, progress) in self.map.shards.iter().zip(self.shards.iter()) {
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -1,7 +1,7 @@
 //! The root: decides about all requests of callers at one node.
 //!
-//! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses a
-//! snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
+//! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses
+//! a snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
 //! refuses. Invariants: see [`crate::request`]; a request is refused as never run only if nothing was sent, or all that
 //! was sent was answered `NotRun`.
 
@@ -62,7 +62,7 @@
 pub enum RootEvent {
     /// The services that are now in force.
     Services(Vec<Arc<ServiceDefinition>>),
-    /// A searcher's view has changed.
+    /// The view of a searcher has changed.
     View(SearcherView),
     /// A caller submits a request.
     Submit(Submission),
@@ -262,6 +262,7 @@
         }
     }
 
+    /// Returns the state with a new definition; measurements, budgets and limit are kept.
     fn with_definition(mut self, definition: Arc<ServiceDefinition>) -> Self {
         if Arc::ptr_eq(&self.definition, &definition) {
             return self;
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -15,8 +15,8 @@
 const MIN_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
 
 impl RootEngine {
-    /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has waited
-    /// long enough. If its snapshot is gone, plans the request again instead, where that is possible.
+    /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has
+    /// waited long enough. If its snapshot is gone, plans the request again instead, where that is possible.
     pub(super) fn finish_if_settled(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -34,8 +34,8 @@
         self.conclude(now, sequence, actions);
     }
 
-    /// Plans a search again on another snapshot, if a shard is missing because the snapshot is gone. All merged hits are
-    /// dropped. Returns whether a new plan was made.
+    /// Plans a search again on another snapshot, if a shard is missing because the snapshot is gone. All merged hits
+    /// are dropped. Returns whether a new plan was made.
     fn replan(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) -> bool {
         let Some(request) = self.requests.get(&sequence) else {
             return false;
@@ -177,6 +177,8 @@
         Some(PagePosition { shard: last.shard, document: last.document.clone() })
     }
 
+    /// Refuses a search whose coverage is too low. The kind of the refusal says whether any part of it may have been
+    /// executed.
     fn refuse_search(&self, now: BootTime, coverage: &staircross_types::Coverage) -> Outcome {
         let detail = format!(
             "{} of {} shards answered, {} per thousand are needed; missing: {}",
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -16,8 +16,8 @@
     Hedge,
     /// Another attempt after an earlier one failed.
     Retry,
-    /// Another attempt after a `NotRun` reply for another reason than `Shed`. Nothing is executed twice, so it is no extra
-    /// load.
+    /// Another attempt after a `NotRun` reply for another reason than `Shed`. Nothing is executed twice, so it is no
+    /// extra load.
     Reroute,
 }
 
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Chooses for each shard a replica that hasn't been tried, and groups the shards by searcher. Shards without such a
-    /// replica are left out.
+    /// Chooses for each shard a replica that hasn't been tried, and groups the shards by searcher. Shards without such
+    /// a replica are left out.
     fn choose_batches(&mut self, now: BootTime, sequence: u64, shards: &[u32]) -> Vec<Batch> {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return Vec::new();
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -41,6 +41,7 @@
         self.finish_if_settled(now, sequence, actions);
     }
 
+    /// Applies a reply that matches its attempt.
     fn apply(
         &mut self,
         now: BootTime,
@@ -62,6 +63,8 @@
         }
     }
 
+    /// Records the latency of a reply with hits, merges the hits, cancels overtaken attempts, and retries the shards
+    /// that the reply left out.
     fn apply_found(
         &mut self,
         now: BootTime,
@@ -133,8 +136,8 @@
         } else {
             self.replicas.record_ended(attempt.searcher);
         }
-        // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it counts
-        // as a retry, because overloaded back ends must not be asked for more.
+        // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it
+        // counts as a retry, because overloaded back ends must not be asked for more.
         let mut send_reason = SendReason::Reroute;
         match reason {
             NotRunReason::Shed => {
@@ -154,7 +157,8 @@
         }
     }
 
-    /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's limit.
+    /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's
+    /// limit.
     fn record_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never run makes the ticket
-    /// unused again.
+    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never run makes the
+    /// ticket unused again.
     pub fn end_ticket(&mut self, ticket: Ticket, outcome: &Outcome) {
         let Some((_, state)) = self.tickets.iter_mut().find(|(known, _)| *known == ticket) else {
             return;
