--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -113,7 +113,7 @@
         if now < stats.ejected_until { cost * 1e6 } else { cost }
     }
 
-    /// Chooses one of `replicas`; `used` holds the searchers that the plan already asks.
+    /// Chooses one of `replicas`; `already_asked` holds the searchers that the plan already asks.
     ///
     /// The cheaper of two replicas picked at random is chosen (power of two choices). If each root chose the cheapest
     /// of all, every root would send to the same searcher at once.
@@ -121,7 +121,7 @@
         &self,
         now: BootTime,
         replicas: &[SearcherId],
-        used: &HashMap<SearcherId, usize>,
+        already_asked: &HashMap<SearcherId, usize>,
         typical: Duration,
         random: &mut impl Rng,
     ) -> Option<SearcherId> {
@@ -132,7 +132,7 @@
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
         // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than
         // two sub-requests.
-        let reused = replicas.iter().filter(|replica| used.contains_key(*replica));
+        let reused = replicas.iter().filter(|replica| already_asked.contains_key(*replica));
         let reused = reused.map(|replica| (*replica, self.cost(now, *replica, typical)));
         let reused = reused.min_by(|left, right| left.1.total_cmp(&right.1));
         match reused {
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -134,7 +134,7 @@
         };
         let snapshot = request.map.snapshot;
         let mut batches: Vec<Batch> = Vec::new();
-        let mut used: HashMap<SearcherId, usize> = HashMap::new();
+        let mut batch_indices: HashMap<SearcherId, usize> = HashMap::new();
         let mut eligible: Vec<SearcherId> = Vec::new();
         for position in shards {
             let placement = &request.map.shards[*position as usize];
@@ -148,16 +148,16 @@
                 let serves = self.views.get(replica).is_some_and(|view| view.serves(snapshot));
                 serves && !tried.contains(replica)
             }));
-            let is_quick = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
+            let is_not_avoided = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
             // Avoided copies are used only if there are no others, and then those with the fewest slow replies.
-            if !self.copies.is_empty() && eligible.iter().any(is_quick) {
-                eligible.retain(is_quick);
+            if !self.copies.is_empty() && eligible.iter().any(is_not_avoided) {
+                eligible.retain(is_not_avoided);
             } else if !self.copies.is_empty() {
                 let slow_replies = |replica: &SearcherId| self.copies.slow_replies(*replica, placement.shard);
                 let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
                 eligible.retain(|replica| slow_replies(replica) == fewest);
             }
-            let chosen = self.replicas.choose(now, &eligible, &used, typical, &mut self.random);
+            let chosen = self.replicas.choose(now, &eligible, &batch_indices, typical, &mut self.random);
             if let Some(searcher) = chosen {
                 self.copies.record_asked(now, searcher, placement.shard);
             }
@@ -171,10 +171,10 @@
                 batches.push(Batch { searcher, shards: vec![*position] });
                 continue;
             }
-            match used.get(&searcher) {
+            match batch_indices.get(&searcher) {
                 Some(index) => batches[*index].shards.push(*position),
                 None => {
-                    used.insert(searcher, batches.len());
+                    batch_indices.insert(searcher, batches.len());
                     batches.push(Batch { searcher, shards: vec![*position] });
                 }
             }
@@ -233,8 +233,8 @@
         let mut due = request.deadline;
         if let (Some(service), Work::Search(_)) = (self.services.get(&request.service), &request.work) {
             let delay = service.latency.hedge_delay();
-            let late = request.attempts.iter().filter(|attempt| attempt.open && !attempt.hedged);
-            if let Some(first) = late.map(|attempt| attempt.sent_at + delay).min() {
+            let unhedged = request.attempts.iter().filter(|attempt| attempt.open && !attempt.hedged);
+            if let Some(first) = unhedged.map(|attempt| attempt.sent_at + delay).min() {
                 due = due.min(first.max(now));
             }
             if let Some(early_answer) = super::deadline::early_answer_time(request, service).filter(|end| *end > now) {
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -16,7 +16,7 @@
         }
         let sequence = reply.attempt.request.sequence;
         let Some(request) = self.requests.get_mut(&sequence) else {
-            self.record_late_reply(now, reply);
+            self.on_late_reply(now, reply);
             return;
         };
         let index = (reply.attempt.attempt as usize).wrapping_sub(1);
@@ -142,7 +142,7 @@
         match reason {
             NotRunReason::Shed => {
                 send_reason = SendReason::Retry;
-                self.record_shed(now, sequence);
+                self.on_shed(now, sequence);
             }
             NotRunReason::NotOwner | NotRunReason::LeafLeaving => self.remove_tried(sequence, attempt),
             NotRunReason::Draining | NotRunReason::SnapshotGone | NotRunReason::Unconnected => {}
@@ -159,7 +159,7 @@
 
     /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's
     /// limit.
-    fn record_shed(&mut self, now: BootTime, sequence: u64) {
+    fn on_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -226,7 +226,7 @@
     }
 
     /// Drops the reply to a finished request, except that the late receipt of an action is recorded with its ticket.
-    fn record_late_reply(&mut self, now: BootTime, reply: SubReply) {
+    fn on_late_reply(&mut self, now: BootTime, reply: SubReply) {
         self.counters.late_replies += 1;
         let SubOutcome::Acted(receipt) = reply.outcome else {
             return;
