--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -93,8 +93,8 @@
 pub const FIRST_SNAPSHOT: Snapshot = Snapshot { version: 1, epoch: 1, build: 1 };
 
 /// A policy for searches.
-pub fn search_policy(wait_ms: u64, least_per_mille: u32, priority: Priority) -> ServicePolicy {
-    ServicePolicy { wait_ms, least_coverage_per_mille: least_per_mille, priority, ..ServicePolicy::default() }
+pub fn search_policy(wait_ms: u64, least_coverage_per_mille: u32, priority: Priority) -> ServicePolicy {
+    ServicePolicy { wait_ms, least_coverage_per_mille, priority, ..ServicePolicy::default() }
 }
 
 /// A policy for actions.
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -140,7 +140,7 @@
             service,
             work,
             wait: None,
-            least_per_mille: None,
+            least_coverage_per_mille: None,
             pinned: None,
             ticket,
         };
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -21,7 +21,7 @@
     service: ServiceName,
     work: Work,
     wait_ms: Option<u64>,
-    least_per_mille: Option<u32>,
+    least_coverage_per_mille: Option<u32>,
     pinned: Option<staircross_types::Snapshot>,
     ticket: Option<Ticket>,
 }
@@ -123,7 +123,7 @@
             service: work.service,
             work: work.work,
             wait: work.wait_ms.map(Duration::from_millis),
-            least_per_mille: work.least_per_mille,
+            least_coverage_per_mille: work.least_coverage_per_mille,
             pinned: work.pinned,
             ticket: work.ticket,
         };
@@ -190,7 +190,7 @@
         service: search.service,
         work: Work::Search(SearchQuery { terms: search.terms, limit: search.limit, after: None }),
         wait_ms: search.wait_ms,
-        least_per_mille: search.coverage_per_mille,
+        least_coverage_per_mille: search.coverage_per_mille,
         pinned: None,
         ticket: None,
     }
@@ -209,7 +209,7 @@
         service: pull.service,
         work: Work::Search(SearchQuery { terms: pull.terms, limit: pull.limit, after: Some(after) }),
         wait_ms: pull.wait_ms,
-        least_per_mille: None,
+        least_coverage_per_mille: None,
         pinned: cursor.map(|cursor| cursor.snapshot),
         ticket: None,
     })
@@ -226,7 +226,7 @@
         service: run.service,
         work: Work::Act(ActionCommand { verb: run.verb, target: run.target, note: run.note }),
         wait_ms: run.wait_ms,
-        least_per_mille: None,
+        least_coverage_per_mille: None,
         pinned: None,
         ticket: Some(ticket),
     })
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -66,7 +66,7 @@
     pub admitted_at: BootTime,
     pub deadline: BootTime,
     /// Least coverage for an answer, in shards per thousand.
-    pub least_per_mille: u32,
+    pub least_coverage_per_mille: u32,
     pub priority: Priority,
     /// Oldest snapshot that may be used.
     pub floor: Option<Snapshot>,
@@ -95,7 +95,7 @@
 
     /// Returns whether `count` shards reach the least coverage.
     pub fn reaches_coverage(&self, count: usize) -> bool {
-        count * 1000 >= self.shards.len() * self.least_per_mille as usize
+        count * 1000 >= self.shards.len() * self.least_coverage_per_mille as usize
     }
 
     /// Merges those shards of a good reply that the attempt asked for and that are still open.
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -51,14 +51,14 @@
         }
         let name = request.service.clone();
         let floor = request.floor;
-        let least_per_mille = request.least_per_mille;
+        let least_coverage_per_mille = request.least_coverage_per_mille;
         let mut excluded = request.excluded.clone();
         excluded.push(request.map.snapshot);
         self.refresh_service(&name);
         let Some(service) = self.services.get(&name) else {
             return false;
         };
-        let needs = SnapshotNeeds { floor, least_per_mille, excluded: &excluded };
+        let needs = SnapshotNeeds { floor, least_coverage_per_mille, excluded: &excluded };
         let Some(candidate) = choose_for_request(&service.candidates, service.current, needs) else {
             return false;
         };
@@ -184,7 +184,7 @@
             "{} of {} shards answered, {} per thousand are needed; missing: {}",
             coverage.included.len(),
             coverage.total(),
-            self.least_per_mille,
+            self.least_coverage_per_mille,
             summarize_causes(coverage)
         );
         let any_open = self.attempts.iter().any(|attempt| attempt.open);
--- a/crates/session/staircross-search/src/root/submit.rs
+++ b/crates/session/staircross-search/src/root/submit.rs
@@ -22,7 +22,7 @@
     /// The caller's wait bound. The shorter of this and the service's bound applies.
     pub wait: Option<Duration>,
     /// The caller's least coverage, in shards per thousand. The higher of this and the service's applies.
-    pub least_per_mille: Option<u32>,
+    pub least_coverage_per_mille: Option<u32>,
     /// For a page of a pull after the first, the snapshot that all pages of the pull come from.
     pub pinned: Option<Snapshot>,
     /// The ticket of an action.
@@ -59,8 +59,8 @@
         };
         let policy = service.definition.policy.clone();
         check_work_kind(&submission, policy.repeatable)?;
-        let least = submission.least_per_mille.unwrap_or(0).max(policy.least_coverage_per_mille);
-        let needs = SnapshotNeeds { floor, least_per_mille: least, excluded: &[] };
+        let least = submission.least_coverage_per_mille.unwrap_or(0).max(policy.least_coverage_per_mille);
+        let needs = SnapshotNeeds { floor, least_coverage_per_mille: least, excluded: &[] };
         let candidate = choose_candidate(&service.candidates, service.current, needs, submission.pinned)?;
         let map = candidate.map.clone();
         self.use_ticket(now, &submission)?;
@@ -77,7 +77,7 @@
             attempts: Vec::new(),
             admitted_at: now,
             deadline: now + wait,
-            least_per_mille: least,
+            least_coverage_per_mille: least,
             priority: policy.priority,
             floor,
             excluded: Vec::new(),
--- a/crates/session/staircross-search/src/snapshot_choice.rs
+++ b/crates/session/staircross-search/src/snapshot_choice.rs
@@ -52,7 +52,7 @@
     /// Oldest snapshot that may be used: the newest one that the session has seen.
     pub floor: Option<Snapshot>,
     /// Least coverage, in shards per thousand.
-    pub least_per_mille: u32,
+    pub least_coverage_per_mille: u32,
     /// Snapshots that the request was planned on before and that are gone.
     pub excluded: &'a [Snapshot],
 }
@@ -69,7 +69,8 @@
         needs.floor.is_none_or(|floor| snapshot >= floor) && !needs.excluded.contains(&snapshot)
     };
     let is_enough = |candidate: &&Candidate| {
-        candidate.covered > 0 && candidate.covered * 1000 >= candidate.map.shards.len() * needs.least_per_mille as usize
+        candidate.covered > 0
+            && candidate.covered * 1000 >= candidate.map.shards.len() * needs.least_coverage_per_mille as usize
     };
     let preferred = candidates.iter().filter(allowed).find(|candidate| Some(candidate.map.snapshot) == current);
     if let Some(preferred) = preferred.filter(is_enough) {
