--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -1,9 +1,12 @@
-//! Whether work may be sent to a searcher now.
+//! The leaf: decides whether work may be sent to a searcher now.
 //!
-//! Inputs: sub-requests from roots, replies and probe replies from searchers, leaving marks from
-//! any source. Invariants: at most the owner's share of a searcher's slots is in use; nothing is
-//! sent without evidence of "serving" that was asked for less than the bound ago; leaving is
-//! sticky for a searcher's run; a sub-request that was queued and never sent is answered `NotRun`.
+//! A leaf owns searchers, or a share of their slots: it probes them and sends them the sub-requests of the roots.
+//!
+//! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
+//! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
+//! searcher has answered a probe that was sent less than [`LeafSettings::max_evidence_age`] ago; a run of a searcher
+//! that is leaving stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root
+//! has cancelled it.
 
 mod owned;
 
@@ -14,88 +17,89 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bounds of a leaf.
+/// Settings of a leaf.
 #[derive(Clone, Debug)]
 pub struct LeafSettings {
-    /// Oldest evidence of "serving" on which work is sent.
-    pub evidence_bound: Duration,
-    /// Time between probes of a searcher.
-    pub probe_every: Duration,
-    /// Time over which a freshly started searcher is ramped up.
-    pub ramp: Duration,
-    /// Queue length per slot of the share.
-    pub queue_per_slot: usize,
-    /// Time after its first ownership during which a leaf takes no work: it must hear first which
-    /// searchers its peers know to be leaving.
-    pub newcomer_wait: Duration,
+    /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a
+    /// probe without a reply counts as lost.
+    pub max_evidence_age: Duration,
+    /// Time between the probes of a searcher.
+    pub probe_interval: Duration,
+    /// Time over which the slots used of a restarted searcher are raised to the whole share.
+    pub ramp_up_time: Duration,
+    /// Upper bound of a searcher's queue, per slot of the share.
+    pub max_queue_per_slot: usize,
+    /// Time after it first owns a searcher during which a leaf takes no work. The leaf must first hear from its peers
+    /// which searchers are leaving.
+    pub settling_time: Duration,
 }
 
 impl Default for LeafSettings {
     fn default() -> Self {
         LeafSettings {
-            evidence_bound: Duration::from_secs(2),
-            probe_every: Duration::from_millis(500),
-            ramp: Duration::from_secs(3),
-            queue_per_slot: 4,
-            newcomer_wait: Duration::from_millis(1000),
+            max_evidence_age: Duration::from_secs(2),
+            probe_interval: Duration::from_millis(500),
+            ramp_up_time: Duration::from_secs(3),
+            max_queue_per_slot: 4,
+            settling_time: Duration::from_millis(1000),
         }
     }
 }
 
-/// Time after its deadline at which a call that never ended is given up.
-const LOST_CALL_LIFE: Duration = Duration::from_secs(60);
+/// Time after its deadline at which a sub-request without a reply is dropped.
+const LOST_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a leaf is told.
+/// An event that a leaf handles.
 #[derive(Clone, Debug)]
 pub enum LeafEvent {
-    /// The searchers it owns, with its share of each one's slots.
+    /// The searchers that the leaf owns, with its share of each one's slots.
     Owned(BTreeMap<SearcherId, u32>),
-    /// A root asks for work.
+    /// A root sends a sub-request.
     Request { from: NodeId, request: SubRequest },
-    /// A root no longer wants an attempt.
+    /// A root no longer wants the result of an attempt.
     Cancel { from: NodeId, attempt: AttemptId },
-    /// A searcher replied, or its connection failed. `run` is the run that replied, if one did.
+    /// A searcher replied, or the call to it failed. `run` is the run that replied, if one did.
     Reply { reply: SubReply, run: Option<SearcherIncarnation> },
-    /// A searcher answered a probe (`None`: it doesn't answer).
+    /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
     Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
-    /// A peer's view of a searcher.
+    /// A peer published its view of a searcher.
     PeerView(SearcherView),
-    /// Searchers that the platform lists as leaving, or operators drain: whatever their run.
-    Listed(BTreeSet<SearcherId>),
-    /// This leaf is stopping: take nothing new.
+    /// The searchers that the platform lists as leaving or that operators drain. The list applies to any run of them.
+    ListedAsLeaving(BTreeSet<SearcherId>),
+    /// The leaf is stopping and takes no new work.
     Stop,
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a leaf wants done.
+/// An action that a leaf asks its caller to carry out.
 #[derive(Clone, Debug)]
 pub enum LeafAction {
-    /// Send to the searcher, not after `send_before`.
+    /// Send the sub-request to the searcher, but not after `send_before`.
     Send { request: SubRequest, send_before: BootTime },
-    /// Tell the searcher that an attempt is no longer wanted.
+    /// Tell the searcher that the result of an attempt is no longer wanted.
     CancelAtSearcher { searcher: SearcherId, attempt: AttemptId },
     /// Reply to a root.
     Reply { to: NodeId, reply: SubReply },
-    /// Ask the searcher for its state.
+    /// Ask the searcher for its state: see [`Evidence`].
     Probe { searcher: SearcherId },
-    /// The view of a searcher has changed: spread it.
-    Spread(SearcherView),
+    /// Publish the new view of a searcher to the other nodes.
+    PublishView(SearcherView),
 }
 
-/// The leaf's decisions for all searchers it owns.
+/// The leaf's state and decisions for all searchers that it owns.
 pub struct LeafEngine {
     settings: LeafSettings,
     searchers: BTreeMap<SearcherId, OwnedSearcher>,
-    /// Runs that peers have said are leaving, of searchers owned or not: a peer may know of a run
-    /// before this leaf has met it, or before it owns the searcher.
+    /// The leaving run of each searcher that is known to leave, whether the leaf owns the searcher or not. A peer may
+    /// report a run before this leaf has probed it, or before the leaf owns the searcher.
     leaving_runs: BTreeMap<SearcherId, SearcherIncarnation>,
     first_owned_at: Option<BootTime>,
     stopping: bool,
 }
 
 impl LeafEngine {
-    /// A leaf that owns nothing yet.
+    /// Creates a leaf that owns no searcher.
     pub fn new(settings: LeafSettings) -> Self {
         LeafEngine {
             settings,
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: BootTime, event: LeafEvent, actions: &mut Vec<LeafAction>) {
         match event {
             LeafEvent::Owned(shares) => self.set_owned(now, shares, actions),
@@ -117,27 +121,28 @@
                 self.on_probed(now, searcher, asked_at, evidence, actions);
             }
             LeafEvent::PeerView(view) => self.on_peer_view(view, actions),
-            LeafEvent::Listed(listed) => self.set_listed(&listed, actions),
+            LeafEvent::ListedAsLeaving(listed) => self.set_listed(&listed, actions),
             LeafEvent::Stop => self.stopping = true,
             LeafEvent::Tick => self.on_tick(now, actions),
         }
     }
 
-    /// Sub-requests queued or sent and not answered yet.
+    /// Returns the number of sub-requests that are queued, or sent and not answered.
     pub fn in_flight(&self) -> usize {
         self.searchers.values().map(|searcher| searcher.in_flight.len() + searcher.queue.len()).sum()
     }
 
-    /// Whether the leaf has listened to its peers long enough to take work, or owns nothing yet.
+    /// Returns whether the leaf has heard from its peers for long enough to take work, or has never owned a searcher.
     pub fn is_settled(&self, now: BootTime) -> bool {
-        self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.newcomer_wait)
+        self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.settling_time)
     }
 
-    /// Views of all owned searchers.
+    /// Returns the views of all searchers that are owned or still have work in flight.
     pub fn views(&self) -> Vec<SearcherView> {
         self.searchers.iter().map(|(id, searcher)| searcher.view(*id)).collect()
     }
 
+    /// Sets the owned searchers and the shares of their slots. The queues of searchers no longer owned are refused.
     fn set_owned(&mut self, now: BootTime, shares: BTreeMap<SearcherId, u32>, actions: &mut Vec<LeafAction>) {
         if !shares.is_empty() {
             self.first_owned_at.get_or_insert(now);
@@ -146,20 +151,22 @@
             if shares.contains_key(id) {
                 continue;
             }
-            // Work in flight finishes here; what is queued was never sent and goes to another owner.
-            searcher.share = 0;
+            // Sub-requests in flight still end here. Queued ones were never sent, so that the root can send them to the
+            // new owner.
+            searcher.slot_share = 0;
             searcher.refuse_queue(NotRunReason::NotOwner, actions);
         }
         self.searchers.retain(|id, searcher| shares.contains_key(id) || !searcher.in_flight.is_empty());
         for (id, share) in shares {
             let searcher = self.searchers.entry(id).or_default();
-            searcher.share = share;
+            searcher.slot_share = share;
             if searcher.evidence.is_none() {
-                searcher.probe(now, id, &self.settings, actions);
+                searcher.request_probe(now, id, &self.settings, actions);
             }
         }
     }
 
+    /// Queues a sub-request, or refuses it if the leaf may not take it or the queue is full.
     fn on_request(&mut self, now: BootTime, from: NodeId, request: SubRequest, actions: &mut Vec<LeafAction>) {
         let id = request.searcher;
         let refuse = |reason| LeafAction::Reply { to: from, reply: not_run(&request, reason) };
@@ -167,9 +174,9 @@
             actions.push(refuse(NotRunReason::LeafLeaving));
             return;
         }
-        let is_newcomer = !self.is_settled(now);
-        let owned = self.searchers.get_mut(&id).filter(|searcher| searcher.share > 0);
-        let Some(searcher) = owned.filter(|_| !is_newcomer) else {
+        let is_unsettled = !self.is_settled(now);
+        let owned = self.searchers.get_mut(&id).filter(|searcher| searcher.slot_share > 0);
+        let Some(searcher) = owned.filter(|_| !is_unsettled) else {
             actions.push(refuse(NotRunReason::NotOwner));
             return;
         };
@@ -177,7 +184,7 @@
             actions.push(refuse(NotRunReason::Draining));
             return;
         }
-        let queue_bound = searcher.share as usize * self.settings.queue_per_slot;
+        let queue_bound = searcher.slot_share as usize * self.settings.max_queue_per_slot;
         if searcher.queue.len() >= queue_bound {
             actions.push(refuse(NotRunReason::Shed));
             return;
@@ -187,6 +194,7 @@
         searcher.dispatch(now, id, &self.settings, actions);
     }
 
+    /// Drops a queued sub-request, or cancels it at the searcher if it was sent.
     fn on_cancel(&mut self, now: BootTime, from: NodeId, attempt: AttemptId, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             let queued = searcher.queue.iter().position(|queued| queued.request.attempt == attempt);
@@ -202,6 +210,7 @@
         }
     }
 
+    /// Passes the reply to an attempt in flight to its root. A `Draining` refusal is recorded even without one.
     fn on_reply(
         &mut self,
         now: BootTime,
@@ -216,13 +225,13 @@
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
-        // An attempt that isn't in flight was answered already, or belongs to somebody else.
+        // An attempt that isn't in flight was answered already, or was never sent by this leaf.
         let Some(in_flight) = searcher.in_flight.remove(&reply.attempt) else {
             return;
         };
         match reply.outcome {
-            SubOutcome::NotRun(NotRunReason::Draining) => searcher.refused_leaving(id, run, actions),
-            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.serving_asked_at = None,
+            SubOutcome::NotRun(NotRunReason::Draining) => searcher.on_draining_refusal(id, run, actions),
+            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.evidence_asked_at = None,
             _ => {}
         }
         let reply = SubReply { worked: now.since(in_flight.sent_at), ..reply };
@@ -233,9 +242,9 @@
         searcher.dispatch(now, id, &self.settings, actions);
     }
 
-    /// Remembers which run is leaving, so that it isn't forgotten when ownership changes.
-    fn remember_leaving(&mut self, id: SearcherId) {
-        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.left) else {
+    /// Records the run of a searcher that is leaving, so that it is still known after ownership has changed.
+    fn record_leaving_run(&mut self, id: SearcherId) {
+        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.run_leaving) else {
             return;
         };
         if let Some(evidence) = &searcher.evidence {
@@ -243,6 +252,7 @@
         }
     }
 
+    /// Applies the result of a probe, and publishes the searcher's view if it has changed.
     fn on_probed(
         &mut self,
         now: BootTime,
@@ -254,64 +264,67 @@
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
-        searcher.probe_outstanding = None;
+        searcher.pending_probe_at = None;
         let before = searcher.view(id);
         match evidence {
             Some(evidence) => {
                 let reported_leaving = self.leaving_runs.get(&id) == Some(&evidence.incarnation);
-                searcher.take_evidence(now, asked_at, evidence, reported_leaving);
+                searcher.apply_evidence(now, asked_at, evidence, reported_leaving);
             }
-            None => searcher.lose_evidence(),
+            None => searcher.clear_evidence(),
         }
         let after = searcher.view(id);
         if after != before {
-            actions.push(LeafAction::Spread(after));
+            actions.push(LeafAction::PublishView(after));
         }
         if searcher.is_leaving() {
             searcher.refuse_queue(NotRunReason::Draining, actions);
-        } else if searcher.serving_asked_at.is_none() {
+        } else if searcher.evidence_asked_at.is_none() {
             searcher.refuse_queue(NotRunReason::Unconnected, actions);
         }
         searcher.dispatch(now, id, &self.settings, actions);
-        self.remember_leaving(id);
+        self.record_leaving_run(id);
     }
 
-    /// Takes a peer's word that a run is leaving; contradicts a peer who hasn't heard of it yet.
+    /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its
+    /// view.
     fn on_peer_view(&mut self, view: SearcherView, actions: &mut Vec<LeafAction>) {
         let Some(incarnation) = view.evidence.as_ref().map(|evidence| evidence.incarnation) else {
             return;
         };
         if view.leaving {
-            self.mark_leaving(view.searcher, incarnation, actions);
+            self.mark_run_leaving(view.searcher, incarnation, actions);
         } else if self.leaving_runs.get(&view.searcher) == Some(&incarnation) {
-            actions.push(LeafAction::Spread(SearcherView { leaving: true, ..view }));
+            actions.push(LeafAction::PublishView(SearcherView { leaving: true, ..view }));
         }
     }
 
-    fn mark_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
+    /// Records that a run is leaving. If it is the run known of an owned searcher, refuses the searcher's queue.
+    fn mark_run_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
         self.leaving_runs.insert(id, incarnation);
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
         if searcher.evidence.as_ref().is_some_and(|evidence| evidence.incarnation == incarnation) {
-            searcher.leave(id, actions);
+            searcher.mark_leaving(id, actions);
             searcher.refuse_queue(NotRunReason::Draining, actions);
         }
     }
 
+    /// Sets which searchers are listed as leaving, and publishes the views that have changed.
     fn set_listed(&mut self, listed: &BTreeSet<SearcherId>, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             let is_listed = listed.contains(id);
-            if searcher.listed == is_listed {
+            if searcher.listed_as_leaving == is_listed {
                 continue;
             }
             let before = searcher.view(*id);
-            searcher.listed = is_listed;
-            // Sticky for the run that was listed: a list that flickers doesn't bring it back.
-            searcher.left |= is_listed && searcher.evidence.is_some();
+            searcher.listed_as_leaving = is_listed;
+            // The run stays leaving, even if a later list no longer has the searcher.
+            searcher.run_leaving |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
-                actions.push(LeafAction::Spread(after));
+                actions.push(LeafAction::PublishView(after));
             }
             if searcher.is_leaving() {
                 searcher.refuse_queue(NotRunReason::Draining, actions);
@@ -319,26 +332,28 @@
         }
     }
 
+    /// Refuses expired sub-requests, sends due probes and dispatches queues.
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             searcher.expire_queue(now, actions);
-            // Every call ends at its deadline, with or without a reply. Forgetting one sooner would let
-            // a planned stop think that it has ended; this only guards against a lost worker.
-            searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_LIFE);
-            let patience = self.settings.evidence_bound;
-            let unanswered = searcher.probe_outstanding.is_some_and(|asked| now.since(asked) > patience);
+            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here
+            // sooner, a planned stop could finish while the call is still in flight. This late, dropping it only guards
+            // against a lost worker thread.
+            searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_TIMEOUT);
+            let probe_timeout = self.settings.max_evidence_age;
+            let unanswered = searcher.pending_probe_at.is_some_and(|asked| now.since(asked) > probe_timeout);
             if unanswered {
-                searcher.probe_outstanding = None;
+                searcher.pending_probe_at = None;
             }
-            if now >= searcher.next_probe {
-                searcher.probe(now, *id, &self.settings, actions);
+            if now >= searcher.next_probe_at {
+                searcher.request_probe(now, *id, &self.settings, actions);
             }
             searcher.dispatch(now, *id, &self.settings, actions);
         }
     }
 }
 
-/// The reply to a request that was not and will not be sent.
+/// Returns the reply to a sub-request that was not sent and never will be.
 pub fn not_run(request: &SubRequest, reason: NotRunReason) -> SubReply {
     SubReply {
         attempt: request.attempt,
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -1,9 +1,9 @@
-//! Decisions of the root for all its requests.
+//! The root: decides about all requests of callers at one node.
 //!
-//! Inputs: services in force, searcher views, submissions, replies, time. For each request it
-//! picks a snapshot, plans shards onto searchers, hedges and retries within budgets, merges, and
-//! answers or refuses. Invariants: see [`crate::request`]; a refusal is of a never-run kind only
-//! if nothing was sent, or whatever was sent was answered "not run".
+//! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses
+//! a snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
+//! refuses. Invariants: see [`crate::request`]; a request is refused as never run only if nothing was sent, or all that
+//! was sent was answered `NotRun`.
 
 mod deadline;
 mod finish;
@@ -20,7 +20,7 @@
 use crate::replica::ReplicaTable;
 use crate::request::Request;
 use crate::session::SessionTable;
-use crate::snapshot_choice::{Candidate, choose_current, judge_candidates};
+use crate::snapshot_choice::{Candidate, choose_current, evaluate_candidates};
 use crate::view::SearcherView;
 use hashbrown::HashMap;
 use rand_chacha::ChaCha8Rng;
@@ -33,69 +33,74 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds of a root.
+/// Settings of a root.
 #[derive(Clone, Debug)]
 pub struct RootSettings {
-    /// Most sessions held.
+    /// Most sessions that are held.
     pub sessions: usize,
-    /// Latency assumed before there are measurements.
-    pub latency_guess: Duration,
-    /// Most attempts per shard, the first included.
-    pub attempts_per_shard: usize,
-    /// Most plans per request, the first included.
-    pub plans_per_request: usize,
+    /// Latency that is assumed before enough replies are measured.
+    pub initial_latency: Duration,
+    /// Most attempts for a shard in one plan, the first included.
+    pub max_attempts_per_shard: usize,
+    /// Most plans of a request, the first included.
+    pub max_plans_per_request: usize,
 }
 
 impl Default for RootSettings {
     fn default() -> Self {
         RootSettings {
             sessions: 10_000,
-            latency_guess: Duration::from_millis(20),
-            attempts_per_shard: 4,
-            plans_per_request: 3,
+            initial_latency: Duration::from_millis(20),
+            max_attempts_per_shard: 4,
+            max_plans_per_request: 3,
         }
     }
 }
 
-/// What a root is told.
+/// An event that a root handles.
 #[derive(Clone, Debug)]
 pub enum RootEvent {
-    /// The services in force.
+    /// The services that are now in force.
     Services(Vec<Arc<ServiceDefinition>>),
-    /// A searcher's view has changed.
+    /// The view of a searcher has changed.
     View(SearcherView),
-    /// A caller asks.
+    /// A caller submits a request.
     Submit(Submission),
-    /// A leaf replied.
+    /// A leaf replied to a sub-request.
     Reply(SubReply),
-    /// The caller is gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestId),
-    /// Time has passed.
+    /// Timers may be due.
     Tick,
 }
 
-/// What a root wants done.
+/// An action that a root asks its caller to carry out.
 #[derive(Clone, Debug)]
 pub enum RootAction {
-    /// Send to a leaf that owns the searcher.
+    /// Send the sub-request to a leaf that owns the searcher.
     Send(SubRequest),
-    /// Tell the leaf that an attempt is no longer wanted.
+    /// Tell the leaf that the result of an attempt is no longer wanted.
     Cancel { attempt: AttemptId, searcher: SearcherId },
-    /// The final word on a request.
+    /// Return the outcome of a request to its caller.
     Finish { request: RequestId, outcome: Outcome },
 }
 
-/// What the root keeps per service.
+/// The root's state of one service.
 pub(crate) struct ServiceState {
     pub definition: Arc<ServiceDefinition>,
     pub maps: Vec<Arc<ShardMap>>,
-    pub peers: Vec<SearcherId>,
+    /// The service's searchers.
+    pub searchers: Vec<SearcherId>,
+    /// Snapshots that could be served, the newest first.
     pub candidates: Vec<Candidate>,
+    /// The snapshot that the service is served from.
     pub current: Option<Snapshot>,
-    pub stale: bool,
+    /// Whether `candidates` and `current` must be computed again.
+    pub needs_refresh: bool,
+    /// Time from sending a sub-request to its reply.
     pub latency: LatencyTracker,
-    /// The same without waits for slots.
-    pub work: LatencyTracker,
+    /// The same without the time that the sub-request waited for a slot at the leaf.
+    pub work_latency: LatencyTracker,
     pub hedges: ExtraWorkBudget,
     pub retries: ExtraWorkBudget,
     pub limiter: ConcurrencyLimiter,
@@ -104,21 +109,21 @@
 /// Counters of a root, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RootCounters {
-    /// Sub-requests sent as a first attempt.
+    /// Sub-requests sent as the first attempt of a plan.
     pub primaries: u64,
     /// Sub-requests sent as hedges.
     pub hedges: u64,
     /// Sub-requests sent as retries.
     pub retries: u64,
-    /// Sub-requests sent another way after an explicit "not run" that wasn't a shed.
+    /// Sub-requests sent again after a `NotRun` reply for another reason than `Shed`.
     pub reroutes: u64,
-    /// Replies dropped because they matched nothing that was asked.
+    /// Replies from another searcher or snapshot than was asked, or for a request of another node.
     pub foreign_replies: u64,
-    /// Replies that came after the final word.
+    /// Replies that came after their request or attempt had ended.
     pub late_replies: u64,
 }
 
-/// The root's decisions.
+/// The root's state and decisions.
 pub struct RootEngine {
     pub(crate) node: NodeId,
     pub(crate) settings: RootSettings,
@@ -128,16 +133,18 @@
     pub(crate) replicas: ReplicaTable,
     pub(crate) copies: CopyHealth,
     pub(crate) requests: HashMap<u64, Request>,
-    pub(crate) wakes: BinaryHeap<Reverse<(BootTime, u64)>>,
-    pub(crate) unknown_actions: HashMap<AttemptId, submit::PendingTicket>,
-    /// Sessions held by this node.
+    /// Times at which requests need attention, with the requests' sequence numbers. A request may have several.
+    pub(crate) timers: BinaryHeap<Reverse<(BootTime, u64)>>,
+    /// Attempts of finished actions, whose receipts may still come.
+    pub(crate) finished_actions: HashMap<AttemptId, submit::FinishedAction>,
+    /// Sessions that this node holds.
     pub sessions: SessionTable,
     /// Counters for metrics.
     pub counters: RootCounters,
 }
 
 impl RootEngine {
-    /// A root of `node` without services; `seed` feeds its random choices.
+    /// Creates the root of `node`, without services. `seed` seeds its random choices.
     pub fn new(node: NodeId, settings: RootSettings, seed: u64) -> Self {
         RootEngine {
             node,
@@ -147,15 +154,15 @@
             replicas: ReplicaTable::default(),
             copies: CopyHealth::new(),
             requests: HashMap::new(),
-            wakes: BinaryHeap::new(),
-            unknown_actions: HashMap::new(),
+            timers: BinaryHeap::new(),
+            finished_actions: HashMap::new(),
             sessions: SessionTable::new(settings.sessions),
             counters: RootCounters::default(),
             settings,
         }
     }
 
-    /// Takes one event; appends what is to be done.
+    /// Handles one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: BootTime, event: RootEvent, actions: &mut Vec<RootAction>) {
         match event {
             RootEvent::Services(definitions) => self.set_services(definitions),
@@ -167,33 +174,33 @@
         }
     }
 
-    /// When `Tick` is due next.
+    /// Returns when [`RootEvent::Tick`] is due next.
     pub fn next_wake(&self) -> Option<BootTime> {
-        self.wakes.peek().map(|Reverse((time, _))| *time)
+        self.timers.peek().map(|Reverse((time, _))| *time)
     }
 
-    /// Requests without a final word.
+    /// Returns the number of requests that have not ended.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// The definition of a service in force.
+    /// Returns the definition of a service that is in force.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceDefinition>> {
         self.services.get(name).map(|service| &service.definition)
     }
 
-    /// The snapshot that a service is served from now.
+    /// Returns the snapshot that a service is served from now.
     pub fn current_snapshot(&mut self, name: &ServiceName) -> Option<Snapshot> {
         self.refresh_service(name);
         self.services.get(name).and_then(|service| service.current)
     }
 
-    /// All views, for display.
+    /// Returns the views of all searchers, for display.
     pub fn views(&self) -> impl Iterator<Item = &SearcherView> {
         self.views.values()
     }
 
-    /// Searcher and snapshot that an open attempt was sent for.
+    /// Returns the searcher and the snapshot that an open attempt was sent for.
     pub fn attempt_target(&self, id: AttemptId) -> Option<(SearcherId, Snapshot)> {
         let request = self.requests.get(&id.request.sequence).filter(|_| id.request.node == self.node)?;
         let index = (id.attempt as usize).checked_sub(1)?;
@@ -201,6 +208,7 @@
         Some((attempt.searcher, request.map.snapshot))
     }
 
+    /// Replaces the services in force. A service that stays keeps its measurements, budgets and limit.
     fn set_services(&mut self, definitions: Vec<Arc<ServiceDefinition>>) {
         let mut kept = std::mem::take(&mut self.services);
         for definition in definitions {
@@ -212,25 +220,26 @@
         }
     }
 
+    /// Stores the view of a searcher, and drops what was measured of it if its run has changed.
     fn set_view(&mut self, view: SearcherView) {
         let run = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
         let restarted = self.views.get(&view.searcher).is_some_and(|known| run(known) != run(&view));
         if restarted {
-            self.replicas.forget(view.searcher);
-            self.copies.forget(view.searcher);
+            self.replicas.clear_searcher(view.searcher);
+            self.copies.clear_searcher(view.searcher);
         }
-        let affected = self.services.values_mut().filter(|service| service.peers.contains(&view.searcher));
-        affected.for_each(|service| service.stale = true);
+        let affected = self.services.values_mut().filter(|service| service.searchers.contains(&view.searcher));
+        affected.for_each(|service| service.needs_refresh = true);
         self.views.insert(view.searcher, view);
     }
 
-    /// Recomputes which snapshot a service is served from, if anything changed.
+    /// Chooses again which snapshot a service is served from, if its definition or a view has changed.
     pub(crate) fn refresh_service(&mut self, name: &ServiceName) {
-        let Some(service) = self.services.get_mut(name).filter(|service| service.stale) else {
+        let Some(service) = self.services.get_mut(name).filter(|service| service.needs_refresh) else {
             return;
         };
-        service.stale = false;
-        service.candidates = judge_candidates(&service.maps, &self.views);
+        service.needs_refresh = false;
+        service.candidates = evaluate_candidates(&service.maps, &self.views);
         service.current = choose_current(&service.candidates, service.current);
     }
 }
@@ -242,17 +251,18 @@
             hedges: ExtraWorkBudget::new(policy.hedge_per_mille),
             retries: ExtraWorkBudget::new(policy.retry_per_mille),
             maps: shared_maps(&definition),
-            peers: definition.searchers.iter().map(|searcher| searcher.id).collect(),
+            searchers: definition.searchers.iter().map(|searcher| searcher.id).collect(),
             candidates: Vec::new(),
             current: None,
-            stale: true,
-            latency: LatencyTracker::new(settings.latency_guess),
-            work: LatencyTracker::new(settings.latency_guess),
+            needs_refresh: true,
+            latency: LatencyTracker::new(settings.initial_latency),
+            work_latency: LatencyTracker::new(settings.initial_latency),
             limiter: ConcurrencyLimiter::default(),
             definition,
         }
     }
 
+    /// Returns the state with a new definition; measurements, budgets and limit are kept.
     fn with_definition(mut self, definition: Arc<ServiceDefinition>) -> Self {
         if Arc::ptr_eq(&self.definition, &definition) {
             return self;
@@ -260,13 +270,14 @@
         self.hedges.set_per_mille(definition.policy.hedge_per_mille);
         self.retries.set_per_mille(definition.policy.retry_per_mille);
         self.maps = shared_maps(&definition);
-        self.peers = definition.searchers.iter().map(|searcher| searcher.id).collect();
-        self.stale = true;
+        self.searchers = definition.searchers.iter().map(|searcher| searcher.id).collect();
+        self.needs_refresh = true;
         self.definition = definition;
         self
     }
 }
 
+/// Copies the shard maps of a service, for requests to share.
 fn shared_maps(definition: &ServiceDefinition) -> Vec<Arc<ShardMap>> {
     definition.shard_maps.iter().cloned().map(Arc::new).collect()
 }
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -1,4 +1,4 @@
-//! Planning: which searcher is asked for which shards, and sending it.
+//! Plans: which searcher is asked for which shards, and sending the sub-requests.
 
 use super::{RootAction, RootEngine};
 use crate::message::{SubRequest, Work};
@@ -10,13 +10,14 @@
 /// Why a sub-request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendReason {
-    /// First attempt for its shards.
+    /// The first attempt of a plan for its shards.
     Primary,
-    /// Another attempt while the first is late.
+    /// Another attempt while an earlier one is late.
     Hedge,
-    /// Another attempt after the one before failed.
+    /// Another attempt after an earlier one failed.
     Retry,
-    /// Another way after an explicit "not run" that wasn't a shed: nothing runs twice, so no extra load.
+    /// Another attempt after a `NotRun` reply for another reason than `Shed`. Nothing is executed twice, so it is no
+    /// extra load.
     Reroute,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl RootEngine {
-    /// Sends first attempts for every open shard of a fresh plan.
+    /// Sends the first attempts for all open shards of a new plan.
     pub(super) fn plan(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -35,14 +36,15 @@
         let open = request.shards.open_positions();
         let batches = self.choose_batches(now, sequence, &open);
         self.give_up_unplaced(sequence, &open, &batches);
-        if self.is_hopeless(sequence) {
-            // Refused before anything is sent: no back end works in vain, and "not run" is certain.
-            self.settle(now, sequence, actions);
+        if self.is_coverage_unreachable(sequence) {
+            // The request is refused before anything is sent: no back end does work for nothing, and the request was
+            // certainly not executed.
+            self.finish_if_settled(now, sequence, actions);
             return;
         }
         let count = batches.len();
         if let Some(request) = self.requests.get_mut(&sequence) {
-            // Whatever a later plan sends is work beyond the strictly needed.
+            // Only the first plan counts as needed. What a later plan sends is extra work.
             if !request.planned {
                 request.planned = true;
                 request.needed = count as u32;
@@ -56,15 +58,15 @@
             self.send(now, sequence, batch.searcher, batch.shards, SendReason::Primary, actions);
         }
         self.schedule(now, sequence);
-        self.settle(now, sequence, actions);
+        self.finish_if_settled(now, sequence, actions);
     }
 
-    /// Whether too few shards are left for an answer.
-    pub(super) fn is_hopeless(&self, sequence: u64) -> bool {
-        self.requests.get(&sequence).is_some_and(|request| !request.is_enough(request.shards.reachable()))
+    /// Returns whether too few shards are included or open to reach the least coverage.
+    pub(super) fn is_coverage_unreachable(&self, sequence: u64) -> bool {
+        self.requests.get(&sequence).is_some_and(|request| !request.reaches_coverage(request.shards.reachable()))
     }
 
-    /// Gives up the shards of a plan that nobody can be asked for.
+    /// Gives up the shards of a plan for which no searcher can be asked.
     fn give_up_unplaced(&mut self, sequence: u64, planned: &[u32], batches: &[Batch]) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Sends further attempts for shards, as far as the budget goes. Returns the shards not sent.
+    /// Sends further attempts for shards, as far as the budget allows. Returns the shards that weren't sent.
     pub(super) fn send_extra(
         &mut self,
         now: BootTime,
@@ -94,7 +96,7 @@
     ) -> Vec<u32> {
         let mut unsent: Vec<u32> = shards.to_vec();
         for batch in self.choose_batches(now, sequence, shards) {
-            if !self.spend(now, sequence, reason) {
+            if !self.spend_budget(now, sequence, reason) {
                 break;
             }
             unsent.retain(|position| !batch.shards.contains(position));
@@ -103,7 +105,8 @@
         unsent
     }
 
-    fn spend(&mut self, now: BootTime, sequence: u64, reason: SendReason) -> bool {
+    /// Returns whether a sub-request may be sent, and spends a token of the budget if the reason needs one.
+    fn spend_budget(&mut self, now: BootTime, sequence: u64, reason: SendReason) -> bool {
         let Some(request) = self.requests.get(&sequence) else {
             return false;
         };
@@ -112,25 +115,26 @@
         };
         match reason {
             SendReason::Primary | SendReason::Reroute => true,
-            // An action is only sent again when it certainly didn't run: no repetition, so no budget.
+            // An action is sent again only if it was certainly not executed. That repeats no work and needs no budget.
             SendReason::Retry if matches!(request.work, Work::Act(_)) => true,
             SendReason::Hedge => service.hedges.try_spend(now),
             SendReason::Retry => service.retries.try_spend(now),
         }
     }
 
-    /// Chooses a replica not tried yet for each shard; shards without one are left out.
+    /// Chooses for each shard a replica that hasn't been tried, and groups the shards by searcher. Shards without such
+    /// a replica are left out.
     fn choose_batches(&mut self, now: BootTime, sequence: u64, shards: &[u32]) -> Vec<Batch> {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return Vec::new();
         };
         let typical = match self.services.get(&request.service) {
             Some(service) => service.latency.median(),
-            None => self.settings.latency_guess,
+            None => self.settings.initial_latency,
         };
         let snapshot = request.map.snapshot;
         let mut batches: Vec<Batch> = Vec::new();
-        let mut used: HashMap<SearcherId, usize> = HashMap::new();
+        let mut batch_indices: HashMap<SearcherId, usize> = HashMap::new();
         let mut eligible: Vec<SearcherId> = Vec::new();
         for position in shards {
             let placement = &request.map.shards[*position as usize];
@@ -144,33 +148,33 @@
                 let serves = self.views.get(replica).is_some_and(|view| view.serves(snapshot));
                 serves && !tried.contains(replica)
             }));
-            let is_quick = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
-            // A slow copy is better than none; the least suspected is better than another.
-            if !self.copies.is_empty() && eligible.iter().any(is_quick) {
-                eligible.retain(is_quick);
+            let is_not_avoided = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
+            // Avoided copies are used only if there are no others, and then those with the fewest slow replies.
+            if !self.copies.is_empty() && eligible.iter().any(is_not_avoided) {
+                eligible.retain(is_not_avoided);
             } else if !self.copies.is_empty() {
-                let strikes = |replica: &SearcherId| self.copies.strikes(*replica, placement.shard);
-                let fewest = eligible.iter().map(strikes).min().unwrap_or(0);
-                eligible.retain(|replica| strikes(replica) == fewest);
+                let slow_replies = |replica: &SearcherId| self.copies.slow_replies(*replica, placement.shard);
+                let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
+                eligible.retain(|replica| slow_replies(replica) == fewest);
             }
-            let chosen = self.replicas.choose(now, &eligible, &used, typical, &mut self.random);
+            let chosen = self.replicas.choose(now, &eligible, &batch_indices, typical, &mut self.random);
             if let Some(searcher) = chosen {
-                self.copies.note_asked(now, searcher, placement.shard);
+                self.copies.record_asked(now, searcher, placement.shard);
             }
             let Some(searcher) = chosen else {
                 if *outstanding == 0 && last_failure.is_none() {
-                    *last_failure = Some(absence_cause(&placement.replicas, &self.views));
+                    *last_failure = Some(no_replica_cause(&placement.replicas, &self.views));
                 }
                 continue;
             };
-            if self.copies.strikes(searcher, placement.shard) > 0 {
+            if self.copies.slow_replies(searcher, placement.shard) > 0 {
                 batches.push(Batch { searcher, shards: vec![*position] });
                 continue;
             }
-            match used.get(&searcher) {
+            match batch_indices.get(&searcher) {
                 Some(index) => batches[*index].shards.push(*position),
                 None => {
-                    used.insert(searcher, batches.len());
+                    batch_indices.insert(searcher, batches.len());
                     batches.push(Batch { searcher, shards: vec![*position] });
                 }
             }
@@ -178,6 +182,7 @@
         batches
     }
 
+    /// Sends one sub-request and records it as an attempt.
     fn send(
         &mut self,
         now: BootTime,
@@ -191,10 +196,11 @@
             return;
         };
         for position in &shards {
-            if let Some(ShardProgress::Open { outstanding, sends, tried, .. }) = request.shards.get_open_mut(*position)
+            if let Some(ShardProgress::Open { outstanding, attempt_count, tried, .. }) =
+                request.shards.get_open_mut(*position)
             {
                 *outstanding += 1;
-                *sends += 1;
+                *attempt_count += 1;
                 tried.push(searcher);
             }
         }
@@ -202,7 +208,7 @@
         request.attempts.push(Attempt { searcher, shards, sent_at: now, open: true, hedged: false });
         let request_id = RequestId { node: self.node, sequence };
         let attempt = AttemptId { request: request_id, attempt: request.attempts.len() as u32 };
-        self.replicas.sent(searcher);
+        self.replicas.record_sent(searcher);
         match reason {
             SendReason::Primary => self.counters.primaries += 1,
             SendReason::Hedge => self.counters.hedges += 1,
@@ -219,7 +225,7 @@
         }));
     }
 
-    /// Sets the time at which the request needs attention next.
+    /// Sets when the request needs attention next: at the next hedge, the early answer or the deadline.
     pub(super) fn schedule(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -227,28 +233,28 @@
         let mut due = request.deadline;
         if let (Some(service), Work::Search(_)) = (self.services.get(&request.service), &request.work) {
             let delay = service.latency.hedge_delay();
-            let late = request.attempts.iter().filter(|attempt| attempt.open && !attempt.hedged);
-            if let Some(first) = late.map(|attempt| attempt.sent_at + delay).min() {
+            let unhedged = request.attempts.iter().filter(|attempt| attempt.open && !attempt.hedged);
+            if let Some(first) = unhedged.map(|attempt| attempt.sent_at + delay).min() {
                 due = due.min(first.max(now));
             }
-            if let Some(patience) = super::deadline::patience_end(request, service).filter(|end| *end > now) {
-                due = due.min(patience);
+            if let Some(early_answer) = super::deadline::early_answer_time(request, service).filter(|end| *end > now) {
+                due = due.min(early_answer);
             }
         }
-        self.wakes.push(Reverse((due, sequence)));
+        self.timers.push(Reverse((due, sequence)));
     }
 }
 
-/// Why a shard has no replica to ask.
-fn absence_cause(replicas: &[SearcherId], views: &HashMap<SearcherId, crate::view::SearcherView>) -> MissingCause {
+/// Returns why none of a shard's replicas can be asked.
+fn no_replica_cause(replicas: &[SearcherId], views: &HashMap<SearcherId, crate::view::SearcherView>) -> MissingCause {
     let known: Vec<_> = replicas.iter().filter_map(|replica| views.get(replica)).collect();
     if known.iter().any(|view| view.leaving) {
         return MissingCause::Draining;
     }
-    let holds_other = |view: &&crate::view::SearcherView| {
+    let holds_snapshots = |view: &&crate::view::SearcherView| {
         view.evidence.as_ref().is_some_and(|evidence| !evidence.snapshots.is_empty())
     };
-    if known.iter().any(holds_other) {
+    if known.iter().any(holds_snapshots) {
         return MissingCause::SnapshotGone;
     }
     MissingCause::Lost
--- a/crates/session/staircross-search/src/root/submit.rs
+++ b/crates/session/staircross-search/src/root/submit.rs
@@ -1,43 +1,44 @@
-//! Admission: from a caller's submission to the first plan.
+//! Admission: the checks between a caller's submission and the first plan.
 
 use super::{RootAction, RootEngine};
 use crate::message::{Outcome, Refusal, Work};
-use crate::request::{Request, ShardLedger};
+use crate::request::{Request, ShardProgressTable};
 use crate::session::TicketRefusal;
 use crate::snapshot_choice::{Candidate, SnapshotNeeds, choose_for_request};
 use staircross_types::{BootTime, ErrorKind, RequestId, ServiceName, SessionToken, Snapshot, Ticket};
 use std::time::Duration;
 
-/// One request of a caller.
+/// One request of a caller, as submitted to the root.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Fresh id, minted by this node.
+    /// New id, minted by this node.
     pub request: RequestId,
     /// The caller's session.
     pub session: SessionToken,
-    /// The service asked.
+    /// The service that is asked.
     pub service: ServiceName,
-    /// What to do.
+    /// The search or action.
     pub work: Work,
-    /// The caller's own wait bound; the service's applies too.
+    /// The caller's wait bound. The shorter of this and the service's bound applies.
     pub wait: Option<Duration>,
-    /// The caller's own least coverage per thousand; the service's applies too.
-    pub least_per_mille: Option<u32>,
-    /// For a page of a pull after the first: the snapshot that all its pages come from.
+    /// The caller's least coverage, in shards per thousand. The higher of this and the service's applies.
+    pub least_coverage_per_mille: Option<u32>,
+    /// For a page of a pull after the first, the snapshot that all pages of the pull come from.
     pub pinned: Option<Snapshot>,
-    /// For an action: its ticket.
+    /// The ticket of an action.
     pub ticket: Option<Ticket>,
 }
 
-/// A ticket whose action's outcome is unknown and may still become known.
+/// The ticket of a finished action, whose receipt may still come.
 #[derive(Clone, Debug)]
-pub(crate) struct PendingTicket {
+pub(crate) struct FinishedAction {
     pub session: SessionToken,
     pub ticket: Ticket,
-    pub forget_at: BootTime,
+    pub expires_at: BootTime,
 }
 
 impl RootEngine {
+    /// Admits a request, or finishes it at once with a refusal or its ticket's recorded outcome.
     pub(super) fn submit(&mut self, now: BootTime, submission: Submission, actions: &mut Vec<RootAction>) {
         let request = submission.request;
         if let Err(outcome) = self.admit(now, submission, actions) {
@@ -45,6 +46,7 @@
         }
     }
 
+    /// Checks a submission, stores its request and sends the first plan.
     fn admit(&mut self, now: BootTime, submission: Submission, actions: &mut Vec<RootAction>) -> Result<(), Outcome> {
         let name = submission.service.clone();
         let Some(session) = self.sessions.touch(now, submission.session) else {
@@ -56,14 +58,14 @@
             return Err(refused(ErrorKind::UnknownService, format!("no service is named {name}")));
         };
         let policy = service.definition.policy.clone();
-        check_kind(&submission, policy.repeatable)?;
-        let least = submission.least_per_mille.unwrap_or(0).max(policy.least_coverage_per_mille);
-        let needs = SnapshotNeeds { floor, least_per_mille: least, excluded: &[] };
-        let candidate = pick_candidate(&service.candidates, service.current, needs, submission.pinned)?;
+        check_work_kind(&submission, policy.repeatable)?;
+        let least = submission.least_coverage_per_mille.unwrap_or(0).max(policy.least_coverage_per_mille);
+        let needs = SnapshotNeeds { floor, least_coverage_per_mille: least, excluded: &[] };
+        let candidate = choose_candidate(&service.candidates, service.current, needs, submission.pinned)?;
         let map = candidate.map.clone();
         self.use_ticket(now, &submission)?;
 
-        let shards = ShardLedger::open(&map, submission.work.page_start());
+        let shards = ShardProgressTable::new(&map, submission.work.page_start());
         let wait = submission.wait.map_or(policy.wait(), |wait| wait.min(policy.wait()));
         let mut request = Request {
             session: submission.session,
@@ -75,25 +77,25 @@
             attempts: Vec::new(),
             admitted_at: now,
             deadline: now + wait,
-            least_per_mille: least,
+            least_coverage_per_mille: least,
             priority: policy.priority,
             floor,
             excluded: Vec::new(),
             hits: Vec::new(),
             matched: 0,
             needed: 0,
-            troubled: false,
+            was_shed: false,
             planned: false,
             may_have_run: false,
-            first_valid_attempt: 1,
+            first_attempt_of_plan: 1,
         };
         if request.ticket.is_some() {
-            self.narrow_to_target(&mut request);
+            self.limit_to_target_shard(&mut request);
         }
         let admitted = self.services.get_mut(&name).is_some_and(|service| service.limiter.try_admit());
         if !admitted {
             let outcome = refused(ErrorKind::Overloaded, format!("service {name} has no room for another request"));
-            self.give_ticket_back(now, &request, &outcome);
+            self.record_ticket_outcome(now, &request, &outcome);
             return Err(outcome);
         }
         self.requests.insert(submission.request.sequence, request);
@@ -101,6 +103,7 @@
         Ok(())
     }
 
+    /// Marks the ticket of an action as running, or returns the outcome that the ticket prescribes.
     fn use_ticket(&mut self, now: BootTime, submission: &Submission) -> Result<(), Outcome> {
         let Some(ticket) = submission.ticket else {
             return Ok(());
@@ -114,15 +117,15 @@
             TicketRefusal::Running => {
                 refused(ErrorKind::OutcomeUnknown, "the ticket's request is in flight; it was not sent again")
             }
-            TicketRefusal::Foreign => {
+            TicketRefusal::MintedElsewhere => {
                 refused(ErrorKind::OutcomeUnknown, "the node that minted the ticket is gone; it was not sent again")
             }
             TicketRefusal::Unknown => refused(ErrorKind::BadTicket, "the ticket isn't of this session"),
         })
     }
 
-    /// An action touches one shard only: the one that holds its target.
-    fn narrow_to_target(&mut self, request: &mut Request) {
+    /// Limits an action to the one shard that holds its target. The other shards count as included.
+    fn limit_to_target_shard(&mut self, request: &mut Request) {
         let Work::Act(command) = &request.work else {
             return;
         };
@@ -134,7 +137,8 @@
         }
     }
 
-    pub(super) fn give_ticket_back(&mut self, now: BootTime, request: &Request, outcome: &Outcome) {
+    /// Records the outcome of an action with its ticket.
+    pub(super) fn record_ticket_outcome(&mut self, now: BootTime, request: &Request, outcome: &Outcome) {
         let Some(ticket) = request.ticket else {
             return;
         };
@@ -144,7 +148,8 @@
     }
 }
 
-fn check_kind(submission: &Submission, repeatable: bool) -> Result<(), Outcome> {
+/// Checks that an action has a ticket and that the service takes this kind of work.
+fn check_work_kind(submission: &Submission, repeatable: bool) -> Result<(), Outcome> {
     let is_action = matches!(submission.work, Work::Act(_));
     if is_action && submission.ticket.is_none() {
         return Err(refused(ErrorKind::NotRepeatable, "an action needs a ticket"));
@@ -156,7 +161,8 @@
     Ok(())
 }
 
-fn pick_candidate<'a>(
+/// Chooses the snapshot of a request: the pinned one if there is one, otherwise by the request's needs.
+fn choose_candidate<'a>(
     candidates: &'a [Candidate],
     current: Option<Snapshot>,
     needs: SnapshotNeeds<'_>,
@@ -172,6 +178,7 @@
         .ok_or_else(|| refused(ErrorKind::NoSnapshot, "no snapshot at or above the session's floor has a live replica"))
 }
 
+/// Builds the outcome of a refused request.
 pub(super) fn refused(kind: ErrorKind, detail: impl Into<String>) -> Outcome {
     Outcome::Refusal(Refusal::new(kind, detail))
 }
