--- a/crates/session/staircross-config/src/document.rs
+++ b/crates/session/staircross-config/src/document.rs
@@ -1,4 +1,4 @@
-//! What the platform publishes: a service document with a revision, and a machine list that lags behind the machines.
+//! What the platform publishes: a service document with a revision, and a machine list that may be out of date.
 
 use crate::invalid::InvalidSetting;
 use crate::service::{SearcherDefinition, ServiceDefinition};
--- a/crates/session/staircross-config/src/edit.rs
+++ b/crates/session/staircross-config/src/edit.rs
@@ -1,7 +1,7 @@
 //! Operators' edits of the platform's document.
 //!
-//! An edit creates a new document, which is checked as a whole and has to be published on the platform by the operator.
-//! It doesn't come into force before, because nodes take their configuration only from the platform.
+//! An edit creates a new document, which is checked as a whole. It takes effect only when the operator has published it
+//! on the platform, because nodes read their configuration only from there.
 
 use crate::document::PlatformDocument;
 use crate::invalid::InvalidSetting;
--- a/crates/session/staircross-config/src/service.rs
+++ b/crates/session/staircross-config/src/service.rs
@@ -126,7 +126,7 @@
     pub address: SocketAddr,
     /// Zone of the searcher.
     pub zone: ZoneName,
-    /// Group, that is deployment, that the searcher belongs to.
+    /// Group (deployment) that the searcher belongs to.
     pub group: GroupId,
     /// Number of sub-requests that the searcher executes at once.
     pub slots: u32,
@@ -150,10 +150,10 @@
 
 /// Longest service name, in bytes.
 const MAX_SERVICE_NAME_BYTES: usize = 64;
-/// Most slots, and most connections, that a searcher may have.
+/// Largest number of slots, and of connections, that a searcher may have.
 const MAX_SEARCHER_CAPACITY: u32 = 65_535;
 
-/// Checks that `name` is not too long and is a name of the query language.
+/// Checks that `name` isn't too long and follows the query language's syntax of names.
 pub fn check_service_name(name: &ServiceName) -> Result<(), InvalidSetting> {
     let text = &name.0;
     let starts_with_letter = text.starts_with(|first: char| first.is_ascii_lowercase());
--- a/crates/session/staircross-config/src/settings.rs
+++ b/crates/session/staircross-config/src/settings.rs
@@ -30,12 +30,13 @@
     pub listen: SocketAddr,
     /// Address at which the node listens for other nodes (framed CBOR over TCP).
     pub peer_listen: SocketAddr,
-    /// Addresses of peers through which the node joins the fleet. They also form the fleet at its first start.
+    /// Addresses of peers through which the node joins the cluster. The nodes at these addresses form the cluster at
+    /// its first start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Name of the fleet. Nodes with another fleet name are rejected.
+    /// Name of the cluster. Nodes with another cluster name are rejected.
     pub cluster: String,
-    /// Secret that all nodes of the fleet share.
+    /// Secret that all nodes of the cluster share.
     pub cluster_key: String,
     /// Log filter: one level for all (`info`) or per module (`info,search=debug`).
     #[serde(default = "default_log")]
@@ -65,9 +66,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Most sessions that the node holds.
+    /// Largest number of sessions that the node holds.
     pub sessions: usize,
-    /// Most connections of callers that the node holds.
+    /// Largest number of open connections of callers.
     pub caller_connections: usize,
     /// Longest request body, in bytes.
     pub request_bytes: usize,
--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -83,9 +83,10 @@
     plan: FleetPlan,
 }
 
-/// Number of sub-requests that a searcher runs at a time, as at the users' drafting and guest search services.
+/// Number of sub-requests that a searcher executes at a time. The users' drafting and guest search services have the
+/// same number.
 const SLOTS: u32 = 5;
-/// Number of connections that a searcher accepts, as at the users' drafting and guest search services.
+/// Number of connections that a searcher accepts. The users' drafting and guest search services have the same number.
 const CONNECTIONS: u32 = 70;
 /// Time after which a fleet that is not ready counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/session/staircross-lab/src/fuzz/reference.rs
+++ b/crates/session/staircross-lab/src/fuzz/reference.rs
@@ -1,6 +1,7 @@
 //! The reference state machine of the fuzz test.
 //!
-//! Its state is only the seed: the oracle judges the history, and every operation is valid in any state.
+//! Its state is only the seed: the oracle checks the history without a model of the state, and every operation is valid
+//! in any state.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -50,7 +50,7 @@
     PauseSearcher { searcher: u8, millis: u16 },
     /// The next `count` replies of a searcher have a fault.
     WrongReplies { searcher: u8, fault: u8, count: u8 },
-    /// One shard becomes slow at a searcher, or with a factor of 1 all its shards run at normal speed again.
+    /// A searcher's replica of one shard becomes slow, or with a factor of 1 all its replicas return to normal speed.
     SlowCopy { searcher: u8, factor: u8 },
     /// The process of a node is paused.
     PauseNode { node: u8, millis: u16 },
--- a/crates/session/staircross-lab/src/sim/oracle.rs
+++ b/crates/session/staircross-lab/src/sim/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle checks the history of a simulated run: it compares every outcome with the work that searchers executed.
+//! The oracle checks the history of a simulation: it compares every outcome with the work that searchers executed.
 //!
 //! The promises, by their numbers:
 //!
--- a/crates/session/staircross-lab/src/sim/records.rs
+++ b/crates/session/staircross-lab/src/sim/records.rs
@@ -1,4 +1,4 @@
-//! The history of a simulated run: the requests of callers, their outcomes, and the work that searchers executed.
+//! The history of a simulation: the requests of callers, their outcomes, and the work that searchers executed.
 //!
 //! The oracle decides from these records alone.
 
@@ -66,7 +66,7 @@
     pub sub_requests: usize,
 }
 
-/// History of one simulated run, from which the oracle judges it.
+/// History of one simulation, which the oracle checks.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// All requests of callers, by id.
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -37,7 +37,7 @@
     pub median: Duration,
     /// Standard deviation of the logarithm of the time, which is normally distributed.
     pub sigma: f64,
-    /// Shards whose copy at this searcher is slow, with the factor by which it is slower.
+    /// Shards whose replica at this searcher is slow, each with the factor by which it is slower.
     pub slow_copies: BTreeMap<ShardId, f64>,
 }
 
@@ -82,7 +82,7 @@
     pub paused_until: BootTime,
     /// Shards that the searcher holds, by snapshot.
     pub shards_by_snapshot: BTreeMap<Snapshot, BTreeSet<ShardId>>,
-    /// Number of sub-requests that run at a time.
+    /// Number of sub-requests that the searcher executes at a time.
     pub slots: usize,
     /// Number of sub-requests that may wait for a slot.
     pub queue_capacity: usize,
--- a/crates/session/staircross-lab/src/sim/world.rs
+++ b/crates/session/staircross-lab/src/sim/world.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Time between two ticks of a node. It equals `TICK` of the node's runtime.
+/// Time between two ticks of a node. It equals `TICK_INTERVAL` of the node's runtime.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A simulated fleet with its event queue and its history.
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -11,8 +11,8 @@
 use staircross_types::{SearcherId, ShardMap, Snapshot};
 use std::time::Duration;
 
-/// Least time between the begin of a planned stop and its end, during which the node still takes requests. It equals
-/// `STOP_LINGER` of the node's runtime.
+/// Shortest time between the beginning of a planned stop and its end, during which the node still accepts requests. It
+/// equals `STOP_LINGER` of the node's runtime.
 const STOP_LINGER: Duration = Duration::from_millis(1500);
 /// Number of consecutive ticks without anything in flight after which a stopping node ends, as in the node's runtime.
 const IDLE_TICKS_TO_END: u32 = 6;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Makes the platform list a searcher as leaving. The searcher itself does not know of it and still takes work.
+    /// Makes the platform list a searcher as leaving. The searcher itself does not know of it and still accepts work.
     pub fn list_leaving(&mut self, searcher: usize) {
         let index = searcher % self.searchers.len();
         let now = self.now;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Makes the copy of the first shard of a searcher's newest snapshot slower by `factor`. A factor of 1 or less
-    /// makes all its copies run at normal speed again.
+    /// Makes a searcher's replica of the first shard of its newest snapshot slower by `factor`. A factor of 1 or less
+    /// returns all replicas at the searcher to normal speed.
     pub fn slow_copy(&mut self, searcher: usize, factor: f64) {
         let index = searcher % self.searchers.len();
         let newest_shards = self.searchers[index].shards_by_snapshot.values().next_back();
@@ -274,7 +274,7 @@
         self.schedule(Duration::ZERO, SimEvent::BeginStop { node: index, generation });
     }
 
-    /// Marks a node as stopping, tells its leaf engine and announces the change to all nodes.
+    /// Marks a node as stopping, passes the stop to its leaf engine and announces the change to all nodes.
     pub(super) fn begin_stop(&mut self, node: usize) {
         let now = self.now;
         self.nodes[node].stopping_since = Some(now);
@@ -325,7 +325,8 @@
         self.network.heal();
     }
 
-    /// Tells a node that the caller of its oldest open request is gone, unless the node is down or paused.
+    /// Reports to a node that the caller of its oldest open request has disconnected, unless the node is down or
+    /// paused.
     pub fn disconnect_oldest_caller(&mut self, node: usize) {
         let index = node % self.nodes.len();
         let id = self.nodes[index].id;
--- a/crates/session/staircross-lab/src/sim/world/searchers.rs
+++ b/crates/session/staircross-lab/src/sim/world/searchers.rs
@@ -175,7 +175,7 @@
         self.handle_leaf_event(node, LeafEvent::Reply { reply, run: None });
     }
 
-    /// Sends a probe to a searcher. If it can't be reached, the leaf gets a result without evidence.
+    /// Sends a probe to a searcher. If it can't be reached, the leaf gets a result without a report.
     pub(super) fn send_probe(&mut self, node: usize, searcher: SearcherId) {
         let index = searcher.0 as usize;
         let generation = self.nodes[node].generation;
--- a/crates/session/staircross-lab/src/sim/world/settings.rs
+++ b/crates/session/staircross-lab/src/sim/world/settings.rs
@@ -16,7 +16,7 @@
     pub policy: ServicePolicy,
     /// Number of searchers.
     pub searchers: usize,
-    /// Number of sub-requests that each searcher runs at a time.
+    /// Number of sub-requests that each searcher executes at a time.
     pub slots: usize,
     /// Number of shards of the index.
     pub shards: u32,
--- a/crates/session/staircross-language/src/statement.rs
+++ b/crates/session/staircross-language/src/statement.rs
@@ -12,7 +12,7 @@
     Pull(PullStatement),
     /// An action, which must not be executed more than once.
     Run(RunStatement),
-    /// A display of state.
+    /// A request to show a part of the node's state.
     Show(ShowStatement),
     /// A change of the configuration.
     Config(ConfigStatement),
@@ -29,7 +29,7 @@
     pub wait_ms: Option<u64>,
     /// Least coverage of the request, in shards per thousand. The service's least coverage applies too.
     pub coverage_per_mille: Option<u32>,
-    /// Most hits to return.
+    /// Largest number of hits to return.
     pub limit: u32,
 }
 
@@ -42,15 +42,15 @@
     pub service: ServiceName,
     /// Cursor that the previous page returned; `None` for the first page.
     pub after: Option<String>,
-    /// Wait bound of the page or action in milliseconds.
+    /// Wait bound of the page in milliseconds. The service's bound applies too.
     pub wait_ms: Option<u64>,
-    /// Most documents of the page.
+    /// Largest number of documents of the page.
     pub limit: u32,
 }
 
 /// `RUN verb ON 'target' IN SERVICE name [NOTE 'text'] [WAIT n MS] TICKET 'ticket'`
 ///
-/// The grammar accepts the statement without a ticket.
+/// The grammar accepts the statement without a ticket; the node refuses it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunStatement {
     /// Name of the action.
@@ -61,7 +61,7 @@
     pub service: ServiceName,
     /// Text for the searcher's audit trail.
     pub note: String,
-    /// Wait bound of the page or action in milliseconds.
+    /// Wait bound of the action in milliseconds. The service's bound applies too.
     pub wait_ms: Option<u64>,
     /// The ticket as text; `None` if the statement has none.
     pub ticket: Option<String>,
@@ -74,7 +74,7 @@
     Services,
     /// The searchers as this node sees them.
     Searchers,
-    /// The nodes of the fleet.
+    /// The nodes of the cluster.
     Members,
     /// The configuration that is in force.
     Config,
@@ -93,7 +93,7 @@
     pub based_on: Option<u64>,
 }
 
-/// Limit of a statement that names none.
+/// Limit that applies to a statement without `LIMIT`.
 pub const DEFAULT_LIMIT: u32 = 10;
 /// Highest limit that a statement may name.
 pub const MAX_LIMIT: u32 = 1000;
--- a/crates/session/staircross-node/src/api.rs
+++ b/crates/session/staircross-node/src/api.rs
@@ -91,7 +91,7 @@
     pub elapsed_ms: f64,
     /// Number of sub-requests sent.
     pub sub_requests: u32,
-    /// Number of sub-requests that were strictly needed.
+    /// Number of sub-requests of the first plan. Hedges, retries and later plans are extra.
     pub sub_requests_needed: u32,
     /// Cursor of the next page, for use in `PULL … AFTER`.
     #[serde(skip_serializing_if = "Option::is_none", default)]
@@ -133,7 +133,7 @@
 /// State of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Id of this run of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// Whether the node is stopping.
     pub leaving: bool,
@@ -156,7 +156,7 @@
 /// State of one member of the cluster as the replying node knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Id of the member's run.
+    /// Id of the member's incarnation.
     pub node: NodeId,
     /// Address at which callers reach the member.
     pub address: SocketAddr,
@@ -166,7 +166,7 @@
     pub zone: String,
     /// Membership state of the member, in lower case.
     pub state: String,
-    /// Revision of the document that the member holds, if it has told this node.
+    /// Revision of the document that the member holds, if this node has received it.
     pub revision: Option<u64>,
 }
 
--- a/crates/session/staircross-node/src/client.rs
+++ b/crates/session/staircross-node/src/client.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a reply. It exceeds the wait bounds of requests that are in usual use.
+/// Longest wait for a reply. It exceeds every wait bound that a service may declare.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 /// Longest reply, in bytes.
 const MAX_REPLY_BYTES: u64 = 64 * 1024 * 1024;
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -36,10 +36,10 @@
 
 /// Interval between ticks of the engines.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Delay of a tick that shows that this process was paused, so that other nodes may have declared this node dead.
-/// The delay is shorter than the time that they take to do so.
+/// Delay of a tick from which on the process counts as paused. Other nodes may have declared a paused node dead; the
+/// delay is shorter than the time that they take to do so.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Events handled in a row before the timers are checked again.
+/// Upper bound of the queued events that are handled before the timers are checked again.
 const MAX_EVENTS_PER_TURN: usize = 256;
 /// Time during which a stopping node still accepts requests of its sessions, so that callers learn from the
 /// replies which node to use next.
@@ -68,7 +68,7 @@
     held_replies: Vec<HeldReply>,
     session_lookups: HashMap<SessionToken, SessionLookup>,
     held_sessions: HeldSessions,
-    /// Number of the next session lookup.
+    /// Id of the next session lookup.
     next_ask: u64,
     /// Attempts sent to other nodes, each with the peer address of the node to which it was sent.
     remote_attempts: HashMap<AttemptId, SocketAddr>,
@@ -79,14 +79,14 @@
     idle_ticks: u32,
     /// Values of the root engine's counters that the metrics already include.
     last_counters: RootCounters,
-    /// Number of HTTP requests that the front is serving.
+    /// Number of HTTP requests that the HTTP server is processing.
     active_http_requests: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
 /// Arguments of [`Core::new`].
 pub struct CoreParts {
-    /// Id of this run of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// Settings of the node.
     pub settings: Settings,
@@ -100,7 +100,7 @@
     pub peers: PeerTransport,
     /// Connections to searchers.
     pub searchers: SearcherConnections,
-    /// Number of HTTP requests that the front is serving.
+    /// Number of HTTP requests that the HTTP server is processing.
     pub active_http_requests: Arc<AtomicUsize>,
     /// Flag that the core sets when it has ended, so that the node's other threads end too.
     pub stop: Arc<AtomicBool>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Handles events until a planned stop is complete, then tells the other nodes that this one has left.
+    /// Handles events until a planned stop is complete, then announces to the other nodes that this one has left.
     pub fn run(mut self) {
         while !self.is_done() {
             let wait = self.time_until_wake();
@@ -258,17 +258,17 @@
         self.handle_leaf_event(now, LeafEvent::Stop);
     }
 
-    /// Whether a planned stop began at least [`STOP_LINGER`] ago, so that the node refuses further requests.
+    /// Returns whether a planned stop began at least [`STOP_LINGER`] ago, so that the node refuses further requests.
     fn is_lingering_over(&self, now: BootTime) -> bool {
         self.stopping_since.is_some_and(|since| now.since(since) >= STOP_LINGER)
     }
 
-    /// Whether a planned stop is complete.
+    /// Returns whether a planned stop is complete.
     fn is_done(&self) -> bool {
         self.idle_ticks >= IDLE_TICKS_TO_END
     }
 
-    /// Whether the node is stopping and has nothing left to wait for at this moment.
+    /// Returns whether the node is stopping and has nothing left to wait for at this moment.
     ///
     /// The wait for requests in flight ends because each request has a bounded wait time.
     fn is_idle(&self, now: BootTime) -> bool {
@@ -283,7 +283,7 @@
         !is_busy && self.is_lingering_over(now)
     }
 
-    /// Tells the leaf engine which searchers the machine list marks as leaving or operators have drained.
+    /// Passes to the leaf engine which searchers the machine list marks as leaving or operators have drained.
     fn update_leaving_searchers(&mut self, now: BootTime) {
         let leaving_addresses: BTreeSet<SocketAddr> = self
             .machines
--- a/crates/session/staircross-node/src/core/callers.rs
+++ b/crates/session/staircross-node/src/core/callers.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Checks that this node isn't about to exit and has a document.
+    /// Checks that this node isn't about to exit and has a service document.
     fn check_accepts_requests(&self, now: BootTime) -> Result<(), Refusal> {
         if self.is_lingering_over(now) {
             return Err(Refusal::new(ErrorKind::Leaving, "this node is stopping; the session lives on at the others"));
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -47,7 +47,7 @@
         self.update_leaving_searchers(now);
     }
 
-    /// Tells the connections and the leaf engine which searchers this node owns now.
+    /// Passes to the searcher connections and the leaf engine which searchers this node owns now.
     fn update_ownership(&mut self, now: BootTime) {
         let node = self.node;
         let shares = self.cluster.ownership().shares_of(node);
--- a/crates/session/staircross-node/src/core/requests.rs
+++ b/crates/session/staircross-node/src/core/requests.rs
@@ -90,7 +90,7 @@
                 if to == self.node {
                     self.handle_leaf_event(now, LeafEvent::Request { from, request });
                 } else if let Some(address) = self.cluster.member(from).map(|member| member.peer_address) {
-                    // The request is meant for an earlier run of the node at this address.
+                    // The request is meant for an earlier incarnation of the node at this address.
                     let reply = not_run(&request, NotRunReason::NotOwner);
                     self.peers.send(address, PeerMessage::Reply { to: from, reply });
                 }
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Reports an unknown outcome for each sub-request sent to a node whose connection broke: its leaf engine may
-    /// have run them.
+    /// Reports an unknown outcome for each sub-request sent to a node whose connection broke: the searchers may have
+    /// executed them.
     pub(super) fn on_peer_broken(&mut self, now: BootTime, address: SocketAddr) {
         let lost: Vec<AttemptId> = self
             .remote_attempts
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Reports to the root engine that a sub-request wasn't run, or that its outcome is unknown if part of it was sent.
+    /// Reports to the root engine that a sub-request wasn't executed, or that its outcome is unknown if part of it was
+    /// sent.
     pub(super) fn on_undelivered(&mut self, now: BootTime, request: &SubRequest, partly_written: bool) {
         self.remote_attempts.remove(&request.attempt);
         let mut reply = not_run(request, NotRunReason::NotOwner);
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -13,15 +13,15 @@
 use staircross_types::{BootTime, ErrorKind, NodeId, RequestId, SessionToken};
 use std::time::Duration;
 
-/// Longest time that a reply waits until copies of its session are confirmed. After it the reply is sent anyway,
-/// and the session's latest state may be lost if this node fails.
+/// Longest time that a reply waits until copies of its session are confirmed. After this time the reply is sent without
+/// the confirmations, and the session's latest state may be lost if this node fails.
 const COPY_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 /// Longest wait for other nodes to answer whether they have a copy of a session.
 const SESSION_LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest number of commands that may wait for the same session to be found.
 const MAX_WAITING_COMMANDS: usize = 64;
 
-/// A reply that is held until copies of its session are confirmed.
+/// A reply that is sent only when copies of its session are confirmed, or at its deadline.
 pub(super) struct HeldReply {
     token: SessionToken,
     /// Version of the session whose copies must be confirmed.
@@ -34,7 +34,7 @@
 
 /// A search of other nodes for a copy of a session that this node doesn't hold.
 pub(super) struct SessionLookup {
-    /// Number of the lookup, by which answers to an earlier lookup of the same session are told apart.
+    /// Id of the lookup. Answers to an earlier lookup of the same session carry another id and are ignored.
     ask: u64,
     /// Number of nodes that haven't answered yet.
     pending_answers: usize,
--- a/crates/session/staircross-node/src/front.rs
+++ b/crates/session/staircross-node/src/front.rs
@@ -1,8 +1,8 @@
 //! HTTP server for callers and operators.
 //!
-//! The server library runs one thread per connection. The thread converts each request into a typed
-//! command for the core and waits for the reply. The number of connections, the length of a request
-//! and the time spent waiting for a caller are bounded.
+//! The server library runs one thread per connection. The thread converts each request into a typed command for the
+//! core thread and waits for the reply. The number of connections, the length of a request and the time spent waiting
+//! for a caller are bounded.
 
 use crate::api::{StatementReply, StatementRequest};
 use crate::event::{CallerCommand, CallerReply, CoreEvent};
@@ -20,8 +20,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Longest wait for a reply of the core. It exceeds every wait bound that a service may declare, so it passes
-/// only if the core is stuck.
+/// Longest wait for a reply of the core. It exceeds every wait bound that a service may declare, so the wait times out
+/// only if the core doesn't respond.
 const CORE_REPLY_TIMEOUT: Duration = Duration::from_secs(620);
 
 /// State shared by all connections of the HTTP server.
--- a/crates/session/staircross-node/src/node.rs
+++ b/crates/session/staircross-node/src/node.rs
@@ -94,7 +94,7 @@
         Ok(Node { id, events, leaving, core })
     }
 
-    /// Returns the id of this run of the node.
+    /// Returns the id of this incarnation of the node.
     pub fn id(&self) -> NodeId {
         self.id
     }
@@ -106,7 +106,7 @@
         let _already_done = self.events.send(CoreEvent::Stop);
     }
 
-    /// Whether the planned stop is complete.
+    /// Returns whether the planned stop is complete.
     pub fn is_done(&self) -> bool {
         self.core.is_finished()
     }
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -1,9 +1,9 @@
 //! Connections to other nodes.
 //!
-//! Small control messages are sent over one UDP socket. Everything else is sent over TCP: each node writes
-//! to the connections that it opened and reads from those that it accepted. Queues are bounded, so that
-//! messages to a peer that doesn't keep up are dropped instead of filling this node's memory. A malformed
-//! frame closes only the connection on which it arrived.
+//! Small control messages are sent over one UDP socket. Everything else is sent over TCP: each node writes to the
+//! connections that it opened and reads from those that it accepted. Queues are bounded, so that messages to a slow
+//! peer are dropped instead of filling this node's memory. A malformed frame closes only the connection on which it
+//! arrived.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
@@ -51,7 +51,7 @@
 
 /// Arguments of [`PeerTransport::start`].
 pub struct PeerTransportParts {
-    /// Id of this run of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// Address on which to listen over TCP and UDP.
     pub listen: SocketAddr,
@@ -119,7 +119,8 @@
     }
 }
 
-/// Whether the message belongs to a protocol that tolerates loss and may be sent as a datagram.
+/// Returns whether the message belongs to a protocol that tolerates loss, so that the message may be sent as a
+/// datagram.
 fn tolerates_loss(message: &PeerMessage) -> bool {
     let PeerMessage::Cluster(envelope) = message else {
         return false;
--- a/crates/session/staircross-node/src/platform.rs
+++ b/crates/session/staircross-node/src/platform.rs
@@ -1,6 +1,6 @@
 //! Reads the service document and the machine list from the platform.
 //!
-//! After a failed read or a malformed reply, the document and the machine list in force stay in force.
+//! After a failed read or a malformed reply, the document and the machine list that were read last stay in force.
 
 use crate::event::CoreEvent;
 use crate::logs::Logs;
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -10,7 +10,7 @@
 //! - An action is sent on a new connection. On a keep-alive connection that the searcher has just
 //!   closed, it would be unknown whether the action was executed.
 //! - No call is started after its `send_before`.
-//! - "Not run" is reported only if the call wasn't started, if no connection was made, or if the
+//! - `NotRun` is reported only if the call wasn't started, if no connection was made, or if the
 //!   searcher itself said so.
 
 mod call;
@@ -158,7 +158,7 @@
         self.queue_control_job(searcher, ControlJob::Probe);
     }
 
-    /// Queues a message that tells a searcher that an attempt is no longer wanted.
+    /// Queues a notice to a searcher that the result of an attempt is no longer needed.
     pub fn cancel(&self, searcher: SearcherId, attempt: AttemptId) {
         self.queue_control_job(searcher, ControlJob::Cancel(attempt));
     }
@@ -197,7 +197,8 @@
         let Ok(job) = received else {
             return;
         };
-        // The leaf engine decided on evidence that may be too old now, for example after a pause of this thread.
+        // The leaf engine sent the job because of a probe reply that may be too old now, for example after a pause of
+        // this thread.
         let CallResult { reply, run } = if clock::now() >= job.send_before {
             CallResult::without_reply(not_run(&job.request, NotRunReason::Unconnected))
         } else {
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -16,7 +16,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for the reply to a probe or a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time added to the wait for a reply, so that one sent at the deadline still arrives.
+/// Time by which the wait for a reply exceeds the time until the deadline, so that a reply sent at the deadline still
+/// arrives.
 const REPLY_GRACE: Duration = Duration::from_millis(50);
 
 /// HTTP client of one searcher, with one keep-alive connection.
@@ -173,7 +174,8 @@
         Some(Evidence { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
     }
 
-    /// Tells the searcher that an attempt is no longer wanted. This is only a hint, so a failure is only logged.
+    /// Notifies the searcher that the result of an attempt is no longer needed. This is only a hint, so a failure is
+    /// only logged.
     pub fn cancel(&self, attempt: AttemptId) {
         let Ok(body) = serde_json::to_vec(&CancelCall { attempt }) else {
             return;
--- a/crates/session/staircross-search/src/budget.rs
+++ b/crates/session/staircross-search/src/budget.rs
@@ -1,8 +1,8 @@
 //! Budgets for hedges and retries, which are work beyond the primary sub-requests.
 //!
 //! Each primary sub-request earns a fraction of a token; a hedge or retry spends a whole token. The extra load is
-//! therefore a bounded fraction of the primary load, whatever fails. While back ends shed work, nothing may be spent:
-//! extra work would make them shed more.
+//! therefore a bounded fraction of the primary load, whatever fails. For a while after a searcher has shed work,
+//! nothing may be spent: extra work would make the searchers shed more.
 
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -43,7 +43,7 @@
         self.saved_milli = (self.saved_milli + earned).min(MAX_SAVED_MILLI);
     }
 
-    /// Pauses spending because a back end shed work.
+    /// Pauses spending because a searcher shed work.
     pub fn pause_after_shed(&mut self, now: BootTime) {
         self.paused_until = now + SHED_PAUSE;
     }
--- a/crates/session/staircross-search/src/copies.rs
+++ b/crates/session/staircross-search/src/copies.rs
@@ -1,34 +1,34 @@
-//! Detection of slow copies of shards.
+//! Detection of slow replicas of shards. Here a replica is one shard at one searcher.
 //!
-//! A searcher may be fast for all its shards but one. A slow reply makes every copy that was asked for in the
-//! sub-request a suspect; a fast reply clears them. A copy with two slow replies in a row is avoided, for a time that
-//! doubles with each further slow reply, and is then tried again by one request at a time. Each suspect is asked in a
-//! sub-request of its own. A copy that was suspected only because it was asked together with a slow one is therefore
-//! cleared by its first fast reply, while the slow copy is tried less and less often.
+//! A searcher may be fast for all its shards but one. A slow reply makes every replica that the sub-request asked for
+//! suspected; a fast reply clears the suspicion. A replica with two slow replies in a row is avoided, for a time that
+//! doubles with each further slow reply, and is then tried again by one request at a time. Each suspected replica is
+//! asked in a sub-request of its own. A replica that was suspected only because it was asked together with a slow one
+//! is therefore cleared by its first fast reply, while the slow replica is tried less and less often.
 
 use hashbrown::HashMap;
 use staircross_types::{BootTime, SearcherId, ShardId};
 use std::time::Duration;
 
-/// Slow replies in a row after which a copy is avoided.
+/// Number of slow replies in a row from which on a replica is avoided.
 const SLOW_REPLIES_TO_AVOID: u8 = 2;
-/// Time for which a copy is avoided at first. The time doubles with each further slow reply.
+/// Time for which a replica is avoided at first. The time doubles with each further slow reply.
 const INITIAL_AVOIDANCE: Duration = Duration::from_secs(1);
-/// Upper bound of the doublings, which limits the avoidance to 64 seconds.
+/// Largest number of doublings. It limits the avoidance to 64 seconds.
 const MAX_AVOIDANCE_DOUBLINGS: u8 = 6;
-/// Shortest time between two requests that try a copy whose avoidance has ended.
+/// Shortest time between two requests that try a replica whose avoidance has ended.
 const MIN_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Multiple of the usual tail latency above which a reply counts as slow.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// The copy of a shard that one searcher holds.
+/// The replica of a shard that one searcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ShardCopy {
     searcher: SearcherId,
     shard: ShardId,
 }
 
-/// The record of a suspected copy.
+/// The slow replies of a suspected replica.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     /// Slow replies in a row.
@@ -36,19 +36,19 @@
     avoided_until: BootTime,
 }
 
-/// The suspected copies. Copies that aren't suspected take no memory.
+/// The suspected replicas. Replicas that aren't suspected take no memory.
 #[derive(Default)]
 pub struct CopyHealth {
     suspicions: HashMap<ShardCopy, Suspicion>,
 }
 
 impl CopyHealth {
-    /// Creates a table without suspected copies.
+    /// Creates a table without suspected replicas.
     pub fn new() -> Self {
         CopyHealth::default()
     }
 
-    /// Counts a slow reply for each of `shards`, because another copy that was asked later replied first.
+    /// Counts a slow reply for each of `shards`, because another replica that was asked later replied first.
     pub fn record_overtaken(&mut self, now: BootTime, searcher: SearcherId, shards: impl Iterator<Item = ShardId>) {
         for shard in shards {
             self.count_slow_reply(now, ShardCopy { searcher, shard });
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Counts a slow reply of a copy, and starts or extends its avoidance once there are enough.
+    /// Counts a slow reply of a replica, and starts or extends its avoidance once there are enough.
     fn count_slow_reply(&mut self, now: BootTime, copy: ShardCopy) {
         let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { slow_replies: 0, avoided_until: now });
         suspicion.slow_replies = suspicion.slow_replies.saturating_add(1);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns whether a copy is to be avoided now.
+    /// Returns whether a replica is to be avoided now.
     pub fn is_avoided(&self, now: BootTime, searcher: SearcherId, shard: ShardId) -> bool {
         if self.suspicions.is_empty() {
             return false;
@@ -97,10 +97,11 @@
         self.suspicions.get(&ShardCopy { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoided_until)
     }
 
-    /// Returns the number of slow replies of a copy in a row; zero when it isn't suspected.
+    /// Returns the number of slow replies of a replica in a row; zero when it isn't suspected.
     ///
-    /// A suspected copy is asked in a sub-request of its own, so that the time of the reply depends on this copy alone.
-    /// Copies that are asked together are suspected together, and one slow copy would keep the others suspected.
+    /// A suspected replica is asked in a sub-request of its own, so that the time of the reply depends on this replica
+    /// alone. Replicas that are asked together are suspected together, and one slow replica would keep the others
+    /// suspected.
     pub fn slow_replies(&self, searcher: SearcherId, shard: ShardId) -> u8 {
         if self.suspicions.is_empty() {
             return 0;
@@ -108,8 +109,8 @@
         self.suspicions.get(&ShardCopy { searcher, shard }).map_or(0, |suspicion| suspicion.slow_replies)
     }
 
-    /// Records that a copy is asked. A copy with enough slow replies to be avoided isn't asked again for a while, so
-    /// that one request at a time tries it.
+    /// Records that a replica is asked. A replica with enough slow replies to be avoided isn't asked again for a while,
+    /// so that one request at a time tries it.
     pub fn record_asked(&mut self, now: BootTime, searcher: SearcherId, shard: ShardId) {
         if self.suspicions.is_empty() {
             return;
@@ -121,17 +122,17 @@
         }
     }
 
-    /// Clears all copies of a searcher, which has restarted.
+    /// Clears the suspicion of all replicas at a searcher, which has restarted.
     pub fn clear_searcher(&mut self, searcher: SearcherId) {
         self.suspicions.retain(|copy, _| copy.searcher != searcher);
     }
 
-    /// Returns the number of suspected copies.
+    /// Returns the number of suspected replicas.
     pub fn len(&self) -> usize {
         self.suspicions.len()
     }
 
-    /// Returns whether no copy is suspected.
+    /// Returns whether no replica is suspected.
     pub fn is_empty(&self) -> bool {
         self.suspicions.is_empty()
     }
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -4,9 +4,9 @@
 //!
 //! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
 //! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
-//! searcher has answered a probe that was sent less than [`LeafSettings::max_evidence_age`] ago; a run of a searcher
-//! that is leaving stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root
-//! has cancelled it.
+//! searcher has answered a probe that was sent less than [`LeafSettings::max_evidence_age`] ago; an incarnation that is
+//! leaving stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root has
+//! cancelled it.
 
 mod owned;
 
@@ -25,12 +25,12 @@
     pub max_evidence_age: Duration,
     /// Time between the probes of a searcher.
     pub probe_interval: Duration,
-    /// Time over which the slots used of a restarted searcher are raised to the whole share.
+    /// Time over which the number of slots that are used of a restarted searcher rises to the whole share.
     pub ramp_up_time: Duration,
-    /// Upper bound of a searcher's queue, per slot of the share.
+    /// Largest number of sub-requests that may be queued for a searcher, per slot of the leaf's share.
     pub max_queue_per_slot: usize,
-    /// Time after it first owns a searcher during which a leaf takes no work. The leaf must first hear from its peers
-    /// which searchers are leaving.
+    /// Time after a leaf first owns a searcher during which the leaf accepts no work. In this time it receives the
+    /// views of its peers, which say which searchers are leaving.
     pub settling_time: Duration,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Time after its deadline at which a sub-request without a reply is dropped.
+/// Time after the deadline of a sub-request at which the leaf stops counting it as in flight if no reply came.
 const LOST_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An event that a leaf handles.
@@ -56,17 +56,18 @@
     Owned(BTreeMap<SearcherId, u32>),
     /// A root sends a sub-request.
     Request { from: NodeId, request: SubRequest },
-    /// A root no longer wants the result of an attempt.
+    /// A root no longer needs the result of an attempt.
     Cancel { from: NodeId, attempt: AttemptId },
-    /// A searcher replied, or the call to it failed. `run` is the run that replied, if one did.
+    /// A searcher replied, or the call to it failed. `incarnation` is the one that replied, if one did.
     Reply { reply: SubReply, run: Option<SearcherIncarnation> },
     /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
     Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
     /// A peer published its view of a searcher.
     PeerView(SearcherView),
-    /// The searchers that the platform lists as leaving or that operators drain. The list applies to any run of them.
+    /// The searchers that the platform lists as leaving or that operators drain. The list applies to every incarnation
+    /// of a listed searcher.
     ListedAsLeaving(BTreeSet<SearcherId>),
-    /// The leaf is stopping and takes no new work.
+    /// The leaf is stopping and accepts no new work.
     Stop,
     /// Timers may be due.
     Tick,
@@ -77,7 +78,7 @@
 pub enum LeafAction {
     /// Send the sub-request to the searcher, but not after `send_before`.
     Send { request: SubRequest, send_before: BootTime },
-    /// Tell the searcher that the result of an attempt is no longer wanted.
+    /// Notify the searcher that the result of an attempt is no longer needed.
     CancelAtSearcher { searcher: SearcherId, attempt: AttemptId },
     /// Reply to a root.
     Reply { to: NodeId, reply: SubReply },
@@ -91,8 +92,8 @@
 pub struct LeafEngine {
     settings: LeafSettings,
     searchers: BTreeMap<SearcherId, OwnedSearcher>,
-    /// The leaving run of each searcher that is known to leave, whether the leaf owns the searcher or not. A peer may
-    /// report a run before this leaf has probed it, or before the leaf owns the searcher.
+    /// The leaving incarnation of each searcher that is known to be leaving, whether the leaf owns the searcher or not.
+    /// A peer may report an incarnation before this leaf has probed it, or before the leaf owns the searcher.
     leaving_runs: BTreeMap<SearcherId, SearcherIncarnation>,
     first_owned_at: Option<BootTime>,
     stopping: bool,
@@ -132,7 +133,8 @@
         self.searchers.values().map(|searcher| searcher.in_flight.len() + searcher.queue.len()).sum()
     }
 
-    /// Returns whether the leaf has heard from its peers for long enough to take work, or has never owned a searcher.
+    /// Returns whether the leaf has waited for the views of its peers for long enough to accept work, or has never
+    /// owned a searcher.
     pub fn is_settled(&self, now: BootTime) -> bool {
         self.first_owned_at.is_none_or(|since| now.since(since) >= self.settings.settling_time)
     }
@@ -142,7 +144,8 @@
         self.searchers.iter().map(|(id, searcher)| searcher.view(*id)).collect()
     }
 
-    /// Sets the owned searchers and the shares of their slots. The queues of searchers no longer owned are refused.
+    /// Sets the owned searchers and the shares of their slots. The sub-requests queued for searchers that are no longer
+    /// owned are refused.
     fn set_owned(&mut self, now: BootTime, shares: BTreeMap<SearcherId, u32>, actions: &mut Vec<LeafAction>) {
         if !shares.is_empty() {
             self.first_owned_at.get_or_insert(now);
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Queues a sub-request, or refuses it if the leaf may not take it or the queue is full.
+    /// Queues a sub-request, or refuses it if the leaf doesn't accept it or the queue is full.
     fn on_request(&mut self, now: BootTime, from: NodeId, request: SubRequest, actions: &mut Vec<LeafAction>) {
         let id = request.searcher;
         let refuse = |reason| LeafAction::Reply { to: from, reply: not_run(&request, reason) };
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Passes the reply to an attempt in flight to its root. A `Draining` refusal is recorded even without one.
+    /// Passes the reply to an attempt in flight to its root. A `Draining` refusal is recorded even if the attempt isn't
+    /// in flight.
     fn on_reply(
         &mut self,
         now: BootTime,
@@ -242,7 +246,8 @@
         searcher.dispatch(now, id, &self.settings, actions);
     }
 
-    /// Records the run of a searcher that is leaving, so that it is still known after ownership has changed.
+    /// Records the incarnation of a searcher that is leaving, so that it is still known after the searcher's owner has
+    /// changed.
     fn record_leaving_run(&mut self, id: SearcherId) {
         let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.run_leaving) else {
             return;
@@ -286,8 +291,8 @@
         self.record_leaving_run(id);
     }
 
-    /// Marks a run that a peer reports as leaving. If the peer doesn't know yet that the run is leaving, corrects its
-    /// view.
+    /// Marks an incarnation that a peer reports as leaving. If the peer doesn't know yet that the incarnation is
+    /// leaving, publishes the corrected view.
     fn on_peer_view(&mut self, view: SearcherView, actions: &mut Vec<LeafAction>) {
         let Some(incarnation) = view.evidence.as_ref().map(|evidence| evidence.incarnation) else {
             return;
@@ -299,7 +304,8 @@
         }
     }
 
-    /// Records that a run is leaving. If it is the run known of an owned searcher, refuses the searcher's queue.
+    /// Records that an incarnation is leaving. If it is the last known incarnation of an owned searcher, refuses the
+    /// searcher's queue.
     fn mark_run_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
         self.leaving_runs.insert(id, incarnation);
         let Some(searcher) = self.searchers.get_mut(&id) else {
@@ -320,7 +326,7 @@
             }
             let before = searcher.view(*id);
             searcher.listed_as_leaving = is_listed;
-            // The run stays leaving, even if a later list no longer has the searcher.
+            // The incarnation stays leaving, even if a later list no longer has the searcher.
             searcher.run_leaving |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
@@ -336,9 +342,9 @@
     fn on_tick(&mut self, now: BootTime, actions: &mut Vec<LeafAction>) {
         for (id, searcher) in &mut self.searchers {
             searcher.expire_queue(now, actions);
-            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped here
-            // sooner, a planned stop could finish while the call is still in flight. This late, dropping it only guards
-            // against a lost worker thread.
+            // Every call to a searcher ends by its deadline, with or without a reply. If a call were dropped sooner, a
+            // planned stop could finish while the call is still in flight. The timeout only matters if a worker thread
+            // ended without a reply.
             searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_TIMEOUT);
             let probe_timeout = self.settings.max_evidence_age;
             let unanswered = searcher.pending_probe_at.is_some_and(|asked| now.since(asked) > probe_timeout);
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -30,11 +30,11 @@
     pub(super) evidence: Option<Evidence>,
     /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
     pub(super) evidence_asked_at: Option<BootTime>,
-    /// When the current run was first seen.
+    /// When the current incarnation was first seen.
     pub(super) run_first_seen: BootTime,
-    /// Whether the current run followed another, so that its slots are ramped up.
+    /// Whether this leaf saw an earlier incarnation before the current one, so that the slots used are ramped up.
     pub(super) needs_ramp_up: bool,
-    /// Whether the current run is leaving. Once set, this stays set until another run is seen.
+    /// Whether the current incarnation is leaving. Once set, this stays set until another incarnation is seen.
     pub(super) run_leaving: bool,
     /// Whether the platform lists the searcher as leaving or an operator drains it.
     pub(super) listed_as_leaving: bool,
@@ -54,7 +54,7 @@
         SearcherView { searcher, evidence: self.evidence.clone(), leaving: self.is_leaving() }
     }
 
-    /// Marks the current run as leaving.
+    /// Marks the current incarnation as leaving.
     pub(super) fn mark_leaving(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
         if !self.run_leaving {
             self.run_leaving = true;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Handles a refusal because the searcher is leaving. The refusal is about the run that sent it, which may be newer
-    /// than the run probed last; in that case nothing more is sent until the next probe reply.
+    /// Handles a refusal because the searcher is leaving. The refusal is about the incarnation that sent it, which may
+    /// be newer than the one probed last; in that case nothing more is sent until the next probe reply.
     pub(super) fn on_draining_refusal(
         &mut self,
         id: SearcherId,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Applies a probe reply. `reported_leaving` says whether the run is already known to be leaving.
+    /// Applies a probe reply. `reported_leaving` says whether the incarnation is already known to be leaving.
     pub(super) fn apply_evidence(
         &mut self,
         now: BootTime,
@@ -88,21 +88,23 @@
     ) {
         let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
         if !same_run {
-            // A searcher that this leaf sees for the first time may be warm; one that was restarted is cold.
+            // The first incarnation that this leaf sees may be warm; one that follows another has restarted and is
+            // cold.
             self.needs_ramp_up = self.evidence.is_some();
             self.run_first_seen = now;
             self.run_leaving = false;
         }
-        // A run that is leaving stays so, even if it reports itself as serving again.
+        // An incarnation that is leaving stays so, even if it reports itself as serving again.
         self.run_leaving |= evidence.draining || reported_leaving;
         self.evidence_asked_at = Some(asked_at);
         self.evidence = Some(evidence);
     }
 
-    /// Records that a probe had no answer.
+    /// Records that a probe was not answered.
     pub(super) fn clear_evidence(&mut self) {
         self.evidence_asked_at = None;
-        // The run is kept, to be compared with the next one, but its snapshots are no longer served.
+        // The incarnation is kept, to be compared with the next one, but the searcher no longer counts as serving any
+        // snapshot.
         if let Some(evidence) = &mut self.evidence {
             evidence.snapshots.clear();
         }
--- a/crates/session/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -1,10 +1,9 @@
 //! Decisions of the query tier about requests. The modules do no input or output themselves.
 //!
-//! Each node has a root and a leaf. The root takes the requests of callers, splits each into sub-requests for the
+//! Each node has a root and a leaf. The root accepts the requests of callers, splits each into sub-requests for the
 //! shards of a snapshot, and merges the replies. Searchers are the back ends that hold the shards. A leaf owns some of
-//! the searchers, or a share of their slots, and passes the sub-requests of all roots on to them. A searcher gets a new
-//! incarnation each time that it starts. Comments call the time of one incarnation a run: one run can leave and the
-//! next serve.
+//! the searchers, or a share of their slots, and passes the sub-requests of all roots on to them. Each start of a
+//! searcher's process is a new incarnation of the searcher: one incarnation can be leaving while the next one serves.
 //!
 //! | module | decides or holds |
 //! | --- | --- |
@@ -13,7 +12,7 @@
 //! | [`session`] | which sessions exist, which snapshots they have seen and which of their tickets are used |
 //! | [`snapshot_choice`] | which snapshot a service is served from |
 //! | [`replica`] | which replica of a shard is asked |
-//! | [`copies`] | which copies of shards are slow and are avoided |
+//! | [`copies`] | which replicas of shards are slow and are avoided |
 //! | [`budget`] | how many hedges and retries may be sent |
 //! | [`limiter`] | how many requests of a service may be in flight |
 //! | [`request`] | what is recorded of one request in flight |
--- a/crates/session/staircross-search/src/limiter.rs
+++ b/crates/session/staircross-search/src/limiter.rs
@@ -1,8 +1,8 @@
 //! Limit on the requests of one service in flight at this root.
 //!
-//! The limit adapts to what the back ends can take: it grows while requests end without signs of overload, and
-//! shrinks when a sub-request is shed or a request is refused. Refusing a request at admission costs the back ends
-//! nothing; a request that is admitted and then fails has cost work at every back end that it was sent to.
+//! The limit adapts to the capacity of the searchers: it grows while requests end without signs of overload, and
+//! shrinks when a sub-request is shed or a request is refused. Refusing a request at admission costs the searchers
+//! nothing; a request that is admitted and then fails has cost work at every searcher that it was sent to.
 
 use staircross_types::BootTime;
 use std::time::Duration;
@@ -49,8 +49,8 @@
         if overloaded {
             self.back_off(now);
         } else if was_half_used {
-            // While less than half of the limit is used, a request that ends well says nothing about how much more the
-            // back ends can take, so the limit doesn't grow.
+            // While less than half of the limit is used, a request that ends well doesn't show that the searchers could
+            // process more, so the limit doesn't grow.
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
--- a/crates/session/staircross-search/src/message.rs
+++ b/crates/session/staircross-search/src/message.rs
@@ -32,13 +32,13 @@
 /// One sub-request, from a root through a leaf to one searcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubRequest {
-    /// Id of the attempt, repeated in the reply.
+    /// Id of the attempt. The reply repeats it.
     pub attempt: AttemptId,
     /// The searcher that is asked.
     pub searcher: SearcherId,
     /// The only snapshot that the searcher may answer from.
     pub snapshot: Snapshot,
-    /// Shards that are asked for.
+    /// Shards to search or, for an action, the shard that holds its target.
     pub shards: Vec<ShardId>,
     /// What the searcher is asked to do.
     pub work: Work,
@@ -56,7 +56,7 @@
     SnapshotGone,
     /// The searcher is leaving.
     Draining,
-    /// The leaf that was asked doesn't own the searcher, or has not owned any for long enough to take work.
+    /// The leaf that was asked doesn't own the searcher, or has not owned any for long enough to accept work.
     NotOwner,
     /// The leaf that was asked is stopping.
     LeafLeaving,
@@ -129,7 +129,8 @@
     pub snapshot: Snapshot,
     /// How the sub-request ended.
     pub outcome: SubOutcome,
-    /// Time from sending to reply as the leaf measured it, without the time in the leaf's queue.
+    /// Time that the leaf measured from sending the sub-request to the reply. It doesn't include the time in the leaf's
+    /// queue.
     pub worked: Duration,
 }
 
@@ -140,9 +141,9 @@
     pub snapshot: Snapshot,
     /// Shards that are included and shards that are missing.
     pub coverage: Coverage,
-    /// Matching documents in the included shards.
+    /// Number of matching documents in the included shards.
     pub matched: u64,
-    /// The best hits, best first; for a pull, the page's hits by shard and document.
+    /// The best hits, best first; for a pull, the page's hits in the order of shard and document.
     pub hits: Vec<Hit>,
     /// Where the next page of a pull starts; `None` after the last page and for searches.
     pub next: Option<PagePosition>,
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -9,7 +9,8 @@
 use staircross_types::{BootTime, SearcherId};
 use std::time::Duration;
 
-/// Divisor of the step by which a latency sample below the estimate lowers the estimate.
+/// Divisor of the difference between the estimate and a lower latency sample. The quotient is the step by which the
+/// sample lowers the estimate.
 const ESTIMATE_FALL_DIVISOR: f64 = 16.0;
 /// Time constant with which the weight of an old estimate decays. Without the decay, a searcher that is avoided for a
 /// high estimate would never be tried again.
@@ -20,9 +21,9 @@
 const INITIAL_EJECTION: Duration = Duration::from_secs(1);
 /// Upper bound of the duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(16);
-/// Number of searchers that a service must have for each one that is ejected.
+/// Number of searchers that a service must have for each of its searchers that is ejected.
 const SEARCHERS_PER_EJECTION: usize = 3;
-/// A searcher that the plan already asks is preferred while its cost is at most this multiple of the best cost.
+/// Multiple of the best cost up to which a searcher that the plan already asks is preferred.
 const REUSE_COST_FACTOR: f64 = 2.0;
 
 /// What this root has measured of one searcher.
@@ -130,7 +131,7 @@
         let first_cost = self.cost(now, first, typical);
         let second_cost = self.cost(now, second, typical);
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
-        // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than
+        // A searcher that the plan already asks is preferred: one sub-request for two shards costs a searcher less than
         // two sub-requests.
         let reused = replicas.iter().filter(|replica| already_asked.contains_key(*replica));
         let reused = reused.map(|replica| (*replica, self.cost(now, *replica, typical)));
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -12,23 +12,23 @@
 };
 use std::sync::Arc;
 
-/// Progress of one shard of the request.
+/// Progress of one shard of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum ShardProgress {
     /// The shard has been asked for or is still to be asked for.
     Open {
-        /// Number of attempts for it that have not ended.
+        /// Number of attempts for the shard that have not ended.
         outstanding: u16,
-        /// Number of attempts made for it, over all searchers.
+        /// Number of attempts made for the shard, over all searchers.
         attempt_count: u16,
-        /// Searchers that were asked for it and must not be asked again.
+        /// Searchers that were asked for the shard and must not be asked for it again.
         tried: Vec<SearcherId>,
         /// Cause of the last failure.
         last_failure: Option<MissingCause>,
     },
     /// The shard's hits are merged, or the request doesn't need the shard.
     Included,
-    /// The shard is given up.
+    /// No further attempt is made for the shard.
     Missing(MissingCause),
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Attempt {
-    /// Marks the attempt as ended. Returns a copy of it, to which its shards are moved.
+    /// Marks the attempt as ended and moves its shards into the copy that is returned.
     pub fn close(&mut self) -> Attempt {
         self.open = false;
         let shards = std::mem::take(&mut self.shards);
@@ -70,12 +70,12 @@
     pub priority: Priority,
     /// Oldest snapshot that may be used.
     pub floor: Option<Snapshot>,
-    /// Snapshots of abandoned plans.
+    /// Snapshots of abandoned plans, which the request must not be planned on again.
     pub excluded: Vec<Snapshot>,
     pub hits: Vec<Hit>,
-    /// Matching documents in the merged shards.
+    /// Number of matching documents in the merged shards.
     pub matched: u64,
-    /// Sub-requests of the first plan.
+    /// Number of sub-requests of the first plan.
     pub needed: u32,
     /// Whether a sub-request was shed.
     pub was_shed: bool,
@@ -137,7 +137,7 @@
         has_other_attempts
     }
 
-    /// Returns the most hits that the answer may have.
+    /// Returns the largest number of hits that the answer may have.
     fn hit_limit(&self) -> usize {
         match &self.work {
             Work::Search(query) => query.limit as usize,
@@ -177,7 +177,7 @@
         coverage
     }
 
-    /// Discards all merged hits and progress, for a new plan on another snapshot.
+    /// Discards all merged hits and progress, so that the request can be planned on another snapshot.
     pub fn restart_on(&mut self, map: Arc<ShardMap>, next_attempt: u32) {
         self.excluded.push(self.map.snapshot);
         self.shards = ShardProgressTable::new(&map, self.page_start());
@@ -205,7 +205,7 @@
 }
 
 impl ShardProgressTable {
-    /// Creates the progress for a new plan. A page of a pull skips the shards before its start; they count as included.
+    /// Creates the table for a new plan. A page of a pull skips the shards before its start; they count as included.
     pub fn new(map: &ShardMap, page_start: Option<&PagePosition>) -> Self {
         let first = page_start.map(|position| position.shard);
         let progress = map.shards.iter().map(|placement| {
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses
 //! a snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
-//! refuses. Invariants: see [`crate::request`]; a request is refused as never run only if nothing was sent, or all that
-//! was sent was answered `NotRun`.
+//! refuses. Invariants: see [`crate::request`]; a request is refused as never executed only if nothing was sent, or all
+//! that was sent was answered `NotRun`.
 
 mod deadline;
 mod finish;
@@ -36,13 +36,13 @@
 /// Settings of a root.
 #[derive(Clone, Debug)]
 pub struct RootSettings {
-    /// Most sessions that are held.
+    /// Largest number of sessions that the node holds.
     pub sessions: usize,
     /// Latency that is assumed before enough replies are measured.
     pub initial_latency: Duration,
-    /// Most attempts for a shard in one plan, the first included.
+    /// Largest number of attempts for a shard in one plan, including the first.
     pub max_attempts_per_shard: usize,
-    /// Most plans of a request, the first included.
+    /// Largest number of plans of a request, including the first.
     pub max_plans_per_request: usize,
 }
 
@@ -79,7 +79,7 @@
 pub enum RootAction {
     /// Send the sub-request to a leaf that owns the searcher.
     Send(SubRequest),
-    /// Tell the leaf that the result of an attempt is no longer wanted.
+    /// Notify the leaf that the result of an attempt is no longer needed.
     Cancel { attempt: AttemptId, searcher: SearcherId },
     /// Return the outcome of a request to its caller.
     Finish { request: RequestId, outcome: Outcome },
@@ -99,7 +99,7 @@
     pub needs_refresh: bool,
     /// Time from sending a sub-request to its reply.
     pub latency: LatencyTracker,
-    /// The same without the time that the sub-request waited for a slot at the leaf.
+    /// Like `latency`, without the time that the sub-request waited for a slot at the leaf.
     pub work_latency: LatencyTracker,
     pub hedges: ExtraWorkBudget,
     pub retries: ExtraWorkBudget,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Stores the view of a searcher, and drops what was measured of it if its run has changed.
+    /// Stores the view of a searcher. Drops the searcher's measurements if its incarnation has changed.
     fn set_view(&mut self, view: SearcherView) {
         let run = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
         let restarted = self.views.get(&view.searcher).is_some_and(|known| run(known) != run(&view));
@@ -233,7 +233,8 @@
         self.views.insert(view.searcher, view);
     }
 
-    /// Chooses again which snapshot a service is served from, if its definition or a view has changed.
+    /// Chooses again which snapshot a service is served from, if the service's definition or the view of one of its
+    /// searchers has changed.
     pub(crate) fn refresh_service(&mut self, name: &ServiceName) {
         let Some(service) = self.services.get_mut(name).filter(|service| service.needs_refresh) else {
             return;
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: which searcher is asked for which shards, and sending the sub-requests.
+//! Planning: chooses which searcher is asked for which shards, and sends the sub-requests.
 
 use super::{RootAction, RootEngine};
 use crate::message::{SubRequest, Work};
@@ -12,7 +12,7 @@
 pub(super) enum SendReason {
     /// The first attempt of a plan for its shards.
     Primary,
-    /// Another attempt while an earlier one is late.
+    /// An additional attempt while an earlier one is late.
     Hedge,
     /// Another attempt after an earlier one failed.
     Retry,
@@ -37,8 +37,8 @@
         let batches = self.choose_batches(now, sequence, &open);
         self.give_up_unplaced(sequence, &open, &batches);
         if self.is_coverage_unreachable(sequence) {
-            // The request is refused before anything is sent: no back end does work for nothing, and the request was
-            // certainly not executed.
+            // The request is refused before anything is sent: no searcher does work whose result can't be used, and the
+            // request was certainly not executed.
             self.finish_if_settled(now, sequence, actions);
             return;
         }
@@ -149,7 +149,7 @@
                 serves && !tried.contains(replica)
             }));
             let is_not_avoided = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
-            // Avoided copies are used only if there are no others, and then those with the fewest slow replies.
+            // Avoided replicas are used only if there are no others, and then only those with the fewest slow replies.
             if !self.copies.is_empty() && eligible.iter().any(is_not_avoided) {
                 eligible.retain(is_not_avoided);
             } else if !self.copies.is_empty() {
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -83,7 +83,7 @@
         if let Some(service) = self.services.get(&request.service) {
             let tail = service.work_latency.hedge_delay();
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            // The wait for a slot is left out, because it says nothing about the copy.
+            // The wait for a slot is left out, because it says nothing about the speed of the replica.
             self.copies.record_reply(now, attempt.searcher, shards, worked, tail);
         }
         let merged = request.merge(&attempt.shards, found);
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Records the copies of an attempt as slow if another attempt answered its shards first and it was already late.
+    /// Counts a slow reply for each replica of an overtaken attempt, if the attempt was already late when other
+    /// attempts answered its shards.
     fn record_overtaken(&mut self, now: BootTime, sequence: u64, number: u32) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -137,7 +138,7 @@
             self.replicas.record_ended(attempt.searcher);
         }
         // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it
-        // counts as a retry, because overloaded back ends must not be asked for more.
+        // counts as a retry, because overloaded searchers must not get unlimited additional work.
         let mut send_reason = SendReason::Reroute;
         match reason {
             NotRunReason::Shed => {
@@ -150,15 +151,15 @@
         self.retry(now, sequence, &attempt.shards, reason.missing_cause(), send_reason, actions);
     }
 
-    /// Lets the shards of an attempt be asked of the same searcher again, since the attempt didn't reach it.
+    /// Allows the same searcher to be asked for the shards of an attempt again, because the attempt didn't reach it.
     fn remove_tried(&mut self, sequence: u64, attempt: &Attempt) {
         if let Some(request) = self.requests.get_mut(&sequence) {
             request.shards.remove_tried(&attempt.shards, attempt.searcher);
         }
     }
 
-    /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's
-    /// limit.
+    /// Handles a shed reply, which means that searchers of the service are overloaded: pauses the budgets and lowers
+    /// the service's limit.
     fn on_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
--- a/crates/session/staircross-search/src/root/submit.rs
+++ b/crates/session/staircross-search/src/root/submit.rs
@@ -15,11 +15,11 @@
     pub request: RequestId,
     /// The caller's session.
     pub session: SessionToken,
-    /// The service that is asked.
+    /// The service that the request is for.
     pub service: ServiceName,
     /// The search or action.
     pub work: Work,
-    /// The caller's wait bound. The shorter of this and the service's bound applies.
+    /// Longest time that the caller waits. The shorter of this and the service's bound applies.
     pub wait: Option<Duration>,
     /// The caller's least coverage, in shards per thousand. The higher of this and the service's applies.
     pub least_coverage_per_mille: Option<u32>,
@@ -29,7 +29,7 @@
     pub ticket: Option<Ticket>,
 }
 
-/// The ticket of a finished action, whose receipt may still come.
+/// The ticket of a finished action whose receipt may still arrive.
 #[derive(Clone, Debug)]
 pub(crate) struct FinishedAction {
     pub session: SessionToken,
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -1,7 +1,7 @@
 //! Sessions: the snapshots that a caller has seen and the tickets for its actions.
 //!
 //! Invariants: a floor (the newest snapshot seen of a service) never falls; a ticket is marked as running before any
-//! part of its request is sent; a request that is refused as never run makes its ticket unused again.
+//! part of its request is sent; a request that is refused as never executed makes its ticket unused again.
 
 use crate::message::Outcome;
 use hashbrown::HashMap;
@@ -12,7 +12,7 @@
 
 /// Time after its last use at which a session may be dropped. It is dropped only when the table is full.
 const MIN_IDLE_BEFORE_DROP: Duration = Duration::from_secs(3600);
-/// Upper bound of the tickets kept per session. The oldest ticket whose request isn't running is dropped first.
+/// Number of tickets of a session from which on a new one replaces the oldest ticket whose request isn't running.
 const MAX_TICKETS_PER_SESSION: usize = 256;
 
 /// State of one ticket.
@@ -38,7 +38,8 @@
 /// Why a ticket can't be used for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketRefusal {
-    /// The ticket was minted by another node or an earlier run of this one, so that its use isn't known here.
+    /// The ticket was minted by another node or an earlier incarnation of this one, so that this node doesn't know
+    /// whether it was used.
     MintedElsewhere,
     /// The session has no such ticket.
     Unknown,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never run makes the
-    /// ticket unused again.
+    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never executed makes
+    /// the ticket unused again.
     pub fn end_ticket(&mut self, ticket: Ticket, outcome: &Outcome) {
         let Some((_, state)) = self.tickets.iter_mut().find(|(known, _)| *known == ticket) else {
             return;
@@ -97,8 +98,8 @@
 /// A session of the table, with the time of its last use.
 struct HeldSession {
     state: SessionState,
-    /// Time of the last use, on this node's boot clock. It is no part of [`SessionState`], because a use that shows the
-    /// session no new snapshot must not cause a copy of the state to other nodes.
+    /// Time of the last use, on this node's boot clock. It isn't part of [`SessionState`], because a changed state is
+    /// copied to other nodes, and a use that shows the session no new snapshot must not cause that.
     last_used: BootTime,
 }
 
--- a/crates/session/staircross-search/src/view.rs
+++ b/crates/session/staircross-search/src/view.rs
@@ -1,4 +1,4 @@
-//! What the fleet knows about a searcher.
+//! What the nodes know about a searcher.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::{SearcherId, SearcherIncarnation, Snapshot};
@@ -6,7 +6,7 @@
 /// What a searcher reported about itself in reply to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The run of the searcher that reported.
+    /// The incarnation of the searcher that reported.
     pub incarnation: SearcherIncarnation,
     /// Snapshots that the searcher holds.
     pub snapshots: Vec<Snapshot>,
--- a/crates/session/staircross-standin/src/faults.rs
+++ b/crates/session/staircross-standin/src/faults.rs
@@ -74,7 +74,7 @@
         faults
     }
 
-    /// Whether a fault is active. No call is counted.
+    /// Returns whether a fault is active, without counting a call.
     pub fn contains(&self, fault: &Fault) -> bool {
         self.active.iter().any(|active| active.fault == *fault)
     }
--- a/crates/session/staircross-standin/src/index.rs
+++ b/crates/session/staircross-standin/src/index.rs
@@ -51,7 +51,7 @@
         self.shards.get(&shard).map(|index| index.search(shard, query))
     }
 
-    /// Whether the shard is held.
+    /// Returns whether this index holds the shard.
     pub fn holds(&self, shard: ShardId) -> bool {
         self.shards.contains_key(&shard)
     }
@@ -102,7 +102,7 @@
 
     /// Returns the documents that contain a term, each with its score.
     ///
-    /// The score rises with the term's frequency in the document, less than in proportion, and falls with the
+    /// The score rises less than proportionally with the term's frequency in the document, and falls with the
     /// document's length. Rare terms have more weight.
     fn term_scores<'a>(&'a self, term: &str) -> impl Iterator<Item = (u32, f32)> + 'a {
         let postings = self.postings.get(term).map_or(&[][..], Vec::as_slice);
--- a/crates/session/staircross-standin/src/ledger.rs
+++ b/crates/session/staircross-standin/src/ledger.rs
@@ -31,8 +31,8 @@
 const MAX_ENTRIES: usize = 1_000_000;
 
 impl Ledger {
-    /// Adds an entry and returns the number of entries, which is its number counted from one as long as none was
-    /// dropped.
+    /// Adds an entry and returns the number of entries kept. As long as no entry was dropped, this is the position of
+    /// the new entry, counted from one.
     pub fn add(&mut self, entry: LedgerEntry) -> u64 {
         if self.entries.len() >= MAX_ENTRIES {
             self.entries.remove(0);
--- a/crates/session/staircross-standin/src/loopback.rs
+++ b/crates/session/staircross-standin/src/loopback.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// First of the ports to choose from. All of them are below the range that the system uses for outgoing
+/// First port of the range to choose from. The whole range is below the range that the system uses for outgoing
 /// connections, so that no such connection takes a port after it was chosen and before a process listens on it.
 const FIRST_PORT: u16 = 10_240;
 /// Number of ports to choose from.
--- a/crates/session/staircross-standin/src/searcher.rs
+++ b/crates/session/staircross-standin/src/searcher.rs
@@ -40,10 +40,10 @@
 
 /// Factor by which [`SearcherSettings::work`] takes longer during a cold start.
 const COLD_FACTOR: u32 = 4;
-/// Interval at which a call at work checks whether it was cancelled. A call that waits for a slot checks at five
-/// times this interval, and when a slot is freed.
+/// Interval at which a call that is being executed checks whether it was cancelled. A call that waits for a slot checks
+/// at five times this interval, and when a slot is freed.
 const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Largest number of cancelled attempts remembered. Beyond it, all of them are forgotten.
+/// Number of stored cancelled attempts at which all of them are removed before the next one is stored.
 const MAX_CANCELLED: usize = 10_000;
 
 /// Command of the control endpoint.
@@ -338,7 +338,7 @@
     }
 }
 
-/// Removes or adds a shard of a search result as the faults demand.
+/// Applies the faults that remove a shard from a search result or add one.
 fn apply_shard_faults(mut found: Vec<ShardHits>, faults: &[Fault], query: &SearchQuery) -> Vec<ShardHits> {
     if faults.contains(&Fault::OmitShard) {
         found.pop();
