--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -85,9 +85,9 @@
 
 /// Number of sub-requests that a searcher executes at a time. The users' drafting and guest search services have the
 /// same number.
-const SLOTS: u32 = 5;
+const SLOTS_PER_SEARCHER: u32 = 5;
 /// Number of connections that a searcher accepts. The users' drafting and guest search services have the same number.
-const CONNECTIONS: u32 = 70;
+const CONNECTIONS_PER_SEARCHER: u32 = 70;
 /// Time after which a fleet that is not ready counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -244,8 +244,8 @@
                 address: free_address()?,
                 zone: ZoneName::new(plan.zones[index as usize % plan.zones.len()]),
                 group: GroupId((number as u32) * 100 + index % plan.zones.len() as u32),
-                slots: SLOTS,
-                connections: CONNECTIONS,
+                slots: SLOTS_PER_SEARCHER,
+                connections: CONNECTIONS_PER_SEARCHER,
             });
             next_id += 1;
         }
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -296,7 +296,7 @@
             Operation::WrongReplies { searcher, fault, count } => {
                 world.add_reply_faults(usize::from(*searcher), reply_fault(*fault), usize::from(*count));
             }
-            Operation::SlowCopy { searcher, factor } => world.slow_copy(usize::from(*searcher), f64::from(*factor)),
+            Operation::SlowCopy { searcher, factor } => world.slow_replica(usize::from(*searcher), f64::from(*factor)),
             Operation::PauseNode { node, millis: span } => world.pause_node(usize::from(*node), millis(span)),
             Operation::CrashNode { node } => world.crash_node(usize::from(*node)),
             Operation::StartNode { node } => world.start_node(usize::from(*node)),
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -147,7 +147,7 @@
 
     /// Makes a searcher's replica of the first shard of its newest snapshot slower by `factor`. A factor of 1 or less
     /// returns all replicas at the searcher to normal speed.
-    pub fn slow_copy(&mut self, searcher: usize, factor: f64) {
+    pub fn slow_replica(&mut self, searcher: usize, factor: f64) {
         let index = searcher % self.searchers.len();
         let newest_shards = self.searchers[index].shards_by_snapshot.values().next_back();
         let shard = newest_shards.and_then(|shards| shards.iter().next().copied());
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -6,9 +6,9 @@
 
 mod callers;
 mod config;
-mod held_sessions;
 mod pending;
 mod requests;
+mod session_replication;
 mod sessions;
 mod show;
 
@@ -19,9 +19,9 @@
 use crate::searchers::SearcherConnections;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use hashbrown::HashMap;
-use held_sessions::HeldSessions;
 use pending::PendingRequest;
-use sessions::{HeldReply, SessionLookup};
+use session_replication::SessionReplication;
+use sessions::{DelayedReply, SessionLookup};
 use staircross_cluster::{ClusterEngine, ClusterEvent, ClusterSettings, Member, MemberState};
 use staircross_config::{MachineList, MachineState, Settings};
 use staircross_search::root::RootCounters;
@@ -65,11 +65,11 @@
     next_sequence: u64,
     /// Requests in progress, by sequence number.
     pending: HashMap<u64, PendingRequest>,
-    held_replies: Vec<HeldReply>,
+    delayed_replies: Vec<DelayedReply>,
     session_lookups: HashMap<SessionToken, SessionLookup>,
-    held_sessions: HeldSessions,
+    session_replication: SessionReplication,
     /// Id of the next session lookup.
-    next_ask: u64,
+    next_lookup_id: u64,
     /// Attempts sent to other nodes, each with the peer address of the node to which it was sent.
     remote_attempts: HashMap<AttemptId, SocketAddr>,
     machines: MachineList,
@@ -137,10 +137,10 @@
             searchers: parts.searchers,
             next_sequence: 1,
             pending: HashMap::new(),
-            held_replies: Vec::new(),
+            delayed_replies: Vec::new(),
             session_lookups: HashMap::new(),
-            held_sessions: HeldSessions::default(),
-            next_ask: 1,
+            session_replication: SessionReplication::default(),
+            next_lookup_id: 1,
             remote_attempts: HashMap::new(),
             machines: MachineList::default(),
             next_tick: BootTime::default(),
@@ -216,12 +216,12 @@
             return;
         }
         if self.next_tick != BootTime::default() && now.since(self.next_tick) >= PAUSE_THRESHOLD {
-            self.held_sessions.clear_confirmations();
+            self.session_replication.clear_confirmations();
         }
         self.next_tick = now + TICK_INTERVAL;
         self.handle_cluster_event(now, ClusterEvent::Tick);
         self.handle_leaf_event(now, LeafEvent::Tick);
-        self.expire_held_replies(now);
+        self.expire_delayed_replies(now);
         self.expire_session_lookups(now);
         self.resend_unconfirmed_copies(now);
         self.update_metrics();
@@ -277,7 +277,7 @@
         }
         let is_busy = self.root.in_flight() > 0
             || self.leaf.in_flight() > 0
-            || !self.held_replies.is_empty()
+            || !self.delayed_replies.is_empty()
             || !self.session_lookups.is_empty()
             || self.active_http_requests.load(Ordering::Acquire) > 0;
         !is_busy && self.is_lingering_over(now)
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -67,7 +67,7 @@
     }
 
     /// Passes this node's view of an owned searcher to the cluster engine, which sends it to the other nodes.
-    pub(super) fn spread_view(&mut self, now: BootTime, view: &SearcherView) {
+    pub(super) fn publish_view(&mut self, now: BootTime, view: &SearcherView) {
         let evidence = view.evidence.as_ref().map(|evidence| GossipedEvidence {
             incarnation: evidence.incarnation,
             snapshots: evidence.snapshots.clone(),
--- a/crates/session/staircross-node/src/core/requests.rs
+++ b/crates/session/staircross-node/src/core/requests.rs
@@ -66,7 +66,7 @@
                 LeafAction::CancelAtSearcher { searcher, attempt } => self.searchers.cancel(searcher, attempt),
                 LeafAction::Probe { searcher } => self.searchers.probe(searcher),
                 LeafAction::Reply { to, reply } => self.reply_to_root(now, to, reply),
-                LeafAction::PublishView(view) => self.spread_view(now, &view),
+                LeafAction::PublishView(view) => self.publish_view(now, &view),
             }
         }
     }
--- a/crates/session/staircross-node/src/core/held_sessions.rs
+++ b/crates/session/staircross-node/src/core/session_replication.rs
@@ -17,7 +17,7 @@
 
 /// Replication state of a session that this node holds.
 #[derive(Default)]
-struct HeldSession {
+struct ReplicationState {
     /// Version of the session, which each change increments.
     version: u64,
     /// Nodes that have confirmed a copy of `version`.
@@ -26,14 +26,14 @@
 
 /// Replication state of all sessions that this node holds.
 #[derive(Default)]
-pub(super) struct HeldSessions {
-    sessions: HashMap<SessionToken, HeldSession>,
+pub(super) struct SessionReplication {
+    sessions: HashMap<SessionToken, ReplicationState>,
     /// Sessions still to be checked in the current round.
     unchecked: Vec<SessionToken>,
     next_round: BootTime,
 }
 
-impl HeldSessions {
+impl SessionReplication {
     /// Records a change of a session and returns its new version.
     pub(super) fn record_change(&mut self, token: SessionToken) -> u64 {
         let session = self.sessions.entry(token).or_default();
@@ -44,7 +44,7 @@
 
     /// Records a session that this node has taken over at version `continued`, and returns its new version.
     pub(super) fn record_adoption(&mut self, token: SessionToken, continued: u64) -> u64 {
-        self.sessions.insert(token, HeldSession { version: continued, confirmed_by: Vec::new() });
+        self.sessions.insert(token, ReplicationState { version: continued, confirmed_by: Vec::new() });
         self.record_change(token)
     }
 
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -22,7 +22,7 @@
 const MAX_WAITING_COMMANDS: usize = 64;
 
 /// A reply that is sent only when copies of its session are confirmed, or at its deadline.
-pub(super) struct HeldReply {
+pub(super) struct DelayedReply {
     token: SessionToken,
     /// Version of the session whose copies must be confirmed.
     version: u64,
@@ -35,7 +35,7 @@
 /// A search of other nodes for a copy of a session that this node doesn't hold.
 pub(super) struct SessionLookup {
     /// Id of the lookup. Answers to an earlier lookup of the same session carry another id and are ignored.
-    ask: u64,
+    id: u64,
     /// Number of nodes that haven't answered yet.
     pending_answers: usize,
     newest_copy: Option<SessionCopy>,
@@ -58,13 +58,13 @@
             send_reply(&reply, content);
             return;
         };
-        let version = self.held_sessions.record_change(token);
+        let version = self.session_replication.record_change(token);
         let missing_confirmations = self.cluster.wanted_copies();
         if missing_confirmations == 0 {
             send_reply(&reply, content);
             return;
         }
-        self.held_replies.push(HeldReply {
+        self.delayed_replies.push(DelayedReply {
             token,
             version,
             missing_confirmations,
@@ -98,9 +98,9 @@
 
     /// Sends copies of the sessions due for a check that some of their keepers haven't confirmed.
     pub(super) fn resend_unconfirmed_copies(&mut self, now: BootTime) {
-        for token in self.held_sessions.take_due(now) {
+        for token in self.session_replication.take_due(now) {
             let keepers = self.cluster.session_keepers(token);
-            if let Some(version) = self.held_sessions.unconfirmed_version(token, &keepers) {
+            if let Some(version) = self.session_replication.unconfirmed_version(token, &keepers) {
                 self.send_copies(now, token, version);
             }
         }
@@ -114,33 +114,34 @@
 
     /// Handles a keeper's confirmation of a copy, or its notice that another node has taken the session over.
     pub(super) fn on_session_stored(&mut self, token: SessionToken, version: u64, keeper: NodeId, is_overtaken: bool) {
-        self.held_sessions.record_confirmation(token, version, keeper);
+        self.session_replication.record_confirmation(token, version, keeper);
         if is_overtaken {
             info!(logger: self.logs.front, "event=session_overtaken session={}", session_tag(token));
             self.drop_session(token);
         }
-        for held in &mut self.held_replies {
-            if held.token == token && held.version <= version {
-                held.missing_confirmations = held.missing_confirmations.saturating_sub(1);
+        for delayed in &mut self.delayed_replies {
+            if delayed.token == token && delayed.version <= version {
+                delayed.missing_confirmations = delayed.missing_confirmations.saturating_sub(1);
             }
         }
-        self.release_held_replies(|held| held.missing_confirmations == 0);
+        self.release_delayed_replies(|delayed| delayed.missing_confirmations == 0);
     }
 
-    pub(super) fn expire_held_replies(&mut self, now: BootTime) {
-        let late = self.held_replies.iter().filter(|held| now >= held.deadline).count();
+    pub(super) fn expire_delayed_replies(&mut self, now: BootTime) {
+        let late = self.delayed_replies.iter().filter(|delayed| now >= delayed.deadline).count();
         if late > 0 {
             warn!(logger: self.logs.front, "event=session_copy_late replies={late}");
             self.metrics.dropped.with_label_values(&["session_copy"]).inc_by(late as u64);
         }
-        self.release_held_replies(|held| now >= held.deadline);
+        self.release_delayed_replies(|delayed| now >= delayed.deadline);
     }
 
-    fn release_held_replies(&mut self, is_ready: impl Fn(&HeldReply) -> bool) {
-        let (ready, waiting): (Vec<HeldReply>, Vec<HeldReply>) = self.held_replies.drain(..).partition(is_ready);
-        self.held_replies = waiting;
-        for held in ready {
-            send_reply(&held.reply, held.content);
+    fn release_delayed_replies(&mut self, is_ready: impl Fn(&DelayedReply) -> bool) {
+        let (ready, waiting): (Vec<DelayedReply>, Vec<DelayedReply>) =
+            self.delayed_replies.drain(..).partition(is_ready);
+        self.delayed_replies = waiting;
+        for delayed in ready {
+            send_reply(&delayed.reply, delayed.content);
         }
     }
 
@@ -165,23 +166,23 @@
             send_reply(&reply, CallerReply::Refused(unknown_session()));
             return;
         }
-        let ask = self.next_ask;
-        self.next_ask += 1;
+        let id = self.next_lookup_id;
+        self.next_lookup_id += 1;
         let waiting = vec![(command, reply)];
         let lookup =
-            SessionLookup { ask, pending_answers, newest_copy: None, deadline: now + SESSION_LOOKUP_TIMEOUT, waiting };
+            SessionLookup { id, pending_answers, newest_copy: None, deadline: now + SESSION_LOOKUP_TIMEOUT, waiting };
         self.session_lookups.insert(token, lookup);
-        self.handle_cluster_event(now, ClusterEvent::FetchSession { token, ask });
+        self.handle_cluster_event(now, ClusterEvent::FetchSession { token, ask: id });
     }
 
     pub(super) fn on_session_fetched(
         &mut self,
         now: BootTime,
         token: SessionToken,
-        ask: u64,
+        lookup_id: u64,
         copy: Option<SessionCopy>,
     ) {
-        let Some(lookup) = self.session_lookups.get_mut(&token).filter(|lookup| lookup.ask == ask) else {
+        let Some(lookup) = self.session_lookups.get_mut(&token).filter(|lookup| lookup.id == lookup_id) else {
             return;
         };
         lookup.pending_answers = lookup.pending_answers.saturating_sub(1);
@@ -228,7 +229,7 @@
             return false;
         }
         info!(logger: self.logs.front, "event=session_adopted session={} from={}", session_tag(token), copy.holder);
-        let version = self.held_sessions.record_adoption(token, copy.version);
+        let version = self.session_replication.record_adoption(token, copy.version);
         self.send_copies(now, token, version);
         self.handle_cluster_event(now, ClusterEvent::TakeOver { token, holder: copy.holder });
         true
@@ -238,7 +239,7 @@
     /// at the other nodes.
     pub(super) fn drop_session(&mut self, token: SessionToken) {
         self.root.sessions.close(token);
-        self.held_sessions.remove(token);
+        self.session_replication.remove(token);
     }
 }
 
--- a/crates/session/staircross-node/src/peers.rs
+++ b/crates/session/staircross-node/src/peers.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// Largest number of messages that may wait to be sent to one peer.
-const QUEUE_LENGTH: usize = 8192;
+const MAX_QUEUED_MESSAGES: usize = 8192;
 /// Longest wait for a connection to a peer to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for a peer to accept written bytes, or for the next bytes of its handshake.
@@ -105,7 +105,7 @@
                 Err(TrySendError::Disconnected(message)) => message,
             },
         };
-        let (queue, queued_messages) = bounded(QUEUE_LENGTH);
+        let (queue, queued_messages) = bounded(MAX_QUEUED_MESSAGES);
         // The queue is new, so it has room for the message.
         let _room_for_one = queue.try_send(message);
         self.queues.insert(to, queue);
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -94,7 +94,7 @@
     searchers: BTreeMap<SearcherId, OwnedSearcher>,
     /// The leaving incarnation of each searcher that is known to be leaving, whether the leaf owns the searcher or not.
     /// A peer may report an incarnation before this leaf has probed it, or before the leaf owns the searcher.
-    leaving_runs: BTreeMap<SearcherId, SearcherIncarnation>,
+    leaving_incarnations: BTreeMap<SearcherId, SearcherIncarnation>,
     first_owned_at: Option<BootTime>,
     stopping: bool,
 }
@@ -105,7 +105,7 @@
         LeafEngine {
             settings,
             searchers: BTreeMap::new(),
-            leaving_runs: BTreeMap::new(),
+            leaving_incarnations: BTreeMap::new(),
             first_owned_at: None,
             stopping: false,
         }
@@ -224,7 +224,7 @@
     ) {
         let id = reply.searcher;
         if let (SubOutcome::NotRun(NotRunReason::Draining), Some(run)) = (&reply.outcome, run) {
-            self.leaving_runs.insert(id, run);
+            self.leaving_incarnations.insert(id, run);
         }
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
@@ -248,12 +248,12 @@
 
     /// Records the incarnation of a searcher that is leaving, so that it is still known after the searcher's owner has
     /// changed.
-    fn record_leaving_run(&mut self, id: SearcherId) {
-        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.run_leaving) else {
+    fn record_leaving_incarnation(&mut self, id: SearcherId) {
+        let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.is_incarnation_leaving) else {
             return;
         };
         if let Some(evidence) = &searcher.evidence {
-            self.leaving_runs.insert(id, evidence.incarnation);
+            self.leaving_incarnations.insert(id, evidence.incarnation);
         }
     }
 
@@ -273,8 +273,8 @@
         let before = searcher.view(id);
         match evidence {
             Some(evidence) => {
-                let reported_leaving = self.leaving_runs.get(&id) == Some(&evidence.incarnation);
-                searcher.apply_evidence(now, asked_at, evidence, reported_leaving);
+                let is_known_leaving = self.leaving_incarnations.get(&id) == Some(&evidence.incarnation);
+                searcher.apply_evidence(now, asked_at, evidence, is_known_leaving);
             }
             None => searcher.clear_evidence(),
         }
@@ -288,7 +288,7 @@
             searcher.refuse_queue(NotRunReason::Unconnected, actions);
         }
         searcher.dispatch(now, id, &self.settings, actions);
-        self.record_leaving_run(id);
+        self.record_leaving_incarnation(id);
     }
 
     /// Marks an incarnation that a peer reports as leaving. If the peer doesn't know yet that the incarnation is
@@ -298,16 +298,21 @@
             return;
         };
         if view.leaving {
-            self.mark_run_leaving(view.searcher, incarnation, actions);
-        } else if self.leaving_runs.get(&view.searcher) == Some(&incarnation) {
+            self.mark_incarnation_leaving(view.searcher, incarnation, actions);
+        } else if self.leaving_incarnations.get(&view.searcher) == Some(&incarnation) {
             actions.push(LeafAction::PublishView(SearcherView { leaving: true, ..view }));
         }
     }
 
     /// Records that an incarnation is leaving. If it is the last known incarnation of an owned searcher, refuses the
     /// searcher's queue.
-    fn mark_run_leaving(&mut self, id: SearcherId, incarnation: SearcherIncarnation, actions: &mut Vec<LeafAction>) {
-        self.leaving_runs.insert(id, incarnation);
+    fn mark_incarnation_leaving(
+        &mut self,
+        id: SearcherId,
+        incarnation: SearcherIncarnation,
+        actions: &mut Vec<LeafAction>,
+    ) {
+        self.leaving_incarnations.insert(id, incarnation);
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
@@ -327,7 +332,7 @@
             let before = searcher.view(*id);
             searcher.listed_as_leaving = is_listed;
             // The incarnation stays leaving, even if a later list no longer has the searcher.
-            searcher.run_leaving |= is_listed && searcher.evidence.is_some();
+            searcher.is_incarnation_leaving |= is_listed && searcher.evidence.is_some();
             let after = searcher.view(*id);
             if after != before {
                 actions.push(LeafAction::PublishView(after));
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -31,11 +31,11 @@
     /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
     pub(super) evidence_asked_at: Option<BootTime>,
     /// When the current incarnation was first seen.
-    pub(super) run_first_seen: BootTime,
+    pub(super) incarnation_first_seen_at: BootTime,
     /// Whether this leaf saw an earlier incarnation before the current one, so that the slots used are ramped up.
     pub(super) needs_ramp_up: bool,
     /// Whether the current incarnation is leaving. Once set, this stays set until another incarnation is seen.
-    pub(super) run_leaving: bool,
+    pub(super) is_incarnation_leaving: bool,
     /// Whether the platform lists the searcher as leaving or an operator drains it.
     pub(super) listed_as_leaving: bool,
     /// When the probe that has not ended was sent.
@@ -47,7 +47,7 @@
 
 impl OwnedSearcher {
     pub(super) fn is_leaving(&self) -> bool {
-        self.run_leaving || self.listed_as_leaving
+        self.is_incarnation_leaving || self.listed_as_leaving
     }
 
     pub(super) fn view(&self, searcher: SearcherId) -> SearcherView {
@@ -56,8 +56,8 @@
 
     /// Marks the current incarnation as leaving.
     pub(super) fn mark_leaving(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
-        if !self.run_leaving {
-            self.run_leaving = true;
+        if !self.is_incarnation_leaving {
+            self.is_incarnation_leaving = true;
             actions.push(LeafAction::PublishView(self.view(id)));
         }
     }
@@ -78,24 +78,24 @@
         }
     }
 
-    /// Applies a probe reply. `reported_leaving` says whether the incarnation is already known to be leaving.
+    /// Applies a probe reply. `is_known_leaving` says whether the incarnation is already known to be leaving.
     pub(super) fn apply_evidence(
         &mut self,
         now: BootTime,
         asked_at: BootTime,
         evidence: Evidence,
-        reported_leaving: bool,
+        is_known_leaving: bool,
     ) {
-        let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
-        if !same_run {
+        let is_same_incarnation = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
+        if !is_same_incarnation {
             // The first incarnation that this leaf sees may be warm; one that follows another has restarted and is
             // cold.
             self.needs_ramp_up = self.evidence.is_some();
-            self.run_first_seen = now;
-            self.run_leaving = false;
+            self.incarnation_first_seen_at = now;
+            self.is_incarnation_leaving = false;
         }
         // An incarnation that is leaving stays so, even if it reports itself as serving again.
-        self.run_leaving |= evidence.draining || reported_leaving;
+        self.is_incarnation_leaving |= evidence.draining || is_known_leaving;
         self.evidence_asked_at = Some(asked_at);
         self.evidence = Some(evidence);
     }
@@ -128,7 +128,7 @@
 
     /// Returns how many sub-requests may be in flight at the searcher.
     pub(super) fn capacity(&self, now: BootTime, settings: &LeafSettings) -> usize {
-        let age = now.since(self.run_first_seen);
+        let age = now.since(self.incarnation_first_seen_at);
         if !self.needs_ramp_up || age >= settings.ramp_up_time {
             return self.slot_share as usize;
         }
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -28,7 +28,7 @@
 
 /// What this root has measured of one searcher.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaStats {
+pub struct SearcherStats {
     in_flight: u32,
     latency_micros: Option<f64>,
     measured_at: BootTime,
@@ -41,11 +41,11 @@
 
 /// What this root has measured of all searchers.
 #[derive(Default)]
-pub struct ReplicaTable {
-    stats: HashMap<SearcherId, ReplicaStats>,
+pub struct SearcherStatsTable {
+    stats: HashMap<SearcherId, SearcherStats>,
 }
 
-impl ReplicaTable {
+impl SearcherStatsTable {
     /// Counts a sub-request that was sent as in flight.
     pub fn record_sent(&mut self, searcher: SearcherId) {
         self.stats.entry(searcher).or_default().in_flight += 1;
@@ -143,7 +143,7 @@
     }
 }
 
-impl ReplicaStats {
+impl SearcherStats {
     /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply
     /// is enough to prefer other searchers for a while.
     fn record_latency(&mut self, now: BootTime, latency: Duration) {
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -17,7 +17,7 @@
 use crate::copies::CopyHealth;
 use crate::limiter::ConcurrencyLimiter;
 use crate::message::{Outcome, SubReply, SubRequest};
-use crate::replica::ReplicaTable;
+use crate::replica::SearcherStatsTable;
 use crate::request::Request;
 use crate::session::SessionTable;
 use crate::snapshot_choice::{Candidate, choose_current, evaluate_candidates};
@@ -130,7 +130,7 @@
     pub(crate) random: ChaCha8Rng,
     pub(crate) services: BTreeMap<ServiceName, ServiceState>,
     pub(crate) views: HashMap<SearcherId, SearcherView>,
-    pub(crate) replicas: ReplicaTable,
+    pub(crate) searcher_stats: SearcherStatsTable,
     pub(crate) copies: CopyHealth,
     pub(crate) requests: HashMap<u64, Request>,
     /// Times at which requests need attention, with the requests' sequence numbers. A request may have several.
@@ -151,7 +151,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             services: BTreeMap::new(),
             views: HashMap::new(),
-            replicas: ReplicaTable::default(),
+            searcher_stats: SearcherStatsTable::default(),
             copies: CopyHealth::new(),
             requests: HashMap::new(),
             timers: BinaryHeap::new(),
@@ -222,10 +222,11 @@
 
     /// Stores the view of a searcher. Drops the searcher's measurements if its incarnation has changed.
     fn set_view(&mut self, view: SearcherView) {
-        let run = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
-        let restarted = self.views.get(&view.searcher).is_some_and(|known| run(known) != run(&view));
+        let incarnation_of = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
+        let restarted =
+            self.views.get(&view.searcher).is_some_and(|known| incarnation_of(known) != incarnation_of(&view));
         if restarted {
-            self.replicas.clear_searcher(view.searcher);
+            self.searcher_stats.clear_searcher(view.searcher);
             self.copies.clear_searcher(view.searcher);
         }
         let affected = self.services.values_mut().filter(|service| service.searchers.contains(&view.searcher));
--- a/crates/session/staircross-search/src/root/deadline.rs
+++ b/crates/session/staircross-search/src/root/deadline.rs
@@ -78,7 +78,7 @@
             if attempt.open && !attempt.hedged && now >= attempt.sent_at + delay {
                 attempt.hedged = true;
                 late_shards.extend(attempt.shards.iter().copied());
-                self.replicas.record_lag(now, attempt.searcher, now.since(attempt.sent_at));
+                self.searcher_stats.record_lag(now, attempt.searcher, now.since(attempt.sent_at));
             }
         }
         late_shards.retain(|position| request.shards.is_open(*position));
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -116,7 +116,7 @@
             attempt.open = false;
             // The attempt's reply won't be awaited, so the attempt must count as one that may have been executed.
             request.may_have_run = true;
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
             // An action isn't cancelled: it might stop half-way, and a late receipt is still of use for its ticket.
             if is_search {
                 let request = RequestId { node: self.node, sequence };
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -157,7 +157,7 @@
                 let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
                 eligible.retain(|replica| slow_replies(replica) == fewest);
             }
-            let chosen = self.replicas.choose(now, &eligible, &batch_indices, typical, &mut self.random);
+            let chosen = self.searcher_stats.choose(now, &eligible, &batch_indices, typical, &mut self.random);
             if let Some(searcher) = chosen {
                 self.copies.record_asked(now, searcher, placement.shard);
             }
@@ -208,7 +208,7 @@
         request.attempts.push(Attempt { searcher, shards, sent_at: now, open: true, hedged: false });
         let request_id = RequestId { node: self.node, sequence };
         let attempt = AttemptId { request: request_id, attempt: request.attempts.len() as u32 };
-        self.replicas.record_sent(searcher);
+        self.searcher_stats.record_sent(searcher);
         match reason {
             SendReason::Primary => self.counters.primaries += 1,
             SendReason::Hedge => self.counters.hedges += 1,
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -28,7 +28,7 @@
         let attempt = entry.close();
         let matches = reply_matches(request, &attempt, &reply);
         if abandoned {
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
             return;
         }
         request.shards.end_attempt(&attempt.shards);
@@ -53,7 +53,7 @@
         match reply.outcome {
             SubOutcome::Found(found) => self.apply_found(now, sequence, attempt, found, reply.worked, actions),
             SubOutcome::Acted(receipt) => {
-                self.replicas.record_success(now, attempt.searcher, now.since(attempt.sent_at));
+                self.searcher_stats.record_success(now, attempt.searcher, now.since(attempt.sent_at));
                 self.finish(now, sequence, Outcome::Acted(receipt), actions);
             }
             SubOutcome::NotRun(reason) => self.apply_not_run(now, sequence, attempt, reason, actions),
@@ -75,7 +75,7 @@
         actions: &mut Vec<RootAction>,
     ) {
         let latency = now.since(attempt.sent_at);
-        self.replicas.record_success(now, attempt.searcher, latency);
+        self.searcher_stats.record_success(now, attempt.searcher, latency);
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -93,8 +93,8 @@
             service.work_latency.record(worked);
         }
         for OvertakenAttempt { number, searcher, sent_at } in overtaken {
-            self.replicas.record_ended(searcher);
-            self.replicas.record_lag(now, searcher, now.since(sent_at));
+            self.searcher_stats.record_ended(searcher);
+            self.searcher_stats.record_lag(now, searcher, now.since(sent_at));
             self.record_overtaken(now, sequence, number);
             let attempt = AttemptId { request: RequestId { node: self.node, sequence }, attempt: number };
             actions.push(RootAction::Cancel { attempt, searcher });
@@ -135,7 +135,7 @@
         if reason == NotRunReason::Unconnected {
             self.record_searcher_failure(now, sequence, attempt.searcher);
         } else {
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
         }
         // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it
         // counts as a retry, because overloaded searchers must not get unlimited additional work.
@@ -176,7 +176,7 @@
     fn record_searcher_failure(&mut self, now: BootTime, sequence: u64, searcher: SearcherId) {
         let service = self.requests.get(&sequence).and_then(|request| self.services.get(&request.service));
         let service_searchers = service.map_or(&[][..], |service| &service.searchers);
-        self.replicas.record_failure(now, searcher, service_searchers);
+        self.searcher_stats.record_failure(now, searcher, service_searchers);
     }
 
     /// Handles an attempt that may or may not have been executed. A search is retried; an action is given up.
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -96,7 +96,7 @@
 }
 
 /// A session of the table, with the time of its last use.
-struct HeldSession {
+struct SessionEntry {
     state: SessionState,
     /// Time of the last use, on this node's boot clock. It isn't part of [`SessionState`], because a changed state is
     /// copied to other nodes, and a use that shows the session no new snapshot must not cause that.
@@ -105,7 +105,7 @@
 
 /// All sessions that a node holds.
 pub struct SessionTable {
-    sessions: HashMap<SessionToken, HeldSession>,
+    sessions: HashMap<SessionToken, SessionEntry>,
     capacity: usize,
 }
 
@@ -121,7 +121,7 @@
             return false;
         }
         let state = SessionState { floors: BTreeMap::new(), tickets: Vec::new() };
-        self.sessions.insert(token, HeldSession { state, last_used: now });
+        self.sessions.insert(token, SessionEntry { state, last_used: now });
         true
     }
 
@@ -146,7 +146,7 @@
         if !self.make_room(now) {
             return false;
         }
-        self.sessions.entry(token).or_insert(HeldSession { state, last_used: now });
+        self.sessions.entry(token).or_insert(SessionEntry { state, last_used: now });
         true
     }
 
