--- a/crates/session/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`session`] | which sessions exist, which snapshots they have seen and which of their tickets are used |
 //! | [`snapshot_choice`] | which snapshot a service is served from |
 //! | [`replica`] | which replica of a shard is asked |
-//! | [`copies`] | which replicas of shards are slow and are avoided |
+//! | [`replica_health`] | which replicas of shards are slow and are avoided |
 //! | [`budget`] | how many hedges and retries may be sent |
 //! | [`limiter`] | how many requests of a service may be in flight |
 //! | [`request`] | what is recorded of one request in flight |
@@ -23,11 +23,11 @@
 //! to carry out. The node, the simulator and the fuzz tests run the same code.
 
 pub mod budget;
-pub mod copies;
 pub mod leaf;
 pub mod limiter;
 pub mod message;
 pub mod replica;
+pub mod replica_health;
 pub mod request;
 pub mod root;
 pub mod session;
--- a/crates/session/staircross-search/src/copies.rs
+++ b/crates/session/staircross-search/src/replica_health.rs
@@ -23,7 +23,7 @@
 
 /// The replica of a shard that one searcher holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct ShardCopy {
+struct ShardReplica {
     searcher: SearcherId,
     shard: ShardId,
 }
@@ -38,20 +38,20 @@
 
 /// The suspected replicas. Replicas that aren't suspected take no memory.
 #[derive(Default)]
-pub struct CopyHealth {
-    suspicions: HashMap<ShardCopy, Suspicion>,
+pub struct ReplicaHealth {
+    suspicions: HashMap<ShardReplica, Suspicion>,
 }
 
-impl CopyHealth {
+impl ReplicaHealth {
     /// Creates a table without suspected replicas.
     pub fn new() -> Self {
-        CopyHealth::default()
+        ReplicaHealth::default()
     }
 
     /// Counts a slow reply for each of `shards`, because another replica that was asked later replied first.
     pub fn record_overtaken(&mut self, now: BootTime, searcher: SearcherId, shards: impl Iterator<Item = ShardId>) {
         for shard in shards {
-            self.count_slow_reply(now, ShardCopy { searcher, shard });
+            self.count_slow_reply(now, ShardReplica { searcher, shard });
         }
     }
 
@@ -70,18 +70,18 @@
             return;
         }
         for shard in shards {
-            let copy = ShardCopy { searcher, shard };
+            let replica = ShardReplica { searcher, shard };
             if is_slow {
-                self.count_slow_reply(now, copy);
+                self.count_slow_reply(now, replica);
             } else {
-                self.suspicions.remove(&copy);
+                self.suspicions.remove(&replica);
             }
         }
     }
 
     /// Counts a slow reply of a replica, and starts or extends its avoidance once there are enough.
-    fn count_slow_reply(&mut self, now: BootTime, copy: ShardCopy) {
-        let suspicion = self.suspicions.entry(copy).or_insert(Suspicion { slow_replies: 0, avoided_until: now });
+    fn count_slow_reply(&mut self, now: BootTime, replica: ShardReplica) {
+        let suspicion = self.suspicions.entry(replica).or_insert(Suspicion { slow_replies: 0, avoided_until: now });
         suspicion.slow_replies = suspicion.slow_replies.saturating_add(1);
         if suspicion.slow_replies >= SLOW_REPLIES_TO_AVOID {
             let doublings = (suspicion.slow_replies - SLOW_REPLIES_TO_AVOID).min(MAX_AVOIDANCE_DOUBLINGS);
@@ -94,7 +94,7 @@
         if self.suspicions.is_empty() {
             return false;
         }
-        self.suspicions.get(&ShardCopy { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoided_until)
+        self.suspicions.get(&ShardReplica { searcher, shard }).is_some_and(|suspicion| now < suspicion.avoided_until)
     }
 
     /// Returns the number of slow replies of a replica in a row; zero when it isn't suspected.
@@ -106,7 +106,7 @@
         if self.suspicions.is_empty() {
             return 0;
         }
-        self.suspicions.get(&ShardCopy { searcher, shard }).map_or(0, |suspicion| suspicion.slow_replies)
+        self.suspicions.get(&ShardReplica { searcher, shard }).map_or(0, |suspicion| suspicion.slow_replies)
     }
 
     /// Records that a replica is asked. A replica with enough slow replies to be avoided isn't asked again for a while,
@@ -115,7 +115,7 @@
         if self.suspicions.is_empty() {
             return;
         }
-        if let Some(suspicion) = self.suspicions.get_mut(&ShardCopy { searcher, shard })
+        if let Some(suspicion) = self.suspicions.get_mut(&ShardReplica { searcher, shard })
             && suspicion.slow_replies >= SLOW_REPLIES_TO_AVOID
         {
             suspicion.avoided_until = suspicion.avoided_until.max(now + MIN_TRIAL_INTERVAL);
@@ -124,7 +124,7 @@
 
     /// Clears the suspicion of all replicas at a searcher, which has restarted.
     pub fn clear_searcher(&mut self, searcher: SearcherId) {
-        self.suspicions.retain(|copy, _| copy.searcher != searcher);
+        self.suspicions.retain(|replica, _| replica.searcher != searcher);
     }
 
     /// Returns the number of suspected replicas.
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -14,10 +14,10 @@
 pub use submit::Submission;
 
 use crate::budget::ExtraWorkBudget;
-use crate::copies::CopyHealth;
 use crate::limiter::ConcurrencyLimiter;
 use crate::message::{Outcome, SubReply, SubRequest};
 use crate::replica::SearcherStatsTable;
+use crate::replica_health::ReplicaHealth;
 use crate::request::Request;
 use crate::session::SessionTable;
 use crate::snapshot_choice::{Candidate, choose_current, evaluate_candidates};
@@ -131,7 +131,7 @@
     pub(crate) services: BTreeMap<ServiceName, ServiceState>,
     pub(crate) views: HashMap<SearcherId, SearcherView>,
     pub(crate) searcher_stats: SearcherStatsTable,
-    pub(crate) copies: CopyHealth,
+    pub(crate) replica_health: ReplicaHealth,
     pub(crate) requests: HashMap<u64, Request>,
     /// Times at which requests need attention, with the requests' sequence numbers. A request may have several.
     pub(crate) timers: BinaryHeap<Reverse<(BootTime, u64)>>,
@@ -152,7 +152,7 @@
             services: BTreeMap::new(),
             views: HashMap::new(),
             searcher_stats: SearcherStatsTable::default(),
-            copies: CopyHealth::new(),
+            replica_health: ReplicaHealth::new(),
             requests: HashMap::new(),
             timers: BinaryHeap::new(),
             finished_actions: HashMap::new(),
@@ -227,7 +227,7 @@
             self.views.get(&view.searcher).is_some_and(|known| incarnation_of(known) != incarnation_of(&view));
         if restarted {
             self.searcher_stats.clear_searcher(view.searcher);
-            self.copies.clear_searcher(view.searcher);
+            self.replica_health.clear_searcher(view.searcher);
         }
         let affected = self.services.values_mut().filter(|service| service.searchers.contains(&view.searcher));
         affected.for_each(|service| service.needs_refresh = true);
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -148,18 +148,18 @@
                 let serves = self.views.get(replica).is_some_and(|view| view.serves(snapshot));
                 serves && !tried.contains(replica)
             }));
-            let is_not_avoided = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
+            let is_not_avoided = |replica: &SearcherId| !self.replica_health.is_avoided(now, *replica, placement.shard);
             // Avoided replicas are used only if there are no others, and then only those with the fewest slow replies.
-            if !self.copies.is_empty() && eligible.iter().any(is_not_avoided) {
+            if !self.replica_health.is_empty() && eligible.iter().any(is_not_avoided) {
                 eligible.retain(is_not_avoided);
-            } else if !self.copies.is_empty() {
-                let slow_replies = |replica: &SearcherId| self.copies.slow_replies(*replica, placement.shard);
+            } else if !self.replica_health.is_empty() {
+                let slow_replies = |replica: &SearcherId| self.replica_health.slow_replies(*replica, placement.shard);
                 let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
                 eligible.retain(|replica| slow_replies(replica) == fewest);
             }
             let chosen = self.searcher_stats.choose(now, &eligible, &batch_indices, typical, &mut self.random);
             if let Some(searcher) = chosen {
-                self.copies.record_asked(now, searcher, placement.shard);
+                self.replica_health.record_asked(now, searcher, placement.shard);
             }
             let Some(searcher) = chosen else {
                 if *outstanding == 0 && last_failure.is_none() {
@@ -167,7 +167,7 @@
                 }
                 continue;
             };
-            if self.copies.slow_replies(searcher, placement.shard) > 0 {
+            if self.replica_health.slow_replies(searcher, placement.shard) > 0 {
                 batches.push(Batch { searcher, shards: vec![*position] });
                 continue;
             }
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -84,7 +84,7 @@
             let tail = service.work_latency.hedge_delay();
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
             // The wait for a slot is left out, because it says nothing about the speed of the replica.
-            self.copies.record_reply(now, attempt.searcher, shards, worked, tail);
+            self.replica_health.record_reply(now, attempt.searcher, shards, worked, tail);
         }
         let merged = request.merge(&attempt.shards, found);
         let overtaken = if merged.has_other_attempts { request.close_overtaken_attempts() } else { Vec::new() };
@@ -119,7 +119,7 @@
         };
         if now.since(attempt.sent_at) > service.latency.hedge_delay() {
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            self.copies.record_overtaken(now, attempt.searcher, shards);
+            self.replica_health.record_overtaken(now, attempt.searcher, shards);
         }
     }
 
