--- a/crates/session/staircross-lab/src/demo.rs
+++ b/crates/session/staircross-lab/src/demo.rs
@@ -63,6 +63,7 @@
     clauses: Corpus,
 }
 
+/// Number of shards of the clause service's index.
 const CLAUSE_SHARDS: u32 = 8;
 
 /// Runs all chapters of the demo in one session.
@@ -185,13 +186,14 @@
     fn show_straggler(&self) -> Result<(), DemoError> {
         self.reporter.print_chapter("One searcher becomes very slow");
         let id = SearcherId(1);
-        // The nodes need enough quick answers first to know the usual latency.
+        // The nodes need enough fast replies first to measure the usual latency.
         for _ in 0..40 {
             self.client.query(self.session, "SEARCH 'insurance' IN SERVICE clauses LIMIT 1")?;
         }
         self.control_searcher(id, ControlCommand::AddFault { fault: Fault::Slow { delay_ms: 600 }, calls: None });
-        self.reporter
-            .print_note("its shards are asked of other replicas too, within the hedge budget, then it is avoided");
+        self.reporter.print_note(
+            "within the hedge budget, other replicas are asked for its shards too; then the searcher is avoided",
+        );
         for _ in 0..4 {
             self.run_statement("straggler", "SEARCH 'insurance certificates' IN SERVICE clauses LIMIT 1")?;
         }
@@ -207,7 +209,7 @@
             self.control_searcher(SearcherId(id), ControlCommand::AddFault { fault: Fault::Dead, calls: None });
         }
         std::thread::sleep(Duration::from_millis(1500));
-        self.reporter.print_note("shards that lived only on the three lost searchers are listed as missing:");
+        self.reporter.print_note("shards whose replicas are all on the three lost searchers are listed as missing:");
         self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses LIMIT 1")?;
         self.run_statement("lost replica", "SEARCH 'privacy breach' IN SERVICE clauses COVERAGE 100% LIMIT 1")?;
         for id in [2, 3, 4] {
@@ -245,7 +247,7 @@
             self.run_statement("drain", "SEARCH 'scout meadow' IN SERVICE pitches LIMIT 1")?;
         }
         let new_work = self.ledger_length(id) - before;
-        self.reporter.print_note(&format!("pieces of work at searcher {id} after the drain: {new_work}"));
+        self.reporter.print_note(&format!("calls executed by searcher {id} after the drain: {new_work}"));
         if new_work != 0 {
             return Err(DemoError::ExpectationFailed { what: "a drained searcher gets no new work" });
         }
@@ -295,19 +297,20 @@
         let statement = "SEARCH 'warranty' IN SERVICE clauses LIMIT 1";
         let in_flight = std::thread::spawn(move || client.query(session, statement));
         std::thread::sleep(Duration::from_millis(60));
-        let node = self.fleet.nodes[0].take().ok_or(DemoError::ExpectationFailed { what: "a node to stop" })?;
+        let node =
+            self.fleet.nodes[0].take().ok_or(DemoError::ExpectationFailed { what: "the first node is running" })?;
         node.begin_stop();
         let reply =
             in_flight.join().map_err(|_| DemoError::ExpectationFailed { what: "the request in flight ends" })??;
         self.reporter.print_reply("planned stop", statement, &reply);
         let Some(next) = reply.moved_to else {
-            return Err(DemoError::ExpectationFailed { what: "the reply names the node to turn to" });
+            return Err(DemoError::ExpectationFailed { what: "the reply names the next node" });
         };
-        self.reporter.print_note(&format!("the reply names {next}; the same session goes on there:"));
+        self.reporter.print_note(&format!("the reply names {next}; the same session continues there:"));
         self.client = NodeClient::new(next);
         self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         node.wait();
-        self.reporter.print_note("the stopped node has ended; nothing in flight was cut");
+        self.reporter.print_note("the stopped node has ended and interrupted no request in flight");
         self.run_statement("planned stop", "SEARCH 'warranty defects' IN SERVICE clauses LIMIT 1")?;
         Ok(())
     }
--- a/crates/session/staircross-lab/src/fuzz/runner.rs
+++ b/crates/session/staircross-lab/src/fuzz/runner.rs
@@ -59,7 +59,8 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = RequestModel::sequential_strategy(options.steps..options.steps + 1);
     let result = runner.run(&strategy, |(seed, operations, seen)| {
-        // When it shrinks, the strategy first drops operations that were not reached. Here all are reached.
+        // Shrinking first drops the operations that were not reached. Each case applies all its operations, so all are
+        // marked as reached.
         if let Some(seen) = seen {
             seen.store(operations.len(), Ordering::SeqCst);
         }
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -47,7 +47,8 @@
     /// Returns the node that holds a session, and moves the session to another node where needed.
     ///
     /// A session moves if its node is down. It also moves if its node is stopping and the caller has no request in
-    /// flight there: callers learn from a reply which node to turn to. Returns `None` if no node can take the session.
+    /// flight there: replies of a stopping node name the node that the caller should use next. Returns `None` if no
+    /// node can take the session.
     fn node_for_session(&mut self, session: usize) -> Option<usize> {
         let node = self.sessions[session].node;
         let is_waiting = self.open_requests.iter().any(|((holder, _), asking)| *holder == node && *asking == session);
--- a/crates/session/staircross-language/src/error.rs
+++ b/crates/session/staircross-language/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the parser, which name the place, what was found and what was expected.
+//! Errors of the parser, with the line, the column, what was found and what was expected.
 
 use quick_error::quick_error;
 
--- a/crates/session/staircross-language/src/parse.rs
+++ b/crates/session/staircross-language/src/parse.rs
@@ -1,6 +1,6 @@
 //! Parses text into a [`Statement`].
 //!
-//! Invariant: parsing any text returns a statement or an error that names a place, and never panics.
+//! Invariant: parsing any text returns a statement or an error with a line and a column, and never panics.
 
 use crate::error::LanguageError;
 use crate::statement::{
@@ -44,7 +44,7 @@
     LanguageError::Syntax { line: 1, column: 1, found: "end of text".into(), expected: vec!["a statement".into()] }
 }
 
-/// Converts an error of the grammar's parser.
+/// Converts a syntax error of the generated parser.
 fn syntax_error(text: &str, error: pest::error::Error<Rule>) -> LanguageError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(place) => place,
@@ -57,7 +57,7 @@
     LanguageError::Syntax { line, column, found: word_at(text, line, column), expected }
 }
 
-/// Returns the word that starts at a place, in backquotes, for an error message.
+/// Returns the word at a line and column in backquotes, for an error message.
 fn word_at(text: &str, line: usize, column: usize) -> String {
     let line_text = text.lines().nth(line.saturating_sub(1)).unwrap_or("");
     let rest: String = line_text.chars().skip(column.saturating_sub(1)).collect();
@@ -240,7 +240,7 @@
     Ok(options)
 }
 
-/// Reads the assignments of a `SET` part.
+/// Converts the assignments of a `SET` part.
 fn policy_change(set: ParseNode<'_>) -> Result<PolicyChange, LanguageError> {
     let mut change = PolicyChange::default();
     for assignment in set.into_inner().flat_map(Pair::into_inner) {
--- a/crates/session/staircross-language/src/statement.rs
+++ b/crates/session/staircross-language/src/statement.rs
@@ -18,7 +18,7 @@
     Config(ConfigStatement),
 }
 
-/// `SEARCH 'terms' IN SERVICE name [WAIT n MS] [COVERAGE p%] [LIMIT n]`
+/// A search: `SEARCH 'terms' IN SERVICE name [WAIT n MS] [COVERAGE p%] [LIMIT n]`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchStatement {
     /// Terms, all of which must occur in a hit.
@@ -33,7 +33,7 @@
     pub limit: u32,
 }
 
-/// `PULL 'terms' IN SERVICE name [AFTER 'cursor'] [WAIT n MS] [LIMIT n]`
+/// A request for one page of a pull: `PULL 'terms' IN SERVICE name [AFTER 'cursor'] [WAIT n MS] [LIMIT n]`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PullStatement {
     /// Terms, all of which must occur in a document. Without terms, all documents are returned.
@@ -48,7 +48,7 @@
     pub limit: u32,
 }
 
-/// `RUN verb ON 'target' IN SERVICE name [NOTE 'text'] [WAIT n MS] TICKET 'ticket'`
+/// An action: `RUN verb ON 'target' IN SERVICE name [NOTE 'text'] [WAIT n MS] TICKET 'ticket'`
 ///
 /// The grammar accepts the statement without a ticket; the node refuses it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     pub ticket: Option<String>,
 }
 
-/// `SHOW …`
+/// A request to show state: `SHOW …`
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShowStatement {
     /// The services and their policies.
--- a/crates/session/staircross-search/src/replica_health.rs
+++ b/crates/session/staircross-search/src/replica_health.rs
@@ -1,10 +1,10 @@
 //! Detection of slow replicas of shards. Here a replica is one shard at one searcher.
 //!
-//! A searcher may be fast for all its shards but one. A slow reply makes every replica that the sub-request asked for
-//! suspected; a fast reply clears the suspicion. A replica with two slow replies in a row is avoided, for a time that
-//! doubles with each further slow reply, and is then tried again by one request at a time. Each suspected replica is
-//! asked in a sub-request of its own. A replica that was suspected only because it was asked together with a slow one
-//! is therefore cleared by its first fast reply, while the slow replica is tried less and less often.
+//! A searcher may be fast for all its shards but one. After a slow reply every replica that the sub-request asked for
+//! is suspected; a fast reply clears the suspicion. A replica with two slow replies in a row is avoided, for a time
+//! that doubles with each further slow reply, and is then tried again by one request at a time. Each suspected replica
+//! is asked in a sub-request of its own. A replica that was suspected only because it was asked together with a slow
+//! one is therefore cleared by its first fast reply, while the slow replica is tried less and less often.
 
 use hashbrown::HashMap;
 use staircross_types::{BootTime, SearcherId, ShardId};
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs: the services in force, views of searchers, submissions, replies and time. For each request the root chooses
 //! a snapshot, assigns its shards to searchers, hedges and retries within budgets, merges the replies, and answers or
-//! refuses. Invariants: see [`crate::request`]; a request is refused as never executed only if nothing was sent, or all
-//! that was sent was answered `NotRun`.
+//! refuses. Invariants: see [`crate::request`]; a request is reported as never executed only if nothing was sent, or
+//! all that was sent was answered `NotRun`.
 
 mod deadline;
 mod finish;
--- a/crates/session/staircross-search/src/root/deadline.rs
+++ b/crates/session/staircross-search/src/root/deadline.rs
@@ -8,8 +8,8 @@
 use staircross_types::{BootTime, RequestId};
 use std::cmp::Reverse;
 
-/// Number of hedge delays after admission from which on a latency-first request may be answered without its last
-/// shards.
+/// Number of hedge delays that a latency-first request waits after its admission before it may be answered without its
+/// last shards.
 const EARLY_ANSWER_DELAYS: u32 = 2;
 
 /// Returns when a latency-first search may be answered without its last shards; `None` for other requests.
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -11,7 +11,7 @@
 
 /// Time after the end of an action during which a late receipt is still recorded as its ticket's outcome.
 const LATE_RECEIPT_WINDOW: Duration = Duration::from_secs(60);
-/// Time until the deadline at or below which a request isn't planned again.
+/// Shortest time until the deadline that allows a new plan. With this time or less left, a request isn't planned again.
 const MIN_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
 
 impl RootEngine {
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -225,7 +225,7 @@
         }));
     }
 
-    /// Sets when the request needs attention next: at the next hedge, the early answer or the deadline.
+    /// Sets the request's next timer to the earliest of its next hedge, its early answer and its deadline.
     pub(super) fn schedule(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
--- a/crates/session/staircross-search/src/session.rs
+++ b/crates/session/staircross-search/src/session.rs
@@ -1,7 +1,7 @@
 //! Sessions: the snapshots that a caller has seen and the tickets for its actions.
 //!
 //! Invariants: a floor (the newest snapshot seen of a service) never falls; a ticket is marked as running before any
-//! part of its request is sent; a request that is refused as never executed makes its ticket unused again.
+//! part of its request is sent; the refusal of a request that was never executed makes its ticket unused again.
 
 use crate::message::Outcome;
 use hashbrown::HashMap;
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Records how a ticket's request ended, in place of what was recorded before. A refusal as never executed makes
-    /// the ticket unused again.
+    /// Records how a ticket's request ended, in place of what was recorded before. The refusal of a request that was
+    /// never executed makes the ticket unused again.
     pub fn end_ticket(&mut self, ticket: Ticket, outcome: &Outcome) {
         let Some((_, state)) = self.tickets.iter_mut().find(|(known, _)| *known == ticket) else {
             return;
