--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -4,7 +4,7 @@
 use super::records::ExecutionRecord;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use staircross_search::{ActionReceipt, Evidence, NotRunReason, SubOutcome, SubReply, SubRequest, Work};
+use staircross_search::{ActionReceipt, NotRunReason, ProbeReport, SubOutcome, SubReply, SubRequest, Work};
 use staircross_types::{BootTime, SearcherId, SearcherIncarnation, ShardHits, ShardId, Snapshot};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -139,8 +139,8 @@
     }
 
     /// Returns the reply of the state endpoint.
-    pub fn evidence(&self) -> Evidence {
-        Evidence {
+    pub fn probe_report(&self) -> ProbeReport {
+        ProbeReport {
             incarnation: self.incarnation,
             snapshots: self.shards_by_snapshot.keys().copied().collect(),
             draining: self.is_draining && !self.hides_draining,
--- a/crates/session/staircross-lab/src/sim/world/faults.rs
+++ b/crates/session/staircross-lab/src/sim/world/faults.rs
@@ -251,7 +251,7 @@
             .iter()
             .filter(|other| other.is_up)
             .flat_map(|other| other.root.views().cloned())
-            .filter(|view| view.evidence.is_some())
+            .filter(|view| view.report.is_some())
             .collect();
         // The engine keeps views in a hash map, and the simulation must not depend on its iteration order.
         views.sort_by_key(|view| view.searcher);
--- a/crates/session/staircross-lab/src/sim/world/searchers.rs
+++ b/crates/session/staircross-lab/src/sim/world/searchers.rs
@@ -185,7 +185,7 @@
         if self.searchers[index].is_up && self.network.can_deliver(from, to) {
             self.schedule(delay, SimEvent::ProbeArrival { node, generation, searcher: index, asked_at });
         } else {
-            let event = LeafEvent::Probed { searcher, asked_at, evidence: None };
+            let event = LeafEvent::Probed { searcher, asked_at, report: None };
             self.schedule(delay * 2, SimEvent::Probed { node, generation, event });
         }
     }
@@ -202,10 +202,10 @@
         if !self.searchers[index].is_up || !self.network.can_deliver(from, to) {
             return;
         }
-        let evidence = Some(self.searchers[index].evidence());
+        let report = Some(self.searchers[index].probe_report());
         let searcher = self.searchers[index].id;
         let delay = self.draw_network_delay(from, to);
-        let event = LeafEvent::Probed { searcher, asked_at, evidence };
+        let event = LeafEvent::Probed { searcher, asked_at, report };
         self.schedule(delay, SimEvent::Probed { node, generation, event });
     }
 }
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -198,8 +198,8 @@
             CoreEvent::SearcherReplied { reply, incarnation } => {
                 self.handle_leaf_event(now, LeafEvent::Reply { reply, incarnation });
             }
-            CoreEvent::Probed { searcher, asked_at, evidence } => {
-                self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, evidence });
+            CoreEvent::Probed { searcher, asked_at, report } => {
+                self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, report });
             }
             CoreEvent::Platform(document) => self.handle_cluster_event(now, ClusterEvent::Platform(document)),
             CoreEvent::Machines(machines) => {
--- a/crates/session/staircross-node/src/core/config.rs
+++ b/crates/session/staircross-node/src/core/config.rs
@@ -4,11 +4,11 @@
 use crate::api::ReplyBody;
 use crate::searchers::SearcherEndpoint;
 use spdlog::info;
-use staircross_cluster::views::{GossipedEvidence, ViewRecord};
+use staircross_cluster::views::{GossipedReport, ViewRecord};
 use staircross_cluster::{ClusterAction, ClusterEvent};
 use staircross_config::{EditError, PlatformDocument};
 use staircross_language::ConfigStatement;
-use staircross_search::{Evidence, LeafEvent, Refusal, RootEvent, SearcherView};
+use staircross_search::{LeafEvent, ProbeReport, Refusal, RootEvent, SearcherView};
 use staircross_types::boot_clock as clock;
 use staircross_types::{BootTime, ErrorKind};
 use staircross_wire::PeerMessage;
@@ -68,23 +68,23 @@
 
     /// Passes this node's view of an owned searcher to the cluster engine, which sends it to the other nodes.
     pub(super) fn publish_view(&mut self, now: BootTime, view: &SearcherView) {
-        let evidence = view.evidence.as_ref().map(|evidence| GossipedEvidence {
-            incarnation: evidence.incarnation,
-            snapshots: evidence.snapshots.clone(),
-        });
-        let event = ClusterEvent::Observed { searcher: view.searcher, evidence, leaving: view.leaving };
+        let report = view
+            .report
+            .as_ref()
+            .map(|report| GossipedReport { incarnation: report.incarnation, snapshots: report.snapshots.clone() });
+        let event = ClusterEvent::Observed { searcher: view.searcher, report, leaving: view.leaving };
         self.handle_cluster_event(now, event);
     }
 
     /// Passes a searcher's state, as the cluster engine knows it, to the root and leaf engines.
     fn apply_view(&mut self, now: BootTime, record: ViewRecord) {
         let searcher = record.searcher;
-        let evidence = record.evidence.map(|evidence| Evidence {
-            incarnation: evidence.incarnation,
-            snapshots: evidence.snapshots,
+        let report = record.report.map(|report| ProbeReport {
+            incarnation: report.incarnation,
+            snapshots: report.snapshots,
             draining: record.leaving,
         });
-        let view = SearcherView { searcher, evidence, leaving: record.leaving };
+        let view = SearcherView { searcher, report, leaving: record.leaving };
         self.handle_root_event(now, RootEvent::View(view.clone()));
         self.handle_leaf_event(now, LeafEvent::PeerView(view));
     }
--- a/crates/session/staircross-node/src/core/show.rs
+++ b/crates/session/staircross-node/src/core/show.rs
@@ -29,15 +29,15 @@
         for service in &services {
             for searcher in &service.searchers {
                 let record = self.cluster.view_records().find(|record| record.searcher == searcher.id);
-                let evidence = record.and_then(|record| record.evidence.as_ref());
-                let state = match (record, evidence) {
+                let report = record.and_then(|record| record.report.as_ref());
+                let state = match (record, report) {
                     (Some(record), _) if record.leaving => "leaving",
-                    (_, Some(evidence)) if !evidence.snapshots.is_empty() => "serving",
+                    (_, Some(report)) if !report.snapshots.is_empty() => "serving",
                     (Some(_), _) => "unreachable",
                     (None, _) => "unknown",
                 };
                 let snapshots: Vec<String> =
-                    evidence.iter().flat_map(|evidence| &evidence.snapshots).map(ToString::to_string).collect();
+                    report.iter().flat_map(|report| &report.snapshots).map(ToString::to_string).collect();
                 let owners: Vec<String> = self
                     .cluster
                     .ownership()
--- a/crates/session/staircross-node/src/event.rs
+++ b/crates/session/staircross-node/src/event.rs
@@ -4,7 +4,7 @@
 use crossbeam::channel::Sender;
 use staircross_config::{MachineList, PlatformDocument};
 use staircross_language::Statement;
-use staircross_search::{Evidence, Refusal, SubReply, SubRequest};
+use staircross_search::{ProbeReport, Refusal, SubReply, SubRequest};
 use staircross_types::{BootTime, SearcherId, SearcherIncarnation, SessionToken};
 use staircross_wire::PeerMessage;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
         /// Time at which the probe was sent.
         asked_at: BootTime,
         /// State that the searcher reported, or `None` if the probe failed.
-        evidence: Option<Evidence>,
+        report: Option<ProbeReport>,
     },
     /// The service document was read from the platform.
     Platform(Arc<PlatformDocument>),
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -216,8 +216,8 @@
             ControlJob::Cancel(attempt) => client.cancel(attempt),
             ControlJob::Probe => {
                 let asked_at = clock::now();
-                let evidence = client.probe();
-                let event = CoreEvent::Probed { searcher: client.searcher(), asked_at, evidence };
+                let report = client.probe();
+                let event = CoreEvent::Probed { searcher: client.searcher(), asked_at, report };
                 if events.send(event).is_err() {
                     return;
                 }
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -3,7 +3,9 @@
 use crate::logs::Logs;
 use spdlog::{debug, warn};
 use staircross_search::leaf::not_run;
-use staircross_search::{ActionReceipt, Evidence, NotRunReason, SubOutcome, SubReply, SubRequest, UnknownReason, Work};
+use staircross_search::{
+    ActionReceipt, NotRunReason, ProbeReport, SubOutcome, SubReply, SubRequest, UnknownReason, Work,
+};
 use staircross_types::searcher_api::{
     ACT_PATH, ActCall, CANCEL_PATH, CallReply, CallStatus, CancelCall, DIGEST_HEADER, SEARCH_PATH, STATE_PATH,
     SearchCall, StateReply,
@@ -161,7 +163,7 @@
     }
 
     /// Requests the searcher's state. Returns `None` if the request fails or another searcher answers.
-    pub fn probe(&self) -> Option<Evidence> {
+    pub fn probe(&self) -> Option<ProbeReport> {
         let request = self.keep_alive_agent.get(format!("{}{STATE_PATH}", self.base_url));
         let response = request.config().timeout_global(Some(CONTROL_TIMEOUT)).build().call().ok()?;
         let bytes = self.read_verified_body(response).ok()?;
@@ -171,7 +173,7 @@
                 "event=wrong_searcher expected={} got={}", self.searcher, state.searcher);
             return None;
         }
-        Some(Evidence { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
+        Some(ProbeReport { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
     }
 
     /// Notifies the searcher that the result of an attempt is no longer needed. This is only a hint, so a failure is
--- a/crates/session/staircross-search/src/leaf.rs
+++ b/crates/session/staircross-search/src/leaf.rs
@@ -4,14 +4,14 @@
 //!
 //! Inputs: sub-requests from roots, replies and probe replies from searchers, and reports of any source that a searcher
 //! is leaving. Invariants: no more of a searcher's slots are in use than the owner's share; nothing is sent unless the
-//! searcher has answered a probe that was sent less than [`LeafSettings::max_evidence_age`] ago; an incarnation that is
+//! searcher has answered a probe that was sent less than [`LeafSettings::max_report_age`] ago; an incarnation that is
 //! leaving stays leaving; a sub-request that was queued and never sent is answered `NotRun`, unless its root has
 //! cancelled it.
 
 mod owned;
 
 use crate::message::{NotRunReason, SubOutcome, SubReply, SubRequest};
-use crate::view::{Evidence, SearcherView};
+use crate::view::{ProbeReport, SearcherView};
 use owned::{OwnedSearcher, Queued};
 use staircross_types::{AttemptId, BootTime, NodeId, SearcherId, SearcherIncarnation};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 pub struct LeafSettings {
     /// Time after a probe was sent during which its reply allows work to be sent to the searcher, and after which a
     /// probe without a reply counts as lost.
-    pub max_evidence_age: Duration,
+    pub max_report_age: Duration,
     /// Time between the probes of a searcher.
     pub probe_interval: Duration,
     /// Time over which the number of slots that are used of a restarted searcher rises to the whole share.
@@ -37,7 +37,7 @@
 impl Default for LeafSettings {
     fn default() -> Self {
         LeafSettings {
-            max_evidence_age: Duration::from_secs(2),
+            max_report_age: Duration::from_secs(2),
             probe_interval: Duration::from_millis(500),
             ramp_up_time: Duration::from_secs(3),
             max_queue_per_slot: 4,
@@ -60,8 +60,8 @@
     Cancel { from: NodeId, attempt: AttemptId },
     /// A searcher replied, or the call to it failed. `incarnation` is the one that replied, if one did.
     Reply { reply: SubReply, incarnation: Option<SearcherIncarnation> },
-    /// A probe ended. `evidence` is the searcher's report; `None` if it didn't answer.
-    Probed { searcher: SearcherId, asked_at: BootTime, evidence: Option<Evidence> },
+    /// A probe ended. `report` is `None` if the searcher didn't answer.
+    Probed { searcher: SearcherId, asked_at: BootTime, report: Option<ProbeReport> },
     /// A peer published its view of a searcher.
     PeerView(SearcherView),
     /// The searchers that the platform lists as leaving or that operators drain. The list applies to every incarnation
@@ -82,7 +82,7 @@
     CancelAtSearcher { searcher: SearcherId, attempt: AttemptId },
     /// Reply to a root.
     Reply { to: NodeId, reply: SubReply },
-    /// Ask the searcher for its state: see [`Evidence`].
+    /// Ask the searcher for its state: see [`ProbeReport`].
     Probe { searcher: SearcherId },
     /// Publish the new view of a searcher to the other nodes.
     PublishView(SearcherView),
@@ -118,8 +118,8 @@
             LeafEvent::Request { from, request } => self.on_request(now, from, request, actions),
             LeafEvent::Cancel { from, attempt } => self.on_cancel(now, from, attempt, actions),
             LeafEvent::Reply { reply, incarnation } => self.on_reply(now, reply, incarnation, actions),
-            LeafEvent::Probed { searcher, asked_at, evidence } => {
-                self.on_probed(now, searcher, asked_at, evidence, actions);
+            LeafEvent::Probed { searcher, asked_at, report } => {
+                self.on_probed(now, searcher, asked_at, report, actions);
             }
             LeafEvent::PeerView(view) => self.on_peer_view(view, actions),
             LeafEvent::ListedAsLeaving(listed) => self.set_listed(&listed, actions),
@@ -163,7 +163,7 @@
         for (id, share) in shares {
             let searcher = self.searchers.entry(id).or_default();
             searcher.slot_share = share;
-            if searcher.evidence.is_none() {
+            if searcher.report.is_none() {
                 searcher.request_probe(now, id, &self.settings, actions);
             }
         }
@@ -235,7 +235,7 @@
         };
         match reply.outcome {
             SubOutcome::NotRun(NotRunReason::Draining) => searcher.on_draining_refusal(id, incarnation, actions),
-            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.evidence_asked_at = None,
+            SubOutcome::NotRun(NotRunReason::Unconnected) => searcher.report_probed_at = None,
             _ => {}
         }
         let reply = SubReply { worked: now.since(in_flight.sent_at), ..reply };
@@ -252,8 +252,8 @@
         let Some(searcher) = self.searchers.get(&id).filter(|searcher| searcher.is_incarnation_leaving) else {
             return;
         };
-        if let Some(evidence) = &searcher.evidence {
-            self.leaving_incarnations.insert(id, evidence.incarnation);
+        if let Some(report) = &searcher.report {
+            self.leaving_incarnations.insert(id, report.incarnation);
         }
     }
 
@@ -263,7 +263,7 @@
         now: BootTime,
         id: SearcherId,
         asked_at: BootTime,
-        evidence: Option<Evidence>,
+        report: Option<ProbeReport>,
         actions: &mut Vec<LeafAction>,
     ) {
         let Some(searcher) = self.searchers.get_mut(&id) else {
@@ -271,12 +271,12 @@
         };
         searcher.pending_probe_at = None;
         let before = searcher.view(id);
-        match evidence {
-            Some(evidence) => {
-                let is_known_leaving = self.leaving_incarnations.get(&id) == Some(&evidence.incarnation);
-                searcher.apply_evidence(now, asked_at, evidence, is_known_leaving);
+        match report {
+            Some(report) => {
+                let is_known_leaving = self.leaving_incarnations.get(&id) == Some(&report.incarnation);
+                searcher.apply_report(now, asked_at, report, is_known_leaving);
             }
-            None => searcher.clear_evidence(),
+            None => searcher.clear_report(),
         }
         let after = searcher.view(id);
         if after != before {
@@ -284,7 +284,7 @@
         }
         if searcher.is_leaving() {
             searcher.refuse_queue(NotRunReason::Draining, actions);
-        } else if searcher.evidence_asked_at.is_none() {
+        } else if searcher.report_probed_at.is_none() {
             searcher.refuse_queue(NotRunReason::Unconnected, actions);
         }
         searcher.dispatch(now, id, &self.settings, actions);
@@ -294,7 +294,7 @@
     /// Marks an incarnation that a peer reports as leaving. If the peer doesn't know yet that the incarnation is
     /// leaving, publishes the corrected view.
     fn on_peer_view(&mut self, view: SearcherView, actions: &mut Vec<LeafAction>) {
-        let Some(incarnation) = view.evidence.as_ref().map(|evidence| evidence.incarnation) else {
+        let Some(incarnation) = view.report.as_ref().map(|report| report.incarnation) else {
             return;
         };
         if view.leaving {
@@ -316,7 +316,7 @@
         let Some(searcher) = self.searchers.get_mut(&id) else {
             return;
         };
-        if searcher.evidence.as_ref().is_some_and(|evidence| evidence.incarnation == incarnation) {
+        if searcher.report.as_ref().is_some_and(|report| report.incarnation == incarnation) {
             searcher.mark_leaving(id, actions);
             searcher.refuse_queue(NotRunReason::Draining, actions);
         }
@@ -332,7 +332,7 @@
             let before = searcher.view(*id);
             searcher.listed_as_leaving = is_listed;
             // The incarnation stays leaving, even if a later list no longer has the searcher.
-            searcher.is_incarnation_leaving |= is_listed && searcher.evidence.is_some();
+            searcher.is_incarnation_leaving |= is_listed && searcher.report.is_some();
             let after = searcher.view(*id);
             if after != before {
                 actions.push(LeafAction::PublishView(after));
@@ -351,7 +351,7 @@
             // planned stop could finish while the call is still in flight. The timeout only matters if a worker thread
             // ended without a reply.
             searcher.in_flight.retain(|_, in_flight| now < in_flight.deadline + LOST_CALL_TIMEOUT);
-            let probe_timeout = self.settings.max_evidence_age;
+            let probe_timeout = self.settings.max_report_age;
             let unanswered = searcher.pending_probe_at.is_some_and(|asked| now.since(asked) > probe_timeout);
             if unanswered {
                 searcher.pending_probe_at = None;
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -2,7 +2,7 @@
 
 use super::{LeafAction, LeafSettings, not_run};
 use crate::message::{NotRunReason, SubRequest};
-use crate::view::{Evidence, SearcherView};
+use crate::view::{ProbeReport, SearcherView};
 use hashbrown::HashMap;
 use staircross_types::{AttemptId, BootTime, NodeId, SearcherId, SearcherIncarnation};
 use std::collections::VecDeque;
@@ -27,9 +27,9 @@
     /// Slots of the searcher that this leaf may use; zero once the leaf no longer owns the searcher.
     pub(super) slot_share: u32,
     /// The searcher's last report.
-    pub(super) evidence: Option<Evidence>,
+    pub(super) report: Option<ProbeReport>,
     /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
-    pub(super) evidence_asked_at: Option<BootTime>,
+    pub(super) report_probed_at: Option<BootTime>,
     /// When the current incarnation was first seen.
     pub(super) incarnation_first_seen_at: BootTime,
     /// Whether this leaf saw an earlier incarnation before the current one, so that the slots used are ramped up.
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn view(&self, searcher: SearcherId) -> SearcherView {
-        SearcherView { searcher, evidence: self.evidence.clone(), leaving: self.is_leaving() }
+        SearcherView { searcher, report: self.report.clone(), leaving: self.is_leaving() }
     }
 
     /// Marks the current incarnation as leaving.
@@ -70,43 +70,43 @@
         incarnation: Option<SearcherIncarnation>,
         actions: &mut Vec<LeafAction>,
     ) {
-        let known = self.evidence.as_ref().map(|evidence| evidence.incarnation);
+        let known = self.report.as_ref().map(|report| report.incarnation);
         if incarnation.is_none() || incarnation == known {
             self.mark_leaving(id, actions);
         } else {
-            self.evidence_asked_at = None;
+            self.report_probed_at = None;
         }
     }
 
     /// Applies a probe reply. `is_known_leaving` says whether the incarnation is already known to be leaving.
-    pub(super) fn apply_evidence(
+    pub(super) fn apply_report(
         &mut self,
         now: BootTime,
         asked_at: BootTime,
-        evidence: Evidence,
+        report: ProbeReport,
         is_known_leaving: bool,
     ) {
-        let is_same_incarnation = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
+        let is_same_incarnation = self.report.as_ref().is_some_and(|known| known.incarnation == report.incarnation);
         if !is_same_incarnation {
             // The first incarnation that this leaf sees may be warm; one that follows another has restarted and is
             // cold.
-            self.needs_ramp_up = self.evidence.is_some();
+            self.needs_ramp_up = self.report.is_some();
             self.incarnation_first_seen_at = now;
             self.is_incarnation_leaving = false;
         }
         // An incarnation that is leaving stays so, even if it reports itself as serving again.
-        self.is_incarnation_leaving |= evidence.draining || is_known_leaving;
-        self.evidence_asked_at = Some(asked_at);
-        self.evidence = Some(evidence);
+        self.is_incarnation_leaving |= report.draining || is_known_leaving;
+        self.report_probed_at = Some(asked_at);
+        self.report = Some(report);
     }
 
     /// Records that a probe was not answered.
-    pub(super) fn clear_evidence(&mut self) {
-        self.evidence_asked_at = None;
+    pub(super) fn clear_report(&mut self) {
+        self.report_probed_at = None;
         // The incarnation is kept, to be compared with the next one, but the searcher no longer counts as serving any
         // snapshot.
-        if let Some(evidence) = &mut self.evidence {
-            evidence.snapshots.clear();
+        if let Some(report) = &mut self.report {
+            report.snapshots.clear();
         }
     }
 
@@ -148,7 +148,7 @@
         if self.queue.is_empty() || self.is_leaving() {
             return;
         }
-        let fresh_until = self.evidence_asked_at.map(|asked| asked + settings.max_evidence_age);
+        let fresh_until = self.report_probed_at.map(|asked| asked + settings.max_report_age);
         let Some(send_before) = fresh_until.filter(|until| now < *until) else {
             self.request_probe(now, id, settings, actions);
             return;
--- a/crates/session/staircross-search/src/lib.rs
+++ b/crates/session/staircross-search/src/lib.rs
@@ -40,4 +40,4 @@
 };
 pub use root::{RootAction, RootEngine, RootEvent, RootSettings, Submission};
 pub use session::{SessionState, SessionTable, TicketState};
-pub use view::{Evidence, SearcherView};
+pub use view::{ProbeReport, SearcherView};
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -222,7 +222,7 @@
 
     /// Stores the view of a searcher. Drops the searcher's measurements if its incarnation has changed.
     fn set_view(&mut self, view: SearcherView) {
-        let incarnation_of = |view: &SearcherView| view.evidence.as_ref().map(|evidence| evidence.incarnation);
+        let incarnation_of = |view: &SearcherView| view.report.as_ref().map(|report| report.incarnation);
         let restarted =
             self.views.get(&view.searcher).is_some_and(|known| incarnation_of(known) != incarnation_of(&view));
         if restarted {
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -251,9 +251,8 @@
     if known.iter().any(|view| view.leaving) {
         return MissingCause::Draining;
     }
-    let holds_snapshots = |view: &&crate::view::SearcherView| {
-        view.evidence.as_ref().is_some_and(|evidence| !evidence.snapshots.is_empty())
-    };
+    let holds_snapshots =
+        |view: &&crate::view::SearcherView| view.report.as_ref().is_some_and(|report| !report.snapshots.is_empty());
     if known.iter().any(holds_snapshots) {
         return MissingCause::SnapshotGone;
     }
--- a/crates/session/staircross-search/src/view.rs
+++ b/crates/session/staircross-search/src/view.rs
@@ -5,7 +5,7 @@
 
 /// What a searcher reported about itself in reply to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evidence {
+pub struct ProbeReport {
     /// The incarnation of the searcher that reported.
     pub incarnation: SearcherIncarnation,
     /// Snapshots that the searcher holds.
@@ -21,7 +21,8 @@
     pub searcher: SearcherId,
     /// The searcher's last report; `None` before its first one. Its snapshots are empty while the searcher doesn't
     /// answer.
-    pub evidence: Option<Evidence>,
+    #[serde(rename = "evidence")]
+    pub report: Option<ProbeReport>,
     /// Whether the searcher is leaving, according to itself, the platform, an operator or another leaf.
     pub leaving: bool,
 }
@@ -29,7 +30,7 @@
 impl SearcherView {
     /// Returns whether new work for `snapshot` may be planned on the searcher.
     pub fn serves(&self, snapshot: Snapshot) -> bool {
-        let holds = self.evidence.as_ref().is_some_and(|evidence| evidence.snapshots.contains(&snapshot));
+        let holds = self.report.as_ref().is_some_and(|report| report.snapshots.contains(&snapshot));
         holds && !self.leaving
     }
 }
--- a/crates/staircross-cluster/src/engine.rs
+++ b/crates/staircross-cluster/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::ownership::OwnershipMap;
 use crate::published::{Published, PublishedSend};
 use crate::replicas::{SessionCopy, SessionCopyMessage, SessionCopyStore};
-use crate::views::{GossipedEvidence, ViewAction, ViewRecord, Views};
+use crate::views::{GossipedReport, ViewAction, ViewRecord, Views};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use staircross_config::PlatformDocument;
@@ -53,9 +53,9 @@
     Message(Box<Envelope>),
     /// The platform's document has been read.
     Platform(Arc<PlatformDocument>),
-    /// This node, an owner of the searcher, has observed its state; `evidence` is `None` when the searcher doesn't
+    /// This node, an owner of the searcher, has observed its state; `report` is `None` when the searcher doesn't
     /// answer.
-    Observed { searcher: SearcherId, evidence: Option<GossipedEvidence>, leaving: bool },
+    Observed { searcher: SearcherId, report: Option<GossipedReport>, leaving: bool },
     /// Copies of a session held here are to be stored on other nodes.
     StoreSession { token: SessionToken, version: u64, state: Vec<u8> },
     /// Copies of a session are sought here and on other nodes; the answers carry the number `ask`.
@@ -131,9 +131,9 @@
                     self.report_config_change(actions);
                 }
             }
-            ClusterEvent::Observed { searcher, evidence, leaving } => {
+            ClusterEvent::Observed { searcher, report, leaving } => {
                 let mut out = Vec::new();
-                self.views.observe(searcher, evidence, leaving, &mut out);
+                self.views.observe(searcher, report, leaving, &mut out);
                 self.apply_view_actions(out, actions);
             }
             ClusterEvent::StoreSession { token, version, state } => self.store_session(token, version, state, actions),
--- a/crates/staircross-cluster/src/views.rs
+++ b/crates/staircross-cluster/src/views.rs
@@ -30,7 +30,7 @@
 
 /// What a searcher last reported of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GossipedEvidence {
+pub struct GossipedReport {
     /// Incarnation of the searcher.
     #[serde(rename = "i")]
     pub incarnation: SearcherIncarnation,
@@ -47,7 +47,7 @@
     pub searcher: SearcherId,
     /// What the searcher last reported; `None` when it doesn't answer.
     #[serde(rename = "e")]
-    pub evidence: Option<GossipedEvidence>,
+    pub report: Option<GossipedReport>,
     /// Whether the searcher is leaving, whichever source says so.
     #[serde(rename = "l")]
     pub leaving: bool,
@@ -121,12 +121,12 @@
     pub fn observe(
         &mut self,
         searcher: SearcherId,
-        evidence: Option<GossipedEvidence>,
+        report: Option<GossipedReport>,
         leaving: bool,
         actions: &mut Vec<ViewAction>,
     ) {
         let version = self.records.get(&searcher).map_or(0, |record| record.version) + 1;
-        let record = ViewRecord { searcher, evidence, leaving, version, origin: self.me };
+        let record = ViewRecord { searcher, report, leaving, version, origin: self.me };
         self.store_if_newer(record, actions);
     }
 
