--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -133,7 +133,7 @@
         NodeClient::new(self.caller_addresses[index])
     }
 
-    /// Waits until every node reports that it is ready, sees all nodes alive and lists all searchers as serving.
+    /// Waits until every node reports that it is ready, knows all nodes as alive and lists all searchers as serving.
     pub fn wait_ready(&self) -> Result<(), FleetError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for index in 0..self.caller_addresses.len() {
--- a/crates/session/staircross-lab/src/sim/world/requests.rs
+++ b/crates/session/staircross-lab/src/sim/world/requests.rs
@@ -7,7 +7,7 @@
 use staircross_types::{ActionCommand, AttemptId, BootTime, RequestId, SearchQuery, ServiceName, SessionToken, Ticket};
 use std::time::Duration;
 
-/// An action that a caller wants executed once. The caller may send it several times with the same ticket.
+/// An action that must be executed at most once. The caller may send it several times with the same ticket.
 #[derive(Clone, Debug)]
 pub(crate) struct Intent {
     /// Index of the session.
--- a/crates/session/staircross-language/src/statement.rs
+++ b/crates/session/staircross-language/src/statement.rs
@@ -72,7 +72,7 @@
 pub enum ShowStatement {
     /// The services and their policies.
     Services,
-    /// The searchers as this node sees them.
+    /// The searchers, with their states as this node knows them.
     Searchers,
     /// The nodes of the cluster.
     Members,
--- a/crates/session/staircross-node/src/core/sessions.rs
+++ b/crates/session/staircross-node/src/core/sessions.rs
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Sends copies of a session's state to its keepers.
     fn send_copies(&mut self, now: BootTime, token: SessionToken, version: u64) {
         if let Some(state) = self.root.sessions.get(token).and_then(encode_session) {
             self.handle_cluster_event(now, ClusterEvent::StoreSession { token, version, state });
@@ -127,6 +128,7 @@
         self.release_delayed_replies(|delayed| delayed.missing_confirmations == 0);
     }
 
+    /// Sends the delayed replies whose deadline has passed, and logs and counts them.
     pub(super) fn expire_delayed_replies(&mut self, now: BootTime) {
         let late = self.delayed_replies.iter().filter(|delayed| now >= delayed.deadline).count();
         if late > 0 {
@@ -136,6 +138,7 @@
         self.release_delayed_replies(|delayed| now >= delayed.deadline);
     }
 
+    /// Sends the delayed replies for which `is_ready` returns `true`.
     fn release_delayed_replies(&mut self, is_ready: impl Fn(&DelayedReply) -> bool) {
         let (ready, waiting): (Vec<DelayedReply>, Vec<DelayedReply>) =
             self.delayed_replies.drain(..).partition(is_ready);
@@ -175,6 +178,7 @@
         self.handle_cluster_event(now, ClusterEvent::FetchSession { token, ask: id });
     }
 
+    /// Handles an answer to a session lookup, with a copy if one was found. The last answer ends the lookup.
     pub(super) fn on_session_fetched(
         &mut self,
         now: BootTime,
@@ -195,6 +199,7 @@
         }
     }
 
+    /// Ends the session lookups whose deadline has passed.
     pub(super) fn expire_session_lookups(&mut self, now: BootTime) {
         let expired: Vec<SessionToken> =
             self.session_lookups.iter().filter(|(_, lookup)| now >= lookup.deadline).map(|(token, _)| *token).collect();
--- a/crates/session/staircross-search/src/message.rs
+++ b/crates/session/staircross-search/src/message.rs
@@ -1,6 +1,7 @@
 //! Typed messages between caller, root, leaf and searcher.
 //!
-//! A root splits a request into sub-requests. Each goes through the leaf that owns a searcher to that searcher.
+//! A root splits a request into sub-requests. Each is sent to a leaf that owns the searcher, and the leaf passes it on
+//! to the searcher.
 
 use serde::{Deserialize, Serialize};
 use staircross_types::query::PagePosition;
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -1,8 +1,8 @@
 //! Choice of the replica that is asked for a shard.
 //!
 //! The choice uses only what this root has measured: requests in flight, latency and failures. The load that searchers
-//! report about themselves isn't used, because it can mislead. Invariant: at most a third of the searchers of a service
-//! are ejected at once, so that a common cause can't eject them all.
+//! report about themselves isn't used, because it can be wrong. Invariant: at most a third of the searchers of a
+//! service are ejected at once, so that a common cause can't eject them all.
 
 use hashbrown::HashMap;
 use rand::Rng;
@@ -32,9 +32,9 @@
     in_flight: u32,
     latency_micros: Option<f64>,
     measured_at: BootTime,
-    /// Failures since the last good reply or ejection.
+    /// Number of failures since the last successful reply or ejection.
     failures: u32,
-    /// Ejections since the last good reply.
+    /// Number of ejections since the last successful reply.
     ejections: u32,
     ejected_until: BootTime,
 }
@@ -57,7 +57,7 @@
         stats.in_flight = stats.in_flight.saturating_sub(1);
     }
 
-    /// Records a good reply and its latency, and resets the searcher's failures and ejections.
+    /// Records a successful reply and its latency, and resets the searcher's failures and ejections.
     pub fn record_success(&mut self, now: BootTime, searcher: SearcherId, latency: Duration) {
         self.record_ended(searcher);
         let stats = self.stats.entry(searcher).or_default();
--- a/crates/session/staircross-search/src/request.rs
+++ b/crates/session/staircross-search/src/request.rs
@@ -98,7 +98,7 @@
         count * 1000 >= self.shards.len() * self.least_coverage_per_mille as usize
     }
 
-    /// Merges those shards of a good reply that the attempt asked for and that are still open.
+    /// Merges those shards of a matching reply that the attempt asked for and that are still open.
     pub fn merge(&mut self, asked: &[u32], found: Vec<ShardHits>) -> MergeResult {
         let mut has_other_attempts = false;
         for shard_hits in found {
--- a/crates/session/staircross-search/src/root.rs
+++ b/crates/session/staircross-search/src/root.rs
@@ -208,7 +208,7 @@
         Some((attempt.searcher, request.map.snapshot))
     }
 
-    /// Replaces the services in force. A service that stays keeps its measurements, budgets and limit.
+    /// Replaces the services in force. A service that was in force before keeps its measurements, budgets and limit.
     fn set_services(&mut self, definitions: Vec<Arc<ServiceDefinition>>) {
         let mut kept = std::mem::take(&mut self.services);
         for definition in definitions {
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -16,7 +16,7 @@
 
 impl RootEngine {
     /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has
-    /// waited long enough. If its snapshot is gone, plans the request again instead, where that is possible.
+    /// waited long enough. If the request's snapshot is gone, plans the request again instead if that is possible.
     pub(super) fn finish_if_settled(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
