--- a/crates/session/staircross-lab/src/fleet.rs
+++ b/crates/session/staircross-lab/src/fleet.rs
@@ -83,10 +83,11 @@
     plan: FleetPlan,
 }
 
-/// Number of sub-requests that a searcher runs at a time, as at the users' drafting and guest search services.
-const SLOTS: u32 = 5;
-/// Number of connections that a searcher accepts, as at the users' drafting and guest search services.
-const CONNECTIONS: u32 = 70;
+/// Number of sub-requests that a searcher executes at a time. The users' drafting and guest search services have the
+/// same number.
+const SLOTS_PER_SEARCHER: u32 = 5;
+/// Number of connections that a searcher accepts. The users' drafting and guest search services have the same number.
+const CONNECTIONS_PER_SEARCHER: u32 = 70;
 /// Time after which a fleet that is not ready counts as failed.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -132,7 +133,7 @@
         NodeClient::new(self.caller_addresses[index])
     }
 
-    /// Waits until every node reports that it is ready, sees all nodes alive and lists all searchers as serving.
+    /// Waits until every node reports that it is ready, knows all nodes as alive and lists all searchers as serving.
     pub fn wait_ready(&self) -> Result<(), FleetError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for index in 0..self.caller_addresses.len() {
@@ -243,8 +244,8 @@
                 address: free_address()?,
                 zone: ZoneName::new(plan.zones[index as usize % plan.zones.len()]),
                 group: GroupId((number as u32) * 100 + index % plan.zones.len() as u32),
-                slots: SLOTS,
-                connections: CONNECTIONS,
+                slots: SLOTS_PER_SEARCHER,
+                connections: CONNECTIONS_PER_SEARCHER,
             });
             next_id += 1;
         }
--- a/crates/session/staircross-lab/src/fuzz/request_model.rs
+++ b/crates/session/staircross-lab/src/fuzz/request_model.rs
@@ -50,7 +50,7 @@
     PauseSearcher { searcher: u8, millis: u16 },
     /// The next `count` replies of a searcher have a fault.
     WrongReplies { searcher: u8, fault: u8, count: u8 },
-    /// One shard becomes slow at a searcher, or with a factor of 1 all its shards run at normal speed again.
+    /// A searcher's replica of one shard becomes slow, or with a factor of 1 all its replicas return to normal speed.
     SlowCopy { searcher: u8, factor: u8 },
     /// The process of a node is paused.
     PauseNode { node: u8, millis: u16 },
@@ -208,7 +208,7 @@
 
 /// Returns the settings of a small fleet with three nodes in three zones and three services.
 pub fn fleet_settings() -> WorldSettings {
-    let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_copies: BTreeMap::new() };
+    let work_time = WorkTime { median: Duration::from_millis(8), sigma: 0.4, slow_replicas: BTreeMap::new() };
     let search = ServicePolicy {
         wait_ms: 400,
         least_coverage_per_mille: 500,
@@ -296,7 +296,7 @@
             Operation::WrongReplies { searcher, fault, count } => {
                 world.add_reply_faults(usize::from(*searcher), reply_fault(*fault), usize::from(*count));
             }
-            Operation::SlowCopy { searcher, factor } => world.slow_copy(usize::from(*searcher), f64::from(*factor)),
+            Operation::SlowCopy { searcher, factor } => world.slow_replica(usize::from(*searcher), f64::from(*factor)),
             Operation::PauseNode { node, millis: span } => world.pause_node(usize::from(*node), millis(span)),
             Operation::CrashNode { node } => world.crash_node(usize::from(*node)),
             Operation::StartNode { node } => world.start_node(usize::from(*node)),
--- a/crates/session/staircross-lab/src/sim/searcher.rs
+++ b/crates/session/staircross-lab/src/sim/searcher.rs
@@ -4,7 +4,7 @@
 use super::records::ExecutionRecord;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use staircross_search::{ActionReceipt, Evidence, NotRunReason, SubOutcome, SubReply, SubRequest, Work};
+use staircross_search::{ActionReceipt, NotRunReason, ProbeReport, SubOutcome, SubReply, SubRequest, Work};
 use staircross_types::{BootTime, SearcherId, SearcherIncarnation, ShardHits, ShardId, Snapshot};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -37,14 +37,14 @@
     pub median: Duration,
     /// Standard deviation of the logarithm of the time, which is normally distributed.
     pub sigma: f64,
-    /// Shards whose copy at this searcher is slow, with the factor by which it is slower.
-    pub slow_copies: BTreeMap<ShardId, f64>,
+    /// Shards whose replica at this searcher is slow, each with the factor by which it is slower.
+    pub slow_replicas: BTreeMap<ShardId, f64>,
 }
 
 impl WorkTime {
     /// Draws the time of a sub-request on these shards. The slowest shard determines it.
     pub fn draw(&self, shards: &[ShardId], random: &mut ChaCha8Rng) -> Duration {
-        let factor = shards.iter().filter_map(|shard| self.slow_copies.get(shard)).copied().fold(1.0, f64::max);
+        let factor = shards.iter().filter_map(|shard| self.slow_replicas.get(shard)).copied().fold(1.0, f64::max);
         // A sum of uniform samples is close enough to a normal one and is the same on every machine.
         let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
         self.median.mul_f64(factor * (self.sigma * normal).exp())
@@ -82,7 +82,7 @@
     pub paused_until: BootTime,
     /// Shards that the searcher holds, by snapshot.
     pub shards_by_snapshot: BTreeMap<Snapshot, BTreeSet<ShardId>>,
-    /// Number of sub-requests that run at a time.
+    /// Number of sub-requests that the searcher executes at a time.
     pub slots: usize,
     /// Number of sub-requests that may wait for a slot.
     pub queue_capacity: usize,
@@ -139,8 +139,8 @@
     }
 
     /// Returns the reply of the state endpoint.
-    pub fn evidence(&self) -> Evidence {
-        Evidence {
+    pub fn probe_report(&self) -> ProbeReport {
+        ProbeReport {
             incarnation: self.incarnation,
             snapshots: self.shards_by_snapshot.keys().copied().collect(),
             draining: self.is_draining && !self.hides_draining,
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -6,9 +6,9 @@
 
 mod callers;
 mod config;
-mod held_sessions;
 mod pending;
 mod requests;
+mod session_replication;
 mod sessions;
 mod show;
 
@@ -19,9 +19,9 @@
 use crate::searchers::SearcherConnections;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use hashbrown::HashMap;
-use held_sessions::HeldSessions;
 use pending::PendingRequest;
-use sessions::{HeldReply, SessionLookup};
+use session_replication::SessionReplication;
+use sessions::{DelayedReply, SessionLookup};
 use staircross_cluster::{ClusterEngine, ClusterEvent, ClusterSettings, Member, MemberState};
 use staircross_config::{MachineList, MachineState, Settings};
 use staircross_search::root::RootCounters;
@@ -36,10 +36,10 @@
 
 /// Interval between ticks of the engines.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Delay of a tick that shows that this process was paused, so that other nodes may have declared this node dead.
-/// The delay is shorter than the time that they take to do so.
+/// Delay of a tick from which on the process counts as paused. Other nodes may have declared a paused node dead; the
+/// delay is shorter than the time that they take to do so.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Events handled in a row before the timers are checked again.
+/// Upper bound of the queued events that are handled before the timers are checked again.
 const MAX_EVENTS_PER_TURN: usize = 256;
 /// Time during which a stopping node still accepts requests of its sessions, so that callers learn from the
 /// replies which node to use next.
@@ -65,11 +65,11 @@
     next_sequence: u64,
     /// Requests in progress, by sequence number.
     pending: HashMap<u64, PendingRequest>,
-    held_replies: Vec<HeldReply>,
+    delayed_replies: Vec<DelayedReply>,
     session_lookups: HashMap<SessionToken, SessionLookup>,
-    held_sessions: HeldSessions,
-    /// Number of the next session lookup.
-    next_ask: u64,
+    session_replication: SessionReplication,
+    /// Id of the next session lookup.
+    next_lookup_id: u64,
     /// Attempts sent to other nodes, each with the peer address of the node to which it was sent.
     remote_attempts: HashMap<AttemptId, SocketAddr>,
     machines: MachineList,
@@ -79,14 +79,14 @@
     idle_ticks: u32,
     /// Values of the root engine's counters that the metrics already include.
     last_counters: RootCounters,
-    /// Number of HTTP requests that the front is serving.
+    /// Number of HTTP requests that the HTTP server is processing.
     active_http_requests: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
 }
 
 /// Arguments of [`Core::new`].
 pub struct CoreParts {
-    /// Id of this run of the node.
+    /// Id of this incarnation of the node.
     pub node: NodeId,
     /// Settings of the node.
     pub settings: Settings,
@@ -100,7 +100,7 @@
     pub peers: PeerTransport,
     /// Connections to searchers.
     pub searchers: SearcherConnections,
-    /// Number of HTTP requests that the front is serving.
+    /// Number of HTTP requests that the HTTP server is processing.
     pub active_http_requests: Arc<AtomicUsize>,
     /// Flag that the core sets when it has ended, so that the node's other threads end too.
     pub stop: Arc<AtomicBool>,
@@ -137,10 +137,10 @@
             searchers: parts.searchers,
             next_sequence: 1,
             pending: HashMap::new(),
-            held_replies: Vec::new(),
+            delayed_replies: Vec::new(),
             session_lookups: HashMap::new(),
-            held_sessions: HeldSessions::default(),
-            next_ask: 1,
+            session_replication: SessionReplication::default(),
+            next_lookup_id: 1,
             remote_attempts: HashMap::new(),
             machines: MachineList::default(),
             next_tick: BootTime::default(),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Handles events until a planned stop is complete, then tells the other nodes that this one has left.
+    /// Handles events until a planned stop is complete, then announces to the other nodes that this one has left.
     pub fn run(mut self) {
         while !self.is_done() {
             let wait = self.time_until_wake();
@@ -195,9 +195,11 @@
             CoreEvent::Peer(message) => self.on_peer_message(now, message),
             CoreEvent::PeerBroken(address) => self.on_peer_broken(now, address),
             CoreEvent::Undelivered { request, partly_written } => self.on_undelivered(now, &request, partly_written),
-            CoreEvent::SearcherReplied { reply, run } => self.handle_leaf_event(now, LeafEvent::Reply { reply, run }),
-            CoreEvent::Probed { searcher, asked_at, evidence } => {
-                self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, evidence });
+            CoreEvent::SearcherReplied { reply, incarnation } => {
+                self.handle_leaf_event(now, LeafEvent::Reply { reply, incarnation });
+            }
+            CoreEvent::Probed { searcher, asked_at, report } => {
+                self.handle_leaf_event(now, LeafEvent::Probed { searcher, asked_at, report });
             }
             CoreEvent::Platform(document) => self.handle_cluster_event(now, ClusterEvent::Platform(document)),
             CoreEvent::Machines(machines) => {
@@ -216,12 +218,12 @@
             return;
         }
         if self.next_tick != BootTime::default() && now.since(self.next_tick) >= PAUSE_THRESHOLD {
-            self.held_sessions.clear_confirmations();
+            self.session_replication.clear_confirmations();
         }
         self.next_tick = now + TICK_INTERVAL;
         self.handle_cluster_event(now, ClusterEvent::Tick);
         self.handle_leaf_event(now, LeafEvent::Tick);
-        self.expire_held_replies(now);
+        self.expire_delayed_replies(now);
         self.expire_session_lookups(now);
         self.resend_unconfirmed_copies(now);
         self.update_metrics();
@@ -258,17 +260,17 @@
         self.handle_leaf_event(now, LeafEvent::Stop);
     }
 
-    /// Whether a planned stop began at least [`STOP_LINGER`] ago, so that the node refuses further requests.
+    /// Returns whether a planned stop began at least [`STOP_LINGER`] ago, so that the node refuses further requests.
     fn is_lingering_over(&self, now: BootTime) -> bool {
         self.stopping_since.is_some_and(|since| now.since(since) >= STOP_LINGER)
     }
 
-    /// Whether a planned stop is complete.
+    /// Returns whether a planned stop is complete.
     fn is_done(&self) -> bool {
         self.idle_ticks >= IDLE_TICKS_TO_END
     }
 
-    /// Whether the node is stopping and has nothing left to wait for at this moment.
+    /// Returns whether the node is stopping and has nothing left to wait for at this moment.
     ///
     /// The wait for requests in flight ends because each request has a bounded wait time.
     fn is_idle(&self, now: BootTime) -> bool {
@@ -277,13 +279,13 @@
         }
         let is_busy = self.root.in_flight() > 0
             || self.leaf.in_flight() > 0
-            || !self.held_replies.is_empty()
+            || !self.delayed_replies.is_empty()
             || !self.session_lookups.is_empty()
             || self.active_http_requests.load(Ordering::Acquire) > 0;
         !is_busy && self.is_lingering_over(now)
     }
 
-    /// Tells the leaf engine which searchers the machine list marks as leaving or operators have drained.
+    /// Passes to the leaf engine which searchers the machine list marks as leaving or operators have drained.
     fn update_leaving_searchers(&mut self, now: BootTime) {
         let leaving_addresses: BTreeSet<SocketAddr> = self
             .machines
--- a/crates/session/staircross-node/src/searchers.rs
+++ b/crates/session/staircross-node/src/searchers.rs
@@ -10,7 +10,7 @@
 //! - An action is sent on a new connection. On a keep-alive connection that the searcher has just
 //!   closed, it would be unknown whether the action was executed.
 //! - No call is started after its `send_before`.
-//! - "Not run" is reported only if the call wasn't started, if no connection was made, or if the
+//! - `NotRun` is reported only if the call wasn't started, if no connection was made, or if the
 //!   searcher itself said so.
 
 mod call;
@@ -119,7 +119,7 @@
     pub fn send(&self, request: SubRequest, send_before: BootTime) {
         let Some(pool) = self.pools.get(&request.searcher) else {
             let reply = not_run(&request, NotRunReason::NotOwner);
-            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, incarnation: None });
             return;
         };
         let queued_jobs = pool.job_receiver.len();
@@ -130,7 +130,7 @@
         if let Err(refused) = pool.jobs.send(Job { request, send_before }) {
             let request = refused.into_inner().request;
             let reply = not_run(&request, NotRunReason::Unconnected);
-            self.notify_core(CoreEvent::SearcherReplied { reply, run: None });
+            self.notify_core(CoreEvent::SearcherReplied { reply, incarnation: None });
         }
     }
 
@@ -158,7 +158,7 @@
         self.queue_control_job(searcher, ControlJob::Probe);
     }
 
-    /// Queues a message that tells a searcher that an attempt is no longer wanted.
+    /// Queues a notice to a searcher that the result of an attempt is no longer needed.
     pub fn cancel(&self, searcher: SearcherId, attempt: AttemptId) {
         self.queue_control_job(searcher, ControlJob::Cancel(attempt));
     }
@@ -197,13 +197,14 @@
         let Ok(job) = received else {
             return;
         };
-        // The leaf engine decided on evidence that may be too old now, for example after a pause of this thread.
-        let CallResult { reply, run } = if clock::now() >= job.send_before {
+        // The leaf engine sent the job because of a probe reply that may be too old now, for example after a pause of
+        // this thread.
+        let CallResult { reply, incarnation } = if clock::now() >= job.send_before {
             CallResult::without_reply(not_run(&job.request, NotRunReason::Unconnected))
         } else {
             client.call(&job.request)
         };
-        if events.send(CoreEvent::SearcherReplied { reply, run }).is_err() {
+        if events.send(CoreEvent::SearcherReplied { reply, incarnation }).is_err() {
             return;
         }
     }
@@ -215,8 +216,8 @@
             ControlJob::Cancel(attempt) => client.cancel(attempt),
             ControlJob::Probe => {
                 let asked_at = clock::now();
-                let evidence = client.probe();
-                let event = CoreEvent::Probed { searcher: client.searcher(), asked_at, evidence };
+                let report = client.probe();
+                let event = CoreEvent::Probed { searcher: client.searcher(), asked_at, report };
                 if events.send(event).is_err() {
                     return;
                 }
--- a/crates/session/staircross-node/src/searchers/call.rs
+++ b/crates/session/staircross-node/src/searchers/call.rs
@@ -3,7 +3,9 @@
 use crate::logs::Logs;
 use spdlog::{debug, warn};
 use staircross_search::leaf::not_run;
-use staircross_search::{ActionReceipt, Evidence, NotRunReason, SubOutcome, SubReply, SubRequest, UnknownReason, Work};
+use staircross_search::{
+    ActionReceipt, NotRunReason, ProbeReport, SubOutcome, SubReply, SubRequest, UnknownReason, Work,
+};
 use staircross_types::searcher_api::{
     ACT_PATH, ActCall, CANCEL_PATH, CallReply, CallStatus, CancelCall, DIGEST_HEADER, SEARCH_PATH, STATE_PATH,
     SearchCall, StateReply,
@@ -16,7 +18,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for the reply to a probe or a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time added to the wait for a reply, so that one sent at the deadline still arrives.
+/// Time by which the wait for a reply exceeds the time until the deadline, so that a reply sent at the deadline still
+/// arrives.
 const REPLY_GRACE: Duration = Duration::from_millis(50);
 
 /// HTTP client of one searcher, with one keep-alive connection.
@@ -34,13 +37,13 @@
     /// The searcher's reply, or one made by this node that says how the call failed.
     pub reply: SubReply,
     /// Incarnation of the searcher that replied, if one did.
-    pub run: Option<SearcherIncarnation>,
+    pub incarnation: Option<SearcherIncarnation>,
 }
 
 impl CallResult {
     /// Creates the result of a call without a reply of the searcher.
     pub fn without_reply(reply: SubReply) -> Self {
-        CallResult { reply, run: None }
+        CallResult { reply, incarnation: None }
     }
 }
 
@@ -96,8 +99,8 @@
         };
         match reply {
             Ok(reply) => {
-                let run = Some(reply.incarnation);
-                CallResult { reply: self.check_reply(request, reply), run }
+                let incarnation = Some(reply.incarnation);
+                CallResult { reply: self.check_reply(request, reply), incarnation }
             }
             Err(CallFailure::NotConnected) => CallResult::without_reply(not_run(request, NotRunReason::Unconnected)),
             Err(CallFailure::TimedOut) => CallResult::without_reply(unknown_outcome(request, UnknownReason::Late)),
@@ -160,7 +163,7 @@
     }
 
     /// Requests the searcher's state. Returns `None` if the request fails or another searcher answers.
-    pub fn probe(&self) -> Option<Evidence> {
+    pub fn probe(&self) -> Option<ProbeReport> {
         let request = self.keep_alive_agent.get(format!("{}{STATE_PATH}", self.base_url));
         let response = request.config().timeout_global(Some(CONTROL_TIMEOUT)).build().call().ok()?;
         let bytes = self.read_verified_body(response).ok()?;
@@ -170,10 +173,11 @@
                 "event=wrong_searcher expected={} got={}", self.searcher, state.searcher);
             return None;
         }
-        Some(Evidence { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
+        Some(ProbeReport { incarnation: state.incarnation, snapshots: state.snapshots, draining: state.draining })
     }
 
-    /// Tells the searcher that an attempt is no longer wanted. This is only a hint, so a failure is only logged.
+    /// Notifies the searcher that the result of an attempt is no longer needed. This is only a hint, so a failure is
+    /// only logged.
     pub fn cancel(&self, attempt: AttemptId) {
         let Ok(body) = serde_json::to_vec(&CancelCall { attempt }) else {
             return;
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -2,7 +2,7 @@
 
 use super::{LeafAction, LeafSettings, not_run};
 use crate::message::{NotRunReason, SubRequest};
-use crate::view::{Evidence, SearcherView};
+use crate::view::{ProbeReport, SearcherView};
 use hashbrown::HashMap;
 use staircross_types::{AttemptId, BootTime, NodeId, SearcherId, SearcherIncarnation};
 use std::collections::VecDeque;
@@ -27,15 +27,15 @@
     /// Slots of the searcher that this leaf may use; zero once the leaf no longer owns the searcher.
     pub(super) slot_share: u32,
     /// The searcher's last report.
-    pub(super) evidence: Option<Evidence>,
+    pub(super) report: Option<ProbeReport>,
     /// When the probe that brought the last report was sent; `None` while the searcher doesn't answer.
-    pub(super) evidence_asked_at: Option<BootTime>,
-    /// When the current run was first seen.
-    pub(super) run_first_seen: BootTime,
-    /// Whether the current run followed another, so that its slots are ramped up.
+    pub(super) report_probed_at: Option<BootTime>,
+    /// When the current incarnation was first seen.
+    pub(super) incarnation_first_seen_at: BootTime,
+    /// Whether this leaf saw an earlier incarnation before the current one, so that the slots used are ramped up.
     pub(super) needs_ramp_up: bool,
-    /// Whether the current run is leaving. Once set, this stays set until another run is seen.
-    pub(super) run_leaving: bool,
+    /// Whether the current incarnation is leaving. Once set, this stays set until another incarnation is seen.
+    pub(super) is_incarnation_leaving: bool,
     /// Whether the platform lists the searcher as leaving or an operator drains it.
     pub(super) listed_as_leaving: bool,
     /// When the probe that has not ended was sent.
@@ -47,64 +47,66 @@
 
 impl OwnedSearcher {
     pub(super) fn is_leaving(&self) -> bool {
-        self.run_leaving || self.listed_as_leaving
+        self.is_incarnation_leaving || self.listed_as_leaving
     }
 
     pub(super) fn view(&self, searcher: SearcherId) -> SearcherView {
-        SearcherView { searcher, evidence: self.evidence.clone(), leaving: self.is_leaving() }
+        SearcherView { searcher, report: self.report.clone(), leaving: self.is_leaving() }
     }
 
-    /// Marks the current run as leaving.
+    /// Marks the current incarnation as leaving.
     pub(super) fn mark_leaving(&mut self, id: SearcherId, actions: &mut Vec<LeafAction>) {
-        if !self.run_leaving {
-            self.run_leaving = true;
+        if !self.is_incarnation_leaving {
+            self.is_incarnation_leaving = true;
             actions.push(LeafAction::PublishView(self.view(id)));
         }
     }
 
-    /// Handles a refusal because the searcher is leaving. The refusal is about the run that sent it, which may be newer
-    /// than the run probed last; in that case nothing more is sent until the next probe reply.
+    /// Handles a refusal because the searcher is leaving. The refusal is about the incarnation that sent it, which may
+    /// be newer than the one probed last; in that case nothing more is sent until the next probe reply.
     pub(super) fn on_draining_refusal(
         &mut self,
         id: SearcherId,
-        run: Option<SearcherIncarnation>,
+        incarnation: Option<SearcherIncarnation>,
         actions: &mut Vec<LeafAction>,
     ) {
-        let known = self.evidence.as_ref().map(|evidence| evidence.incarnation);
-        if run.is_none() || run == known {
+        let known = self.report.as_ref().map(|report| report.incarnation);
+        if incarnation.is_none() || incarnation == known {
             self.mark_leaving(id, actions);
         } else {
-            self.evidence_asked_at = None;
+            self.report_probed_at = None;
         }
     }
 
-    /// Applies a probe reply. `reported_leaving` says whether the run is already known to be leaving.
-    pub(super) fn apply_evidence(
+    /// Applies a probe reply. `is_known_leaving` says whether the incarnation is already known to be leaving.
+    pub(super) fn apply_report(
         &mut self,
         now: BootTime,
         asked_at: BootTime,
-        evidence: Evidence,
-        reported_leaving: bool,
+        report: ProbeReport,
+        is_known_leaving: bool,
     ) {
-        let same_run = self.evidence.as_ref().is_some_and(|known| known.incarnation == evidence.incarnation);
-        if !same_run {
-            // A searcher that this leaf sees for the first time may be warm; one that was restarted is cold.
-            self.needs_ramp_up = self.evidence.is_some();
-            self.run_first_seen = now;
-            self.run_leaving = false;
+        let is_same_incarnation = self.report.as_ref().is_some_and(|known| known.incarnation == report.incarnation);
+        if !is_same_incarnation {
+            // The first incarnation that this leaf sees may be warm; one that follows another has restarted and is
+            // cold.
+            self.needs_ramp_up = self.report.is_some();
+            self.incarnation_first_seen_at = now;
+            self.is_incarnation_leaving = false;
         }
-        // A run that is leaving stays so, even if it reports itself as serving again.
-        self.run_leaving |= evidence.draining || reported_leaving;
-        self.evidence_asked_at = Some(asked_at);
-        self.evidence = Some(evidence);
+        // An incarnation that is leaving stays so, even if it reports itself as serving again.
+        self.is_incarnation_leaving |= report.draining || is_known_leaving;
+        self.report_probed_at = Some(asked_at);
+        self.report = Some(report);
     }
 
-    /// Records that a probe had no answer.
-    pub(super) fn clear_evidence(&mut self) {
-        self.evidence_asked_at = None;
-        // The run is kept, to be compared with the next one, but its snapshots are no longer served.
-        if let Some(evidence) = &mut self.evidence {
-            evidence.snapshots.clear();
+    /// Records that a probe was not answered.
+    pub(super) fn clear_report(&mut self) {
+        self.report_probed_at = None;
+        // The incarnation is kept, to be compared with the next one, but the searcher no longer counts as serving any
+        // snapshot.
+        if let Some(report) = &mut self.report {
+            report.snapshots.clear();
         }
     }
 
@@ -126,7 +128,7 @@
 
     /// Returns how many sub-requests may be in flight at the searcher.
     pub(super) fn capacity(&self, now: BootTime, settings: &LeafSettings) -> usize {
-        let age = now.since(self.run_first_seen);
+        let age = now.since(self.incarnation_first_seen_at);
         if !self.needs_ramp_up || age >= settings.ramp_up_time {
             return self.slot_share as usize;
         }
@@ -146,7 +148,7 @@
         if self.queue.is_empty() || self.is_leaving() {
             return;
         }
-        let fresh_until = self.evidence_asked_at.map(|asked| asked + settings.max_evidence_age);
+        let fresh_until = self.report_probed_at.map(|asked| asked + settings.max_report_age);
         let Some(send_before) = fresh_until.filter(|until| now < *until) else {
             self.request_probe(now, id, settings, actions);
             return;
--- a/crates/session/staircross-search/src/replica.rs
+++ b/crates/session/staircross-search/src/replica.rs
@@ -1,15 +1,16 @@
 //! Choice of the replica that is asked for a shard.
 //!
 //! The choice uses only what this root has measured: requests in flight, latency and failures. The load that searchers
-//! report about themselves isn't used, because it can mislead. Invariant: at most a third of the searchers of a service
-//! are ejected at once, so that a common cause can't eject them all.
+//! report about themselves isn't used, because it can be wrong. Invariant: at most a third of the searchers of a
+//! service are ejected at once, so that a common cause can't eject them all.
 
 use hashbrown::HashMap;
 use rand::Rng;
 use staircross_types::{BootTime, SearcherId};
 use std::time::Duration;
 
-/// Divisor of the step by which a latency sample below the estimate lowers the estimate.
+/// Divisor of the difference between the estimate and a lower latency sample. The quotient is the step by which the
+/// sample lowers the estimate.
 const ESTIMATE_FALL_DIVISOR: f64 = 16.0;
 /// Time constant with which the weight of an old estimate decays. Without the decay, a searcher that is avoided for a
 /// high estimate would never be tried again.
@@ -20,31 +21,31 @@
 const INITIAL_EJECTION: Duration = Duration::from_secs(1);
 /// Upper bound of the duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(16);
-/// Number of searchers that a service must have for each one that is ejected.
+/// Number of searchers that a service must have for each of its searchers that is ejected.
 const SEARCHERS_PER_EJECTION: usize = 3;
-/// A searcher that the plan already asks is preferred while its cost is at most this multiple of the best cost.
+/// Multiple of the best cost up to which a searcher that the plan already asks is preferred.
 const REUSE_COST_FACTOR: f64 = 2.0;
 
 /// What this root has measured of one searcher.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaStats {
+pub struct SearcherStats {
     in_flight: u32,
     latency_micros: Option<f64>,
     measured_at: BootTime,
-    /// Failures since the last good reply or ejection.
+    /// Number of failures since the last successful reply or ejection.
     failures: u32,
-    /// Ejections since the last good reply.
+    /// Number of ejections since the last successful reply.
     ejections: u32,
     ejected_until: BootTime,
 }
 
 /// What this root has measured of all searchers.
 #[derive(Default)]
-pub struct ReplicaTable {
-    stats: HashMap<SearcherId, ReplicaStats>,
+pub struct SearcherStatsTable {
+    stats: HashMap<SearcherId, SearcherStats>,
 }
 
-impl ReplicaTable {
+impl SearcherStatsTable {
     /// Counts a sub-request that was sent as in flight.
     pub fn record_sent(&mut self, searcher: SearcherId) {
         self.stats.entry(searcher).or_default().in_flight += 1;
@@ -56,7 +57,7 @@
         stats.in_flight = stats.in_flight.saturating_sub(1);
     }
 
-    /// Records a good reply and its latency, and resets the searcher's failures and ejections.
+    /// Records a successful reply and its latency, and resets the searcher's failures and ejections.
     pub fn record_success(&mut self, now: BootTime, searcher: SearcherId, latency: Duration) {
         self.record_ended(searcher);
         let stats = self.stats.entry(searcher).or_default();
@@ -130,7 +131,7 @@
         let first_cost = self.cost(now, first, typical);
         let second_cost = self.cost(now, second, typical);
         let (best, best_cost) = if second_cost < first_cost { (second, second_cost) } else { (first, first_cost) };
-        // A searcher that the plan asks anyway is preferred: one sub-request for two shards costs a back end less than
+        // A searcher that the plan already asks is preferred: one sub-request for two shards costs a searcher less than
         // two sub-requests.
         let reused = replicas.iter().filter(|replica| already_asked.contains_key(*replica));
         let reused = reused.map(|replica| (*replica, self.cost(now, *replica, typical)));
@@ -142,7 +143,7 @@
     }
 }
 
-impl ReplicaStats {
+impl SearcherStats {
     /// Updates the estimate with a sample. It rises to a higher sample at once and falls slowly, so that one slow reply
     /// is enough to prefer other searchers for a while.
     fn record_latency(&mut self, now: BootTime, latency: Duration) {
--- a/crates/session/staircross-search/src/root/deadline.rs
+++ b/crates/session/staircross-search/src/root/deadline.rs
@@ -8,7 +8,8 @@
 use staircross_types::{BootTime, RequestId};
 use std::cmp::Reverse;
 
-/// Number of hedge delays after admission at which a latency-first request may be answered without its last shards.
+/// Number of hedge delays that a latency-first request waits after its admission before it may be answered without its
+/// last shards.
 const EARLY_ANSWER_DELAYS: u32 = 2;
 
 /// Returns when a latency-first search may be answered without its last shards; `None` for other requests.
@@ -77,7 +78,7 @@
             if attempt.open && !attempt.hedged && now >= attempt.sent_at + delay {
                 attempt.hedged = true;
                 late_shards.extend(attempt.shards.iter().copied());
-                self.replicas.record_lag(now, attempt.searcher, now.since(attempt.sent_at));
+                self.searcher_stats.record_lag(now, attempt.searcher, now.since(attempt.sent_at));
             }
         }
         late_shards.retain(|position| request.shards.is_open(*position));
--- a/crates/session/staircross-search/src/root/finish.rs
+++ b/crates/session/staircross-search/src/root/finish.rs
@@ -11,12 +11,12 @@
 
 /// Time after the end of an action during which a late receipt is still recorded as its ticket's outcome.
 const LATE_RECEIPT_WINDOW: Duration = Duration::from_secs(60);
-/// Least time left at which a request is planned again.
+/// Shortest time until the deadline that allows a new plan. With this time or less left, a request isn't planned again.
 const MIN_TIME_TO_REPLAN: Duration = Duration::from_millis(5);
 
 impl RootEngine {
     /// Ends the request if no shard is open, too few shards can still be included, or a latency-first request has
-    /// waited long enough. If its snapshot is gone, plans the request again instead, where that is possible.
+    /// waited long enough. If the request's snapshot is gone, plans the request again instead if that is possible.
     pub(super) fn finish_if_settled(&mut self, now: BootTime, sequence: u64, actions: &mut Vec<RootAction>) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -116,7 +116,7 @@
             attempt.open = false;
             // The attempt's reply won't be awaited, so the attempt must count as one that may have been executed.
             request.may_have_run = true;
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
             // An action isn't cancelled: it might stop half-way, and a late receipt is still of use for its ticket.
             if is_search {
                 let request = RequestId { node: self.node, sequence };
--- a/crates/session/staircross-search/src/root/plan.rs
+++ b/crates/session/staircross-search/src/root/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: which searcher is asked for which shards, and sending the sub-requests.
+//! Planning: chooses which searcher is asked for which shards, and sends the sub-requests.
 
 use super::{RootAction, RootEngine};
 use crate::message::{SubRequest, Work};
@@ -12,7 +12,7 @@
 pub(super) enum SendReason {
     /// The first attempt of a plan for its shards.
     Primary,
-    /// Another attempt while an earlier one is late.
+    /// An additional attempt while an earlier one is late.
     Hedge,
     /// Another attempt after an earlier one failed.
     Retry,
@@ -37,8 +37,8 @@
         let batches = self.choose_batches(now, sequence, &open);
         self.give_up_unplaced(sequence, &open, &batches);
         if self.is_coverage_unreachable(sequence) {
-            // The request is refused before anything is sent: no back end does work for nothing, and the request was
-            // certainly not executed.
+            // The request is refused before anything is sent: no searcher does work whose result can't be used, and the
+            // request was certainly not executed.
             self.finish_if_settled(now, sequence, actions);
             return;
         }
@@ -148,18 +148,18 @@
                 let serves = self.views.get(replica).is_some_and(|view| view.serves(snapshot));
                 serves && !tried.contains(replica)
             }));
-            let is_not_avoided = |replica: &SearcherId| !self.copies.is_avoided(now, *replica, placement.shard);
-            // Avoided copies are used only if there are no others, and then those with the fewest slow replies.
-            if !self.copies.is_empty() && eligible.iter().any(is_not_avoided) {
+            let is_not_avoided = |replica: &SearcherId| !self.replica_health.is_avoided(now, *replica, placement.shard);
+            // Avoided replicas are used only if there are no others, and then only those with the fewest slow replies.
+            if !self.replica_health.is_empty() && eligible.iter().any(is_not_avoided) {
                 eligible.retain(is_not_avoided);
-            } else if !self.copies.is_empty() {
-                let slow_replies = |replica: &SearcherId| self.copies.slow_replies(*replica, placement.shard);
+            } else if !self.replica_health.is_empty() {
+                let slow_replies = |replica: &SearcherId| self.replica_health.slow_replies(*replica, placement.shard);
                 let fewest = eligible.iter().map(slow_replies).min().unwrap_or(0);
                 eligible.retain(|replica| slow_replies(replica) == fewest);
             }
-            let chosen = self.replicas.choose(now, &eligible, &batch_indices, typical, &mut self.random);
+            let chosen = self.searcher_stats.choose(now, &eligible, &batch_indices, typical, &mut self.random);
             if let Some(searcher) = chosen {
-                self.copies.record_asked(now, searcher, placement.shard);
+                self.replica_health.record_asked(now, searcher, placement.shard);
             }
             let Some(searcher) = chosen else {
                 if *outstanding == 0 && last_failure.is_none() {
@@ -167,7 +167,7 @@
                 }
                 continue;
             };
-            if self.copies.slow_replies(searcher, placement.shard) > 0 {
+            if self.replica_health.slow_replies(searcher, placement.shard) > 0 {
                 batches.push(Batch { searcher, shards: vec![*position] });
                 continue;
             }
@@ -208,7 +208,7 @@
         request.attempts.push(Attempt { searcher, shards, sent_at: now, open: true, hedged: false });
         let request_id = RequestId { node: self.node, sequence };
         let attempt = AttemptId { request: request_id, attempt: request.attempts.len() as u32 };
-        self.replicas.record_sent(searcher);
+        self.searcher_stats.record_sent(searcher);
         match reason {
             SendReason::Primary => self.counters.primaries += 1,
             SendReason::Hedge => self.counters.hedges += 1,
@@ -225,7 +225,7 @@
         }));
     }
 
-    /// Sets when the request needs attention next: at the next hedge, the early answer or the deadline.
+    /// Sets the request's next timer to the earliest of its next hedge, its early answer and its deadline.
     pub(super) fn schedule(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -251,9 +251,8 @@
     if known.iter().any(|view| view.leaving) {
         return MissingCause::Draining;
     }
-    let holds_snapshots = |view: &&crate::view::SearcherView| {
-        view.evidence.as_ref().is_some_and(|evidence| !evidence.snapshots.is_empty())
-    };
+    let holds_snapshots =
+        |view: &&crate::view::SearcherView| view.report.as_ref().is_some_and(|report| !report.snapshots.is_empty());
     if known.iter().any(holds_snapshots) {
         return MissingCause::SnapshotGone;
     }
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -28,7 +28,7 @@
         let attempt = entry.close();
         let matches = reply_matches(request, &attempt, &reply);
         if abandoned {
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
             return;
         }
         request.shards.end_attempt(&attempt.shards);
@@ -53,7 +53,7 @@
         match reply.outcome {
             SubOutcome::Found(found) => self.apply_found(now, sequence, attempt, found, reply.worked, actions),
             SubOutcome::Acted(receipt) => {
-                self.replicas.record_success(now, attempt.searcher, now.since(attempt.sent_at));
+                self.searcher_stats.record_success(now, attempt.searcher, now.since(attempt.sent_at));
                 self.finish(now, sequence, Outcome::Acted(receipt), actions);
             }
             SubOutcome::NotRun(reason) => self.apply_not_run(now, sequence, attempt, reason, actions),
@@ -75,7 +75,7 @@
         actions: &mut Vec<RootAction>,
     ) {
         let latency = now.since(attempt.sent_at);
-        self.replicas.record_success(now, attempt.searcher, latency);
+        self.searcher_stats.record_success(now, attempt.searcher, latency);
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -83,8 +83,8 @@
         if let Some(service) = self.services.get(&request.service) {
             let tail = service.work_latency.hedge_delay();
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            // The wait for a slot is left out, because it says nothing about the copy.
-            self.copies.record_reply(now, attempt.searcher, shards, worked, tail);
+            // The wait for a slot is left out, because it says nothing about the speed of the replica.
+            self.replica_health.record_reply(now, attempt.searcher, shards, worked, tail);
         }
         let merged = request.merge(&attempt.shards, found);
         let overtaken = if merged.has_other_attempts { request.close_overtaken_attempts() } else { Vec::new() };
@@ -93,8 +93,8 @@
             service.work_latency.record(worked);
         }
         for OvertakenAttempt { number, searcher, sent_at } in overtaken {
-            self.replicas.record_ended(searcher);
-            self.replicas.record_lag(now, searcher, now.since(sent_at));
+            self.searcher_stats.record_ended(searcher);
+            self.searcher_stats.record_lag(now, searcher, now.since(sent_at));
             self.record_overtaken(now, sequence, number);
             let attempt = AttemptId { request: RequestId { node: self.node, sequence }, attempt: number };
             actions.push(RootAction::Cancel { attempt, searcher });
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Records the copies of an attempt as slow if another attempt answered its shards first and it was already late.
+    /// Counts a slow reply for each replica of an overtaken attempt, if the attempt was already late when other
+    /// attempts answered its shards.
     fn record_overtaken(&mut self, now: BootTime, sequence: u64, number: u32) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -118,7 +119,7 @@
         };
         if now.since(attempt.sent_at) > service.latency.hedge_delay() {
             let shards = attempt.shards.iter().map(|position| request.map.shards[*position as usize].shard);
-            self.copies.record_overtaken(now, attempt.searcher, shards);
+            self.replica_health.record_overtaken(now, attempt.searcher, shards);
         }
     }
 
@@ -134,10 +135,10 @@
         if reason == NotRunReason::Unconnected {
             self.record_searcher_failure(now, sequence, attempt.searcher);
         } else {
-            self.replicas.record_ended(attempt.searcher);
+            self.searcher_stats.record_ended(attempt.searcher);
         }
         // A sub-request that was certainly not executed can be sent elsewhere without extra load. After a shed it
-        // counts as a retry, because overloaded back ends must not be asked for more.
+        // counts as a retry, because overloaded searchers must not get unlimited additional work.
         let mut send_reason = SendReason::Reroute;
         match reason {
             NotRunReason::Shed => {
@@ -150,15 +151,15 @@
         self.retry(now, sequence, &attempt.shards, reason.missing_cause(), send_reason, actions);
     }
 
-    /// Lets the shards of an attempt be asked of the same searcher again, since the attempt didn't reach it.
+    /// Allows the same searcher to be asked for the shards of an attempt again, because the attempt didn't reach it.
     fn remove_tried(&mut self, sequence: u64, attempt: &Attempt) {
         if let Some(request) = self.requests.get_mut(&sequence) {
             request.shards.remove_tried(&attempt.shards, attempt.searcher);
         }
     }
 
-    /// Handles a shed reply, which means that the back ends are full: pauses the budgets and lowers the service's
-    /// limit.
+    /// Handles a shed reply, which means that searchers of the service are overloaded: pauses the budgets and lowers
+    /// the service's limit.
     fn on_shed(&mut self, now: BootTime, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -175,7 +176,7 @@
     fn record_searcher_failure(&mut self, now: BootTime, sequence: u64, searcher: SearcherId) {
         let service = self.requests.get(&sequence).and_then(|request| self.services.get(&request.service));
         let service_searchers = service.map_or(&[][..], |service| &service.searchers);
-        self.replicas.record_failure(now, searcher, service_searchers);
+        self.searcher_stats.record_failure(now, searcher, service_searchers);
     }
 
     /// Handles an attempt that may or may not have been executed. A search is retried; an action is given up.
