--- a/crates/session/staircross-node/src/api.rs
+++ b/crates/session/staircross-node/src/api.rs
@@ -44,7 +44,7 @@
     /// Kind and content of the reply.
     #[serde(flatten)]
     pub body: ReplyBody,
-    /// Address of the node to which the caller should send the next request of the session. Set only while the
+    /// Address of the node to which the caller should send the next request of the session. It is set only while the
     /// node that replies is stopping.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub moved_to: Option<SocketAddr>,
@@ -109,7 +109,7 @@
     pub executed: Executed,
     /// Details of the error for people to read.
     pub detail: String,
-    /// Time after which to try again, in milliseconds. Absent if trying again won't help.
+    /// Time after which to try again, in milliseconds. It is absent if trying again won't help.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/session/staircross-node/src/core.rs
+++ b/crates/session/staircross-node/src/core.rs
@@ -248,7 +248,7 @@
         self.execute_cluster_actions(actions);
     }
 
-    /// Begins a planned stop. If one has begun, only writes a log line.
+    /// Begins a planned stop. If one has begun, this only writes a log line.
     fn begin_stop(&mut self, now: BootTime) {
         if self.stopping_since.is_some() {
             spdlog::info!(logger: self.logs.cluster, "event=stop_again in_flight={}", self.root.in_flight());
--- a/crates/session/staircross-node/src/core/session_replication.rs
+++ b/crates/session/staircross-node/src/core/session_replication.rs
@@ -62,8 +62,8 @@
         self.sessions.remove(&token);
     }
 
-    /// Clears all confirmations, so that every copy is sent again. Used after a pause of this process, during which
-    /// another node may have taken sessions over.
+    /// Clears all confirmations, so that every copy is sent again. This is used after a pause of this process, during
+    /// which another node may have taken sessions over.
     pub(super) fn clear_confirmations(&mut self) {
         self.sessions.values_mut().for_each(|session| session.confirmed_by.clear());
     }
--- a/crates/session/staircross-search/src/leaf/owned.rs
+++ b/crates/session/staircross-search/src/leaf/owned.rs
@@ -136,7 +136,8 @@
         ((f64::from(self.slot_share) * fraction) as usize).max(1)
     }
 
-    /// Sends queued sub-requests while there is capacity. If the last probe reply is too old, requests a probe instead.
+    /// Sends queued sub-requests while there is capacity. If the last probe reply is too old, this requests a probe
+    /// instead.
     pub(super) fn dispatch(
         &mut self,
         now: BootTime,
--- a/crates/session/staircross-search/src/root/reply.rs
+++ b/crates/session/staircross-search/src/root/reply.rs
@@ -194,7 +194,7 @@
         };
         request.may_have_run = true;
         if matches!(request.work, Work::Act(_)) {
-            // At most once: after a searcher that may have executed the action, no other is asked.
+            // An action runs at most once: after a searcher that may have executed the action, no other is asked.
             request.give_up(&attempt.shards, cause);
             return;
         }
--- a/crates/staircross-cluster/src/membership/reconcile.rs
+++ b/crates/staircross-cluster/src/membership/reconcile.rs
@@ -145,7 +145,8 @@
         let listed: BTreeMap<NodeId, (u64, MemberState)> =
             members.iter().map(|member| (member.node, (member.version, member.state))).collect();
         for member in members {
-            // Not gossiped: other nodes compare too, and a list of the fleet must not be repeated by every reader.
+            // The members are not gossiped: other nodes compare too, and a list of the fleet must not be repeated by
+            // every reader.
             if self.merge(now, member, actions) {
                 self.last_learned_at = Some(now);
                 self.next_compare = self.next_compare.min(now + COMPARE_EVERY_WHILE_LEARNING);
--- a/crates/staircross-gateway/src/dialect.rs
+++ b/crates/staircross-gateway/src/dialect.rs
@@ -28,7 +28,7 @@
     /// The tenant of a request, which is sent to searchers. If the configuration has tenants, the value that a caller
     /// sends isn't forwarded.
     pub tenant: &'static str,
-    /// Set by a searcher that didn't run the request.
+    /// Field that a searcher sets if it didn't run the request.
     pub not_executed: &'static str,
     /// Seconds after which the caller may retry.
     pub retry_after: &'static str,
--- a/crates/staircross-gateway/src/directory.rs
+++ b/crates/staircross-gateway/src/directory.rs
@@ -30,8 +30,8 @@
 const CONNECTIONS_PER_NODE: f64 = 4.5;
 /// Minimum number of serving nodes of a zone, if it has as many, so that one may fail.
 const MIN_SERVING_PER_ZONE: usize = 2;
-/// Maximum busy fraction, in percent, that is planned for serving nodes. Below the fraction at which a node counts as
-/// pressed.
+/// Maximum busy fraction, in percent, that is planned for serving nodes. It is below the fraction at which a node
+/// counts as pressed.
 const MAX_PLANNED_LOAD_PERCENT: usize = 40;
 /// Number of farther nodes added to an answer for each near node, if all near nodes are pressed.
 const FARTHER_NODES_PER_PRESSED: usize = 2;
--- a/crates/staircross-gateway/src/event_log.rs
+++ b/crates/staircross-gateway/src/event_log.rs
@@ -11,13 +11,13 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Maximum number of bytes buffered for a slow reader. The default capacity of a pipe.
+/// Maximum number of bytes buffered for a slow reader. It is the default capacity of a pipe.
 const MAX_PENDING_BYTES: usize = 64 * 1024;
 /// Number of buffered bytes from which they are written at once, and the maximum length of one write. A pipe accepts
 /// this many bytes whole or not at all (`PIPE_BUF`), so that no line is cut.
 const WRITE_CHUNK_BYTES: usize = 4 * 1024;
-/// Maximum time for which a line waits for others to be written with it. Short, so that an operator who follows the
-/// log sees lines at once.
+/// Maximum time for which a line waits for others to be written with it. The time is short, so that an operator who
+/// follows the log sees lines at once.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(500);
 
 /// Kinds of log lines; each kind has its own rate limit.
@@ -44,12 +44,12 @@
     /// Returns the number of lines (for traces: requests) that may be logged in one second.
     fn rate(self) -> u32 {
         match self {
-            // Enough for the start of a large fleet, whose many changes are logged as counts.
+            // This is enough for the start of a large fleet, whose many changes are logged as counts.
             LineKind::NodeEvent => 400,
             // A node of a large fleet gets a few requests a second and logs them all; a busy node logs a sample.
             LineKind::Request => 150,
-            // Lower than the rate of requests, because each trace has many lines. A sample of the failed requests of
-            // one second is enough to see the cause.
+            // This is lower than the rate of requests, because each trace has many lines. A sample of the failed
+            // requests of one second is enough to see the cause.
             LineKind::Trace => 60,
             // A sample is enough: complete answers are rarely investigated.
             LineKind::AnsweredTrace => 10,
--- a/crates/staircross-gateway/src/fleet/datagrams.rs
+++ b/crates/staircross-gateway/src/fleet/datagrams.rs
@@ -17,8 +17,8 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Maximum length of a received datagram, in bytes; a longer one is truncated and counts as unreadable. Above the 1,500
-/// bytes that a link carries unfragmented.
+/// Maximum length of a received datagram, in bytes; a longer one is truncated and counts as unreadable. It is above the
+/// 1,500 bytes that a link carries unfragmented.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// The UDP socket for datagrams between peers.
--- a/crates/staircross-gateway/src/fleet/readers.rs
+++ b/crates/staircross-gateway/src/fleet/readers.rs
@@ -17,7 +17,8 @@
 use std::time::Duration;
 
 /// Time for which a reader waits for an update from its own watch before it pulls the update from a peer that has it.
-/// Long enough for an immediate answer of the store over the reader's link, and well below the bounds on updates.
+/// The delay is long enough for an immediate answer of the store over the reader's link, and well below the bounds on
+/// updates.
 const PULL_DELAY: Duration = Duration::from_millis(400);
 
 impl Fleet {
--- a/crates/staircross-gateway/src/fleet/shape.rs
+++ b/crates/staircross-gateway/src/fleet/shape.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 /// Time for which a recent maximum is kept before a smaller count replaces it. After a network partition each side sees
-/// a smaller fleet, but the shares of one side must not grow before the other side has used its own. Longer than the
-/// ten seconds over which extra sends are counted.
+/// a smaller fleet, but the shares of one side must not grow before the other side has used its own. The time is longer
+/// than the ten seconds over which extra sends are counted.
 const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Age at which the directory is rebuilt even if no member has changed, since the loads of members change all the time.
 const MAX_DIRECTORY_AGE: Duration = Duration::from_secs(1);
--- a/crates/staircross-gateway/src/http_call.rs
+++ b/crates/staircross-gateway/src/http_call.rs
@@ -29,19 +29,19 @@
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Maximum time from a call's start to the end of its answer, however steadily the answer arrives.
 const MAX_CALL_TIME: Duration = Duration::from_secs(10);
-/// Timeout for establishing a connection. Shorter than the timeout of every call, so that a host that is gone is
-/// noticed first.
+/// Timeout for establishing a connection. This timeout is shorter than the timeout of every call, so that a host that
+/// is gone is noticed first.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Idle time of a connection after which the kernel probes it. Together with `KEEP_ALIVE_INTERVAL` and
 /// `KEEP_ALIVE_COUNT`, an unreachable host is noticed within four seconds.
 const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(2);
 /// Time between two keep-alive probes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of unanswered keep-alive probes after which the connection is broken. More than one, so that one probe may be
-/// lost.
+/// Number of unanswered keep-alive probes after which the connection is broken. It is more than one, so that one probe
+/// may be lost.
 const KEEP_ALIVE_COUNT: u32 = 2;
-/// Maximum time for which written bytes may stay unacknowledged, in milliseconds. Between the timeout of a call and the
-/// four seconds of the keep-alive probes.
+/// Maximum time for which written bytes may stay unacknowledged, in milliseconds. The time lies between the timeout of
+/// a call and the four seconds of the keep-alive probes.
 const TCP_USER_TIMEOUT_MS: u32 = 2500;
 
 /// The outcome of a call.
--- a/crates/staircross-gateway/src/node.rs
+++ b/crates/staircross-gateway/src/node.rs
@@ -78,17 +78,17 @@
 // Events of a kind that isn't in `TURN_ORDER` would never be handled.
 const _: () = assert!(TURN_ORDER[0].len() + TURN_ORDER[1].len() + TURN_ORDER[2].len() == SocketKind::ALL.len());
 
-/// Maximum number of events that one poll returns; the next turn gets the others. Matches the default number of
+/// Maximum number of events that one poll returns; the next turn gets the others. It matches the default number of
 /// descriptors of a node (1024).
 const EVENT_CAPACITY: usize = 1024;
-/// Number of events after which the clock is read again, so that the time stays current in a long turn. Large enough
-/// that reading the clock costs little beside the work.
+/// Number of events after which the clock is read again, so that the time stays current in a long turn. The number is
+/// large enough that reading the clock costs little beside the work.
 const EVENTS_PER_CLOCK_READ: usize = 16;
-/// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. Short beside
-/// the timeouts that it checks, which are some hundred milliseconds and longer.
+/// Interval at which work without an exact due time is done: sweeps, readiness, store role, summaries. The interval is
+/// short beside the timeouts that it checks, which are some hundred milliseconds and longer.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between the starts of two turns from which the process counts as stalled, which is logged. Far longer than the
-/// loop sleeps, which is at most [`TICK_INTERVAL`].
+/// Time between the starts of two turns from which the process counts as stalled, which is logged. The interval is far
+/// longer than the loop sleeps, which is at most [`TICK_INTERVAL`].
 const STALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A gateway node: its sockets, its engines and the loop that connects them.
--- a/crates/staircross-gateway/src/node/attempts.rs
+++ b/crates/staircross-gateway/src/node/attempts.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 /// Time for which a reserve, a ready node that the directory sends no callers to, keeps an idle connection to a
-/// searcher; other nodes need the connections. Far shorter than on nodes that serve, so that a node that has just
-/// become a reserve releases its connections soon.
+/// searcher; other nodes need the connections. The timeout is far shorter than on nodes that serve, so that a node that
+/// has just become a reserve releases its connections soon.
 const RESERVE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<D: Dialect> GatewayNode<D> {
--- a/crates/staircross-gateway/src/node/caller_request.rs
+++ b/crates/staircross-gateway/src/node/caller_request.rs
@@ -114,8 +114,8 @@
     lines: Vec<(BootTime, String)>,
 }
 
-/// Maximum number of decisions kept for one request; further ones are not logged. Enough for the hedges and retries
-/// of a request to many shards.
+/// Maximum number of decisions kept for one request; further ones are not logged. The number is enough for the hedges
+/// and retries of a request to many shards.
 const MAX_TRACE_LINES: usize = 96;
 
 impl Trace {
--- a/crates/staircross-gateway/src/node/change_log.rs
+++ b/crates/staircross-gateway/src/node/change_log.rs
@@ -19,8 +19,8 @@
 /// Maximum number of member changes logged in single lines within one span; further ones are counted and logged
 /// together when the span ends.
 const MAX_MEMBER_LINES: usize = 5;
-/// Length of the span over which member changes are counted. Short, so that an operator who follows the log sees the
-/// counts at once.
+/// Length of the span over which member changes are counted. The span is short, so that an operator who follows the log
+/// sees the counts at once.
 const MEMBER_LOG_SPAN: Duration = Duration::from_secs(1);
 /// Maximum number of searcher changes in one update that are logged in single lines; a larger update, such as a
 /// listing, is logged in one line.
--- a/crates/staircross-gateway/src/node/operator.rs
+++ b/crates/staircross-gateway/src/node/operator.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Interval at which the settings file is checked for changes. Short beside the bound on configuration updates, and
-/// long enough that the checks cost next to nothing.
+/// Interval at which the settings file is checked for changes. The interval is short beside the bound on configuration
+/// updates, and long enough that the checks cost next to nothing.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Flags that a signal handler sets to control a running node.
--- a/crates/staircross-gateway/src/node/status.rs
+++ b/crates/staircross-gateway/src/node/status.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Time for which a starting node waits for a complete listing of the searchers before it becomes ready with an
-/// incomplete one. Longer than a listing usually takes, and bounded so that the node becomes ready even if no complete
-/// listing arrives.
+/// incomplete one. It is longer than a listing usually takes, and is bounded so that the node becomes ready even if no
+/// complete listing arrives.
 const LISTING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The node's status as last evaluated.
--- a/crates/staircross-gateway/src/node/stop.rs
+++ b/crates/staircross-gateway/src/node/stop.rs
@@ -34,7 +34,7 @@
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 /// Reserve before the time at which the process would be killed, for a late wake-up and the last writes.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Further reserve for the requests that were accepted last. Longer than callers usually wait.
+/// Further reserve for the requests that were accepted last. It is longer than callers usually wait.
 const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(1500);
 /// Number of consecutive idle ticks after which the listeners close. This counts ticks rather than time: after a
 /// pause of this process, requests may wait unread in its sockets.
--- a/crates/staircross-gateway/src/node/summary.rs
+++ b/crates/staircross-gateway/src/node/summary.rs
@@ -9,8 +9,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Interval between two summaries. Long enough that summaries are a small share of the log lines, and short enough to
-/// show how an hour went.
+/// Interval between two summaries. It is long enough that summaries are a small share of the log lines, and short
+/// enough to show how an hour went.
 pub(super) const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> GatewayNode<D> {
--- a/crates/staircross-gateway/src/node/updates/peers.rs
+++ b/crates/staircross-gateway/src/node/updates/peers.rs
@@ -15,8 +15,9 @@
 use staircross_wire::frame::decode;
 use std::time::Duration;
 
-/// Silence after which a pull is given up and counts as failed. Longer than a round trip between regions plus the
-/// time that a peer's link needs for a configuration that is passed on, and shorter than the bounds on updates.
+/// Silence after which a pull is given up and counts as failed. The timeout is longer than a round trip between regions
+/// plus the time that a peer's link needs for a configuration that is passed on, and shorter than the bounds on
+/// updates.
 const PULL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Prefix of the request target of a pull; the revision after which changes are wanted follows it.
 pub(in crate::node) const PULL_TARGET_PREFIX: &str = "/changes?after=";
--- a/crates/staircross-gateway/src/pool.rs
+++ b/crates/staircross-gateway/src/pool.rs
@@ -27,15 +27,15 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Time after which an idle connection is closed if its searcher doesn't state a keep-alive timeout. Shorter than usual
-/// timeouts of servers.
+/// Time after which an idle connection is closed if its searcher doesn't state a keep-alive timeout. The timeout is
+/// shorter than usual timeouts of servers.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time by which a connection is closed before its searcher would close it. Longer than the transit time of a request
-/// plus the rounding error of the searcher's keep-alive timeout, which is stated in whole seconds.
+/// Time by which a connection is closed before its searcher would close it. This margin is longer than the transit time
+/// of a request plus the rounding error of the searcher's keep-alive timeout, which is stated in whole seconds.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 /// Maximum idle time of a connection that is reused for a request that must not run twice. If the searcher ended while
-/// the connection was idle, it would be unknown whether the request ran. Below one second, the shortest keep-alive
-/// timeout that a searcher can state.
+/// the connection was idle, it would be unknown whether the request ran. The maximum is below one second, the shortest
+/// keep-alive timeout that a searcher can state.
 const MAX_IDLE_IF_NOT_IDEMPOTENT: Duration = Duration::from_millis(800);
 /// HTTP status of an answer from a searcher that isn't the incarnation that the request names.
 const HTTP_MISDIRECTED_REQUEST: u16 = 421;
@@ -73,7 +73,7 @@
 struct Assignment {
     order: SendOrder,
     request: OutboundRequest,
-    /// Set when the answer is no longer wanted: the time until which the pool still reads the answer, and the cause.
+    /// Time until which the pool still reads the answer, and the cause, once the answer is no longer wanted.
     abandoned: Option<(BootTime, AbandonCause)>,
 }
 
--- a/crates/staircross-gateway/src/settings.rs
+++ b/crates/staircross-gateway/src/settings.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Default maximum size of a recording, in megabytes. Small beside a machine's disk.
+/// Default maximum size of a recording, in megabytes. It is small beside a machine's disk.
 const DEFAULT_RECORD_MB: u64 = 16;
 
 /// All settings of a node.
@@ -170,8 +170,8 @@
     /// Requests that may be admitted beyond the quota and `quota_over` in a window.
     #[serde(default)]
     pub quota_slack: f64,
-    /// Time after which the searchers of an evacuated zone must get no more work, in milliseconds; `config_ms` if
-    /// absent.
+    /// Time after which the searchers of an evacuated zone must get no more work, in milliseconds. If it is absent,
+    /// `config_ms` applies.
     #[serde(default)]
     pub evacuate_ms: Option<u64>,
     /// Time after which a revoked key must no longer be accepted, in milliseconds; no bound if absent.
--- a/crates/staircross-gateway/src/settings/check.rs
+++ b/crates/staircross-gateway/src/settings/check.rs
@@ -99,7 +99,7 @@
 }
 
 fn check_range(key: &'static str, value: f64, min: f64, max: f64, allowed: &'static str) -> Result<(), SettingsError> {
-    // Written so that NaN fails, too.
+    // The condition is written so that NaN fails, too.
     if value >= min && value <= max {
         return Ok(());
     }
--- a/crates/staircross-gateway/src/settings/derived.rs
+++ b/crates/staircross-gateway/src/settings/derived.rs
@@ -20,8 +20,8 @@
 use staircross_routing::store_reader::{ProbeIntervals, ReaderSettings};
 use std::time::Duration;
 
-/// Descriptors that are reserved for files, listeners, and calls to the store and to peers. About a quarter of the
-/// default limit.
+/// Descriptors that are reserved for files, listeners, and calls to the store and to peers. They are about a quarter of
+/// the default limit.
 pub(super) const RESERVED_DESCRIPTORS: usize = 264;
 /// Minimum time between calls for the configuration, as a fraction of the bound on operator updates. Together with a
 /// follower's pull it leaves most of the bound for a late wake-up and a lost answer.
@@ -35,18 +35,18 @@
 /// Silence of its readers that a follower tolerates, as a fraction of the shorter bound on updates. This silence, a
 /// probe, another third of the silence, and the follower's own call together stay below the bound.
 const HEARTBEAT_TIMEOUT_FRACTION: f64 = 0.4;
-/// Time between two probes of a reader, as a fraction of the silence that is tolerated. Below a half, so that one lost
-/// heartbeat doesn't count as silence.
+/// Time between two probes of a reader, as a fraction of the silence that is tolerated. The fraction is below a half,
+/// so that one lost heartbeat doesn't count as silence.
 const READER_PROBE_INTERVAL_FRACTION: f64 = 0.4;
-/// Time between two probes of a prober, as a fraction of the silence that followers tolerate. Longer than that of a
-/// reader, because many nodes may receive no heartbeats at once.
+/// Time between two probes of a prober, as a fraction of the silence that followers tolerate. This time is longer than
+/// that of a reader, because many nodes may receive no heartbeats at once.
 const PROBER_PROBE_INTERVAL_FRACTION: f64 = 0.5;
 /// Share of the link's time that answers to peers may use, in seconds per second. A request that waits behind these
 /// answers reaches its searcher that much later, with a deadline that is too late by the same time. With 195 nodes and
 /// a large configuration, limiting only the number of large answers let some days exceed the budget for extra sends;
 /// with this share, none of six days did.
 const PEER_LINK_SHARE: f64 = 0.2;
-/// Average memory of a request in flight in bytes, at most. Enough for a head, a body, and the answers of several
+/// Average memory of a request in flight in bytes, at most. It is enough for a head, a body, and the answers of several
 /// shards of typical sizes.
 const MEMORY_PER_REQUEST: u64 = 64 * 1024;
 
--- a/crates/staircross-gateway/src/store_role.rs
+++ b/crates/staircross-gateway/src/store_role.rs
@@ -23,28 +23,28 @@
 /// another, and the loss of both is noticed within the heartbeat timeout. With two readers a zone there were 12 in
 /// fleets of six zones, and their calls were nearly all of the calls of a quiet day.
 pub const READERS_PER_REGION: usize = 2;
-/// Time for which a node that had to read by itself continues to read. Long against the heartbeat timeout, so that a
-/// region whose readers come and go doesn't list the store at each change.
+/// Time for which a node that had to read by itself continues to read. The time is long compared with the heartbeat
+/// timeout, so that a region whose readers come and go doesn't list the store at each change.
 const SELF_READING_TIME: Duration = Duration::from_secs(10);
 /// Time without a change of a member of the region after which the region counts as settled, that is, all its members
 /// are taken to be known. A joining node asks a seed once a second, and 200 ms are added for a late answer. When
 /// the readers were determined after half a second, most of 195 nodes considered themselves readers.
 const SETTLE_TIME: Duration = Duration::from_millis(1200);
-/// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there
-/// is nothing to serve yet. Shorter than the time that a fleet has to start before traffic arrives.
+/// Maximum wait for the region to settle at the first start of a fleet, when seeds may start seconds late and there is
+/// nothing to serve yet. This wait is shorter than the time that a fleet has to start before traffic arrives.
 const MAX_FIRST_SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Maximum wait for the region to settle at any later start, as a fraction of the heartbeat timeout. Below 1, so that
-/// a designated reader reads before its followers would probe.
+/// Maximum wait for the region to settle at any later start, as a fraction of the heartbeat timeout. The fraction is
+/// below 1, so that a designated reader reads before its followers would probe.
 const MAX_SETTLE_FRACTION: f64 = 0.8;
 /// Time that readers get for their first listing at the first start of a fleet; the heartbeat timeout counts from its
-/// end. Covers [`SETTLE_TIME`] and one call.
+/// end. The time covers [`SETTLE_TIME`] and one call.
 const FIRST_LISTING_TIME: Duration = Duration::from_millis(1500);
 /// Time for which a prober that the store answers waits for its readers to reach the store too, as a fraction of the
 /// heartbeat timeout. That timeout is 0.4 of the bound on updates: 0.4 of the bound, a probe, another third of 0.4 and
 /// a call together stay below the bound.
 const PROBER_GRACE_FRACTION: f64 = 0.33;
 /// Time for which a reader waits for a large configuration from the store before it asks a peer, as a fraction of the
-/// heartbeat timeout. Below 1, so that the reader has the configuration in time from either source.
+/// heartbeat timeout. The fraction is below 1, so that the reader has the configuration in time from either source.
 const LARGE_CONFIGURATION_FRACTION: f64 = 0.75;
 
 /// The source of a node's updates.
--- a/crates/staircross-gateway/src/tenant_metrics.rs
+++ b/crates/staircross-gateway/src/tenant_metrics.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of tenants that are shown one by one: as many as fit on a dashboard panel.
 const MAX_SHOWN_TENANTS: usize = 16;
-/// Maximum number of tenants that are counted one by one; later ones count in the totals only. Above the ten thousand
-/// tenants of a large fleet; bounds the memory.
+/// Maximum number of tenants that are counted one by one; later ones count in the totals only. The number is above the
+/// ten thousand tenants of a large fleet, and it bounds the memory.
 const MAX_COUNTED_TENANTS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/staircross-http/src/client.rs
+++ b/crates/staircross-http/src/client.rs
@@ -95,7 +95,7 @@
         ClientConnection { input: Vec::new(), pending: None, expected: None, max_body, peer_closed: false }
     }
 
-    /// Sets the outstanding request. Called when a request is sent.
+    /// Sets the outstanding request. This function is called when a request is sent.
     pub fn expect(&mut self, expected: Expected) {
         self.expected = Some(expected);
     }
@@ -110,8 +110,8 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Reads the next response from the buffered bytes. Must be called until it returns [`ClientProgress::NeedMore`] or
-    /// [`ClientProgress::Broken`].
+    /// Reads the next response from the buffered bytes. This function must be called until it returns
+    /// [`ClientProgress::NeedMore`] or [`ClientProgress::Broken`].
     pub fn advance(&mut self) -> ClientProgress {
         if self.pending.is_none() {
             match self.read_head() {
--- a/crates/staircross-quota/src/bound.rs
+++ b/crates/staircross-quota/src/bound.rs
@@ -18,7 +18,7 @@
 const STEADY_BURST_FRACTION: f64 = 0.5;
 /// Fraction of the permitted excess that is granted evenly over the window.
 const STEADY_EXCESS_FRACTION: f64 = 0.1;
-/// Fraction of the permitted excess that nodes may admit while reports are delayed for batching. Below
+/// Fraction of the permitted excess that nodes may admit while reports are delayed for batching. It is below
 /// [`HEADROOM_FRACTION`].
 const REPORT_DELAY_FRACTION: f64 = 0.1;
 /// Demand of a hot tenant, which sends far more requests than its quota admits, as a multiple of its rate. The delay of
@@ -34,12 +34,12 @@
 /// with its usual demand is served until the membership names another owner.
 const SUBSTITUTE_CREDIT_FRACTION: f64 = 0.1;
 /// Fraction of the largest known fleet that is assumed to be without an owner at the same time, each node separately.
-/// Covers the loss of one zone of three.
+/// The fraction covers the loss of one zone of three.
 const OWNERLESS_NODES_FRACTION: f64 = 1.0 / 3.0;
 /// Demand of a hot tenant after a restart of all nodes, as a multiple of its rate.
 const STARTUP_HOT_DEMAND_FACTOR: f64 = 4.0;
-/// Time until restarted nodes are assumed to know each other, in seconds. Twice the time without a new member after
-/// which a node no longer counts as starting.
+/// Time until restarted nodes are assumed to know each other, in seconds. It is twice the time without a new member
+/// after which a node no longer counts as starting.
 const STARTUP_S: f64 = 1.2;
 /// Fraction of the permitted excess for each starting node's first request of a tenant; later requests share the rest.
 const STARTUP_FIRST_REQUEST_FRACTION: f64 = 0.8;
--- a/crates/staircross-quota/src/fleet.rs
+++ b/crates/staircross-quota/src/fleet.rs
@@ -11,19 +11,19 @@
 /// partition together stay within the excess that the bound permits, and a fleet that has lost a third of its nodes
 /// still serves tenants at two thirds of their rate without refusals.
 const OWNER_FACTOR: f64 = 1.0;
-/// Like [`OWNER_FACTOR`], for nodes that reach no owner. Below 1 because the owner's side detects a partition only
-/// after some seconds, and grants the whole quota until then.
+/// Counterpart of [`OWNER_FACTOR`] for nodes that reach no owner. It is below 1 because the owner's side detects a
+/// partition only after some seconds, and grants the whole quota until then.
 const OWNERLESS_FACTOR: f64 = 0.5;
-/// Smallest fleet size that a starting node assumes. Above the 6 to 80 nodes of the simulated schedules in
+/// Smallest fleet size that a starting node assumes. It is above the 6 to 80 nodes of the simulated schedules in
 /// `tests/bound.rs`.
 const MIN_NODES_AT_RESTART: usize = 128;
-/// Time for which the largest fleet seen is remembered. Longer than a partition during which the rest of the fleet
-/// still counts the unreachable nodes as members.
+/// Time for which the largest fleet seen is remembered. The time is longer than a partition during which the rest of
+/// the fleet still counts the unreachable nodes as members.
 const PEAK_RETENTION: Duration = Duration::from_secs(30);
 /// Time without a new member after which a node no longer counts as starting.
 const STARTING_PERIOD: Duration = Duration::from_millis(600);
-/// Time without a change of the nodes after which all nodes are assumed to have the same view. Longer than a change
-/// takes to reach every node.
+/// Time without a change of the nodes after which all nodes are assumed to have the same view. The time is longer than
+/// a change takes to reach every node.
 const SETTLED_PERIOD: Duration = Duration::from_secs(1);
 
 /// The nodes of the fleet as one node sees them.
--- a/crates/staircross-quota/src/follower.rs
+++ b/crates/staircross-quota/src/follower.rs
@@ -6,15 +6,17 @@
 use staircross_types::{BootTime, NodeId};
 use std::time::Duration;
 
-/// Time after which a report that wasn't answered is sent again. Longer than the round trip between regions.
+/// Time after which a report that wasn't answered is sent again. This time is longer than the round trip between
+/// regions.
 const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time between two transmissions of an unanswered report. Three doublings of [`REPORT_RETRY_INTERVAL`].
+/// Longest time between two transmissions of an unanswered report. It equals three doublings of
+/// [`REPORT_RETRY_INTERVAL`].
 const MAX_REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(800);
 /// Time without an answer from the owner after which this node decides without it. A report is sent five times in that
 /// time, so that with a tenth of the datagrams lost in each direction only about one in some thousand detections is
 /// false.
 pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Like [`OWNER_TIMEOUT`], for a node whose unconfirmed admissions have reached its local credit
+/// Counterpart of [`OWNER_TIMEOUT`] for a node whose unconfirmed admissions have reached its local credit
 /// ([`TenantLimits::local_credit`]). A report is sent three times in that time.
 pub(crate) const OVERSPENT_OWNER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a granted fraction is valid. A fraction below 1 is granted again each second, so three grants may be
@@ -23,8 +25,8 @@
 /// Time for which a tenant that was limited is still assumed to exceed its quota, so that a node which decides without
 /// the owner gives it no credit.
 const LIMITED_RETENTION: Duration = Duration::from_secs(10);
-/// Time for which a former owner may still regard itself as the owner. Longer than the nodes take to agree on the
-/// membership, some 3 s.
+/// Time for which a former owner may still regard itself as the owner. This time is longer than the nodes take to agree
+/// on the membership, some 3 s.
 const FORMER_OWNER_LIFETIME: Duration = Duration::from_secs(4);
 
 /// The node that substitutes for an owner that doesn't answer.
--- a/crates/staircross-quota/src/ledger.rs
+++ b/crates/staircross-quota/src/ledger.rs
@@ -12,32 +12,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time within which the bucket's level is to be brought back to 0, in seconds. Three times the round trip of a report
-/// and its answer, so that the fraction doesn't oscillate.
+/// Time within which the bucket's level is to be brought back to 0, in seconds. It is three times the round trip of a
+/// report and its answer, so that the fraction doesn't oscillate.
 const LEVEL_CORRECTION_S: f64 = 0.6;
-/// Time constant of the average of demand, in seconds. Below [`LEVEL_CORRECTION_S`], so that a rise of demand shows
-/// within that time.
+/// Time constant of the average of demand, in seconds. It is below [`LEVEL_CORRECTION_S`], so that a rise of demand
+/// shows within that time.
 const DEMAND_AVERAGING_S: f64 = 0.4;
 /// Fraction of the headroom that a new owner starts with, because it doesn't know what was admitted before.
 const NEW_OWNER_HEADROOM_FRACTION: f64 = 0.5;
-/// Time for which a grant of another owner reduces this owner's rate; one such owner halves it. Longer than
+/// Time for which a grant of another owner reduces this owner's rate; one such owner halves it. The time is longer than
 /// [`REGRANT_INTERVAL`], after which the other owner grants again.
 const RIVAL_OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time between two grants to a former owner that may still regard itself as the owner. Well below
+/// Time between two grants to a former owner that may still regard itself as the owner. It is well below
 /// [`RIVAL_OWNER_TIMEOUT`].
 const FORMER_OWNER_GRANT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time since a node's last report after which its counts are dropped. Bounds memory.
+/// Time since a node's last report after which its counts are dropped. This bounds memory.
 const REPORTED_COUNTS_RETENTION: Duration = Duration::from_secs(60);
-/// Shortest time between two grants to all nodes that lower the fraction, in a small fleet. Equal to the time after
-/// which a report is sent again.
+/// Shortest time between two grants to all nodes that lower the fraction, in a small fleet. It is equal to the time
+/// after which a report is sent again.
 const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(100);
-/// Like [`MIN_GRANT_INTERVAL`], for each node that receives the grant. Limits grants to 500 datagrams per second.
+/// Counterpart of [`MIN_GRANT_INTERVAL`] for each node that receives the grant. It limits grants to 500 datagrams per
+/// second.
 const GRANT_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
 /// Factor of the time between two grants for those that raise the fraction. A late raise costs some refusals, but no
 /// excess.
 const RAISE_INTERVAL_FACTOR: u32 = 3;
-/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. A fraction of the time for
-/// which a grant is valid.
+/// Time after which a limited tenant's fraction is granted again, for nodes that missed it. It is a fraction of the
+/// time for which a grant is valid.
 const REGRANT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Change of the fraction, relative to the last one granted, from which all nodes are sent a new grant.
 const MIN_GRANTED_CHANGE: f64 = 0.2;
--- a/crates/staircross-quota/src/rate_limiter.rs
+++ b/crates/staircross-quota/src/rate_limiter.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Time since the start of a process, at the fleet's first start, during which a tenant's burst is regarded as unused.
-/// Longer than a fleet takes to start.
+/// This period is longer than a fleet takes to start.
 const FIRST_START_PERIOD: Duration = Duration::from_secs(10);
 /// Number of nodes that must leave reports unanswered before a node regards itself as cut off from the fleet. A single
 /// silent node may simply have ended.
--- a/crates/staircross-quota/src/substitution.rs
+++ b/crates/staircross-quota/src/substitution.rs
@@ -16,10 +16,11 @@
 
 /// Time without an answer from the owner after which a node substitutes for it. A report is sent twice in that time.
 pub(crate) const SUBSTITUTE_AFTER: Duration = Duration::from_millis(200);
-/// Time since a node's last report during which it still counts as one that receives this node's grants. Longer than
-/// the membership takes to detect that the owner is gone, because a node without requests reports only once.
+/// Time since a node's last report during which it still counts as one that receives this node's grants. This time is
+/// longer than the membership takes to detect that the owner is gone, because a node without requests reports only
+/// once.
 const REPORTER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after which an unchanged fraction is granted again. Half the time for which a grant is valid.
+/// Time after which an unchanged fraction is granted again. It is half the time for which a grant is valid.
 const REGRANT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two checks of whether a new fraction must be granted.
 const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/staircross-quota/src/tenant.rs
+++ b/crates/staircross-quota/src/tenant.rs
@@ -16,18 +16,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which a former owner still answers reports of nodes that don't know the new owner yet. Longer than a
-/// planned stop takes to become known everywhere.
+/// Time for which a former owner still answers reports of nodes that don't know the new owner yet. This time is longer
+/// than a planned stop takes to become known everywhere.
 const FORMER_OWNER_LEDGER_RETENTION: Duration = Duration::from_secs(2);
-/// Time between two checks of a limited tenant. Equal to the shortest time between two grants of the owner.
+/// Time between two checks of a limited tenant. It is equal to the shortest time between two grants of the owner.
 const LIMITED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a refusal after which a tenant is no longer logged as limited, so that the log doesn't alternate
 /// between the two states.
 const UNLIMITED_AFTER: Duration = Duration::from_secs(3);
-/// Shortest time after which a refused caller should retry, in seconds. Longer than a round trip.
+/// Shortest time after which a refused caller should retry, in seconds. It is longer than a round trip.
 const MIN_RETRY_AFTER_S: f64 = 0.25;
-/// Longest time over which the retries of refused callers are spread, in seconds. Bounded so that callers still retry
-/// when hardly any request is admitted.
+/// Longest time over which the retries of refused callers are spread, in seconds. The time is bounded so that callers
+/// still retry when hardly any request is admitted.
 const MAX_RETRY_SPREAD_S: f64 = 8.0;
 
 /// One tenant at one node, which is the tenant's owner, follows another owner, or substitutes for one.
--- a/crates/staircross-routing/src/decision/hedging.rs
+++ b/crates/staircross-routing/src/decision/hedging.rs
@@ -55,11 +55,11 @@
 }
 
 /// Delay factors in use. Budget that isn't spent within its window is lost, so hedges are sent earlier while the budget
-/// is full. A scarce budget is kept for attempts that are certainly late, and for retries of failed ones. Measured as
-/// the change of the mean score of four days, against a factor of 1.0 without regard to the budget: 0.5 to 1.3 gave
-/// +0.0061 ± 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave +0.0050, 0.8 gave
-/// +0.0034 and 1.3 gave -0.0112. All figures include the use of reported host slowness, which accounts for 0.0022 of
-/// them (`docs/design/extra-sends.md`).
+/// is full. A scarce budget is kept for attempts that are certainly late, and for retries of failed ones. The factors
+/// were measured as the change of the mean score of four days, against a factor of 1.0 without regard to the budget:
+/// 0.5 to 1.3 gave +0.0061 ± 0.0014 and 0.4 to 1.0 gave +0.0042 ± 0.0023; without regard to the budget, 0.65 gave
+/// +0.0050, 0.8 gave +0.0034 and 1.3 gave -0.0112. All figures include the use of reported host slowness, which
+/// accounts for 0.0022 of them (`docs/design/extra-sends.md`).
 const HEDGE_DELAY_FACTORS: HedgeDelayFactors = HedgeDelayFactors { full_budget: 0.5, spent_budget: 1.3 };
 
 /// Delay factor if hedges disregard the budget.
--- a/crates/staircross-routing/src/decision/placement/connections.rs
+++ b/crates/staircross-routing/src/decision/placement/connections.rs
@@ -10,17 +10,18 @@
 use staircross_types::BootTime;
 use std::time::Duration;
 
-/// Fraction of a searcher's connections that the nodes of its zone share. Measured together with [`OTHER_ZONE_SHARE`],
-/// as the change of the mean score of a day's requests (0 to 1, docs/studies/scores.md) against this pair: 0.9 and 0.9
-/// gave -0.0136, 0.9 and 1.8 gave -0.0161, 0.3 and 0.3 gave -0.0057, and 0.2 and 0.2 gave -0.0067, each ± 0.0022.
+/// Fraction of a searcher's connections that the nodes of its zone share. The fraction was measured together with
+/// [`OTHER_ZONE_SHARE`], as the change of the mean score of a day's requests (0 to 1, docs/studies/scores.md) against
+/// this pair: 0.9 and 0.9 gave -0.0136, 0.9 and 1.8 gave -0.0161, 0.3 and 0.3 gave -0.0057, and 0.2 and 0.2 gave
+/// -0.0067, each ± 0.0022.
 const OWN_ZONE_SHARE: f64 = 0.45;
-/// Fraction of a searcher's connections that the nodes of all other zones share. Measured together with
-/// [`OWN_ZONE_SHARE`].
+/// Fraction of a searcher's connections that the nodes of all other zones share. The fraction was measured together
+/// with [`OWN_ZONE_SHARE`].
 const OTHER_ZONE_SHARE: f64 = 0.45;
 /// Number of steps in which a restarted node comes to use its share. After a power loss at all nodes, searchers count
-/// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. Measured together with
-/// [`RAMP_STEP`]: the mean score of a day is higher by 0.0083 ± 0.0019 than without steps. Steps of one connection
-/// lowered it by 0.0136 on a deployment with shares of nine and more.
+/// the old connections for 2 to 3 s, and the first nodes to return would take all that are left. The number was
+/// measured together with [`RAMP_STEP`]: the mean score of a day is higher by 0.0083 ± 0.0019 than without steps. Steps
+/// of one connection lowered it by 0.0136 on a deployment with shares of nine and more.
 const RAMP_STEPS: usize = 4;
 /// Length of each step. With steps of one connection, the mean score of a day changed as follows: 1 s gave +0.0070, 0.4
 /// s +0.0036, 2 s +0.0066 and 4 s +0.0062, each ± 0.002. With steps of a quarter of the share, only 1 s was measured.
--- a/crates/staircross-routing/src/engine/overload.rs
+++ b/crates/staircross-routing/src/engine/overload.rs
@@ -1,7 +1,7 @@
 //! Admission control: measures how long sub-requests wait at searchers, and refuses requests while that is too long.
 //!
-//! Owns the admission level, the wait and the tenants' shares of each service group, and the wait of each service.
-//! The rules are in [`crate::decision::admission`] and [`crate::decision::fair_share`].
+//! This module owns the admission level, the wait and the tenants' shares of each service group, and the wait of each
+//! service. The rules are in [`crate::decision::admission`] and [`crate::decision::fair_share`].
 
 use super::{RoutingAction, RoutingEngine, SentAttempt};
 use crate::configuration::definition::{RouteDefinition, RouteTarget};
--- a/crates/staircross-routing/src/state/request.rs
+++ b/crates/staircross-routing/src/state/request.rs
@@ -58,7 +58,7 @@
 /// revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationView {
-    /// As certain as the settings require.
+    /// The knowledge is as certain as the settings require.
     #[default]
     Current,
     /// The node hasn't learned from the store for too long whether anything has changed, and knows of a newer version.
@@ -225,7 +225,7 @@
     pub excluded: Vec<SearcherKey>,
     /// Number of open attempts, for whose answers the shard still waits.
     pub open_attempts: u32,
-    /// Set while the shard waits for a searcher that can be asked.
+    /// This is set while the shard waits for a searcher that can be asked.
     pub waiting: Option<Waiting>,
     /// Whether the shard is in the queue of its service.
     pub is_queued: bool,
@@ -307,7 +307,7 @@
     Open,
     /// A searcher answered the shard.
     Answered(Box<SearcherAnswer>),
-    /// The shard was given up. Holds the searcher's error answer if there was one.
+    /// The shard was given up. This holds the searcher's error answer if there was one.
     Failed(Option<Box<SearcherAnswer>>),
 }
 
--- a/crates/staircross-routing/src/store_reader/message.rs
+++ b/crates/staircross-routing/src/store_reader/message.rs
@@ -200,7 +200,7 @@
             // The gateway derives both from the followers' timeout for a reader that sends nothing.
             probe_with_followers: Duration::from_millis(500),
             probe_as_prober: Duration::from_millis(600),
-            // Below `call_timeout`, so that the probe fails before the calls of the other lanes do.
+            // The timeout is below `call_timeout`, so that the probe fails before the calls of the other lanes do.
             probe_timeout: Duration::from_millis(800),
             // A short failure must delay a lane little, and a lasting one must cost only about a call a second.
             back_off: Backoff { first: Duration::from_millis(150), longest: Duration::from_millis(1000) },
